--- a/eslint.config.js
+++ b/eslint.config.js
@@ -22,7 +22,7 @@
   },
   { files: ['eslint.config.js'], ...tseslint.configs.disableTypeChecked },
   {
-    files: ['packages/{nacelle,courier,anemometer,ledger,farm,marquee,yaw,gate,hub,playbill}/src/**/*.ts'],
+    files: ['packages/{common,messages,failure-detector,storage,process-group,configuration,placement,gateway,cluster-node,workloads}/src/**/*.ts'],
     ignores: ['**/*.test.ts'],
     rules: {
       'no-restricted-globals': [
--- a/packages/hub/src/hub.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -16,11 +16,11 @@
   type Reply,
   type Seat,
   type WorkerList,
-} from '@rainrun/courier';
-import { Group, type GroupGear, type Held, type Outcome, type Play } from '@rainrun/farm';
-import { applyToStage, decodeStage, EMPTY_STAGE, encodeStage, plainStage, type Stage } from '@rainrun/marquee';
-import { fault, word, type Fault } from '@rainrun/nacelle';
-import { Orderer, Placer, PLACE_SETTINGS, type KnownWorker, type ModelDemand, type Order, type OrderReply, type PlaceSettings } from '@rainrun/yaw';
+} from '@rainrun/messages';
+import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
+import { applyToStage, decodeStage, EMPTY_STAGE, encodeStage, plainStage, type Stage } from '@rainrun/configuration';
+import { fault, randomId, type Fault } from '@rainrun/common';
+import { Orderer, Placer, PLACE_SETTINGS, type KnownWorker, type ModelDemand, type Order, type OrderReply, type PlaceSettings } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { DemandBook, type GroupPicture } from './demand.js';
@@ -37,8 +37,8 @@
   },
 };
 
-const NEWS_BEAT_MS = 200;
-const PLACE_BEAT_MS = 1000;
+const NEWS_TICK_MS = 200;
+const PLACE_TICK_MS = 1000;
 /** How long a new holder of the duty waits to hear what every worker holds. */
 const HEARING_MS = 4000;
 /** So long a question waits for its answer, and so often it is sent again. */
@@ -50,7 +50,7 @@
 const NEWS_WORKER = 'worker/';
 
 /** What a node of the system is given by its program, or by the simulator. */
-export interface HubGear extends Omit<GroupGear<Stage>, 'play' | 'audience'> {
+export interface ClusterNodeDependencies extends Omit<GroupDependencies<Stage>, 'play' | 'audience'> {
   /** Sends one order to a worker. */
   order(address: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void;
   /** Called when a version has come into force here. */
@@ -58,7 +58,7 @@
   /** Called for each cast delivered here. */
   heard(sender: string, payload: Uint8Array): void;
   /** Called at each change of standing, for the logs. */
-  reborn(life: string): void;
+  reborn(incarnation: string): void;
   /** Called when the group says that this node cannot join it. */
   refused(why: string): void;
   /** Set points of placement, where they are not the usual ones. */
@@ -85,12 +85,12 @@
  * One node: its place in the group, the agreed stage, news, and, where it
  * holds the duty, placement and orders. No socket, timer or file of its own.
  * @example
- * const hub = new Hub(gear);
- * hub.beat(); // every 50 ms
- * hub.receive(frame);
+ * const clusterNode = new ClusterNode(dependencies);
+ * clusterNode.tick(); // every 50 ms
+ * clusterNode.receive(frame);
  */
-export class Hub {
-  #gear: HubGear;
+export class ClusterNode {
+  #dependencies: ClusterNodeDependencies;
   #group: Group<Stage>;
   #news: NewsBoard;
   #roster = new Roster();
@@ -98,35 +98,35 @@
   #placer: Placer;
   #orderer: Orderer;
   #waiting = new Map<string, (answer: Answer) => void>();
-  #newsBeatMs = -Infinity;
-  #placeBeatMs = -Infinity;
+  #newsHeartbeatMs = -Infinity;
+  #placeHeartbeatMs = -Infinity;
   #placing: string | undefined;
   #dutySince: { epoch: number; atMs: number } | undefined;
   #tellings = 0;
   #asked = new Map<string, Asked>();
   #counter = 0;
 
-  constructor(gear: HubGear) {
-    this.#gear = gear;
-    this.#placer = new Placer(gear.placing ?? PLACE_SETTINGS);
-    this.#news = new NewsBoard(gear.chance, (item) => this.#hear(item));
+  constructor(dependencies: ClusterNodeDependencies) {
+    this.#dependencies = dependencies;
+    this.#placer = new Placer(dependencies.placing ?? PLACE_SETTINGS);
+    this.#news = new NewsBoard(dependencies.chance, (item) => this.#hear(item));
     this.#orderer = new Orderer({
       dutyEpoch: () => this.#group.dutyEpoch(),
       order: (order, done) => this.#order(order, done),
       learned: (worker, known) => this.#learned(worker, known),
     });
     this.#group = new Group<Stage>({
-      ...gear,
+      ...dependencies,
       play: STAGE_PLAY,
       audience: {
         onVersion: (held, entry) => this.#onVersion(held, entry),
         onCast: (sender, payload) => this.#onCast(sender, payload),
         onAnswer: (answer) => this.#onAnswer(answer),
-        onReborn: (life) => gear.reborn(life),
-        onRefused: (why) => gear.refused(why),
+        onReborn: (incarnation) => dependencies.reborn(incarnation),
+        onRefused: (why) => dependencies.refused(why),
         onFrame: (from, body) => this.#onFrame(from, body),
       },
-      post: (address, frame) => gear.post(address, frame),
+      post: (address, frame) => dependencies.post(address, frame),
     });
   }
 
@@ -148,7 +148,7 @@
   }
 
   workers(): RosterWorker[] {
-    return this.#roster.workers(this.stage, this.#group.seat.life, this.#now());
+    return this.#roster.workers(this.stage, this.#group.seat.incarnation, this.#now());
   }
 
   /** Why a model stands where it does, if this node decided it. */
@@ -183,7 +183,7 @@
    * nothing when none came in time.
    */
   ask(to: string, kind: string, text: string, done: (told: Told | undefined) => void): void {
-    const question = create(QuestionSchema, { id: word(this.#gear.chance), kind, text });
+    const question = create(QuestionSchema, { id: randomId(this.#dependencies.chance), kind, text });
     this.#asked.set(question.id, { to, question, endMs: this.#now() + ASK_MS, sentMs: -Infinity, done });
     this.#askAgain();
   }
@@ -202,7 +202,7 @@
   }
 
   #answer(from: string, question: Question): void {
-    const { status, body } = this.#gear.question(question.kind, question.text);
+    const { status, body } = this.#dependencies.question(question.kind, question.text);
     const value = create(ReplySchema, { id: question.id, status, body: JSON.stringify(body) });
     this.#group.postTo(from, { case: 'reply', value });
   }
@@ -218,21 +218,21 @@
     this.#group.receive(frame);
   }
 
-  beat(): void {
+  tick(): void {
     const nowMs = this.#now();
-    this.#group.beat();
-    if (nowMs - this.#newsBeatMs >= NEWS_BEAT_MS) {
-      this.#newsBeatMs = nowMs;
-      const self = this.#group.seat.life;
-      const lives = (this.#group.view?.members ?? []).map((member) => member.life).filter((life) => life !== self);
-      for (const { to, body } of this.#news.beat(lives)) this.#group.postTo(to, body);
+    this.#group.tick();
+    if (nowMs - this.#newsHeartbeatMs >= NEWS_TICK_MS) {
+      this.#newsHeartbeatMs = nowMs;
+      const self = this.#group.seat.incarnation;
+      const incarnations = (this.#group.view?.members ?? []).map((member) => member.incarnation).filter((incarnation) => incarnation !== self);
+      for (const { to, body } of this.#news.tick(incarnations)) this.#group.postTo(to, body);
     }
     this.#askAgain();
     this.#place(nowMs);
   }
 
   #now(): number {
-    return this.#gear.clock.nowMs();
+    return this.#dependencies.clock.nowMs();
   }
 
   #place(nowMs: number): void {
@@ -243,12 +243,12 @@
     const staying = workers.filter((worker) => !worker.leaving);
     const demands = this.#demand.models(nowMs);
     const held = this.#heldParts(staying);
-    this.#orderer.beat(spec, this.stage.placement, staying, nowMs, (model, adapter) => urgencyOf(demands, held, model, adapter));
+    this.#orderer.tick(spec, this.stage.placement, staying, nowMs, (model, adapter) => urgencyOf(demands, held, model, adapter));
     if (this.#dutySince?.epoch !== epoch) this.#dutySince = { epoch, atMs: nowMs };
     const heardAll = staying.every((worker) => this.#orderer.known(worker.name) !== undefined);
     if (!heardAll && nowMs - this.#dutySince.atMs < HEARING_MS) return;
-    if (nowMs - this.#placeBeatMs < PLACE_BEAT_MS || this.#placing !== undefined) return;
-    this.#placeBeatMs = nowMs;
+    if (nowMs - this.#placeHeartbeatMs < PLACE_TICK_MS || this.#placing !== undefined) return;
+    this.#placeHeartbeatMs = nowMs;
     const seen = workers.map((worker) => ({
       ...worker,
       usable: !worker.leaving && !worker.emptied && (this.#orderer.known(worker.name)?.reachable ?? false),
@@ -259,7 +259,7 @@
     for (const name of Object.keys(this.stage.placement)) if (!listed.has(name)) changes[name] = [];
     if (Object.keys(changes).length === 0) return;
     this.#counter += 1;
-    const id = `place-${epoch}-${this.#group.seat.life}-${this.#counter}`;
+    const id = `place-${epoch}-${this.#group.seat.incarnation}-${this.#counter}`;
     this.#placing = id;
     const sent = this.submit(id, 'place', JSON.stringify({ epoch, workers: changes }), () => {
       this.#placing = undefined;
@@ -284,7 +284,7 @@
   #order(order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
     const entry = this.workers().find((worker) => worker.name === order.worker);
     if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
-    this.#gear.order(entry.address, order, done);
+    this.#dependencies.order(entry.address, order, done);
   }
 
   #learned(worker: string, known: KnownWorker): void {
@@ -318,18 +318,18 @@
   }
 
   #onVersion(held: Held<Stage>, entry: Entry | undefined): void {
-    const lives = new Set(held.view.members.map((member) => member.life));
-    this.#roster.keepOnly(lives);
-    this.#demand.keepOnly(lives);
-    this.#gear.changed(held, entry);
+    const incarnations = new Set(held.view.members.map((member) => member.incarnation));
+    this.#roster.keepOnly(incarnations);
+    this.#demand.keepOnly(incarnations);
+    this.#dependencies.changed(held, entry);
   }
 
   #onCast(sender: Seat, payload: Uint8Array): void {
-    this.#gear.heard(sender.life, payload);
+    this.#dependencies.heard(sender.incarnation, payload);
     const read = tryOrElse(() => undefined, () => fromBinary(ObservationSchema, payload));
     if (read.isErr) return;
-    this.#roster.takeObservation(sender.life, read.value, this.#now());
-    this.#demand.take(sender.life, read.value, this.#now());
+    this.#roster.takeObservation(sender.incarnation, read.value, this.#now());
+    this.#demand.take(sender.incarnation, read.value, this.#now());
   }
 
   #onAnswer(answer: Answer): void {
--- a/packages/hub/src/keeper.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -11,11 +11,11 @@
   type Frame,
   type Seat,
   type WorkerRow,
-} from '@rainrun/courier';
-import { Group, type GroupGear, type Held, type Outcome, type Play } from '@rainrun/farm';
-import { applyToDeployment, checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, encodeDeployment, type Configuration, type Deployment } from '@rainrun/marquee';
-import { fault, word, type Fault } from '@rainrun/nacelle';
-import { Stocker, WorkerBook, type BookRow, type ListedWorker, type StockEngine, type StockOrder, type StockReply } from '@rainrun/yaw';
+} from '@rainrun/messages';
+import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
+import { applyToDeployment, checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, encodeDeployment, type Configuration, type Deployment } from '@rainrun/configuration';
+import { fault, randomId, type Fault } from '@rainrun/common';
+import { PlacementPlanner, WorkerTable, type WorkerRecord, type ListedWorker, type StockEngine, type StockOrder, type StockReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 
 const DEPLOYMENT_PLAY: Play<Deployment> = {
@@ -38,16 +38,16 @@
 const ORDERS_MS = 2500;
 
 /** What a core is given by its program, or by the simulator. */
-export interface KeeperGear extends Omit<GroupGear<Deployment>, 'play' | 'audience'> {
+export interface CoreReplicaDependencies extends Omit<GroupDependencies<Deployment>, 'play' | 'audience'> {
   /** Sends one order to a worker. */
-  order(row: BookRow, order: StockOrder, done: (reply: StockReply) => void): void;
+  order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void;
   /** Asks a worker what it holds; nothing comes while it is at an order, or if it does not answer. */
-  report(row: BookRow, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void;
+  report(row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void;
   /** How far the platform's list lags. */
   readonly listLagMs: number;
   /** Called when another edition came into force here. */
   changed(state: Deployment): void;
-  reborn(life: string): void;
+  reborn(incarnation: string): void;
   refused(why: string): void;
   /** Called for each decision on placement, for the logs. */
   decided(text: string): void;
@@ -66,14 +66,14 @@
  * the placement, and tells the nodes that follow it. The coordinator keeps the
  * table of workers and orders them. No socket, timer or file of its own.
  * @example
- * const keeper = new Keeper(gear);
- * keeper.beat(); // every 20 ms
+ * const replica = new CoreReplica(dependencies);
+ * replica.tick(); // every 20 ms
  */
-export class Keeper {
-  #gear: KeeperGear;
+export class CoreReplica {
+  #dependencies: CoreReplicaDependencies;
   #group: Group<Deployment>;
-  #book = new WorkerBook();
-  #stocker: Stocker;
+  #book = new WorkerTable();
+  #planner: PlacementPlanner;
   #table = '';
   #tableEpoch = -1;
   #followers = new Map<string, Follower>();
@@ -86,21 +86,21 @@
   #read: { readonly state: Deployment; readonly engines: ReadonlyMap<string, StockEngine> } | undefined;
   #encoded: { readonly state: Deployment; readonly bytes: Uint8Array } | undefined;
 
-  constructor(gear: KeeperGear) {
-    this.#gear = gear;
-    this.#stocker = this.#newStocker();
+  constructor(dependencies: CoreReplicaDependencies) {
+    this.#dependencies = dependencies;
+    this.#planner = this.#newPlanner();
     this.#group = new Group<Deployment>({
-      ...gear,
+      ...dependencies,
       play: DEPLOYMENT_PLAY,
       audience: {
         onVersion: (held, entry) => this.#onVersion(held, entry),
         onCast: () => undefined,
         onAnswer: (answer) => this.#onAnswer(answer),
-        onReborn: (life) => gear.reborn(life),
-        onRefused: (why) => gear.refused(why),
+        onReborn: (incarnation) => dependencies.reborn(incarnation),
+        onRefused: (why) => dependencies.refused(why),
         onFrame: (_from, body) => this.#onFrame(body),
       },
-      post: (address, frame) => gear.post(address, frame),
+      post: (address, frame) => dependencies.post(address, frame),
     });
   }
 
@@ -112,12 +112,12 @@
     return this.#group.held?.play ?? EMPTY_DEPLOYMENT;
   }
 
-  get book(): WorkerBook {
+  get book(): WorkerTable {
     return this.#book;
   }
 
-  get stocker(): Stocker {
-    return this.#stocker;
+  get planner(): PlacementPlanner {
+    return this.#planner;
   }
 
   get followers(): number {
@@ -128,10 +128,10 @@
     this.#group.receive(frame);
   }
 
-  beat(): void {
-    const nowMs = this.#gear.clock.nowMs();
-    this.#group.beat();
-    for (const [life, follower] of this.#followers) if (nowMs - follower.atMs > FOLLOWER_MS) this.#followers.delete(life);
+  tick(): void {
+    const nowMs = this.#dependencies.clock.nowMs();
+    this.#group.tick();
+    for (const [incarnation, follower] of this.#followers) if (nowMs - follower.atMs > FOLLOWER_MS) this.#followers.delete(incarnation);
     this.#openTable();
     if (this.#group.leading) this.#stock(nowMs);
     this.#tellChanges(nowMs);
@@ -141,7 +141,7 @@
   learnList(list: readonly ListedWorker[]): void {
     if (!this.#group.leading) return;
     this.#openTable();
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     this.#book.learn(list, nowMs);
     this.#stock(nowMs);
     this.#tellChanges(nowMs);
@@ -149,7 +149,7 @@
 
   /** Submits an operation; `done` is called once, with the agreed answer. */
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
-    const id = word(this.#gear.chance);
+    const id = randomId(this.#dependencies.chance);
     const operation = create(OperationSchema, { id, kind, payload: new TextEncoder().encode(JSON.stringify(payload)), brief: true });
     this.#waiting.set(id, done);
     if (this.#group.submit(operation)) return Result.ok(id);
@@ -163,13 +163,13 @@
     this.#group.withdraw(id);
   }
 
-  #newStocker(): Stocker {
-    const gear = this.#gear;
-    return new Stocker(this.#book, {
+  #newPlanner(): PlacementPlanner {
+    const dependencies = this.#dependencies;
+    return new PlacementPlanner(this.#book, {
       fence: () => this.#group.dutyEpoch(),
-      order: (row, order, done) => gear.order(row, order, done),
-      nowMs: () => gear.clock.nowMs(),
-      decided: (text) => gear.decided(text),
+      order: (row, order, done) => dependencies.order(row, order, done),
+      nowMs: () => dependencies.clock.nowMs(),
+      decided: (text) => dependencies.decided(text),
     });
   }
 
@@ -178,9 +178,9 @@
     const epoch = this.#group.leading ? this.#group.epoch : -1;
     if (epoch === this.#tableEpoch) return;
     this.#tableEpoch = epoch;
-    this.#table = epoch < 0 ? '' : `${epoch}-${this.#group.seat.life}`;
-    this.#book = new WorkerBook();
-    this.#stocker = this.#newStocker();
+    this.#table = epoch < 0 ? '' : `${epoch}-${this.#group.seat.incarnation}`;
+    this.#book = new WorkerTable();
+    this.#planner = this.#newPlanner();
     this.#dutySinceMs = undefined;
     this.#askedMs.clear();
   }
@@ -204,25 +204,25 @@
     if (this.#group.dutyEpoch() === undefined) return;
     this.#dutySinceMs ??= nowMs;
     const heldMs = nowMs - this.#dutySinceMs;
-    const pressed = this.#stocker.pressed;
+    const pressed = this.#planner.pressed;
     for (const row of this.#book.rows) {
       if (row.sure || row.gone) continue;
-      if (heldMs > this.#gear.listLagMs + ORDERS_MS) {
-        this.#stocker.settle(row, row.listed);
+      if (heldMs > this.#dependencies.listLagMs + ORDERS_MS) {
+        this.#planner.settle(row, row.listed);
         continue;
       }
       if (!pressed || heldMs < REPORT_LAG_MS || nowMs - (this.#askedMs.get(row.id) ?? -Infinity) < REPORT_LAG_MS) continue;
       this.#askedMs.set(row.id, nowMs);
-      const stocker = this.#stocker;
-      this.#gear.report(row, (models) => {
-        if (models !== undefined && stocker === this.#stocker && !row.sure) stocker.settle(row, models);
+      const planner = this.#planner;
+      this.#dependencies.report(row, (models) => {
+        if (models !== undefined && planner === this.#planner && !row.sure) planner.settle(row, models);
       });
     }
   }
 
   #stock(nowMs: number): void {
     this.#confirm(nowMs);
-    this.#stocker.beat(this.#engines(), this.state.evacuated, nowMs);
+    this.#planner.tick(this.#engines(), this.state.evacuated, nowMs);
   }
 
   #onFrame(body: Frame['body']): void {
@@ -232,15 +232,15 @@
   #onFollow(follow: Follow): void {
     const { seat, edition, table, row, wants, leaving } = follow;
     if (seat === undefined) return;
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     if (leaving) {
-      this.#followers.delete(seat.life);
+      this.#followers.delete(seat.incarnation);
       return;
     }
     const follower: Follower = { seat, atMs: nowMs, edition, table, row };
-    this.#followers.set(seat.life, follower);
+    this.#followers.set(seat.incarnation, follower);
     if (this.#group.leading) {
-      this.#stocker.want(seat.life, wants, nowMs);
+      this.#planner.want(seat.incarnation, wants, nowMs);
       this.#stock(nowMs);
     }
     this.#tell(follower, nowMs);
@@ -269,8 +269,8 @@
   #tell(follower: Follower, nowMs: number): void {
     const { state } = this;
     const view = this.#group.view;
-    const leaderLife = this.#group.coordinatorLife;
-    const leader = view?.members.find((member) => member.life === leaderLife);
+    const leaderIncarnation = this.#group.coordinatorIncarnation;
+    const leader = view?.members.find((member) => member.incarnation === leaderIncarnation);
     const tell = create(TellSchema, {
       edition: state.edition,
       granted: this.#group.granted(),
@@ -292,9 +292,9 @@
       follower.table = tell.table;
       follower.row = tell.row;
     }
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#gear.deployment, from: this.#group.seat.life, to: follower.seat.life });
+    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#group.seat.incarnation, to: follower.seat.incarnation });
     frame.body = { case: 'tell', value: tell };
-    this.#gear.post(follower.seat.address, frame);
+    this.#dependencies.post(follower.seat.address, frame);
   }
 
   #bytes(state: Deployment): Uint8Array {
@@ -303,8 +303,8 @@
   }
 
   #onVersion(held: Held<Deployment>, _entry: Entry | undefined): void {
-    this.#gear.changed(held.play);
-    this.#tellChanges(this.#gear.clock.nowMs());
+    this.#dependencies.changed(held.play);
+    this.#tellChanges(this.#dependencies.clock.nowMs());
   }
 
   #onAnswer(answer: Answer): void {
@@ -314,7 +314,7 @@
   }
 }
 
-function rowOf(row: BookRow, nowMs: number): WorkerRow {
+function rowOf(row: WorkerRecord, nowMs: number): WorkerRow {
   const { number, id, service, address, zone, leaving, gone, slots, coldUntilMs, models } = row;
   return create(WorkerRowSchema, {
     number,
--- a/packages/hub/src/demand.ts
+++ b/packages/cluster-node/src/demand.ts
@@ -1,5 +1,5 @@
-import type { GroupMeasure, Observation } from '@rainrun/courier';
-import type { ModelDemand } from '@rainrun/yaw';
+import type { GroupMeasure, Observation } from '@rainrun/messages';
+import type { ModelDemand } from '@rainrun/placement';
 
 const HALF_LIFE_S = 10;
 
@@ -18,7 +18,7 @@
 /**
  * Observations of all edges, smoothed into demand per model and measures per group.
  * @example
- * demand.take('life-1', observation, nowMs);
+ * demand.take('incarnation-1', observation, nowMs);
  * demand.models(nowMs).get('gearbox-7b')?.arrivalsPerS;
  */
 export class DemandBook {
@@ -42,9 +42,9 @@
     for (const measure of observation.groups) this.#count(measure);
   }
 
-  keepOnly(lives: ReadonlySet<string>): void {
-    for (const life of this.#backlogs.keys()) if (!lives.has(life)) this.#backlogs.delete(life);
-    for (const life of this.#groups.keys()) if (!lives.has(life)) this.#groups.delete(life);
+  keepOnly(incarnations: ReadonlySet<string>): void {
+    for (const incarnation of this.#backlogs.keys()) if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
+    for (const incarnation of this.#groups.keys()) if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
   }
 
   models(nowMs: number): Map<string, ModelDemand> {
--- a/packages/hub/src/edge.ts
+++ b/packages/cluster-node/src/edge.ts
@@ -1,9 +1,9 @@
 import { create } from '@bufbuild/protobuf';
-import { ObservationSchema } from '@rainrun/courier';
-import { Gate, type Sender } from '@rainrun/gate';
-import type { Chance, Clock } from '@rainrun/nacelle';
-import { Loop, type LoopSettings } from '@rainrun/yaw';
-import type { Hub } from './hub.js';
+import { ObservationSchema } from '@rainrun/messages';
+import { Gate, type Sender } from '@rainrun/gateway';
+import type { Chance, Clock } from '@rainrun/common';
+import { Loop, type LoopSettings } from '@rainrun/placement';
+import type { ClusterNode } from './cluster-node.js';
 
 /** How the weights of the groups are steered. */
 export const LOOP_SETTINGS: LoopSettings = { gain: 0.5, integralPerS: 0.1, least: 0.25, most: 4, stepPerS: 0.2, deadBand: 0.1 };
@@ -15,30 +15,30 @@
  * The data plane of an edge, tied to its node: the gate sees the node's
  * stage, workers and grant; the node's members see what the gate measured.
  * @example
- * const edge = new Edge(hub, 'edge-1', 'north', clock, chance, sender);
+ * const edge = new Edge(clusterNode, 'edge-1', 'north', clock, chance, sender);
  * edge.gate.grantEntry(ask, port);
  * edge.observe(); // every OBSERVE_MS
  */
 export class Edge {
-  #hub: Hub;
+  #clusterNode: ClusterNode;
   #loopSettings: LoopSettings;
   #loops = new Map<string, Loop>();
   readonly gate: Gate;
 
-  constructor(hub: Hub, name: string, zone: string, clock: Clock, chance: Chance, sender: Sender, loops: LoopSettings = LOOP_SETTINGS) {
+  constructor(clusterNode: ClusterNode, name: string, zone: string, clock: Clock, chance: Chance, sender: Sender, loops: LoopSettings = LOOP_SETTINGS) {
     this.#loopSettings = loops;
-    this.#hub = hub;
+    this.#clusterNode = clusterNode;
     this.gate = new Gate({
       name,
       zone,
       clock,
       chance,
       sender,
-      spec: () => hub.stage.spec?.spec,
-      workers: () => hub.workers(),
-      edges: () => hub.edges,
-      life: () => hub.group.seat.life,
-      granted: () => hub.group.granted(),
+      spec: () => clusterNode.stage.spec?.spec,
+      workers: () => clusterNode.workers(),
+      edges: () => clusterNode.edges,
+      incarnation: () => clusterNode.group.seat.incarnation,
+      granted: () => clusterNode.group.granted(),
       weight: (group) => this.#weight(group),
     });
   }
@@ -48,14 +48,14 @@
     const { measures: measured, demands, faults } = this.gate.takeMeasures();
     const measures = [...measured];
     const known = new Set(measures.map((measure) => measure.group));
-    for (const { name } of this.#hub.stage.spec?.spec.groups ?? []) {
+    for (const { name } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
       const now = this.gate.groupNow(name);
       if (known.has(name) || now.inFlight + now.backlog === 0) continue;
       measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
     }
     const observation = create(ObservationSchema, {
       demands: demands.map((demand) => ({ $typeName: 'rainrun.v1.Demand' as const, ...demand })),
-      loads: this.#hub.workers().map((worker) => ({
+      loads: this.#clusterNode.workers().map((worker) => ({
         $typeName: 'rainrun.v1.WorkerLoad' as const,
         worker: worker.name,
         inFlight: this.gate.workerInFlight(worker.name),
@@ -72,18 +72,18 @@
         ...this.gate.groupNow(group),
       })),
     });
-    this.#hub.observe(observation);
+    this.#clusterNode.observe(observation);
     this.#moveLoops();
   }
 
   #weight(group: string): number {
-    const share = this.#hub.stage.spec?.spec.groups.find((known) => known.name === group)?.share ?? 1;
+    const share = this.#clusterNode.stage.spec?.spec.groups.find((known) => known.name === group)?.share ?? 1;
     return share * (this.#loops.get(group)?.output ?? 1);
   }
 
   #moveLoops(): void {
-    const pictures = this.#hub.groups;
-    for (const { name, kinds } of this.#hub.stage.spec?.spec.groups ?? []) {
+    const pictures = this.#clusterNode.groups;
+    for (const { name, kinds } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
       const measured = pictures.filter((picture) => picture.group === name && picture.served > 0);
       if (measured.length === 0) continue;
       const ratios = measured.map((picture) => picture.waitMs / (kinds.find((kind) => kind.name === picture.kind)?.targetMs ?? Infinity));
--- a/packages/hub/src/follower.ts
+++ b/packages/cluster-node/src/follower.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
-import { FollowSchema, FrameSchema, SeatSchema, WIRE, type Frame, type Seat, type Tell, type Want, type WorkerRow } from '@rainrun/courier';
-import { checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, type Configuration, type Deployment } from '@rainrun/marquee';
-import { word, type Chance, type Clock } from '@rainrun/nacelle';
+import { FollowSchema, FrameSchema, SeatSchema, WIRE, type Frame, type Seat, type Tell, type Want, type WorkerRow } from '@rainrun/messages';
+import { checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, type Configuration, type Deployment } from '@rainrun/configuration';
+import { randomId, type Chance, type Clock } from '@rainrun/common';
 
 /** A worker as an edge knows it. */
 export interface KnownWorker {
@@ -18,7 +18,7 @@
 }
 
 /** What a follower is given by its program, or by the simulator. */
-export interface FollowerGear {
+export interface FollowerDependencies {
   readonly name: string;
   readonly zone: string;
   readonly address: string;
@@ -57,11 +57,11 @@
  * is told what is newer. What it holds never goes back; cut off, it goes on
  * with it.
  * @example
- * const follower = new Follower(gear);
- * follower.beat(); // every 20 ms
+ * const follower = new Follower(dependencies);
+ * follower.tick(); // every 20 ms
  */
 export class Follower {
-  #gear: FollowerGear;
+  #dependencies: FollowerDependencies;
   #seat: Seat;
   #state: Deployment = EMPTY_DEPLOYMENT;
   #configuration: Configuration | undefined;
@@ -76,9 +76,9 @@
   #hasteMs: number | undefined;
   #knewMs: number | undefined;
 
-  constructor(gear: FollowerGear) {
-    this.#gear = gear;
-    this.#seat = create(SeatSchema, { name: gear.name, life: word(gear.chance), address: gear.address, zone: gear.zone });
+  constructor(dependencies: FollowerDependencies) {
+    this.#dependencies = dependencies;
+    this.#seat = create(SeatSchema, { name: dependencies.name, incarnation: randomId(dependencies.chance), address: dependencies.address, zone: dependencies.zone });
   }
 
   get state(): Deployment {
@@ -93,8 +93,8 @@
     return this.#workers;
   }
 
-  get life(): string {
-    return this.#seat.life;
+  get incarnation(): string {
+    return this.#seat.incarnation;
   }
 
   /** How many edges there are, as far as the coordinator knows. */
@@ -104,7 +104,7 @@
 
   /** Whether a core with a majority behind it was heard lately. */
   get informed(): boolean {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     return [...this.#cores.values()].some((core) => core.granted && nowMs - core.heardMs < FRESH_MS);
   }
 
@@ -113,13 +113,13 @@
     return this.#configuration !== undefined && this.#workers.size > 0 && this.#knewMs !== undefined;
   }
 
-  /** Something is wanted that cannot wait for the next beat. */
+  /** Something is wanted that cannot wait for the next heartbeat. */
   haste(): void {
-    this.#hasteMs ??= this.#gear.clock.nowMs();
+    this.#hasteMs ??= this.#dependencies.clock.nowMs();
   }
 
-  beat(): void {
-    const nowMs = this.#gear.clock.nowMs();
+  tick(): void {
+    const nowMs = this.#dependencies.clock.nowMs();
     const hasty = this.#hasteMs !== undefined && nowMs - this.#hasteMs >= HASTE_MS;
     for (const core of this.#followed(nowMs)) {
       const leads = core.address === this.#leader?.address;
@@ -135,16 +135,16 @@
   }
 
   receive(frame: Frame): void {
-    if (frame.body.case !== 'tell' || frame.to !== this.#seat.life) return;
+    if (frame.body.case !== 'tell' || frame.to !== this.#seat.incarnation) return;
     this.#onTell(frame.body.value, frame.from);
   }
 
   /** The leader and a few more: seeds until cores are known. */
   #followed(nowMs: number): Core[] {
     for (const [address, core] of this.#cores) {
-      if (nowMs - core.heardMs > CORE_MS && !this.#gear.seeds.includes(address)) this.#cores.delete(address);
+      if (nowMs - core.heardMs > CORE_MS && !this.#dependencies.seeds.includes(address)) this.#cores.delete(address);
     }
-    for (const address of this.#gear.seeds) this.#core(address);
+    for (const address of this.#dependencies.seeds) this.#core(address);
     const known = [...this.#cores.values()].filter((core) => core.address !== this.#seat.address);
     const fresh = known.filter((core) => nowMs - core.heardMs < FRESH_MS);
     const leader = known.filter((core) => core.address === this.#leader?.address);
@@ -156,7 +156,7 @@
   #core(address: string): Core {
     let core = this.#cores.get(address);
     if (core === undefined) {
-      core = { address, heardMs: this.#gear.clock.nowMs(), granted: false, askedMs: -Infinity };
+      core = { address, heardMs: this.#dependencies.clock.nowMs(), granted: false, askedMs: -Infinity };
       this.#cores.set(address, core);
     }
     return core;
@@ -164,21 +164,21 @@
 
   #follow(core: Core, nowMs: number, leads: boolean): void {
     core.askedMs = nowMs;
-    this.#post(core.address, false, leads ? this.#gear.wants() : []);
+    this.#post(core.address, false, leads ? this.#dependencies.wants() : []);
   }
 
   #post(address: string, leaving: boolean, wants: readonly Want[]): void {
     const value = create(FollowSchema, { seat: this.#seat, edition: this.#state.edition, table: this.#table, row: this.#row, wants: [...wants], leaving });
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#gear.deployment, from: this.#seat.life, to: '' });
+    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#seat.incarnation, to: '' });
     frame.body = { case: 'follow', value };
-    this.#gear.post(address, frame);
+    this.#dependencies.post(address, frame);
   }
 
   #onTell(tell: Tell, from: string): void {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     for (const seat of tell.cores) {
       const core = this.#core(seat.address);
-      if (seat.life === from) {
+      if (seat.incarnation === from) {
         core.heardMs = nowMs;
         core.granted = tell.granted;
       }
@@ -205,7 +205,7 @@
     this.#state = state.value;
     const checked = state.value.document === undefined ? undefined : checkConfiguration(state.value.document);
     if (checked?.isOk === true) this.#configuration = checked.value;
-    this.#gear.changed('state');
+    this.#dependencies.changed('state');
   }
 
   #takeRows(tell: Tell, nowMs: number): void {
@@ -215,7 +215,7 @@
     for (const row of tell.rows) this.#takeRow(row, nowMs);
     this.#table = tell.table;
     this.#row = tell.row;
-    if (tell.whole || tell.rows.length > 0) this.#gear.changed('workers');
+    if (tell.whole || tell.rows.length > 0) this.#dependencies.changed('workers');
   }
 
   #takeRow(row: WorkerRow, nowMs: number): void {
--- a/packages/hub/src/roster.ts
+++ b/packages/cluster-node/src/roster.ts
@@ -1,5 +1,5 @@
-import type { Observation, WorkerList, WorkerState } from '@rainrun/courier';
-import type { HoldingTarget, Spec, Stage } from '@rainrun/marquee';
+import type { Observation, WorkerList, WorkerState } from '@rainrun/messages';
+import type { HoldingTarget, Spec, Stage } from '@rainrun/configuration';
 
 /** A worker as this node knows it. */
 export interface RosterWorker {
@@ -32,7 +32,7 @@
  * put together for the data plane and for placement.
  * @example
  * roster.takeList(list);
- * roster.workers(stage, 'life-1', nowMs); // every listed worker
+ * roster.workers(stage, 'incarnation-1', nowMs); // every listed worker
  */
 export class Roster {
   #list: WorkerList | undefined;
@@ -71,8 +71,8 @@
   }
 
   /** Drops what was observed by nodes that are no longer in the view. */
-  keepOnly(lives: ReadonlySet<string>): void {
-    for (const life of this.#loads.keys()) if (!lives.has(life)) this.#loads.delete(life);
+  keepOnly(incarnations: ReadonlySet<string>): void {
+    for (const incarnation of this.#loads.keys()) if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
   }
 
   workers(stage: Stage, self: string, nowMs: number): RosterWorker[] {
@@ -100,8 +100,8 @@
 
   #othersInFlight(worker: string, self: string, nowMs: number): number {
     let sum = 0;
-    for (const [life, load] of this.#loads) {
-      if (life !== self && nowMs - load.atMs < LOAD_MS) sum += load.inFlight.get(worker) ?? 0;
+    for (const [incarnation, load] of this.#loads) {
+      if (incarnation !== self && nowMs - load.atMs < LOAD_MS) sum += load.inFlight.get(worker) ?? 0;
     }
     return sum;
   }
--- a/packages/nacelle/src/chance.ts
+++ b/packages/common/src/chance.ts
@@ -25,11 +25,11 @@
 }
 
 /**
- * A short random word, as used for lives, disk ids and operation ids.
+ * A short random word, as used for incarnations, disk ids and operation ids.
  * @example
  * word(new Dice(1)).length; // 12
  */
-export function word(chance: Chance): string {
+export function randomId(chance: Chance): string {
   let text = '';
   for (let digit = 0; digit < 12; digit += 1) text += Math.floor(chance.next() * 16).toString(16);
   return text;
--- a/packages/marquee/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { fault, type Fault, type FaultKind } from '@rainrun/nacelle';
+import { fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
--- a/packages/marquee/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,4 +1,4 @@
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
--- a/packages/marquee/src/stage.ts
+++ b/packages/configuration/src/stage.ts
@@ -1,4 +1,4 @@
-import { fault, type Fault, type FaultKind } from '@rainrun/nacelle';
+import { fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 import { differing, keysOf, makeEdit, readEdit } from './edit.js';
--- a/packages/gate/src/assign.ts
+++ b/packages/gateway/src/assign.ts
@@ -1,5 +1,5 @@
-import { hashText } from '@rainrun/nacelle';
-import type { RosterView } from './gear.js';
+import { hashText } from '@rainrun/common';
+import type { RosterView } from './dependencies.js';
 
 const PREFIXES_KEPT = 4096;
 const WARM_STEP_MS = 500;
@@ -9,7 +9,7 @@
 const SHUN_MOST_MS = 8000;
 
 /** What the assigner keeps for each worker. */
-interface Desk {
+interface CoordinatorContext {
   inFlight: number;
   faults: number;
   shunnedUntilMs: number;
@@ -45,7 +45,7 @@
 export class Assigner {
   #self: string;
   #zone: string;
-  #desks = new Map<string, Desk>();
+  #desks = new Map<string, CoordinatorContext>();
   #prefixes = new Map<number, string>();
 
   constructor(self: string, zone: string) {
@@ -54,7 +54,7 @@
   }
 
   inFlight(worker: string): number {
-    return this.#desk(worker).inFlight;
+    return this.#context(worker).inFlight;
   }
 
   assign(need: Need, workers: readonly RosterView[], edges: readonly string[], nowMs: number): Assignment {
@@ -63,21 +63,21 @@
     let why = 'no worker holds it';
     for (const worker of workers) {
       if (!this.#serves(worker, need)) continue;
-      const desk = this.#desk(worker.name);
-      if (nowMs < desk.shunnedUntilMs) {
+      const context = this.#context(worker.name);
+      if (nowMs < context.shunnedUntilMs) {
         why = 'its workers failed lately';
         continue;
       }
       const most = this.#limit(worker, need, edges, nowMs);
-      if (desk.inFlight >= most) {
+      if (context.inFlight >= most) {
         why = 'no slot is free';
         continue;
       }
-      if (need.beyond && desk.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)) {
+      if (need.beyond && context.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)) {
         why = 'the last slots are kept for groups below their share';
         continue;
       }
-      const load = (desk.inFlight + worker.othersInFlight) / worker.slots;
+      const load = (context.inFlight + worker.othersInFlight) / worker.slots;
       const kept = this.#prefixes.get(need.prefix) === worker.name ? 0.5 : 0;
       const near = worker.zone === this.#zone ? 0.25 : 0;
       const points = kept + near - load + score(worker.name, this.#self) / 2 ** 36;
@@ -91,7 +91,7 @@
   }
 
   begun(worker: string, prefix: number): void {
-    this.#desk(worker).inFlight += 1;
+    this.#context(worker).inFlight += 1;
     this.#prefixes.delete(prefix);
     this.#prefixes.set(prefix, worker);
     const oldest = this.#prefixes.keys().next();
@@ -100,17 +100,17 @@
 
   /** A send that was not answered: from here on the worker counts as warming. */
   failed(worker: string, nowMs: number): void {
-    this.#desk(worker).failedMs = nowMs;
+    this.#context(worker).failedMs = nowMs;
   }
 
   ended(worker: string, well: boolean, nowMs: number): void {
-    const desk = this.#desk(worker);
-    desk.inFlight = Math.max(0, desk.inFlight - 1);
-    if (well) desk.faults = 0;
+    const context = this.#context(worker);
+    context.inFlight = Math.max(0, context.inFlight - 1);
+    if (well) context.faults = 0;
     else {
-      desk.faults += 1;
-      const waitMs = Math.min(SHUN_MOST_MS, SHUN_BASE_MS * 2 ** (desk.faults - 1));
-      if (desk.faults >= 2) desk.shunnedUntilMs = nowMs + waitMs;
+      context.faults += 1;
+      const waitMs = Math.min(SHUN_MOST_MS, SHUN_BASE_MS * 2 ** (context.faults - 1));
+      if (context.faults >= 2) context.shunnedUntilMs = nowMs + waitMs;
     }
   }
 
@@ -129,19 +129,19 @@
     const usual = Math.max(part, Math.floor(free / 2));
     if (need.model === '') return usual;
     const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map((key) => worker.sinceMs.get(key) ?? nowMs);
-    const warmMs = nowMs - Math.max(...since, this.#desk(worker.name).failedMs);
+    const warmMs = nowMs - Math.max(...since, this.#context(worker.name).failedMs);
     const allowed = 2 ** Math.floor(warmMs / WARM_STEP_MS);
     if (allowed >= worker.slots) return usual;
     const rank = edges.filter((edge) => score(worker.name, edge) > score(worker.name, this.#self)).length;
     return Math.min(usual, Math.floor((allowed + edges.length - 1 - rank) / Math.max(1, edges.length)));
   }
 
-  #desk(worker: string): Desk {
-    let desk = this.#desks.get(worker);
-    if (desk === undefined) {
-      desk = { inFlight: 0, faults: 0, shunnedUntilMs: -Infinity, failedMs: -Infinity };
-      this.#desks.set(worker, desk);
+  #context(worker: string): CoordinatorContext {
+    let context = this.#desks.get(worker);
+    if (context === undefined) {
+      context = { inFlight: 0, faults: 0, shunnedUntilMs: -Infinity, failedMs: -Infinity };
+      this.#desks.set(worker, context);
     }
-    return desk;
+    return context;
   }
 }
--- a/packages/gate/src/budget.ts
+++ b/packages/gateway/src/budget.ts
@@ -3,27 +3,27 @@
  * each request that is sent for the first time, and holds no more than this
  * edge's part of the fleet's allowance. So in any window of time the extra
  * sends of all edges stay within the ratio of the first ones plus the
- * allowance, whoever restarts, joins or leaves: a new life begins empty.
+ * allowance, whoever restarts, joins or leaves: a new incarnation begins empty.
  *
  * A retry is reserved when it is promised and spent when its first byte
  * leaves, so that those which wait cannot pile up.
  * @example
  * const budget = new RetryBudget();
- * budget.allot('life-1', 1);
+ * budget.allot('incarnation-1', 1);
  * for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
  * budget.reserve(); // true: five requests earned one extra send
  * budget.spend(); // true: it leaves now
  */
 export class RetryBudget {
-  #life = '';
+  #incarnation = '';
   #part = 0;
   #tokens = 0;
   #reserved = 0;
 
-  /** Says which life this is and what its part of the allowance is; another life begins with nothing. */
-  allot(life: string, part: number): void {
-    if (life !== this.#life) this.#tokens = 0;
-    this.#life = life;
+  /** Says which incarnation this is and what its part of the allowance is; another incarnation begins with nothing. */
+  allot(incarnation: string, part: number): void {
+    if (incarnation !== this.#incarnation) this.#tokens = 0;
+    this.#incarnation = incarnation;
     this.#part = part;
     this.#tokens = Math.min(this.#tokens, part);
   }
@@ -45,7 +45,7 @@
     this.#reserved -= 1;
   }
 
-  /** A reserved extra send leaves now; false when its token has gone with an earlier life or a larger part. */
+  /** A reserved extra send leaves now; false when its token has gone with an earlier incarnation or a larger part. */
   spend(): boolean {
     this.#reserved -= 1;
     if (this.#tokens < 1 - ROUNDING) return false;
--- a/packages/gate/src/catalogue.ts
+++ b/packages/gateway/src/catalogue.ts
@@ -1,4 +1,4 @@
-import type { Spec, SpecGroup } from '@rainrun/marquee';
+import type { Spec, SpecGroup } from '@rainrun/configuration';
 
 type Route = Spec['routes'][number];
 
--- a/packages/gate/src/gear.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -1,5 +1,5 @@
-import type { Spec } from '@rainrun/marquee';
-import type { Chance, Clock, FaultKind } from '@rainrun/nacelle';
+import type { Spec } from '@rainrun/configuration';
+import type { Chance, Clock, FaultKind } from '@rainrun/common';
 import type { Sender } from './sender.js';
 
 /** A worker as the gate needs to see it. */
@@ -18,7 +18,7 @@
 }
 
 /** What the gate asks of its node. */
-export interface GateGear {
+export interface GateDependencies {
   readonly name: string;
   readonly zone: string;
   readonly clock: Clock;
@@ -28,8 +28,8 @@
   workers(): readonly RosterView[];
   /** Names of the edges in the view; none while this node is in no view. */
   edges(): readonly string[];
-  /** This node's life in the group. */
-  life(): string;
+  /** This node's incarnation in the group. */
+  incarnation(): string;
   granted(): boolean;
   /** The weight of a group now, from its share and its loop. */
   weight(group: string): number;
--- a/packages/gate/src/doubt.ts
+++ b/packages/gateway/src/doubt.ts
@@ -18,7 +18,7 @@
  * given up and their connections reset, so that nothing arrives there late.
  * @example
  * const doubt = new Doubt(sender);
- * doubt.beat(sends, (send) => isLeaving(send.worker), nowMs);
+ * doubt.tick(sends, (send) => isLeaving(send.worker), nowMs);
  */
 export class Doubt {
   #sender: Sender;
@@ -28,7 +28,7 @@
     this.#sender = sender;
   }
 
-  beat(sends: Iterable<Send>, isDoubtful: (send: Send) => boolean, nowMs: number): void {
+  tick(sends: Iterable<Send>, isDoubtful: (send: Send) => boolean, nowMs: number): void {
     const silent = new Map<string, Send[]>();
     for (const send of sends) {
       if (!send.silent || !isDoubtful(send)) continue;
--- a/packages/gate/src/gate.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -1,11 +1,11 @@
 import { describe, it } from 'node:test';
-import { readSpec, type Spec } from '@rainrun/marquee';
+import { readSpec, type Spec } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { Backlog } from './backlog.js';
 import { RetryBudget } from './budget.js';
 import { Catalogue } from './catalogue.js';
-import { Gate } from './gate.js';
-import type { Ask, RosterView } from './gear.js';
+import { Gate } from './gateway.js';
+import type { Ask, RosterView } from './dependencies.js';
 import type { SendHandler, Sender, Sending, SendRequest } from './sender.js';
 import { Pace } from './pace.js';
 import { StreamWatch } from './stream.js';
@@ -80,7 +80,7 @@
   granted = true;
   spec = specOf();
   edges = ['edge'];
-  life = 'life-1';
+  incarnation = 'incarnation-1';
   workers: RosterView[] = [this.worker('w1', 'models'), this.worker('d1', 'desks'), this.worker('d2', 'desks')];
   readonly flown: Flown[] = [];
   readonly probed: string[] = [];
@@ -94,7 +94,7 @@
     spec: () => this.spec,
     workers: () => this.workers,
     edges: () => this.edges,
-    life: () => this.life,
+    incarnation: () => this.incarnation,
     granted: () => this.granted,
     weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
   });
@@ -178,7 +178,7 @@
     const { port } = stand.ask();
     stand.last().handler.mayStart();
     stand.last().handler.failed(true, 'reset');
-    stand.gate.beat();
+    stand.gate.tick();
     expect([stand.flown.length, port.seen]).toEqual([1, ['outcome-unknown']]);
   });
 
@@ -215,7 +215,7 @@
       stand.cut = cut;
       for (let place = 0; place < 4; place += 1) {
         stand.nowMs += 250;
-        stand.gate.beat();
+        stand.gate.tick();
       }
       return [stand.probed.length > 0, [...port.seen], stand.last().aborted];
     }
@@ -237,7 +237,7 @@
     stand.last().handler.failed(false, 'not started');
     expect([stand.flown.length, port.seen]).toEqual([1, []]);
     stand.granted = true;
-    stand.gate.beat();
+    stand.gate.tick();
     stand.reply(stand.last(), 200, '{}');
     expect([stand.flown.length, port.seen]).toEqual([2, ['200 {}']]);
   });
@@ -261,7 +261,7 @@
     second.handler.start(200, SSE);
     second.handler.chunk(Buffer.from('data: 1\n\n'));
     stand.nowMs = 501;
-    stand.gate.beat();
+    stand.gate.tick();
     expect([plain.port.seen, stream.port.seen.at(-1), first.aborted, second.aborted]).toEqual([['deadline-exceeded'], 'cut', true, true]);
   });
 });
@@ -333,7 +333,7 @@
         stand.last().handler.mayStart();
         stand.last().handler.failed(true, 'reset');
         stand.nowMs += 1;
-        stand.gate.beat();
+        stand.gate.tick();
       }
       stand.nowMs += 100;
       return port;
@@ -394,10 +394,10 @@
     stand.workers = [];
     const { port } = stand.ask();
     stand.nowMs = 990;
-    stand.gate.beat();
+    stand.gate.tick();
     expect(port.seen).toEqual([]);
     stand.nowMs = 1010;
-    stand.gate.beat();
+    stand.gate.tick();
     expect(port.seen).toEqual(['no-worker']);
   });
 
@@ -416,7 +416,7 @@
     for (let place = 0; place < 8; place += 1) stand.ask();
     expect(stand.flown.length).toEqual(1);
     stand.nowMs = 600;
-    stand.gate.beat();
+    stand.gate.tick();
     expect(stand.flown.length).toEqual(2);
   });
 });
@@ -436,34 +436,34 @@
     expect(served).toEqual([12, 4]);
   });
 
-  it('a retry budget earns a fifth of the first sends, holds its part, and begins each life with nothing', () => {
+  it('a retry budget earns a fifth of the first sends, holds its part, and begins each incarnation with nothing', () => {
     const budget = new RetryBudget();
     function taken(): number {
       let count = 0;
       while (budget.reserve()) count += Number(budget.spend());
       return count;
     }
-    budget.allot('life-1', 3);
+    budget.allot('incarnation-1', 3);
     const atFirst = taken();
     for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
     const earned = taken();
     for (let sent = 0; sent < 500; sent += 1) budget.first(0.2);
-    budget.allot('life-1', 2);
-    budget.allot('life-1', 4);
+    budget.allot('incarnation-1', 2);
+    budget.allot('incarnation-1', 4);
     const held = taken();
     for (let sent = 0; sent < 500; sent += 1) budget.first(0.2);
-    budget.allot('life-2', 4);
+    budget.allot('incarnation-2', 4);
     expect([atFirst, earned, held, taken()]).toEqual([0, 1, 2, 0]);
   });
 
   it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
     const budget = new RetryBudget();
-    budget.allot('life-1', 2);
+    budget.allot('incarnation-1', 2);
     for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
     const promises = [budget.reserve(), budget.reserve()];
     budget.release();
     promises.push(budget.reserve());
-    budget.allot('life-2', 2);
+    budget.allot('incarnation-2', 2);
     expect([promises, budget.spend()]).toEqual([[true, false, true], false]);
   });
 
--- a/packages/gate/src/gate.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,12 +1,12 @@
 import { EventEmitter } from 'eventemitter3';
-import type { Spec } from '@rainrun/marquee';
-import { fault, Register, Slab, type Fault } from '@rainrun/nacelle';
+import type { Spec } from '@rainrun/configuration';
+import { fault, Register, Slab, type Fault } from '@rainrun/common';
 import { Assigner, type Need } from './assign.js';
 import { Backlog } from './backlog.js';
 import { RetryBudget } from './budget.js';
 import { Catalogue } from './catalogue.js';
 import { Doubt } from './doubt.js';
-import type { Ask, EndRecord, GateGear, RosterView } from './gear.js';
+import type { Ask, EndRecord, GateDependencies, RosterView } from './dependencies.js';
 import { demandKey, Measures, type Measured } from './measures.js';
 import { Pace } from './pace.js';
 import { Send, type SendEnd } from './send.js';
@@ -30,12 +30,12 @@
  * backlog or goes to a worker; its continuation is kept in a slab meanwhile.
  * Work that may not be repeated is sent once.
  * @example
- * const gate = new Gate(gear);
+ * const gate = new Gate(dependencies);
  * const leave = gate.grantEntry(ask, port);
- * gate.beat(); // every 20 ms and after each change
+ * gate.tick(); // every 20 ms and after each change
  */
 export class Gate extends EventEmitter<GateEvents> {
-  #gear: GateGear;
+  #dependencies: GateDependencies;
   #groups = new Register();
   #kinds = new Register();
   #models = new Register();
@@ -55,11 +55,11 @@
   #catalogued: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
   #counts = new Map<string, number>();
 
-  constructor(gear: GateGear) {
+  constructor(dependencies: GateDependencies) {
     super();
-    this.#gear = gear;
-    this.#assigner = new Assigner(gear.name, gear.zone);
-    this.#doubt = new Doubt(gear.sender);
+    this.#dependencies = dependencies;
+    this.#assigner = new Assigner(dependencies.name, dependencies.zone);
+    this.#doubt = new Doubt(dependencies.sender);
     this.#filters = [
       (visit) => this.#mayGrantEntry(visit),
       (visit) => this.#knows(visit),
@@ -87,7 +87,7 @@
   /** Lets a visitor in; the returned function says that the visitor has left. */
   grantEntry(ask: Ask, port: VisitorPort): () => void {
     const catalogue = this.#catalogue();
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     const route = catalogue?.route(ask.path);
     const group = catalogue?.group(ask.group);
     const kind = group?.kinds.find((known) => known.name === ask.kind) ?? (ask.kind === '' ? group?.kinds[0] : undefined);
@@ -127,15 +127,15 @@
     }
     this.#noteArrival(visit, nowMs);
     const key = this.#wait(visit);
-    this.beat();
+    this.tick();
     const crowded = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(visit);
     if (crowded !== undefined) this.#giveUp(key, crowded);
     return () => this.#visitorLeft(visit);
   }
 
   /** Gives up what has waited too long, and sends what can be sent now. */
-  beat(): void {
-    const nowMs = this.#gear.clock.nowMs();
+  tick(): void {
+    const nowMs = this.#dependencies.clock.nowMs();
     for (const lane of this.#backlog.order()) {
       for (const { key } of [...lane]) {
         const visit = this.#slab.get(key);
@@ -147,7 +147,7 @@
     }
     for (const send of [...this.#flights]) if (nowMs > send.deadlineMs) send.expire();
     this.#doubtSends(nowMs);
-    if (!this.#gear.granted()) return;
+    if (!this.#dependencies.granted()) return;
     while (this.#sendNext(nowMs));
   }
 
@@ -178,14 +178,14 @@
 
   #mayGrantEntry(visit: Visit): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
-    if (!this.#gear.granted()) return fault('not-admitting', 'this node is cut off from most others');
-    if (this.#gear.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
+    if (!this.#dependencies.granted()) return fault('not-admitting', 'this node is cut off from most others');
+    if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
     return visit.deadlineMs <= visit.arrivedMs ? fault('deadline-past', 'the deadline has passed') : undefined;
   }
 
   /** The spec in force, made ready once for each version. */
   #catalogue(): Catalogue | undefined {
-    const spec = this.#gear.spec();
+    const spec = this.#dependencies.spec();
     if (spec !== this.#catalogued?.spec) this.#catalogued = spec === undefined ? undefined : { spec, catalogue: new Catalogue(spec) };
     return this.#catalogued?.catalogue;
   }
@@ -214,19 +214,19 @@
   }
 
   #slotsHere(): number {
-    const slots = this.#gear.workers().reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
-    return Math.max(1, slots / Math.max(1, this.#gear.edges().length));
+    const slots = this.#dependencies.workers().reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
+    return Math.max(1, slots / Math.max(1, this.#dependencies.edges().length));
   }
 
   /** A group's part among the groups that have asked lately. */
   #shareOf(group: number): number {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     let sum = 0;
     for (let other = 0; other < this.#groups.size; other += 1) {
       const active = other === group || nowMs - (this.#groupSeenMs[other] ?? -Infinity) < ACTIVE_MS;
-      if (active) sum += this.#gear.weight(this.#groups.name(other));
+      if (active) sum += this.#dependencies.weight(this.#groups.name(other));
     }
-    return sum === 0 ? 1 : this.#gear.weight(this.#groups.name(group)) / sum;
+    return sum === 0 ? 1 : this.#dependencies.weight(this.#groups.name(group)) / sum;
   }
 
   // Waiting and sending.
@@ -248,8 +248,8 @@
   }
 
   #sendNext(nowMs: number): boolean {
-    const workers = this.#gear.workers();
-    const edges = this.#gear.edges();
+    const workers = this.#dependencies.workers();
+    const edges = this.#dependencies.edges();
     const nowhere = new Set<string>();
     for (const lane of this.#backlog.order()) {
       for (const { key, group } of lane) {
@@ -295,12 +295,12 @@
   }
 
   #send(visit: Visit, worker: RosterView): void {
-    const { clock, sender } = this.#gear;
+    const { clock, sender } = this.#dependencies;
     const nowMs = clock.nowMs();
     visit.sends += 1;
     visit.worker = worker.name;
     this.#assigner.begun(worker.name, visit.prefix);
-    this.#backlog.charge(visit.group, this.#gear.weight(this.#groups.name(visit.group)));
+    this.#backlog.charge(visit.group, this.#dependencies.weight(this.#groups.name(visit.group)));
     this.#groupInFlight[visit.group] = (this.#groupInFlight[visit.group] ?? 0) + 1;
     this.#pace(visit.group).sent(nowMs);
     this.#count('sends');
@@ -331,19 +331,19 @@
 
   /** The last look before the first byte. */
   #mayStart(visit: Visit, worker: RosterView): boolean {
-    if (visit.left || !this.#gear.granted() || this.#gear.clock.nowMs() > visit.deadlineMs) return false;
-    return mayServe(this.#gear.workers(), worker);
+    if (visit.left || !this.#dependencies.granted() || this.#dependencies.clock.nowMs() > visit.deadlineMs) return false;
+    return mayServe(this.#dependencies.workers(), worker);
   }
 
-  /** The workers are looked up once a beat, and only if there is a silent send to judge. */
+  /** The workers are looked up once a heartbeat, and only if there is a silent send to judge. */
   #doubtSends(nowMs: number): void {
-    const granted = this.#gear.granted();
+    const granted = this.#dependencies.granted();
     let workers: readonly RosterView[] | undefined;
-    this.#doubt.beat(
+    this.#doubt.tick(
       [...this.#flights],
       (send) => {
         if (!granted) return true;
-        workers ??= this.#gear.workers();
+        workers ??= this.#dependencies.workers();
         return !mayServe(workers, send.worker);
       },
       nowMs,
@@ -357,20 +357,20 @@
       visit.retry = this.#budget.spend() ? 'none' : 'lost';
       return visit.retry === 'none';
     }
-    if (!visit.started) this.#budget.first(this.#gear.spec()?.retries.ratio ?? 0);
+    if (!visit.started) this.#budget.first(this.#dependencies.spec()?.retries.ratio ?? 0);
     visit.started = true;
     return true;
   }
 
   /** The allowance is parted among the edges of the view; outside of it there is none. */
   #allot(): void {
-    const edges = this.#gear.edges().length;
-    const allowance = this.#gear.spec()?.retries.allowance ?? 0;
-    this.#budget.allot(this.#gear.life(), edges === 0 ? 0 : allowance / edges);
+    const edges = this.#dependencies.edges().length;
+    const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
+    this.#budget.allot(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
   }
 
   #sendOver(visit: Visit, worker: RosterView, end: SendEnd): void {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     this.#groupInFlight[visit.group] = Math.max(0, (this.#groupInFlight[visit.group] ?? 0) - 1);
     this.#assigner.ended(worker.name, end.well, nowMs);
     if (end.done === undefined && end.tried && !visit.left) this.#assigner.failed(worker.name, nowMs);
@@ -383,7 +383,7 @@
       if (end.done === 'served') this.#measureServed(visit, nowMs);
       this.#ended(visit, end.done);
     }
-    this.beat();
+    this.tick();
   }
 
   /** Whether a failed send may be followed by another. */
@@ -428,7 +428,7 @@
   #withReturn(visit: Visit, why: Fault): Fault {
     if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
     const waiting = this.#backlog.countOf(visit.group);
-    const returnS = this.#pace(visit.group).returnS(waiting, this.#gear.chance.next(), this.#gear.clock.nowMs());
+    const returnS = this.#pace(visit.group).returnS(waiting, this.#dependencies.chance.next(), this.#dependencies.clock.nowMs());
     return { ...why, returnS };
   }
 
@@ -453,7 +453,7 @@
       outcome,
       arrivedMs: visit.arrivedMs,
       firstPieceMs: visit.firstPieceMs,
-      endedMs: this.#gear.clock.nowMs(),
+      endedMs: this.#dependencies.clock.nowMs(),
       sends: visit.sends,
       trail: visit.trail,
     });
--- a/packages/gate/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,6 +1,6 @@
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { StreamWatch } from './stream.js';
-import type { RosterView } from './gear.js';
+import type { RosterView } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
 import type { Visit } from './visit.js';
 
@@ -29,13 +29,13 @@
 /**
  * One send: takes the worker's reply apart and passes it on to the visitor.
  * @example
- * const send = new Send(visit, worker, desk);
+ * const send = new Send(visit, worker, context);
  * send.attach(sender.send(request, send));
  */
 export class Send implements SendHandler {
   #visit: Visit;
   #worker: RosterView;
-  #desk: SendDesk;
+  #context: SendDesk;
   #sending: Sending | undefined;
   #status = 0;
   #contentType = '';
@@ -47,10 +47,10 @@
   #withheld = false;
   #over = false;
 
-  constructor(visit: Visit, worker: RosterView, desk: SendDesk) {
+  constructor(visit: Visit, worker: RosterView, context: SendDesk) {
     this.#visit = visit;
     this.#worker = worker;
-    this.#desk = desk;
+    this.#context = context;
   }
 
   attach(sending: Sending): void {
@@ -92,7 +92,7 @@
 
   mayStart(): boolean {
     if (this.#over) return false;
-    this.#started = this.#desk.mayStart();
+    this.#started = this.#context.mayStart();
     this.#withheld = !this.#started;
     return this.#started;
   }
@@ -127,7 +127,7 @@
     }
     if (this.#status >= 500 || this.#status < 200) return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
     if (!isJson(body)) return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
-    this.#visit.firstPieceMs ??= this.#desk.nowMs();
+    this.#visit.firstPieceMs ??= this.#context.nowMs();
     this.#visit.port.answer(this.#status, this.#contentType, body);
     this.#finish({ done: 'served', well: true, sent: true, tried: true, fault: NO_FAULT });
   }
@@ -140,7 +140,7 @@
       return;
     }
     if (this.#opened) return this.#cut();
-    const late = this.#desk.nowMs() >= this.#visit.deadlineMs;
+    const late = this.#context.nowMs() >= this.#visit.deadlineMs;
     this.#fail(true, late ? fault('deadline-exceeded', 'the deadline passed after it was sent') : fault('outcome-unknown', `${this.#worker.name}: ${why}`));
   }
 
@@ -148,7 +148,7 @@
     const { port } = this.#visit;
     if (!this.#opened) {
       this.#opened = true;
-      this.#visit.firstPieceMs ??= this.#desk.nowMs();
+      this.#visit.firstPieceMs ??= this.#context.nowMs();
       port.open(this.#contentType);
     }
     if (!port.piece(events, () => this.#sending?.resume())) this.#sending?.pause();
@@ -182,7 +182,7 @@
   #finish(end: SendEnd): void {
     if (this.#over) return;
     this.#over = true;
-    this.#desk.over(end);
+    this.#context.over(end);
   }
 }
 
--- a/packages/gate/src/visit.ts
+++ b/packages/gateway/src/visit.ts
@@ -1,4 +1,4 @@
-import type { Fault } from '@rainrun/nacelle';
+import type { Fault } from '@rainrun/common';
 
 /** The visitor's end of a request. Each answer is given once. */
 export interface VisitorPort {
--- a/packages/courier/src/channel.ts
+++ b/packages/messages/src/channel.ts
@@ -9,12 +9,12 @@
 const BACKLOG_MAX = 4096;
 
 /**
- * One end of a channel between two lives. Bodies arrive once and in order as
+ * One end of a channel between two incarnations. Bodies arrive once and in order as
  * long as both live; nothing but the report that the member failed ends it.
  * @example
  * const channel = new Channel();
  * channel.post({ case: 'submit', value: submit });
- * for (const parcel of channel.beat(nowMs)) transmit(parcel);
+ * for (const parcel of channel.tick(nowMs)) transmit(parcel);
  */
 export class Channel {
   #sequence = 0;
@@ -60,7 +60,7 @@
   }
 
   /** The parcels that are due now: fresh ones, late ones again, or a bare acknowledgement. */
-  beat(nowMs: number): Parcel[] {
+  tick(nowMs: number): Parcel[] {
     const due: Parcel[] = [];
     for (const flight of this.#flying) {
       if (nowMs - flight.sentMs < RESEND_MS) continue;
--- a/packages/courier/src/codec.ts
+++ b/packages/messages/src/codec.ts
@@ -1,5 +1,5 @@
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { FrameSchema, type Frame } from './gen/rainrun_pb.js';
--- a/packages/courier/src/courier.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { Dice } from '@rainrun/nacelle';
+import { Dice } from '@rainrun/common';
 import { expect } from 'earl';
 import { Channel } from './channel.js';
 import { pack, unpack, WIRE } from './codec.js';
@@ -22,8 +22,8 @@
     }
     for (let place = 0; place < 300; place += 1) near.post({ case: 'answer', value: create(AnswerSchema, { id: String(place) }) });
     for (let nowMs = 0; nowMs < 60_000 && got.length < 300; nowMs += 50) {
-      carry(far, near.beat(nowMs));
-      carry(near, far.beat(nowMs));
+      carry(far, near.tick(nowMs));
+      carry(near, far.tick(nowMs));
       const due = wires.sort(() => dice.next() - 0.5);
       wires = [];
       for (const { to, parcel } of due) {
@@ -36,7 +36,7 @@
   it('reports its lag, and does not count its own sleep', () => {
     const channel = new Channel();
     channel.post({ case: 'answer', value: create(AnswerSchema) });
-    channel.beat(0);
+    channel.tick(0);
     expect(channel.lagMs(3000)).toEqual(3000);
     channel.slept(2500);
     expect(channel.lagMs(3000)).toEqual(500);
@@ -75,7 +75,7 @@
     one.tell('a', 1, 5, new Uint8Array([1]));
     other.tell('a', 2, 0, new Uint8Array([2]));
     one.tell('b', 1, 0, new Uint8Array([3]));
-    const digest = one.beat(['x']).find((post) => post.body.case === 'digest');
+    const digest = one.tick(['x']).find((post) => post.body.case === 'digest');
     const mend = digest?.body.case === 'digest' ? other.takeDigest(digest.body.value) : undefined;
     const back = mend === undefined ? undefined : one.takeMend(mend);
     if (back !== undefined) other.takeMend(back);
--- a/packages/courier/src/news.ts
+++ b/packages/messages/src/news.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf';
-import { hashText, type Chance } from '@rainrun/nacelle';
+import { hashText, type Chance } from '@rainrun/common';
 import {
   DigestSchema,
   MendSchema,
@@ -47,8 +47,8 @@
     this.#learn(create(NewsItemSchema, { key, major, minor, value }));
   }
 
-  /** Frames to post this beat: fresh items to a few members, and one digest. */
-  beat(members: readonly string[]): { to: string; body: Frame['body'] }[] {
+  /** Frames to post this heartbeat: fresh items to a few members, and one digest. */
+  tick(members: readonly string[]): { to: string; body: Frame['body'] }[] {
     const posts: { to: string; body: Frame['body'] }[] = [];
     if (members.length === 0) return posts;
     if (this.#fresh.length > 0) {
--- a/packages/yaw/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,5 +1,5 @@
 export * from './loop.js';
 export * from './orderer.js';
 export * from './placer.js';
-export * from './book.js';
-export * from './stocker.js';
+export * from './worker-table.js';
+export * from './planner.js';
--- a/packages/yaw/src/orderer.ts
+++ b/packages/placement/src/orderer.ts
@@ -1,5 +1,5 @@
-import type { HoldingTarget, Spec } from '@rainrun/marquee';
-import type { Fault } from '@rainrun/nacelle';
+import type { HoldingTarget, Spec } from '@rainrun/configuration';
+import type { Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
 
 /** One order to a worker. The epoch fences it: a worker has seen the highest. */
@@ -86,33 +86,33 @@
  * asks a worker what it holds before the first order of an epoch, unloads
  * before it loads, and never lets a worker hold more than its room.
  * @example
- * const orderer = new Orderer(desk);
- * orderer.beat(spec, placement, rooms, nowMs);
+ * const orderer = new Orderer(context);
+ * orderer.tick(spec, placement, rooms, nowMs);
  */
 export class Orderer {
-  #desk: OrderDesk;
+  #context: OrderDesk;
   #bays = new Map<string, Bay>();
   #bucket: PullBucket | undefined;
   #epoch = 0;
   #sequence = 0;
   #loads = 0;
 
-  constructor(desk: OrderDesk) {
-    this.#desk = desk;
+  constructor(context: OrderDesk) {
+    this.#context = context;
   }
 
   known(worker: string): KnownWorker | undefined {
     return this.#bays.get(worker)?.known;
   }
 
-  beat(
+  tick(
     spec: Spec,
     placement: Readonly<Record<string, readonly HoldingTarget[]>>,
     workers: readonly { name: string; roomMb: number }[],
     nowMs: number,
     urgency: Urgency = () => 0,
   ): void {
-    const epoch = this.#desk.dutyEpoch();
+    const epoch = this.#context.dutyEpoch();
     if (epoch === undefined) return;
     if (epoch !== this.#epoch) {
       this.#epoch = epoch;
@@ -165,7 +165,7 @@
     bay.askedMs = nowMs;
     const order: Order = { worker: name, epoch, sequence: this.#sequence, ...step };
     const bucket = this.#bucket;
-    this.#desk.order(order, (reply) => {
+    this.#context.order(order, (reply) => {
       bay.flying = false;
       if (step.action === 'load') bucket?.ended();
       this.#heard(name, bay, step, epoch, reply, nowMs);
@@ -190,7 +190,7 @@
       if (reply.value.busy) bay.notBeforeMs = nowMs + 1000;
       bay.known = { holdings: reply.value.holdings, reachable: true, loads };
     }
-    this.#desk.learned(name, bay.known);
+    this.#context.learned(name, bay.known);
   }
 }
 
--- a/packages/yaw/src/yaw.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
-import { readSpec, type HoldingTarget, type Spec } from '@rainrun/marquee';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { readSpec, type HoldingTarget, type Spec } from '@rainrun/configuration';
+import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
 import { Loop } from './loop.js';
@@ -142,8 +142,8 @@
     return Result.ok({ holdings: this.holdings, busy: false });
   }
 
-  beat(spec: Spec, target: HoldingTarget[], nowMs: number): void {
-    this.orderer.beat(spec, { w: target }, [{ name: 'w', roomMb: 1000 }], nowMs);
+  tick(spec: Spec, target: HoldingTarget[], nowMs: number): void {
+    this.orderer.tick(spec, { w: target }, [{ name: 'w', roomMb: 1000 }], nowMs);
   }
 
   reply(): void {
@@ -162,8 +162,8 @@
     const yard = new Yard();
     yard.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
-      yard.beat(specOf(2), target, nowMs);
-      yard.beat(specOf(2), target, nowMs);
+      yard.tick(specOf(2), target, nowMs);
+      yard.tick(specOf(2), target, nowMs);
       yard.reply();
     }
     expect(yard.actions).toEqual(['inventory', 'unload m0', 'load m1']);
@@ -173,7 +173,7 @@
     const yard = new Yard();
     yard.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 1400; nowMs += 50) {
-      yard.beat(specOf(2), target, nowMs);
+      yard.tick(specOf(2), target, nowMs);
       yard.reply();
     }
     expect(yard.actions).toEqual(['inventory']);
@@ -182,22 +182,22 @@
   it('orders nothing without the duty', () => {
     const yard = new Yard();
     yard.epoch = undefined;
-    for (let nowMs = 0; nowMs < 2000; nowMs += 50) yard.beat(specOf(2), target, nowMs);
+    for (let nowMs = 0; nowMs < 2000; nowMs += 50) yard.tick(specOf(2), target, nowMs);
     expect(yard.actions).toEqual([]);
   });
 
   it('asks again in a new epoch, and after an order whose outcome it does not know', () => {
     const yard = new Yard();
-    yard.beat(specOf(2), [], 0);
+    yard.tick(specOf(2), [], 0);
     yard.reply();
     yard.epoch = 2;
-    yard.beat(specOf(2), target, 100);
+    yard.tick(specOf(2), target, 100);
     yard.reply();
-    for (let nowMs = 150; yard.orders.length < 3; nowMs += 50) yard.beat(specOf(2), target, nowMs);
+    for (let nowMs = 150; yard.orders.length < 3; nowMs += 50) yard.tick(specOf(2), target, nowMs);
     yard.fails = true;
     yard.reply();
     yard.fails = false;
-    yard.beat(specOf(2), target, 60_000);
+    yard.tick(specOf(2), target, 60_000);
     yard.reply();
     expect(yard.actions).toEqual(['inventory', 'inventory', 'load m1', 'inventory']);
   });
@@ -208,7 +208,7 @@
     let loads = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += 50) {
       yard.holdings = [];
-      yard.beat(spec, target, nowMs);
+      yard.tick(spec, target, nowMs);
       yard.reply();
       loads = yard.orders.filter((order) => order.action === 'load').length;
     }
@@ -219,7 +219,7 @@
     const yard = new Yard();
     const two = ['m0', 'm1'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
-      yard.orderer.beat(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) => (model === 'm1' ? 2 : 1));
+      yard.orderer.tick(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) => (model === 'm1' ? 2 : 1));
       yard.reply();
     }
     expect(yard.actions).toEqual(['inventory', 'load m1', 'load m0']);
@@ -229,7 +229,7 @@
     const yard = new Yard();
     const three = ['m0', 'm1', 'm2'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 5000; nowMs += 50) {
-      yard.beat(specOf(3), three, nowMs);
+      yard.tick(specOf(3), three, nowMs);
       yard.reply();
     }
     expect(sizeMb(specOf(3), yard.holdings)).toEqual(800);
--- a/packages/yaw/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -1,4 +1,4 @@
-import type { HoldingTarget, Spec } from '@rainrun/marquee';
+import type { HoldingTarget, Spec } from '@rainrun/configuration';
 
 /** A worker as the placer sees it. */
 export interface PlaceWorker {
--- a/packages/yaw/src/stocker.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -1,9 +1,9 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { WorkerBook, type BookRow, type ListedWorker } from './book.js';
-import { Stocker, type StockEngine, type StockOrder, type StockReply, type StockWant } from './stocker.js';
+import { WorkerTable, type WorkerRecord, type ListedWorker } from './worker-table.js';
+import { PlacementPlanner, type StockEngine, type StockOrder, type StockReply, type StockWant } from './planner.js';
 
-const BEAT_MS = 20;
+const HEARTBEAT_MS = 20;
 const LOAD_MS = 600;
 
 interface Sent {
@@ -33,15 +33,15 @@
   return { service: 'assist', model, adapter, waiting, inFlight, perS: 1, pressure: 0 };
 }
 
-/** Workers that take orders as the rules say, one at a time, and a stocker that orders them. */
+/** Workers that take orders as the rules say, one at a time, and a planner that orders them. */
 class Bench {
   nowMs = 1000;
   fence: number | undefined = 7;
   evacuated: string[] = [];
   readonly sent: Sent[] = [];
   readonly wrong: string[] = [];
-  readonly book = new WorkerBook();
-  readonly stocker: Stocker;
+  readonly book = new WorkerTable();
+  readonly planner: PlacementPlanner;
   /** What is there: adapters by model, by worker. */
   readonly held = new Map<string, Map<string, Set<string>>>();
   /** A reply in place of the worker's own. */
@@ -51,7 +51,7 @@
 
   constructor(engine: StockEngine, workers: readonly ListedWorker[]) {
     this.#engine = engine;
-    this.stocker = new Stocker(this.book, {
+    this.planner = new PlacementPlanner(this.book, {
       fence: () => this.fence,
       order: (row, order, done) => {
         this.sent.push({ atMs: this.nowMs, worker: row.id, order });
@@ -63,20 +63,20 @@
     this.book.learn(workers, this.nowMs);
     for (const row of this.book.rows) {
       this.held.set(row.id, new Map([...row.models].map(([model, adapters]) => [model, new Set(adapters)])));
-      this.stocker.settle(row, row.listed);
+      this.planner.settle(row, row.listed);
     }
   }
 
-  /** Beats for a while; `wants` says what is asked for at each beat. */
+  /** Heartbeats for a while; `wants` says what is asked for at each heartbeat. */
   run(forMs: number, wants: () => readonly StockWant[]): void {
-    for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += BEAT_MS) {
+    for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += HEARTBEAT_MS) {
       for (const [id, doing] of this.#doing) {
         if (this.nowMs < doing.untilMs) continue;
         this.#doing.delete(id);
         doing.done();
       }
-      this.stocker.want('edge', wants(), this.nowMs);
-      this.stocker.beat(new Map([['assist', this.#engine]]), this.evacuated, this.nowMs);
+      this.planner.want('edge', wants(), this.nowMs);
+      this.planner.tick(new Map([['assist', this.#engine]]), this.evacuated, this.nowMs);
     }
   }
 
@@ -88,7 +88,7 @@
     return this.sent.filter(({ order }) => order.action === 'load');
   }
 
-  #take(row: BookRow, { action, model, adapter }: StockOrder): StockReply {
+  #take(row: WorkerRecord, { action, model, adapter }: StockOrder): StockReply {
     const models = this.held.get(row.id);
     if (models === undefined) return 'wrong-worker';
     if (this.#doing.has(row.id)) return 'busy';
--- a/packages/yaw/src/stocker.ts
+++ b/packages/placement/src/planner.ts
@@ -1,5 +1,5 @@
-import { spread } from '@rainrun/nacelle';
-import { WorkerBook, type BookRow } from './book.js';
+import { spread } from '@rainrun/common';
+import { WorkerTable, type WorkerRecord } from './worker-table.js';
 import { Loop, type LoopSettings } from './loop.js';
 
 /** What a model weighs and how long it takes to load. */
@@ -43,11 +43,11 @@
 /** How a worker answered an order. */
 export type StockReply = 'begun' | 'held' | 'busy' | 'fenced' | 'wrong-worker' | 'refused' | 'no-answer';
 
-/** What the stocker needs of its node. */
-export interface StockGear {
+/** What the planner needs of its node. */
+export interface PlannerDependencies {
   /** The fence under which this node may order now, or undefined; asked just before each order. */
   fence(): number | undefined;
-  order(row: BookRow, order: StockOrder, done: (reply: StockReply) => void): void;
+  order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void;
   nowMs(): number;
   /** Called for each decision, for the logs. */
   decided(text: string): void;
@@ -67,7 +67,7 @@
 
 interface Work {
   steps: Step[];
-  /** Models that this life has held: they come back from its own disk. */
+  /** Models that this incarnation has held: they come back from its own disk. */
   readonly held: Set<string>;
   /** All that may be there: what is held, and what an order may have brought. */
   readonly present: Map<string, Set<string>>;
@@ -158,13 +158,13 @@
  * the place of what has been unused longest; models in demand stand as often
  * as their concurrency needs.
  * @example
- * const stocker = new Stocker(book, gear);
- * stocker.want('life-1', wants, nowMs);
- * stocker.beat(engines, evacuated, nowMs);
+ * const planner = new PlacementPlanner(book, dependencies);
+ * planner.want('incarnation-1', wants, nowMs);
+ * planner.tick(engines, evacuated, nowMs);
  */
-export class Stocker {
-  #book: WorkerBook;
-  #gear: StockGear;
+export class PlacementPlanner {
+  #book: WorkerTable;
+  #dependencies: PlannerDependencies;
   #works = new Map<string, Work>();
   #wants = new Map<string, { atMs: number; wants: readonly StockWant[] }>();
   #usedMs = new Map<string, number>();
@@ -178,18 +178,18 @@
   #tokens = new Map<string, { count: number; atMs: number }>();
   readonly counts = { loads: 0, unloads: 0, orders: 0, busy: 0, unanswered: 0 };
 
-  constructor(book: WorkerBook, gear: StockGear) {
+  constructor(book: WorkerTable, dependencies: PlannerDependencies) {
     this.#book = book;
-    this.#gear = gear;
+    this.#dependencies = dependencies;
   }
 
   /** Takes what an edge asks for now; it replaces what it asked for before. */
-  want(life: string, wants: readonly StockWant[], nowMs: number): void {
-    this.#wants.set(life, { atMs: nowMs, wants });
+  want(incarnation: string, wants: readonly StockWant[], nowMs: number): void {
+    this.#wants.set(incarnation, { atMs: nowMs, wants });
   }
 
-  beat(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
-    for (const [life, known] of this.#wants) if (nowMs - known.atMs > WANT_MS) this.#wants.delete(life);
+  tick(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
+    for (const [incarnation, known] of this.#wants) if (nowMs - known.atMs > WANT_MS) this.#wants.delete(incarnation);
     for (const id of this.#works.keys()) if (this.#book.row(id) === undefined) this.#works.delete(id);
     for (const engine of engines.values()) {
       const rows = [...this.#book.rows].filter((row) => row.service === engine.service && !row.gone);
@@ -199,7 +199,7 @@
     }
   }
 
-  #work(row: BookRow): Work {
+  #work(row: WorkerRecord): Work {
     let work = this.#works.get(row.id);
     if (work === undefined) {
       work = { steps: [], held: new Set(row.models.keys()), present: new Map([...row.models].map(([model, adapters]) => [model, new Set(adapters)])), sinceMs: new Map(), retired: new Set() };
@@ -254,7 +254,7 @@
     return known;
   }
 
-  #plan(engine: StockEngine, rows: readonly BookRow[], evacuated: readonly string[], nowMs: number): void {
+  #plan(engine: StockEngine, rows: readonly WorkerRecord[], evacuated: readonly string[], nowMs: number): void {
     const demands = this.#demands(engine);
     const usable = rows.filter((row) => row.sure && !row.leaving && !evacuated.includes(row.zone));
     const copies = new Map<string, number>();
@@ -307,7 +307,7 @@
   }
 
   /** Models that a worker holds or will hold once its orders are done. */
-  #coming(row: BookRow): Set<string> {
+  #coming(row: WorkerRecord): Set<string> {
     const models = new Set(row.models.keys());
     for (const step of this.#work(row).steps) {
       if (step.adapter !== '') continue;
@@ -322,7 +322,7 @@
    * stays. A further copy of one busy model gives way to another's only if
    * that is clearly better off for it, so that two do not take turns.
    */
-  #valueOf(engine: StockEngine, row: BookRow, model: string, need: Need, counts: Counts, nowMs: number): number {
+  #valueOf(engine: StockEngine, row: WorkerRecord, model: string, need: Need, counts: Counts, nowMs: number): number {
     const key = `${engine.service}/${model}`;
     const demand = counts.demands.get(model);
     const copies = counts.copies.get(model) ?? 0;
@@ -343,7 +343,7 @@
   }
 
   /** Copies beyond what a model needs get no more requests, one at a time, so that nothing runs there when the room is wanted. */
-  #retire(engine: StockEngine, rows: readonly BookRow[], copies: Map<string, number>, desired: ReadonlyMap<string, number>, nowMs: number): void {
+  #retire(engine: StockEngine, rows: readonly WorkerRecord[], copies: Map<string, number>, desired: ReadonlyMap<string, number>, nowMs: number): void {
     for (const [model, count] of copies) {
       if (count <= Math.max(1, desired.get(model) ?? 1) || !engine.models.has(model)) continue;
       const key = `${engine.service}/${model}`;
@@ -360,7 +360,7 @@
   }
 
   /** A retired copy is taken back into use; nothing is loaded for it. */
-  #revive(rows: readonly BookRow[], model: string, copies: Map<string, number>): boolean {
+  #revive(rows: readonly WorkerRecord[], model: string, copies: Map<string, number>): boolean {
     for (const row of rows) {
       const work = this.#work(row);
       if (!work.retired.has(model) || !work.present.has(model) || work.steps.some((known) => known.model === model)) continue;
@@ -373,10 +373,10 @@
     return false;
   }
 
-  #place(engine: StockEngine, rows: readonly BookRow[], need: Need, counts: Counts, storeFree: boolean, nowMs: number): 'no' | 'from-disk' | 'from-store' {
+  #place(engine: StockEngine, rows: readonly WorkerRecord[], need: Need, counts: Counts, storeFree: boolean, nowMs: number): 'no' | 'from-disk' | 'from-store' {
     const model = engine.models.get(need.model);
     if (model === undefined || model.sizeMb > engine.roomMb) return 'no';
-    let best: { row: BookRow; cost: number; victims: string[] } | undefined;
+    let best: { row: WorkerRecord; cost: number; victims: string[] } | undefined;
     for (const row of rows) {
       const work = this.#work(row);
       if (work.steps.length > 0 || work.present.has(need.model)) continue;
@@ -417,7 +417,7 @@
     counts.copies.set(need.model, (counts.copies.get(need.model) ?? 0) + 1);
     const tokens = this.#tokens.get(engine.service);
     if (!work.held.has(need.model) && tokens !== undefined) tokens.count -= 1;
-    this.#gear.decided(`${row.id} loads ${need.model}${victims.length > 0 ? ` in the place of ${victims.join(', ')}` : ''} (worth ${need.worth.toFixed(2)})`);
+    this.#dependencies.decided(`${row.id} loads ${need.model}${victims.length > 0 ? ` in the place of ${victims.join(', ')}` : ''} (worth ${need.worth.toFixed(2)})`);
     return work.held.has(need.model) ? 'from-disk' : 'from-store';
   }
 
@@ -432,7 +432,7 @@
     return sumMb;
   }
 
-  #placeAdapters(engine: StockEngine, rows: readonly BookRow[], model: string, demand: Demand, nowMs: number): void {
+  #placeAdapters(engine: StockEngine, rows: readonly WorkerRecord[], model: string, demand: Demand, nowMs: number): void {
     const size = engine.models.get(model)?.adapterMb ?? 0;
     for (const [adapter, wanted] of demand.adapters) {
       const key = `${engine.service}/${model}/${adapter}`;
@@ -474,7 +474,7 @@
    * What a worker said itself, newer than any order of an earlier holder of
    * the duty: from here on its holdings are known.
    */
-  settle(row: BookRow, models: ReadonlyMap<string, ReadonlySet<string>>): void {
+  settle(row: WorkerRecord, models: ReadonlyMap<string, ReadonlySet<string>>): void {
     row.models = new Map([...models].map(([model, adapters]) => [model, new Set(adapters)]));
     row.sure = true;
     this.#works.delete(row.id);
@@ -486,7 +486,7 @@
     return [...this.#wants.values()].some(({ wants }) => wants.some((want) => want.waiting > 0));
   }
 
-  #pursue(engine: StockEngine, row: BookRow, nowMs: number): void {
+  #pursue(engine: StockEngine, row: WorkerRecord, nowMs: number): void {
     const work = this.#work(row);
     const first = work.steps[0];
     if (first === undefined) return;
@@ -497,7 +497,7 @@
     }
     if (!row.sure) return;
     if (first.posted || nowMs < first.notBeforeMs) return;
-    const fence = this.#gear.fence();
+    const fence = this.#dependencies.fence();
     if (fence === undefined) return;
     const { action, model, adapter } = first;
     if (action === 'load' && adapter !== '' && work.present.get(model)?.has(adapter) !== true) {
@@ -506,12 +506,12 @@
     }
     first.posted = true;
     this.counts.orders += 1;
-    this.#gear.order(row, { action, model, adapter, fence }, (reply) => this.#replied(engine, row, work, first, reply));
+    this.#dependencies.order(row, { action, model, adapter, fence }, (reply) => this.#replied(engine, row, work, first, reply));
   }
 
-  #replied(engine: StockEngine, row: BookRow, work: Work, done: Step, reply: StockReply): void {
+  #replied(engine: StockEngine, row: WorkerRecord, work: Work, done: Step, reply: StockReply): void {
     if (work.steps[0] !== done) return;
-    const nowMs = this.#gear.nowMs();
+    const nowMs = this.#dependencies.nowMs();
     function again(waitMs: number): void {
       done.posted = false;
       done.notBeforeMs = nowMs + waitMs;
@@ -552,16 +552,16 @@
     else work.present.get(done.model)?.delete(done.adapter);
   }
 
-  #finish(row: BookRow, work: Work, done: Step): void {
+  #finish(row: WorkerRecord, work: Work, done: Step): void {
     work.steps.shift();
     const next = work.steps[0];
     if (done.action === 'unload') {
-      if (next !== undefined && done.adapter === '') next.notBeforeMs = this.#gear.nowMs() + UNLOAD_MS;
+      if (next !== undefined && done.adapter === '') next.notBeforeMs = this.#dependencies.nowMs() + UNLOAD_MS;
       this.#forget(work, done);
       this.counts.unloads += 1;
     } else if (done.adapter === '') {
       work.held.add(done.model);
-      work.sinceMs.set(done.model, this.#gear.nowMs());
+      work.sinceMs.set(done.model, this.#dependencies.nowMs());
       row.models.set(done.model, new Set(work.present.get(done.model) ?? []));
     } else row.models.get(done.model)?.add(done.adapter);
     this.#book.changed(row);
--- a/packages/yaw/src/book.ts
+++ b/packages/placement/src/worker-table.ts
@@ -11,8 +11,8 @@
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
 }
 
-/** One life of a worker as the holder of the duty knows it. */
-export interface BookRow {
+/** One incarnation of a worker as the holder of the duty knows it. */
+export interface WorkerRecord {
   readonly id: string;
   readonly service: string;
   address: string;
@@ -39,12 +39,12 @@
  * The table of workers, a numbered row each, so that a reader that has all
  * rows up to a number is told only what came after it.
  * @example
- * const book = new WorkerBook();
+ * const book = new WorkerTable();
  * book.learn([listed], nowMs);
  * book.since(0); // every row
  */
-export class WorkerBook {
-  #rows = new Map<string, BookRow>();
+export class WorkerTable {
+  #rows = new Map<string, WorkerRecord>();
   #number = 0;
 
   /** Number of the newest change. */
@@ -52,27 +52,27 @@
     return this.#number;
   }
 
-  get rows(): IterableIterator<BookRow> {
+  get rows(): IterableIterator<WorkerRecord> {
     return this.#rows.values();
   }
 
-  row(id: string): BookRow | undefined {
+  row(id: string): WorkerRecord | undefined {
     return this.#rows.get(id);
   }
 
   /** Rows changed after a number. */
-  since(number: number): BookRow[] {
+  since(number: number): WorkerRecord[] {
     return [...this.#rows.values()].filter((row) => row.number > number);
   }
 
-  changed(row: BookRow): void {
+  changed(row: WorkerRecord): void {
     this.#number += 1;
     row.number = this.#number;
   }
 
-  /** Takes the platform's whole list. Holdings count only for lives that were not known: later ones follow from replies to orders. */
-  learn(list: readonly ListedWorker[], nowMs: number): BookRow[] {
-    const fresh: BookRow[] = [];
+  /** Takes the platform's whole list. Holdings count only for incarnations that were not known: later ones follow from replies to orders. */
+  learn(list: readonly ListedWorker[], nowMs: number): WorkerRecord[] {
+    const fresh: WorkerRecord[] = [];
     const seen = new Set<string>();
     for (const listed of list) {
       seen.add(listed.id);
@@ -90,16 +90,16 @@
     return fresh;
   }
 
-  #enter(listed: ListedWorker, nowMs: number): BookRow {
+  #enter(listed: ListedWorker, nowMs: number): WorkerRecord {
     const { id, service, address, zone, slots, leaving, coldMs } = listed;
     const models = new Map([...listed.models].map(([model, adapters]) => [model, new Set(adapters)]));
-    const row: BookRow = { id, service, address, zone, slots, leaving, gone: false, coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity, models, number: 0, goneMs: 0, sure: false, listed: listed.models };
+    const row: WorkerRecord = { id, service, address, zone, slots, leaving, gone: false, coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity, models, number: 0, goneMs: 0, sure: false, listed: listed.models };
     this.#rows.set(id, row);
     this.changed(row);
     return row;
   }
 
-  #update(row: BookRow, listed: ListedWorker, nowMs: number): void {
+  #update(row: WorkerRecord, listed: ListedWorker, nowMs: number): void {
     row.listed = listed.models;
     const coldUntilMs = listed.coldMs > 0 ? nowMs + listed.coldMs : -Infinity;
     const cold = coldUntilMs > row.coldUntilMs + COLD_STEP_MS && coldUntilMs > nowMs;
--- a/packages/farm/src/acceptor.ts
+++ b/packages/process-group/src/acceptor.ts
@@ -10,14 +10,14 @@
   type Promise as Promised,
   type Propose,
   type Version,
-} from '@rainrun/courier';
-import type { Records, Vault } from '@rainrun/ledger';
-import { fault, type Fault } from '@rainrun/nacelle';
+} from '@rainrun/messages';
+import type { Records, Vault } from '@rainrun/storage';
+import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { later } from './play.js';
 
-/** What an elector's disk says when the node opens it. */
+/** What an voter's disk says when the node opens it. */
 export interface Opening {
   readonly disk: string;
   readonly deployment: string;
@@ -54,7 +54,7 @@
 }
 
 /**
- * The elector's vote. It promises each epoch to one claimant and accepts
+ * The voter's vote. It promises each epoch to one claimant and accepts
  * versions of its promised epoch; both count only once they are synced.
  * @example
  * const acceptor = new Acceptor(opening, vault, 'vejsargs', (fault) => stopNode(fault));
--- a/packages/farm/src/causal.ts
+++ b/packages/process-group/src/causal.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf';
-import { CastSchema, type Cast, type View } from '@rainrun/courier';
+import { CastSchema, type Cast, type View } from '@rainrun/messages';
 import { rankOf } from './play.js';
 
 interface HeldCast {
@@ -13,13 +13,13 @@
  * predecessors have been delivered; it is kept until it is known to be
  * delivered everywhere, so that a flush can hand it on.
  * @example
- * const causal = new Causal(view, 'life-1', (sender, payload) => observe(sender, payload));
+ * const causal = new Causal(view, 'incarnation-1', (sender, payload) => observe(sender, payload));
  * const cast = causal.send(payload);
  */
 export class Causal {
   #view: View;
   #rank: number;
-  #life: string;
+  #incarnation: string;
   #deliver: (cast: Cast) => void;
   #delivered: number[];
   #waiting: HeldCast[] = [];
@@ -30,11 +30,11 @@
   #stopped = false;
   #contextBytes = 0;
 
-  constructor(view: View, life: string, deliver: (cast: Cast) => void) {
+  constructor(view: View, incarnation: string, deliver: (cast: Cast) => void) {
     const size = view.members.length;
     this.#view = view;
-    this.#life = life;
-    this.#rank = rankOf(view, life);
+    this.#incarnation = incarnation;
+    this.#rank = rankOf(view, incarnation);
     this.#deliver = deliver;
     this.#delivered = new Array<number>(size).fill(0);
     this.#recordSent = new Array<number>(size).fill(0);
@@ -64,7 +64,7 @@
     const sequence = (this.#delivered[this.#rank] ?? 0) + 1;
     const context = [...this.#delivered];
     context[this.#rank] = sequence;
-    const cast = create(CastSchema, { sender: this.#life, view: this.#view.number, sequence, payload });
+    const cast = create(CastSchema, { sender: this.#incarnation, view: this.#view.number, sequence, payload });
     context.forEach((count, rank) => {
       if (rank === this.#rank || count === this.#recordSent[rank]) return;
       cast.contextRank.push(rank);
@@ -105,8 +105,8 @@
   }
 
   /** Learns what a member has delivered, and lets go of what all have. */
-  learnDelivered(life: string, delivered: readonly number[]): void {
-    const rank = rankOf(this.#view, life);
+  learnDelivered(incarnation: string, delivered: readonly number[]): void {
+    const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
     this.#stableAt[rank] = [...delivered];
     for (const [key, held] of this.#kept) {
--- a/packages/farm/src/claims.ts
+++ b/packages/process-group/src/claims.ts
@@ -3,29 +3,29 @@
   ClaimSchema,
   PromiseSchema,
   type Claim,
-  type Elector,
+  type Voter,
   type Frame,
   type Promise as Promised,
   type Seat,
   type Version,
-} from '@rainrun/courier';
-import type { Chance } from '@rainrun/nacelle';
+} from '@rainrun/messages';
+import type { Chance } from '@rainrun/common';
 import type { Acceptor } from './acceptor.js';
 import { later, majority } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What claims need of the node that they run in. */
-export interface ClaimDesk {
+export interface ClaimContext {
   readonly acceptor: Acceptor;
   readonly times: GroupTimes;
   readonly chance: Chance;
   nowMs(): number;
-  electors(): readonly Elector[];
-  /** Where the elector with this disk is now, if it is known. */
-  electorSeat(disk: string): Seat | undefined;
-  seat(life: string): Seat | undefined;
+  voters(): readonly Voter[];
+  /** Where the voter with this disk is now, if it is known. */
+  voterSeat(disk: string): Seat | undefined;
+  seat(incarnation: string): Seat | undefined;
   post(seat: Seat, body: Frame['body']): void;
-  /** Life of the coordinator that this node follows, if one is heard. */
+  /** Incarnation of the coordinator that this node follows, if one is heard. */
   following(): string | undefined;
   /** Newest epoch that this node knows of. */
   epoch(): number;
@@ -38,29 +38,29 @@
   readonly epoch: number;
   readonly bornMs: number;
   sentMs: number;
-  /** Electors that would grant; the claim itself comes once they are a majority. */
+  /** Voters that would grant; the claim itself comes once they are a majority. */
   readonly supporters: Set<string>;
   asking: boolean;
   readonly promises: Map<string, Promised>;
 }
 
 /**
- * Claims of an elector to the next epoch, and its answers to those of others.
+ * Claims of an voter to the next epoch, and its answers to those of others.
  * It asks first whether a majority would grant, so that it unseats nobody who
  * is at work.
  * @example
- * const claims = new Claims(desk);
+ * const claims = new Claims(context);
  * if (claims.due(nowMs) && !claims.isTaken(undefined, nowMs)) claims.begin(nowMs);
  */
 export class Claims {
-  #desk: ClaimDesk;
+  #context: ClaimContext;
   #claiming: Claiming | undefined;
   #afterMs: number;
   #courtedMs = -Infinity;
 
-  constructor(desk: ClaimDesk) {
-    this.#desk = desk;
-    this.#afterMs = desk.nowMs() + desk.times.suspectMs + desk.chance.next() * 300;
+  constructor(context: ClaimContext) {
+    this.#context = context;
+    this.#afterMs = context.nowMs() + context.times.suspectMs + context.chance.next() * 300;
   }
 
   /** Whether a claim is under way. */
@@ -74,18 +74,18 @@
 
   /** This node has slept: it listens before it claims. */
   woke(nowMs: number): void {
-    this.#afterMs = Math.max(this.#afterMs, nowMs + this.#desk.times.suspectMs);
+    this.#afterMs = Math.max(this.#afterMs, nowMs + this.#context.times.suspectMs);
   }
 
   /** This node has ceased to coordinate. */
   resigned(): void {
-    const { times, chance } = this.#desk;
-    this.#afterMs = this.#desk.nowMs() + times.suspectMs + chance.next() * 500;
+    const { times, chance } = this.#context;
+    this.#afterMs = this.#context.nowMs() + times.suspectMs + chance.next() * 500;
   }
 
   /** A coordinator of the newest epoch has proposed something. */
   courted(): void {
-    this.#courtedMs = this.#desk.nowMs();
+    this.#courtedMs = this.#context.nowMs();
   }
 
   forget(): void {
@@ -94,85 +94,85 @@
 
   /** Whether a coordinator is at work as far as this node can see; a claim against it is not supported. */
   isTaken(claimant: string | undefined, nowMs: number): boolean {
-    const following = this.#desk.following();
+    const following = this.#context.following();
     if (following !== undefined && following !== claimant) return true;
-    return nowMs - this.#courtedMs < this.#desk.times.suspectMs;
+    return nowMs - this.#courtedMs < this.#context.times.suspectMs;
   }
 
   begin(nowMs: number): void {
-    const { acceptor } = this.#desk;
-    const epoch = this.#desk.epoch() + 1;
+    const { acceptor } = this.#context;
+    const epoch = this.#context.epoch() + 1;
     this.#claiming = { epoch, bornMs: nowMs, sentMs: -Infinity, asking: true, supporters: new Set([acceptor.disk]), promises: new Map() };
     this.#press(this.#claiming, nowMs);
   }
 
-  beat(nowMs: number): void {
+  tick(nowMs: number): void {
     if (this.#claiming !== undefined) this.#press(this.#claiming, nowMs);
   }
 
   #press(claiming: Claiming, nowMs: number): void {
-    const { acceptor, times } = this.#desk;
+    const { acceptor, times } = this.#context;
     if (nowMs - claiming.bornMs > times.suspectMs) return this.#drop(nowMs);
     if (nowMs - claiming.sentMs < times.resendMs) return;
     claiming.sentMs = nowMs;
     const { epoch, asking } = claiming;
     const value = create(ClaimSchema, { epoch, disk: acceptor.disk, asking });
-    for (const elector of this.#desk.electors()) {
-      if (asking ? claiming.supporters.has(elector.disk) : claiming.promises.has(elector.disk)) continue;
-      const seat = this.#desk.electorSeat(elector.disk);
-      if (elector.disk === acceptor.disk) acceptor.claim(value, (promise) => this.onPromise(promise));
-      else if (seat !== undefined) this.#desk.post(seat, { case: 'claim', value });
+    for (const voter of this.#context.voters()) {
+      if (asking ? claiming.supporters.has(voter.disk) : claiming.promises.has(voter.disk)) continue;
+      const seat = this.#context.voterSeat(voter.disk);
+      if (voter.disk === acceptor.disk) acceptor.claim(value, (promise) => this.onPromise(promise));
+      else if (seat !== undefined) this.#context.post(seat, { case: 'claim', value });
     }
   }
 
   #drop(nowMs: number): void {
     this.#claiming = undefined;
-    this.#afterMs = nowMs + 200 + this.#desk.chance.next() * 800;
+    this.#afterMs = nowMs + 200 + this.#context.chance.next() * 800;
   }
 
   onClaim(from: string, claim: Claim): void {
-    const { acceptor } = this.#desk;
-    const seat = this.#desk.seat(from);
+    const { acceptor } = this.#context;
+    const seat = this.#context.seat(from);
     if (seat === undefined) return;
-    const taken = this.isTaken(from, this.#desk.nowMs());
+    const taken = this.isTaken(from, this.#context.nowMs());
     if (taken || claim.asking) {
       const granted = !taken && claim.epoch > acceptor.promisedEpoch;
       const { epoch, asking } = claim;
-      const value = create(PromiseSchema, { epoch, asking, granted, disk: acceptor.disk, seenEpoch: this.#desk.epoch() });
-      return this.#desk.post(seat, { case: 'promise', value });
+      const value = create(PromiseSchema, { epoch, asking, granted, disk: acceptor.disk, seenEpoch: this.#context.epoch() });
+      return this.#context.post(seat, { case: 'promise', value });
     }
-    acceptor.claim(claim, (promise) => this.#desk.post(seat, { case: 'promise', value: promise }));
+    acceptor.claim(claim, (promise) => this.#context.post(seat, { case: 'promise', value: promise }));
   }
 
   onPromise(promise: Promised): void {
     const claiming = this.#claiming;
-    this.#desk.sawEpoch(promise.granted ? 0 : promise.seenEpoch);
+    this.#context.sawEpoch(promise.granted ? 0 : promise.seenEpoch);
     if (claiming === undefined || promise.epoch !== claiming.epoch) return;
-    if (!promise.granted) return this.#drop(this.#desk.nowMs());
+    if (!promise.granted) return this.#drop(this.#context.nowMs());
     if (promise.asking) return this.#supported(claiming, promise.disk);
     claiming.promises.set(promise.disk, promise);
     const best = bestOf(claiming);
-    const electors = best?.state?.electors ?? [];
-    const promised = electors.filter((elector) => claiming.promises.has(elector.disk)).length;
-    const mine = this.#desk.electors();
-    const promisedOfMine = mine.filter((elector) => claiming.promises.has(elector.disk)).length;
-    if (best === undefined || promised < majority(electors.length) || promisedOfMine < majority(mine.length)) return;
+    const voters = best?.state?.voters ?? [];
+    const promised = voters.filter((voter) => claiming.promises.has(voter.disk)).length;
+    const mine = this.#context.voters();
+    const promisedOfMine = mine.filter((voter) => claiming.promises.has(voter.disk)).length;
+    if (best === undefined || promised < majority(voters.length) || promisedOfMine < majority(mine.length)) return;
     this.#claiming = undefined;
-    if (electors.some((elector) => elector.disk === this.#desk.acceptor.disk)) this.#desk.take(claiming.epoch, best);
+    if (voters.some((voter) => voter.disk === this.#context.acceptor.disk)) this.#context.take(claiming.epoch, best);
   }
 
   #supported(claiming: Claiming, disk: string): void {
     claiming.supporters.add(disk);
-    const electors = this.#desk.electors();
-    const supporters = electors.filter((elector) => claiming.supporters.has(elector.disk)).length;
-    if (!claiming.asking || supporters < majority(electors.length)) return;
+    const voters = this.#context.voters();
+    const supporters = voters.filter((voter) => claiming.supporters.has(voter.disk)).length;
+    if (!claiming.asking || supporters < majority(voters.length)) return;
     claiming.asking = false;
     claiming.sentMs = -Infinity;
-    this.#press(claiming, this.#desk.nowMs());
+    this.#press(claiming, this.#context.nowMs());
   }
 }
 
-/** The newest version that an elector accepted, of those that promised. */
+/** The newest version that an voter accepted, of those that promised. */
 function bestOf(claiming: Claiming): Version | undefined {
   let best: Version | undefined;
   for (const { accepted } of claiming.promises.values()) {
--- a/packages/farm/src/coordinator.ts
+++ b/packages/process-group/src/coordinator.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import {
   ChosenSchema,
-  ElectorSchema,
+  VoterSchema,
   EntrySchema,
   ProposeSchema,
   StopSchema,
@@ -9,7 +9,7 @@
   type Accepted,
   type Answer,
   type Cast,
-  type Elector,
+  type Voter,
   type Entry,
   type Flush,
   type Frame,
@@ -18,30 +18,30 @@
   type Seat,
   type Version,
   type View,
-} from '@rainrun/courier';
+} from '@rainrun/messages';
 import { cutOf } from './causal.js';
 import { advance, bare, levelOf, majority, rankOf, rememberedCount, REMEMBERED_MOST, toVersion, unbridged, type Held, type Play } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What the coordinator needs from the node that it runs in. */
-export interface Desk<S> {
+export interface CoordinatorContext<S> {
   readonly play: Play<S>;
   readonly times: GroupTimes;
   readonly disk: string;
-  /** So many electors there should be, as far as there are disks. */
-  readonly electorsWanted: number;
+  /** So many voters there should be, as far as there are disks. */
+  readonly votersWanted: number;
   self(): Seat;
   /** Newest version in force in this node. */
   heldNumber(): number;
-  live(life: string): boolean;
-  /** Whether this life has said goodbye. */
-  left(life: string): boolean;
-  /** Whether most members say that they cannot reach this life. */
-  reported(life: string): boolean;
+  live(incarnation: string): boolean;
+  /** Whether this incarnation has said goodbye. */
+  left(incarnation: string): boolean;
+  /** Whether most members say that they cannot reach this incarnation. */
+  reported(incarnation: string): boolean;
   /** Live nodes that ask to join; this node too while it is in no view. */
   joiners(): readonly Seat[];
-  /** Where the elector with this disk is now, if it is known. */
-  electorSeat(disk: string): Seat | undefined;
+  /** Where the voter with this disk is now, if it is known. */
+  voterSeat(disk: string): Seat | undefined;
   post(seat: Seat, body: Frame['body']): void;
   parcel(seat: Seat, body: Parcel['body']): void;
   /** This node's own vote on a proposal. */
@@ -54,7 +54,7 @@
   readonly held: Held<S>;
   readonly entry: Entry;
   readonly version: Version;
-  readonly electors: readonly (readonly Elector[])[];
+  readonly voters: readonly (readonly Voter[])[];
   readonly acks: Set<string>;
   sentMs: number;
 }
@@ -77,15 +77,15 @@
 
 /**
  * The one node that, in its epoch, changes the view and sequences the agreed
- * operations. One version at a time: synced by a majority of electors, then
+ * operations. One version at a time: synced by a majority of voters, then
  * held by a majority of the view (of the old and the new one when the view
  * changes); only then is it agreed and the next one begun.
  * @example
- * const coordinator = new Coordinator(desk, 3, base, entry, nowMs, (number) => note(number));
- * coordinator.beat(nowMs);
+ * const coordinator = new Coordinator(context, 3, base, entry, nowMs, (number) => note(number));
+ * coordinator.tick(nowMs);
  */
 export class Coordinator<S> {
-  #desk: Desk<S>;
+  #context: CoordinatorContext<S>;
   #epoch: number;
   #held: Held<S>;
   #proposal: Proposal<S> | undefined;
@@ -109,9 +109,9 @@
   /** When the group's clock was last moved. */
   #clockedMs: number;
 
-  constructor(desk: Desk<S>, epoch: number, base: Held<S>, entry: Entry, nowMs: number, settled: (number: number) => void) {
+  constructor(context: CoordinatorContext<S>, epoch: number, base: Held<S>, entry: Entry, nowMs: number, settled: (number: number) => void) {
     this.#clockedMs = nowMs;
-    this.#desk = desk;
+    this.#context = context;
     this.#epoch = epoch;
     this.#held = base;
     this.#settled = settled;
@@ -145,8 +145,8 @@
     this.#forgotten.add(name);
   }
 
-  holds(life: string, number: number): void {
-    if (number > (this.#heldBy.get(life) ?? 0)) this.#heldBy.set(life, number);
+  holds(incarnation: string, number: number): void {
+    if (number > (this.#heldBy.get(incarnation) ?? 0)) this.#heldBy.set(incarnation, number);
   }
 
   accepted(accepted: Accepted): void {
@@ -154,25 +154,25 @@
     if (proposal === undefined || accepted.refused) return;
     if (accepted.epoch !== this.#epoch || accepted.number !== proposal.held.number) return;
     proposal.acks.add(accepted.disk);
-    const chosen = proposal.electors.every(
-      (set) => set.filter((elector) => proposal.acks.has(elector.disk)).length >= majority(set.length),
+    const chosen = proposal.voters.every(
+      (set) => set.filter((voter) => proposal.acks.has(voter.disk)).length >= majority(set.length),
     );
     if (chosen) this.#choose(proposal);
   }
 
-  flushed(life: string, flush: Flush): void {
+  flushed(incarnation: string, flush: Flush): void {
     if (flush.epoch !== this.#epoch || flush.change !== this.#change?.id) return;
-    this.#change.lots.set(life, flush.unstable);
+    this.#change.lots.set(incarnation, flush.unstable);
   }
 
-  beat(nowMs: number): void {
+  tick(nowMs: number): void {
     if (this.#proposal !== undefined) return this.#send(this.#proposal, nowMs);
     if (this.#settling !== undefined && !this.#settle(this.#settling)) return;
     if (this.#change !== undefined) return this.#pursue(this.#change, nowMs);
     if (this.#begin(nowMs)) return;
     if (this.#held.before !== undefined) return this.#next(create(EntrySchema), nowMs);
-    const electors = this.#replacement(nowMs);
-    if (electors !== undefined) return this.#next(create(EntrySchema, { electors }), nowMs);
+    const voters = this.#replacement(nowMs);
+    if (voters !== undefined) return this.#next(create(EntrySchema, { voters }), nowMs);
     const operations = this.#batch();
     if (operations.length > 0) this.#next(create(EntrySchema, { operations }), nowMs);
   }
@@ -195,16 +195,16 @@
     entry.level = levelOf(entry.view?.members ?? this.#held.view.members);
     if (entry.level > 1) entry.elapsedMs = nowMs - this.#clockedMs;
     this.#clockedMs = nowMs;
-    this.#propose(advance(this.#desk.play, this.#held, this.#epoch, entry), entry, nowMs);
+    this.#propose(advance(this.#context.play, this.#held, this.#epoch, entry), entry, nowMs);
   }
 
   #propose(held: Held<S>, entry: Entry, nowMs: number): void {
-    const version = toVersion(this.#desk.play, held, entry);
+    const version = toVersion(this.#context.play, held, entry);
     this.#proposal = {
       held,
       entry,
       version,
-      electors: [this.#held.electors, held.electors],
+      voters: [this.#held.voters, held.voters],
       acks: new Set(),
       sentMs: -Infinity,
     };
@@ -212,18 +212,18 @@
   }
 
   #send(proposal: Proposal<S>, nowMs: number): void {
-    if (nowMs - proposal.sentMs < this.#desk.times.resendMs) return;
+    if (nowMs - proposal.sentMs < this.#context.times.resendMs) return;
     proposal.sentMs = nowMs;
-    const disks = new Set(proposal.electors.flat().map((elector) => elector.disk));
-    const value = create(ProposeSchema, { disk: this.#desk.disk, version: proposal.version });
+    const disks = new Set(proposal.voters.flat().map((voter) => voter.disk));
+    const value = create(ProposeSchema, { disk: this.#context.disk, version: proposal.version });
     for (const disk of disks) {
       if (proposal.acks.has(disk)) continue;
-      if (disk === this.#desk.disk) {
-        this.#desk.vote(proposal.version);
+      if (disk === this.#context.disk) {
+        this.#context.vote(proposal.version);
         continue;
       }
-      const seat = this.#desk.electorSeat(disk);
-      if (seat !== undefined) this.#desk.post(seat, { case: 'propose', value });
+      const seat = this.#context.voterSeat(disk);
+      if (seat !== undefined) this.#context.post(seat, { case: 'propose', value });
     }
   }
 
@@ -233,27 +233,27 @@
     this.#held = proposal.held;
     const before = proposal.held.before === undefined ? [] : [proposal.held.before];
     this.#settling = { number: proposal.held.number, views: [...before, proposal.held.view] };
-    this.#desk.deliverSelf(proposal.version);
+    this.#context.deliverSelf(proposal.version);
     this.#carry(proposal.version, old);
     this.#settle(this.#settling);
   }
 
   #carry(version: Version, old: Held<S>): void {
-    const self = this.#desk.self().life;
+    const self = this.#context.self().incarnation;
     const light = create(ChosenSchema, { versions: [bare(version)] });
     const heavy = create(ChosenSchema, { versions: [version] });
     for (const member of this.#held.view.members) {
-      if (member.life === self) continue;
-      const holds = this.#heldBy.get(member.life) ?? 0;
-      const follows = holds > 0 && holds >= version.number - 1 && rankOf(old.view, member.life) >= 0;
-      this.#desk.parcel(member, { case: 'chosen', value: follows ? light : heavy });
+      if (member.incarnation === self) continue;
+      const holds = this.#heldBy.get(member.incarnation) ?? 0;
+      const follows = holds > 0 && holds >= version.number - 1 && rankOf(old.view, member.incarnation) >= 0;
+      this.#context.parcel(member, { case: 'chosen', value: follows ? light : heavy });
     }
   }
 
   #settle(settling: Settling): boolean {
-    this.#heldBy.set(this.#desk.self().life, this.#desk.heldNumber());
+    this.#heldBy.set(this.#context.self().incarnation, this.#context.heldNumber());
     const held = settling.views.every((view) =>
-      this.#accounted(view, (seat) => (this.#heldBy.get(seat.life) ?? 0) >= settling.number),
+      this.#accounted(view, (seat) => (this.#heldBy.get(seat.incarnation) ?? 0) >= settling.number),
     );
     if (!held) return false;
     this.#settling = undefined;
@@ -268,27 +268,27 @@
     const seat = this.#submitters.get(answer.id);
     if (seat === undefined) return;
     this.#submitters.delete(answer.id);
-    this.#desk.parcel(seat, { case: 'answer', value: answer });
+    this.#context.parcel(seat, { case: 'answer', value: answer });
   }
 
-  /** A life that can do nothing any more: it said goodbye, was succeeded under its name, or was forgotten. */
+  /** A incarnation that can do nothing any more: it said goodbye, was succeeded under its name, or was forgotten. */
   #isGone(seat: Seat): boolean {
-    if (this.#gone.has(seat.life)) return true;
+    if (this.#gone.has(seat.incarnation)) return true;
     const { members } = this.#held.view;
-    const inView = rankOf(this.#held.view, seat.life) >= 0;
+    const inView = rankOf(this.#held.view, seat.incarnation) >= 0;
     const gone =
-      this.#desk.left(seat.life) ||
+      this.#context.left(seat.incarnation) ||
       this.#forgotten.has(seat.name) ||
       (!inView && members.some((member) => member.name === seat.name)) ||
-      this.#desk
+      this.#context
         .joiners()
         .some(
           (joiner) =>
             joiner.name === seat.name &&
-            joiner.life !== seat.life &&
-            (joiner.address === seat.address || !this.#desk.live(seat.life)),
+            joiner.incarnation !== seat.incarnation &&
+            (joiner.address === seat.address || !this.#context.live(seat.incarnation)),
         );
-    if (gone) this.#gone.add(seat.life);
+    if (gone) this.#gone.add(seat.incarnation);
     return gone;
   }
 
@@ -298,13 +298,13 @@
   }
 
   #staying(nowMs: number): Seat[] {
-    const self = this.#desk.self().life;
+    const self = this.#context.self().incarnation;
     return this.#held.view.members.filter(
       (seat) =>
-        seat.life === self ||
-        (this.#desk.live(seat.life) &&
-          nowMs >= (this.#slowUntilMs.get(seat.life) ?? -Infinity) &&
-          !this.#desk.reported(seat.life) &&
+        seat.incarnation === self ||
+        (this.#context.live(seat.incarnation) &&
+          nowMs >= (this.#slowUntilMs.get(seat.incarnation) ?? -Infinity) &&
+          !this.#context.reported(seat.incarnation) &&
           !this.#isGone(seat)),
     );
   }
@@ -314,18 +314,18 @@
     const staying = this.#staying(nowMs);
     const names = new Set(staying.map((seat) => seat.name));
     const joiners: Seat[] = [];
-    for (const seat of [...this.#desk.joiners()].sort((one, other) => (one.name < other.name ? -1 : 1))) {
-      const known = names.has(seat.name) || rankOf(view, seat.life) >= 0 || this.#forgotten.has(seat.name);
+    for (const seat of [...this.#context.joiners()].sort((one, other) => (one.name < other.name ? -1 : 1))) {
+      const known = names.has(seat.name) || rankOf(view, seat.incarnation) >= 0 || this.#forgotten.has(seat.name);
       if (!known && unbridged(seat, [...staying, ...joiners]) === undefined) joiners.push(seat);
     }
     if (staying.length === view.members.length && joiners.length === 0 && !this.#owed) {
       this.#wantedSinceMs = undefined;
       return false;
     }
-    const self = this.#desk.self().life;
-    if (rankOf(view, self) >= 0 && this.#desk.heldNumber() < this.#held.number) return false;
+    const self = this.#context.self().incarnation;
+    if (rankOf(view, self) >= 0 && this.#context.heldNumber() < this.#held.number) return false;
     this.#wantedSinceMs ??= nowMs;
-    if (nowMs - this.#wantedSinceMs < this.#desk.times.graceMs) return false;
+    if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
     if (!this.#accounted(view, (seat) => staying.includes(seat))) return false;
     this.#wantedSinceMs = undefined;
     this.#owed = true;
@@ -336,21 +336,21 @@
   }
 
   #pursue(change: Change, nowMs: number): void {
-    const self = this.#desk.self().life;
-    const missing = change.staying.filter((seat) => !change.lots.has(seat.life));
-    const lost = change.staying.some((seat) => seat.life !== self && !this.#desk.live(seat.life));
-    if (nowMs - change.bornMs > this.#desk.times.flushMs) {
-      for (const seat of missing) this.#slowUntilMs.set(seat.life, nowMs + 2 * this.#desk.times.flushMs);
+    const self = this.#context.self().incarnation;
+    const missing = change.staying.filter((seat) => !change.lots.has(seat.incarnation));
+    const lost = change.staying.some((seat) => seat.incarnation !== self && !this.#context.live(seat.incarnation));
+    if (nowMs - change.bornMs > this.#context.times.flushMs) {
+      for (const seat of missing) this.#slowUntilMs.set(seat.incarnation, nowMs + 2 * this.#context.times.flushMs);
     }
-    if (lost || nowMs - change.bornMs > this.#desk.times.flushMs) {
+    if (lost || nowMs - change.bornMs > this.#context.times.flushMs) {
       this.#change = undefined;
-      this.#wantedSinceMs = nowMs - this.#desk.times.graceMs;
+      this.#wantedSinceMs = nowMs - this.#context.times.graceMs;
       return;
     }
     if (missing.length === 0) return this.#install(change, nowMs);
-    if (nowMs - change.sentMs < this.#desk.times.resendMs) return;
+    if (nowMs - change.sentMs < this.#context.times.resendMs) return;
     change.sentMs = nowMs;
-    const staying = change.staying.map((seat) => seat.life);
+    const staying = change.staying.map((seat) => seat.incarnation);
     const value = create(StopSchema, {
       epoch: this.#epoch,
       change: change.id,
@@ -358,10 +358,10 @@
       staying,
     });
     for (const seat of missing) {
-      if (seat.life === self) change.lots.set(self, this.#desk.flushSelf(change.id, staying));
-      else this.#desk.post(seat, { case: 'stop', value });
+      if (seat.incarnation === self) change.lots.set(self, this.#context.flushSelf(change.id, staying));
+      else this.#context.post(seat, { case: 'stop', value });
     }
-    if (change.staying.every((seat) => change.lots.has(seat.life))) this.#install(change, nowMs);
+    if (change.staying.every((seat) => change.lots.has(seat.incarnation))) this.#install(change, nowMs);
   }
 
   #install(change: Change, nowMs: number): void {
@@ -377,36 +377,36 @@
   }
 
   /**
-   * The elector set with one lost elector replaced by a member that already
+   * The voter set with one lost voter replaced by a member that already
    * holds the state: at once by the node that has its name, else after a while.
    */
-  #replacement(nowMs: number): Elector[] | undefined {
-    const { electors, view } = this.#held;
-    for (const elector of electors) {
-      const there = elector.disk === this.#desk.disk || this.#desk.electorSeat(elector.disk) !== undefined;
-      if (there) this.#missingSinceMs.delete(elector.disk);
-      else if (!this.#missingSinceMs.has(elector.disk)) this.#missingSinceMs.set(elector.disk, nowMs);
+  #replacement(nowMs: number): Voter[] | undefined {
+    const { voters, view } = this.#held;
+    for (const voter of voters) {
+      const there = voter.disk === this.#context.disk || this.#context.voterSeat(voter.disk) !== undefined;
+      if (there) this.#missingSinceMs.delete(voter.disk);
+      else if (!this.#missingSinceMs.has(voter.disk)) this.#missingSinceMs.set(voter.disk, nowMs);
     }
     const spares = view.members.filter(
       (seat) =>
         seat.disk !== '' &&
-        !electors.some((elector) => elector.disk === seat.disk) &&
-        this.#desk.live(seat.life) &&
-        (this.#heldBy.get(seat.life) ?? 0) >= this.#held.number,
+        !voters.some((voter) => voter.disk === seat.disk) &&
+        this.#context.live(seat.incarnation) &&
+        (this.#heldBy.get(seat.incarnation) ?? 0) >= this.#held.number,
     );
-    const missing = electors.filter((elector) => this.#missingSinceMs.has(elector.disk));
-    const succeeded = missing.find((elector) => spares.some((seat) => seat.name === elector.name));
+    const missing = voters.filter((voter) => this.#missingSinceMs.has(voter.disk));
+    const succeeded = missing.find((voter) => spares.some((seat) => seat.name === voter.name));
     const lost =
       succeeded ??
-      missing.find((elector) => nowMs - (this.#missingSinceMs.get(elector.disk) ?? nowMs) >= this.#desk.times.replaceMs);
+      missing.find((voter) => nowMs - (this.#missingSinceMs.get(voter.disk) ?? nowMs) >= this.#context.times.replaceMs);
     const spare = spares.find((seat) => seat.name === lost?.name) ?? spares[0];
-    if (lost === undefined && spare !== undefined && electors.length < this.#desk.electorsWanted) {
-      return [...electors, create(ElectorSchema, { disk: spare.disk, name: spare.name })];
+    if (lost === undefined && spare !== undefined && voters.length < this.#context.votersWanted) {
+      return [...voters, create(VoterSchema, { disk: spare.disk, name: spare.name })];
     }
     if (lost === undefined || spare === undefined) return undefined;
     this.#missingSinceMs.delete(lost.disk);
-    return electors.map((elector) =>
-      elector === lost ? { ...elector, disk: spare.disk, name: spare.name } : elector,
+    return voters.map((voter) =>
+      voter === lost ? { ...voter, disk: spare.disk, name: spare.name } : voter,
     );
   }
 }
--- a/packages/farm/src/grants.ts
+++ b/packages/process-group/src/grants.ts
@@ -1,4 +1,4 @@
-import type { View } from '@rainrun/courier';
+import type { View } from '@rainrun/messages';
 import { majority } from './play.js';
 
 interface Word {
@@ -7,13 +7,13 @@
 }
 
 /**
- * What the other members granted. A word counts from the moment its beat was
+ * What the other members granted. A word counts from the moment its heartbeat was
  * sent, and only once this node holds all that the granter held: so a grant
  * brings what was missed.
  * @example
  * const grants = new Grants(1000);
- * grants.given('life-2', sentMs, 7);
- * grants.endMs(view, 'life-1', 7, nowMs) > nowMs; // true while a majority gave its word
+ * grants.given('incarnation-2', sentMs, 7);
+ * grants.endMs(view, 'incarnation-1', 7, nowMs) > nowMs; // true while a majority gave its word
  */
 export class Grants {
   #grantMs: number;
@@ -24,13 +24,13 @@
     this.#grantMs = grantMs;
   }
 
-  given(life: string, sentMs: number, number: number): void {
-    const known = this.#words.get(life);
-    if (known === undefined || sentMs >= known.sentMs) this.#words.set(life, { sentMs, number });
+  given(incarnation: string, sentMs: number, number: number): void {
+    const known = this.#words.get(incarnation);
+    if (known === undefined || sentMs >= known.sentMs) this.#words.set(incarnation, { sentMs, number });
   }
 
-  givenDuty(life: string, sentMs: number): void {
-    this.#duties.set(life, Math.max(sentMs, this.#duties.get(life) ?? -Infinity));
+  givenDuty(incarnation: string, sentMs: number): void {
+    this.#duties.set(incarnation, Math.max(sentMs, this.#duties.get(incarnation) ?? -Infinity));
   }
 
   /** Forgets the words for an earlier duty. */
@@ -45,20 +45,20 @@
 
   /** When the right to admit ends. */
   endMs(view: View, self: string, number: number, nowMs: number): number {
-    return this.#majorityEndMs(view, (life) => {
-      if (life === self) return nowMs;
-      const word = this.#words.get(life);
+    return this.#majorityEndMs(view, (incarnation) => {
+      if (incarnation === self) return nowMs;
+      const word = this.#words.get(incarnation);
       return word === undefined || word.number > number ? -Infinity : word.sentMs;
     });
   }
 
   /** When the right to a duty ends. */
   dutyEndMs(view: View, self: string, nowMs: number): number {
-    return this.#majorityEndMs(view, (life) => (life === self ? nowMs : (this.#duties.get(life) ?? -Infinity)));
+    return this.#majorityEndMs(view, (incarnation) => (incarnation === self ? nowMs : (this.#duties.get(incarnation) ?? -Infinity)));
   }
 
-  #majorityEndMs(view: View, sentMs: (life: string) => number): number {
-    const sent = view.members.map((member) => sentMs(member.life)).sort((one, other) => other - one);
+  #majorityEndMs(view: View, sentMs: (incarnation: string) => number): number {
+    const sent = view.members.map((member) => sentMs(member.incarnation)).sort((one, other) => other - one);
     return (sent[majority(sent.length) - 1] ?? -Infinity) + this.#grantMs;
   }
 }
--- a/packages/farm/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -1,7 +1,7 @@
 import { clone, create } from '@bufbuild/protobuf';
 import {
-  BeatAckSchema,
-  BeatSchema,
+  HeartbeatAckSchema,
+  HeartbeatSchema,
   ByeSchema,
   Channel,
   ChosenSchema,
@@ -19,10 +19,10 @@
   WIRE,
   type Accepted,
   type Answer,
-  type Beat,
-  type BeatAck,
+  type Heartbeat,
+  type HeartbeatAck,
   type Cast,
-  type Elector,
+  type Voter,
   type Entry,
   type Flush,
   type Frame,
@@ -36,13 +36,13 @@
   type Stop,
   type Version,
   type View,
-} from '@rainrun/courier';
-import { Anemometer } from '@rainrun/anemometer';
-import { word, type Chance, type Clock } from '@rainrun/nacelle';
+} from '@rainrun/messages';
+import { FailureDetector } from '@rainrun/failure-detector';
+import { randomId, type Chance, type Clock } from '@rainrun/common';
 import type { Acceptor } from './acceptor.js';
 import { Causal } from './causal.js';
-import { Claims, type ClaimDesk } from './claims.js';
-import { Coordinator, type Desk } from './coordinator.js';
+import { Claims, type ClaimContext } from './claims.js';
+import { Coordinator, type CoordinatorContext } from './coordinator.js';
 import { Grants } from './grants.js';
 import { advance, bare, fromVersion, majority, rankOf, reborn, rememberedCount, REMEMBERED_MOST, toVersion, unbridged, type Held, type Play } from './play.js';
 import type { GroupTimes } from './times.js';
@@ -54,7 +54,7 @@
   onCast(sender: Seat, payload: Uint8Array): void;
   onAnswer(answer: Answer): void;
   /** This node was dropped and goes on as a new member. */
-  onReborn(life: string): void;
+  onReborn(incarnation: string): void;
   /** A frame that the group does not know: news. */
   onFrame(from: string, body: Frame['body']): void;
   /** This node cannot join the group, and why. */
@@ -62,7 +62,7 @@
 }
 
 /** Where a node stands and what it is given. */
-export interface GroupGear<S> {
+export interface GroupDependencies<S> {
   readonly name: string;
   readonly address: string;
   readonly zone: string;
@@ -70,8 +70,8 @@
   readonly seeds: readonly string[];
   /** Names or addresses of the founding cores; empty on a node that never founds. */
   readonly founders: readonly string[];
-  /** So many electors there should be, as far as there are disks; the founders alone without it. */
-  readonly electorsWanted?: number;
+  /** So many voters there should be, as far as there are disks; the founders alone without it. */
+  readonly votersWanted?: number;
   readonly clock: Clock;
   readonly chance: Chance;
   readonly times: GroupTimes;
@@ -93,7 +93,7 @@
 }
 
 interface Following {
-  readonly life: string;
+  readonly incarnation: string;
   readonly epoch: number;
   readonly atMs: number;
   readonly unable: boolean;
@@ -105,15 +105,15 @@
 
 /**
  * A node's place in the process group: membership, views, causal and total
- * order, grants. Driven from outside by `receive` and `beat`; it owns no
+ * order, grants. Driven from outside by `receive` and `heartbeat`; it owns no
  * socket, no timer and no file.
  * @example
- * const group = new Group(gear);
- * group.beat(); // every 50 ms
+ * const group = new Group(dependencies);
+ * group.tick(); // every 50 ms
  * group.receive(frame); // for each frame that comes
  */
 export class Group<S> {
-  #gear: GroupGear<S>;
+  #dependencies: GroupDependencies<S>;
   #seat: Seat;
   #held: Held<S> | undefined;
   #inView = false;
@@ -125,7 +125,7 @@
   #entries = new Map<number, Version>();
   #lastEntry: Entry = create(EntrySchema);
   #grants: Grants;
-  #anemometer: Anemometer;
+  #detector: FailureDetector;
   #channels = new Map<string, Channel>();
   #seats = new Map<string, Seat>();
   #contacts = new Map<string, Contact>();
@@ -145,9 +145,9 @@
   /** Since when a majority has known this node's epoch for the newest. */
   #dutySinceMs: number | undefined;
   #waiting = new Map<string, { operation: Operation; sentMs: number }>();
-  #beatSequence = 0;
-  #beatSentMs = new Map<number, number>();
-  #lastBeatMs = -Infinity;
+  #heartbeatSequence = 0;
+  #heartbeatSentMs = new Map<number, number>();
+  #lastHeartbeatMs = -Infinity;
   #lastHelloMs = -Infinity;
   #lastFetchMs = -Infinity;
   #gapSinceMs: number | undefined;
@@ -157,21 +157,21 @@
   #disk: { syncs: number; sinceMs: number } | undefined;
   #unable = new Set<string>();
 
-  constructor(gear: GroupGear<S>) {
-    this.#gear = gear;
+  constructor(dependencies: GroupDependencies<S>) {
+    this.#dependencies = dependencies;
     this.#seat = create(SeatSchema, {
-      name: gear.name,
-      life: word(gear.chance),
-      address: gear.address,
-      zone: gear.zone,
-      disk: gear.acceptor?.disk ?? '',
-      speaks: gear.speaks.most,
-      speaksFrom: gear.speaks.least,
+      name: dependencies.name,
+      incarnation: randomId(dependencies.chance),
+      address: dependencies.address,
+      zone: dependencies.zone,
+      disk: dependencies.acceptor?.disk ?? '',
+      speaks: dependencies.speaks.most,
+      speaksFrom: dependencies.speaks.least,
     });
-    this.#grants = new Grants(gear.times.grantMs);
-    this.#anemometer = new Anemometer(gear.times);
-    this.#claims = gear.acceptor === undefined ? undefined : new Claims(this.#claimDesk(gear.acceptor));
-    const accepted = gear.acceptor?.accepted;
+    this.#grants = new Grants(dependencies.times.grantMs);
+    this.#detector = new FailureDetector(dependencies.times);
+    this.#claims = dependencies.acceptor === undefined ? undefined : new Claims(this.#claimContext(dependencies.acceptor));
+    const accepted = dependencies.acceptor?.accepted;
     for (const member of accepted?.state?.view?.members ?? []) this.#addresses.add(member.address);
   }
 
@@ -197,13 +197,13 @@
     return this.#coordinator !== undefined;
   }
 
-  /** Life of the coordinator that this node follows, if one was heard lately. */
-  get coordinatorLife(): string | undefined {
-    return this.#liveFollowing()?.life;
+  /** Incarnation of the coordinator that this node follows, if one was heard lately. */
+  get coordinatorIncarnation(): string | undefined {
+    return this.#liveFollowing()?.incarnation;
   }
 
   get epoch(): number {
-    return Math.max(this.#epochSeen, this.#gear.acceptor?.promisedEpoch ?? 0);
+    return Math.max(this.#epochSeen, this.#dependencies.acceptor?.promisedEpoch ?? 0);
   }
 
   /** Casts kept until all members are known to have them. */
@@ -224,12 +224,12 @@
   /** When this node's right to admit ends; compare with the clock just before each act. */
   grantEndMs(): number {
     if (!this.#inView || this.#held === undefined) return -Infinity;
-    return this.#grants.endMs(this.#held.view, this.#seat.life, this.#held.number, this.#now());
+    return this.#grants.endMs(this.#held.view, this.#seat.incarnation, this.#held.number, this.#now());
   }
 
   /** This node holds all that was agreed before this moment. */
   informedMs(): number {
-    return this.grantEndMs() - this.#gear.times.grantMs;
+    return this.grantEndMs() - this.#dependencies.times.grantMs;
   }
 
   granted(): boolean {
@@ -239,13 +239,13 @@
   /** The epoch in which this node may act alone for all, or undefined. Ends before the grant does. */
   dutyEpoch(): number | undefined {
     const nowMs = this.#now();
-    if (this.#dutySinceMs === undefined || nowMs < this.#dutySinceMs + this.#gear.times.grantMs) return undefined;
+    if (this.#dutySinceMs === undefined || nowMs < this.#dutySinceMs + this.#dependencies.times.grantMs) return undefined;
     return this.#hasDuty(nowMs) ? this.#coordinator?.epoch : undefined;
   }
 
   #hasDuty(nowMs: number): boolean {
     if (this.#coordinator?.ready !== true || !this.#inView || this.#held === undefined || this.#leaving) return false;
-    const endMs = this.#grants.dutyEndMs(this.#held.view, this.#seat.life, nowMs) - this.#gear.times.grantMs / 4;
+    const endMs = this.#grants.dutyEndMs(this.#held.view, this.#seat.incarnation, nowMs) - this.#dependencies.times.grantMs / 4;
     return endMs > nowMs;
   }
 
@@ -296,9 +296,9 @@
     for (const member of this.#others()) this.#post(member, { case: 'bye', value: create(ByeSchema) });
   }
 
-  beat(): void {
+  tick(): void {
     const nowMs = this.#now();
-    const awayMs = this.#anemometer.beat(nowMs);
+    const awayMs = this.#detector.tick(nowMs);
     if (awayMs > 0) {
       this.#claims?.woke(nowMs);
       for (const channel of this.#channels.values()) channel.slept(awayMs);
@@ -306,18 +306,18 @@
     }
     const stalled = this.#isDiskStalled(nowMs);
     if (stalled && this.#inView) this.#rejoin();
-    if (nowMs - this.#lastBeatMs >= this.#gear.times.beatMs && this.#inView) this.#sendBeats(nowMs);
-    if (nowMs - this.#lastHelloMs >= this.#gear.times.helloMs && !stalled) this.#sendHellos(nowMs);
+    if (nowMs - this.#lastHeartbeatMs >= this.#dependencies.times.heartbeatMs && this.#inView) this.#sendHeartbeats(nowMs);
+    if (nowMs - this.#lastHelloMs >= this.#dependencies.times.helloMs && !stalled) this.#sendHellos(nowMs);
     if (!this.#leaving && !stalled) this.#lead(nowMs);
     if (this.#hasDuty(nowMs)) this.#dutySinceMs ??= nowMs;
     this.#submitWaiting();
-    this.#beatChannels(nowMs);
+    this.#heartbeatChannels(nowMs);
     if (this.#gapSinceMs !== undefined && nowMs - this.#gapSinceMs > GAP_MS) this.#rejoin();
   }
 
   /** A disk that has synced nothing for too long, though writes wait: this node leaves the view until it does. */
   #isDiskStalled(nowMs: number): boolean {
-    const { acceptor, times } = this.#gear;
+    const { acceptor, times } = this.#dependencies;
     if (acceptor === undefined || !acceptor.busy) {
       this.#disk = undefined;
       return false;
@@ -328,15 +328,15 @@
 
   receive(frame: Frame): void {
     const { from, body } = frame;
-    if (from === this.#seat.life) return;
+    if (from === this.#seat.incarnation) return;
     if (body.case === 'hello') return this.#onHello(body.value);
     if (body.case === 'helloAck') return this.#onHelloAck(body.value);
-    if (frame.to !== '' && frame.to !== this.#seat.life) return;
+    if (frame.to !== '' && frame.to !== this.#seat.incarnation) return;
     switch (body.case) {
-      case 'beat':
+      case 'heartbeat':
         return this.#onBeat(from, body.value);
-      case 'beatAck':
-        return this.#onBeatAck(from, body.value);
+      case 'heartbeatAck':
+        return this.#onHeartbeatAck(from, body.value);
       case 'claim':
         return this.#claims?.onClaim(from, body.value);
       case 'promise':
@@ -355,76 +355,76 @@
         return this.#onParcel(from, body.value);
       case 'bye':
         this.#byes.add(from);
-        return this.#anemometer.report(from);
+        return this.#detector.report(from);
       default:
-        return this.#gear.audience.onFrame(from, body);
+        return this.#dependencies.audience.onFrame(from, body);
     }
   }
 
   /** Sends a frame of news to a member. */
-  postTo(life: string, body: Frame['body']): void {
-    const seat = this.#seats.get(life);
+  postTo(incarnation: string, body: Frame['body']): void {
+    const seat = this.#seats.get(incarnation);
     if (seat !== undefined) this.#post(seat, body);
   }
 
   #now(): number {
-    return this.#gear.clock.nowMs();
+    return this.#dependencies.clock.nowMs();
   }
 
   #others(): Seat[] {
-    return (this.view?.members ?? []).filter((member) => member.life !== this.#seat.life);
+    return (this.view?.members ?? []).filter((member) => member.incarnation !== this.#seat.incarnation);
   }
 
   #post(seat: Seat, body: Frame['body']): void {
-    this.#gear.post(seat.address, this.#frame(seat.life, body));
+    this.#dependencies.post(seat.address, this.#frame(seat.incarnation, body));
   }
 
   #frame(to: string, body: Frame['body']): Frame {
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#gear.deployment, from: this.#seat.life, to });
+    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#seat.incarnation, to });
     frame.body = body;
     return frame;
   }
 
   #parcel(seat: Seat, body: Parcel['body']): void {
-    if (seat.life === this.#seat.life) return this.#onBody(seat.life, body);
-    this.#seats.set(seat.life, seat);
-    let channel = this.#channels.get(seat.life);
+    if (seat.incarnation === this.#seat.incarnation) return this.#onBody(seat.incarnation, body);
+    this.#seats.set(seat.incarnation, seat);
+    let channel = this.#channels.get(seat.incarnation);
     if (channel === undefined) {
       channel = new Channel();
-      this.#channels.set(seat.life, channel);
+      this.#channels.set(seat.incarnation, channel);
     }
-    if (!channel.post(body)) return this.#overflow(seat.life);
+    if (!channel.post(body)) return this.#overflow(seat.incarnation);
     this.#postParcels(seat, channel, this.#now());
   }
 
   #postParcels(seat: Seat, channel: Channel, nowMs: number): void {
-    for (const parcel of channel.beat(nowMs)) {
+    for (const parcel of channel.tick(nowMs)) {
       parcel.holds = this.#inView ? (this.#held?.number ?? 0) : 0;
       this.#post(seat, { case: 'parcel', value: parcel });
     }
   }
 
   /** A channel that has lost a body is at its end: the member goes, or this node does if it is the one cut off. */
-  #overflow(life: string): void {
-    if (this.granted()) this.#anemometer.report(life);
+  #overflow(incarnation: string): void {
+    if (this.granted()) this.#detector.report(incarnation);
     else if (this.#inView) this.#rejoin();
   }
 
-  /** Live: answers our beats and does not lag behind our parcels beyond the bound. */
-  #isLive(life: string, nowMs: number): boolean {
-    const lagMs = this.#channels.get(life)?.lagMs(nowMs) ?? 0;
-    return lagMs <= this.#gear.times.lagMs && this.#anemometer.live(life, nowMs);
+  /** Live: answers our heartbeats and does not lag behind our parcels beyond the bound. */
+  #isLive(incarnation: string, nowMs: number): boolean {
+    const lagMs = this.#channels.get(incarnation)?.lagMs(nowMs) ?? 0;
+    return lagMs <= this.#dependencies.times.lagMs && this.#detector.live(incarnation, nowMs);
   }
 
-  #beatChannels(nowMs: number): void {
-    for (const [life, channel] of this.#channels) {
-      const seat = this.#seats.get(life);
+  #heartbeatChannels(nowMs: number): void {
+    for (const [incarnation, channel] of this.#channels) {
+      const seat = this.#seats.get(incarnation);
       if (seat !== undefined) this.#postParcels(seat, channel, nowMs);
     }
   }
 
   #learnSeat(seat: Seat): void {
-    this.#seats.set(seat.life, seat);
+    this.#seats.set(seat.incarnation, seat);
     if (seat.address !== this.#seat.address) this.#addresses.add(seat.address);
   }
 
@@ -434,15 +434,15 @@
     this.#lastHelloMs = nowMs;
     const lost = this.#inView && !this.granted();
     if (this.#leaving || (this.#inView && !lost)) return;
-    for (const [life, contact] of this.#contacts) {
-      if (nowMs - contact.atMs > 10 * CONTACT_MS) this.#contacts.delete(life);
+    for (const [incarnation, contact] of this.#contacts) {
+      if (nowMs - contact.atMs > 10 * CONTACT_MS) this.#contacts.delete(incarnation);
     }
     const greetings = new Map<string, string>();
-    for (const [life, greeting] of this.#greetings) {
-      const address = this.#seats.get(life)?.address;
+    for (const [incarnation, greeting] of this.#greetings) {
+      const address = this.#seats.get(incarnation)?.address;
       if (address !== undefined) greetings.set(address, greeting);
     }
-    for (const address of new Set([...this.#gear.seeds, ...this.#addresses])) {
+    for (const address of new Set([...this.#dependencies.seeds, ...this.#addresses])) {
       if (address === this.#seat.address) continue;
       const value = create(HelloSchema, {
         seat: this.#seat,
@@ -450,30 +450,30 @@
         number: this.#number(),
         echo: this.#inView ? '' : (greetings.get(address) ?? ''),
       });
-      this.#gear.post(address, this.#frame('', { case: 'hello', value }));
+      this.#dependencies.post(address, this.#frame('', { case: 'hello', value }));
     }
   }
 
   #number(): number {
-    return Math.max(this.#held?.number ?? 0, this.#gear.acceptor?.accepted?.number ?? 0);
+    return Math.max(this.#held?.number ?? 0, this.#dependencies.acceptor?.accepted?.number ?? 0);
   }
 
   #onHello(hello: Hello): void {
     const seat = hello.seat;
-    if (seat === undefined || seat.life === this.#seat.life) return;
+    if (seat === undefined || seat.incarnation === this.#seat.incarnation) return;
     const nowMs = this.#now();
     this.#learnSeat(seat);
-    const known = this.#greeted.get(seat.life) ?? { greeting: word(this.#gear.chance), sinceMs: nowMs };
-    this.#greeted.set(seat.life, known);
+    const known = this.#greeted.get(seat.incarnation) ?? { greeting: randomId(this.#dependencies.chance), sinceMs: nowMs };
+    this.#greeted.set(seat.incarnation, known);
     const { number, founding } = hello;
     if (hello.echo === known.greeting) {
-      this.#anemometer.answered(seat.life, nowMs);
-      this.#contacts.set(seat.life, { seat, atMs: nowMs, inView: false, number, founding });
+      this.#detector.answered(seat.incarnation, nowMs);
+      this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView: false, number, founding });
     }
     const view = this.view;
-    const member = view !== undefined && rankOf(view, seat.life) >= 0;
-    if (member && hello.echo !== '' && nowMs - (this.#welcomedMs.get(seat.life) ?? -Infinity) > 2 * this.#gear.times.helloMs) {
-      this.#welcomedMs.set(seat.life, nowMs);
+    const member = view !== undefined && rankOf(view, seat.incarnation) >= 0;
+    if (member && hello.echo !== '' && nowMs - (this.#welcomedMs.get(seat.incarnation) ?? -Infinity) > 2 * this.#dependencies.times.helloMs) {
+      this.#welcomedMs.set(seat.incarnation, nowMs);
       this.#welcome(seat);
     }
     const others = [...this.#contacts.values()].filter((contact) => this.#fresh(contact, nowMs));
@@ -481,8 +481,8 @@
       seat: this.#seat,
       greeting: known.greeting,
       known: [
-        ...(view?.members ?? []).filter((other) => other.life !== seat.life || member),
-        ...others.map((contact) => contact.seat).filter((other) => other.life !== seat.life),
+        ...(view?.members ?? []).filter((other) => other.incarnation !== seat.incarnation || member),
+        ...others.map((contact) => contact.seat).filter((other) => other.incarnation !== seat.incarnation),
       ],
       inView: this.#inView,
       number: this.#number(),
@@ -494,7 +494,7 @@
 
   #welcome(seat: Seat): void {
     if (this.#held === undefined) return;
-    const version = toVersion(this.#gear.play, this.#held, this.#lastEntry);
+    const version = toVersion(this.#dependencies.play, this.#held, this.#lastEntry);
     this.#parcel(seat, { case: 'chosen', value: create(ChosenSchema, { versions: [version] }) });
   }
 
@@ -504,23 +504,23 @@
 
   #onHelloAck(ack: HelloAck): void {
     const seat = ack.seat;
-    if (seat === undefined || seat.life === this.#seat.life) return;
+    if (seat === undefined || seat.incarnation === this.#seat.incarnation) return;
     const nowMs = this.#now();
     this.#learnSeat(seat);
-    this.#greetings.set(seat.life, ack.greeting);
-    this.#anemometer.answered(seat.life, nowMs);
+    this.#greetings.set(seat.incarnation, ack.greeting);
+    this.#detector.answered(seat.incarnation, nowMs);
     const { inView, number, founding } = ack;
-    if (ack.refused !== '' && !this.#inView) this.#gear.audience.onRefused(ack.refused);
-    this.#contacts.set(seat.life, { seat, atMs: nowMs, inView, number, founding });
-    for (const known of ack.known) if (known.life !== this.#seat.life) this.#addresses.add(known.address);
-    const listed = ack.known.some((known) => known.life === this.#seat.life);
+    if (ack.refused !== '' && !this.#inView) this.#dependencies.audience.onRefused(ack.refused);
+    this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView, number, founding });
+    for (const known of ack.known) if (known.incarnation !== this.#seat.incarnation) this.#addresses.add(known.address);
+    const listed = ack.known.some((known) => known.incarnation === this.#seat.incarnation);
     if (this.#inView && inView && !listed && number > this.#number()) this.#rejoin();
   }
 
   #rejoin(): void {
     for (const member of this.#held?.view.members ?? []) this.#addresses.add(member.address);
     this.#addresses.delete(this.#seat.address);
-    this.#seat = reborn(this.#seat, word(this.#gear.chance));
+    this.#seat = reborn(this.#seat, randomId(this.#dependencies.chance));
     this.#inView = false;
     this.#causal = undefined;
     this.#staying = undefined;
@@ -528,34 +528,34 @@
     this.#coordinator = undefined;
     this.#claims?.forget();
     this.#following = undefined;
-    this.#anemometer.clear();
+    this.#detector.clear();
     this.#channels.clear();
     this.#grants.clear();
     this.#reports.clear();
     this.#greetings.clear();
-    this.#gear.audience.onReborn(this.#seat.life);
+    this.#dependencies.audience.onReborn(this.#seat.incarnation);
   }
 
-  // Beats and grants.
+  // Heartbeats and grants.
 
-  #sendBeats(nowMs: number): void {
+  #sendHeartbeats(nowMs: number): void {
     const held = this.#held;
     if (held === undefined) return;
-    this.#lastBeatMs = nowMs;
-    this.#beatSequence += 1;
-    this.#beatSentMs.set(this.#beatSequence, nowMs);
-    this.#beatSentMs.delete(this.#beatSequence - 64);
+    this.#lastHeartbeatMs = nowMs;
+    this.#heartbeatSequence += 1;
+    this.#heartbeatSentMs.set(this.#heartbeatSequence, nowMs);
+    this.#heartbeatSentMs.delete(this.#heartbeatSequence - 64);
     const others = this.#others();
-    const value = this.#beatOf(held, others, nowMs);
+    const value = this.#heartbeatOf(held, others, nowMs);
     const gatherer = held.level === 1 ? undefined : this.#gatherer(held.view, nowMs);
-    const counts = clone(BeatSchema, value);
+    const counts = clone(HeartbeatSchema, value);
     counts.delivered = [...(this.#causal?.delivered ?? [])];
-    if (gatherer === this.#seat.life) value.stable = [...(this.#causal?.stable ?? [])];
+    if (gatherer === this.#seat.incarnation) value.stable = [...(this.#causal?.stable ?? [])];
     for (const member of others) {
-      const counted = held.level === 1 || member.life === gatherer;
-      this.#post(member, { case: 'beat', value: counted ? counts : value });
+      const counted = held.level === 1 || member.incarnation === gatherer;
+      this.#post(member, { case: 'heartbeat', value: counted ? counts : value });
     }
-    if (this.#coordinator !== undefined) this.#follow(this.#seat.life, this.#coordinator.epoch, value.unable);
+    if (this.#coordinator !== undefined) this.#follow(this.#seat.incarnation, this.#coordinator.epoch, value.unable);
   }
 
   /**
@@ -564,77 +564,77 @@
    * the cube of the group.
    */
   #gatherer(view: View, nowMs: number): string {
-    const first = view.members.find((member) => member.life === this.#seat.life || this.#isLive(member.life, nowMs));
-    return first?.life ?? this.#seat.life;
+    const first = view.members.find((member) => member.incarnation === this.#seat.incarnation || this.#isLive(member.incarnation, nowMs));
+    return first?.incarnation ?? this.#seat.incarnation;
   }
 
-  #beatOf(held: Held<S>, others: readonly Seat[], nowMs: number): Beat {
-    return create(BeatSchema, {
-      sequence: this.#beatSequence,
+  #heartbeatOf(held: Held<S>, others: readonly Seat[], nowMs: number): Heartbeat {
+    return create(HeartbeatSchema, {
+      sequence: this.#heartbeatSequence,
       view: held.view.number,
       number: held.number,
       epoch: this.#coordinator?.epoch ?? 0,
-      suspects: others.filter((member) => !this.#isLive(member.life, nowMs)).map((member) => member.life),
+      suspects: others.filter((member) => !this.#isLive(member.incarnation, nowMs)).map((member) => member.incarnation),
       unable: nowMs < this.#unableUntilMs || this.#leaving,
       agreed: this.#coordinator?.agreed ?? this.agreed,
     });
   }
 
-  #onBeat(from: string, beat: Beat): void {
+  #onBeat(from: string, heartbeat: Heartbeat): void {
     const held = this.#held;
     if (!this.#inView || held === undefined) return;
     const seat = this.#seats.get(from);
     const known = rankOf(held.view, from) >= 0;
-    if (beat.number > held.number) this.#fetch(from);
-    if (!known && beat.number > held.number) return;
-    if (known) this.#heed(from, beat);
+    if (heartbeat.number > held.number) this.#fetch(from);
+    if (!known && heartbeat.number > held.number) return;
+    if (known) this.#heed(from, heartbeat);
     if (seat === undefined) return;
-    const value = create(BeatAckSchema, {
-      sequence: beat.sequence,
+    const value = create(HeartbeatAckSchema, {
+      sequence: heartbeat.sequence,
       number: held.number,
       epoch: this.epoch,
       dropped: !known,
-      duty: beat.epoch > 0 && beat.epoch >= this.epoch,
+      duty: heartbeat.epoch > 0 && heartbeat.epoch >= this.epoch,
       withheld: this.#staying !== undefined && !this.#staying.has(from),
     });
-    this.#post(seat, { case: 'beatAck', value });
+    this.#post(seat, { case: 'heartbeatAck', value });
   }
 
-  #heed(from: string, beat: Beat): void {
-    if (beat.epoch > 0 && beat.epoch >= this.epoch) {
-      this.#epochSeen = beat.epoch;
-      this.#follow(from, beat.epoch, beat.unable);
-      this.#agreedSeen = Math.max(this.#agreedSeen, beat.agreed);
+  #heed(from: string, heartbeat: Heartbeat): void {
+    if (heartbeat.epoch > 0 && heartbeat.epoch >= this.epoch) {
+      this.#epochSeen = heartbeat.epoch;
+      this.#follow(from, heartbeat.epoch, heartbeat.unable);
+      this.#agreedSeen = Math.max(this.#agreedSeen, heartbeat.agreed);
     }
-    if (beat.epoch > (this.#coordinator?.epoch ?? Infinity)) this.#resign();
-    this.#reports.set(from, beat.suspects);
-    if (beat.unable) this.#unable.add(from);
+    if (heartbeat.epoch > (this.#coordinator?.epoch ?? Infinity)) this.#resign();
+    this.#reports.set(from, heartbeat.suspects);
+    if (heartbeat.unable) this.#unable.add(from);
     else this.#unable.delete(from);
-    if (beat.view === this.#held?.view.number) {
-      this.#causal?.learnDelivered(from, beat.delivered);
-      this.#causal?.learnStable(beat.stable);
+    if (heartbeat.view === this.#held?.view.number) {
+      this.#causal?.learnDelivered(from, heartbeat.delivered);
+      this.#causal?.learnStable(heartbeat.stable);
     }
-    this.#coordinator?.holds(from, beat.number);
+    this.#coordinator?.holds(from, heartbeat.number);
   }
 
-  #follow(life: string, epoch: number, unable: boolean): void {
-    this.#following = { life, epoch, atMs: this.#now(), unable };
+  #follow(incarnation: string, epoch: number, unable: boolean): void {
+    this.#following = { incarnation, epoch, atMs: this.#now(), unable };
   }
 
   #liveFollowing(): Following | undefined {
     const following = this.#following;
     if (following === undefined || following.unable || following.epoch < this.epoch) return undefined;
     const nowMs = this.#now();
-    if (nowMs - following.atMs > this.#gear.times.suspectMs) return undefined;
-    if (following.life === this.#seat.life) return this.#coordinator === undefined ? undefined : following;
-    return this.#isLive(following.life, nowMs) ? following : undefined;
+    if (nowMs - following.atMs > this.#dependencies.times.suspectMs) return undefined;
+    if (following.incarnation === this.#seat.incarnation) return this.#coordinator === undefined ? undefined : following;
+    return this.#isLive(following.incarnation, nowMs) ? following : undefined;
   }
 
-  #onBeatAck(from: string, ack: BeatAck): void {
-    const sentMs = this.#beatSentMs.get(ack.sequence);
+  #onHeartbeatAck(from: string, ack: HeartbeatAck): void {
+    const sentMs = this.#heartbeatSentMs.get(ack.sequence);
     const held = this.#held;
     if (!this.#inView || held === undefined || sentMs === undefined) return;
-    this.#anemometer.answered(from, this.#now());
+    this.#detector.answered(from, this.#now());
     if (ack.epoch > (this.#coordinator?.epoch ?? Infinity)) this.#resign();
     if (ack.dropped) {
       if (ack.number > held.number) this.#rejoin();
@@ -651,7 +651,7 @@
 
   #fetch(from: string): void {
     const nowMs = this.#now();
-    if (nowMs - this.#lastFetchMs < this.#gear.times.resendMs) return;
+    if (nowMs - this.#lastFetchMs < this.#dependencies.times.resendMs) return;
     this.#lastFetchMs = nowMs;
     this.postTo(from, { case: 'fetch', value: create(FetchSchema, { from: (this.#held?.number ?? 0) + 1 }) });
   }
@@ -686,25 +686,25 @@
   }
 
   #installWhole(version: Version): void {
-    const read = fromVersion(this.#gear.play, version);
-    if (read.isErr || rankOf(read.value.view, this.#seat.life) < 0) return;
+    const read = fromVersion(this.#dependencies.play, version);
+    if (read.isErr || rankOf(read.value.view, this.#seat.incarnation) < 0) return;
     this.#held = read.value;
     this.#log(version);
     this.#enterView(read.value.view);
-    this.#gear.audience.onVersion(read.value, undefined);
+    this.#dependencies.audience.onVersion(read.value, undefined);
     this.#openView();
-    this.#sendBeats(this.#now());
+    this.#sendHeartbeats(this.#now());
   }
 
   #deliver(held: Held<S>, version: Version): void {
     const entry = version.entry ?? create(EntrySchema);
     if (entry.view !== undefined) this.#causal?.finish(entry.cut);
-    const next = advance(this.#gear.play, held, version.epoch, entry);
+    const next = advance(this.#dependencies.play, held, version.epoch, entry);
     this.#held = next;
     this.#log(version);
-    if (entry.view !== undefined && rankOf(entry.view, this.#seat.life) < 0) return this.#rejoin();
+    if (entry.view !== undefined && rankOf(entry.view, this.#seat.incarnation) < 0) return this.#rejoin();
     if (entry.view !== undefined) this.#enterView(entry.view);
-    this.#gear.audience.onVersion(next, entry);
+    this.#dependencies.audience.onVersion(next, entry);
     if (entry.view !== undefined) this.#openView();
   }
 
@@ -720,24 +720,24 @@
     this.#staying = undefined;
     this.#stopEpoch = 0;
     this.#gapSinceMs = undefined;
-    const lives = new Set(view.members.map((member) => member.life));
+    const incarnations = new Set(view.members.map((member) => member.incarnation));
     for (const member of view.members) {
       this.#learnSeat(member);
-      this.#anemometer.watch(member.life, nowMs);
+      this.#detector.watch(member.incarnation, nowMs);
     }
-    for (const life of this.#channels.keys()) if (!lives.has(life)) this.#channels.delete(life);
-    for (const life of this.#seats.keys()) {
-      const contact = this.#contacts.get(life);
-      if (lives.has(life) || (contact !== undefined && this.#fresh(contact, nowMs))) continue;
-      this.#seats.delete(life);
-      this.#contacts.delete(life);
-      this.#greeted.delete(life);
-      this.#welcomedMs.delete(life);
-      this.#greetings.delete(life);
-      this.#anemometer.forget(life);
+    for (const incarnation of this.#channels.keys()) if (!incarnations.has(incarnation)) this.#channels.delete(incarnation);
+    for (const incarnation of this.#seats.keys()) {
+      const contact = this.#contacts.get(incarnation);
+      if (incarnations.has(incarnation) || (contact !== undefined && this.#fresh(contact, nowMs))) continue;
+      this.#seats.delete(incarnation);
+      this.#contacts.delete(incarnation);
+      this.#greeted.delete(incarnation);
+      this.#welcomedMs.delete(incarnation);
+      this.#greetings.delete(incarnation);
+      this.#detector.forget(incarnation);
     }
     this.#reports.clear();
-    this.#causal = new Causal(view, this.#seat.life, (cast) => this.#hear(view, cast));
+    this.#causal = new Causal(view, this.#seat.incarnation, (cast) => this.#hear(view, cast));
   }
 
   /** Lets in what came before its view, once the view has been announced. */
@@ -752,7 +752,7 @@
 
   #hear(view: View, cast: Cast): void {
     const sender = view.members[rankOf(view, cast.sender)];
-    if (sender !== undefined) this.#gear.audience.onCast(sender, cast.payload);
+    if (sender !== undefined) this.#dependencies.audience.onCast(sender, cast.payload);
   }
 
   #onCast(cast: Cast): void {
@@ -787,12 +787,12 @@
         for (const version of body.value.versions) this.#takeVersion(from, version);
         return;
       case 'submit': {
-        const seat = from === this.#seat.life ? this.#seat : this.view?.members.find((member) => member.life === from);
+        const seat = from === this.#seat.incarnation ? this.#seat : this.view?.members.find((member) => member.incarnation === from);
         if (body.value.operation !== undefined && seat !== undefined) this.#coordinator?.submit(body.value.operation, seat);
         return;
       }
       case 'answer':
-        if (this.#waiting.delete(body.value.id)) this.#gear.audience.onAnswer(body.value);
+        if (this.#waiting.delete(body.value.id)) this.#dependencies.audience.onAnswer(body.value);
         return;
       case undefined:
         return;
@@ -801,7 +801,7 @@
 
   #submitWaiting(): void {
     const following = this.#liveFollowing();
-    const seat = following?.life === this.#seat.life ? this.#seat : this.#seats.get(following?.life ?? '');
+    const seat = following?.incarnation === this.#seat.incarnation ? this.#seat : this.#seats.get(following?.incarnation ?? '');
     if (seat === undefined) return;
     const nowMs = this.#now();
     for (const [id, waiting] of this.#waiting) {
@@ -809,7 +809,7 @@
       const again = waiting.sentMs !== -Infinity;
       waiting.sentMs = nowMs;
       const answer = again ? this.ask(id) : undefined;
-      if (answer !== undefined) this.#onBody(this.#seat.life, { case: 'answer', value: answer });
+      if (answer !== undefined) this.#onBody(this.#seat.incarnation, { case: 'answer', value: answer });
       else this.#parcel(seat, { case: 'submit', value: create(SubmitSchema, { operation: waiting.operation }) });
     }
   }
@@ -835,14 +835,14 @@
 
   // Electing a coordinator.
 
-  #electors(): readonly Elector[] {
-    const accepted = this.#gear.acceptor?.accepted?.state?.electors ?? [];
-    return this.#held !== undefined && this.#held.electors.length > 0 && this.#inView ? this.#held.electors : accepted;
+  #voters(): readonly Voter[] {
+    const accepted = this.#dependencies.acceptor?.accepted?.state?.voters ?? [];
+    return this.#held !== undefined && this.#held.voters.length > 0 && this.#inView ? this.#held.voters : accepted;
   }
 
-  #electorSeat(disk: string): Seat | undefined {
+  #voterSeat(disk: string): Seat | undefined {
     const nowMs = this.#now();
-    const member = this.view?.members.find((seat) => seat.disk === disk && this.#isLive(seat.life, nowMs));
+    const member = this.view?.members.find((seat) => seat.disk === disk && this.#isLive(seat.incarnation, nowMs));
     if (member !== undefined) return member;
     for (const contact of this.#contacts.values()) {
       if (contact.seat.disk === disk && this.#fresh(contact, nowMs)) return contact.seat;
@@ -851,7 +851,7 @@
   }
 
   #lead(nowMs: number): void {
-    const { acceptor, times } = this.#gear;
+    const { acceptor, times } = this.#dependencies;
     const claims = this.#claims;
     if (acceptor === undefined || claims === undefined) return;
     if (this.#coordinator !== undefined) {
@@ -861,58 +861,58 @@
         this.#unableUntilMs = nowMs + 2 * times.resignMs;
         return this.#resign();
       }
-      return this.#coordinator.beat(nowMs);
+      return this.#coordinator.tick(nowMs);
     }
     if (this.#mayFound()) return this.#found(nowMs);
-    if (claims.pressing) return claims.beat(nowMs);
+    if (claims.pressing) return claims.tick(nowMs);
     if ((!claims.due(nowMs) && !this.#allOutside(nowMs)) || nowMs < this.#unableUntilMs || acceptor.busy) return;
     if (!claims.isTaken(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs)) claims.begin(nowMs);
   }
 
-  /** Whether every elector is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
+  /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
   #allOutside(nowMs: number): boolean {
-    const { acceptor } = this.#gear;
-    const electors = this.#electors();
-    if (this.#inView || acceptor === undefined || electors.length === 0) return false;
+    const { acceptor } = this.#dependencies;
+    const voters = this.#voters();
+    if (this.#inView || acceptor === undefined || voters.length === 0) return false;
     const outside = [...this.#contacts.values()].filter((contact) => !contact.inView && this.#fresh(contact, nowMs));
-    return electors.every(({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk));
+    return voters.every(({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk));
   }
 
   /**
-   * Whether no elector of lower rank can be reached. Lives in the view come
-   * first, in its order; an elector that is back under a new life comes after them.
+   * Whether no voter of lower rank can be reached. Lives in the view come
+   * first, in its order; an voter that is back under a new incarnation comes after them.
    */
   #isNext(disk: string, nowMs: number): boolean {
-    const electors = this.#electors().map((elector) => elector.disk);
-    if (!electors.includes(disk)) return false;
+    const voters = this.#voters().map((voter) => voter.disk);
+    if (!voters.includes(disk)) return false;
     if (this.#inView) {
       const before = this.#held?.view.members.find(
         (member) =>
-          member.life === this.#seat.life ||
-          (electors.includes(member.disk) && this.#isLive(member.life, nowMs) && !this.#unable.has(member.life)),
+          member.incarnation === this.#seat.incarnation ||
+          (voters.includes(member.disk) && this.#isLive(member.incarnation, nowMs) && !this.#unable.has(member.incarnation)),
       );
-      return before?.life === this.#seat.life;
+      return before?.incarnation === this.#seat.incarnation;
     }
     const fresh = [...this.#contacts.values()].filter((contact) => this.#fresh(contact, nowMs));
-    if (fresh.some((contact) => contact.inView && electors.includes(contact.seat.disk))) return false;
-    const first = electors.find(
+    if (fresh.some((contact) => contact.inView && voters.includes(contact.seat.disk))) return false;
+    const first = voters.find(
       (known) => known === disk || fresh.some((contact) => contact.number > 0 && contact.seat.disk === known),
     );
     return first === disk;
   }
 
-  #claimDesk(acceptor: Acceptor): ClaimDesk {
-    const { times, chance } = this.#gear;
+  #claimContext(acceptor: Acceptor): ClaimContext {
+    const { times, chance } = this.#dependencies;
     return {
       acceptor,
       times,
       chance,
       nowMs: () => this.#now(),
-      electors: () => this.#electors(),
-      electorSeat: (disk) => this.#electorSeat(disk),
-      seat: (life) => this.#seats.get(life),
+      voters: () => this.#voters(),
+      voterSeat: (disk) => this.#voterSeat(disk),
+      seat: (incarnation) => this.#seats.get(incarnation),
       post: (seat, body) => this.#post(seat, body),
-      following: () => this.#liveFollowing()?.life,
+      following: () => this.#liveFollowing()?.incarnation,
       epoch: () => this.epoch,
       sawEpoch: (epoch) => {
         this.#epochSeen = Math.max(this.#epochSeen, epoch);
@@ -922,14 +922,14 @@
   }
 
   #take(epoch: number, version: Version): void {
-    const base = fromVersion(this.#gear.play, version);
+    const base = fromVersion(this.#dependencies.play, version);
     if (base.isErr) return;
     this.#epochSeen = Math.max(this.#epochSeen, epoch);
     this.#grantLostMs = undefined;
     this.#dutySinceMs = undefined;
     this.#grants.clearDuties();
     this.#coordinator = new Coordinator(
-      this.#desk(),
+      this.#context(),
       epoch,
       base.value,
       version.entry ?? create(EntrySchema),
@@ -938,30 +938,30 @@
         this.#agreedSeen = Math.max(this.#agreedSeen, number);
       },
     );
-    this.#follow(this.#seat.life, epoch, false);
-    this.#coordinator.beat(this.#now());
+    this.#follow(this.#seat.incarnation, epoch, false);
+    this.#coordinator.tick(this.#now());
   }
 
   #resign(): void {
     this.#coordinator = undefined;
     this.#claims?.resigned();
-    if (this.#following?.life === this.#seat.life) this.#following = undefined;
+    if (this.#following?.incarnation === this.#seat.incarnation) this.#following = undefined;
   }
 
-  #desk(): Desk<S> {
-    const { play, times, acceptor } = this.#gear;
+  #context(): CoordinatorContext<S> {
+    const { play, times, acceptor } = this.#dependencies;
     return {
       play,
       times,
       disk: acceptor?.disk ?? '',
-      electorsWanted: this.#gear.electorsWanted ?? 0,
+      votersWanted: this.#dependencies.votersWanted ?? 0,
       self: () => this.#seat,
       heldNumber: () => (this.#inView ? (this.#held?.number ?? 0) : 0),
-      left: (life) => this.#byes.has(life),
-      live: (life) => this.#isLive(life, this.#now()),
-      reported: (life) => this.#isReported(life),
+      left: (incarnation) => this.#byes.has(incarnation),
+      live: (incarnation) => this.#isLive(incarnation, this.#now()),
+      reported: (incarnation) => this.#isReported(incarnation),
       joiners: () => this.#joiners(),
-      electorSeat: (disk) => this.#electorSeat(disk),
+      voterSeat: (disk) => this.#voterSeat(disk),
       post: (seat, body) => this.#post(seat, body),
       parcel: (seat, body) => this.#parcel(seat, body),
       vote: (version) => {
@@ -969,14 +969,14 @@
         acceptor?.propose(value, (accepted) => this.#onAccepted(accepted));
       },
       flushSelf: (change, staying) => this.#flush(this.epoch, change, staying).unstable,
-      deliverSelf: (version) => this.#takeVersion(this.#seat.life, version),
+      deliverSelf: (version) => this.#takeVersion(this.#seat.incarnation, version),
     };
   }
 
-  #isReported(life: string): boolean {
+  #isReported(incarnation: string): boolean {
     const view = this.view;
     if (view === undefined) return false;
-    const reports = view.members.filter((member) => this.#reports.get(member.life)?.includes(life)).length;
+    const reports = view.members.filter((member) => this.#reports.get(member.incarnation)?.includes(incarnation)).length;
     return reports >= majority(view.members.length);
   }
 
@@ -986,17 +986,17 @@
       .filter((contact) => !contact.inView && this.#fresh(contact, nowMs))
       .map((contact) => contact.seat);
     const members = this.#held?.view;
-    const fresh = joiners.filter((seat) => !this.#inView || members === undefined || rankOf(members, seat.life) < 0);
+    const fresh = joiners.filter((seat) => !this.#inView || members === undefined || rankOf(members, seat.incarnation) < 0);
     return this.#inView ? fresh : [this.#seat, ...fresh];
   }
 
   #onPropose(from: string, propose: Propose): void {
-    const acceptor = this.#gear.acceptor;
+    const acceptor = this.#dependencies.acceptor;
     const seat = this.#seats.get(from);
     if (acceptor === undefined || seat === undefined) return;
     const version = propose.version;
     if (version === undefined) return;
-    const listed = version.state?.electors.some((elector) => elector.disk === acceptor.disk) ?? false;
+    const listed = version.state?.voters.some((voter) => voter.disk === acceptor.disk) ?? false;
     if (!listed && acceptor.accepted === undefined) return;
     if (version.epoch > (this.#coordinator?.epoch ?? Infinity)) this.#resign();
     if (version.epoch >= this.epoch) this.#claims?.courted();
@@ -1014,18 +1014,18 @@
   // Founding.
 
   #mayFound(): boolean {
-    const { acceptor } = this.#gear;
+    const { acceptor } = this.#dependencies;
     return acceptor !== undefined && this.#founderName() !== undefined && acceptor.accepted === undefined;
   }
 
   /** How the founders' list calls this node: by name or by address. */
   #founderName(): string | undefined {
-    const { founders, name, address } = this.#gear;
+    const { founders, name, address } = this.#dependencies;
     return founders.find((founder) => founder === name || founder === address);
   }
 
   #found(nowMs: number): void {
-    const { acceptor, founders, deployment, play } = this.#gear;
+    const { acceptor, founders, deployment, play } = this.#dependencies;
     const own = this.#founderName();
     if (acceptor === undefined || [...founders].sort()[0] !== own) return;
     const fresh = [...this.#contacts.values()].filter((contact) => this.#fresh(contact, nowMs));
@@ -1037,7 +1037,7 @@
       if (contact === undefined) return;
       seats.push(contact.seat);
     }
-    const electors = seats.map((seat) => ({ $typeName: 'rainrun.v1.Elector' as const, disk: seat.disk, name: seat.name }));
+    const voters = seats.map((seat) => ({ $typeName: 'rainrun.v1.Voter' as const, disk: seat.disk, name: seat.name }));
     const epoch = acceptor.promisedEpoch + 1;
     const held: Held<S> = {
       epoch,
@@ -1045,7 +1045,7 @@
       deployment,
       view: create(ViewSchema, { epoch, number: 1, members: seats }),
       before: undefined,
-      electors,
+      voters,
       play: play.empty(),
       answers: [],
       level: 1,
--- a/packages/farm/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -7,15 +7,15 @@
   VersionSchema,
   ViewSchema,
   type Answer,
-  type Elector,
+  type Voter,
   type Entry,
   type Operation,
   type Seat,
   type State,
   type Version,
   type View,
-} from '@rainrun/courier';
-import type { Fault, FaultKind } from '@rainrun/nacelle';
+} from '@rainrun/messages';
+import type { Fault, FaultKind } from '@rainrun/common';
 import type { Result } from 'true-myth';
 
 /** How one operation ended. */
@@ -53,7 +53,7 @@
   readonly view: View;
   /** The view that this version ended, until the next version says that this is settled. */
   readonly before: View | undefined;
-  readonly electors: readonly Elector[];
+  readonly voters: readonly Voter[];
   readonly play: S;
   readonly answers: readonly Answer[];
   /** The level of the protocol by which the newest entry was applied. */
@@ -85,12 +85,12 @@
 }
 
 /**
- * The rank of a life in a view, or -1.
+ * The rank of a incarnation in a view, or -1.
  * @example
- * rankOf(view, 'life-1'); // 0
+ * rankOf(view, 'incarnation-1'); // 0
  */
-export function rankOf(view: View, life: string): number {
-  return view.members.findIndex((member) => member.life === life);
+export function rankOf(view: View, incarnation: string): number {
+  return view.members.findIndex((member) => member.incarnation === incarnation);
 }
 
 /**
@@ -149,7 +149,7 @@
     deployment: held.deployment,
     view: entry.view ?? held.view,
     before: entry.view === undefined ? undefined : held.view,
-    electors: entry.electors.length > 0 ? entry.electors : held.electors,
+    voters: entry.voters.length > 0 ? entry.voters : held.voters,
     play: state,
     answers,
     level,
@@ -197,7 +197,7 @@
     clockMs: held.clockMs,
     deployment: held.deployment,
     view: held.view,
-    electors: [...held.electors],
+    voters: [...held.voters],
     play: bytes,
     answers: [...held.answers],
   });
@@ -218,7 +218,7 @@
     deployment: state.deployment,
     view: state.view ?? create(ViewSchema),
     before: state.before,
-    electors: state.electors,
+    voters: state.voters,
     play: own,
     answers: state.answers,
     level: Math.max(1, version.entry?.level ?? 0),
@@ -240,12 +240,12 @@
 }
 
 /**
- * A copy of a seat under another life, as a dropped node rejoins.
+ * A copy of a seat under another incarnation, as a dropped node rejoins.
  * @example
- * reborn(seat, 'life-2').life; // 'life-2'
+ * reborn(seat, 'incarnation-2').incarnation; // 'incarnation-2'
  */
-export function reborn(seat: Seat, life: string): Seat {
+export function reborn(seat: Seat, incarnation: string): Seat {
   const copy = clone(SeatSchema, seat);
-  copy.life = life;
+  copy.incarnation = incarnation;
   return copy;
 }
--- a/packages/farm/src/farm.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -11,9 +11,9 @@
   type Accepted,
   type Cast,
   type Promise as Promised,
-} from '@rainrun/courier';
-import type { RecordKind, Vault } from '@rainrun/ledger';
-import { fault, type Fault } from '@rainrun/nacelle';
+} from '@rainrun/messages';
+import type { RecordKind, Vault } from '@rainrun/storage';
+import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
@@ -24,12 +24,12 @@
 const VIEW = create(ViewSchema, {
   epoch: 1,
   number: 1,
-  members: ['a', 'b', 'c'].map((life) => create(SeatSchema, { life, name: life })),
+  members: ['a', 'b', 'c'].map((incarnation) => create(SeatSchema, { incarnation, name: incarnation })),
 });
 
-function member(life: string): { causal: Causal; heard: string[] } {
+function member(incarnation: string): { causal: Causal; heard: string[] } {
   const heard: string[] = [];
-  const causal = new Causal(VIEW, life, (cast) => heard.push(`${cast.sender}${cast.sequence}`));
+  const causal = new Causal(VIEW, incarnation, (cast) => heard.push(`${cast.sender}${cast.sequence}`));
   return { causal, heard };
 }
 
@@ -150,7 +150,7 @@
   return create(ProposeSchema, { disk: 'leader', version: create(VersionSchema, { epoch, number, entry: create(EntrySchema) }) });
 }
 
-describe('elector', () => {
+describe('voter', () => {
   it('answers only after the sync', () => {
     const vault = new SlowVault();
     const answers: (Promised | Accepted)[] = [];
@@ -180,13 +180,13 @@
     const vault = new SlowVault();
     const acceptor = acceptorOn(vault);
     const records: Uint8Array[] = [];
-    const keeper: Vault = {
+    const replica: Vault = {
       store: (kind, bytes, done) => {
         if (kind === 'disk') records.push(bytes);
         done(Result.ok());
       },
     };
-    const kept = acceptorOn(keeper);
+    const kept = acceptorOn(replica);
     kept.propose(version(1, 1), () => undefined);
     const opening = readRecords({ disk: records[0] ?? EMPTY }, 'fresh');
     expect(acceptor.disk).toEqual('disk-1');
@@ -205,7 +205,7 @@
         ? { state: state + 1, outcome: { kind: 'agreed', detail: '' } }
         : { state, outcome: fault('bad-request', 'no such kind') },
   };
-  const start: Held<number> = { epoch: 1, number: 1, deployment: 'd', view: VIEW, before: undefined, electors: [], play: 0, answers: [], level: 1, clockMs: 0 };
+  const start: Held<number> = { epoch: 1, number: 1, deployment: 'd', view: VIEW, before: undefined, voters: [], play: 0, answers: [], level: 1, clockMs: 0 };
 
   it('take effect once for each id, and a refused one never', () => {
     const operations = ['x', 'x', 'y'].map((id) => create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }));
--- a/packages/farm/src/times.ts
+++ b/packages/process-group/src/times.ts
@@ -1,6 +1,6 @@
 /** Timings of the group, in milliseconds. */
 export interface GroupTimes {
-  readonly beatMs: number;
+  readonly heartbeatMs: number;
   readonly helloMs: number;
   readonly suspectMs: number;
   readonly pauseMs: number;
@@ -15,7 +15,7 @@
 
 /** The defaults; the bounds of the brief are met with these. */
 export const GROUP_TIMES: GroupTimes = {
-  beatMs: 200,
+  heartbeatMs: 200,
   helloMs: 250,
   suspectMs: 1500,
   pauseMs: 400,
--- a/packages/router/src/balance.ts
+++ b/packages/router/src/balance.ts
@@ -1,8 +1,8 @@
-import { spread } from '@rainrun/nacelle';
+import { spread } from '@rainrun/common';
 import type { Passage, WorkerView } from './request.js';
 
 /** What the balancer knows beyond the workers themselves. */
-export interface BalanceGear {
+export interface BalanceDependencies {
   readonly zone: string;
   /** Different at every edge. */
   readonly salt: string;
@@ -48,11 +48,11 @@
  * const choice = balancer.choose(passage, workers);
  */
 export class Balancer {
-  #gear: BalanceGear;
+  #dependencies: BalanceDependencies;
   #standings = new Map<string, Standing>();
 
-  constructor(gear: BalanceGear) {
-    this.#gear = gear;
+  constructor(dependencies: BalanceDependencies) {
+    this.#dependencies = dependencies;
   }
 
   inFlight(id: string): number {
@@ -65,7 +65,7 @@
   }
 
   heard(id: string): void {
-    this.#standing(id).heardMs = this.#gear.nowMs();
+    this.#standing(id).heardMs = this.#dependencies.nowMs();
   }
 
   /** Forgets workers that are gone. */
@@ -86,7 +86,7 @@
   /** The worker failed a request: it is left alone for a while. */
   failed(worker: WorkerView): void {
     const standing = this.#standing(worker.id);
-    const nowMs = this.#gear.nowMs();
+    const nowMs = this.#dependencies.nowMs();
     if (nowMs < standing.shunnedUntilMs) return;
     standing.faults += 1;
     standing.shunnedUntilMs = nowMs + Math.min(SHUN_MOST_MS, SHUN_MS * 2 ** (standing.faults - 1));
@@ -95,7 +95,7 @@
   /** The worker had no room: it is left alone for a moment. */
   full(worker: WorkerView, waitMs: number): void {
     const standing = this.#standing(worker.id);
-    standing.shunnedUntilMs = Math.max(standing.shunnedUntilMs, this.#gear.nowMs() + waitMs);
+    standing.shunnedUntilMs = Math.max(standing.shunnedUntilMs, this.#dependencies.nowMs() + waitMs);
   }
 
   /** The worker does not hold this, whatever its row says. */
@@ -105,11 +105,11 @@
 
   /** Takes a place at a cold worker; false when it may have no more in this second. */
   takePlace(worker: WorkerView, perS: number): boolean {
-    const nowMs = this.#gear.nowMs();
+    const nowMs = this.#dependencies.nowMs();
     if (nowMs >= worker.coldUntilMs || perS <= 0) return true;
     const standing = this.#standing(worker.id);
-    const rate = (perS * COLD_PART) / Math.max(1, this.#gear.edges());
-    const cold = (standing.cold ??= { places: spread(`${worker.id} ${this.#gear.salt}`) / 2 ** 32, atMs: nowMs });
+    const rate = (perS * COLD_PART) / Math.max(1, this.#dependencies.edges());
+    const cold = (standing.cold ??= { places: spread(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32, atMs: nowMs });
     // Places are not saved up while none is asked for: all edges would come with theirs at once.
     cold.places = Math.min(1, cold.places + (rate * Math.min(COLD_STEP_MS, nowMs - cold.atMs)) / 1000);
     cold.atMs = nowMs;
@@ -120,14 +120,14 @@
 
   choose(passage: Passage, workers: Iterable<WorkerView>): WorkerView | NoWorker {
     const { ask, service, route } = passage;
-    const nowMs = this.#gear.nowMs();
-    const evacuated = this.#gear.evacuated();
+    const nowMs = this.#dependencies.nowMs();
+    const evacuated = this.#dependencies.evacuated();
     const mostHere = this.#mostHere(service.connections);
     const able: WorkerView[] = [];
     let why: NoWorker = 'none';
     for (const worker of workers) {
       if (worker.service !== service.name || worker.leaving || evacuated.includes(worker.zone)) continue;
-      if (route.regions !== undefined && route.regions !== null && route.regions.length > 0 && !route.regions.includes(this.#gear.region(worker.zone))) continue;
+      if (route.regions !== undefined && route.regions !== null && route.regions.length > 0 && !route.regions.includes(this.#dependencies.region(worker.zone))) continue;
       if (!this.holds(worker, ask.model, ask.adapter)) {
         if (why === 'none') why = 'not-held';
         continue;
@@ -158,12 +158,12 @@
 
   /** This edge's part of the connections that a worker bears. */
   #mostHere(connections: number): number {
-    return connections <= 0 ? Infinity : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#gear.edges())));
+    return connections <= 0 ? Infinity : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#dependencies.edges())));
   }
 
   #ranked(passage: Passage, able: WorkerView[]): WorkerView[] {
     const { ask } = passage;
-    const loads = new Map(able.map((worker) => [worker.id, this.inFlight(worker.id) + (worker.zone === this.#gear.zone ? 0 : ZONE_SLACK)]));
+    const loads = new Map(able.map((worker) => [worker.id, this.inFlight(worker.id) + (worker.zone === this.#dependencies.zone ? 0 : ZONE_SLACK)]));
     const least = Math.min(...loads.values());
     const shared = ask.prefix.at(-1);
     const long = shared !== undefined && ask.promptTokens >= LONG_TOKENS;
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,6 +1,6 @@
-import type { RouteEntry, ServiceEntry } from '@rainrun/marquee';
-import type { Fault } from '@rainrun/nacelle';
-import type { Header } from '@rainrun/gate';
+import type { RouteEntry, ServiceEntry } from '@rainrun/configuration';
+import type { Fault } from '@rainrun/common';
+import type { Header } from '@rainrun/gateway';
 
 /** A whole request, read and taken apart at the door. */
 export interface Ask {
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test';
-import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gate';
-import { checkConfiguration, type Configuration } from '@rainrun/marquee';
-import { ANSWERS, type Fault } from '@rainrun/nacelle';
+import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
+import { checkConfiguration, type Configuration } from '@rainrun/configuration';
+import { ANSWERS, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Router } from './router.js';
 import type { Ask, ClientPort, WorkerView } from './request.js';
@@ -126,7 +126,7 @@
   readonly router: Router;
   #asked = 0;
 
-  constructor(workers: readonly WorkerView[], retries = { ratio: 1, extra: 20 }, life = 'life-1') {
+  constructor(workers: readonly WorkerView[], retries = { ratio: 1, extra: 20 }, incarnation = 'incarnation-1') {
     const configuration = configurationOf();
     this.put(...workers);
     this.router = new Router({
@@ -139,7 +139,7 @@
       evacuated: () => this.evacuated,
       workers: () => this.workers,
       edges: () => this.edges,
-      life: () => life,
+      incarnation: () => incarnation,
       region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
       missing: () => {
         this.missed += 1;
@@ -189,7 +189,7 @@
 
   later(waitMs: number): void {
     this.nowMs += waitMs;
-    this.router.beat();
+    this.router.tick();
   }
 }
 
@@ -599,7 +599,7 @@
       const bench = new Bench([worker('w1', { coldUntilMs: 60_000, slots: 100 })]);
       bench.edges = edges;
       const atMs: number[] = [];
-      for (let beat = 0; beat < 200; beat += 1) {
+      for (let heartbeat = 0; heartbeat < 200; heartbeat += 1) {
         const before = bench.link.flown.length;
         bench.ask('/often/x');
         bench.later(25);
@@ -618,10 +618,10 @@
     const PER_S = 10;
     const wrong: string[] = [];
     for (const count of [3, 9, 80]) {
-      const edges = Array.from({ length: count }, (_, place) => new Bench([worker('w1', { slots: 100 })], undefined, `life-${place}`));
+      const edges = Array.from({ length: count }, (_, place) => new Bench([worker('w1', { slots: 100 })], undefined, `incarnation-${place}`));
       const atMs: number[] = [];
-      const beatMs = 25;
-      for (let nowMs = 1000; nowMs < 41_000; nowMs += beatMs) {
+      const heartbeatMs = 25;
+      for (let nowMs = 1000; nowMs < 41_000; nowMs += heartbeatMs) {
         const cold = (nowMs >= 2000 && nowMs < 12_000) || nowMs >= 22_000;
         const busy = nowMs < 26_000 || nowMs >= 32_000;
         for (const edge of edges) {
@@ -630,7 +630,7 @@
           if (nowMs === 2000 || nowMs === 22_000) edge.put(worker('w1', { slots: 100, coldUntilMs: nowMs + (nowMs === 2000 ? 10_000 : 30_000), number: nowMs }));
           const before = edge.link.flown.length;
           if (busy && edge.router.waiting < 2) edge.ask('/often/x');
-          edge.router.beat();
+          edge.router.tick();
           for (const flown of edge.link.flown.slice(before)) {
             if (!flown.start()) continue;
             if (cold) atMs.push(nowMs);
