--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,6 +1,6 @@
-import { RetryBudget, type Link } from '@rainrun/gate';
-import type { Configuration } from '@rainrun/marquee';
-import { fault, type Clock, type Fault } from '@rainrun/nacelle';
+import { RetryBudget, type Link } from '@rainrun/gateway';
+import type { Configuration } from '@rainrun/configuration';
+import { fault, type Clock, type Fault } from '@rainrun/common';
 import { Balancer, type NoWorker } from './balance.js';
 import type { Ask, ClientPort, Passage, WorkerView } from './request.js';
 import { RouteTable } from './routes.js';
@@ -19,7 +19,7 @@
 }
 
 /** What the router is given by its node. */
-export interface RouterGear {
+export interface RouterDependencies {
   readonly zone: string;
   readonly clock: Clock;
   readonly link: Link;
@@ -30,7 +30,7 @@
   evacuated(): readonly string[];
   workers(): ReadonlyMap<string, WorkerView>;
   edges(): number;
-  life(): string;
+  incarnation(): string;
   region(zone: string): string;
   /** A model is asked for that stands nowhere. */
   missing(): void;
@@ -63,12 +63,12 @@
  * worker that may take it and is sent once; again only where its route allows
  * it or the worker has not run it, and within the fleet's budget.
  * @example
- * const router = new Router(gear);
+ * const router = new Router(dependencies);
  * const leave = router.take(ask, port);
- * router.beat(); // every 20 ms and after each change
+ * router.tick(); // every 20 ms and after each change
  */
 export class Router {
-  #gear: RouterGear;
+  #dependencies: RouterDependencies;
   #balancer: Balancer;
   #table: { readonly configuration: Configuration; readonly routes: RouteTable } | undefined;
   #waiting = new Set<Passage>();
@@ -79,15 +79,15 @@
   #inFlight = new Map<string, number>();
   #counts = new Map<string, number>();
 
-  constructor(gear: RouterGear) {
-    this.#gear = gear;
+  constructor(dependencies: RouterDependencies) {
+    this.#dependencies = dependencies;
     this.#balancer = new Balancer({
-      zone: gear.zone,
-      salt: gear.life(),
-      nowMs: () => gear.clock.nowMs(),
-      evacuated: () => gear.evacuated(),
-      edges: () => gear.edges(),
-      region: (zone) => gear.region(zone),
+      zone: dependencies.zone,
+      salt: dependencies.incarnation(),
+      nowMs: () => dependencies.clock.nowMs(),
+      evacuated: () => dependencies.evacuated(),
+      edges: () => dependencies.edges(),
+      region: (zone) => dependencies.region(zone),
     });
   }
 
@@ -106,13 +106,13 @@
   /** Takes a request; the returned function says that the client has left. */
   take(ask: Ask, port: ClientPort): () => void {
     this.#count('taken');
-    const configuration = this.#gear.configuration();
+    const configuration = this.#dependencies.configuration();
     if (configuration === undefined) return this.#hold(ask, port);
     if (this.#table?.configuration !== configuration) this.#table = { configuration, routes: new RouteTable(configuration) };
     const route = this.#table.routes.find(ask.host, ask.target);
     const target = route === undefined ? undefined : this.#table.routes.target(route, ask.id);
     if (target === undefined) return this.#turnAway(port, fault('not-found', `no route for ${ask.host}${ask.target}`));
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     const { service } = target;
     const streamed = target.route.kind === 'streaming';
     const passage: Passage = {
@@ -144,7 +144,7 @@
 
   /** Nothing is known yet, as just after a start: the request waits a moment for it. */
   #hold(ask: Ask, port: ClientPort): () => void {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     const early: Early = { ask, port, bornMs: nowMs, endMs: nowMs + Math.min(EARLY_MS, ask.deadlineMs ?? EARLY_MS), leave: undefined };
     if (this.#early.size >= CROWD_MOST) return this.#turnAway(port, fault('not-admitting', 'no configuration is known here yet'));
     this.#early.add(early);
@@ -155,7 +155,7 @@
   }
 
   #takeEarly(nowMs: number): void {
-    const known = this.#gear.configuration() !== undefined;
+    const known = this.#dependencies.configuration() !== undefined;
     for (const early of this.#early) {
       const { ask, port, bornMs, endMs } = early;
       if (!known && nowMs < endMs) continue;
@@ -166,9 +166,9 @@
   }
 
   /** Gives up what has waited too long, and sends what can be sent now. */
-  beat(): void {
-    const nowMs = this.#gear.clock.nowMs();
-    this.#balancer.keepOnly(this.#gear.workers());
+  tick(): void {
+    const nowMs = this.#dependencies.clock.nowMs();
+    this.#balancer.keepOnly(this.#dependencies.workers());
     if (this.#early.size > 0) this.#takeEarly(nowMs);
     const order = [...this.#waiting].sort((one, other) => one.route.priority - other.route.priority || one.bornMs - other.bornMs);
     const nowhere = new Set<string>();
@@ -178,12 +178,12 @@
         if (!this.#dispatch(passage, nowMs) && passage.avoided.size === 0) nowhere.add(passage.key);
       }
     }
-    for (const run of [...this.#runs]) run.beat(nowMs);
+    for (const run of [...this.#runs]) run.tick(nowMs);
   }
 
   /** What is asked for now, by service, model and adapter. */
   asked(): Asked[] {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     const waiting = new Map<string, number>();
     for (const passage of this.#waiting) waiting.set(passage.key, (waiting.get(passage.key) ?? 0) + 1);
     const asked: Asked[] = [];
@@ -201,7 +201,7 @@
   }
 
   #arrived(passage: Passage, nowMs: number): void {
-    this.#budget(passage).first(this.#gear.retries.ratio);
+    this.#budget(passage).first(this.#dependencies.retries.ratio);
     if (passage.ask.model === '') return;
     const rate = this.#rates.get(passage.key) ?? { perS: 0, pressure: 0, atMs: nowMs };
     this.#rates.set(passage.key, rate);
@@ -224,7 +224,7 @@
       budget = new RetryBudget();
       this.#budgets.set(name, budget);
     }
-    budget.allot(this.#gear.life(), this.#gear.retries.extra / Math.max(1, this.#gear.edges()));
+    budget.allot(this.#dependencies.incarnation(), this.#dependencies.retries.extra / Math.max(1, this.#dependencies.edges()));
     return budget;
   }
 
@@ -236,7 +236,7 @@
 
   /** Sends a request if a worker may take it now; false: it waits. */
   #dispatch(passage: Passage, nowMs: number): boolean {
-    const choice = this.#balancer.choose(passage, this.#gear.workers().values());
+    const choice = this.#balancer.choose(passage, this.#dependencies.workers().values());
     if (typeof choice === 'string') {
       this.#wait(passage, choice);
       return false;
@@ -249,7 +249,7 @@
   #wait(passage: Passage, why: NoWorker): void {
     this.#waiting.add(passage);
     passage.cancel = undefined;
-    if (why === 'not-held') this.#gear.missing();
+    if (why === 'not-held') this.#dependencies.missing();
     if (why === 'shunned' && passage.avoided.size > 0 && passage.arrivals < passage.route.attempts) passage.avoided.clear();
   }
 
@@ -257,8 +257,8 @@
     const { key } = passage;
     this.#balancer.begun(worker);
     this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
-    const run = new Run(passage, worker, this.#gear.words, {
-      nowMs: () => this.#gear.clock.nowMs(),
+    const run = new Run(passage, worker, this.#dependencies.words, {
+      nowMs: () => this.#dependencies.clock.nowMs(),
       mayStart: () => this.#mayStart(passage, worker),
       heardMs: () => this.#balancer.heardMs(worker.id),
       heard: () => this.#balancer.heard(worker.id),
@@ -271,14 +271,14 @@
     });
     this.#runs.add(run);
     passage.cancel = () => run.leave();
-    run.attach(this.#gear.link.send(run.request(nowMs), run));
+    run.attach(this.#dependencies.link.send(run.request(nowMs), run));
   }
 
   /** The last look before the first byte. */
   #mayStart(passage: Passage, worker: WorkerView): boolean {
-    const known = this.#gear.workers().get(worker.id);
-    if (passage.left || known === undefined || known.leaving || this.#gear.evacuated().includes(known.zone)) return false;
-    if (this.#gear.clock.nowMs() >= passage.endMs) return false;
+    const known = this.#dependencies.workers().get(worker.id);
+    if (passage.left || known === undefined || known.leaving || this.#dependencies.evacuated().includes(known.zone)) return false;
+    if (this.#dependencies.clock.nowMs() >= passage.endMs) return false;
     passage.unpaid = passage.reserved && !this.#budget(passage).spend();
     passage.reserved = false;
     if (passage.unpaid) return false;
@@ -287,7 +287,7 @@
   }
 
   #over(passage: Passage, worker: WorkerView, end: RunEnd): void {
-    const nowMs = this.#gear.clock.nowMs();
+    const nowMs = this.#dependencies.clock.nowMs();
     passage.cancel = undefined;
     this.#balancer.ended(worker, end.how === 'served');
     this.#count(end.how);
--- a/packages/router/src/routes.test.ts
+++ b/packages/router/src/routes.test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from 'node:test';
-import { checkConfiguration, type Configuration } from '@rainrun/marquee';
+import { checkConfiguration, type Configuration } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { RouteTable } from './routes.js';
 
--- a/packages/router/src/routes.ts
+++ b/packages/router/src/routes.ts
@@ -1,5 +1,5 @@
-import { spread } from '@rainrun/nacelle';
-import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/marquee';
+import { spread } from '@rainrun/common';
+import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/configuration';
 
 /** A route with the service that one request of it goes to. */
 export interface Target {
--- a/packages/router/src/run.ts
+++ b/packages/router/src/run.ts
@@ -1,4 +1,4 @@
-import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gate';
+import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { EventCutter } from './events.js';
 import type { Passage, WorkerView } from './request.js';
 
@@ -64,14 +64,14 @@
 /**
  * One send of a request to one worker: takes its answer apart and passes it on.
  * @example
- * const run = new Run(passage, worker, words, desk);
+ * const run = new Run(passage, worker, words, context);
  * run.attach(link.send(run.request(nowMs), run));
  */
 export class Run implements LinkHandler {
   #passage: Passage;
   #worker: WorkerView;
   #words: WireWords;
-  #desk: RunDesk;
+  #context: RunDesk;
   #send: LinkSend | undefined;
   #status = 0;
   #headers: Header[] = [];
@@ -84,12 +84,12 @@
   #lifeMs: number;
   #bornMs: number;
 
-  constructor(passage: Passage, worker: WorkerView, words: WireWords, desk: RunDesk) {
+  constructor(passage: Passage, worker: WorkerView, words: WireWords, context: RunDesk) {
     this.#passage = passage;
     this.#worker = worker;
     this.#words = words;
-    this.#desk = desk;
-    this.#lifeMs = desk.nowMs();
+    this.#context = context;
+    this.#lifeMs = context.nowMs();
     this.#bornMs = this.#lifeMs;
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Ends what is past its time, or silent for longer than its route bears. */
-  beat(nowMs: number): void {
+  tick(nowMs: number): void {
     if (this.#over) return;
     if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
     if (this.#passage.repeatable && this.#started && nowMs - this.#lifeMs > this.#patienceMs(nowMs)) this.#abandon('silent for too long');
@@ -126,23 +126,23 @@
 
   mayStart(): boolean {
     if (this.#over) return false;
-    this.#started = this.#desk.mayStart();
+    this.#started = this.#context.mayStart();
     this.#withheld = !this.#started;
-    this.#lifeMs = this.#desk.nowMs();
+    this.#lifeMs = this.#context.nowMs();
     return this.#started;
   }
 
   head(status: number, headers: readonly Header[]): void {
     if (this.#over) return;
-    this.#lifeMs = this.#desk.nowMs();
-    this.#desk.heard();
+    this.#lifeMs = this.#context.nowMs();
+    this.#context.heard();
     const echoed = valueOf(headers, this.#words.requestId);
     const notRun = valueOf(headers, this.#words.notRun) !== undefined;
     if (echoed !== undefined && echoed !== this.#passage.ask.id) return this.#abandon('an answer to another request');
     if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
     if (notRun) return this.#finish({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
     if (status < 300 && (echoed === undefined || valueOf(headers, this.#words.signature) === undefined)) return this.#abandon('an answer without its marks');
-    this.#desk.answered(this.#lifeMs - this.#bornMs);
+    this.#context.answered(this.#lifeMs - this.#bornMs);
     this.#status = status;
     this.#headers = headers.filter(([name]) => !isHop(name));
     const type = valueOf(headers, 'content-type') ?? '';
@@ -153,8 +153,8 @@
 
   chunk(bytes: Buffer): void {
     if (this.#over) return;
-    this.#lifeMs = this.#desk.nowMs();
-    this.#desk.heard();
+    this.#lifeMs = this.#context.nowMs();
+    this.#context.heard();
     if (this.#cutter === undefined) {
       this.#wholeBytes += bytes.length;
       if (this.#wholeBytes > WHOLE_MOST) return this.#abandon('an answer without end');
@@ -191,7 +191,7 @@
    */
   #patienceMs(nowMs: number): number {
     const { route, opened, streamed } = this.#passage;
-    const heard = nowMs - this.#desk.heardMs() < SPEAKS_MS;
+    const heard = nowMs - this.#context.heardMs() < SPEAKS_MS;
     if (!streamed) return Math.max(400, 3 * route.targetMs);
     if (opened) return heard ? 4 * Math.max(SILENT_MS, route.gapMs) : SILENT_MS;
     return heard ? Infinity : SILENT_MS + route.targetMs;
@@ -221,7 +221,7 @@
   #finish(end: RunEnd): void {
     if (this.#over) return;
     this.#over = true;
-    this.#desk.over(end);
+    this.#context.over(end);
   }
 }
 
--- a/packages/mast/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,12 +1,12 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
-import { SPEAKS } from '@rainrun/courier';
-import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/farm';
-import { PoolLink, type Header } from '@rainrun/gate';
-import { Keeper } from '@rainrun/hub';
-import { Ledger } from '@rainrun/ledger';
-import { ANSWERS, fault, isFaultKind, word, type Chance, type Clock, type Fault } from '@rainrun/nacelle';
-import type { BookRow, ListedWorker, StockOrder, StockReply } from '@rainrun/yaw';
+import { SPEAKS } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/process-group';
+import { PoolLink, type Header } from '@rainrun/gateway';
+import { CoreReplica } from '@rainrun/cluster-node';
+import { RecordStore } from '@rainrun/storage';
+import { ANSWERS, fault, isFaultKind, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
+import type { WorkerRecord, ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
 import type { Dialect, OperatorCall, SystemSettings } from './dialect.js';
@@ -14,8 +14,8 @@
 import { WORKER_LINK } from './links.js';
 import { splitAddress, Wire } from './wire.js';
 
-const BEAT_MS = 25;
-/** A core that does not coordinate beats at every second one. */
+const HEARTBEAT_MS = 25;
+/** A core that does not coordinate heartbeats at every second one. */
 const SELDOM = 2;
 const LIST_MS = 500;
 const LIST_WAIT_MS = 900;
@@ -49,7 +49,7 @@
   #dialect: Dialect;
   #log: Log;
   #wire: Wire;
-  #keeper: Keeper;
+  #replica: CoreReplica;
   #link = new PoolLink(WORKER_LINK);
   #server: Server;
   #timers: NodeJS.Timeout[] = [];
@@ -58,22 +58,22 @@
   #listedMs = -Infinity;
   #stopping = false;
   #led = false;
-  #beats = 0;
+  #heartbeats = 0;
 
   private constructor(settings: SystemSettings, dialect: Dialect, log: Log, acceptor: Acceptor) {
     this.#settings = settings;
     this.#dialect = dialect;
     this.#log = log;
-    this.#wire = new Wire('system', (frame) => this.#keeper.receive(frame));
+    this.#wire = new Wire('system', (frame) => this.#replica.receive(frame));
     const seeds = settings.seeds.map((host) => `${host}:${settings.ports[0]}`);
-    this.#keeper = new Keeper({
+    this.#replica = new CoreReplica({
       name: settings.name,
       address: `${settings.host}:${settings.ports[0]}`,
       zone: settings.zone,
       deployment: 'system',
       seeds,
       founders: settings.founding ? seeds : [],
-      electorsWanted: 2 * settings.lossesBorne + 1,
+      votersWanted: 2 * settings.lossesBorne + 1,
       clock: CLOCK,
       chance: CHANCE,
       times: TIMES,
@@ -84,7 +84,7 @@
       report: (row, done) => this.#report(row, done),
       listLagMs: settings.provider.lagMs,
       changed: (state) => log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
-      reborn: (life) => log.warn({ life }, 'dropped from the view; joining anew'),
+      reborn: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
       refused: (why) => log.error({ why }, 'the group does not let this node in'),
       decided: (text) => log.info({}, text),
     });
@@ -98,11 +98,11 @@
 
   /** Opens the disk; a fault says why it cannot be used. */
   static async open(settings: SystemSettings, dialect: Dialect, log: Log, broken: (why: Fault) => void): Promise<Result<CoreNode, Fault>> {
-    const opened = await Ledger.open(settings.folder);
+    const opened = await RecordStore.open(settings.folder);
     if (opened.isErr) return Result.err(opened.error);
-    const { ledger, records } = opened.value;
-    return readRecords(records, word(CHANCE)).map((opening) => {
-      const acceptor = new Acceptor(opening, ledger, 'system', broken);
+    const { recordStore, records } = opened.value;
+    return readRecords(records, randomId(CHANCE)).map((opening) => {
+      const acceptor = new Acceptor(opening, recordStore, 'system', broken);
       if (records.disk === undefined) acceptor.mark();
       return new CoreNode(settings, dialect, log, acceptor);
     });
@@ -114,7 +114,7 @@
     if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the other nodes');
     this.#server.listen({ host, port: splitAddress(listen.operators).port, backlog: 256 });
     this.#timers.push(
-      setInterval(() => this.#beat(), BEAT_MS),
+      setInterval(() => this.#tick(), HEARTBEAT_MS),
       setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
     );
     this.#log.info({ operators: listen.operators, founding: this.#settings.founding }, 'started');
@@ -124,20 +124,20 @@
     if (this.#stopping) return;
     this.#stopping = true;
     this.#log.info({ counters: this.#counters() }, 'stopping');
-    this.#keeper.group.leave();
+    this.#replica.group.leave();
     await pause(150);
     for (const timer of this.#timers) clearInterval(timer);
   }
 
-  #beat(): void {
-    this.#beats += 1;
-    const { leading } = this.#keeper.group;
-    if (!leading && this.#beats % SELDOM !== 0) return;
-    this.#keeper.beat();
+  #tick(): void {
+    this.#heartbeats += 1;
+    const { leading } = this.#replica.group;
+    if (!leading && this.#heartbeats % SELDOM !== 0) return;
+    this.#replica.tick();
     if (leading !== this.#led) {
       this.#led = leading;
       this.#listedMs = -Infinity;
-      this.#log.info({ leading, epoch: this.#keeper.group.epoch }, 'coordination');
+      this.#log.info({ leading, epoch: this.#replica.group.epoch }, 'coordination');
     }
     if (leading && CLOCK.nowMs() - this.#listedMs >= LIST_MS) void this.#list();
   }
@@ -152,7 +152,7 @@
     this.#listing = false;
     if (list.isOk) {
       this.#listFaults = 0;
-      this.#keeper.learnList(list.value);
+      this.#replica.learnList(list.value);
     } else {
       if (this.#listFaults === 0) this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
       this.#listFaults += 1;
@@ -180,22 +180,22 @@
 
   // Orders.
 
-  #order(row: BookRow, order: StockOrder, done: (reply: StockReply) => void): void {
-    const body = this.#dialect.writeOrder(order, this.#keeper.group.seat.life);
-    this.#call(row, 'POST', this.#dialect.orderPath, body, () => this.#keeper.group.dutyEpoch() === order.fence, (reply) => {
+  #order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void {
+    const body = this.#dialect.writeOrder(order, this.#replica.group.seat.incarnation);
+    this.#call(row, 'POST', this.#dialect.orderPath, body, () => this.#replica.group.dutyEpoch() === order.fence, (reply) => {
       done(reply === undefined ? 'no-answer' : this.#dialect.readOrderReply(reply.status));
-      this.#keeper.beat();
+      this.#replica.tick();
     });
   }
 
-  #report(row: BookRow, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
+  #report(row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
     this.#call(row, 'GET', this.#dialect.reportPath, '', () => true, (reply) => {
       done(reply?.status === 200 ? this.#dialect.readReport(reply.body) : undefined);
     });
   }
 
   /** One call to a worker; `done` comes once, with nothing where there was no whole answer. */
-  #call(row: BookRow, method: string, target: string, body: string, mayStart: () => boolean, done: (reply: Reply | undefined) => void): void {
+  #call(row: WorkerRecord, method: string, target: string, body: string, mayStart: () => boolean, done: (reply: Reply | undefined) => void): void {
     let open = true;
     let status = 0;
     const parts: Buffer[] = [];
@@ -260,9 +260,9 @@
       case 'patch':
         return this.#submit('configuration.patch', { base: call.base, patch: call.patch });
       case 'evacuate':
-        return this.#submit('zone.evacuate', { zone: call.zone, seen: this.#keeper.state.edition });
+        return this.#submit('zone.evacuate', { zone: call.zone, seen: this.#replica.state.edition });
       case 'return':
-        return this.#submit('zone.return', { zone: call.zone, seen: this.#keeper.state.edition });
+        return this.#submit('zone.return', { zone: call.zone, seen: this.#replica.state.edition });
       case 'read':
         return this.#readBack();
       case 'none':
@@ -281,10 +281,10 @@
     return new Promise((resolve) => {
       let id = '';
       const timer = setTimeout(() => {
-        this.#keeper.forgetAnswer(id);
+        this.#replica.forgetAnswer(id);
         resolve(this.#failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
       }, ANSWER_WAIT_MS);
-      const sent = this.#keeper.submit(kind, payload, (answer) => {
+      const sent = this.#replica.submit(kind, payload, (answer) => {
         clearTimeout(timer);
         if (isFaultKind(answer.kind)) resolve(this.#failure(fault(answer.kind, answer.detail)));
         else resolve({ status: 200, body: JSON.stringify({ outcome: answer.kind, detail: answer.detail }) });
@@ -300,28 +300,28 @@
 
   /** Waits until this node holds all that was agreed before the question. */
   async #readBack(): Promise<Reply> {
-    const { group } = this.#keeper;
+    const { group } = this.#replica;
     const askedMs = CLOCK.nowMs();
     while (group.informedMs() < askedMs) {
       if (CLOCK.nowMs() - askedMs > ANSWER_WAIT_MS) return this.#failure(fault('not-admitting', 'this node cannot know the newest; ask again'));
       await pause(POLL_MS);
     }
-    const { document } = this.#keeper.state;
+    const { document } = this.#replica.state;
     if (document === undefined) return this.#failure(fault('not-found', 'no configuration has been agreed yet'));
     return { status: 200, body: this.#dialect.writeDocument(document) };
   }
 
   #counters(): Record<string, number> {
-    const { group, stocker, followers, book } = this.#keeper;
+    const { group, planner, followers, book } = this.#replica;
     const { user, system } = process.cpuUsage();
     return {
       version: group.held?.number ?? 0,
       members: group.view?.members.length ?? 0,
-      electors: group.held?.electors.length ?? 0,
+      voters: group.held?.voters.length ?? 0,
       leading: group.leading ? 1 : 0,
       followers,
       rows: book.number,
-      ...stocker.counts,
+      ...planner.counts,
       framesIn: this.#wire.counts.framesIn,
       bytesOut: this.#wire.counts.bytesOut,
       cpuMs: Math.round((user + system) / 1000),
--- a/packages/mast/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -1,6 +1,6 @@
-import type { Fault } from '@rainrun/nacelle';
+import type { Fault } from '@rainrun/common';
 import type { WireWords } from '@rainrun/router';
-import type { ListedWorker, StockOrder, StockReply } from '@rainrun/yaw';
+import type { ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
 import type { Result } from 'true-myth';
 
 /** The settings of a node that runs on a platform, in our terms. */
--- a/packages/mast/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -1,10 +1,10 @@
 import { createServer, type Server } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 import { create } from '@bufbuild/protobuf';
-import { WantSchema, type Want } from '@rainrun/courier';
-import { PoolLink } from '@rainrun/gate';
-import { Follower } from '@rainrun/hub';
-import type { Chance, Clock } from '@rainrun/nacelle';
+import { WantSchema, type Want } from '@rainrun/messages';
+import { PoolLink } from '@rainrun/gateway';
+import { Follower } from '@rainrun/cluster-node';
+import type { Chance, Clock } from '@rainrun/common';
 import { Router } from '@rainrun/router';
 import type { Dialect, SystemSettings } from './dialect.js';
 import { FrontDoor } from './front.js';
@@ -12,7 +12,7 @@
 import type { Log } from './log.js';
 import { splitAddress, Wire } from './wire.js';
 
-const BEAT_MS = 50;
+const HEARTBEAT_MS = 50;
 /** A model that stands nowhere is asked for after this, with what else came meanwhile. */
 const HASTE_MS = 7;
 const COUNTERS_MS = 10_000;
@@ -70,7 +70,7 @@
       evacuated: () => this.#follower.state.evacuated,
       workers: () => this.#follower.workers,
       edges: () => this.#follower.edges,
-      life: () => this.#follower.life,
+      incarnation: () => this.#follower.incarnation,
       region: (zone) => settings.regions[zone] ?? '',
       missing: () => this.#hasten(),
     });
@@ -95,13 +95,13 @@
     this.#readiness.listen(splitAddress(listen.readiness).port, host);
     this.#timers.push(
       setInterval(() => {
-        this.#follower.beat();
-        this.#router.beat();
+        this.#follower.tick();
+        this.#router.tick();
         this.#noteReady();
-      }, BEAT_MS),
+      }, HEARTBEAT_MS),
       setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
     );
-    this.#follower.beat();
+    this.#follower.tick();
     this.#log.info({ clients: listen.clients }, 'started');
   }
 
@@ -125,7 +125,7 @@
     this.#follower.haste();
     this.#haste ??= setTimeout(() => {
       this.#haste = undefined;
-      this.#follower.beat();
+      this.#follower.tick();
     }, HASTE_MS);
   }
 
@@ -140,7 +140,7 @@
       this.#front.applyLimits();
       this.#log.info({ revision: this.#follower.state.revision, evacuated: this.#follower.state.evacuated }, 'configuration');
     } else this.#link.keepOnly(new Set([...this.#follower.workers.values()].map((worker) => worker.address)));
-    this.#router.beat();
+    this.#router.tick();
   }
 
   #wants(): Want[] {
--- a/packages/mast/src/front.ts
+++ b/packages/runtime/src/front.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { USUAL_LIMITS, type Limits } from '@rainrun/marquee';
-import { ANSWERS, fault, type Fault } from '@rainrun/nacelle';
-import type { Header } from '@rainrun/gate';
+import { USUAL_LIMITS, type Limits } from '@rainrun/configuration';
+import { ANSWERS, fault, type Fault } from '@rainrun/common';
+import type { Header } from '@rainrun/gateway';
 import { isHop, type Ask, type ClientPort } from '@rainrun/router';
 import type { DoorWords } from './dialect.js';
 import { splitAddress } from './wire.js';
@@ -9,7 +9,7 @@
 const HEADERS_MOST = 128 * 1024;
 
 /** What the front door needs of its node. */
-export interface FrontGear {
+export interface FrontDependencies {
   readonly words: DoorWords;
   limits(): Limits | undefined;
   /** Whether connections are to be closed after their answer. */
@@ -21,16 +21,16 @@
  * Where clients come in: reads each request whole within the limits in force
  * and hands it on.
  * @example
- * const front = new FrontDoor(gear);
+ * const front = new FrontDoor(dependencies);
  * await front.listen('10.0.0.4:8000');
  */
 export class FrontDoor {
-  #gear: FrontGear;
+  #dependencies: FrontDependencies;
   #server: Server;
   #open = 0;
 
-  constructor(gear: FrontGear) {
-    this.#gear = gear;
+  constructor(dependencies: FrontDependencies) {
+    this.#dependencies = dependencies;
     this.#server = createServer({ maxHeaderSize: HEADERS_MOST, connectionsCheckingInterval: 500, noDelay: true }, (req, res) => this.#receive(req, res));
     this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) => {
       if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
@@ -47,7 +47,7 @@
 
   /** Takes over the limits in force. */
   applyLimits(): void {
-    const { headerMs, idleMs } = this.#gear.limits() ?? USUAL_LIMITS;
+    const { headerMs, idleMs } = this.#dependencies.limits() ?? USUAL_LIMITS;
     this.#server.headersTimeout = headerMs;
     this.#server.requestTimeout = headerMs + 4 * idleMs;
     this.#server.keepAliveTimeout = idleMs;
@@ -72,11 +72,11 @@
     res.on('close', () => {
       this.#open -= 1;
     });
-    const limits = this.#gear.limits() ?? USUAL_LIMITS;
-    const port = new HttpPort(res, () => this.#gear.leaving());
+    const limits = this.#dependencies.limits() ?? USUAL_LIMITS;
+    const port = new HttpPort(res, () => this.#dependencies.leaving());
     const headerBytes = req.rawHeaders.reduce((sum, text) => sum + text.length + 2, (req.url ?? '').length + 12);
     if (headerBytes > limits.headerBytes) return port.end(431, fault('too-large', `headers of ${headerBytes} bytes`), true);
-    const id = one(req.headers[this.#gear.words.requestId]);
+    const id = one(req.headers[this.#dependencies.words.requestId]);
     if (id === undefined || id === '') return port.end(400, fault('bad-request', 'a request without an id'), true);
     if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes) return port.end(413, fault('too-large', 'the body is too large'), true);
     const parts: Buffer[] = [];
@@ -93,7 +93,7 @@
     req.on('error', () => undefined);
     req.on('end', () => {
       if (refused || !req.complete) return;
-      const leave = this.#gear.take(this.#ask(req, id, Buffer.concat(parts)), port);
+      const leave = this.#dependencies.take(this.#ask(req, id, Buffer.concat(parts)), port);
       res.on('close', () => {
         if (!res.writableFinished) leave();
       });
@@ -101,7 +101,7 @@
   }
 
   #ask(req: IncomingMessage, id: string, body: Buffer): Ask {
-    const { words } = this.#gear;
+    const { words } = this.#dependencies;
     const headers: Header[] = [];
     for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
       const name = req.rawHeaders[at] ?? '';
--- a/packages/mast/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -1,13 +1,13 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { createRequire } from 'node:module';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
-import { SPEAKS, type Entry } from '@rainrun/courier';
-import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/farm';
-import { UndiciSender, type EndRecord } from '@rainrun/gate';
-import { Edge, Hub, OBSERVE_MS } from '@rainrun/hub';
-import { Ledger } from '@rainrun/ledger';
-import type { Stage } from '@rainrun/marquee';
-import { fault, word, type Chance, type Clock, type Fault } from '@rainrun/nacelle';
+import { SPEAKS, type Entry } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/process-group';
+import { UndiciSender, type EndRecord } from '@rainrun/gateway';
+import { Edge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
+import { RecordStore } from '@rainrun/storage';
+import type { Stage } from '@rainrun/configuration';
+import { fault, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
 import { ServiceBroker, type Context, type ServiceSchema } from 'moleculer';
 import { pino, type Logger } from 'pino';
 import { Result, type Unit } from 'true-myth';
@@ -21,8 +21,8 @@
 
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
-const GROUP_BEAT_MS = 50;
-const GATE_BEAT_MS = 20;
+const GROUP_TICK_MS = 50;
+const GATE_TICK_MS = 20;
 const LIST_MS = 500;
 const COUNTERS_MS = 10_000;
 const SPEC_BODY = '3mb';
@@ -50,7 +50,7 @@
   #log: Logger;
   #broken: (why: Fault) => void;
   #wire: Wire;
-  #hub: Hub;
+  #clusterNode: ClusterNode;
   #edge: Edge | undefined;
   #sender = new UndiciSender();
   #door = new Door({ headersTimeout: HEADERS_MS, requestTimeout: 3 * HEADERS_MS, keepAliveTimeout: 65_000 });
@@ -67,12 +67,12 @@
     this.#settings = settings;
     this.#role = role;
     this.#log = log;
-    this.#wire = new Wire(settings.deployment, (frame) => this.#hub.receive(frame));
-    this.#hub = this.#makeHub(acceptor);
+    this.#wire = new Wire(settings.deployment, (frame) => this.#clusterNode.receive(frame));
+    this.#clusterNode = this.#makeClusterNode(acceptor);
     if (role === 'edge') this.#edge = this.#makeEdge();
     if (role === 'edge' && settings.recordFile !== '') this.#recorder = new Recorder(settings, CLOCK.nowMs());
     this.#operators = new Operators({
-      hub: this.#hub,
+      clusterNode: this.#clusterNode,
       chance: CHANCE,
       clock: CLOCK,
       counters: () => this.#counters(),
@@ -97,7 +97,7 @@
     this.#door.drain();
     const endMs = CLOCK.nowMs() + this.#settings.drainMs;
     while ((this.#edge?.gate.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
-    this.#hub.group.leave();
+    this.#clusterNode.group.leave();
     await pause(200);
     await this.#door.empty(Math.min(LINGER_MS, this.#settings.drainMs));
     for (const timer of this.#timers) clearInterval(timer);
@@ -109,9 +109,9 @@
     this.#wire.close();
   }
 
-  #makeHub(acceptor: Acceptor | undefined): Hub {
+  #makeClusterNode(acceptor: Acceptor | undefined): ClusterNode {
     const { name, zone, deployment, seeds, founders, bind, reach } = this.#settings;
-    return new Hub({
+    return new ClusterNode({
       name,
       zone,
       deployment,
@@ -131,13 +131,13 @@
       speaks: SPEAKS,
       question: (kind, text) => this.#operators.answer(kind, text),
       refused: (why) => this.#broken(fault('unbridged', why)),
-      reborn: (life) => this.#log.warn({ life }, 'dropped from the view, joining as new'),
+      reborn: (incarnation) => this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
     });
   }
 
   #makeEdge(): Edge {
     const { name, zone } = this.#settings;
-    const edge = new Edge(this.#hub, name, zone, CLOCK, CHANCE, this.#sender);
+    const edge = new Edge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
     edge.gate.on('ended', (record) => this.#remember(record));
     return edge;
   }
@@ -155,7 +155,7 @@
       const { epoch, number, members } = held.view;
       this.#log.info({ epoch, view: number, members: members.map((member) => member.name), version: held.number }, 'view');
     }
-    this.#edge?.gate.beat();
+    this.#edge?.gate.tick();
   }
 
   async #open(): Promise<Result<Unit, Fault>> {
@@ -169,14 +169,14 @@
       return Result.err(fault('bad-setting', `http ${this.#settings.http}: ${String(thrown)}`));
     }
     this.#timers.push(
-      setInterval(() => this.#hub.beat(), GROUP_BEAT_MS),
+      setInterval(() => this.#clusterNode.tick(), GROUP_TICK_MS),
       setInterval(() => void this.#list(), LIST_MS),
       setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
     );
     const edge = this.#edge;
     if (edge !== undefined) {
       this.#timers.push(
-        setInterval(() => edge.gate.beat(), GATE_BEAT_MS),
+        setInterval(() => edge.gate.tick(), GATE_TICK_MS),
         setInterval(() => edge.observe(), OBSERVE_MS),
       );
     }
@@ -192,7 +192,7 @@
     if (list.isOk) {
       if (this.#listFaults > 0) this.#log.info('the platform can be read again');
       this.#listFaults = 0;
-      this.#hub.learnList(list.value);
+      this.#clusterNode.learnList(list.value);
       this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
     } else {
       if (this.#listFaults === 0) this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
@@ -201,7 +201,7 @@
   }
 
   #counters(): Record<string, number> {
-    const { group } = this.#hub;
+    const { group } = this.#clusterNode;
     const { user, system } = process.cpuUsage();
     return {
       ...this.#edge?.gate.counts,
@@ -336,16 +336,16 @@
 }
 
 async function openDisk(settings: Settings, broken: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
-  const opened = await Ledger.open(settings.folder);
+  const opened = await RecordStore.open(settings.folder);
   if (opened.isErr) return Result.err(opened.error);
-  const { ledger, records } = opened.value;
-  const opening = readRecords(records, word(CHANCE));
+  const { recordStore, records } = opened.value;
+  const opening = readRecords(records, randomId(CHANCE));
   if (opening.isErr) return Result.err(opening.error);
   const { deployment } = opening.value;
   if (deployment !== '' && deployment !== settings.deployment) {
     return Result.err(fault('foreign', `${settings.folder} belongs to deployment "${deployment}", not "${settings.deployment}"`));
   }
-  const acceptor = new Acceptor(opening.value, ledger, settings.deployment, broken);
+  const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, broken);
   if (records.disk === undefined) acceptor.mark();
   return Result.ok(acceptor);
 }
--- a/packages/mast/src/operators.ts
+++ b/packages/runtime/src/operators.ts
@@ -1,10 +1,10 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import type { Answer, Seat } from '@rainrun/courier';
-import type { EndRecord } from '@rainrun/gate';
-import type { Hub } from '@rainrun/hub';
-import { REMEMBERED_MOST } from '@rainrun/farm';
-import { isEdit, readEdit, readSpec } from '@rainrun/marquee';
-import { ANSWERS, isFaultKind, word, type Chance, type Clock, type FaultKind } from '@rainrun/nacelle';
+import type { Answer, Seat } from '@rainrun/messages';
+import type { EndRecord } from '@rainrun/gateway';
+import type { ClusterNode } from '@rainrun/cluster-node';
+import { REMEMBERED_MOST } from '@rainrun/process-group';
+import { isEdit, readEdit, readSpec } from '@rainrun/configuration';
+import { ANSWERS, isFaultKind, randomId, type Chance, type Clock, type FaultKind } from '@rainrun/common';
 
 /** An answer to an operator. */
 export interface OperatorReply {
@@ -18,8 +18,8 @@
 const OPERATION_ID = /^[A-Za-z0-9._-]{1,64}$/;
 
 /** What the operators' side needs of a node. */
-export interface OperatorGear {
-  readonly hub: Hub;
+export interface OperatorDependencies {
+  readonly clusterNode: ClusterNode;
   readonly chance: Chance;
   readonly clock: Clock;
   counters(): Record<string, number>;
@@ -40,14 +40,14 @@
 /**
  * What operators may ask and order. Every node answers the same.
  * @example
- * const operators = new Operators(gear);
+ * const operators = new Operators(dependencies);
  * const reply = await operators.submit('zone.empty', { zone: 'north' }, '');
  */
 export class Operators {
-  #gear: OperatorGear;
+  #dependencies: OperatorDependencies;
 
-  constructor(gear: OperatorGear) {
-    this.#gear = gear;
+  constructor(dependencies: OperatorDependencies) {
+    this.#dependencies = dependencies;
   }
 
   /**
@@ -61,44 +61,44 @@
   }
 
   async #informed(): Promise<boolean> {
-    const { group } = this.#gear.hub;
-    const askedMs = this.#gear.clock.nowMs();
+    const { group } = this.#dependencies.clusterNode;
+    const askedMs = this.#dependencies.clock.nowMs();
     while (group.informedMs() < askedMs) {
-      if (group.view === undefined || this.#gear.clock.nowMs() - askedMs > FRESH_WAIT_MS) return false;
+      if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > FRESH_WAIT_MS) return false;
       await pause(POLL_MS);
     }
     return true;
   }
 
   view(): OperatorReply {
-    const { group } = this.#gear.hub;
+    const { group } = this.#dependencies.clusterNode;
     const held = group.held;
     return {
       status: 200,
       body: {
         disk: group.seat.disk,
-        self: { name: group.seat.name, life: group.seat.life, zone: group.seat.zone },
+        self: { name: group.seat.name, incarnation: group.seat.incarnation, zone: group.seat.zone },
         admitting: group.granted(),
-        coordinator: held?.view.members.find((member) => member.life === group.coordinatorLife)?.name ?? null,
+        coordinator: held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ?? null,
         epoch: group.epoch,
         number: held?.number ?? 0,
         level: held?.level ?? 0,
         agreed: group.agreed,
         view: group.view === undefined ? null : { epoch: group.view.epoch, number: group.view.number },
         members: (group.view?.members ?? []).map(({ name, zone, address, disk, speaks }) => ({ name, zone, address, core: disk !== '', speaks: Math.max(1, speaks) })),
-        electors: (held?.electors ?? []).map(({ name, disk }) => ({ name, disk })),
+        voters: (held?.voters ?? []).map(({ name, disk }) => ({ name, disk })),
       },
     };
   }
 
   spec(): OperatorReply {
-    const record = this.#gear.hub.stage.spec;
+    const record = this.#dependencies.clusterNode.stage.spec;
     if (record === undefined) return failure('not-found', 'no spec has been agreed yet');
     return { status: 200, body: { version: record.version, operation: record.operation, text: record.text } };
   }
 
   history(): OperatorReply {
-    return { status: 200, body: { history: this.#gear.hub.stage.history } };
+    return { status: 200, body: { history: this.#dependencies.clusterNode.stage.history } };
   }
 
   check(text: string): OperatorReply {
@@ -109,11 +109,11 @@
 
   /** How an operation ended; one that is chosen and not yet agreed is waited for a little. */
   async operation(id: string): Promise<OperatorReply> {
-    const { group } = this.#gear.hub;
+    const { group } = this.#dependencies.clusterNode;
     await this.#informed();
-    const endMs = this.#gear.clock.nowMs() + FRESH_WAIT_MS;
+    const endMs = this.#dependencies.clock.nowMs() + FRESH_WAIT_MS;
     while (group.held?.answers.some((answer) => answer.id === id) === true && group.ask(id) === undefined) {
-      if (this.#gear.clock.nowMs() > endMs) return failure('operation-unknown', 'not known to be agreed yet; ask again', { id });
+      if (this.#dependencies.clock.nowMs() > endMs) return failure('operation-unknown', 'not known to be agreed yet; ask again', { id });
       await pause(POLL_MS);
     }
     const answer = group.ask(id);
@@ -121,30 +121,30 @@
   }
 
   zones(): OperatorReply {
-    const { stage } = this.#gear.hub;
+    const { stage } = this.#dependencies.clusterNode;
     const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({ zone, emptied: stage.emptied.includes(zone) }));
     return { status: 200, body: { zones } };
   }
 
   #workers(): OperatorReply {
-    const { hub } = this.#gear;
-    const workers = hub.workers().map((worker) => ({
+    const { clusterNode } = this.#dependencies;
+    const workers = clusterNode.workers().map((worker) => ({
       name: worker.name,
       address: worker.address,
       zone: worker.zone,
       kind: worker.kind,
       pool: worker.pool,
       status: worker.leaving ? 'leaving' : worker.emptied ? 'emptied' : worker.reachable ? 'ready' : 'unreached',
-      target: hub.stage.placement[worker.name] ?? [],
+      target: clusterNode.stage.placement[worker.name] ?? [],
       holdings: worker.holdings,
     }));
     return { status: 200, body: { workers } };
   }
 
   #groups(): OperatorReply {
-    const { hub } = this.#gear;
-    const measured = hub.groups;
-    const groups = (hub.stage.spec?.spec.groups ?? []).flatMap((group) =>
+    const { clusterNode } = this.#dependencies;
+    const measured = clusterNode.groups;
+    const groups = (clusterNode.stage.spec?.spec.groups ?? []).flatMap((group) =>
       group.kinds.map((kind) => {
         const picture = measured.find((known) => known.group === group.name && known.kind === kind.name);
         const { served = 0, refused = 0, prompt = 0, waitMs = 0, inFlight = 0, backlog = 0 } = picture ?? {};
@@ -167,47 +167,47 @@
 
   metrics(): string {
     const lines: string[] = [];
-    for (const [name, value] of Object.entries(this.#gear.counters())) {
+    for (const [name, value] of Object.entries(this.#dependencies.counters())) {
       lines.push(`rainrun_${name.replace(/[^A-Za-z0-9]/g, '_')} ${value}`);
     }
     return `${lines.join('\n')}\n`;
   }
 
   ready(): OperatorReply {
-    const admitting = this.#gear.hub.group.granted() && this.#gear.hub.stage.spec !== undefined;
+    const admitting = this.#dependencies.clusterNode.group.granted() && this.#dependencies.clusterNode.stage.spec !== undefined;
     return { status: admitting ? 200 : 503, body: { admitting } };
   }
 
   #explain(id: string): OperatorReply {
-    const record = this.#gear.explain(id);
-    const { name } = this.#gear.hub.group.seat;
+    const record = this.#dependencies.explain(id);
+    const { name } = this.#dependencies.clusterNode.group.seat;
     return record === undefined ? failure('not-found', `${name} does not remember request ${id}`) : { status: 200, body: { edge: name, ...record } };
   }
 
   #explainModel(model: string): OperatorReply {
-    const { hub } = this.#gear;
-    if (hub.stage.spec?.spec.models.some((known) => known.name === model) !== true) return failure('not-found', `no model "${model}" in the spec`);
-    const copies = Object.entries(hub.stage.placement)
+    const { clusterNode } = this.#dependencies;
+    if (clusterNode.stage.spec?.spec.models.some((known) => known.name === model) !== true) return failure('not-found', `no model "${model}" in the spec`);
+    const copies = Object.entries(clusterNode.stage.placement)
       .filter(([, holdings]) => holdings.some((holding) => holding.model === model))
       .map(([worker]) => worker);
-    return { status: 200, body: { model, copies, reason: hub.reason(model) ?? 'decided before the present coordinator led', placedBy: hub.stage.placedBy } };
+    return { status: 200, body: { model, copies, reason: clusterNode.reason(model) ?? 'decided before the present coordinator led', placedBy: clusterNode.stage.placedBy } };
   }
 
   #forget(name: string): OperatorReply {
-    if (this.#gear.hub.group.forget(name)) return { status: 200, body: { outcome: 'noted', name } };
-    return failure('conflict', `${this.#gear.hub.group.seat.name} coordinates no more; ask again`);
+    if (this.#dependencies.clusterNode.group.forget(name)) return { status: 200, body: { outcome: 'noted', name } };
+    return failure('conflict', `${this.#dependencies.clusterNode.group.seat.name} coordinates no more; ask again`);
   }
 
   #status(): OperatorReply {
-    const { group } = this.#gear.hub;
-    const { inFlight = 0, backlog = 0 } = this.#gear.counters();
+    const { group } = this.#dependencies.clusterNode;
+    const { inFlight = 0, backlog = 0 } = this.#dependencies.counters();
     const { name, zone } = group.seat;
     const shared = { admitting: group.granted(), leading: group.leading, epoch: group.epoch, number: group.held?.number ?? 0 };
     return { status: 200, body: { node: name, zone, ...shared, view: group.view?.number ?? 0, level: group.held?.level ?? 0, inFlight, backlog } };
   }
 
   #counters(): OperatorReply {
-    return { status: 200, body: { node: this.#gear.hub.group.seat.name, ...this.#gear.counters() } };
+    return { status: 200, body: { node: this.#dependencies.clusterNode.group.seat.name, ...this.#dependencies.counters() } };
   }
 
   /** Answers a question for the node at which an operator asked it. */
@@ -232,20 +232,20 @@
     }
   }
 
-  #ask(life: string, kind: string, text: string): Promise<OperatorReply | undefined> {
-    const { hub } = this.#gear;
-    if (life === hub.group.seat.life) return Promise.resolve(this.answer(kind, text));
-    return new Promise((resolve) => hub.ask(life, kind, text, resolve));
+  #ask(incarnation: string, kind: string, text: string): Promise<OperatorReply | undefined> {
+    const { clusterNode } = this.#dependencies;
+    if (incarnation === clusterNode.group.seat.incarnation) return Promise.resolve(this.answer(kind, text));
+    return new Promise((resolve) => clusterNode.ask(incarnation, kind, text, resolve));
   }
 
   /** What the coordinator knows; it hears every measure and decides every placement. */
   async fromCoordinator(kind: string, text: string): Promise<OperatorReply> {
     await this.#informed();
-    const { group } = this.#gear.hub;
-    const life = group.coordinatorLife;
-    const name = group.view?.members.find((member) => member.life === life)?.name ?? '';
-    if (life === undefined) return failure('unreached', 'no coordinator can be reached from here, and only it knows');
-    return (await this.#ask(life, kind, text)) ?? failure('unreached', `${name} coordinates, and did not answer`);
+    const { group } = this.#dependencies.clusterNode;
+    const incarnation = group.coordinatorIncarnation;
+    const name = group.view?.members.find((member) => member.incarnation === incarnation)?.name ?? '';
+    if (incarnation === undefined) return failure('unreached', 'no coordinator can be reached from here, and only it knows');
+    return (await this.#ask(incarnation, kind, text)) ?? failure('unreached', `${name} coordinates, and did not answer`);
   }
 
   /** What the edge knows that a request came to: its name stands before the dot in the id. */
@@ -254,22 +254,22 @@
     const member = this.#member(name);
     if (name === '') return failure('bad-request', `"${id}" is no id of a request: EDGE.WORD`);
     if (member === undefined) return failure('unreached', `${name} is not in the view, and only it knows`);
-    return (await this.#ask(member.life, 'explain', id)) ?? failure('unreached', `${name} did not answer, and only it knows`);
+    return (await this.#ask(member.incarnation, 'explain', id)) ?? failure('unreached', `${name} did not answer, and only it knows`);
   }
 
   /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
   async rows(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
-    const members = this.#gear.hub.group.view?.members ?? [this.#gear.hub.group.seat];
+    const members = this.#dependencies.clusterNode.group.view?.members ?? [this.#dependencies.clusterNode.group.seat];
     const asked = name === '' ? members : members.filter((member) => member.name === name);
     if (asked.length === 0) return failure('not-found', `${name} is not in the view`);
     const rows = await Promise.all(
-      asked.map(async (member) => (await this.#ask(member.life, kind, ''))?.body ?? { node: member.name, error: 'did not answer' }),
+      asked.map(async (member) => (await this.#ask(member.incarnation, kind, ''))?.body ?? { node: member.name, error: 'did not answer' }),
     );
     return { status: 200, body: { [kind]: rows } };
   }
 
   #member(name: string): Seat | undefined {
-    return this.#gear.hub.group.view?.members.find((member) => member.name === name);
+    return this.#dependencies.clusterNode.group.view?.members.find((member) => member.name === name);
   }
 
   /**
@@ -293,19 +293,19 @@
   /** The version in force now, all that was agreed before the question included. */
   async #newest(): Promise<number> {
     await this.#informed();
-    return this.#gear.hub.stage.spec?.version ?? 0;
+    return this.#dependencies.clusterNode.stage.spec?.version ?? 0;
   }
 
   /** Submits an operation and waits a while for the agreed answer. */
   submit(kind: string, data: unknown, wishedId: string): Promise<OperatorReply> {
     if (wishedId !== '' && !OPERATION_ID.test(wishedId)) return Promise.resolve(failure('bad-request', 'the operation id is not a word of up to 64 letters'));
-    if (this.#gear.hub.group.full) {
+    if (this.#dependencies.clusterNode.group.full) {
       return Promise.resolve(failure('over-share', `${REMEMBERED_MOST} operations were answered in the last ten minutes; nothing was sent`));
     }
-    const id = wishedId === '' ? word(this.#gear.chance) : wishedId;
+    const id = wishedId === '' ? randomId(this.#dependencies.chance) : wishedId;
     return new Promise((resolve) => {
       const timer = setTimeout(() => resolve(failure('operation-unknown', 'not known to be agreed yet; ask by id', { id })), ANSWER_WAIT_MS);
-      const sent = this.#gear.hub.submit(id, kind, JSON.stringify(data), (answer) => {
+      const sent = this.#dependencies.clusterNode.submit(id, kind, JSON.stringify(data), (answer) => {
         clearTimeout(timer);
         resolve(decided(answer));
       });
--- a/packages/mast/src/platform.ts
+++ b/packages/runtime/src/platform.ts
@@ -1,8 +1,8 @@
 import { readFile } from 'node:fs/promises';
 import { create } from '@bufbuild/protobuf';
-import { WorkerListSchema, type WorkerList } from '@rainrun/courier';
-import { fault, type Fault } from '@rainrun/nacelle';
-import type { Order, OrderReply } from '@rainrun/yaw';
+import { WorkerListSchema, type WorkerList } from '@rainrun/messages';
+import { fault, type Fault } from '@rainrun/common';
+import type { Order, OrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
 import * as v from 'valibot';
--- a/packages/mast/src/program.ts
+++ b/packages/runtime/src/program.ts
@@ -55,7 +55,7 @@
 /**
  * Runs one of the daemons: settings, node, signals.
  * @example
- * await runProgram('turnstile', 'edge', import.meta);
+ * await runProgram('edge', 'edge', import.meta);
  */
 export async function runProgram(program: string, role: Role, importMeta: ImportMeta): Promise<void> {
   const cli = meow(HELP.replace('PROGRAM', program) + (role === 'core' ? CORE_HELP : ''), {
--- a/packages/mast/src/recorder.ts
+++ b/packages/runtime/src/recorder.ts
@@ -1,6 +1,6 @@
 import { createWriteStream, type WriteStream } from 'node:fs';
-import type { EndRecord } from '@rainrun/gate';
-import { callLine, headLine, type Call } from '@rainrun/playbill';
+import type { EndRecord } from '@rainrun/gateway';
+import { callLine, headLine, type Call } from '@rainrun/workloads';
 import * as v from 'valibot';
 
 const PromptSchema = v.object({ messages: v.array(v.object({ content: v.string() })) });
--- a/packages/mast/src/mast.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -3,7 +3,7 @@
 import { createConnection } from 'node:net';
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { ByeSchema, FrameSchema, pack, WIRE, type Frame } from '@rainrun/courier';
+import { ByeSchema, FrameSchema, pack, WIRE, type Frame } from '@rainrun/messages';
 import { expect } from 'earl';
 import { Door } from './door.js';
 import { readSettings } from './settings.js';
--- a/packages/mast/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from 'node:fs';
 import { isIPv4 } from 'node:net';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
--- a/packages/mast/src/system.ts
+++ b/packages/runtime/src/system.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { pino } from 'pino';
 import { tryOrElse } from 'true-myth/result';
 import { CoreNode } from './core-node.js';
--- a/packages/mast/src/visitors.ts
+++ b/packages/runtime/src/visitors.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Ask, Gate, VisitorPort } from '@rainrun/gate';
-import { ANSWERS, fault, hashText, word, type Chance, type Fault } from '@rainrun/nacelle';
+import type { Ask, Gate, VisitorPort } from '@rainrun/gateway';
+import { ANSWERS, fault, hashText, randomId, type Chance, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 
@@ -108,7 +108,7 @@
  * visit(gate, 'edge-1', chance, req, res);
  */
 export function visit(gate: Gate, edge: string, chance: Chance, req: VisitorRequest, res: ServerResponse): void {
-  const id = `${edge}.${word(chance)}`;
+  const id = `${edge}.${randomId(chance)}`;
   const ask = readAsk(req, id);
   if (ask.isErr) return sendFault(res, ask.error, id);
   const leave = gate.grantEntry(ask.value, new HttpPort(res, id));
--- a/packages/mast/src/wire.ts
+++ b/packages/runtime/src/wire.ts
@@ -1,6 +1,6 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
-import { FRAME_MAX_BYTES, pack, unpack, type Frame } from '@rainrun/courier';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { FRAME_MAX_BYTES, pack, unpack, type Frame } from '@rainrun/messages';
+import { fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
 const BACKLOG_MAX_BYTES = 16 * 1024 * 1024;
@@ -34,7 +34,7 @@
  * owns its sockets; what cannot be sent now is dropped, as the channels above
  * expect of a network.
  * @example
- * const wire = new Wire('vejsargs', (frame) => hub.receive(frame));
+ * const wire = new Wire('vejsargs', (frame) => clusterNode.receive(frame));
  * await wire.listen('127.0.0.1:7001');
  */
 export class Wire {
--- a/packages/park/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -1,7 +1,7 @@
 import meow from 'meow';
-import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Call, type Shape } from '@rainrun/playbill';
-import { LOOP_SETTINGS } from '@rainrun/hub';
-import { PLACE_SETTINGS } from '@rainrun/yaw';
+import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
+import { LOOP_SETTINGS } from '@rainrun/cluster-node';
+import { PLACE_SETTINGS } from '@rainrun/placement';
 import { playMatinee, PREFILL_MS_PER_CHAR, type Matinee, type MatineeSeen } from './matinee.js';
 import type { SiteLoops } from './site.js';
 
@@ -10,10 +10,10 @@
   Fairness and placement in the simulator, at the size of a deployment.
 
   Usage
-    $ node packages/park/dist/figures.js fairness --shape vejsargs   each group floods in turn
-    $ node packages/park/dist/figures.js shift --shape malabon       the demand moves to other models
-    $ node packages/park/dist/figures.js cold --shape malabon        every model is asked for at once
-    $ node packages/park/dist/figures.js affinity --shape vejsargs   what kept prefixes save
+    $ node packages/simulator/dist/figures.js fairness --shape vejsargs   each group floods in turn
+    $ node packages/simulator/dist/figures.js shift --shape malabon       the demand moves to other models
+    $ node packages/simulator/dist/figures.js cold --shape malabon        every model is asked for at once
+    $ node packages/simulator/dist/figures.js affinity --shape vejsargs   what kept prefixes save
 
   Options
     --shape     vejsargs, malabon or small   (default vejsargs)
--- a/packages/park/src/garble.test.ts
+++ b/packages/simulator/src/garble.test.ts
@@ -1,6 +1,6 @@
 import { it } from 'node:test';
-import { pack, unpack } from '@rainrun/courier';
-import { Dice } from '@rainrun/nacelle';
+import { pack, unpack } from '@rainrun/messages';
+import { Dice } from '@rainrun/common';
 import { expect } from 'earl';
 import { SITES, trialSpec } from './trial.js';
 import { Site } from './site.js';
@@ -25,8 +25,8 @@
     if (frame.isErr) continue;
     taken += 1;
     for (const machine of [core, edge]) {
-      machine?.running?.hub.receive({ ...frame.value, to: machine.running.hub.group.seat.life });
-      machine?.running?.hub.beat();
+      machine?.running?.clusterNode.receive({ ...frame.value, to: machine.running.clusterNode.group.seat.incarnation });
+      machine?.running?.clusterNode.tick();
     }
   }
   expect(taken).toBeGreaterThan(300);
--- a/packages/park/src/grounds.ts
+++ b/packages/simulator/src/grounds.ts
@@ -1,6 +1,6 @@
-import type { HoldingTarget, Spec } from '@rainrun/marquee';
-import { fault, type Chance, type Fault } from '@rainrun/nacelle';
-import type { Order, OrderReply } from '@rainrun/yaw';
+import type { HoldingTarget, Spec } from '@rainrun/configuration';
+import { fault, type Chance, type Fault } from '@rainrun/common';
+import type { Order, OrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import type { Oracle } from './oracle.js';
 import type { VirtualTime } from './world.js';
--- a/packages/park/src/lines.ts
+++ b/packages/simulator/src/lines.ts
@@ -1,4 +1,4 @@
-import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gate';
+import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gateway';
 import type { Grounds, SimWorker, WorkerLine } from './grounds.js';
 
 /** The edge process that a sender belongs to: runs an act there, when it is awake, or never if it has died. */
--- a/packages/park/src/matinee.ts
+++ b/packages/simulator/src/matinee.ts
@@ -1,5 +1,5 @@
-import { exampleSpec, type Call, type Shape } from '@rainrun/playbill';
-import { hashText } from '@rainrun/nacelle';
+import { exampleSpec, type Call, type Shape } from '@rainrun/workloads';
+import { hashText } from '@rainrun/common';
 import { Site, type SiteLoops } from './site.js';
 
 /** How one call of a day ended in the simulator. */
--- a/packages/park/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { ViewSchema } from '@rainrun/courier';
-import type { Held } from '@rainrun/farm';
-import { applyToStage, EMPTY_STAGE, type Stage } from '@rainrun/marquee';
+import { ViewSchema } from '@rainrun/messages';
+import type { Held } from '@rainrun/process-group';
+import { applyToStage, EMPTY_STAGE, type Stage } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { Oracle } from './oracle.js';
 import { SITES, runTrial, trialSpec } from './trial.js';
@@ -15,7 +15,7 @@
     deployment: 'park',
     view: create(ViewSchema, { epoch: 1, number: view, members: [] }),
     before: undefined,
-    electors: [],
+    voters: [],
     play: { ...EMPTY_STAGE, emptied },
     answers: [],
     level: 2,
@@ -44,9 +44,9 @@
 
   it('same casts in a view', () => {
     const oracle = new Oracle();
-    for (const life of ['a', 'b']) oracle.enter(life, 1);
+    for (const incarnation of ['a', 'b']) oracle.enter(incarnation, 1);
     oracle.cast('a', 1, 'c', 1, {}, 0);
-    for (const life of ['a', 'b']) oracle.version(life, held(2, [], 2), false, 0);
+    for (const incarnation of ['a', 'b']) oracle.version(incarnation, held(2, [], 2), false, 0);
     expect(rules(oracle)).toEqual(['same casts in a view']);
   });
 
--- a/packages/park/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -1,8 +1,8 @@
-import { hashText } from '@rainrun/nacelle';
+import { hashText } from '@rainrun/common';
 import type { Piece } from './visitor.js';
-import { toVersion, type Held, type Play } from '@rainrun/farm';
-import { EMPTY_STAGE, encodeStage, type Stage } from '@rainrun/marquee';
-import { EntrySchema, StateSchema } from '@rainrun/courier';
+import { toVersion, type Held, type Play } from '@rainrun/process-group';
+import { EMPTY_STAGE, encodeStage, type Stage } from '@rainrun/configuration';
+import { EntrySchema, StateSchema } from '@rainrun/messages';
 import { create, toBinary } from '@bufbuild/protobuf';
 
 /** Something that must never happen and did. */
@@ -69,7 +69,7 @@
  * Watches every node from outside and checks the invariants at every step.
  * It knows nothing of how the nodes do it.
  * @example
- * oracle.version('core-a', 'life-1', held, true, nowMs);
+ * oracle.version('core-a', 'incarnation-1', held, true, nowMs);
  * oracle.breaches; // empty while all is well
  */
 export class Oracle {
@@ -107,24 +107,24 @@
   }
 
   /** A version came into force; `whole` when it came by state transfer. */
-  version(life: string, held: Held<Stage>, whole: boolean, atMs: number): void {
+  version(incarnation: string, held: Held<Stage>, whole: boolean, atMs: number): void {
     this.versions += 1;
     const { number } = held;
     const digest = digestOf(held);
     const known = this.#digests.get(number);
-    if (known === undefined) this.#digests.set(number, { digest, by: life });
+    if (known === undefined) this.#digests.set(number, { digest, by: incarnation });
     else if (known.digest !== digest) {
-      this.breach('one history', `version ${number} is ${known.digest} at ${known.by} and ${digest} at ${life}`, atMs);
+      this.breach('one history', `version ${number} is ${known.digest} at ${known.by} and ${digest} at ${incarnation}`, atMs);
     }
-    const before = this.#newest.get(life) ?? 0;
-    if (number <= before) this.breach('versions never go back', `${life} went from ${before} to ${number}`, atMs);
-    this.#newest.set(life, number);
+    const before = this.#newest.get(incarnation) ?? 0;
+    if (number <= before) this.breach('versions never go back', `${incarnation} went from ${before} to ${number}`, atMs);
+    this.#newest.set(incarnation, number);
     this.#judgeMarks(held, atMs);
     for (const [zone, emptied] of this.#emptiedMs) {
       if (number > emptied.number && !held.play.emptied.includes(zone)) this.#emptiedMs.delete(zone);
     }
-    if (!whole) this.#closeViews(life, held.view.number, atMs);
-    this.#judgeEarly(life, held);
+    if (!whole) this.#closeViews(incarnation, held.view.number, atMs);
+    this.#judgeEarly(incarnation, held);
   }
 
   /** An operator asks for an edit of an entry: until it is answered, nobody can say what stands there. */
@@ -233,55 +233,55 @@
     if (this.#pulls.length > perMinute) this.breach('the store is not asked too often', `${this.#pulls.length} pulls in a minute`, atMs);
   }
 
-  #judgeEarly(life: string, held: Held<Stage>): void {
-    const members = new Set(held.view.members.map((member) => member.life));
-    for (const { view, other, detail, atMs } of this.#early.get(life) ?? []) {
+  #judgeEarly(incarnation: string, held: Held<Stage>): void {
+    const members = new Set(held.view.members.map((member) => member.incarnation));
+    for (const { view, other, detail, atMs } of this.#early.get(incarnation) ?? []) {
       if (held.view.number === view || members.has(other)) this.breach('causal order', detail, atMs);
     }
-    this.#early.delete(life);
+    this.#early.delete(incarnation);
   }
 
-  #closeViews(life: string, viewNumber: number, atMs: number): void {
-    for (const [view, note] of this.#open.get(life) ?? []) {
+  #closeViews(incarnation: string, viewNumber: number, atMs: number): void {
+    for (const [view, note] of this.#open.get(incarnation) ?? []) {
       if (view >= viewNumber) continue;
-      this.#open.get(life)?.delete(view);
+      this.#open.get(incarnation)?.delete(view);
       const casts = [...note.casts].sort().join(' ');
       const known = this.#cutSets.get(view);
-      if (known === undefined) this.#cutSets.set(view, { casts, by: life });
+      if (known === undefined) this.#cutSets.set(view, { casts, by: incarnation });
       else if (known.casts !== casts) {
-        this.breach('same casts in a view', `view ${view} ended differently at ${known.by} and ${life}`, atMs);
+        this.breach('same casts in a view', `view ${view} ended differently at ${known.by} and ${incarnation}`, atMs);
       }
     }
   }
 
-  /** Opens a view at a life, so that an empty set counts too. */
-  enter(life: string, view: number): void {
-    const views = this.#open.get(life) ?? new Map<number, ViewNote>();
-    this.#open.set(life, views);
+  /** Opens a view at a incarnation, so that an empty set counts too. */
+  enter(incarnation: string, view: number): void {
+    const views = this.#open.get(incarnation) ?? new Map<number, ViewNote>();
+    this.#open.set(incarnation, views);
     if (!views.has(view)) {
       views.set(view, { casts: [] });
-      this.#counts.set(life, new Map());
+      this.#counts.set(incarnation, new Map());
     }
   }
 
   /** The context a sender should write into its payload: what it has delivered in this view. */
-  contextOf(life: string): Record<string, number> {
-    return Object.fromEntries(this.#counts.get(life) ?? []);
+  contextOf(incarnation: string): Record<string, number> {
+    return Object.fromEntries(this.#counts.get(incarnation) ?? []);
   }
 
-  cast(life: string, view: number, sender: string, sequence: number, context: Record<string, number>, atMs: number): void {
+  cast(incarnation: string, view: number, sender: string, sequence: number, context: Record<string, number>, atMs: number): void {
     this.casts += 1;
-    const counts = this.#counts.get(life) ?? new Map<string, number>();
+    const counts = this.#counts.get(incarnation) ?? new Map<string, number>();
     for (const [other, count] of Object.entries(context)) {
       if ((counts.get(other) ?? 0) < count) {
-        const detail = `${life} delivered ${sender}:${sequence} before ${other}:${count}`;
-        this.#early.set(life, [...(this.#early.get(life) ?? []), { view, other, detail, atMs }]);
+        const detail = `${incarnation} delivered ${sender}:${sequence} before ${other}:${count}`;
+        this.#early.set(incarnation, [...(this.#early.get(incarnation) ?? []), { view, other, detail, atMs }]);
       }
     }
-    if ((counts.get(sender) ?? 0) >= sequence) this.breach('once each', `${life} delivered ${sender}:${sequence} again`, atMs);
+    if ((counts.get(sender) ?? 0) >= sequence) this.breach('once each', `${incarnation} delivered ${sender}:${sequence} again`, atMs);
     counts.set(sender, sequence);
-    this.#counts.set(life, counts);
-    this.#open.get(life)?.get(view)?.casts.push(`${sender}:${sequence}`);
+    this.#counts.set(incarnation, counts);
+    this.#open.get(incarnation)?.get(view)?.casts.push(`${sender}:${sequence}`);
   }
 
   /** An operator was told. */
@@ -296,10 +296,10 @@
   }
 
   /** A node admits a visitor now. */
-  admits(life: string, number: number, atMs: number): void {
+  admits(incarnation: string, number: number, atMs: number): void {
     for (const agreed of this.#agreed) {
       if (agreed.number > number && atMs > agreed.atMs + IN_FORCE_MS) {
-        this.breach('in force within 2 s', `${life} admits at ${number}, ${agreed.number} was agreed at ${agreed.atMs.toFixed(0)}`, atMs);
+        this.breach('in force within 2 s', `${incarnation} admits at ${number}, ${agreed.number} was agreed at ${agreed.atMs.toFixed(0)}`, atMs);
       }
     }
     this.#agreed = this.#agreed.slice(-8);
--- a/packages/park/src/scale.ts
+++ b/packages/simulator/src/scale.ts
@@ -3,11 +3,11 @@
 
 const cli = meow(
   `
-  What the group costs by its size, in the simulator, quiet but for beats and the
+  What the group costs by its size, in the simulator, quiet but for heartbeats and the
   observations that each edge casts twice a second.
 
   Usage
-    $ node packages/park/dist/scale.js --sizes 12,24,48
+    $ node packages/simulator/dist/scale.js --sizes 12,24,48
 `,
   { importMeta: import.meta, flags: { sizes: { type: 'string', default: '12,24,48' } } },
 );
@@ -18,7 +18,7 @@
   const beganMs = site.time.nowMs();
   while (site.time.nowMs() < endMs) {
     site.time.runUntil(site.time.nowMs() + 10);
-    const views = site.machines.flatMap((machine) => machine.running?.hub.group.view ?? []);
+    const views = site.machines.flatMap((machine) => machine.running?.clusterNode.group.view ?? []);
     if (views.length === nodes && views.every((view) => view.members.length === nodes)) break;
   }
   return site.time.nowMs() - beganMs;
--- a/packages/park/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -1,4 +1,4 @@
-import { SPEAKS, type Speaks } from '@rainrun/courier';
+import { SPEAKS, type Speaks } from '@rainrun/messages';
 import type { SimMood, SimWorker } from './grounds.js';
 import type { Site, Machine } from './site.js';
 import type { Cut } from './world.js';
@@ -62,7 +62,7 @@
         return undefined;
       case 'add':
         return this.#submitted(
-          this.#site.submit(machine, 'spec.edit', { seen: machine.running?.hub.stage.spec?.version ?? 0, edit: { add: { zones: [word] } } }),
+          this.#site.submit(machine, 'spec.edit', { seen: machine.running?.clusterNode.stage.spec?.version ?? 0, edit: { add: { zones: [word] } } }),
         );
       case 'kill':
         this.#site.kill(machine);
@@ -98,7 +98,7 @@
       case 'ask':
         return this.#visit(machine, false, Number(word));
       case 'leave':
-        machine.running?.hub.group.leave();
+        machine.running?.clusterNode.group.leave();
         return undefined;
       case 'put':
         return this.#submitted(this.#site.submit(machine, 'spec.put', { base: Number(word), text: JSON.stringify(trialSpec(0)) }));
@@ -166,10 +166,10 @@
 
 function see(machine: Machine, text: string): string | undefined {
   const [what = '', word = ''] = text.split(' ');
-  const hub = machine.running?.hub;
-  if (what === 'down') return hub === undefined ? undefined : 'runs';
-  if (hub === undefined) return 'does not run';
-  const { group, stage } = hub;
+  const clusterNode = machine.running?.clusterNode;
+  if (what === 'down') return clusterNode === undefined ? undefined : 'runs';
+  if (clusterNode === undefined) return 'does not run';
+  const { group, stage } = clusterNode;
   const seen: Record<string, string | number> = {
     leads: String(group.leading),
     follows: String(!group.leading),
@@ -180,7 +180,7 @@
     emptied: stage.emptied.join('+'),
     level: group.held?.level ?? 0,
     zones: stage.spec?.spec.zones.length ?? 0,
-    electors: (group.held?.electors ?? []).filter((elector) => group.view?.members.some((member) => member.disk === elector.disk)).length,
+    voters: (group.held?.voters ?? []).filter((voter) => group.view?.members.some((member) => member.disk === voter.disk)).length,
   };
   const wanted = word === '' ? 'true' : word;
   const found = seen[what];
--- a/packages/park/src/seeds.ts
+++ b/packages/simulator/src/seeds.ts
@@ -6,7 +6,7 @@
   Runs the simulator over a row of seeds.
 
   Usage
-    $ node packages/park/dist/seeds.js --from 1 --count 100
+    $ node packages/simulator/dist/seeds.js --from 1 --count 100
 
   Options
     --from    first seed (default 1)
--- a/packages/park/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -7,13 +7,13 @@
   type Frame,
   type Speaks,
   type WorkerList,
-} from '@rainrun/courier';
-import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/farm';
-import type { Ask } from '@rainrun/gate';
-import { Edge, Hub } from '@rainrun/hub';
-import type { Spec, Stage } from '@rainrun/marquee';
-import { Dice, word, type Fault } from '@rainrun/nacelle';
-import type { LoopSettings, Order, OrderReply, PlaceSettings } from '@rainrun/yaw';
+} from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/process-group';
+import type { Ask } from '@rainrun/gateway';
+import { Edge, ClusterNode } from '@rainrun/cluster-node';
+import type { Spec, Stage } from '@rainrun/configuration';
+import { Dice, randomId, type Fault } from '@rainrun/common';
+import type { LoopSettings, Order, OrderReply, PlaceSettings } from '@rainrun/placement';
 import type { Result } from 'true-myth';
 import { SimWorker, type Grounds, type SimWork, type Wish } from './grounds.js';
 import { SimSender } from './lines.js';
@@ -21,7 +21,7 @@
 import { SimVisitor, type Ended } from './visitor.js';
 import { Net, SimDisk, VirtualTime } from './world.js';
 
-const BEAT_MS = 50;
+const HEARTBEAT_MS = 50;
 const CLOSED_MS = 3;
 const LIST_BEATS = 10;
 const SLOTS = 4;
@@ -32,7 +32,7 @@
 const NOTE = Buffer.from([0xff]);
 
 interface Running {
-  readonly hub: Hub;
+  readonly clusterNode: ClusterNode;
   readonly address: string;
   readonly skewMs: number;
   frozen: boolean;
@@ -40,7 +40,7 @@
   /** What came while the process was frozen. */
   waiting: (() => void)[];
   edge: Edge | undefined;
-  beats: number;
+  heartbeats: number;
   leading: boolean;
 }
 
@@ -164,7 +164,7 @@
   boot(machine: Machine): void {
     if (machine.running !== undefined) return;
     machine.boots += 1;
-    const opening = machine.disk === undefined ? undefined : readRecords(machine.disk.records, word(this.#dice));
+    const opening = machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#dice));
     if (opening?.isErr === true) {
       this.oracle.breach('disk reads back', `${machine.name}: ${opening.error.detail}`, this.time.nowMs());
       return;
@@ -176,14 +176,14 @@
         : new Acceptor(opening.value, machine.disk, 'park', (failed) => this.#diskFailed(machine, failed));
     const skewMs = this.#dice.next() * 1e6;
     const running: Running = {
-      hub: this.#hub(machine, acceptor, skewMs),
+      clusterNode: this.#clusterNode(machine, acceptor, skewMs),
       address: machine.address,
       skewMs,
       frozen: false,
       stopped: false,
       waiting: [],
       edge: undefined,
-      beats: 0,
+      heartbeats: 0,
       leading: false,
     };
     machine.running = running;
@@ -191,7 +191,7 @@
     if (machine.disk === undefined) running.edge = this.#edge(machine, running);
     this.net.open(machine.address, machine.name, (frame) => this.#take(machine, running, frame));
     if (fresh) acceptor?.mark();
-    this.time.after(this.#dice.next() * BEAT_MS, () => this.#beat(machine, running));
+    this.time.after(this.#dice.next() * HEARTBEAT_MS, () => this.#tick(machine, running));
   }
 
   kill(machine: Machine): void {
@@ -214,8 +214,8 @@
 
   /** Sends an operation from a node; the oracle hears the answer. */
   submit(machine: Machine, kind: string, payload: unknown, told: (answer: Answer) => void = () => undefined): string {
-    const id = word(this.#dice);
-    const sent = machine.running?.hub.submit(id, kind, JSON.stringify(payload), (answer: Answer) => {
+    const id = randomId(this.#dice);
+    const sent = machine.running?.clusterNode.submit(id, kind, JSON.stringify(payload), (answer: Answer) => {
       this.oracle.answered(id, answer.kind, answer.number, this.time.nowMs());
       this.note(machine.name, `${kind} ${answer.kind}@${answer.number}`);
       told(answer);
@@ -226,18 +226,18 @@
     return sent?.isOk === true ? id : '';
   }
 
-  /** How many electors have a seat in the view, as the best informed node sees it. */
-  electorsSeated(): number {
-    const helds = this.machines.flatMap((machine) => machine.running?.hub.group.held ?? []);
+  /** How many voters have a seat in the view, as the best informed node sees it. */
+  votersSeated(): number {
+    const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.held ?? []);
     const held = helds.sort((one, other) => other.number - one.number)[0];
-    return (held?.electors ?? []).filter((elector) => held?.view.members.some((member) => member.disk === elector.disk)).length;
+    return (held?.voters ?? []).filter((voter) => held?.view.members.some((member) => member.disk === voter.disk)).length;
   }
 
   /** Whether every machine runs, in one view, and may admit. */
   whole(): string | undefined {
     const views = new Set<number>();
     for (const machine of this.machines) {
-      const group = machine.running?.hub.group;
+      const group = machine.running?.clusterNode.group;
       if (group === undefined) return `${machine.name} does not run`;
       if (group.view === undefined) return `${machine.name} is in no view`;
       if (!group.granted()) return `${machine.name} may not admit`;
@@ -247,9 +247,9 @@
     return views.size === 1 ? undefined : 'views differ';
   }
 
-  #hub(machine: Machine, acceptor: Acceptor | undefined, skewMs: number): Hub {
+  #clusterNode(machine: Machine, acceptor: Acceptor | undefined, skewMs: number): ClusterNode {
     const { name, address, zone } = machine;
-    const hub: Hub = new Hub({
+    const clusterNode: ClusterNode = new ClusterNode({
       name,
       address,
       zone,
@@ -261,32 +261,32 @@
       times: GROUP_TIMES,
       acceptor,
       post: (to, frame) => {
-        if (machine.running?.hub === hub) this.net.post(name, to, frame);
+        if (machine.running?.clusterNode === clusterNode) this.net.post(name, to, frame);
       },
-      order: (to, order, done) => this.#order(machine, hub, to, order, done),
-      changed: (held, entry) => this.#changed(machine, hub, held, entry),
+      order: (to, order, done) => this.#order(machine, clusterNode, to, order, done),
+      changed: (held, entry) => this.#changed(machine, clusterNode, held, entry),
       speaks: machine.speaks,
       ...(this.#loops.placement === undefined ? {} : { placing: this.#loops.placement }),
       question: (kind, text) => ({ status: 200, body: { kind, text, by: name } }),
       refused: (why) => this.note(name, `refused: ${why}`),
       reborn: () => this.note(name, 'dropped, rejoins'),
-      heard: (sender, payload) => this.#heard(hub, sender, payload),
+      heard: (sender, payload) => this.#heard(clusterNode, sender, payload),
     });
-    return hub;
+    return clusterNode;
   }
 
-  #changed(machine: Machine, hub: Hub, held: Held<Stage>, entry: Entry | undefined): void {
-    const { life } = hub.group.seat;
-    this.oracle.version(life, held, entry === undefined, this.time.nowMs());
-    this.oracle.enter(life, held.view.number);
+  #changed(machine: Machine, clusterNode: ClusterNode, held: Held<Stage>, entry: Entry | undefined): void {
+    const { incarnation } = clusterNode.group.seat;
+    this.oracle.version(incarnation, held, entry === undefined, this.time.nowMs());
+    this.oracle.enter(incarnation, held.view.number);
     if (entry === undefined || entry.view !== undefined) {
       this.note(machine.name, `view ${held.view.number} of ${held.view.members.length} @${held.number}`);
-    } else if (entry.electors.length > 0) this.note(machine.name, `electors @${held.number}`);
+    } else if (entry.voters.length > 0) this.note(machine.name, `voters @${held.number}`);
   }
 
   #take(machine: Machine, running: Running, frame: Frame): void {
     if (machine.running !== running) return;
-    if (running.waiting.length < 5000) this.#atNode(machine, running, () => running.hub.receive(frame));
+    if (running.waiting.length < 5000) this.#atNode(machine, running, () => running.clusterNode.receive(frame));
   }
 
   #wake(machine: Machine, running: Running): void {
@@ -299,48 +299,48 @@
     for (const act of waiting) this.#atNode(machine, running, act);
   }
 
-  #beat(machine: Machine, running: Running): void {
+  #tick(machine: Machine, running: Running): void {
     if (machine.running !== running) return;
-    this.time.after(BEAT_MS * (0.9 + this.#dice.next() * 0.2), () => this.#beat(machine, running));
+    this.time.after(HEARTBEAT_MS * (0.9 + this.#dice.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
-    running.hub.beat();
-    const { leading, epoch } = running.hub.group;
+    running.clusterNode.tick();
+    const { leading, epoch } = running.clusterNode.group;
     if (leading !== running.leading) this.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
     running.leading = leading;
     this.#probe(machine, running);
-    running.beats += 1;
-    if (running.beats % LIST_BEATS === 0) this.#readList(running);
+    running.heartbeats += 1;
+    if (running.heartbeats % LIST_BEATS === 0) this.#readList(running);
     if (this.notes && this.#dice.next() < 0.1) this.#castNote(running);
     if (running.edge === undefined) return;
-    running.edge.gate.beat();
-    if (running.beats % LIST_BEATS === 0) running.edge.observe();
+    running.edge.gate.tick();
+    if (running.heartbeats % LIST_BEATS === 0) running.edge.observe();
     if (!this.visitors || this.#dice.next() >= 0.4) return;
     const lookup = this.#dice.next() < 0.4;
     this.visit(running.edge, lookup, lookup ? '' : `model-${Math.floor(8 * this.#dice.next() ** 2)}`);
   }
 
   #readList(running: Running): void {
-    running.hub.learnList(this.#list);
+    running.clusterNode.learnList(this.#list);
     const leaving = this.#list.workers.filter((worker) => worker.leaving).map((worker) => worker.name);
     this.oracle.learnedLeaving(new Set(leaving), this.time.nowMs());
   }
 
   /** Casts a note that no node can read as an observation, for the oracle alone. */
   #castNote(running: Running): void {
-    const { group } = running.hub;
+    const { group } = running.clusterNode;
     if (group.view === undefined || group.changing) return;
-    const { life } = group.seat;
+    const { incarnation } = group.seat;
     const view = group.view.number;
-    const sequence = (this.#sequences.get(`${life}@${view}`) ?? 0) + 1;
-    this.#sequences.set(`${life}@${view}`, sequence);
-    const note = JSON.stringify({ view, sequence, context: this.oracle.contextOf(life) });
+    const sequence = (this.#sequences.get(`${incarnation}@${view}`) ?? 0) + 1;
+    this.#sequences.set(`${incarnation}@${view}`, sequence);
+    const note = JSON.stringify({ view, sequence, context: this.oracle.contextOf(incarnation) });
     group.cast(Buffer.concat([NOTE, Buffer.from(note)]));
   }
 
-  #heard(hub: Hub, sender: string, payload: Uint8Array): void {
+  #heard(clusterNode: ClusterNode, sender: string, payload: Uint8Array): void {
     if (payload[0] !== NOTE[0]) return;
     const note = JSON.parse(Buffer.from(payload.subarray(1)).toString()) as { view: number; sequence: number; context: Record<string, number> };
-    this.oracle.cast(hub.group.seat.life, note.view, sender, note.sequence, note.context, this.time.nowMs());
+    this.oracle.cast(clusterNode.group.seat.incarnation, note.view, sender, note.sequence, note.context, this.time.nowMs());
   }
 
   #edge(machine: Machine, running: Running): Edge {
@@ -352,7 +352,7 @@
       (act) => this.#atNode(machine, running, act),
       () => machine.running === running,
     );
-    return new Edge(running.hub, machine.name, machine.zone, clock, this.#dice, sender, this.#loops.weights);
+    return new Edge(running.clusterNode, machine.name, machine.zone, clock, this.#dice, sender, this.#loops.weights);
   }
 
   /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
@@ -366,7 +366,7 @@
 
   /** A visitor makes a call; the returned function says that it has left. */
   call(edge: Edge, call: SimCall, ended?: Ended): () => void {
-    const id = word(this.#dice);
+    const id = randomId(this.#dice);
     const { path, group, kind, model, adapter, prefix, streamed, work } = call;
     const lookup = model === '';
     this.#wishes.set(id, { model, streamed, ...(work === undefined ? {} : { work }) });
@@ -376,9 +376,9 @@
   }
 
   #probe(machine: Machine, running: Running): void {
-    const { group } = running.hub;
-    if (group.granted()) this.oracle.admits(`${machine.name}/${group.seat.life}`, group.held?.number ?? 0, this.time.nowMs());
-    const holders = this.machines.filter((other) => other.running !== undefined && !other.running.frozen && other.running.hub.group.dutyEpoch() !== undefined);
+    const { group } = running.clusterNode;
+    if (group.granted()) this.oracle.admits(`${machine.name}/${group.seat.incarnation}`, group.held?.number ?? 0, this.time.nowMs());
+    const holders = this.machines.filter((other) => other.running !== undefined && !other.running.frozen && other.running.clusterNode.group.dutyEpoch() !== undefined);
     this.oracle.duty(holders.map((other) => other.name), this.time.nowMs());
   }
 
@@ -388,7 +388,7 @@
   }
 
   #newestSpec(): Spec | undefined {
-    const records = this.machines.flatMap((machine) => machine.running?.hub.stage.spec ?? []);
+    const records = this.machines.flatMap((machine) => machine.running?.clusterNode.stage.spec ?? []);
     return records.sort((one, other) => other.version - one.version)[0]?.spec;
   }
 
@@ -407,10 +407,10 @@
     });
   }
 
-  #order(machine: Machine, hub: Hub, to: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
+  #order(machine: Machine, clusterNode: ClusterNode, to: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
     const worker = this.workers.find((known) => known.name === to);
     const running = machine.running;
-    if (worker === undefined || running?.hub !== hub) return;
+    if (worker === undefined || running?.clusterNode !== clusterNode) return;
     this.time.after(this.#dice.next() * CLOSED_MS, () =>
       worker.order(machine.name, order, (reply) => this.#atNode(machine, running, () => done(reply))),
     );
--- a/packages/park/src/stalls.ts
+++ b/packages/simulator/src/stalls.ts
@@ -1,5 +1,5 @@
-import { word, type Dice } from '@rainrun/nacelle';
-import type { ListedWorker, StockOrder, StockReply } from '@rainrun/yaw';
+import { randomId, type Dice } from '@rainrun/common';
+import type { ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
 import type { VirtualTime } from './world.js';
 
 /** The one service of models of a simulated system. */
@@ -45,7 +45,7 @@
   readonly done: () => void;
 }
 
-/** One place of the platform at which lives of a worker follow each other. */
+/** One place of the platform at which incarnations of a worker follow each other. */
 export class Stall {
   readonly zone: string;
   readonly address: string;
@@ -75,7 +75,7 @@
     this.#onDisk.add(model);
   }
 
-  /** A new life begins, empty and with nothing remembered; its disk is the same. */
+  /** A new incarnation begins, empty and with nothing remembered; its disk is the same. */
   restart(): void {
     this.id = this.#yard.newId();
     this.models.clear();
@@ -208,7 +208,7 @@
   }
 
   newId(): string {
-    return `i-${word(this.dice)}`;
+    return `i-${randomId(this.dice)}`;
   }
 
   /** A worker is marked as leaving. */
--- a/packages/park/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -6,7 +6,7 @@
   Runs days of a simulated system, cores and edges and workers, over a row of seeds.
 
   Usage
-    $ node packages/park/dist/system-seeds.js --from 1 --count 100
+    $ node packages/simulator/dist/system-seeds.js --from 1 --count 100
 
   Options
     --from    first seed (default 1)
--- a/packages/park/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -19,9 +19,9 @@
 
 /** Sizes of simulated systems by name. */
 export const SYSTEMS: Readonly<Record<'small' | 'five' | 'least', SystemSize>> = {
-  least: { ...SMALL_SYSTEM, edges: 2, workers: 4, models: 10, beatMs: 50 },
-  small: { ...SMALL_SYSTEM, beatMs: 50 },
-  five: { ...SMALL_SYSTEM, cores: 5, lossesBorne: 2, beatMs: 50 },
+  least: { ...SMALL_SYSTEM, edges: 2, workers: 4, models: 10, heartbeatMs: 50 },
+  small: { ...SMALL_SYSTEM, heartbeatMs: 50 },
+  five: { ...SMALL_SYSTEM, cores: 5, lossesBorne: 2, heartbeatMs: 50 },
 };
 
 /** How one simulated day of a system ended. */
@@ -72,7 +72,7 @@
     this.#restore();
     system.checkEnd();
     for (const core of system.cores) {
-      const revision = core.running?.keeper?.state.revision ?? 0;
+      const revision = core.running?.replica?.state.revision ?? 0;
       if (this.#refused.has(revision)) system.breach('refused in force', `${core.name} holds revision ${revision}, which was refused`);
     }
   }
--- a/packages/park/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -3,7 +3,7 @@
 import { runSystemDay, SPANS, SYSTEMS } from './system-trial.js';
 import { sampleDocument, SMALL_SYSTEM, System, type CallEnd, type Station, type SystemSize } from './system.js';
 
-const SMALL: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, beatMs: 40 };
+const SMALL: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, heartbeatMs: 40 };
 const MODELS = SMALL.models;
 
 /** A system with its first configuration, undisturbed for a while. */
@@ -131,9 +131,9 @@
         const system = opened(seed);
         const [far] = system.cores.filter((core) => core !== leaderOf(system)) as [Station];
         const heal = system.cut('off', (from, to) => (from === far.name) !== (to === far.name));
-        const keeper = far.running?.keeper;
-        const sent = keeper?.submit('zone.evacuate', { zone: 'north' }, () => undefined);
-        system.time.after(900, () => keeper?.forgetAnswer(sent?.isOk === true ? sent.value : ''));
+        const replica = far.running?.replica;
+        const sent = replica?.submit('zone.evacuate', { zone: 'north' }, () => undefined);
+        system.time.after(900, () => replica?.forgetAnswer(sent?.isOk === true ? sent.value : ''));
         system.time.runUntil(5950);
         system.zone('north', true, () => system.zone('north', false));
         system.time.runUntil(5000 + cutMs);
@@ -179,10 +179,10 @@
     expect(system.edges.map((edge) => edge.running?.follower?.state.revision)).toEqual([8, 8]);
   });
 
-  it('five cores bear the loss of two, and their electors are five', () => {
+  it('five cores bear the loss of two, and their voters are five', () => {
     const five: SystemSize = { ...SMALL, cores: 5, lossesBorne: 2 };
     const system = opened(3, five);
-    const electors = system.electors();
+    const voters = system.voters();
     for (const core of [leaderOf(system), system.cores[4] as Station]) system.kill(core);
     system.time.runUntil(9000);
     const ends: CallEnd[] = [];
@@ -190,7 +190,7 @@
     system.time.runUntil(12_000);
     restore(system);
     system.time.runUntil(20_000);
-    expect([electors, ends.map((end) => end.kind), ended(system)]).toEqual([5, ['agreed'], []]);
+    expect([voters, ends.map((end) => end.kind), ended(system)]).toEqual([5, ['agreed'], []]);
   });
 });
 
@@ -224,7 +224,7 @@
       system.put(5, sampleDocument(8, MODELS, 'apart'), (end) => ends.push(end));
       system.time.runUntil(14_000);
       const early = ends.length;
-      const holders = system.cores.filter((core) => core.running?.keeper?.group.dutyEpoch() !== undefined).length;
+      const holders = system.cores.filter((core) => core.running?.replica?.group.dutyEpoch() !== undefined).length;
       const informed = system.edges.filter((edge) => edge.running?.follower?.informed === true).length;
       apart();
       system.time.runUntil(18_000);
@@ -244,7 +244,7 @@
       system.time.runUntil(5300);
       system.put(5, sampleDocument(8, MODELS, 'without'), (end) => ends.push(end));
       system.time.runUntil(12_000);
-      const stale = leader.running?.keeper;
+      const stale = leader.running?.replica;
       const alone = stale?.group.granted() === true || stale?.group.dutyEpoch() !== undefined;
       heal();
       system.time.runUntil(20_000);
--- a/packages/park/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -1,18 +1,18 @@
 import { create } from '@bufbuild/protobuf';
-import { pack, SPEAKS, unpack, WantSchema, type Frame, type Want } from '@rainrun/courier';
-import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/farm';
-import { Follower, Keeper } from '@rainrun/hub';
-import type { Deployment } from '@rainrun/marquee';
-import { Dice, word } from '@rainrun/nacelle';
-import type { BookRow, StockOrder, StockReply } from '@rainrun/yaw';
+import { pack, SPEAKS, unpack, WantSchema, type Frame, type Want } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/process-group';
+import { Follower, CoreReplica } from '@rainrun/cluster-node';
+import type { Deployment } from '@rainrun/configuration';
+import { Dice, randomId } from '@rainrun/common';
+import type { WorkerRecord, StockOrder, StockReply } from '@rainrun/placement';
 import { ENGINE, LIST_LAG_MS, SERVICE, sizeOf, Yard } from './stalls.js';
 import type { TimelineEvent } from './timeline.js';
 import { SimDisk, VirtualTime, type Cut } from './world.js';
 
 /** Times of the cores as the program sets them. */
 const TIMES: GroupTimes = { ...GROUP_TIMES, replaceMs: 1500, suspectMs: 900, grantMs: 600 };
-const CORE_BEAT_MS = 20;
-const EDGE_BEAT_MS = 25;
+const CORE_TICK_MS = 20;
+const EDGE_TICK_MS = 25;
 const LIST_MS = 500;
 const ORDER_WAIT_MS = 900;
 const ANSWER_WAIT_MS = 900;
@@ -35,8 +35,8 @@
   readonly workers: number;
   readonly models: number;
   readonly zones: readonly string[];
-  /** How often processes beat; as the programs do without it. */
-  readonly beatMs?: number;
+  /** How often processes heartbeat; as the programs do without it. */
+  readonly heartbeatMs?: number;
 }
 
 /** A small system: three cores that bear the loss of one. */
@@ -44,7 +44,7 @@
 
 interface Process {
   readonly skewMs: number;
-  readonly keeper: Keeper | undefined;
+  readonly replica: CoreReplica | undefined;
   readonly follower: Follower | undefined;
   frozen: boolean;
   waiting: (() => void)[];
@@ -219,14 +219,14 @@
     if (disk === undefined) this.#run(station, skewMs, undefined, this.#follower(station, skewMs));
     else {
       const { records } = disk;
-      const opening = readRecords(records, word(this.dice));
+      const opening = readRecords(records, randomId(this.dice));
       if (opening.isErr) return this.breach('disk reads back', `${station.name}: ${opening.error.detail}`);
       const acceptor = new Acceptor(opening.value, disk, 'system', (failed) => {
         this.note(station.name, `disk: ${failed.detail}`);
         this.kill(station);
       });
       if (records.disk === undefined) acceptor.mark();
-      this.#run(station, skewMs, this.#keeper(station, skewMs, acceptor, founding), undefined);
+      this.#run(station, skewMs, this.#replica(station, skewMs, acceptor, founding), undefined);
     }
     this.disturbed(station);
     this.note(station.name, 'boots');
@@ -248,7 +248,7 @@
     this.disturbed(station);
     this.note(station.name, 'stops');
     this.#atStation(station, running, () => {
-      running.keeper?.group.leave();
+      running.replica?.group.leave();
       running.follower?.leave();
     });
     this.time.after(150, () => {
@@ -308,11 +308,11 @@
 
   /** The core that coordinates, if one says so. */
   leader(): Station | undefined {
-    return this.cores.find((core) => core.running?.keeper?.group.leading === true && core.running.keeper.group.dutyEpoch() !== undefined);
+    return this.cores.find((core) => core.running?.replica?.group.leading === true && core.running.replica.group.dutyEpoch() !== undefined);
   }
 
-  electors(): number {
-    return Math.max(0, ...this.cores.map((core) => core.running?.keeper?.group.held?.electors.length ?? 0));
+  voters(): number {
+    return Math.max(0, ...this.cores.map((core) => core.running?.replica?.group.held?.voters.length ?? 0));
   }
 
   /** An operator's call, sent again to other cores until it has a clear answer. */
@@ -372,16 +372,16 @@
         if (!station.removed) this.breach('end', `${station.name} does not run`);
         continue;
       }
-      const state = running.keeper?.state ?? running.follower?.state;
+      const state = running.replica?.state ?? running.follower?.state;
       const lack = state === undefined ? undefined : this.lacks(state, Infinity);
       if (lack !== undefined) this.breach('acknowledged stays', `${station.name}: ${lack}`);
-      if (running.keeper !== undefined && !running.keeper.group.granted()) this.breach('recovers', `${station.name} is not in a group with a majority`);
+      if (running.replica !== undefined && !running.replica.group.granted()) this.breach('recovers', `${station.name} is not in a group with a majority`);
       if (running.follower !== undefined && !running.follower.ready) this.breach('recovers', `${station.name} is not ready`);
       if (running.follower?.informed === false) this.breach('recovers', `${station.name} hears no core with a majority`);
     }
     if (this.leader() === undefined) this.breach('recovers', 'no core has the duty');
     const wanted = Math.min(2 * this.size.lossesBorne + 1, this.cores.filter((core) => !core.removed).length);
-    if (this.electors() < wanted) this.breach('recovers', `${this.electors()} electors, wanted ${wanted}`);
+    if (this.voters() < wanted) this.breach('recovers', `${this.voters()} voters, wanted ${wanted}`);
     for (const call of this.#calls) if (call.end === undefined) this.breach('late answer', `${call.kind} is not answered`);
     for (const { model, adapter } of this.needs) {
       for (const edge of this.edges) if (!this.#finds(edge, model, adapter)) this.breach('placed', `${edge.name} knows no worker with ${model}${adapter === '' ? '' : `/${adapter}`}`);
@@ -390,33 +390,33 @@
 
   // Processes.
 
-  #run(station: Station, skewMs: number, keeper: Keeper | undefined, follower: Follower | undefined): void {
-    const running: Process = { skewMs, keeper, follower, frozen: false, waiting: [], leading: false, listedMs: -Infinity, edition: 0, touchMs: this.time.nowMs() };
+  #run(station: Station, skewMs: number, replica: CoreReplica | undefined, follower: Follower | undefined): void {
+    const running: Process = { skewMs, replica, follower, frozen: false, waiting: [], leading: false, listedMs: -Infinity, edition: 0, touchMs: this.time.nowMs() };
     station.running = running;
-    this.time.after(this.dice.next() * CORE_BEAT_MS, () => this.#beat(station, running));
+    this.time.after(this.dice.next() * CORE_TICK_MS, () => this.#tick(station, running));
   }
 
   #seeds(): string[] {
     return this.cores.filter((core) => !core.removed).slice(0, 3).map((core) => core.address);
   }
 
-  #keeper(station: Station, skewMs: number, acceptor: Acceptor, founding: boolean): Keeper {
+  #replica(station: Station, skewMs: number, acceptor: Acceptor, founding: boolean): CoreReplica {
     const { name, zone, address } = station;
-    const keeper: Keeper = new Keeper({
+    const replica: CoreReplica = new CoreReplica({
       name,
       address,
       zone,
       deployment: 'system',
       seeds: founding ? this.#founders : this.#seeds(),
       founders: founding ? this.#founders : [],
-      electorsWanted: 2 * this.size.lossesBorne + 1,
+      votersWanted: 2 * this.size.lossesBorne + 1,
       clock: { nowMs: () => this.time.nowMs() + skewMs },
       chance: this.dice,
       times: TIMES,
       acceptor,
       speaks: SPEAKS,
       post: (to, frame) => this.#post(station, to, frame),
-      order: (row, order, done) => this.#order(station, keeper, row, order, done),
+      order: (row, order, done) => this.#order(station, replica, row, order, done),
       report: (row, done) => this.#report(station, row, done),
       listLagMs: LIST_LAG_MS,
       changed: () => undefined,
@@ -424,7 +424,7 @@
       refused: (why) => this.note(name, `refused: ${why}`),
       decided: (text) => this.note(name, text),
     });
-    return keeper;
+    return replica;
   }
 
   #follower(station: Station, skewMs: number): Follower {
@@ -446,20 +446,20 @@
     return follower;
   }
 
-  #beat(station: Station, running: Process): void {
+  #tick(station: Station, running: Process): void {
     if (station.running !== running) return;
-    const everyMs = this.size.beatMs ?? (running.keeper === undefined ? EDGE_BEAT_MS : CORE_BEAT_MS);
-    this.time.after(everyMs * (0.9 + this.dice.next() * 0.2), () => this.#beat(station, running));
+    const everyMs = this.size.heartbeatMs ?? (running.replica === undefined ? EDGE_TICK_MS : CORE_TICK_MS);
+    this.time.after(everyMs * (0.9 + this.dice.next() * 0.2), () => this.#tick(station, running));
     if (running.frozen) return;
-    const { keeper, follower } = running;
+    const { replica, follower } = running;
     if (follower !== undefined) {
       if (this.needs.some(({ model, adapter }) => !this.#knows(follower, model, adapter))) follower.haste();
-      return follower.beat();
+      return follower.tick();
     }
-    if (keeper === undefined) return;
-    keeper.beat();
+    if (replica === undefined) return;
+    replica.tick();
     const nowMs = this.time.nowMs();
-    const { leading, epoch } = keeper.group;
+    const { leading, epoch } = replica.group;
     if (leading !== running.leading) {
       this.note(station.name, leading ? `leads epoch ${epoch}` : 'resigns');
       running.listedMs = -Infinity;
@@ -469,7 +469,7 @@
     running.listedMs = nowMs;
     this.time.after(2 + this.dice.next() * 8, () => {
       const list = this.yard.list();
-      this.time.after(2 + this.dice.next() * 8, () => this.#atStation(station, running, () => keeper.learnList(list)));
+      this.time.after(2 + this.dice.next() * 8, () => this.#atStation(station, running, () => replica.learnList(list)));
     });
   }
 
@@ -497,7 +497,7 @@
       if (running === undefined || this.isCut(station.name, target.name)) return;
       const read = unpack(bytes, 'system');
       if (read.isErr || running.waiting.length > 5000) return;
-      this.#atStation(target, running, () => (running.keeper ?? running.follower)?.receive(read.value));
+      this.#atStation(target, running, () => (running.replica ?? running.follower)?.receive(read.value));
     });
   }
 
@@ -516,9 +516,9 @@
 
   // Orders.
 
-  #order(station: Station, keeper: Keeper, row: BookRow, order: StockOrder, done: (reply: StockReply) => void): void {
+  #order(station: Station, replica: CoreReplica, row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void {
     const running = station.running;
-    if (running?.keeper !== keeper) return;
+    if (running?.replica !== replica) return;
     let replied = false;
     const finish = (reply: StockReply, waitMs: number) => {
       this.time.after(waitMs, () =>
@@ -526,15 +526,15 @@
           if (replied) return;
           replied = true;
           done(reply);
-          keeper.beat();
+          replica.tick();
         }),
       );
     };
     finish('no-answer', ORDER_WAIT_MS);
     this.time.after(0.2 + this.dice.next() * 2, () =>
       this.#atStation(station, running, () => {
-        if (replied || keeper.group.dutyEpoch() !== order.fence) return finish('no-answer', 0);
-        const holder = keeper.group.seat.life;
+        if (replied || replica.group.dutyEpoch() !== order.fence) return finish('no-answer', 0);
+        const holder = replica.group.seat.incarnation;
         this.yard.sent(holder, order.fence);
         this.time.after(0.5 + this.dice.next() * 2, () => {
           const stall = this.yard.stallAt(row.address);
@@ -548,7 +548,7 @@
   }
 
   /** Asks a worker what it holds. */
-  #report(station: Station, row: BookRow, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
+  #report(station: Station, row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
     const running = station.running;
     if (running === undefined) return;
     this.time.after(0.5 + this.dice.next() * 4, () => {
@@ -600,20 +600,20 @@
     const cores = this.cores.filter((core) => !core.removed);
     const core = cores[place % Math.max(1, cores.length)];
     const running = core?.running;
-    if (core === undefined || running?.keeper === undefined) return again(100);
-    const { keeper } = running;
+    if (core === undefined || running?.replica === undefined) return again(100);
+    const { replica } = running;
     let open = true;
     let id = '';
     this.time.after(ANSWER_WAIT_MS + 100, () => {
       if (!open) return;
       open = false;
-      this.#atStation(core, running, () => keeper.forgetAnswer(id));
+      this.#atStation(core, running, () => replica.forgetAnswer(id));
       again(20);
     });
     this.time.after(1 + this.dice.next() * 2, () =>
       this.#atStation(core, running, () => {
         if (!open) return;
-        const sent = keeper.submit(call.kind, call.payload, (answer) => {
+        const sent = replica.submit(call.kind, call.payload, (answer) => {
           if (!open) return;
           this.time.after(1, () => {
             if (!open) return;
@@ -657,7 +657,7 @@
       this.#probeEdge(edge, running.follower, nowMs);
     }
     this.#probeShares(nowMs);
-    const holders = this.cores.filter((core) => core.running?.frozen === false && core.running.keeper?.group.dutyEpoch() !== undefined);
+    const holders = this.cores.filter((core) => core.running?.frozen === false && core.running.replica?.group.dutyEpoch() !== undefined);
     if (holders.length > 1) this.breach('one holder', `${holders.map((core) => core.name).join(' and ')} both have the duty`);
     for (const call of this.#calls) {
       const sinceMs = Math.max(call.bornMs, this.#troubleMs + BOUNDS.contactMs);
@@ -685,7 +685,7 @@
   #neverBack(station: Station): void {
     const { running } = station;
     if (running === undefined) return;
-    const edition = (running.keeper?.state ?? running.follower?.state)?.edition ?? 0;
+    const edition = (running.replica?.state ?? running.follower?.state)?.edition ?? 0;
     if (edition < running.edition) this.breach('never back', `${station.name} went from edition ${running.edition} to ${edition}`);
     running.edition = edition;
   }
--- a/packages/park/src/timelines.test.ts
+++ b/packages/simulator/src/timelines.test.ts
@@ -117,14 +117,14 @@
     ).toEqual([]);
   });
 
-  it('replace an elector whose disk is lost by the empty one at a new address', () => {
+  it('replace an voter whose disk is lost by the empty one at a new address', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
         0     | boot            | boot            | boot            | boot            | boot
         3000  | put 0           |                 | kill, wipe      |                 |
         3500  |                 |                 | boot            |                 |
-        12000 | =electors 3     | =electors 3     | =electors 3     | =spec 1         |
+        12000 | =voters 3     | =voters 3     | =voters 3     | =spec 1         |
         12000 | kill            |                 |                 |                 |
         15500 | =down           | =leads          | =spec 1         | put 1           |
         16200 |                 | =spec 2         | =spec 2         | =spec 2         | =spec 2
--- a/packages/park/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -159,7 +159,7 @@
     if (time.nowMs() > FAULTS_END_MS) return;
     this.#turn += 1;
     const machine = this.#any();
-    const spec = machine.running?.hub.stage.spec;
+    const spec = machine.running?.clusterNode.stage.spec;
     const kind = this.#upTo(5);
     if (kind < 1.6) {
       const text = JSON.stringify({ ...(JSON.parse(spec?.text ?? '{}') as object), groups: trialSpec(this.#turn).groups });
@@ -189,7 +189,7 @@
     const mark = verb === 'remove' ? undefined : this.#marks;
     const entry = { name, model: 'model-0', sizeMb: mark };
     const edit = { [verb]: { adapters: [verb === 'remove' ? name : entry] } };
-    const seen = machine.running?.hub.stage.spec?.version ?? 0;
+    const seen = machine.running?.clusterNode.stage.spec?.version ?? 0;
     oracle.edits(name);
     const id = this.#site.submit(machine, 'spec.edit', { seen, edit }, (answer) => oracle.edited(name, mark, answer.kind, answer.number));
     if (id === '') oracle.edited(name, mark, 'unreached', 0);
@@ -270,7 +270,7 @@
   }
 
   #killCoordinator(): void {
-    const leader = this.#site.machines.find((machine) => machine.running?.hub.group.leading === true);
+    const leader = this.#site.machines.find((machine) => machine.running?.clusterNode.group.leading === true);
     if (leader !== undefined) this.#killFor(leader, this.#upTo(4000));
   }
 
@@ -400,7 +400,7 @@
     const other = this.#pick(this.#cores()).name;
     this.#fault(`kill the coordinator at its next ${step}`);
     net.tap = (from, frame) => {
-      const leader = machines.find((machine) => machine.running?.hub.group.leading === true);
+      const leader = machines.find((machine) => machine.running?.clusterNode.group.leading === true);
       if (leader === undefined || frame.body.case !== step || (from !== leader.name && step !== 'flush' && step !== 'accepted')) return;
       net.tap = undefined;
       if (other !== leader.name) {
@@ -419,7 +419,7 @@
     const machine = this.#pick(this.#cores());
     const disk = machine.disk;
     const step = this.#pick(['written', 'renamed', 'synced', 'answered'] as const);
-    const whole = this.#site.whole() === undefined && this.#site.electorsSeated() === 3;
+    const whole = this.#site.whole() === undefined && this.#site.votersSeated() === 3;
     const wiped = whole && this.#upTo(2) < 1;
     if (disk === undefined) return;
     this.#fault(`${machine.name} loses ${wiped ? 'its disk' : 'power'} when its next version is ${step}`);
@@ -554,7 +554,7 @@
 
   /** A core machine is replaced by an empty one at a new address; the old disk is gone. One at a time. */
   #replaceCore(): void {
-    if (this.#site.whole() !== undefined || this.#site.electorsSeated() < 3) return;
+    if (this.#site.whole() !== undefined || this.#site.votersSeated() < 3) return;
     const machine = this.#pick(this.#cores());
     this.#fault(`replace ${machine.name} by an empty one`);
     this.#replace(machine);
--- a/packages/park/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -1,5 +1,5 @@
-import type { VisitorPort } from '@rainrun/gate';
-import { ANSWERS, type Fault } from '@rainrun/nacelle';
+import type { VisitorPort } from '@rainrun/gateway';
+import { ANSWERS, type Fault } from '@rainrun/common';
 import type { Oracle } from './oracle.js';
 
 /** One piece of a simulated answer: whose it is, of which run, which of how many. */
--- a/packages/park/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -1,6 +1,6 @@
-import { pack, unpack, type Frame } from '@rainrun/courier';
-import type { RecordKind, Records, Vault } from '@rainrun/ledger';
-import { fault, type Chance, type Fault } from '@rainrun/nacelle';
+import { pack, unpack, type Frame } from '@rainrun/messages';
+import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import { fault, type Chance, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
 interface Due {
--- a/packages/ledger/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -1,7 +1,7 @@
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { mkdir, open, readdir, readFile, rename, unlink } from 'node:fs/promises';
 import { join } from 'node:path';
-import { fault, type Fault } from '@rainrun/nacelle';
+import { fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
 /** The kinds of record that a node keeps. */
@@ -54,10 +54,10 @@
  * One data folder. Each version of a record is a file of its own, written
  * aside, synced, renamed, and the folder synced; the last two are kept.
  * @example
- * const opened = await Ledger.open('/var/lib/rainrun');
- * if (opened.isOk) opened.value.ledger.store('promise', bytes, (result) => reply(result));
+ * const opened = await RecordStore.open('/var/lib/rainrun');
+ * if (opened.isOk) opened.value.recordStore.store('promise', bytes, (result) => reply(result));
  */
-export class Ledger implements Vault {
+export class RecordStore implements Vault {
   #folder: string;
   #numbers: Map<RecordKind, number[]>;
   #tail: Promise<void> = Promise.resolve();
@@ -68,7 +68,7 @@
   }
 
   /** Opens or makes the folder and reads the newest record of each kind. A damaged newest record is a fault, never guessed around. */
-  static async open(folder: string): Promise<Result<{ ledger: Ledger; records: Records }, Fault>> {
+  static async open(folder: string): Promise<Result<{ recordStore: RecordStore; records: Records }, Fault>> {
     const numbers = new Map<RecordKind, number[]>();
     const records: Records = {};
     try {
@@ -94,7 +94,7 @@
     if (records.disk === undefined && numbers.size > 0) {
       return Result.err(fault('damaged', `${folder} holds records but not the disk's own`));
     }
-    return Result.ok({ ledger: new Ledger(folder, numbers), records });
+    return Result.ok({ recordStore: new RecordStore(folder, numbers), records });
   }
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
--- a/packages/ledger/src/ledger.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -3,12 +3,12 @@
 import { join } from 'node:path';
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
-import { Ledger, seal, unseal, type RecordKind } from './index.js';
+import { RecordStore, seal, unseal, type RecordKind } from './index.js';
 
 let folders: string[] = [];
 
 async function folder(): Promise<string> {
-  const made = await mkdtemp(join(tmpdir(), 'ledger-'));
+  const made = await mkdtemp(join(tmpdir(), 'recordStore-'));
   folders.push(made);
   return made;
 }
@@ -19,22 +19,22 @@
 });
 
 async function filled(path: string): Promise<void> {
-  const opened = await Ledger.open(path);
+  const opened = await RecordStore.open(path);
   if (opened.isErr) return;
   const writes: [RecordKind, number][] = [['disk', 1], ['version', 1], ['version', 2], ['version', 3]];
   for (const [kind, byte] of writes) {
     await new Promise<void>((resolve) => {
-      opened.value.ledger.store(kind, new Uint8Array([byte]), () => resolve());
+      opened.value.recordStore.store(kind, new Uint8Array([byte]), () => resolve());
     });
   }
 }
 
-describe('ledger', () => {
+describe('recordStore', () => {
   it('keeps one file a version, the last two of each kind', async () => {
     const path = await folder();
     await filled(path);
     expect((await readdir(path)).sort()).toEqual(['disk.1', 'version.2', 'version.3']);
-    const opened = await Ledger.open(path);
+    const opened = await RecordStore.open(path);
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
@@ -43,7 +43,7 @@
     await filled(path);
     const whole = await readFile(join(path, 'version.3'));
     await writeFile(join(path, 'version.3'), whole.subarray(0, whole.length - 1));
-    const opened = await Ledger.open(path);
+    const opened = await RecordStore.open(path);
     expect(opened.isErr && opened.error.kind).toEqual('damaged');
   });
 
@@ -51,19 +51,19 @@
     const path = await folder();
     await filled(path);
     await writeFile(join(path, 'version.4.aside'), 'half');
-    const opened = await Ledger.open(path);
+    const opened = await RecordStore.open(path);
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
   it('refuses a folder with something else in it, or without its own disk record', async () => {
     const path = await folder();
     await writeFile(join(path, 'notes.txt'), 'mine');
-    const foreign = await Ledger.open(path);
+    const foreign = await RecordStore.open(path);
     expect(foreign.isErr && foreign.error.kind).toEqual('foreign');
     const other = await folder();
     await filled(other);
     await rm(join(other, 'disk.1'));
-    const damaged = await Ledger.open(other);
+    const damaged = await RecordStore.open(other);
     expect(damaged.isErr && damaged.error.kind).toEqual('damaged');
   });
 
--- a/packages/playbill/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,4 +1,4 @@
-import { Dice } from '@rainrun/nacelle';
+import { Dice } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
 interface KindShape {
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -12,7 +12,7 @@
     $ rainrun <command> [--node IP:PORT] [--json]
 
   Commands
-    view                      the view, its coordinator and electors, from this node
+    view                      the view, its coordinator and voters, from this node
     spec get                  the spec in force, with its version
     spec check FILE           check a spec without sending it on
     spec apply FILE           put a whole spec in force      [--base VERSION] [--id ID]
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { request } from 'undici';
 import type { Relay } from './relay.js';
-import { exampleSpec, type Shape } from '@rainrun/playbill';
+import { exampleSpec, type Shape } from '@rainrun/workloads';
 
 /** One process of a fleet. */
 export interface FleetNode {
@@ -74,7 +74,7 @@
     }
     this.#seeds = this.nodes.slice(0, 3);
     for (const node of this.nodes) this.#writeSettings(node);
-    this.#setup = join(folder, 'grandstand.json');
+    this.#setup = join(folder, 'stand-in-workers.json');
     this.#writeSetup(next, zone);
   }
 
@@ -84,12 +84,12 @@
 
   async start(): Promise<void> {
     await this.#relay?.open(this.nodes);
-    this.#spawn('grandstand', 'grandstand', ['--setup', this.#setup]);
+    this.#spawn('stand-in-workers', 'stand-in-workers', ['--setup', this.#setup]);
     for (const node of this.nodes) this.startNode(node);
   }
 
   startNode(node: FleetNode): void {
-    this.#spawn(node.name, node.core ? 'boxoffice' : 'turnstile', ['--settings', node.settings]);
+    this.#spawn(node.name, node.core ? 'core' : 'edge', ['--settings', node.settings]);
   }
 
   /** The machine of a node that is down is replaced by an empty one at another address. */
@@ -134,19 +134,19 @@
   /** Ends only what this fleet started, by id. */
   async stop(): Promise<Record<string, number | null>> {
     const codes: Record<string, number | null> = {};
-    const names = [...this.#children.keys()].filter((name) => name !== 'grandstand');
+    const names = [...this.#children.keys()].filter((name) => name !== 'stand-in-workers');
     for (const name of names) this.signal(name, 'SIGTERM');
     const late = setTimeout(() => {
       for (const name of names) this.signal(name, 'SIGKILL');
     }, 20_000);
     for (const name of names) codes[name] = await this.ended(name);
     clearTimeout(late);
-    this.signal('grandstand', 'SIGTERM');
-    await this.ended('grandstand');
+    this.signal('stand-in-workers', 'SIGTERM');
+    await this.ended('stand-in-workers');
     return codes;
   }
 
-  /** Asks a node, or the grandstand, in JSON. */
+  /** Asks a node, or the standIns, in JSON. */
   async ask(address: string, method: 'GET' | 'POST' | 'PUT' | 'PATCH', path: string, body?: unknown): Promise<{ status: number; body: unknown }> {
     try {
       const reply = await request(`http://${address}${path}`, {
@@ -163,7 +163,7 @@
 
   #spawn(name: string, program: string, args: readonly string[]): void {
     const log = openSync(join(this.#folder, `${name}.log`), 'a');
-    const path = program === 'grandstand' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
+    const path = program === 'stand-in-workers' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
     const child = spawn(process.execPath, [join(path, 'dist', 'main.js'), ...args], { stdio: ['ignore', log, log] });
     closeSync(log);
     this.#children.set(name, child);
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -4,14 +4,14 @@
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
 import meow from 'meow';
-import { compare, Crowd, type CrowdReport } from '@rainrun/crowd';
-import type { Report } from '@rainrun/grandstand';
+import { compare, LoadGenerator, type CrowdReport } from '@rainrun/load-generator';
+import type { Report } from '@rainrun/stand-in-workers';
 import { tryEverywhere } from './everywhere.js';
 import { Fleet } from './fleet.js';
 import { tryManners } from './manners.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
-import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/playbill';
+import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
 
 const cli = meow(
   `
@@ -131,7 +131,7 @@
   }
   await pause(Math.max(0, TRAFFIC_MS - (performance.now() - beganMs)));
   const [costsBefore, playedMs] = [await costs(fleet), performance.now()];
-  const report = await new Crowd(fleet.edges.map((edge) => edge.http)).play(day.value.calls, speed);
+  const report = await new LoadGenerator(fleet.edges.map((edge) => edge.http)).play(day.value.calls, speed);
   const seconds = (performance.now() - playedMs) / 1000;
   const costsAfter = await costs(fleet);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
@@ -162,9 +162,9 @@
   const mass = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
   if (day.isErr || mass.isErr) return 1;
   await pause(25_000);
-  const alone = await new Crowd(edges).play(day.value.calls, 1);
+  const alone = await new LoadGenerator(edges).play(day.value.calls, 1);
   await pause(3000);
-  const [beside, flooded] = await Promise.all([new Crowd(edges).play(day.value.calls, 1), new Crowd(edges).play(mass.value.calls, 1)]);
+  const [beside, flooded] = await Promise.all([new LoadGenerator(edges).play(day.value.calls, 1), new LoadGenerator(edges).play(mass.value.calls, 1)]);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [alone, beside, flooded].flatMap((report) => [...report.breaches, ...compare(report.seen, workers.runs)]);
   console.log('alone');
@@ -233,7 +233,7 @@
     return 1;
   }
   await pause(10_000);
-  const crowd = new Crowd(fleet.edges.map((edge) => edge.http));
+  const crowd = new LoadGenerator(fleet.edges.map((edge) => edge.http));
   const trial = new Trial(fleet, crowd, relay);
   const day = readDay(makeDay(shape, 600, 1));
   if (day.isErr) return 1;
@@ -324,7 +324,7 @@
   if (!Number.isInteger(port) || port < 1024 || port > 65_000) return `--port: found ${port}, expected a whole number from 1024 to 65000`;
   if (!(speed > 0) || speed > 1000) return `--speed: found ${speed}, expected above 0 and at most 1000`;
   if (day !== undefined && !existsSync(day)) return `--day: found "${day}", expected a file`;
-  if (other !== undefined && !existsSync(join(other, 'programs', 'turnstile', 'dist', 'main.js'))) return `--other: found "${other}", expected a checkout that is built`;
+  if (other !== undefined && !existsSync(join(other, 'programs', 'edge', 'dist', 'main.js'))) return `--other: found "${other}", expected a checkout that is built`;
   return undefined;
 }
 
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -1,5 +1,5 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import type { Crowd, CrowdReport, Seen } from '@rainrun/crowd';
+import type { LoadGenerator, CrowdReport, Seen } from '@rainrun/load-generator';
 import type { Fleet, FleetNode } from './fleet.js';
 import type { LinkCut, Relay } from './relay.js';
 
@@ -28,13 +28,13 @@
 export class Trial {
   #fleet: Fleet;
   #relay: Relay | undefined;
-  #crowd: Crowd;
+  #crowd: LoadGenerator;
   #lines: string[] = [];
   #faults: string[] = [];
   #planned: { edge: string; fromMs: number; toMs: number }[] = [];
 
   /** With a relay between its nodes the fleet's network is cut too. */
-  constructor(fleet: Fleet, crowd: Crowd, relay?: Relay) {
+  constructor(fleet: Fleet, crowd: LoadGenerator, relay?: Relay) {
     this.#relay = relay;
     this.#fleet = fleet;
     this.#crowd = crowd;
@@ -127,16 +127,16 @@
     return undefined;
   }
 
-  /** Waits until a node's own disk is among the electors. */
+  /** Waits until a node's own disk is among the voters. */
   async #electing(node: FleetNode): Promise<string | undefined> {
     const endMs = performance.now() + RETURN_MS;
     while (performance.now() < endMs) {
       const { body } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/view');
-      const { electors = [], disk } = body as { electors?: { name: string; disk: string }[]; disk?: string };
-      if (electors.some((elector) => elector.name === node.name && elector.disk === disk)) return undefined;
+      const { voters = [], disk } = body as { voters?: { name: string; disk: string }[]; disk?: string };
+      if (voters.some((voter) => voter.name === node.name && voter.disk === disk)) return undefined;
       await pause(100);
     }
-    return 'is no elector again';
+    return 'is no voter again';
   }
 
   async #otherSeeds(): Promise<string | undefined> {
--- a/tools/crowd/src/crowd.ts
+++ b/tools/load-generator/src/crowd.ts
@@ -1,6 +1,6 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import { wrong } from '@rainrun/grandstand';
-import { promptOf, type Call } from '@rainrun/playbill';
+import { wrong } from '@rainrun/stand-in-workers';
+import { promptOf, type Call } from '@rainrun/workloads';
 import { Agent, type Dispatcher } from 'undici';
 
 /** How one call ended, as the visitor saw it. */
@@ -38,10 +38,10 @@
  * Stand-in visitors: they make the calls of a day against the edges and check
  * every answer by themselves.
  * @example
- * const crowd = new Crowd(['127.0.0.1:8104']);
+ * const crowd = new LoadGenerator(['127.0.0.1:8104']);
  * const report = await crowd.play(day.calls, 1);
  */
-export class Crowd {
+export class LoadGenerator {
   #edges: readonly string[];
   #agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: DEADLINE_MS, bodyTimeout: DEADLINE_MS });
   #breaches: string[] = [];
--- a/tools/crowd/src/main.ts
+++ b/tools/load-generator/src/main.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
-import { readDay } from '@rainrun/playbill';
-import { Crowd } from './crowd.js';
+import { readDay } from '@rainrun/workloads';
+import { LoadGenerator } from './crowd.js';
 
 const cli = meow(
   `
@@ -26,6 +26,6 @@
   console.error(`crowd: ${cli.flags.day}: ${day.error.detail}`);
   process.exit(2);
 }
-const report = await new Crowd(cli.flags.edges.split(',')).play(day.value.calls, cli.flags.speed);
+const report = await new LoadGenerator(cli.flags.edges.split(',')).play(day.value.calls, cli.flags.speed);
 console.log(JSON.stringify({ outcomes: report.outcomes, byKind: report.byKind, breaches: report.breaches }, undefined, 2));
 process.exitCode = report.breaches.length === 0 ? 0 : 1;
--- a/tools/survey/src/main.ts
+++ b/tools/planner/src/main.ts
@@ -1,8 +1,8 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
-import { readSpec, specFaultText } from '@rainrun/marquee';
-import { readDay } from '@rainrun/playbill';
+import { readSpec, specFaultText } from '@rainrun/configuration';
+import { readDay } from '@rainrun/workloads';
 import * as v from 'valibot';
 import { isSound, survey, type Survey } from './survey.js';
 
--- a/tools/survey/src/survey.test.ts
+++ b/tools/planner/src/survey.test.ts
@@ -1,6 +1,6 @@
 import { it } from 'node:test';
-import { readSpec, type Spec } from '@rainrun/marquee';
-import { exampleSpec, makeDay, readDay, SHAPES, type Call, type Shape } from '@rainrun/playbill';
+import { readSpec, type Spec } from '@rainrun/configuration';
+import { exampleSpec, makeDay, readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
 import { expect } from 'earl';
 import { isSound, survey, type ListedWorker } from './survey.js';
 
--- a/tools/survey/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -1,6 +1,6 @@
-import type { HoldingTarget, Spec } from '@rainrun/marquee';
-import type { Call } from '@rainrun/playbill';
-import { Placer, PLACE_SETTINGS, type ModelDemand, type PlaceWorker } from '@rainrun/yaw';
+import type { HoldingTarget, Spec } from '@rainrun/configuration';
+import type { Call } from '@rainrun/workloads';
+import { Placer, PLACE_SETTINGS, type ModelDemand, type PlaceWorker } from '@rainrun/placement';
 
 /** A worker of the platform's list, as far as a survey needs it. */
 export interface ListedWorker {
--- a/tools/replay/src/compare.test.ts
+++ b/tools/replay/src/compare.test.ts
@@ -1,5 +1,5 @@
 import { it } from 'node:test';
-import type { Seen } from '@rainrun/crowd';
+import type { Seen } from '@rainrun/load-generator';
 import { expect } from 'earl';
 import { differences } from './compare.js';
 
--- a/tools/replay/src/compare.ts
+++ b/tools/replay/src/compare.ts
@@ -1,4 +1,4 @@
-import type { Seen } from '@rainrun/crowd';
+import type { Seen } from '@rainrun/load-generator';
 
 /** What one replayed call came to, beside what was recorded. */
 export interface Replayed {
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -2,10 +2,10 @@
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
 import { request } from 'undici';
-import { Crowd, type Seen } from '@rainrun/crowd';
-import { readSpec, specFaultText } from '@rainrun/marquee';
-import { playMatinee } from '@rainrun/park';
-import { readDay, SHAPES, type Call, type Shape } from '@rainrun/playbill';
+import { LoadGenerator, type Seen } from '@rainrun/load-generator';
+import { readSpec, specFaultText } from '@rainrun/configuration';
+import { playMatinee } from '@rainrun/simulator';
+import { readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
 import { differences, type Replayed } from './compare.js';
 
 const cli = meow(
@@ -69,7 +69,7 @@
 
 /** The day against a running fleet. */
 async function againstFleet(calls: readonly Call[], edges: string): Promise<Outcome> {
-  const report = await new Crowd(edges.split(','), cli.flags.standIns).play(calls, cli.flags.speed);
+  const report = await new LoadGenerator(edges.split(','), cli.flags.standIns).play(calls, cli.flags.speed);
   const replayed: Replayed[] = [];
   for (const seen of report.seen) replayed.push({ seen, worker: await workerOf(seen) });
   return { replayed, breaches: report.breaches };
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -21,10 +21,10 @@
 let asked = 0;
 let pace: NodeJS.Timeout | undefined;
 
-/** A tenth of the followers at a time, each every 50 ms, as an edge beats. */
-function beat(): void {
+/** A tenth of the followers at a time, each every 50 ms, as an edge heartbeats. */
+function tick(): void {
   slice = (slice + 1) % SLICES;
-  for (let place = slice; place < edges.length; place += SLICES) edges[place]?.beat();
+  for (let place = slice; place < edges.length; place += SLICES) edges[place]?.tick();
 }
 
 async function grow(count: number): Promise<void> {
@@ -88,7 +88,7 @@
   return [...held].map(([key, value]) => ({ key, ...value }));
 }
 
-setInterval(beat, SLICE_MS);
+setInterval(tick, SLICE_MS);
 answerParent({
   grow,
   restart: ({ count, everyMs }: { count: number; everyMs: number }) => restart(count, everyMs),
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
-import { WantSchema, type Frame, type Want, type WorkerRow } from '@rainrun/courier';
-import { Follower } from '@rainrun/hub';
-import { Wire } from '@rainrun/mast';
+import { WantSchema, type Frame, type Want, type WorkerRow } from '@rainrun/messages';
+import { Follower } from '@rainrun/cluster-node';
+import { Wire } from '@rainrun/runtime';
 import { sharedMs } from './ipc.js';
 import { adapterName, heldModels, modelName, SERVICE, SLOTS, zoneOf, type Size } from './site.js';
 
@@ -41,7 +41,7 @@
   readonly revisions = new Map<number, Held>();
   /** By table: followers that hold it whole. */
   readonly tables = new Map<string, Held>();
-  /** By life of a coordinator: followers that know it for the leader. */
+  /** By incarnation of a coordinator: followers that know it for the leader. */
   readonly leaders = new Map<string, Held>();
   /** By number of edges that a follower is told of. */
   readonly edges = new Map<number, Held>();
@@ -84,7 +84,7 @@
   #follower: Follower;
   #notes: () => Notes;
   #leader = '';
-  #leaderLife = '';
+  #leaderIncarnation = '';
   #table = '';
   #row = 0;
   #edges = 0;
@@ -150,11 +150,11 @@
   ask(model: string, adapter: string): void {
     this.#asks.push({ model, adapter, sinceMs: sharedMs() });
     this.#follower.haste();
-    setTimeout(() => this.#follower.beat(), HASTE_MS);
+    setTimeout(() => this.#follower.tick(), HASTE_MS);
   }
 
-  beat(): void {
-    this.#follower.beat();
+  tick(): void {
+    this.#follower.tick();
     if (this.#follower.edges !== this.#edges) {
       this.#edges = this.#follower.edges;
       this.#notes().note(this.#notes().edges, this.#edges);
@@ -197,12 +197,12 @@
     if (this.#cut || frame.body.case !== 'tell') return;
     const tell = frame.body.value;
     const notes = this.#notes();
-    if (tell.granted && tell.leader !== undefined && tell.leader.life !== this.#leaderLife) {
-      this.#leaderLife = tell.leader.life;
+    if (tell.granted && tell.leader !== undefined && tell.leader.incarnation !== this.#leaderIncarnation) {
+      this.#leaderIncarnation = tell.leader.incarnation;
       this.#leader = tell.leader.address;
-      notes.note(notes.leaders, tell.leader.life);
+      notes.note(notes.leaders, tell.leader.incarnation);
     }
-    const traffic = this.#traffic(frame.from === this.#leaderLife);
+    const traffic = this.#traffic(frame.from === this.#leaderIncarnation);
     traffic.tells += 1;
     traffic.tellBytes += bytes;
     if (tell.state.length > 0) {
--- a/tools/scale/src/site.ts
+++ b/tools/scale/src/site.ts
@@ -81,7 +81,7 @@
     return [modelName(model), [...new Set(adapters)]] as const;
   });
   return {
-    id: `${SERVICE}-${String(place).padStart(5, '0')}-life-1`,
+    id: `${SERVICE}-${String(place).padStart(5, '0')}-incarnation-1`,
     service: SERVICE,
     address: `127.77.2.${1 + (place % ADDRESSES)}:${port}`,
     zone: zoneOf(place),
--- a/tools/scale/src/system-child.ts
+++ b/tools/scale/src/system-child.ts
@@ -1,4 +1,4 @@
-import { runSystem } from '@rainrun/mast/system';
+import { runSystem } from '@rainrun/runtime/system';
 import { DIALECT } from './dialect.js';
 
 const [, , role, path = ''] = process.argv;
--- a/tools/grandstand/src/answers.ts
+++ b/tools/stand-in-workers/src/answers.ts
@@ -1,4 +1,4 @@
-import { hashText } from '@rainrun/nacelle';
+import { hashText } from '@rainrun/common';
 
 /**
  * A short hash, so that stand-in worker and stand-in visitor agree on an answer
--- a/tools/grandstand/src/index.ts
+++ b/tools/stand-in-workers/src/index.ts
@@ -1,4 +1,4 @@
 export * from './answers.js';
-export * from './grandstand.js';
+export * from './stand-in-workers.js';
 export * from './report.js';
 export * from './worker.js';
--- a/tools/grandstand/src/main.ts
+++ b/tools/stand-in-workers/src/main.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
-import { Grandstand, type GrandstandSetup } from './grandstand.js';
+import { StandInWorkers, type StandInWorkersSetup } from './stand-in-workers.js';
 
 const cli = meow(
   `
   Stand-in workers, lookups and platform list for trying a fleet.
 
   Usage
-    $ grandstand --setup FILE
+    $ stand-in-workers --setup FILE
 
   Serves  GET /workers   the platform's list
           GET /report    what the stand-ins saw
@@ -17,14 +17,14 @@
   { importMeta: import.meta, flags: { setup: { type: 'string', isRequired: true } } },
 );
 
-interface SetupFile extends Omit<GrandstandSetup, 'workers'> {
+interface SetupFile extends Omit<StandInWorkersSetup, 'workers'> {
   readonly sizesMb: Record<string, number>;
-  readonly workers: readonly (Omit<GrandstandSetup['workers'][number], 'sizesMb'>)[];
+  readonly workers: readonly (Omit<StandInWorkersSetup['workers'][number], 'sizesMb'>)[];
 }
 
 const file = JSON.parse(readFileSync(cli.flags.setup, 'utf8')) as SetupFile;
 const sizesMb = new Map(Object.entries(file.sizesMb));
-const grandstand = new Grandstand({ ...file, workers: file.workers.map((worker) => ({ ...worker, sizesMb })) });
-await grandstand.start();
-console.log('grandstand is open');
+const standIns = new StandInWorkers({ ...file, workers: file.workers.map((worker) => ({ ...worker, sizesMb })) });
+await standIns.start();
+console.log('standIns is open');
 process.on('SIGTERM', () => process.exit(0));
--- a/tools/grandstand/src/report.ts
+++ b/tools/stand-in-workers/src/report.ts
@@ -6,7 +6,7 @@
 }
 
 /**
- * The book in which all stand-in workers of one grandstand write.
+ * The book in which all stand-in workers of one standIns write.
  * @example
  * book.ran('id-1');
  * book.report().runs['id-1']; // 1
--- a/tools/grandstand/src/grandstand.ts
+++ b/tools/stand-in-workers/src/stand-in-workers.ts
@@ -2,8 +2,8 @@
 import { Book, type Report } from './report.js';
 import { StandInWorker, type Mood, type WorkerSetup } from './worker.js';
 
-/** How a grandstand is set up: where its list is served, and its workers. */
-export interface GrandstandSetup {
+/** How a standIns is set up: where its list is served, and its workers. */
+export interface StandInWorkersSetup {
   readonly host: string;
   readonly port: number;
   readonly pullsPerMinute: number;
@@ -13,18 +13,18 @@
 /**
  * Stand-in workers, lookups and platform list, in one process.
  * @example
- * const grandstand = new Grandstand(setup);
- * await grandstand.start();
+ * const standIns = new StandInWorkers(setup);
+ * await standIns.start();
  */
-export class Grandstand {
-  #setup: GrandstandSetup;
+export class StandInWorkers {
+  #setup: StandInWorkersSetup;
   #book: Book;
   #workers = new Map<string, StandInWorker>();
   #pools = new Map<string, string>();
   #generation = 1;
   #server: Server;
 
-  constructor(setup: GrandstandSetup) {
+  constructor(setup: StandInWorkersSetup) {
     this.#setup = setup;
     this.#book = new Book(setup.pullsPerMinute);
     for (const worker of setup.workers) {
