--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -18,9 +18,25 @@
   type WorkerList,
 } from '@rainrun/messages';
 import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
-import { applyToStage, decodeStage, EMPTY_STAGE, encodeStage, plainStage, type Stage } from '@rainrun/configuration';
+import {
+  applyToStage,
+  decodeStage,
+  EMPTY_STAGE,
+  encodeStage,
+  plainStage,
+  type Stage,
+} from '@rainrun/configuration';
 import { fault, randomId, type Fault } from '@rainrun/common';
-import { Orderer, Placer, PLACE_SETTINGS, type KnownWorker, type ModelDemand, type Order, type OrderReply, type PlaceSettings } from '@rainrun/placement';
+import {
+  Orderer,
+  Placer,
+  PLACE_SETTINGS,
+  type KnownWorker,
+  type ModelDemand,
+  type Order,
+  type OrderReply,
+  type PlaceSettings,
+} from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { DemandBook, type GroupPicture } from './demand.js';
@@ -144,7 +160,9 @@
 
   /** Names of the edges in the view. */
   get edges(): string[] {
-    return (this.#group.view?.members ?? []).filter((member) => member.disk === '').map((member) => member.name);
+    return (this.#group.view?.members ?? [])
+      .filter((member) => member.disk === '')
+      .map((member) => member.name);
   }
 
   workers(): RosterWorker[] {
@@ -171,7 +189,12 @@
    * caller that cannot wait asks later by the id.
    */
   submit(id: string, kind: string, payload: string, done: (answer: Answer) => void): Result<string, Fault> {
-    const operation = create(OperationSchema, { id, kind, payload: new TextEncoder().encode(payload), brief: kind === 'place' });
+    const operation = create(OperationSchema, {
+      id,
+      kind,
+      payload: new TextEncoder().encode(payload),
+      brief: kind === 'place',
+    });
     this.#waiting.set(id, done);
     if (this.#group.submit(operation)) return Result.ok(id);
     this.#waiting.delete(id);
@@ -210,7 +233,10 @@
   #told(reply: Reply): void {
     const asked = this.#asked.get(reply.id);
     this.#asked.delete(reply.id);
-    const body = tryOrElse(() => undefined, () => JSON.parse(reply.body) as unknown);
+    const body = tryOrElse(
+      () => undefined,
+      () => JSON.parse(reply.body) as unknown,
+    );
     asked?.done(body.isOk ? { status: reply.status, body: body.value } : undefined);
   }
 
@@ -224,7 +250,9 @@
     if (nowMs - this.#newsHeartbeatMs >= NEWS_TICK_MS) {
       this.#newsHeartbeatMs = nowMs;
       const self = this.#group.seat.incarnation;
-      const incarnations = (this.#group.view?.members ?? []).map((member) => member.incarnation).filter((incarnation) => incarnation !== self);
+      const incarnations = (this.#group.view?.members ?? [])
+        .map((member) => member.incarnation)
+        .filter((incarnation) => incarnation !== self);
       for (const { to, body } of this.#news.tick(incarnations)) this.#group.postTo(to, body);
     }
     this.#askAgain();
@@ -243,7 +271,9 @@
     const staying = workers.filter((worker) => !worker.leaving);
     const demands = this.#demand.models(nowMs);
     const held = this.#heldParts(staying);
-    this.#orderer.tick(spec, this.stage.placement, staying, nowMs, (model, adapter) => urgencyOf(demands, held, model, adapter));
+    this.#orderer.tick(spec, this.stage.placement, staying, nowMs, (model, adapter) =>
+      urgencyOf(demands, held, model, adapter),
+    );
     if (this.#dutySince?.epoch !== epoch) this.#dutySince = { epoch, atMs: nowMs };
     const heardAll = staying.every((worker) => this.#orderer.known(worker.name) !== undefined);
     if (!heardAll && nowMs - this.#dutySince.atMs < HEARING_MS) return;
@@ -309,10 +339,16 @@
   #hear(item: NewsItem): void {
     const nowMs = this.#now();
     if (item.key === NEWS_LIST) {
-      const list = tryOrElse(() => undefined, () => fromBinary(WorkerListSchema, item.value));
+      const list = tryOrElse(
+        () => undefined,
+        () => fromBinary(WorkerListSchema, item.value),
+      );
       if (list.isOk) this.#roster.takeList(list.value);
     } else if (item.key.startsWith(NEWS_WORKER)) {
-      const state = tryOrElse(() => undefined, () => fromBinary(WorkerStateSchema, item.value));
+      const state = tryOrElse(
+        () => undefined,
+        () => fromBinary(WorkerStateSchema, item.value),
+      );
       if (state.isOk) this.#roster.takeState(state.value, nowMs);
     }
   }
@@ -326,7 +362,10 @@
 
   #onCast(sender: Seat, payload: Uint8Array): void {
     this.#dependencies.heard(sender.incarnation, payload);
-    const read = tryOrElse(() => undefined, () => fromBinary(ObservationSchema, payload));
+    const read = tryOrElse(
+      () => undefined,
+      () => fromBinary(ObservationSchema, payload),
+    );
     if (read.isErr) return;
     this.#roster.takeObservation(sender.incarnation, read.value, this.#now());
     this.#demand.take(sender.incarnation, read.value, this.#now());
@@ -353,7 +392,12 @@
 }
 
 /** How urgent a load is; another copy is loaded after every first one. */
-function urgencyOf(demands: ReadonlyMap<string, ModelDemand>, held: ReadonlySet<string>, model: string, adapter: string): number {
+function urgencyOf(
+  demands: ReadonlyMap<string, ModelDemand>,
+  held: ReadonlySet<string>,
+  model: string,
+  adapter: string,
+): number {
   const demand = demands.get(model);
   if (demand === undefined) return 0;
   const asked = adapter === '' ? demand.arrivalsPerS + demand.backlog : (demand.adapters.get(adapter) ?? 0);
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -13,9 +13,25 @@
   type WorkerRow,
 } from '@rainrun/messages';
 import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
-import { applyToDeployment, checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, encodeDeployment, type Configuration, type Deployment } from '@rainrun/configuration';
+import {
+  applyToDeployment,
+  checkConfiguration,
+  decodeDeployment,
+  EMPTY_DEPLOYMENT,
+  encodeDeployment,
+  type Configuration,
+  type Deployment,
+} from '@rainrun/configuration';
 import { fault, randomId, type Fault } from '@rainrun/common';
-import { PlacementPlanner, WorkerTable, type WorkerRecord, type ListedWorker, type StockEngine, type StockOrder, type StockReply } from '@rainrun/placement';
+import {
+  PlacementPlanner,
+  WorkerTable,
+  type WorkerRecord,
+  type ListedWorker,
+  type StockEngine,
+  type StockOrder,
+  type StockReply,
+} from '@rainrun/placement';
 import { Result } from 'true-myth';
 
 const DEPLOYMENT_PLAY: Play<Deployment> = {
@@ -24,7 +40,10 @@
   decode: (encoded) => decodeDeployment(encoded.play),
   plain: (state) => state,
   apply(state, operation): { state: Deployment; outcome: Outcome } {
-    return applyToDeployment(state, { kind: operation.kind, payload: new TextDecoder().decode(operation.payload) });
+    return applyToDeployment(state, {
+      kind: operation.kind,
+      payload: new TextDecoder().decode(operation.payload),
+    });
   },
 };
 
@@ -42,7 +61,10 @@
   /** Sends one order to a worker. */
   order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void;
   /** Asks a worker what it holds; nothing comes while it is at an order, or if it does not answer. */
-  report(row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void;
+  report(
+    row: WorkerRecord,
+    done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void,
+  ): void;
   /** How far the platform's list lags. */
   readonly listLagMs: number;
   /** Called when another edition came into force here. */
@@ -131,7 +153,8 @@
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#group.tick();
-    for (const [incarnation, follower] of this.#followers) if (nowMs - follower.atMs > FOLLOWER_MS) this.#followers.delete(incarnation);
+    for (const [incarnation, follower] of this.#followers)
+      if (nowMs - follower.atMs > FOLLOWER_MS) this.#followers.delete(incarnation);
     this.#openTable();
     if (this.#group.leading) this.#stock(nowMs);
     this.#tellChanges(nowMs);
@@ -150,7 +173,12 @@
   /** Submits an operation; `done` is called once, with the agreed answer. */
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
     const id = randomId(this.#dependencies.chance);
-    const operation = create(OperationSchema, { id, kind, payload: new TextEncoder().encode(JSON.stringify(payload)), brief: true });
+    const operation = create(OperationSchema, {
+      id,
+      kind,
+      payload: new TextEncoder().encode(JSON.stringify(payload)),
+      brief: true,
+    });
     this.#waiting.set(id, done);
     if (this.#group.submit(operation)) return Result.ok(id);
     this.#waiting.delete(id);
@@ -211,7 +239,12 @@
         this.#planner.settle(row, row.listed);
         continue;
       }
-      if (!pressed || heldMs < REPORT_LAG_MS || nowMs - (this.#askedMs.get(row.id) ?? -Infinity) < REPORT_LAG_MS) continue;
+      if (
+        !pressed ||
+        heldMs < REPORT_LAG_MS ||
+        nowMs - (this.#askedMs.get(row.id) ?? -Infinity) < REPORT_LAG_MS
+      )
+        continue;
       this.#askedMs.set(row.id, nowMs);
       const planner = this.#planner;
       this.#dependencies.report(row, (models) => {
@@ -257,7 +290,8 @@
     this.#dirtyMs ??= nowMs;
     if (nowMs - this.#dirtyMs < Math.floor(this.#followers.size * GATHER_MS_EACH)) return;
     this.#dirtyMs = undefined;
-    for (const follower of this.#followers.values()) if (this.#isBehind(follower)) this.#tell(follower, nowMs);
+    for (const follower of this.#followers.values())
+      if (this.#isBehind(follower)) this.#tell(follower, nowMs);
   }
 
   #isBehind(follower: Follower): boolean {
@@ -292,7 +326,12 @@
       follower.table = tell.table;
       follower.row = tell.row;
     }
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#group.seat.incarnation, to: follower.seat.incarnation });
+    const frame = create(FrameSchema, {
+      wire: WIRE,
+      deployment: this.#dependencies.deployment,
+      from: this.#group.seat.incarnation,
+      to: follower.seat.incarnation,
+    });
     frame.body = { case: 'tell', value: tell };
     this.#dependencies.post(follower.seat.address, frame);
   }
@@ -326,7 +365,12 @@
     gone,
     slots,
     coldMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
-    holdings: [...models].map(([model, adapters]) => ({ $typeName: 'rainrun.v1.Holding' as const, model, adapters: [...adapters], load: 0 })),
+    holdings: [...models].map(([model, adapters]) => ({
+      $typeName: 'rainrun.v1.Holding' as const,
+      model,
+      adapters: [...adapters],
+      load: 0,
+    })),
   });
 }
 
@@ -345,7 +389,12 @@
       roomMb: engine.roomMb,
       adapterPlaces: engine.adapterPlaces,
       loadsPerS: engine.loadsPerS,
-      models: new Map(engine.models.map((model) => [model.name, { name: model.name, sizeMb: model.sizeMb, loadMs: model.loadS * 1000, adapterMb: model.adapterMb }])),
+      models: new Map(
+        engine.models.map((model) => [
+          model.name,
+          { name: model.name, sizeMb: model.sizeMb, loadMs: model.loadS * 1000, adapterMb: model.adapterMb },
+        ]),
+      ),
     });
   }
   return engines;
--- a/packages/cluster-node/src/demand.ts
+++ b/packages/cluster-node/src/demand.ts
@@ -43,8 +43,10 @@
   }
 
   keepOnly(incarnations: ReadonlySet<string>): void {
-    for (const incarnation of this.#backlogs.keys()) if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
-    for (const incarnation of this.#groups.keys()) if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
+    for (const incarnation of this.#backlogs.keys())
+      if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
+    for (const incarnation of this.#groups.keys())
+      if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
   }
 
   models(nowMs: number): Map<string, ModelDemand> {
@@ -82,11 +84,21 @@
   #count(measure: GroupMeasure): void {
     const { group, kind } = measure;
     const key = `${group}/${kind}`;
-    const known = this.#totals.get(key) ?? { group, kind, served: 0, refused: 0, prompt: 0, waitMs: 0, inFlight: 0, backlog: 0 };
+    const known = this.#totals.get(key) ?? {
+      group,
+      kind,
+      served: 0,
+      refused: 0,
+      prompt: 0,
+      waitMs: 0,
+      inFlight: 0,
+      backlog: 0,
+    };
     known.served += measure.served;
     known.refused += measure.refused;
     known.prompt += measure.prompt;
-    if (measure.served > 0) known.waitMs += (measure.waitMs - known.waitMs) * Math.min(1, measure.served / 20);
+    if (measure.served > 0)
+      known.waitMs += (measure.waitMs - known.waitMs) * Math.min(1, measure.served / 20);
     this.#totals.set(key, known);
   }
 
--- a/packages/cluster-node/src/edge.ts
+++ b/packages/cluster-node/src/edge.ts
@@ -6,7 +6,14 @@
 import type { ClusterNode } from './cluster-node.js';
 
 /** How the weights of the groups are steered. */
-export const LOOP_SETTINGS: LoopSettings = { gain: 0.5, integralPerS: 0.1, least: 0.25, most: 4, stepPerS: 0.2, deadBand: 0.1 };
+export const LOOP_SETTINGS: LoopSettings = {
+  gain: 0.5,
+  integralPerS: 0.1,
+  least: 0.25,
+  most: 4,
+  stepPerS: 0.2,
+  deadBand: 0.1,
+};
 
 /** How often an edge casts what it saw. */
 export const OBSERVE_MS = 500;
@@ -25,7 +32,15 @@
   #loops = new Map<string, Loop>();
   readonly gate: Gate;
 
-  constructor(clusterNode: ClusterNode, name: string, zone: string, clock: Clock, chance: Chance, sender: Sender, loops: LoopSettings = LOOP_SETTINGS) {
+  constructor(
+    clusterNode: ClusterNode,
+    name: string,
+    zone: string,
+    clock: Clock,
+    chance: Chance,
+    sender: Sender,
+    loops: LoopSettings = LOOP_SETTINGS,
+  ) {
     this.#loopSettings = loops;
     this.#clusterNode = clusterNode;
     this.gate = new Gate({
@@ -86,7 +101,10 @@
     for (const { name, kinds } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
       const measured = pictures.filter((picture) => picture.group === name && picture.served > 0);
       if (measured.length === 0) continue;
-      const ratios = measured.map((picture) => picture.waitMs / (kinds.find((kind) => kind.name === picture.kind)?.targetMs ?? Infinity));
+      const ratios = measured.map(
+        (picture) =>
+          picture.waitMs / (kinds.find((kind) => kind.name === picture.kind)?.targetMs ?? Infinity),
+      );
       const loop = this.#loops.get(name) ?? new Loop(this.#loopSettings);
       this.#loops.set(name, loop);
       loop.move(Math.max(...ratios), OBSERVE_MS / 1000);
--- a/packages/cluster-node/src/follower.ts
+++ b/packages/cluster-node/src/follower.ts
@@ -1,6 +1,22 @@
 import { create } from '@bufbuild/protobuf';
-import { FollowSchema, FrameSchema, SeatSchema, WIRE, type Frame, type Seat, type Tell, type Want, type WorkerRow } from '@rainrun/messages';
-import { checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, type Configuration, type Deployment } from '@rainrun/configuration';
+import {
+  FollowSchema,
+  FrameSchema,
+  SeatSchema,
+  WIRE,
+  type Frame,
+  type Seat,
+  type Tell,
+  type Want,
+  type WorkerRow,
+} from '@rainrun/messages';
+import {
+  checkConfiguration,
+  decodeDeployment,
+  EMPTY_DEPLOYMENT,
+  type Configuration,
+  type Deployment,
+} from '@rainrun/configuration';
 import { randomId, type Chance, type Clock } from '@rainrun/common';
 
 /** A worker as an edge knows it. */
@@ -78,7 +94,12 @@
 
   constructor(dependencies: FollowerDependencies) {
     this.#dependencies = dependencies;
-    this.#seat = create(SeatSchema, { name: dependencies.name, incarnation: randomId(dependencies.chance), address: dependencies.address, zone: dependencies.zone });
+    this.#seat = create(SeatSchema, {
+      name: dependencies.name,
+      incarnation: randomId(dependencies.chance),
+      address: dependencies.address,
+      zone: dependencies.zone,
+    });
   }
 
   get state(): Deployment {
@@ -142,14 +163,16 @@
   /** The leader and a few more: seeds until cores are known. */
   #followed(nowMs: number): Core[] {
     for (const [address, core] of this.#cores) {
-      if (nowMs - core.heardMs > CORE_MS && !this.#dependencies.seeds.includes(address)) this.#cores.delete(address);
+      if (nowMs - core.heardMs > CORE_MS && !this.#dependencies.seeds.includes(address))
+        this.#cores.delete(address);
     }
     for (const address of this.#dependencies.seeds) this.#core(address);
     const known = [...this.#cores.values()].filter((core) => core.address !== this.#seat.address);
     const fresh = known.filter((core) => nowMs - core.heardMs < FRESH_MS);
     const leader = known.filter((core) => core.address === this.#leader?.address);
     const chosen = new Set([...leader, ...fresh.filter((core) => core.granted).slice(0, CORES_MOST)]);
-    if (leader.length === 0 || !fresh.includes(leader[0] as Core) || chosen.size < CORES_MOST) for (const core of known) chosen.add(core);
+    if (leader.length === 0 || !fresh.includes(leader[0] as Core) || chosen.size < CORES_MOST)
+      for (const core of known) chosen.add(core);
     return [...chosen];
   }
 
@@ -168,8 +191,20 @@
   }
 
   #post(address: string, leaving: boolean, wants: readonly Want[]): void {
-    const value = create(FollowSchema, { seat: this.#seat, edition: this.#state.edition, table: this.#table, row: this.#row, wants: [...wants], leaving });
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#seat.incarnation, to: '' });
+    const value = create(FollowSchema, {
+      seat: this.#seat,
+      edition: this.#state.edition,
+      table: this.#table,
+      row: this.#row,
+      wants: [...wants],
+      leaving,
+    });
+    const frame = create(FrameSchema, {
+      wire: WIRE,
+      deployment: this.#dependencies.deployment,
+      from: this.#seat.incarnation,
+      to: '',
+    });
     frame.body = { case: 'follow', value };
     this.#dependencies.post(address, frame);
   }
@@ -225,7 +260,17 @@
     }
     const { id, service, address, zone, leaving, slots, coldMs, number } = row;
     const models = new Map(row.holdings.map(({ model, adapters }) => [model, new Set(adapters)]));
-    this.#workers.set(id, { id, service, address, zone, leaving, slots, coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity, models, number });
+    this.#workers.set(id, {
+      id,
+      service,
+      address,
+      zone,
+      leaving,
+      slots,
+      coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
+      models,
+      number,
+    });
   }
 }
 
--- a/packages/cluster-node/src/roster.ts
+++ b/packages/cluster-node/src/roster.ts
@@ -72,7 +72,8 @@
 
   /** Drops what was observed by nodes that are no longer in the view. */
   keepOnly(incarnations: ReadonlySet<string>): void {
-    for (const incarnation of this.#loads.keys()) if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
+    for (const incarnation of this.#loads.keys())
+      if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
   }
 
   workers(stage: Stage, self: string, nowMs: number): RosterWorker[] {
@@ -111,7 +112,9 @@
 function heldAndWanted(held: readonly HoldingTarget[], wanted: readonly HoldingTarget[]): HoldingTarget[] {
   return held.flatMap(({ model, adapters }) => {
     const target = wanted.find((holding) => holding.model === model);
-    return target === undefined ? [] : [{ model, adapters: adapters.filter((adapter) => target.adapters.includes(adapter)) }];
+    return target === undefined
+      ? []
+      : [{ model, adapters: adapters.filter((adapter) => target.adapters.includes(adapter)) }];
   });
 }
 
--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -32,20 +32,31 @@
 
   it('is refused whole, with the path of every fault', () => {
     expect(faultsOf({ extra: 1, zones: [] })).toEqual(['zones', 'extra']);
-    expect(faultsOf({ models: [{ name: 'm', sizeMb: 1200 }] })).toEqual(['models.0.sizeMb', 'adapters.0.sizeMb']);
+    expect(faultsOf({ models: [{ name: 'm', sizeMb: 1200 }] })).toEqual([
+      'models.0.sizeMb',
+      'adapters.0.sizeMb',
+    ]);
     expect(faultsOf({ adapters: [{ name: 'a', model: 'x', sizeMb: 1 }] })).toEqual(['adapters.0.model']);
     expect(faultsOf({ zones: ['north', 'north'] })).toEqual(['zones.1']);
-    expect(faultsOf({ groups: [{ name: 'g', share: 1, kinds: [{ name: 'k', targetMs: 1, patienceMs: 1 }], models: ['x'] }] })).toEqual([
-      'groups.0.models.0',
-    ]);
+    expect(
+      faultsOf({
+        groups: [{ name: 'g', share: 1, kinds: [{ name: 'k', targetMs: 1, patienceMs: 1 }], models: ['x'] }],
+      }),
+    ).toEqual(['groups.0.models.0']);
   });
 
   it('is taken with as many routes as are allowed, and refused with one more', () => {
     function withRoutes(count: number): string {
-      return JSON.stringify({ ...good(), routes: Array.from({ length: count }, (_, place) => ({ path: `/r/${place}`, serve: 'chat' })) });
+      return JSON.stringify({
+        ...good(),
+        routes: Array.from({ length: count }, (_, place) => ({ path: `/r/${place}`, serve: 'chat' })),
+      });
     }
     const over = readSpec(withRoutes(ROUTES_MOST + 1));
-    expect([readSpec(withRoutes(ROUTES_MOST)).isOk, over.isErr && specFaultText(over.error)]).toEqual([true, 'routes: more than 10000 routes']);
+    expect([readSpec(withRoutes(ROUTES_MOST)).isOk, over.isErr && specFaultText(over.error)]).toEqual([
+      true,
+      'routes: more than 10000 routes',
+    ]);
   });
 
   it('is refused when empty, not JSON or far too large', () => {
@@ -58,70 +69,132 @@
   it('lets one of two racing operators win, and tells the other what is in force', () => {
     const first = put(EMPTY_STAGE, 0, JSON.stringify(good()));
     const second = put(first.state, 0, JSON.stringify({ ...good(), deployment: 'e' }));
-    expect([first.outcome.kind, second.outcome.kind, second.outcome.detail]).toEqual(['agreed', 'conflict', 'version 1 is in force, not 0']);
+    expect([first.outcome.kind, second.outcome.kind, second.outcome.detail]).toEqual([
+      'agreed',
+      'conflict',
+      'version 1 is in force, not 0',
+    ]);
     expect(second.state).toEqual(first.state);
   });
 
   it('changes nothing for a bad spec or an unknown operation', () => {
     expect(put(EMPTY_STAGE, 0, '{}').state).toEqual(EMPTY_STAGE);
-    expect(applyToStage(EMPTY_STAGE, { id: '1', kind: 'no', payload: '{}' }, 2).outcome.kind).toEqual('bad-request');
+    expect(applyToStage(EMPTY_STAGE, { id: '1', kind: 'no', payload: '{}' }, 2).outcome.kind).toEqual(
+      'bad-request',
+    );
     expect(applyToStage(EMPTY_STAGE, { id: '1', kind: 'place', payload: 'x' }, 2).state).toEqual(EMPTY_STAGE);
   });
 
   it('merges a change, and refuses one that breaks the spec', () => {
     const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
     function change(patch: unknown): ReturnType<typeof applyToStage> {
-      return applyToStage(state, { id: 'c', kind: 'spec.change', payload: JSON.stringify({ base: 1, patch }) }, 2);
+      return applyToStage(
+        state,
+        { id: 'c', kind: 'spec.change', payload: JSON.stringify({ base: 1, patch }) },
+        2,
+      );
     }
-    expect(change({ store: { concurrentPulls: 3 } }).state.spec?.spec.store).toEqual({ pullsPerMinute: 60, concurrentPulls: 3 });
+    expect(change({ store: { concurrentPulls: 3 } }).state.spec?.spec.store).toEqual({
+      pullsPerMinute: 60,
+      concurrentPulls: 3,
+    });
     expect(change({ zones: null }).outcome.kind).toEqual('bad-spec');
   });
 
   it('lets changes to different entries both hold, and one of two to the same entry win', () => {
     const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
-    function edit(from: typeof state, seen: number, change: unknown, level = 2): ReturnType<typeof applyToStage> {
-      return applyToStage(from, { id: 'e', kind: 'spec.edit', payload: JSON.stringify({ seen, edit: change }) }, level);
+    function edit(
+      from: typeof state,
+      seen: number,
+      change: unknown,
+      level = 2,
+    ): ReturnType<typeof applyToStage> {
+      return applyToStage(
+        from,
+        { id: 'e', kind: 'spec.edit', payload: JSON.stringify({ seen, edit: change }) },
+        level,
+      );
     }
     const one = edit(state, 1, { add: { zones: ['west'], routes: [{ path: '/a', serve: 'chat' }] } });
-    const other = edit(one.state, 1, { add: { routes: [{ path: '/b', serve: 'chat' }] }, set: { store: { pullsPerMinute: 9, concurrentPulls: 1 } } });
+    const other = edit(one.state, 1, {
+      add: { routes: [{ path: '/b', serve: 'chat' }] },
+      set: { store: { pullsPerMinute: 9, concurrentPulls: 1 } },
+    });
     const paths = other.state.spec?.spec.routes.map((route) => route.path) ?? [];
-    expect([paths.includes('/a'), paths.includes('/b'), other.state.spec?.spec.zones.includes('west')]).toEqual([true, true, true]);
+    expect([
+      paths.includes('/a'),
+      paths.includes('/b'),
+      other.state.spec?.spec.zones.includes('west'),
+    ]).toEqual([true, true, true]);
     expect(edit(other.state, 1, { replace: { routes: [{ path: '/a', serve: 'lookup' }] } }).outcome).toEqual({
       kind: 'conflict',
       detail: 'routes//a was changed in version 2, after version 1',
     });
     expect(edit(other.state, 3, { remove: { routes: ['/a'] } }).outcome.kind).toEqual('agreed');
-    const wrong = [{ add: { zones: ['west'] } }, { remove: { models: ['x'] } }, { add: { zones: ['w', 'w'] } }, { add: { groups: [{}] } }, { zones: [] }];
+    const wrong = [
+      { add: { zones: ['west'] } },
+      { remove: { models: ['x'] } },
+      { add: { zones: ['w', 'w'] } },
+      { add: { groups: [{}] } },
+      { zones: [] },
+    ];
     expect(wrong.map((change) => edit(other.state, 3, change).outcome)).toEqual([
       { kind: 'conflict', detail: 'add.zones.0: "west" is in zones already' },
       { kind: 'conflict', detail: 'remove.models.0: there is no "x" in models' },
       { kind: 'bad-request', detail: 'add.zones.1: zones/w is named a second time' },
-      { kind: 'bad-request', detail: 'add.groups.0.name: Invalid key: Expected "name" but received undefined' },
+      {
+        kind: 'bad-request',
+        detail: 'add.groups.0.name: Invalid key: Expected "name" but received undefined',
+      },
       { kind: 'bad-request', detail: 'zones: Invalid key: Expected never but received "zones"' },
     ]);
-    expect(edit(other.state, 9, {}).outcome.detail).toEqual('made for version 9; version 3 is in force, and what was touched is known back to 0');
+    expect(edit(other.state, 9, {}).outcome.detail).toEqual(
+      'made for version 9; version 3 is in force, and what was touched is known back to 0',
+    );
     expect(edit(other.state, 3, {}, 1).outcome.detail).toEqual('no operation "spec.edit"');
   });
 
   it('refuses a merge patch that would replace a list whole, unless it names its base', () => {
     const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
     function patch(more: object): string {
-      return applyToStage(state, { id: 'c', kind: 'spec.change', payload: JSON.stringify({ patch: { zones: good().zones }, ...more }) }, 2).outcome.kind;
+      return applyToStage(
+        state,
+        {
+          id: 'c',
+          kind: 'spec.change',
+          payload: JSON.stringify({ patch: { zones: good().zones }, ...more }),
+        },
+        2,
+      ).outcome.kind;
     }
-    expect([patch({}), patch({ base: 1 }), patch({ base: 7 })]).toEqual(['bad-request', 'agreed', 'conflict']);
+    expect([patch({}), patch({ base: 1 }), patch({ base: 7 })]).toEqual([
+      'bad-request',
+      'agreed',
+      'conflict',
+    ]);
   });
 
   it('empties and restores zones it knows, and forgets an emptied zone that the spec drops', () => {
     const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
     const emptied = applyToStage(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
     expect(emptied.state.emptied).toEqual(['north']);
-    expect(applyToStage(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind).toEqual('not-found');
+    expect(
+      applyToStage(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind,
+    ).toEqual('not-found');
     expect(put(emptied.state, 1, JSON.stringify({ ...good(), zones: ['south'] })).state.emptied).toEqual([]);
   });
 
   it('refuses a placement from an epoch that is over', () => {
-    const later = applyToStage(EMPTY_STAGE, { id: 'p', kind: 'place', payload: '{"epoch":5,"workers":{}}' }, 2);
-    const older = applyToStage(later.state, { id: 'q', kind: 'place', payload: '{"epoch":4,"workers":{"w":[]}}' }, 2);
+    const later = applyToStage(
+      EMPTY_STAGE,
+      { id: 'p', kind: 'place', payload: '{"epoch":5,"workers":{}}' },
+      2,
+    );
+    const older = applyToStage(
+      later.state,
+      { id: 'q', kind: 'place', payload: '{"epoch":4,"workers":{"w":[]}}' },
+      2,
+    );
     expect(older.outcome.kind).toEqual('conflict');
   });
 
@@ -129,10 +202,15 @@
     const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
     const read = decodeStage(encodeStage(state));
     expect(read.isOk && read.value).toEqual(state);
-    expect(decodeStage({ play: new TextEncoder().encode('{"version":1}'), extra: new Uint8Array() }).isErr).toEqual(true);
+    expect(
+      decodeStage({ play: new TextEncoder().encode('{"version":1}'), extra: new Uint8Array() }).isErr,
+    ).toEqual(true);
   });
 });
 
 it('a merge patch takes away, merges and replaces', () => {
-  expect(mergePatch({ a: 1, b: { c: 1, d: 2 }, e: [1] }, { a: null, b: { c: 3 }, e: [2] })).toEqual({ b: { c: 3, d: 2 }, e: [2] });
+  expect(mergePatch({ a: 1, b: { c: 1, d: 2 }, e: [1] }, { a: null, b: { c: 3 }, e: [2] })).toEqual({
+    b: { c: 3, d: 2 },
+    e: [2],
+  });
 });
--- a/packages/configuration/src/configuration.test.ts
+++ b/packages/configuration/src/configuration.test.ts
@@ -1,11 +1,26 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { applyToDeployment, checkConfiguration, decodeDeployment, EMPTY_DEPLOYMENT, encodeDeployment, type Deployment } from './configuration.js';
+import {
+  applyToDeployment,
+  checkConfiguration,
+  decodeDeployment,
+  EMPTY_DEPLOYMENT,
+  encodeDeployment,
+  type Deployment,
+} from './configuration.js';
 
 type Document = Record<string, unknown>;
 
 function route(name: string, change: Document = {}): Document {
-  return { name, host: 'a.example', prefix: `/${name}/`, service: 'assist', kind: 'idempotent', timeoutMs: 1000, ...change };
+  return {
+    name,
+    host: 'a.example',
+    prefix: `/${name}/`,
+    service: 'assist',
+    kind: 'idempotent',
+    timeoutMs: 1000,
+    ...change,
+  };
 }
 
 function document(revision: number, change: Document = {}): Document {
@@ -17,12 +32,22 @@
   return checked.isOk ? 'none' : `${checked.error.kind}: ${checked.error.detail}`;
 }
 
-function put(state: Deployment, base: number | undefined, sent: Document): ReturnType<typeof applyToDeployment> {
-  return applyToDeployment(state, { kind: 'configuration.put', payload: JSON.stringify({ base, document: sent }) });
+function put(
+  state: Deployment,
+  base: number | undefined,
+  sent: Document,
+): ReturnType<typeof applyToDeployment> {
+  return applyToDeployment(state, {
+    kind: 'configuration.put',
+    payload: JSON.stringify({ base, document: sent }),
+  });
 }
 
 function patch(state: Deployment, base: number, change: Document): ReturnType<typeof applyToDeployment> {
-  return applyToDeployment(state, { kind: 'configuration.patch', payload: JSON.stringify({ base, patch: change }) });
+  return applyToDeployment(state, {
+    kind: 'configuration.patch',
+    payload: JSON.stringify({ base, patch: change }),
+  });
 }
 
 function first(): Deployment {
@@ -41,18 +66,72 @@
     ['has no revision', { routes: [], services: [] }, /revision/],
     ['has a revision of 0', document(0), /revision/],
     ['has a revision that is not whole', document(1.5), /revision/],
-    ['names an unknown service', document(1, { routes: [route('one', { service: 'nowhere' })] }), /routes\.0 \(one\): unknown service "nowhere"/],
+    [
+      'names an unknown service',
+      document(1, { routes: [route('one', { service: 'nowhere' })] }),
+      /routes\.0 \(one\): unknown service "nowhere"/,
+    ],
     ['names no service', document(1, { routes: [route('one', { service: null })] }), /unknown service ""/],
-    ['splits to an unknown service', document(1, { routes: [route('one', { service: null, split: [{ service: 'nowhere', weight: 1 }] })] }), /unknown service "nowhere"/],
-    ['has weights that sum to 0', document(1, { routes: [route('one', { split: [{ service: 'assist', weight: 0 }, { service: 'lookup', weight: 0 }] })] }), /weights sum to 0/],
-    ['has a weight below 0', document(1, { routes: [route('one', { split: [{ service: 'assist', weight: 2 }, { service: 'lookup', weight: -1 }] })] }), /weight/],
-    ['has two routes in one place', document(1, { routes: [route('one'), route('two', { prefix: '/one/' })] }), /routes\.1 \(two\): host and prefix "a.example \/one\/"/],
-    ['has two routes in one place, but for the case of the host', document(1, { routes: [route('one'), route('two', { host: 'A.Example', prefix: '/one/' })] }), /second time/],
-    ['has a time-out of 0', document(1, { routes: [route('one', { timeoutMs: 0 })] }), /routes\.0\.timeoutMs: a time-out above 0/],
+    [
+      'splits to an unknown service',
+      document(1, { routes: [route('one', { service: null, split: [{ service: 'nowhere', weight: 1 }] })] }),
+      /unknown service "nowhere"/,
+    ],
+    [
+      'has weights that sum to 0',
+      document(1, {
+        routes: [
+          route('one', {
+            split: [
+              { service: 'assist', weight: 0 },
+              { service: 'lookup', weight: 0 },
+            ],
+          }),
+        ],
+      }),
+      /weights sum to 0/,
+    ],
+    [
+      'has a weight below 0',
+      document(1, {
+        routes: [
+          route('one', {
+            split: [
+              { service: 'assist', weight: 2 },
+              { service: 'lookup', weight: -1 },
+            ],
+          }),
+        ],
+      }),
+      /weight/,
+    ],
+    [
+      'has two routes in one place',
+      document(1, { routes: [route('one'), route('two', { prefix: '/one/' })] }),
+      /routes\.1 \(two\): host and prefix "a.example \/one\/"/,
+    ],
+    [
+      'has two routes in one place, but for the case of the host',
+      document(1, { routes: [route('one'), route('two', { host: 'A.Example', prefix: '/one/' })] }),
+      /second time/,
+    ],
+    [
+      'has a time-out of 0',
+      document(1, { routes: [route('one', { timeoutMs: 0 })] }),
+      /routes\.0\.timeoutMs: a time-out above 0/,
+    ],
     ['has a time-out below 0', document(1, { routes: [route('one', { timeoutMs: -5 })] }), /timeoutMs/],
     ['has no time-out', document(1, { routes: [route('one', { timeoutMs: undefined })] }), /timeoutMs/],
-    ['has a route of no known kind', document(1, { routes: [route('one', { kind: 'sometimes' })] }), /routes\.0\.kind/],
-    ['has a service named twice', document(1, { services: [{ name: 'assist' }, { name: 'assist' }] }), /services/],
+    [
+      'has a route of no known kind',
+      document(1, { routes: [route('one', { kind: 'sometimes' })] }),
+      /routes\.0\.kind/,
+    ],
+    [
+      'has a service named twice',
+      document(1, { services: [{ name: 'assist' }, { name: 'assist' }] }),
+      /services/,
+    ],
   ];
   for (const [what, data, says] of invalid) {
     it(`is refused when it ${what}`, () => {
@@ -61,16 +140,40 @@
   }
 
   it('is taken when it is whole, with the same prefix on another host, and with a part of weight 0', () => {
-    const split = [{ service: 'assist', weight: 0 }, { service: 'lookup', weight: 3 }];
-    expect(faultOf(document(1, { routes: [route('one'), route('two', { host: 'b.example', prefix: '/one/' }), route('three', { split })] }))).toEqual('none');
+    const split = [
+      { service: 'assist', weight: 0 },
+      { service: 'lookup', weight: 3 },
+    ];
+    expect(
+      faultOf(
+        document(1, {
+          routes: [
+            route('one'),
+            route('two', { host: 'b.example', prefix: '/one/' }),
+            route('three', { split }),
+          ],
+        }),
+      ),
+    ).toEqual('none');
   });
 
   it('keeps fields that are not known, at every depth', () => {
-    const sent = document(1, { more: 1, routes: [route('one', { colour: 'red' })], services: [{ name: 'assist', engine: { slots: 2, age: 3, models: [{ name: 'm', sizeMb: 4, tone: 'low' }] } }] });
+    const sent = document(1, {
+      more: 1,
+      routes: [route('one', { colour: 'red' })],
+      services: [
+        { name: 'assist', engine: { slots: 2, age: 3, models: [{ name: 'm', sizeMb: 4, tone: 'low' }] } },
+      ],
+    });
     const checked = checkConfiguration(sent);
     const found = checked.isOk ? (checked.value as unknown as Record<string, unknown>) : {};
     const text = JSON.stringify(found);
-    expect([found['more'], text.includes('"colour":"red"'), text.includes('"age":3'), text.includes('"tone":"low"')]).toEqual([1, true, true, true]);
+    expect([
+      found['more'],
+      text.includes('"colour":"red"'),
+      text.includes('"age":3'),
+      text.includes('"tone":"low"'),
+    ]).toEqual([1, true, true, true]);
   });
 });
 
@@ -84,7 +187,10 @@
   it('refuses what is cut short, invalid, old or on another base, and stays as it is', () => {
     const state = first();
     const ends = [
-      applyToDeployment(state, { kind: 'configuration.put', payload: JSON.stringify({ base: 5, document: document(9) }).slice(0, -9) }),
+      applyToDeployment(state, {
+        kind: 'configuration.put',
+        payload: JSON.stringify({ base: 5, document: document(9) }).slice(0, -9),
+      }),
       put(state, 5, document(9, { routes: [route('one', { timeoutMs: 0 })] })),
       put(state, 5, document(4)),
       put(state, 5, document(5)),
@@ -93,7 +199,16 @@
       applyToDeployment(state, { kind: 'configuration.put', payload: '{"base":5}' }),
       applyToDeployment(state, { kind: 'configuration.turn', payload: '{}' }),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(['bad-request', 'bad-spec', 'bad-spec', 'agreed', 'conflict', 'conflict', 'bad-spec', 'bad-request']);
+    expect(ends.map(({ outcome }) => outcome.kind)).toEqual([
+      'bad-request',
+      'bad-spec',
+      'bad-spec',
+      'agreed',
+      'conflict',
+      'conflict',
+      'bad-spec',
+      'bad-request',
+    ]);
     expect(ends.map((end) => end.state === state)).toEqual(ends.map(() => true));
   });
 
@@ -107,31 +222,61 @@
     const other = put(one.state, 5, document(8));
     const later = put(one.state, 7, document(9));
     const again = put(later.state, 5, document(7));
-    expect([one.outcome.kind, other.outcome.kind, later.outcome.kind, again.outcome.kind, again.state.revision]).toEqual(['agreed', 'conflict', 'agreed', 'agreed', 9]);
+    expect([
+      one.outcome.kind,
+      other.outcome.kind,
+      later.outcome.kind,
+      again.outcome.kind,
+      again.state.revision,
+    ]).toEqual(['agreed', 'conflict', 'agreed', 'agreed', 9]);
   });
 
   it('does not agree again to a call that lost its race', () => {
     const state = put(first(), 5, document(7)).state;
-    expect([put(state, 5, document(8)).outcome.kind, put(state, 5, document(8)).outcome.kind]).toEqual(['conflict', 'conflict']);
+    expect([put(state, 5, document(8)).outcome.kind, put(state, 5, document(8)).outcome.kind]).toEqual([
+      'conflict',
+      'conflict',
+    ]);
   });
 
   it('remembers what it took through its bytes', () => {
     const read = decodeDeployment(encodeDeployment(put(first(), 5, document(7)).state));
-    expect(read.isOk ? [put(read.value, 5, document(7)).outcome.kind, read.value.edition] : []).toEqual(['agreed', 2]);
+    expect(read.isOk ? [put(read.value, 5, document(7)).outcome.kind, read.value.edition] : []).toEqual([
+      'agreed',
+      2,
+    ]);
     expect(decodeDeployment(new TextEncoder().encode('{"edition":')).isErr).toEqual(true);
     expect(decodeDeployment(new TextEncoder().encode('{"edition":"x"}')).isErr).toEqual(true);
   });
 
   it('is patched by name: items are put in place, added and dropped, and the rest stays', () => {
-    const state = put(EMPTY_DEPLOYMENT, 0, document(5, { routes: [route('one'), route('two'), route('three')], limits: { idleMs: 9 }, more: 1 })).state;
-    const { outcome, state: next } = patch(state, 5, { revision: 8, set: { routes: [route('two', { timeoutMs: 77 }), route('four')] }, drop: { routes: ['one', 'unheard'] } });
+    const state = put(
+      EMPTY_DEPLOYMENT,
+      0,
+      document(5, { routes: [route('one'), route('two'), route('three')], limits: { idleMs: 9 }, more: 1 }),
+    ).state;
+    const { outcome, state: next } = patch(state, 5, {
+      revision: 8,
+      set: { routes: [route('two', { timeoutMs: 77 }), route('four')] },
+      drop: { routes: ['one', 'unheard'] },
+    });
     const two = (next.document?.['routes'] as Document[])[0];
-    expect([outcome.kind, namesIn(next), two?.['timeoutMs'], next.document?.['more'], next.revision, next.document?.['revision']]).toEqual(['agreed', ['two', 'three', 'four'], 77, 1, 8, 8]);
+    expect([
+      outcome.kind,
+      namesIn(next),
+      two?.['timeoutMs'],
+      next.document?.['more'],
+      next.revision,
+      next.document?.['revision'],
+    ]).toEqual(['agreed', ['two', 'three', 'four'], 77, 1, 8, 8]);
   });
 
   it('lets a patch move a route to another place, and two routes change places', () => {
     const state = put(EMPTY_DEPLOYMENT, 0, document(5, { routes: [route('one'), route('two')] })).state;
-    const end = patch(state, 5, { revision: 6, set: { routes: [route('one', { prefix: '/two/' }), route('two', { prefix: '/one/' })] } });
+    const end = patch(state, 5, {
+      revision: 6,
+      set: { routes: [route('one', { prefix: '/two/' }), route('two', { prefix: '/one/' })] },
+    });
     expect(end.outcome.kind).toEqual('agreed');
   });
 
@@ -146,7 +291,15 @@
       patch(state, 5, { revision: 'x' }),
       patch(EMPTY_DEPLOYMENT, 0, { revision: 8, set: { routes: [route('one')] } }),
     ].map(({ outcome }) => outcome.kind);
-    expect(kinds).toEqual(['bad-spec', 'bad-spec', 'bad-spec', 'bad-spec', 'conflict', 'bad-spec', 'bad-spec']);
+    expect(kinds).toEqual([
+      'bad-spec',
+      'bad-spec',
+      'bad-spec',
+      'bad-spec',
+      'conflict',
+      'bad-spec',
+      'bad-spec',
+    ]);
   });
 
   it('agrees to a repeated patch once more, without doing it again', () => {
@@ -154,7 +307,11 @@
     const state = patch(first(), 5, change).state;
     const dropped = patch(state, 8, { revision: 9, drop: { routes: ['two'] } }).state;
     const again = patch(dropped, 5, change);
-    expect([again.outcome.kind, again.state === dropped, namesIn(again.state)]).toEqual(['agreed', true, ['one']]);
+    expect([again.outcome.kind, again.state === dropped, namesIn(again.state)]).toEqual([
+      'agreed',
+      true,
+      ['one'],
+    ]);
   });
 
   it('evacuates zones and takes them back, each as often as it is asked', () => {
@@ -166,8 +323,22 @@
     const both = zone(twice.state, 'zone.evacuate', 'east');
     const back = zone(both.state, 'zone.return', 'west');
     const none = zone(back.state, 'zone.return', 'west');
-    expect([once, twice, both, back, none].map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'agreed', 'agreed', 'agreed', 'agreed']);
-    expect([twice.state.edition, both.state.evacuated, none.state.evacuated, none.state.edition]).toEqual([1, ['east', 'west'], ['east'], 3]);
-    expect([zone(EMPTY_DEPLOYMENT, 'zone.evacuate', '').outcome.kind, zone(EMPTY_DEPLOYMENT, 'zone.turn', 'west').outcome.kind]).toEqual(['bad-request', 'bad-request']);
+    expect([once, twice, both, back, none].map(({ outcome }) => outcome.kind)).toEqual([
+      'agreed',
+      'agreed',
+      'agreed',
+      'agreed',
+      'agreed',
+    ]);
+    expect([twice.state.edition, both.state.evacuated, none.state.evacuated, none.state.edition]).toEqual([
+      1,
+      ['east', 'west'],
+      ['east'],
+      3,
+    ]);
+    expect([
+      zone(EMPTY_DEPLOYMENT, 'zone.evacuate', '').outcome.kind,
+      zone(EMPTY_DEPLOYMENT, 'zone.turn', 'west').outcome.kind,
+    ]).toEqual(['bad-request', 'bad-request']);
   });
 });
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -89,11 +89,15 @@
     names.add(route.name);
     const split = route.split ?? [];
     const targets = split.length > 0 ? split.map((part) => part.service) : [route.service ?? ''];
-    for (const target of targets) if (!services.has(target)) faults.push(`${path}: unknown service "${target}"`);
-    if (split.length > 0 && split.reduce((sum, part) => sum + part.weight, 0) <= 0) faults.push(`${path}: the weights sum to 0`);
-    if (split.length === 0 && route.split !== undefined && route.split !== null) faults.push(`${path}: a split without parts`);
+    for (const target of targets)
+      if (!services.has(target)) faults.push(`${path}: unknown service "${target}"`);
+    if (split.length > 0 && split.reduce((sum, part) => sum + part.weight, 0) <= 0)
+      faults.push(`${path}: the weights sum to 0`);
+    if (split.length === 0 && route.split !== undefined && route.split !== null)
+      faults.push(`${path}: a split without parts`);
   }
-  if (services.size !== configuration.services.length) faults.push('services: a name stands here a second time');
+  if (services.size !== configuration.services.length)
+    faults.push('services: a name stands here a second time');
   return faults;
 }
 
@@ -105,11 +109,15 @@
 export function checkConfiguration(data: unknown): Result<Configuration, Fault> {
   const parsed = v.safeParse(ConfigurationSchema, data);
   if (!parsed.success) {
-    const faults = parsed.issues.slice(0, 8).map((issue) => `${v.getDotPath(issue) ?? 'configuration'}: ${issue.message}`);
+    const faults = parsed.issues
+      .slice(0, 8)
+      .map((issue) => `${v.getDotPath(issue) ?? 'configuration'}: ${issue.message}`);
     return Result.err(fault('bad-spec', faults.join('\n')));
   }
   const faults = placeFaults(parsed.output);
-  return faults.length > 0 ? Result.err(fault('bad-spec', faults.slice(0, 8).join('\n'))) : Result.ok(parsed.output);
+  return faults.length > 0
+    ? Result.err(fault('bad-spec', faults.slice(0, 8).join('\n')))
+    : Result.ok(parsed.output);
 }
 
 /** A change that was taken, so that the same call is answered alike when it comes again. */
@@ -132,7 +140,14 @@
 }
 
 /** The state before anything was agreed. */
-export const EMPTY_DEPLOYMENT: Deployment = { edition: 0, document: undefined, revision: 0, evacuated: [], zones: {}, taken: [] };
+export const EMPTY_DEPLOYMENT: Deployment = {
+  edition: 0,
+  document: undefined,
+  revision: 0,
+  evacuated: [],
+  zones: {},
+  taken: [],
+};
 
 const TAKEN_KEPT = 256;
 
@@ -156,7 +171,10 @@
   }),
 });
 /** `seen` is the edition that the caller's node held: a call that was held up does not undo a later one. */
-const ZoneSchema = v.object({ zone: v.pipe(v.string(), v.minLength(1), v.maxLength(200)), seen: v.optional(v.number()) });
+const ZoneSchema = v.object({
+  zone: v.pipe(v.string(), v.minLength(1), v.maxLength(200)),
+  seen: v.optional(v.number()),
+});
 
 interface Applied {
   readonly state: Deployment;
@@ -172,7 +190,11 @@
 }
 
 /** Lists are changed item by item, by name; anything else is replaced. */
-function patched(document: Readonly<Record<string, unknown>>, set: Readonly<Record<string, unknown>>, drop: Readonly<Record<string, readonly string[]>>): Record<string, unknown> {
+function patched(
+  document: Readonly<Record<string, unknown>>,
+  set: Readonly<Record<string, unknown>>,
+  drop: Readonly<Record<string, readonly string[]>>,
+): Record<string, unknown> {
   const next: Record<string, unknown> = { ...document };
   for (const [key, names] of Object.entries(drop)) {
     const list = next[key];
@@ -195,15 +217,23 @@
   return next;
 }
 
-function adopt(state: Deployment, base: number | undefined, revision: number, digest: string, next: () => Record<string, unknown>): Applied {
+function adopt(
+  state: Deployment,
+  base: number | undefined,
+  revision: number,
+  digest: string,
+  next: () => Record<string, unknown>,
+): Applied {
   if (state.taken.some((taken) => taken.revision === revision && taken.digest === digest)) {
     return { state, outcome: { kind: 'agreed', detail: `revision ${revision} was taken before` } };
   }
-  if (base !== undefined && base !== state.revision) return refuse(state, 'conflict', `revision ${state.revision} is in force, not ${base}`);
+  if (base !== undefined && base !== state.revision)
+    return refuse(state, 'conflict', `revision ${state.revision} is in force, not ${base}`);
   const document = next();
   const checked = checkConfiguration(document);
   if (checked.isErr) return refuse(state, checked.error.kind, checked.error.detail);
-  if (revision <= state.revision) return refuse(state, 'bad-spec', `revision: found ${revision}, expected one above ${state.revision}`);
+  if (revision <= state.revision)
+    return refuse(state, 'bad-spec', `revision: found ${revision}, expected one above ${state.revision}`);
   const taken = [...state.taken, { revision, digest }].slice(-TAKEN_KEPT);
   return {
     state: { ...state, edition: state.edition + 1, document, revision, taken },
@@ -215,11 +245,23 @@
   const agreed = { kind: 'agreed', detail: `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}` } as const;
   if (state.evacuated.includes(zone) === evacuate) return { state, outcome: agreed };
   if (seen !== undefined && (state.zones[zone] ?? 0) > seen) {
-    return refuse(state, 'operation-unknown', `zone ${zone} was changed in edition ${state.zones[zone] ?? 0}, after edition ${seen}; send it again if it is still meant`);
+    return refuse(
+      state,
+      'operation-unknown',
+      `zone ${zone} was changed in edition ${state.zones[zone] ?? 0}, after edition ${seen}; send it again if it is still meant`,
+    );
   }
   const others = state.evacuated.filter((known) => known !== zone);
   const edition = state.edition + 1;
-  return { state: { ...state, edition, zones: { ...state.zones, [zone]: edition }, evacuated: evacuate ? [...others, zone].sort() : others }, outcome: agreed };
+  return {
+    state: {
+      ...state,
+      edition,
+      zones: { ...state.zones, [zone]: edition },
+      evacuated: evacuate ? [...others, zone].sort() : others,
+    },
+    outcome: agreed,
+  };
 }
 
 function digestOf(text: string): string {
@@ -231,7 +273,10 @@
  * @example
  * applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'zone.evacuate', payload: '{"zone":"north"}' }).state.evacuated; // ['north']
  */
-export function applyToDeployment(state: Deployment, operation: { readonly kind: string; readonly payload: string }): Applied {
+export function applyToDeployment(
+  state: Deployment,
+  operation: { readonly kind: string; readonly payload: string },
+): Applied {
   const { kind, payload } = operation;
   const data = tryOrElse(
     (thrown) => String(thrown),
@@ -255,8 +300,10 @@
     }));
   }
   const zone = v.safeParse(ZoneSchema, data.value);
-  if (zone.success && kind === 'zone.evacuate') return setZone(state, zone.output.zone, zone.output.seen, true);
-  if (zone.success && kind === 'zone.return') return setZone(state, zone.output.zone, zone.output.seen, false);
+  if (zone.success && kind === 'zone.evacuate')
+    return setZone(state, zone.output.zone, zone.output.seen, true);
+  if (zone.success && kind === 'zone.return')
+    return setZone(state, zone.output.zone, zone.output.seen, false);
   return refuse(state, 'bad-request', `no operation "${kind}" with this payload`);
 }
 
@@ -280,7 +327,10 @@
     () => JSON.parse(new TextDecoder().decode(bytes)) as unknown,
   ).andThen((data) => {
     const parsed = v.safeParse(StoredSchema, data);
-    if (!parsed.success) return Result.err<Deployment, Fault>(fault('damaged', `the deployment's state: ${parsed.issues[0].message}`));
+    if (!parsed.success)
+      return Result.err<Deployment, Fault>(
+        fault('damaged', `the deployment's state: ${parsed.issues[0].message}`),
+      );
     const { document, ...rest } = parsed.output;
     return Result.ok<Deployment, Fault>({ ...rest, document });
   });
--- a/packages/configuration/src/edit.ts
+++ b/packages/configuration/src/edit.ts
@@ -7,7 +7,13 @@
 const Names = v.optional(v.array(v.string()), []);
 const Entries = v.optional(v.array(Named), []);
 
-const Lists = { models: Entries, adapters: Entries, groups: Entries, routes: v.optional(v.array(Routed), []), workers: Entries };
+const Lists = {
+  models: Entries,
+  adapters: Entries,
+  groups: Entries,
+  routes: v.optional(v.array(Routed), []),
+  workers: Entries,
+};
 
 /** The parts of a spec that are no lists; each is set whole. */
 const SETTABLE = ['store', 'retries', 'workers'] as const;
@@ -15,7 +21,17 @@
 const EditSchema = v.strictObject({
   add: v.optional(v.strictObject({ zones: Names, ...Lists }), {}),
   replace: v.optional(v.strictObject(Lists), {}),
-  remove: v.optional(v.strictObject({ zones: Names, models: Names, adapters: Names, groups: Names, routes: Names, workers: Names }), {}),
+  remove: v.optional(
+    v.strictObject({
+      zones: Names,
+      models: Names,
+      adapters: Names,
+      groups: Names,
+      routes: Names,
+      workers: Names,
+    }),
+    {},
+  ),
   set: v.optional(
     v.strictObject({
       store: v.optional(v.looseObject({})),
@@ -41,7 +57,12 @@
  * isEdit({ add: { zones: ['west'] } }); // true
  */
 export function isEdit(data: unknown): boolean {
-  return typeof data === 'object' && data !== null && Object.keys(data).length > 0 && Object.keys(data).every((key) => key in EditSchema.entries);
+  return (
+    typeof data === 'object' &&
+    data !== null &&
+    Object.keys(data).length > 0 &&
+    Object.keys(data).every((key) => key in EditSchema.entries)
+  );
 }
 
 /**
@@ -52,7 +73,9 @@
 export function readEdit(data: unknown): Result<Edit, SpecFault[]> {
   const parsed = v.safeParse(EditSchema, data);
   if (!parsed.success) {
-    return Result.err(parsed.issues.map((issue) => ({ path: v.getDotPath(issue) ?? 'change', message: issue.message })));
+    return Result.err(
+      parsed.issues.map((issue) => ({ path: v.getDotPath(issue) ?? 'change', message: issue.message })),
+    );
   }
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
@@ -82,7 +105,8 @@
       });
     }
   }
-  for (const part of SETTABLE) if (edit.set[part] !== undefined) keys.push({ path: `set.${part}`, key: part });
+  for (const part of SETTABLE)
+    if (edit.set[part] !== undefined) keys.push({ path: `set.${part}`, key: part });
   return keys;
 }
 
@@ -113,23 +137,40 @@
   let edited = spec;
   for (const section of SECTIONS) {
     const there = new Map(listOf(edited, section).map((entry) => [nameOf(entry), entry]));
-    const { add, replace, remove } = edit as Record<'add' | 'replace' | 'remove', Partial<Record<Section, readonly Entry[]>>>;
+    const { add, replace, remove } = edit as Record<
+      'add' | 'replace' | 'remove',
+      Partial<Record<Section, readonly Entry[]>>
+    >;
     (remove[section] ?? []).forEach((entry, place) => {
-      if (!there.delete(nameOf(entry))) faults.push({ path: `remove.${section}.${place}`, message: `there is no "${nameOf(entry)}" in ${section}` });
+      if (!there.delete(nameOf(entry)))
+        faults.push({
+          path: `remove.${section}.${place}`,
+          message: `there is no "${nameOf(entry)}" in ${section}`,
+        });
     });
     (replace[section] ?? []).forEach((entry, place) => {
-      if (!there.has(nameOf(entry))) faults.push({ path: `replace.${section}.${place}`, message: `there is no "${nameOf(entry)}" in ${section}` });
+      if (!there.has(nameOf(entry)))
+        faults.push({
+          path: `replace.${section}.${place}`,
+          message: `there is no "${nameOf(entry)}" in ${section}`,
+        });
       there.set(nameOf(entry), entry);
     });
     (add[section] ?? []).forEach((entry, place) => {
-      if (there.has(nameOf(entry))) faults.push({ path: `add.${section}.${place}`, message: `"${nameOf(entry)}" is in ${section} already` });
+      if (there.has(nameOf(entry)))
+        faults.push({
+          path: `add.${section}.${place}`,
+          message: `"${nameOf(entry)}" is in ${section} already`,
+        });
       there.set(nameOf(entry), entry);
     });
-    if (there.size > 0 || listOf(edited, section).length > 0) edited = withList(edited, section, [...there.values()]);
+    if (there.size > 0 || listOf(edited, section).length > 0)
+      edited = withList(edited, section, [...there.values()]);
   }
   for (const part of SETTABLE) {
     const value = edit.set[part];
-    if (value !== undefined) edited = { ...edited, [part]: part === 'workers' ? { ...(edited[part] as Raw), ...value } : value };
+    if (value !== undefined)
+      edited = { ...edited, [part]: part === 'workers' ? { ...(edited[part] as Raw), ...value } : value };
   }
   return faults.length > 0 ? Result.err(faults) : Result.ok(edited);
 }
@@ -149,7 +190,9 @@
     }
   }
   function plainOf(spec: Raw, part: string): string | undefined {
-    return JSON.stringify(part === 'workers' ? { ...(spec[part] as Raw | undefined), named: undefined } : spec[part]);
+    return JSON.stringify(
+      part === 'workers' ? { ...(spec[part] as Raw | undefined), named: undefined } : spec[part],
+    );
   }
   for (const part of SETTABLE) if (plainOf(one, part) !== plainOf(other, part)) keys.push(part);
   return keys;
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -33,14 +33,23 @@
   deployment: Name,
   zones: v.pipe(v.array(Name), v.minLength(1), v.maxLength(64)),
   store: v.strictObject({ pullsPerMinute: Positive, concurrentPulls: Positive }),
-  retries: v.optional(v.strictObject({ ratio: Fraction, allowance: v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000)) }), {
-    ratio: 0.2,
-    allowance: 10,
-  }),
+  retries: v.optional(
+    v.strictObject({
+      ratio: Fraction,
+      allowance: v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000)),
+    }),
+    {
+      ratio: 0.2,
+      allowance: 10,
+    },
+  ),
   workers: v.strictObject({
     roomMb: Positive,
     slots: v.pipe(Positive, v.maxValue(4096)),
-    named: v.optional(v.array(v.strictObject({ name: Name, roomMb: Positive, slots: v.pipe(Positive, v.maxValue(4096)) })), []),
+    named: v.optional(
+      v.array(v.strictObject({ name: Name, roomMb: Positive, slots: v.pipe(Positive, v.maxValue(4096)) })),
+      [],
+    ),
   }),
   models: v.pipe(v.array(v.strictObject({ name: Name, sizeMb: Positive })), v.minLength(1)),
   adapters: v.array(v.strictObject({ name: Name, model: Name, sizeMb: Positive })),
@@ -72,7 +81,8 @@
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
   names.forEach((name, place) => {
-    if (seen.has(name)) faults.push({ path: `${path}.${place}`, message: `"${name}" stands here a second time` });
+    if (seen.has(name))
+      faults.push({ path: `${path}.${place}`, message: `"${name}" stands here a second time` });
     seen.add(name);
   });
   return faults;
@@ -84,27 +94,55 @@
   const sizes = new Map(spec.models.map((model) => [model.name, model.sizeMb]));
   const faults = [
     ...doubles('zones', spec.zones),
-    ...doubles('models', spec.models.map((model) => model.name)),
-    ...doubles('adapters', spec.adapters.map((adapter) => adapter.name)),
-    ...doubles('groups', spec.groups.map((group) => group.name)),
-    ...doubles('routes', spec.routes.map((route) => route.path)),
-    ...doubles('workers.named', spec.workers.named.map((worker) => worker.name)),
+    ...doubles(
+      'models',
+      spec.models.map((model) => model.name),
+    ),
+    ...doubles(
+      'adapters',
+      spec.adapters.map((adapter) => adapter.name),
+    ),
+    ...doubles(
+      'groups',
+      spec.groups.map((group) => group.name),
+    ),
+    ...doubles(
+      'routes',
+      spec.routes.map((route) => route.path),
+    ),
+    ...doubles(
+      'workers.named',
+      spec.workers.named.map((worker) => worker.name),
+    ),
   ];
   spec.models.forEach((model, place) => {
     if (model.sizeMb <= largestMb) return;
-    faults.push({ path: `models.${place}.sizeMb`, message: `${model.sizeMb} MB is more than any worker's room of ${largestMb} MB` });
+    faults.push({
+      path: `models.${place}.sizeMb`,
+      message: `${model.sizeMb} MB is more than any worker's room of ${largestMb} MB`,
+    });
   });
   spec.adapters.forEach((adapter, place) => {
     const modelMb = sizes.get(adapter.model);
-    if (modelMb === undefined) faults.push({ path: `adapters.${place}.model`, message: `unknown model "${adapter.model}"` });
+    if (modelMb === undefined)
+      faults.push({ path: `adapters.${place}.model`, message: `unknown model "${adapter.model}"` });
     else if (modelMb + adapter.sizeMb > largestMb) {
-      faults.push({ path: `adapters.${place}.sizeMb`, message: `with its model ${modelMb + adapter.sizeMb} MB, more than any worker's room` });
+      faults.push({
+        path: `adapters.${place}.sizeMb`,
+        message: `with its model ${modelMb + adapter.sizeMb} MB, more than any worker's room`,
+      });
     }
   });
   spec.groups.forEach((group, place) => {
-    faults.push(...doubles(`groups.${place}.kinds`, group.kinds.map((kind) => kind.name)));
+    faults.push(
+      ...doubles(
+        `groups.${place}.kinds`,
+        group.kinds.map((kind) => kind.name),
+      ),
+    );
     group.models.forEach((name, at) => {
-      if (name !== '*' && !models.has(name)) faults.push({ path: `groups.${place}.models.${at}`, message: `unknown model "${name}"` });
+      if (name !== '*' && !models.has(name))
+        faults.push({ path: `groups.${place}.models.${at}`, message: `unknown model "${name}"` });
     });
   });
   return faults;
@@ -131,7 +169,9 @@
       );
     }
     const faults = crossFaults(parsed.output);
-    return faults.length > 0 ? Result.err<Spec, SpecFault[]>(faults) : Result.ok<Spec, SpecFault[]>(parsed.output);
+    return faults.length > 0
+      ? Result.err<Spec, SpecFault[]>(faults)
+      : Result.ok<Spec, SpecFault[]>(parsed.output);
   });
 }
 
--- a/packages/configuration/src/stage.ts
+++ b/packages/configuration/src/stage.ts
@@ -40,7 +40,15 @@
 }
 
 /** The state before anything was agreed. */
-export const EMPTY_STAGE: Stage = { spec: undefined, history: [], emptied: [], placedBy: 0, placement: {}, touched: {}, since: 0 };
+export const EMPTY_STAGE: Stage = {
+  spec: undefined,
+  history: [],
+  emptied: [],
+  placedBy: 0,
+  placement: {},
+  touched: {},
+  since: 0,
+};
 
 const HISTORY_KEPT = 100;
 /** For so many versions it is known who touched what. */
@@ -86,18 +94,28 @@
 
 function adopt(state: Stage, operation: string, base: number | undefined, text: string): Applied {
   const current = state.spec?.version ?? 0;
-  if (base !== undefined && base !== current) return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
+  if (base !== undefined && base !== current)
+    return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
   const read = readSpec(text);
   if (read.isErr) return refuse(state, 'bad-spec', specFaultText(read.error));
   const version = current + 1;
-  const history = [...state.history, { version, operation, bytes: Buffer.byteLength(text) }].slice(-HISTORY_KEPT);
+  const history = [...state.history, { version, operation, bytes: Buffer.byteLength(text) }].slice(
+    -HISTORY_KEPT,
+  );
   const emptied = state.emptied.filter((zone) => read.value.zones.includes(zone));
   const { touched, since } = touch(state, text, version);
-  return agree({ ...state, spec: { version, operation, text, spec: read.value }, history, emptied, touched, since }, `version ${version}`);
+  return agree(
+    { ...state, spec: { version, operation, text, spec: read.value }, history, emptied, touched, since },
+    `version ${version}`,
+  );
 }
 
 /** Notes what a new text changes, and forgets what is long ago. */
-function touch(state: Stage, text: string, version: number): { touched: Record<string, number>; since: number } {
+function touch(
+  state: Stage,
+  text: string,
+  version: number,
+): { touched: Record<string, number>; since: number } {
   const since = Math.max(state.since, version - TOUCHED_KEPT);
   const touched = Object.fromEntries(Object.entries(state.touched).filter(([, at]) => at > since));
   for (const key of differing(rawOf(state.spec?.text ?? '{}'), rawOf(text))) touched[key] = version;
@@ -109,12 +127,27 @@
   return read.isOk ? (read.value as Record<string, unknown>) : {};
 }
 
-function changeSpec(state: Stage, operation: string, base: number | undefined, patch: Record<string, unknown>, level: number): Applied {
+function changeSpec(
+  state: Stage,
+  operation: string,
+  base: number | undefined,
+  patch: Record<string, unknown>,
+  level: number,
+): Applied {
   const lists = Object.keys(patch).filter((key) => Array.isArray(patch[key]));
   if (level > 1 && base === undefined && lists.length > 0) {
-    return refuse(state, 'bad-request', `${lists.join(', ')}: a list would be replaced whole; name its entries (add, replace, remove), or give the base version`);
+    return refuse(
+      state,
+      'bad-request',
+      `${lists.join(', ')}: a list would be replaced whole; name its entries (add, replace, remove), or give the base version`,
+    );
   }
-  return adopt(state, operation, base, JSON.stringify(mergePatch(rawOf(state.spec?.text ?? '{}'), patch), undefined, 2));
+  return adopt(
+    state,
+    operation,
+    base,
+    JSON.stringify(mergePatch(rawOf(state.spec?.text ?? '{}'), patch), undefined, 2),
+  );
 }
 
 /**
@@ -125,13 +158,25 @@
   const current = state.spec?.version ?? 0;
   if (state.spec === undefined) return refuse(state, 'not-found', 'no spec has been agreed yet');
   const { base, seen } = call;
-  if (base !== undefined && base !== current) return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
-  if (seen < state.since || seen > current) return refuse(state, 'conflict', `made for version ${seen}; version ${current} is in force, and what was touched is known back to ${state.since}`);
+  if (base !== undefined && base !== current)
+    return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
+  if (seen < state.since || seen > current)
+    return refuse(
+      state,
+      'conflict',
+      `made for version ${seen}; version ${current} is in force, and what was touched is known back to ${state.since}`,
+    );
   const read = readEdit(call.edit);
   if (read.isErr) return refuse(state, 'bad-request', specFaultText(read.error));
   const others = keysOf(read.value).filter((key) => (state.touched[key] ?? 0) > seen);
   if (others.length > 0) {
-    return refuse(state, 'conflict', others.map((key) => `${key} was changed in version ${state.touched[key] ?? 0}, after version ${seen}`).join('\n'));
+    return refuse(
+      state,
+      'conflict',
+      others
+        .map((key) => `${key} was changed in version ${state.touched[key] ?? 0}, after version ${seen}`)
+        .join('\n'),
+    );
   }
   const edited = makeEdit(rawOf(state.spec.text), read.value);
   if (edited.isErr) return refuse(state, 'conflict', specFaultText(edited.error));
@@ -139,7 +184,8 @@
 }
 
 function setZone(state: Stage, kind: string, zone: string): Applied {
-  if (state.spec === undefined || !state.spec.spec.zones.includes(zone)) return refuse(state, 'not-found', `no zone "${zone}"`);
+  if (state.spec === undefined || !state.spec.spec.zones.includes(zone))
+    return refuse(state, 'not-found', `no zone "${zone}"`);
   const others = state.emptied.filter((name) => name !== zone);
   const emptied = kind === 'zone.empty' ? [...others, zone].sort() : others;
   return agree({ ...state, emptied }, `zone ${zone} ${kind === 'zone.empty' ? 'emptied' : 'restored'}`);
@@ -147,7 +193,9 @@
 
 function place(state: Stage, epoch: number, workers: Record<string, readonly HoldingTarget[]>): Applied {
   if (epoch < state.placedBy) return refuse(state, 'conflict', `epoch ${state.placedBy} places now`);
-  const placement = Object.entries({ ...state.placement, ...workers }).filter(([, holdings]) => holdings.length > 0);
+  const placement = Object.entries({ ...state.placement, ...workers }).filter(
+    ([, holdings]) => holdings.length > 0,
+  );
   return agree({ ...state, placedBy: epoch, placement: Object.fromEntries(placement) }, 'placed');
 }
 
@@ -156,7 +204,11 @@
  * @example
  * applyToStage(EMPTY_STAGE, { id: '1', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2).outcome.kind; // 'not-found'
  */
-export function applyToStage(state: Stage, operation: { id: string; kind: string; payload: string }, level: number): Applied {
+export function applyToStage(
+  state: Stage,
+  operation: { id: string; kind: string; payload: string },
+  level: number,
+): Applied {
   const applied = applyKind(state, operation, level);
   return level === 1 ? { ...applied, state: plainStage(applied.state) } : applied;
 }
@@ -168,16 +220,24 @@
  */
 export function plainStage(state: Stage): Stage {
   const since = state.spec?.version ?? 0;
-  return state.since === since && Object.keys(state.touched).length === 0 ? state : { ...state, touched: {}, since };
+  return state.since === since && Object.keys(state.touched).length === 0
+    ? state
+    : { ...state, touched: {}, since };
 }
 
-function applyKind(state: Stage, operation: { id: string; kind: string; payload: string }, level: number): Applied {
+function applyKind(
+  state: Stage,
+  operation: { id: string; kind: string; payload: string },
+  level: number,
+): Applied {
   const read = readJson(operation.payload);
   const data = read.isOk ? read.value : undefined;
   switch (operation.kind) {
     case 'spec.put': {
       const put = v.safeParse(Put, data);
-      return put.success ? adopt(state, operation.id, put.output.base, put.output.text) : refuse(state, 'bad-request', 'not a spec');
+      return put.success
+        ? adopt(state, operation.id, put.output.base, put.output.text)
+        : refuse(state, 'bad-request', 'not a spec');
     }
     case 'spec.change': {
       const change = v.safeParse(Change, data);
@@ -187,16 +247,22 @@
     case 'spec.edit': {
       if (level === 1) return refuse(state, 'bad-request', `no operation "${operation.kind}"`);
       const edit = v.safeParse(EditCall, data);
-      return edit.success ? editSpec(state, operation.id, edit.output) : refuse(state, 'bad-request', 'not an edit');
+      return edit.success
+        ? editSpec(state, operation.id, edit.output)
+        : refuse(state, 'bad-request', 'not an edit');
     }
     case 'zone.empty':
     case 'zone.restore': {
       const zone = v.safeParse(Zone, data);
-      return zone.success ? setZone(state, operation.kind, zone.output.zone) : refuse(state, 'bad-request', 'no zone named');
+      return zone.success
+        ? setZone(state, operation.kind, zone.output.zone)
+        : refuse(state, 'bad-request', 'no zone named');
     }
     case 'place': {
       const placed = v.safeParse(Place, data);
-      return placed.success ? place(state, placed.output.epoch, placed.output.workers) : refuse(state, 'bad-request', 'not a placement');
+      return placed.success
+        ? place(state, placed.output.epoch, placed.output.workers)
+        : refuse(state, 'bad-request', 'not a placement');
     }
     default:
       return refuse(state, 'bad-request', `no operation "${operation.kind}"`);
@@ -220,7 +286,10 @@
   };
   const { touched, since } = state;
   const encoder = new TextEncoder();
-  return { play: encoder.encode(JSON.stringify(stored)), extra: encoder.encode(JSON.stringify({ touched, since })) };
+  return {
+    play: encoder.encode(JSON.stringify(stored)),
+    extra: encoder.encode(JSON.stringify({ touched, since })),
+  };
 }
 
 /**
@@ -233,7 +302,10 @@
     const stored = v.safeParse(Stored, data);
     if (!stored.success) return Result.err<Stage, Fault>(fault('damaged', 'the stage cannot be read'));
     const { version, operation, text, history, emptied, placedBy, placement } = stored.output;
-    const extra = v.safeParse(Extra, encoded.extra.length === 0 ? undefined : rawOf(new TextDecoder().decode(encoded.extra)));
+    const extra = v.safeParse(
+      Extra,
+      encoded.extra.length === 0 ? undefined : rawOf(new TextDecoder().decode(encoded.extra)),
+    );
     const { touched, since } = extra.success ? extra.output : { touched: {}, since: version };
     const rest = { history, emptied, placedBy, placement, touched, since };
     if (version === 0) return Result.ok<Stage, Fault>({ spec: undefined, ...rest });
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -67,7 +67,8 @@
     const gapMs = this.#heartbeatMs === undefined ? 0 : nowMs - this.#heartbeatMs;
     this.#heartbeatMs = nowMs;
     if (gapMs <= this.#times.pauseMs) return 0;
-    for (const [incarnation, answeredMs] of this.#answeredMs) this.#answeredMs.set(incarnation, answeredMs + gapMs);
+    for (const [incarnation, answeredMs] of this.#answeredMs)
+      this.#answeredMs.set(incarnation, answeredMs + gapMs);
     return gapMs;
   }
 }
--- a/packages/gateway/src/assign.ts
+++ b/packages/gateway/src/assign.ts
@@ -28,7 +28,9 @@
 }
 
 /** Where a request goes, or why nowhere now. */
-export type Assignment = { readonly worker: RosterView; readonly why: string } | { readonly worker: undefined; readonly why: string };
+export type Assignment =
+  | { readonly worker: RosterView; readonly why: string }
+  | { readonly worker: undefined; readonly why: string };
 
 function score(name: string, self: string): number {
   return hashText(`${name}|${self}`);
@@ -73,7 +75,10 @@
         why = 'no slot is free';
         continue;
       }
-      if (need.beyond && context.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)) {
+      if (
+        need.beyond &&
+        context.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)
+      ) {
         why = 'the last slots are kept for groups below their share';
         continue;
       }
@@ -128,7 +133,9 @@
     const part = Math.ceil(worker.slots / Math.max(1, edges.length));
     const usual = Math.max(part, Math.floor(free / 2));
     if (need.model === '') return usual;
-    const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map((key) => worker.sinceMs.get(key) ?? nowMs);
+    const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map(
+      (key) => worker.sinceMs.get(key) ?? nowMs,
+    );
     const warmMs = nowMs - Math.max(...since, this.#context(worker.name).failedMs);
     const allowed = 2 ** Math.floor(warmMs / WARM_STEP_MS);
     if (allowed >= worker.slots) return usual;
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -81,7 +81,11 @@
   spec = specOf();
   edges = ['edge'];
   incarnation = 'incarnation-1';
-  workers: RosterView[] = [this.worker('w1', 'models'), this.worker('d1', 'desks'), this.worker('d2', 'desks')];
+  workers: RosterView[] = [
+    this.worker('w1', 'models'),
+    this.worker('d1', 'desks'),
+    this.worker('d2', 'desks'),
+  ];
   readonly flown: Flown[] = [];
   readonly probed: string[] = [];
   cut = false;
@@ -159,7 +163,13 @@
 
   last(): Flown {
     const flown = this.flown.at(-1);
-    return flown ?? new Flown({ address: '', method: 'GET', path: '', headers: {}, body: undefined, stallMs: 0 }, {} as SendHandler);
+    return (
+      flown ??
+      new Flown(
+        { address: '', method: 'GET', path: '', headers: {}, body: undefined, stallMs: 0 },
+        {} as SendHandler,
+      )
+    );
   }
 
   reply(flown: Flown, status: number, text: string, type = 'application/json'): void {
@@ -262,7 +272,12 @@
     second.handler.chunk(Buffer.from('data: 1\n\n'));
     stand.nowMs = 501;
     stand.gate.tick();
-    expect([plain.port.seen, stream.port.seen.at(-1), first.aborted, second.aborted]).toEqual([['deadline-exceeded'], 'cut', true, true]);
+    expect([plain.port.seen, stream.port.seen.at(-1), first.aborted, second.aborted]).toEqual([
+      ['deadline-exceeded'],
+      'cut',
+      true,
+      true,
+    ]);
   });
 });
 
@@ -320,7 +335,11 @@
     const stand = new Stand();
     const { leave } = stand.ask({ streamed: true });
     leave();
-    expect([stand.last().aborted, stand.gate.inFlight, stand.gate.counts['visitor-left']]).toEqual([true, 0, 1]);
+    expect([stand.last().aborted, stand.gate.inFlight, stand.gate.counts['visitor-left']]).toEqual([
+      true,
+      0,
+      1,
+    ]);
   });
 });
 
@@ -358,7 +377,14 @@
       stand.ask({ path: '/x' }),
       stand.ask({ deadlineMs: -1 }),
     ].map(({ port }) => port.seen[0]);
-    expect(seen).toEqual(['unknown-group', 'bad-request', 'unknown-model', 'unknown-model', 'not-found', 'deadline-past']);
+    expect(seen).toEqual([
+      'unknown-group',
+      'bad-request',
+      'unknown-model',
+      'unknown-model',
+      'not-found',
+      'deadline-past',
+    ]);
     expect(stand.flown.length).toEqual(0);
   });
 
@@ -468,10 +494,25 @@
   });
 
   it('a catalogue finds a path, or for lookups the nearest above it', () => {
-    const spec = { ...specOf(), routes: [{ path: '/look', serve: 'lookup' as const, pool: 'a' }, { path: '/look/far', serve: 'lookup' as const, pool: 'b' }, { path: '/chat', serve: 'chat' as const, pool: 'c' }] };
+    const spec = {
+      ...specOf(),
+      routes: [
+        { path: '/look', serve: 'lookup' as const, pool: 'a' },
+        { path: '/look/far', serve: 'lookup' as const, pool: 'b' },
+        { path: '/chat', serve: 'chat' as const, pool: 'c' },
+      ],
+    };
     const catalogue = new Catalogue(spec);
     const paths = ['/look', '/look/1/2?x=/chat', '/look/far/1', '/looks', '/chat', '/chat/1', '/'];
-    expect(paths.map((path) => catalogue.route(path)?.pool)).toEqual(['a', 'a', 'b', undefined, 'c', undefined, undefined]);
+    expect(paths.map((path) => catalogue.route(path)?.pool)).toEqual([
+      'a',
+      'a',
+      'b',
+      undefined,
+      'c',
+      undefined,
+      undefined,
+    ]);
   });
 
   it('tells who is refused to come back as the backlog drains, and not all at once', () => {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -60,10 +60,7 @@
     this.#dependencies = dependencies;
     this.#assigner = new Assigner(dependencies.name, dependencies.zone);
     this.#doubt = new Doubt(dependencies.sender);
-    this.#filters = [
-      (visit) => this.#mayGrantEntry(visit),
-      (visit) => this.#knows(visit),
-    ];
+    this.#filters = [(visit) => this.#mayGrantEntry(visit), (visit) => this.#knows(visit)];
   }
 
   get inFlight(): number {
@@ -81,7 +78,8 @@
   /** No more is let in; what is in flight goes on. */
   drain(): void {
     this.#draining = true;
-    for (const lane of this.#backlog.order()) for (const { key } of [...lane]) this.#giveUp(key, fault('draining', 'this node is stopping'));
+    for (const lane of this.#backlog.order())
+      for (const { key } of [...lane]) this.#giveUp(key, fault('draining', 'this node is stopping'));
   }
 
   /** Lets a visitor in; the returned function says that the visitor has left. */
@@ -90,7 +88,9 @@
     const nowMs = this.#dependencies.clock.nowMs();
     const route = catalogue?.route(ask.path);
     const group = catalogue?.group(ask.group);
-    const kind = group?.kinds.find((known) => known.name === ask.kind) ?? (ask.kind === '' ? group?.kinds[0] : undefined);
+    const kind =
+      group?.kinds.find((known) => known.name === ask.kind) ??
+      (ask.kind === '' ? group?.kinds[0] : undefined);
     const visit: Visit = {
       id: ask.id,
       port,
@@ -141,8 +141,10 @@
         const visit = this.#slab.get(key);
         if (visit === undefined) continue;
         const waitedMs = nowMs - visit.arrivedMs;
-        if (nowMs > visit.deadlineMs) this.#giveUp(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
-        else if (waitedMs > visit.patienceMs) this.#giveUp(key, fault('no-worker', visit.trail.at(-1) ?? 'no worker came free in time'));
+        if (nowMs > visit.deadlineMs)
+          this.#giveUp(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
+        else if (waitedMs > visit.patienceMs)
+          this.#giveUp(key, fault('no-worker', visit.trail.at(-1) ?? 'no worker came free in time'));
       }
     }
     for (const send of [...this.#flights]) if (nowMs > send.deadlineMs) send.expire();
@@ -180,13 +182,16 @@
     if (this.#draining) return fault('draining', 'this node is stopping');
     if (!this.#dependencies.granted()) return fault('not-admitting', 'this node is cut off from most others');
     if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
-    return visit.deadlineMs <= visit.arrivedMs ? fault('deadline-past', 'the deadline has passed') : undefined;
+    return visit.deadlineMs <= visit.arrivedMs
+      ? fault('deadline-past', 'the deadline has passed')
+      : undefined;
   }
 
   /** The spec in force, made ready once for each version. */
   #catalogue(): Catalogue | undefined {
     const spec = this.#dependencies.spec();
-    if (spec !== this.#catalogued?.spec) this.#catalogued = spec === undefined ? undefined : { spec, catalogue: new Catalogue(spec) };
+    if (spec !== this.#catalogued?.spec)
+      this.#catalogued = spec === undefined ? undefined : { spec, catalogue: new Catalogue(spec) };
     return this.#catalogued?.catalogue;
   }
 
@@ -195,26 +200,38 @@
     if (visit.pool === '') return fault('not-found', `no route for ${visit.path}`);
     const name = this.#groups.name(visit.group);
     const group = catalogue?.group(name);
-    if (catalogue === undefined || group === undefined) return fault('unknown-group', 'the group is not in the spec');
-    if (this.#kinds.name(visit.kind) === '') return fault('bad-request', `group ${name} has no such kind of work`);
+    if (catalogue === undefined || group === undefined)
+      return fault('unknown-group', 'the group is not in the spec');
+    if (this.#kinds.name(visit.kind) === '')
+      return fault('bad-request', `group ${name} has no such kind of work`);
     if (visit.repeatable) return undefined;
     const model = this.#models.name(visit.model);
     if (!catalogue.serves(group, model)) {
       return fault('unknown-model', `group ${name} has no model "${model}"`);
     }
     const adapter = this.#adapters.name(visit.adapter);
-    return adapter === '' || catalogue.hasAdapter(model, adapter) ? undefined : fault('unknown-model', `model ${model} has no adapter "${adapter}"`);
+    return adapter === '' || catalogue.hasAdapter(model, adapter)
+      ? undefined
+      : fault('unknown-model', `model ${model} has no adapter "${adapter}"`);
   }
 
   /** A group may not have more waiting than its share; what can be sent at once does not wait. */
   #overBacklog(visit: Visit): Fault | undefined {
-    const most = Math.max(BACKLOG_LEAST, Math.floor(this.#slotsHere() * BACKLOG_PER_SLOT * this.#shareOf(visit.group)));
+    const most = Math.max(
+      BACKLOG_LEAST,
+      Math.floor(this.#slotsHere() * BACKLOG_PER_SLOT * this.#shareOf(visit.group)),
+    );
     if (this.#backlog.countOf(visit.group) <= most) return undefined;
-    return fault('over-share', `${most} requests of group ${this.#groups.name(visit.group)} wait here already`);
+    return fault(
+      'over-share',
+      `${most} requests of group ${this.#groups.name(visit.group)} wait here already`,
+    );
   }
 
   #slotsHere(): number {
-    const slots = this.#dependencies.workers().reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
+    const slots = this.#dependencies
+      .workers()
+      .reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
     return Math.max(1, slots / Math.max(1, this.#dependencies.edges().length));
   }
 
@@ -281,7 +298,9 @@
   }
 
   #hasPart(group: number): boolean {
-    return (this.#groupInFlight[group] ?? 0) >= Math.max(1, Math.ceil(this.#slotsHere() * this.#shareOf(group)));
+    return (
+      (this.#groupInFlight[group] ?? 0) >= Math.max(1, Math.ceil(this.#slotsHere() * this.#shareOf(group)))
+    );
   }
 
   #need(visit: Visit): Need {
@@ -331,7 +350,8 @@
 
   /** The last look before the first byte. */
   #mayStart(visit: Visit, worker: RosterView): boolean {
-    if (visit.left || !this.#dependencies.granted() || this.#dependencies.clock.nowMs() > visit.deadlineMs) return false;
+    if (visit.left || !this.#dependencies.granted() || this.#dependencies.clock.nowMs() > visit.deadlineMs)
+      return false;
     return mayServe(this.#dependencies.workers(), worker);
   }
 
@@ -428,7 +448,11 @@
   #withReturn(visit: Visit, why: Fault): Fault {
     if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
     const waiting = this.#backlog.countOf(visit.group);
-    const returnS = this.#pace(visit.group).returnS(waiting, this.#dependencies.chance.next(), this.#dependencies.clock.nowMs());
+    const returnS = this.#pace(visit.group).returnS(
+      waiting,
+      this.#dependencies.chance.next(),
+      this.#dependencies.clock.nowMs(),
+    );
     return { ...why, returnS };
   }
 
@@ -465,7 +489,12 @@
 
   #measureServed(visit: Visit, nowMs: number): void {
     const waitMs = (visit.firstPieceMs ?? nowMs) - visit.arrivedMs;
-    this.#measures.served(this.#groups.name(visit.group), this.#kinds.name(visit.kind), waitMs, visit.targetMs);
+    this.#measures.served(
+      this.#groups.name(visit.group),
+      this.#kinds.name(visit.kind),
+      waitMs,
+      visit.targetMs,
+    );
   }
 
   #demandKey(visit: Visit): string {
@@ -474,7 +503,8 @@
 
   #noteArrival(visit: Visit, nowMs: number): void {
     this.#groupSeenMs[visit.group] = nowMs;
-    if (!visit.repeatable) this.#measures.arrived(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
+    if (!visit.repeatable)
+      this.#measures.arrived(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
   }
 }
 
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -60,10 +60,17 @@
   /** Everything since the last call; `backlogs` says how many wait now, by demand. */
   take(backlogs: ReadonlyMap<string, number>): Measured {
     const measures = [...this.#measures.values()];
-    const demands = [...this.#arrivals].map(([key, arrival]) => ({ ...arrival, backlog: backlogs.get(key) ?? 0 }));
+    const demands = [...this.#arrivals].map(([key, arrival]) => ({
+      ...arrival,
+      backlog: backlogs.get(key) ?? 0,
+    }));
     const faults = this.#faults;
     this.#measures = new Map();
-    this.#arrivals = new Map([...this.#arrivals].filter(([key]) => backlogs.has(key)).map(([key, arrival]) => [key, { ...arrival, arrivals: 0 }]));
+    this.#arrivals = new Map(
+      [...this.#arrivals]
+        .filter(([key]) => backlogs.has(key))
+        .map(([key, arrival]) => [key, { ...arrival, arrivals: 0 }]),
+    );
     this.#faults = new Map();
     return { measures, demands, faults };
   }
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -101,7 +101,8 @@
     this.#status = status;
     this.#contentType = contentType;
     const streaming = status === 200 && contentType.startsWith('text/event-stream');
-    if (status === 200 && streaming !== this.#visit.streamed) return this.#nonsense(`${contentType} instead of what was asked`);
+    if (status === 200 && streaming !== this.#visit.streamed)
+      return this.#nonsense(`${contentType} instead of what was asked`);
     if (streaming) this.#watch = new StreamWatch();
   }
 
@@ -123,10 +124,16 @@
     if (this.#watch !== undefined) return this.#endStream(this.#watch);
     const body = Buffer.concat(this.#whole);
     if (this.#status === 429 || this.#status === 503) {
-      return this.#fail(true, fault('no-worker', `${this.#worker.name} took no more`), !this.#visit.repeatable);
+      return this.#fail(
+        true,
+        fault('no-worker', `${this.#worker.name} took no more`),
+        !this.#visit.repeatable,
+      );
     }
-    if (this.#status >= 500 || this.#status < 200) return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
-    if (!isJson(body)) return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
+    if (this.#status >= 500 || this.#status < 200)
+      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
+    if (!isJson(body))
+      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
     this.#visit.firstPieceMs ??= this.#context.nowMs();
     this.#visit.port.answer(this.#status, this.#contentType, body);
     this.#finish({ done: 'served', well: true, sent: true, tried: true, fault: NO_FAULT });
@@ -141,7 +148,12 @@
     }
     if (this.#opened) return this.#cut();
     const late = this.#context.nowMs() >= this.#visit.deadlineMs;
-    this.#fail(true, late ? fault('deadline-exceeded', 'the deadline passed after it was sent') : fault('outcome-unknown', `${this.#worker.name}: ${why}`));
+    this.#fail(
+      true,
+      late
+        ? fault('deadline-exceeded', 'the deadline passed after it was sent')
+        : fault('outcome-unknown', `${this.#worker.name}: ${why}`),
+    );
   }
 
   #pass(events: Buffer): void {
--- a/packages/gateway/src/sender.ts
+++ b/packages/gateway/src/sender.ts
@@ -46,10 +46,18 @@
 
   send({ address, method, path, headers, body, stallMs }: SendRequest, handler: SendHandler): Sending {
     return this.#link.send(
-      { address, method, target: path, headers: Object.entries(headers), body: body ?? new Uint8Array(), stallMs },
+      {
+        address,
+        method,
+        target: path,
+        headers: Object.entries(headers),
+        body: body ?? new Uint8Array(),
+        stallMs,
+      },
       {
         mayStart: () => handler.mayStart(),
-        head: (status, answered) => handler.start(status, answered.find(([name]) => name.toLowerCase() === 'content-type')?.[1] ?? ''),
+        head: (status, answered) =>
+          handler.start(status, answered.find(([name]) => name.toLowerCase() === 'content-type')?.[1] ?? ''),
         chunk: (bytes) => handler.chunk(bytes),
         end: () => handler.end(),
         failed: (sent, why) => handler.failed(sent, why),
--- a/packages/messages/src/codec.ts
+++ b/packages/messages/src/codec.ts
@@ -45,6 +45,7 @@
   if (frame.deployment !== deployment) {
     return Result.err(fault('foreign', `frame of deployment "${frame.deployment}"`));
   }
-  if (frame.from === '' || frame.body.case === undefined) return Result.err(fault('wire', 'frame without sender or body'));
+  if (frame.from === '' || frame.body.case === undefined)
+    return Result.err(fault('wire', 'frame without sender or body'));
   return Result.ok(frame);
 }
--- a/packages/messages/src/messages.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -20,7 +20,8 @@
         for (let copy = 0; copy < copies; copy += 1) wires.push({ to, parcel: { ...parcel } });
       }
     }
-    for (let place = 0; place < 300; place += 1) near.post({ case: 'answer', value: create(AnswerSchema, { id: String(place) }) });
+    for (let place = 0; place < 300; place += 1)
+      near.post({ case: 'answer', value: create(AnswerSchema, { id: String(place) }) });
     for (let nowMs = 0; nowMs < 60_000 && got.length < 300; nowMs += 50) {
       carry(far, near.tick(nowMs));
       carry(near, far.tick(nowMs));
@@ -44,13 +45,20 @@
 
   it('refuses more than its bound', () => {
     const channel = new Channel();
-    const takes = Array.from({ length: 5000 }, () => channel.post({ case: 'answer', value: create(AnswerSchema) }));
+    const takes = Array.from({ length: 5000 }, () =>
+      channel.post({ case: 'answer', value: create(AnswerSchema) }),
+    );
     expect(takes.filter((taken) => taken).length).toEqual(4096);
   });
 });
 
 describe('codec', () => {
-  const frame = create(FrameSchema, { wire: WIRE, deployment: 'd', from: 'a', body: { case: 'bye', value: create(ByeSchema) } });
+  const frame = create(FrameSchema, {
+    wire: WIRE,
+    deployment: 'd',
+    from: 'a',
+    body: { case: 'bye', value: create(ByeSchema) },
+  });
 
   it('reads back what it packed', () => {
     const read = unpack(pack(frame), 'd');
--- a/packages/messages/src/news.ts
+++ b/packages/messages/src/news.ts
@@ -68,7 +68,8 @@
   takeDigest(digest: Digest): Mend | undefined {
     const mine = this.#digest().ranges;
     const ranges: number[] = [];
-    for (let range = 0; range < RANGES; range += 1) if (mine[range] !== digest.ranges[range]) ranges.push(range);
+    for (let range = 0; range < RANGES; range += 1)
+      if (mine[range] !== digest.ranges[range]) ranges.push(range);
     if (ranges.length === 0) return undefined;
     return create(MendSchema, { ranges, items: this.#inRanges(ranges) });
   }
@@ -86,7 +87,9 @@
       const other = theirs.get(item.key);
       if (other === undefined || newer(item, other)) better.push(item);
     }
-    return better.length === 0 ? undefined : create(MendSchema, { ranges: mend.ranges, items: better, answered: true });
+    return better.length === 0
+      ? undefined
+      : create(MendSchema, { ranges: mend.ranges, items: better, answered: true });
   }
 
   #few(members: readonly string[]): string[] {
--- a/packages/placement/src/orderer.ts
+++ b/packages/placement/src/orderer.ts
@@ -123,7 +123,8 @@
       const bay = this.#bay(name);
       if (bay.flying || nowMs < bay.notBeforeMs) continue;
       const step = this.#next(bay, spec, placement[name] ?? [], roomMb, nowMs, urgency);
-      if (step?.action === 'load') loads.push({ name, bay, step, urgency: urgency(step.model, step.adapter) });
+      if (step?.action === 'load')
+        loads.push({ name, bay, step, urgency: urgency(step.model, step.adapter) });
       else if (step !== undefined) this.#send(name, bay, epoch, step, nowMs);
     }
     loads.sort((one, other) => other.urgency - one.urgency);
@@ -136,13 +137,28 @@
   #bay(name: string): Bay {
     let bay = this.#bays.get(name);
     if (bay === undefined) {
-      bay = { known: undefined, epoch: 0, flying: false, notBeforeMs: -Infinity, faults: 0, askedMs: -Infinity, surplus: undefined };
+      bay = {
+        known: undefined,
+        epoch: 0,
+        flying: false,
+        notBeforeMs: -Infinity,
+        faults: 0,
+        askedMs: -Infinity,
+        surplus: undefined,
+      };
       this.#bays.set(name, bay);
     }
     return bay;
   }
 
-  #next(bay: Bay, spec: Spec, target: readonly HoldingTarget[], roomMb: number, nowMs: number, urgency: Urgency): Step | undefined {
+  #next(
+    bay: Bay,
+    spec: Spec,
+    target: readonly HoldingTarget[],
+    roomMb: number,
+    nowMs: number,
+    urgency: Urgency,
+  ): Step | undefined {
     const known = bay.known;
     if (known === undefined || !known.reachable || bay.epoch !== this.#epoch) return INVENTORY;
     const [surplus] = missing(target, known.holdings);
@@ -172,7 +188,14 @@
     });
   }
 
-  #heard(name: string, bay: Bay, step: Step, epoch: number, reply: Result<OrderReply, Fault>, nowMs: number): void {
+  #heard(
+    name: string,
+    bay: Bay,
+    step: Step,
+    epoch: number,
+    reply: Result<OrderReply, Fault>,
+    nowMs: number,
+  ): void {
     const loads = new Map(bay.known?.loads);
     if (step.action === 'load' && step.adapter === '') {
       this.#loads += 1;
@@ -203,16 +226,24 @@
 const INVENTORY: Step = { action: 'inventory', model: '', adapter: '' };
 
 /** The parts of `wanted` that `held` lacks; of a model that is missing itself, only the model. */
-function missing(held: readonly HoldingTarget[], wanted: readonly HoldingTarget[]): { model: string; adapter: string }[] {
+function missing(
+  held: readonly HoldingTarget[],
+  wanted: readonly HoldingTarget[],
+): { model: string; adapter: string }[] {
   return wanted.flatMap(({ model, adapters }) => {
     const there = held.find((holding) => holding.model === model);
     if (there === undefined) return [{ model, adapter: '' }];
-    return adapters.filter((adapter) => !there.adapters.includes(adapter)).map((adapter) => ({ model, adapter }));
+    return adapters
+      .filter((adapter) => !there.adapters.includes(adapter))
+      .map((adapter) => ({ model, adapter }));
   });
 }
 
 function partMb(spec: Spec, part: { model: string; adapter: string }): number {
-  const known = part.adapter === '' ? spec.models.find((model) => model.name === part.model) : spec.adapters.find((adapter) => adapter.name === part.adapter);
+  const known =
+    part.adapter === ''
+      ? spec.models.find((model) => model.name === part.model)
+      : spec.adapters.find((adapter) => adapter.name === part.adapter);
   return known?.sizeMb ?? Infinity;
 }
 
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -16,7 +16,9 @@
       workers: { roomMb: 1000, slots: 4 },
       models: Array.from({ length: models }, (_, place) => ({ name: `m${place}`, sizeMb: 400 })),
       adapters: [{ name: 'a', model: 'm0', sizeMb: 50 }],
-      groups: [{ name: 'g', share: 1, kinds: [{ name: 'k', targetMs: 100, patienceMs: 1000 }], models: ['*'] }],
+      groups: [
+        { name: 'g', share: 1, kinds: [{ name: 'k', targetMs: 100, patienceMs: 1000 }], models: ['*'] },
+      ],
       routes: [{ path: '/v1/chat/completions', serve: 'chat' }],
     }),
   );
@@ -65,7 +67,13 @@
   return { arrivalsPerS, backlog: 0, adapters: new Map() };
 }
 
-function settle(spec: Spec, workers: PlaceWorker[], demands: Map<string, ModelDemand>, steps: number, fromMs = 0): { moves: number; workers: PlaceWorker[] } {
+function settle(
+  spec: Spec,
+  workers: PlaceWorker[],
+  demands: Map<string, ModelDemand>,
+  steps: number,
+  fromMs = 0,
+): { moves: number; workers: PlaceWorker[] } {
   const placer = new Placer(PLACE_SETTINGS);
   let now = workers;
   let moves = 0;
@@ -82,7 +90,12 @@
     const spec = specOf(4);
     const { workers } = settle(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 20);
     expect(workers.map((one) => sizeMb(spec, one.holdings) <= one.roomMb)).toEqual([true, true]);
-    expect(workers.flatMap((one) => one.holdings.map((held) => held.model)).sort()).toEqual(['m0', 'm1', 'm2', 'm3']);
+    expect(workers.flatMap((one) => one.holdings.map((held) => held.model)).sort()).toEqual([
+      'm0',
+      'm1',
+      'm2',
+      'm3',
+    ]);
   });
 
   it('makes room for a rare model that is asked for, and then rests', () => {
@@ -96,26 +109,40 @@
 
   it('adds a copy under pressure, in the other zone', () => {
     const spec = specOf(2);
-    const start = [worker('w1', 'z1', [{ model: 'm0', adapters: [] }]), worker('w2', 'z2', [{ model: 'm1', adapters: [] }])];
+    const start = [
+      worker('w1', 'z1', [{ model: 'm0', adapters: [] }]),
+      worker('w2', 'z2', [{ model: 'm1', adapters: [] }]),
+    ];
     const { workers } = settle(spec, start, new Map([['m0', demand(20)]]), 3);
     expect(workers[1]?.holdings.map((held) => held.model)).toEqual(['m1', 'm0']);
   });
 
   it('puts what is asked for into a second zone while there is room; what nobody asks for gives way first', () => {
     function zonesOf(workers: readonly PlaceWorker[], model: string): string[] {
-      return workers.filter((one) => one.holdings.some((held) => held.model === model)).map((one) => one.zone);
+      return workers
+        .filter((one) => one.holdings.some((held) => held.model === model))
+        .map((one) => one.zone);
     }
     const asked = new Map([['m0', demand(0.1)]]);
     const start = settle(specOf(3), [worker('w1', 'z1'), worker('w2', 'z2')], asked, 10).workers;
     const more = new Map([...asked, ['m3', demand(0.5)]]);
     const later = settle(specOf(4), start, more, 30, 100_000);
-    expect([zonesOf(start, 'm0').sort(), zonesOf(later.workers, 'm3').length, zonesOf(later.workers, 'm0').length]).toEqual([['z1', 'z2'], 1, 2]);
+    expect([
+      zonesOf(start, 'm0').sort(),
+      zonesOf(later.workers, 'm3').length,
+      zonesOf(later.workers, 'm0').length,
+    ]).toEqual([['z1', 'z2'], 1, 2]);
     expect(settle(specOf(4), later.workers, more, 60, 900_000).moves).toEqual(0);
   });
 
   it('puts nothing on a worker that may not be used', () => {
     const spec = specOf(2);
-    const { workers } = settle(spec, [{ ...worker('w1', 'z1'), usable: false }, worker('w2', 'z2')], new Map(), 5);
+    const { workers } = settle(
+      spec,
+      [{ ...worker('w1', 'z1'), usable: false }, worker('w2', 'z2')],
+      new Map(),
+      5,
+    );
     expect(workers[0]?.holdings).toEqual([]);
   });
 });
@@ -219,7 +246,9 @@
     const yard = new Yard();
     const two = ['m0', 'm1'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
-      yard.orderer.tick(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) => (model === 'm1' ? 2 : 1));
+      yard.orderer.tick(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) =>
+        model === 'm1' ? 2 : 1,
+      );
       yard.reply();
     }
     expect(yard.actions).toEqual(['inventory', 'load m1', 'load m0']);
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -34,7 +34,14 @@
   readonly restMs: number;
 }
 
-export const PLACE_SETTINGS: PlaceSettings = { perSlotPerS: 0.5, above: 1.2, below: 0.4, steps: 2, fills: 24, restMs: 5000 };
+export const PLACE_SETTINGS: PlaceSettings = {
+  perSlotPerS: 0.5,
+  above: 1.2,
+  below: 0.4,
+  steps: 2,
+  fills: 24,
+  restMs: 5000,
+};
 
 const NONE = new Map<string, number>();
 
@@ -109,14 +116,41 @@
       const demand = demands.get(model);
       const copies = benches.filter((bench) => bench.worker.usable && bench.holdings.has(model));
       const pressure = this.#pressure(demand, copies);
-      if (copies.length === 0) wants.push({ model, urgency: demand === undefined ? 0 : 10 + pressure, gain: pressure, why: 'no copy' });
-      else if (pressure > this.#settings.above) wants.push({ model, urgency: pressure, gain: pressure, why: `pressure ${pressure.toFixed(2)}` });
-      if (demand !== undefined && isInOneZone(copies)) wants.push({ model, urgency: -0.5, gain: 0, why: 'one zone only', elsewhere: true });
+      if (copies.length === 0)
+        wants.push({
+          model,
+          urgency: demand === undefined ? 0 : 10 + pressure,
+          gain: pressure,
+          why: 'no copy',
+        });
+      else if (pressure > this.#settings.above)
+        wants.push({ model, urgency: pressure, gain: pressure, why: `pressure ${pressure.toFixed(2)}` });
+      if (demand !== undefined && isInOneZone(copies))
+        wants.push({ model, urgency: -0.5, gain: 0, why: 'one zone only', elsewhere: true });
       for (const [adapter, weight] of demand?.adapters ?? []) {
         const held = copies.filter((bench) => bench.holdings.get(model)?.has(adapter));
-        if (weight >= 0.01 && isInOneZone(held)) wants.push({ model, adapter, urgency: -0.6, gain: 0, why: `adapter ${adapter} in one zone only`, elsewhere: true });
-        if (weight < 0.01 || copies.length === 0 || copies.some((bench) => bench.holdings.get(model)?.has(adapter))) continue;
-        wants.push({ model, adapter, urgency: 5 + weight, gain: this.#pressure({ arrivalsPerS: weight, backlog: 0, adapters: NONE }, []), why: `adapter ${adapter} asked for` });
+        if (weight >= 0.01 && isInOneZone(held))
+          wants.push({
+            model,
+            adapter,
+            urgency: -0.6,
+            gain: 0,
+            why: `adapter ${adapter} in one zone only`,
+            elsewhere: true,
+          });
+        if (
+          weight < 0.01 ||
+          copies.length === 0 ||
+          copies.some((bench) => bench.holdings.get(model)?.has(adapter))
+        )
+          continue;
+        wants.push({
+          model,
+          adapter,
+          urgency: 5 + weight,
+          gain: this.#pressure({ arrivalsPerS: weight, backlog: 0, adapters: NONE }, []),
+          why: `adapter ${adapter} asked for`,
+        });
       }
     }
     for (const { name: adapter, model } of spec.adapters) {
@@ -130,20 +164,35 @@
 
   #pressure(demand: ModelDemand | undefined, copies: readonly Bench[]): number {
     if (demand === undefined) return 0;
-    const slots = copies.reduce((sum, bench) => sum + bench.worker.slots / Math.max(1, bench.holdings.size / 2), 0);
+    const slots = copies.reduce(
+      (sum, bench) => sum + bench.worker.slots / Math.max(1, bench.holdings.size / 2),
+      0,
+    );
     return (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.perSlotPerS * Math.max(1, slots));
   }
 
   /** Puts what is wanted where there is room, in a zone that lacks it if there is one. */
   #fill(want: Want, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
     const needMb = partMb(want, parts);
-    const zones = new Set(benches.filter((bench) => bench.holdings.has(want.model)).map((bench) => bench.worker.zone));
+    const zones = new Set(
+      benches.filter((bench) => bench.holdings.has(want.model)).map((bench) => bench.worker.zone),
+    );
     const taken = new Set(
-      benches.filter((bench) => (want.adapter === undefined ? bench.holdings.has(want.model) : bench.holdings.get(want.model)?.has(want.adapter))).map((bench) => bench.worker.zone),
+      benches
+        .filter((bench) =>
+          want.adapter === undefined
+            ? bench.holdings.has(want.model)
+            : bench.holdings.get(want.model)?.has(want.adapter),
+        )
+        .map((bench) => bench.worker.zone),
     );
     const open = fitting(want, benches)
       .filter((bench) => bench.freeMb >= needMb && !(want.elsewhere === true && taken.has(bench.worker.zone)))
-      .sort((one, other) => Number(zones.has(one.worker.zone)) - Number(zones.has(other.worker.zone)) || other.freeMb - one.freeMb)[0];
+      .sort(
+        (one, other) =>
+          Number(zones.has(one.worker.zone)) - Number(zones.has(other.worker.zone)) ||
+          other.freeMb - one.freeMb,
+      )[0];
     if (open === undefined) return false;
     const adapters = open.holdings.get(want.model) ?? new Set<string>();
     if (want.adapter !== undefined) adapters.add(want.adapter);
@@ -183,8 +232,15 @@
     return nowMs - (this.#movedMs.get(`${bench.worker.name}/${model}`) ?? -Infinity) > this.#settings.restMs;
   }
 
-  #worth(model: string, bench: Bench, benches: readonly Bench[], demands: ReadonlyMap<string, ModelDemand>): number {
-    const others = benches.filter((other) => other !== bench && other.worker.usable && other.holdings.has(model));
+  #worth(
+    model: string,
+    bench: Bench,
+    benches: readonly Bench[],
+    demands: ReadonlyMap<string, ModelDemand>,
+  ): number {
+    const others = benches.filter(
+      (other) => other !== bench && other.worker.usable && other.holdings.has(model),
+    );
     return this.#pressure(demands.get(model), others);
   }
 }
@@ -209,12 +265,17 @@
 function fitting(want: Want, benches: readonly Bench[]): Bench[] {
   return benches.filter((bench) => {
     const adapters = bench.holdings.get(want.model);
-    return bench.worker.usable && (want.adapter === undefined ? adapters === undefined : adapters?.has(want.adapter) === false);
+    return (
+      bench.worker.usable &&
+      (want.adapter === undefined ? adapters === undefined : adapters?.has(want.adapter) === false)
+    );
   });
 }
 
 function partMb(want: Want, parts: Parts): number {
-  return (want.adapter === undefined ? parts.sizes.get(want.model) : parts.adapterMb.get(want.adapter)) ?? Infinity;
+  return (
+    (want.adapter === undefined ? parts.sizes.get(want.model) : parts.adapterMb.get(want.adapter)) ?? Infinity
+  );
 }
 
 function heldMb(
@@ -228,7 +289,11 @@
   return sumMb;
 }
 
-function openBench(worker: PlaceWorker, sizes: ReadonlyMap<string, number>, adapterMb: ReadonlyMap<string, number>): Bench {
+function openBench(
+  worker: PlaceWorker,
+  sizes: ReadonlyMap<string, number>,
+  adapterMb: ReadonlyMap<string, number>,
+): Bench {
   const holdings = new Map<string, Set<string>>();
   for (const { model, adapters } of worker.holdings) {
     if (sizes.has(model)) holdings.set(model, new Set(adapters.filter((adapter) => adapterMb.has(adapter))));
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -1,7 +1,13 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { WorkerTable, type WorkerRecord, type ListedWorker } from './worker-table.js';
-import { PlacementPlanner, type StockEngine, type StockOrder, type StockReply, type StockWant } from './planner.js';
+import {
+  PlacementPlanner,
+  type StockEngine,
+  type StockOrder,
+  type StockReply,
+  type StockWant,
+} from './planner.js';
 
 const HEARTBEAT_MS = 20;
 const LOAD_MS = 600;
@@ -25,8 +31,22 @@
   };
 }
 
-function listed(id: string, models: readonly string[] = [], change: Partial<ListedWorker> = {}): ListedWorker {
-  return { id, service: 'assist', address: `${id}:80`, zone: 'north', slots: 8, leaving: false, coldMs: 0, models: new Map(models.map((model) => [model, new Set<string>()])), ...change };
+function listed(
+  id: string,
+  models: readonly string[] = [],
+  change: Partial<ListedWorker> = {},
+): ListedWorker {
+  return {
+    id,
+    service: 'assist',
+    address: `${id}:80`,
+    zone: 'north',
+    slots: 8,
+    leaving: false,
+    coldMs: 0,
+    models: new Map(models.map((model) => [model, new Set<string>()])),
+    ...change,
+  };
 }
 
 function want(model: string, waiting: number, inFlight = 0, adapter = ''): StockWant {
@@ -81,7 +101,9 @@
   }
 
   holders(model: string, adapter = ''): string[] {
-    return [...this.held].filter(([, models]) => (adapter === '' ? models.has(model) : models.get(model)?.has(adapter) === true)).map(([id]) => id);
+    return [...this.held]
+      .filter(([, models]) => (adapter === '' ? models.has(model) : models.get(model)?.has(adapter) === true))
+      .map(([id]) => id);
   }
 
   loads(): Sent[] {
@@ -101,7 +123,8 @@
     }
     if (adapter === '' ? adapters !== undefined : adapters?.has(adapter) === true) return 'held';
     if (adapter !== '' && adapters === undefined) return 'refused';
-    if (adapter === '') this.#doing.set(row.id, { untilMs: this.nowMs + LOAD_MS, done: () => models.set(model, new Set()) });
+    if (adapter === '')
+      this.#doing.set(row.id, { untilMs: this.nowMs + LOAD_MS, done: () => models.set(model, new Set()) });
     else adapters?.add(adapter);
     this.#check(row.id, adapter === '' ? 33 : 0);
     return 'begun';
@@ -118,14 +141,18 @@
 
 /** Requests wait for what stands nowhere and run where it stands. */
 function steady(bench: Bench, models: readonly string[], count: number): () => StockWant[] {
-  return () => models.map((model) => (bench.holders(model).length > 0 ? want(model, 0, count) : want(model, count)));
+  return () =>
+    models.map((model) => (bench.holders(model).length > 0 ? want(model, 0, count) : want(model, count)));
 }
 
 describe('the placement of models on demand', () => {
   it('loads what is waited for and stands nowhere', () => {
     const bench = new Bench(engineOf(4), [listed('w1'), listed('w2')]);
     bench.run(3000, steady(bench, ['m2'], 1));
-    expect([bench.holders('m2').length > 0, bench.loads()[0]?.order]).toEqual([true, { action: 'load', model: 'm2', adapter: '', fence: 7 }]);
+    expect([bench.holders('m2').length > 0, bench.loads()[0]?.order]).toEqual([
+      true,
+      { action: 'load', model: 'm2', adapter: '', fence: 7 },
+    ]);
   });
 
   it('makes room first, and never goes beyond it', () => {
@@ -138,7 +165,14 @@
   it('holds no more adapters than there are places, also when many are asked for at once', () => {
     const bench = new Bench(engineOf(3), [listed('w1', ['m0', 'm1', 'm2'])]);
     const adapters = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'];
-    bench.run(4000, () => ['m0', 'm1'].flatMap((model) => [want(model, 0, 1), ...adapters.map((adapter) => (bench.holders(model, adapter).length > 0 ? want(model, 0, 1, adapter) : want(model, 1, 0, adapter)))]));
+    bench.run(4000, () =>
+      ['m0', 'm1'].flatMap((model) => [
+        want(model, 0, 1),
+        ...adapters.map((adapter) =>
+          bench.holders(model, adapter).length > 0 ? want(model, 0, 1, adapter) : want(model, 1, 0, adapter),
+        ),
+      ]),
+    );
     expect(bench.wrong).toEqual([]);
   });
 
@@ -164,9 +198,16 @@
   });
 
   it('loads nothing new where it is evacuated or where a worker leaves', () => {
-    const bench = new Bench(engineOf(6), [listed('w1'), listed('w2', [], { zone: 'east' }), listed('w3', [], { zone: 'west' })]);
+    const bench = new Bench(engineOf(6), [
+      listed('w1'),
+      listed('w2', [], { zone: 'east' }),
+      listed('w3', [], { zone: 'west' }),
+    ]);
     bench.evacuated = ['north'];
-    bench.book.learn([listed('w1'), listed('w2', [], { zone: 'east', leaving: true }), listed('w3', [], { zone: 'west' })], bench.nowMs);
+    bench.book.learn(
+      [listed('w1'), listed('w2', [], { zone: 'east', leaving: true }), listed('w3', [], { zone: 'west' })],
+      bench.nowMs,
+    );
     bench.run(4000, () => ['m0', 'm1', 'm2', 'm3'].map((model) => want(model, 2)));
     expect([...new Set(bench.sent.map(({ worker }) => worker))]).toEqual(['w3']);
   });
@@ -177,24 +218,50 @@
     let turn = 0;
     bench.run(20_000, () => {
       turn += 1;
-      return Array.from({ length: 8 }, (_, place) => want(`m${(Math.floor(turn / 20) * 3 + place * 7) % 60}`, 2));
+      return Array.from({ length: 8 }, (_, place) =>
+        want(`m${(Math.floor(turn / 20) * 3 + place * 7) % 60}`, 2),
+      );
     });
-    const begun = bench.loads().filter((load, place, all) => load.order.adapter === '' && all.findIndex((one) => one.worker === load.worker && one.order.model === load.order.model) === place);
-    const most = Math.max(...begun.map(({ atMs }) => begun.filter((one) => one.atMs >= atMs && one.atMs < atMs + 5000).length));
+    const begun = bench
+      .loads()
+      .filter(
+        (load, place, all) =>
+          load.order.adapter === '' &&
+          all.findIndex((one) => one.worker === load.worker && one.order.model === load.order.model) ===
+            place,
+      );
+    const most = Math.max(
+      ...begun.map(({ atMs }) => begun.filter((one) => one.atMs >= atMs && one.atMs < atMs + 5000).length),
+    );
     expect([begun.length > 40, most <= 6 * 5 * 1.1 + 3]).toEqual([true, true]);
   });
 
   it('comes to rest while demand is steady', () => {
     const wrong: string[] = [];
-    for (const [models, count] of [[4, 2], [4, 6], [6, 4], [5, 8], [7, 8]] as const) {
+    for (const [models, count] of [
+      [4, 2],
+      [4, 6],
+      [6, 4],
+      [5, 8],
+      [7, 8],
+    ] as const) {
       const names = Array.from({ length: models }, (_, place) => `m${place}`);
-      const bench = new Bench(engineOf(12), [listed('w1', ['m8']), listed('w2', ['m9']), listed('w3', ['m10']), listed('w4', ['m11'])]);
+      const bench = new Bench(engineOf(12), [
+        listed('w1', ['m8']),
+        listed('w2', ['m9']),
+        listed('w3', ['m10']),
+        listed('w4', ['m11']),
+      ]);
       bench.run(12_000, steady(bench, names, count));
       const before = bench.sent.length;
       bench.run(5000, steady(bench, names, count));
       const nowhere = names.filter((model) => bench.holders(model).length === 0);
-      if (bench.sent.length > before) wrong.push(`${models} models, ${count} requests each: ${bench.sent.length - before} orders in 5 s of rest`);
-      if (nowhere.length > 0) wrong.push(`${models} models, ${count} requests each: ${nowhere.join(', ')} stand nowhere`);
+      if (bench.sent.length > before)
+        wrong.push(
+          `${models} models, ${count} requests each: ${bench.sent.length - before} orders in 5 s of rest`,
+        );
+      if (nowhere.length > 0)
+        wrong.push(`${models} models, ${count} requests each: ${nowhere.join(', ')} stand nowhere`);
     }
     expect(wrong).toEqual([]);
   });
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -132,7 +132,14 @@
 const PRESSURE_WANTED = 0.2;
 /** Rarely asked models say too little to steer by. */
 const STEERED_PER_S = 3;
-const COPIES_LOOP: LoopSettings = { gain: 0.4, integralPerS: 0.15, least: 0.6, most: 2.5, stepPerS: 0.8, deadBand: 0.25 };
+const COPIES_LOOP: LoopSettings = {
+  gain: 0.4,
+  integralPerS: 0.15,
+  least: 0.6,
+  most: 2.5,
+  stepPerS: 0.8,
+  deadBand: 0.25,
+};
 const LOOP_MS = 200;
 /** A further copy is wanted only this much beyond the set point, in copies. */
 const DEAD_BAND = 0.15;
@@ -189,7 +196,8 @@
   }
 
   tick(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
-    for (const [incarnation, known] of this.#wants) if (nowMs - known.atMs > WANT_MS) this.#wants.delete(incarnation);
+    for (const [incarnation, known] of this.#wants)
+      if (nowMs - known.atMs > WANT_MS) this.#wants.delete(incarnation);
     for (const id of this.#works.keys()) if (this.#book.row(id) === undefined) this.#works.delete(id);
     for (const engine of engines.values()) {
       const rows = [...this.#book.rows].filter((row) => row.service === engine.service && !row.gone);
@@ -202,7 +210,13 @@
   #work(row: WorkerRecord): Work {
     let work = this.#works.get(row.id);
     if (work === undefined) {
-      work = { steps: [], held: new Set(row.models.keys()), present: new Map([...row.models].map(([model, adapters]) => [model, new Set(adapters)])), sinceMs: new Map(), retired: new Set() };
+      work = {
+        steps: [],
+        held: new Set(row.models.keys()),
+        present: new Map([...row.models].map(([model, adapters]) => [model, new Set(adapters)])),
+        sinceMs: new Map(),
+        retired: new Set(),
+      };
       this.#works.set(row.id, work);
     }
     return work;
@@ -211,7 +225,10 @@
   #refill(engine: StockEngine, nowMs: number): void {
     const known = this.#tokens.get(engine.service) ?? { count: 0, atMs: nowMs };
     this.#tokens.set(engine.service, known);
-    known.count = Math.min(this.#atOnce(engine), known.count + (engine.loadsPerS * (nowMs - known.atMs)) / 1000);
+    known.count = Math.min(
+      this.#atOnce(engine),
+      known.count + (engine.loadsPerS * (nowMs - known.atMs)) / 1000,
+    );
     known.atMs = nowMs;
   }
 
@@ -227,7 +244,13 @@
     for (const { wants } of this.#wants.values()) {
       for (const want of wants) {
         if (want.service !== engine.service || !engine.models.has(want.model)) continue;
-        const demand = demands.get(want.model) ?? { waiting: 0, inFlight: 0, perS: 0, pressed: 0, adapters: new Map<string, { waiting: number; inFlight: number; perS: number }>() };
+        const demand = demands.get(want.model) ?? {
+          waiting: 0,
+          inFlight: 0,
+          perS: 0,
+          pressed: 0,
+          adapters: new Map<string, { waiting: number; inFlight: number; perS: number }>(),
+        };
         demands.set(want.model, demand);
         demand.waiting += want.waiting;
         demand.inFlight += want.inFlight;
@@ -254,18 +277,26 @@
     return known;
   }
 
-  #plan(engine: StockEngine, rows: readonly WorkerRecord[], evacuated: readonly string[], nowMs: number): void {
+  #plan(
+    engine: StockEngine,
+    rows: readonly WorkerRecord[],
+    evacuated: readonly string[],
+    nowMs: number,
+  ): void {
     const demands = this.#demands(engine);
     const usable = rows.filter((row) => row.sure && !row.leaving && !evacuated.includes(row.zone));
     const copies = new Map<string, number>();
-    for (const row of rows) if (!row.leaving && !evacuated.includes(row.zone)) for (const model of this.#coming(row)) copies.set(model, (copies.get(model) ?? 0) + 1);
+    for (const row of rows)
+      if (!row.leaving && !evacuated.includes(row.zone))
+        for (const model of this.#coming(row)) copies.set(model, (copies.get(model) ?? 0) + 1);
     const desired = new Map<string, number>();
     const needs: Need[] = [];
     for (const [model, demand] of demands) {
       const key = `${engine.service}/${model}`;
       if (demand.waiting + demand.inFlight > 0) this.#usedMs.set(key, nowMs);
       const { recent, height } = this.#concurrency(key, demand.inFlight + demand.waiting, nowMs);
-      const each = Math.max(1, Math.min(RUNS_WANTED, engine.slots * SLOTS_WANTED)) / this.#steer(key, demand, nowMs);
+      const each =
+        Math.max(1, Math.min(RUNS_WANTED, engine.slots * SLOTS_WANTED)) / this.#steer(key, demand, nowMs);
       const wanted = Math.min(usable.length, Math.ceil(recent / each - DEAD_BAND));
       desired.set(model, Math.ceil(height / each));
       const have = copies.get(model) ?? 0;
@@ -276,18 +307,36 @@
         const worth = 8 + Math.min(IMPATIENT_MOST, ((nowMs - sinceMs) / 1000) * IMPATIENT_PER_S);
         needs.push({ model, worth, helped: ALONE * demand.waiting, load: Infinity });
       }
-      if (have > 0 && have < wanted) needs.push({ model, worth: recent > HEAVY * have * each ? 7.6 : 4 + (wanted - have) / wanted, helped: recent - have * each, load: recent / have });
+      if (have > 0 && have < wanted)
+        needs.push({
+          model,
+          worth: recent > HEAVY * have * each ? 7.6 : 4 + (wanted - have) / wanted,
+          helped: recent - have * each,
+          load: recent / have,
+        });
     }
     this.#retire(engine, usable, copies, desired, nowMs);
     needs.sort((one, other) => other.helped - one.helped);
     let running = 0;
     for (const row of rows) {
       const work = this.#work(row);
-      if (work.steps.some((known) => known.action === 'load' && known.adapter === '' && !work.held.has(known.model))) running += 1;
+      if (
+        work.steps.some(
+          (known) => known.action === 'load' && known.adapter === '' && !work.held.has(known.model),
+        )
+      )
+        running += 1;
     }
     for (const need of needs) {
       if (this.#revive(usable, need.model, copies)) continue;
-      const placed = this.#place(engine, usable, need, { demands, copies, desired }, running < this.#atOnce(engine), nowMs);
+      const placed = this.#place(
+        engine,
+        usable,
+        need,
+        { demands, copies, desired },
+        running < this.#atOnce(engine),
+        nowMs,
+      );
       if (placed === 'from-store') running += 1;
     }
     for (const [model, demand] of demands) this.#placeAdapters(engine, usable, model, demand, nowMs);
@@ -322,7 +371,14 @@
    * stays. A further copy of one busy model gives way to another's only if
    * that is clearly better off for it, so that two do not take turns.
    */
-  #valueOf(engine: StockEngine, row: WorkerRecord, model: string, need: Need, counts: Counts, nowMs: number): number {
+  #valueOf(
+    engine: StockEngine,
+    row: WorkerRecord,
+    model: string,
+    need: Need,
+    counts: Counts,
+    nowMs: number,
+  ): number {
     const key = `${engine.service}/${model}`;
     const demand = counts.demands.get(model);
     const copies = counts.copies.get(model) ?? 0;
@@ -343,12 +399,23 @@
   }
 
   /** Copies beyond what a model needs get no more requests, one at a time, so that nothing runs there when the room is wanted. */
-  #retire(engine: StockEngine, rows: readonly WorkerRecord[], copies: Map<string, number>, desired: ReadonlyMap<string, number>, nowMs: number): void {
+  #retire(
+    engine: StockEngine,
+    rows: readonly WorkerRecord[],
+    copies: Map<string, number>,
+    desired: ReadonlyMap<string, number>,
+    nowMs: number,
+  ): void {
     for (const [model, count] of copies) {
       if (count <= Math.max(1, desired.get(model) ?? 1) || !engine.models.has(model)) continue;
       const key = `${engine.service}/${model}`;
       if (nowMs - (this.#retiredMs.get(key) ?? -Infinity) < RETIRE_MS) continue;
-      const holders = rows.filter((row) => row.models.has(model) && this.#work(row).steps.length === 0 && nowMs - (this.#work(row).sinceMs.get(model) ?? -Infinity) > RESIDE_MS);
+      const holders = rows.filter(
+        (row) =>
+          row.models.has(model) &&
+          this.#work(row).steps.length === 0 &&
+          nowMs - (this.#work(row).sinceMs.get(model) ?? -Infinity) > RESIDE_MS,
+      );
       const most = holders.sort((one, other) => other.models.size - one.models.size)[0];
       if (most === undefined || holders.length < 2) continue;
       this.#retiredMs.set(key, nowMs);
@@ -363,7 +430,12 @@
   #revive(rows: readonly WorkerRecord[], model: string, copies: Map<string, number>): boolean {
     for (const row of rows) {
       const work = this.#work(row);
-      if (!work.retired.has(model) || !work.present.has(model) || work.steps.some((known) => known.model === model)) continue;
+      if (
+        !work.retired.has(model) ||
+        !work.present.has(model) ||
+        work.steps.some((known) => known.model === model)
+      )
+        continue;
       work.retired.delete(model);
       row.models.set(model, new Set(work.present.get(model) ?? []));
       this.#book.changed(row);
@@ -373,7 +445,14 @@
     return false;
   }
 
-  #place(engine: StockEngine, rows: readonly WorkerRecord[], need: Need, counts: Counts, storeFree: boolean, nowMs: number): 'no' | 'from-disk' | 'from-store' {
+  #place(
+    engine: StockEngine,
+    rows: readonly WorkerRecord[],
+    need: Need,
+    counts: Counts,
+    storeFree: boolean,
+    nowMs: number,
+  ): 'no' | 'from-disk' | 'from-store' {
     const model = engine.models.get(need.model);
     if (model === undefined || model.sizeMb > engine.roomMb) return 'no';
     let best: { row: WorkerRecord; cost: number; victims: string[] } | undefined;
@@ -417,7 +496,9 @@
     counts.copies.set(need.model, (counts.copies.get(need.model) ?? 0) + 1);
     const tokens = this.#tokens.get(engine.service);
     if (!work.held.has(need.model) && tokens !== undefined) tokens.count -= 1;
-    this.#dependencies.decided(`${row.id} loads ${need.model}${victims.length > 0 ? ` in the place of ${victims.join(', ')}` : ''} (worth ${need.worth.toFixed(2)})`);
+    this.#dependencies.decided(
+      `${row.id} loads ${need.model}${victims.length > 0 ? ` in the place of ${victims.join(', ')}` : ''} (worth ${need.worth.toFixed(2)})`,
+    );
     return work.held.has(need.model) ? 'from-disk' : 'from-store';
   }
 
@@ -432,28 +513,58 @@
     return sumMb;
   }
 
-  #placeAdapters(engine: StockEngine, rows: readonly WorkerRecord[], model: string, demand: Demand, nowMs: number): void {
+  #placeAdapters(
+    engine: StockEngine,
+    rows: readonly WorkerRecord[],
+    model: string,
+    demand: Demand,
+    nowMs: number,
+  ): void {
     const size = engine.models.get(model)?.adapterMb ?? 0;
     for (const [adapter, wanted] of demand.adapters) {
       const key = `${engine.service}/${model}/${adapter}`;
       if (wanted.waiting + wanted.inFlight > 0) this.#usedMs.set(key, nowMs);
       if (wanted.waiting === 0) continue;
       const holders = rows.filter((row) => row.models.has(model));
-      const there = holders.some((row) => row.models.get(model)?.has(adapter) === true || this.#work(row).steps.some((known) => known.action === 'load' && known.model === model && known.adapter === adapter));
+      const there = holders.some(
+        (row) =>
+          row.models.get(model)?.has(adapter) === true ||
+          this.#work(row).steps.some(
+            (known) => known.action === 'load' && known.model === model && known.adapter === adapter,
+          ),
+      );
       if (there || holders.length === 0) continue;
-      holders.sort((one, other) => this.#work(one).steps.length - this.#work(other).steps.length || spread(`${adapter} ${one.id}`) - spread(`${adapter} ${other.id}`));
+      holders.sort(
+        (one, other) =>
+          this.#work(one).steps.length - this.#work(other).steps.length ||
+          spread(`${adapter} ${one.id}`) - spread(`${adapter} ${other.id}`),
+      );
       for (const row of holders) {
         const work = this.#work(row);
         if (work.steps.length > 2) continue;
-        const adapters = [...work.present].flatMap(([known, names]) => [...names].map((name) => ({ known, name, usedMs: this.#usedMs.get(`${engine.service}/${known}/${name}`) ?? -Infinity })));
+        const adapters = [...work.present].flatMap(([known, names]) =>
+          [...names].map((name) => ({
+            known,
+            name,
+            usedMs: this.#usedMs.get(`${engine.service}/${known}/${name}`) ?? -Infinity,
+          })),
+        );
         if (engine.roomMb - this.#usedMb(engine, work) < size) continue;
         if (adapters.length >= engine.adapterPlaces) {
           const queued = work.steps.filter((known) => known.adapter !== '');
-          if (adapters.length - queued.filter((known) => known.action === 'unload').length >= engine.adapterPlaces + 1) continue;
-          const free = adapters.filter(({ known, name }) => !queued.some((one) => one.model === known && one.adapter === name) && (this.#adapterIdle(demand, known, model, name)));
+          if (
+            adapters.length - queued.filter((known) => known.action === 'unload').length >=
+            engine.adapterPlaces + 1
+          )
+            continue;
+          const free = adapters.filter(
+            ({ known, name }) =>
+              !queued.some((one) => one.model === known && one.adapter === name) &&
+              this.#adapterIdle(demand, known, model, name),
+          );
           const oldest = free.sort((one, other) => one.usedMs - other.usedMs)[0];
           if (oldest === undefined) continue;
-                    row.models.get(oldest.known)?.delete(oldest.name);
+          row.models.get(oldest.known)?.delete(oldest.name);
           this.#book.changed(row);
           work.steps.push(step('unload', oldest.known, oldest.name, nowMs + SETTLE_MS));
         }
@@ -506,7 +617,9 @@
     }
     first.posted = true;
     this.counts.orders += 1;
-    this.#dependencies.order(row, { action, model, adapter, fence }, (reply) => this.#replied(engine, row, work, first, reply));
+    this.#dependencies.order(row, { action, model, adapter, fence }, (reply) =>
+      this.#replied(engine, row, work, first, reply),
+    );
   }
 
   #replied(engine: StockEngine, row: WorkerRecord, work: Work, done: Step, reply: StockReply): void {
@@ -556,7 +669,8 @@
     work.steps.shift();
     const next = work.steps[0];
     if (done.action === 'unload') {
-      if (next !== undefined && done.adapter === '') next.notBeforeMs = this.#dependencies.nowMs() + UNLOAD_MS;
+      if (next !== undefined && done.adapter === '')
+        next.notBeforeMs = this.#dependencies.nowMs() + UNLOAD_MS;
       this.#forget(work, done);
       this.counts.unloads += 1;
     } else if (done.adapter === '') {
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -93,7 +93,21 @@
   #enter(listed: ListedWorker, nowMs: number): WorkerRecord {
     const { id, service, address, zone, slots, leaving, coldMs } = listed;
     const models = new Map([...listed.models].map(([model, adapters]) => [model, new Set(adapters)]));
-    const row: WorkerRecord = { id, service, address, zone, slots, leaving, gone: false, coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity, models, number: 0, goneMs: 0, sure: false, listed: listed.models };
+    const row: WorkerRecord = {
+      id,
+      service,
+      address,
+      zone,
+      slots,
+      leaving,
+      gone: false,
+      coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
+      models,
+      number: 0,
+      goneMs: 0,
+      sure: false,
+      listed: listed.models,
+    };
     this.#rows.set(id, row);
     this.changed(row);
     return row;
@@ -103,7 +117,14 @@
     row.listed = listed.models;
     const coldUntilMs = listed.coldMs > 0 ? nowMs + listed.coldMs : -Infinity;
     const cold = coldUntilMs > row.coldUntilMs + COLD_STEP_MS && coldUntilMs > nowMs;
-    if (row.leaving === listed.leaving && !row.gone && !cold && row.address === listed.address && row.slots === listed.slots) return;
+    if (
+      row.leaving === listed.leaving &&
+      !row.gone &&
+      !cold &&
+      row.address === listed.address &&
+      row.slots === listed.slots
+    )
+      return;
     row.leaving = listed.leaving;
     row.gone = false;
     row.address = listed.address;
--- a/packages/process-group/src/acceptor.ts
+++ b/packages/process-group/src/acceptor.ts
@@ -108,15 +108,23 @@
 
   /** Writes the disk's own record, before anything else is written. */
   mark(): void {
-    this.#store('disk', toBinary(DiskRecordSchema, create(DiskRecordSchema, {
-      disk: this.#disk,
-      deployment: this.#marked ? this.#deployment : '',
-    })), () => undefined);
+    this.#store(
+      'disk',
+      toBinary(
+        DiskRecordSchema,
+        create(DiskRecordSchema, {
+          disk: this.#disk,
+          deployment: this.#marked ? this.#deployment : '',
+        }),
+      ),
+      () => undefined,
+    );
   }
 
   claim(claim: Claim, reply: (promise: Promised) => void): void {
     const { epoch, disk: claimant } = claim;
-    const stale = epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && claimant !== this.#promisedTo);
+    const stale =
+      epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && claimant !== this.#promisedTo);
     if (stale) return reply(this.#promise(epoch, false));
     if (epoch === this.#promisedEpoch) {
       if (!this.busy) reply(this.#promise(epoch, true));
@@ -156,11 +164,22 @@
 
   #answer(version: Version, refused: boolean): Accepted {
     const { epoch, number } = version;
-    return create(AcceptedSchema, { disk: this.#disk, epoch, number, refused, seenEpoch: this.#promisedEpoch });
+    return create(AcceptedSchema, {
+      disk: this.#disk,
+      epoch,
+      number,
+      refused,
+      seenEpoch: this.#promisedEpoch,
+    });
   }
 
   #promise(epoch: number, granted: boolean): Promised {
-    const promise = create(PromiseSchema, { epoch, disk: this.#disk, granted, seenEpoch: this.#promisedEpoch });
+    const promise = create(PromiseSchema, {
+      epoch,
+      disk: this.#disk,
+      granted,
+      seenEpoch: this.#promisedEpoch,
+    });
     if (granted && this.#accepted !== undefined) promise.accepted = this.#accepted;
     return promise;
   }
--- a/packages/process-group/src/causal.ts
+++ b/packages/process-group/src/causal.ts
@@ -64,7 +64,12 @@
     const sequence = (this.#delivered[this.#rank] ?? 0) + 1;
     const context = [...this.#delivered];
     context[this.#rank] = sequence;
-    const cast = create(CastSchema, { sender: this.#incarnation, view: this.#view.number, sequence, payload });
+    const cast = create(CastSchema, {
+      sender: this.#incarnation,
+      view: this.#view.number,
+      sequence,
+      payload,
+    });
     context.forEach((count, rank) => {
       if (rank === this.#rank || count === this.#recordSent[rank]) return;
       cast.contextRank.push(rank);
@@ -94,14 +99,18 @@
   /** What all members have delivered as far as this one knows, by rank. */
   get stable(): readonly number[] {
     return this.#delivered.map((own, rank) =>
-      Math.min(own, ...this.#stableAt.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0]))),
+      Math.min(
+        own,
+        ...this.#stableAt.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0])),
+      ),
     );
   }
 
   /** Learns from the gatherer what all members have delivered, and lets go of it. */
   learnStable(stable: readonly number[]): void {
     if (stable.length !== this.#delivered.length) return;
-    for (const [key, held] of this.#kept) if (held.cast.sequence <= (stable[held.rank] ?? 0)) this.#kept.delete(key);
+    for (const [key, held] of this.#kept)
+      if (held.cast.sequence <= (stable[held.rank] ?? 0)) this.#kept.delete(key);
   }
 
   /** Learns what a member has delivered, and lets go of what all have. */
@@ -149,7 +158,7 @@
   }
 
   #drain(): void {
-    for (let moved = true; moved; ) {
+    for (let moved = true; moved;) {
       moved = false;
       for (const held of this.#waiting) {
         if (!ready(held, this.#delivered)) continue;
@@ -162,7 +171,10 @@
   }
 }
 
-function ready(held: { rank: number; context: readonly number[]; cast: Cast }, delivered: readonly number[]): boolean {
+function ready(
+  held: { rank: number; context: readonly number[]; cast: Cast },
+  delivered: readonly number[],
+): boolean {
   if (held.cast.sequence !== (delivered[held.rank] ?? 0) + 1) return false;
   return held.context.every((count, rank) => rank === held.rank || count <= (delivered[rank] ?? 0));
 }
@@ -193,7 +205,9 @@
     if (rank < 0 || cast.view !== view.number) continue;
     known.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
   }
-  const left = [...known.values()].sort((one, other) => one.rank - other.rank || one.cast.sequence - other.cast.sequence);
+  const left = [...known.values()].sort(
+    (one, other) => one.rank - other.rank || one.cast.sequence - other.cast.sequence,
+  );
   const cut: Cast[] = [];
   while (left.length > 0) {
     const next = left.findIndex((held) => left.every((other) => other === held || !precedes(other, held)));
--- a/packages/process-group/src/claims.ts
+++ b/packages/process-group/src/claims.ts
@@ -102,7 +102,14 @@
   begin(nowMs: number): void {
     const { acceptor } = this.#context;
     const epoch = this.#context.epoch() + 1;
-    this.#claiming = { epoch, bornMs: nowMs, sentMs: -Infinity, asking: true, supporters: new Set([acceptor.disk]), promises: new Map() };
+    this.#claiming = {
+      epoch,
+      bornMs: nowMs,
+      sentMs: -Infinity,
+      asking: true,
+      supporters: new Set([acceptor.disk]),
+      promises: new Map(),
+    };
     this.#press(this.#claiming, nowMs);
   }
 
@@ -138,7 +145,13 @@
     if (taken || claim.asking) {
       const granted = !taken && claim.epoch > acceptor.promisedEpoch;
       const { epoch, asking } = claim;
-      const value = create(PromiseSchema, { epoch, asking, granted, disk: acceptor.disk, seenEpoch: this.#context.epoch() });
+      const value = create(PromiseSchema, {
+        epoch,
+        asking,
+        granted,
+        disk: acceptor.disk,
+        seenEpoch: this.#context.epoch(),
+      });
       return this.#context.post(seat, { case: 'promise', value });
     }
     acceptor.claim(claim, (promise) => this.#context.post(seat, { case: 'promise', value: promise }));
@@ -156,9 +169,11 @@
     const promised = voters.filter((voter) => claiming.promises.has(voter.disk)).length;
     const mine = this.#context.voters();
     const promisedOfMine = mine.filter((voter) => claiming.promises.has(voter.disk)).length;
-    if (best === undefined || promised < majority(voters.length) || promisedOfMine < majority(mine.length)) return;
+    if (best === undefined || promised < majority(voters.length) || promisedOfMine < majority(mine.length))
+      return;
     this.#claiming = undefined;
-    if (voters.some((voter) => voter.disk === this.#context.acceptor.disk)) this.#context.take(claiming.epoch, best);
+    if (voters.some((voter) => voter.disk === this.#context.acceptor.disk))
+      this.#context.take(claiming.epoch, best);
   }
 
   #supported(claiming: Claiming, disk: string): void {
--- a/packages/process-group/src/coordinator.ts
+++ b/packages/process-group/src/coordinator.ts
@@ -20,7 +20,19 @@
   type View,
 } from '@rainrun/messages';
 import { cutOf } from './causal.js';
-import { advance, bare, levelOf, majority, rankOf, rememberedCount, REMEMBERED_MOST, toVersion, unbridged, type Held, type Play } from './play.js';
+import {
+  advance,
+  bare,
+  levelOf,
+  majority,
+  rankOf,
+  rememberedCount,
+  REMEMBERED_MOST,
+  toVersion,
+  unbridged,
+  type Held,
+  type Play,
+} from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What the coordinator needs from the node that it runs in. */
@@ -109,7 +121,14 @@
   /** When the group's clock was last moved. */
   #clockedMs: number;
 
-  constructor(context: CoordinatorContext<S>, epoch: number, base: Held<S>, entry: Entry, nowMs: number, settled: (number: number) => void) {
+  constructor(
+    context: CoordinatorContext<S>,
+    epoch: number,
+    base: Held<S>,
+    entry: Entry,
+    nowMs: number,
+    settled: (number: number) => void,
+  ) {
     this.#clockedMs = nowMs;
     this.#context = context;
     this.#epoch = epoch;
@@ -294,7 +313,10 @@
 
   #accounted(view: View, counts: (seat: Seat) => boolean): boolean {
     if (view.members.length === 0) return true;
-    return view.members.filter((seat) => counts(seat) || this.#isGone(seat)).length >= majority(view.members.length);
+    return (
+      view.members.filter((seat) => counts(seat) || this.#isGone(seat)).length >=
+      majority(view.members.length)
+    );
   }
 
   #staying(nowMs: number): Seat[] {
@@ -315,7 +337,8 @@
     const names = new Set(staying.map((seat) => seat.name));
     const joiners: Seat[] = [];
     for (const seat of [...this.#context.joiners()].sort((one, other) => (one.name < other.name ? -1 : 1))) {
-      const known = names.has(seat.name) || rankOf(view, seat.incarnation) >= 0 || this.#forgotten.has(seat.name);
+      const known =
+        names.has(seat.name) || rankOf(view, seat.incarnation) >= 0 || this.#forgotten.has(seat.name);
       if (!known && unbridged(seat, [...staying, ...joiners]) === undefined) joiners.push(seat);
     }
     if (staying.length === view.members.length && joiners.length === 0 && !this.#owed) {
@@ -338,9 +361,12 @@
   #pursue(change: Change, nowMs: number): void {
     const self = this.#context.self().incarnation;
     const missing = change.staying.filter((seat) => !change.lots.has(seat.incarnation));
-    const lost = change.staying.some((seat) => seat.incarnation !== self && !this.#context.live(seat.incarnation));
+    const lost = change.staying.some(
+      (seat) => seat.incarnation !== self && !this.#context.live(seat.incarnation),
+    );
     if (nowMs - change.bornMs > this.#context.times.flushMs) {
-      for (const seat of missing) this.#slowUntilMs.set(seat.incarnation, nowMs + 2 * this.#context.times.flushMs);
+      for (const seat of missing)
+        this.#slowUntilMs.set(seat.incarnation, nowMs + 2 * this.#context.times.flushMs);
     }
     if (lost || nowMs - change.bornMs > this.#context.times.flushMs) {
       this.#change = undefined;
@@ -398,15 +424,15 @@
     const succeeded = missing.find((voter) => spares.some((seat) => seat.name === voter.name));
     const lost =
       succeeded ??
-      missing.find((voter) => nowMs - (this.#missingSinceMs.get(voter.disk) ?? nowMs) >= this.#context.times.replaceMs);
+      missing.find(
+        (voter) => nowMs - (this.#missingSinceMs.get(voter.disk) ?? nowMs) >= this.#context.times.replaceMs,
+      );
     const spare = spares.find((seat) => seat.name === lost?.name) ?? spares[0];
     if (lost === undefined && spare !== undefined && voters.length < this.#context.votersWanted) {
       return [...voters, create(VoterSchema, { disk: spare.disk, name: spare.name })];
     }
     if (lost === undefined || spare === undefined) return undefined;
     this.#missingSinceMs.delete(lost.disk);
-    return voters.map((voter) =>
-      voter === lost ? { ...voter, disk: spare.disk, name: spare.name } : voter,
-    );
+    return voters.map((voter) => (voter === lost ? { ...voter, disk: spare.disk, name: spare.name } : voter));
   }
 }
--- a/packages/process-group/src/grants.ts
+++ b/packages/process-group/src/grants.ts
@@ -54,7 +54,9 @@
 
   /** When the right to a duty ends. */
   dutyEndMs(view: View, self: string, nowMs: number): number {
-    return this.#majorityEndMs(view, (incarnation) => (incarnation === self ? nowMs : (this.#duties.get(incarnation) ?? -Infinity)));
+    return this.#majorityEndMs(view, (incarnation) =>
+      incarnation === self ? nowMs : (this.#duties.get(incarnation) ?? -Infinity),
+    );
   }
 
   #majorityEndMs(view: View, sentMs: (incarnation: string) => number): number {
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -44,7 +44,20 @@
 import { Claims, type ClaimContext } from './claims.js';
 import { Coordinator, type CoordinatorContext } from './coordinator.js';
 import { Grants } from './grants.js';
-import { advance, bare, fromVersion, majority, rankOf, reborn, rememberedCount, REMEMBERED_MOST, toVersion, unbridged, type Held, type Play } from './play.js';
+import {
+  advance,
+  bare,
+  fromVersion,
+  majority,
+  rankOf,
+  reborn,
+  rememberedCount,
+  REMEMBERED_MOST,
+  toVersion,
+  unbridged,
+  type Held,
+  type Play,
+} from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What the group tells the rest of its node. */
@@ -170,7 +183,8 @@
     });
     this.#grants = new Grants(dependencies.times.grantMs);
     this.#detector = new FailureDetector(dependencies.times);
-    this.#claims = dependencies.acceptor === undefined ? undefined : new Claims(this.#claimContext(dependencies.acceptor));
+    this.#claims =
+      dependencies.acceptor === undefined ? undefined : new Claims(this.#claimContext(dependencies.acceptor));
     const accepted = dependencies.acceptor?.accepted;
     for (const member of accepted?.state?.view?.members ?? []) this.#addresses.add(member.address);
   }
@@ -239,13 +253,17 @@
   /** The epoch in which this node may act alone for all, or undefined. Ends before the grant does. */
   dutyEpoch(): number | undefined {
     const nowMs = this.#now();
-    if (this.#dutySinceMs === undefined || nowMs < this.#dutySinceMs + this.#dependencies.times.grantMs) return undefined;
+    if (this.#dutySinceMs === undefined || nowMs < this.#dutySinceMs + this.#dependencies.times.grantMs)
+      return undefined;
     return this.#hasDuty(nowMs) ? this.#coordinator?.epoch : undefined;
   }
 
   #hasDuty(nowMs: number): boolean {
-    if (this.#coordinator?.ready !== true || !this.#inView || this.#held === undefined || this.#leaving) return false;
-    const endMs = this.#grants.dutyEndMs(this.#held.view, this.#seat.incarnation, nowMs) - this.#dependencies.times.grantMs / 4;
+    if (this.#coordinator?.ready !== true || !this.#inView || this.#held === undefined || this.#leaving)
+      return false;
+    const endMs =
+      this.#grants.dutyEndMs(this.#held.view, this.#seat.incarnation, nowMs) -
+      this.#dependencies.times.grantMs / 4;
     return endMs > nowMs;
   }
 
@@ -306,7 +324,8 @@
     }
     const stalled = this.#isDiskStalled(nowMs);
     if (stalled && this.#inView) this.#rejoin();
-    if (nowMs - this.#lastHeartbeatMs >= this.#dependencies.times.heartbeatMs && this.#inView) this.#sendHeartbeats(nowMs);
+    if (nowMs - this.#lastHeartbeatMs >= this.#dependencies.times.heartbeatMs && this.#inView)
+      this.#sendHeartbeats(nowMs);
     if (nowMs - this.#lastHelloMs >= this.#dependencies.times.helloMs && !stalled) this.#sendHellos(nowMs);
     if (!this.#leaving && !stalled) this.#lead(nowMs);
     if (this.#hasDuty(nowMs)) this.#dutySinceMs ??= nowMs;
@@ -380,7 +399,12 @@
   }
 
   #frame(to: string, body: Frame['body']): Frame {
-    const frame = create(FrameSchema, { wire: WIRE, deployment: this.#dependencies.deployment, from: this.#seat.incarnation, to });
+    const frame = create(FrameSchema, {
+      wire: WIRE,
+      deployment: this.#dependencies.deployment,
+      from: this.#seat.incarnation,
+      to,
+    });
     frame.body = body;
     return frame;
   }
@@ -463,7 +487,10 @@
     if (seat === undefined || seat.incarnation === this.#seat.incarnation) return;
     const nowMs = this.#now();
     this.#learnSeat(seat);
-    const known = this.#greeted.get(seat.incarnation) ?? { greeting: randomId(this.#dependencies.chance), sinceMs: nowMs };
+    const known = this.#greeted.get(seat.incarnation) ?? {
+      greeting: randomId(this.#dependencies.chance),
+      sinceMs: nowMs,
+    };
     this.#greeted.set(seat.incarnation, known);
     const { number, founding } = hello;
     if (hello.echo === known.greeting) {
@@ -472,7 +499,11 @@
     }
     const view = this.view;
     const member = view !== undefined && rankOf(view, seat.incarnation) >= 0;
-    if (member && hello.echo !== '' && nowMs - (this.#welcomedMs.get(seat.incarnation) ?? -Infinity) > 2 * this.#dependencies.times.helloMs) {
+    if (
+      member &&
+      hello.echo !== '' &&
+      nowMs - (this.#welcomedMs.get(seat.incarnation) ?? -Infinity) > 2 * this.#dependencies.times.helloMs
+    ) {
       this.#welcomedMs.set(seat.incarnation, nowMs);
       this.#welcome(seat);
     }
@@ -512,7 +543,8 @@
     const { inView, number, founding } = ack;
     if (ack.refused !== '' && !this.#inView) this.#dependencies.audience.onRefused(ack.refused);
     this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView, number, founding });
-    for (const known of ack.known) if (known.incarnation !== this.#seat.incarnation) this.#addresses.add(known.address);
+    for (const known of ack.known)
+      if (known.incarnation !== this.#seat.incarnation) this.#addresses.add(known.address);
     const listed = ack.known.some((known) => known.incarnation === this.#seat.incarnation);
     if (this.#inView && inView && !listed && number > this.#number()) this.#rejoin();
   }
@@ -555,7 +587,8 @@
       const counted = held.level === 1 || member.incarnation === gatherer;
       this.#post(member, { case: 'heartbeat', value: counted ? counts : value });
     }
-    if (this.#coordinator !== undefined) this.#follow(this.#seat.incarnation, this.#coordinator.epoch, value.unable);
+    if (this.#coordinator !== undefined)
+      this.#follow(this.#seat.incarnation, this.#coordinator.epoch, value.unable);
   }
 
   /**
@@ -564,7 +597,9 @@
    * the cube of the group.
    */
   #gatherer(view: View, nowMs: number): string {
-    const first = view.members.find((member) => member.incarnation === this.#seat.incarnation || this.#isLive(member.incarnation, nowMs));
+    const first = view.members.find(
+      (member) => member.incarnation === this.#seat.incarnation || this.#isLive(member.incarnation, nowMs),
+    );
     return first?.incarnation ?? this.#seat.incarnation;
   }
 
@@ -574,7 +609,9 @@
       view: held.view.number,
       number: held.number,
       epoch: this.#coordinator?.epoch ?? 0,
-      suspects: others.filter((member) => !this.#isLive(member.incarnation, nowMs)).map((member) => member.incarnation),
+      suspects: others
+        .filter((member) => !this.#isLive(member.incarnation, nowMs))
+        .map((member) => member.incarnation),
       unable: nowMs < this.#unableUntilMs || this.#leaving,
       agreed: this.#coordinator?.agreed ?? this.agreed,
     });
@@ -626,7 +663,8 @@
     if (following === undefined || following.unable || following.epoch < this.epoch) return undefined;
     const nowMs = this.#now();
     if (nowMs - following.atMs > this.#dependencies.times.suspectMs) return undefined;
-    if (following.incarnation === this.#seat.incarnation) return this.#coordinator === undefined ? undefined : following;
+    if (following.incarnation === this.#seat.incarnation)
+      return this.#coordinator === undefined ? undefined : following;
     return this.#isLive(following.incarnation, nowMs) ? following : undefined;
   }
 
@@ -725,7 +763,8 @@
       this.#learnSeat(member);
       this.#detector.watch(member.incarnation, nowMs);
     }
-    for (const incarnation of this.#channels.keys()) if (!incarnations.has(incarnation)) this.#channels.delete(incarnation);
+    for (const incarnation of this.#channels.keys())
+      if (!incarnations.has(incarnation)) this.#channels.delete(incarnation);
     for (const incarnation of this.#seats.keys()) {
       const contact = this.#contacts.get(incarnation);
       if (incarnations.has(incarnation) || (contact !== undefined && this.#fresh(contact, nowMs))) continue;
@@ -776,7 +815,8 @@
     for (const body of bodies) this.#onBody(from, body);
     const seat = this.#seats.get(from);
     const still = this.#channels.get(from) === channel;
-    if (seat !== undefined && still && bodies.some((body) => body.case === 'chosen')) this.#postParcels(seat, channel, this.#now());
+    if (seat !== undefined && still && bodies.some((body) => body.case === 'chosen'))
+      this.#postParcels(seat, channel, this.#now());
   }
 
   #onBody(from: string, body: Parcel['body']): void {
@@ -787,8 +827,12 @@
         for (const version of body.value.versions) this.#takeVersion(from, version);
         return;
       case 'submit': {
-        const seat = from === this.#seat.incarnation ? this.#seat : this.view?.members.find((member) => member.incarnation === from);
-        if (body.value.operation !== undefined && seat !== undefined) this.#coordinator?.submit(body.value.operation, seat);
+        const seat =
+          from === this.#seat.incarnation
+            ? this.#seat
+            : this.view?.members.find((member) => member.incarnation === from);
+        if (body.value.operation !== undefined && seat !== undefined)
+          this.#coordinator?.submit(body.value.operation, seat);
         return;
       }
       case 'answer':
@@ -801,7 +845,10 @@
 
   #submitWaiting(): void {
     const following = this.#liveFollowing();
-    const seat = following?.incarnation === this.#seat.incarnation ? this.#seat : this.#seats.get(following?.incarnation ?? '');
+    const seat =
+      following?.incarnation === this.#seat.incarnation
+        ? this.#seat
+        : this.#seats.get(following?.incarnation ?? '');
     if (seat === undefined) return;
     const nowMs = this.#now();
     for (const [id, waiting] of this.#waiting) {
@@ -810,7 +857,8 @@
       waiting.sentMs = nowMs;
       const answer = again ? this.ask(id) : undefined;
       if (answer !== undefined) this.#onBody(this.#seat.incarnation, { case: 'answer', value: answer });
-      else this.#parcel(seat, { case: 'submit', value: create(SubmitSchema, { operation: waiting.operation }) });
+      else
+        this.#parcel(seat, { case: 'submit', value: create(SubmitSchema, { operation: waiting.operation }) });
     }
   }
 
@@ -818,12 +866,14 @@
 
   #onStop(from: string, stop: Stop): void {
     const held = this.#held;
-    if (!this.#inView || held === undefined || stop.epoch < this.epoch || stop.epoch < this.#stopEpoch) return;
+    if (!this.#inView || held === undefined || stop.epoch < this.epoch || stop.epoch < this.#stopEpoch)
+      return;
     if (stop.view > held.view.number) return this.#fetch(from);
     if (stop.view < held.view.number) return;
     this.#epochSeen = stop.epoch;
     const seat = this.#seats.get(from);
-    if (seat !== undefined) this.#post(seat, { case: 'flush', value: this.#flush(stop.epoch, stop.change, stop.staying) });
+    if (seat !== undefined)
+      this.#post(seat, { case: 'flush', value: this.#flush(stop.epoch, stop.change, stop.staying) });
   }
 
   #flush(epoch: number, change: number, staying: readonly string[]): Flush {
@@ -837,12 +887,16 @@
 
   #voters(): readonly Voter[] {
     const accepted = this.#dependencies.acceptor?.accepted?.state?.voters ?? [];
-    return this.#held !== undefined && this.#held.voters.length > 0 && this.#inView ? this.#held.voters : accepted;
+    return this.#held !== undefined && this.#held.voters.length > 0 && this.#inView
+      ? this.#held.voters
+      : accepted;
   }
 
   #voterSeat(disk: string): Seat | undefined {
     const nowMs = this.#now();
-    const member = this.view?.members.find((seat) => seat.disk === disk && this.#isLive(seat.incarnation, nowMs));
+    const member = this.view?.members.find(
+      (seat) => seat.disk === disk && this.#isLive(seat.incarnation, nowMs),
+    );
     if (member !== undefined) return member;
     for (const contact of this.#contacts.values()) {
       if (contact.seat.disk === disk && this.#fresh(contact, nowMs)) return contact.seat;
@@ -865,7 +919,8 @@
     }
     if (this.#mayFound()) return this.#found(nowMs);
     if (claims.pressing) return claims.tick(nowMs);
-    if ((!claims.due(nowMs) && !this.#allOutside(nowMs)) || nowMs < this.#unableUntilMs || acceptor.busy) return;
+    if ((!claims.due(nowMs) && !this.#allOutside(nowMs)) || nowMs < this.#unableUntilMs || acceptor.busy)
+      return;
     if (!claims.isTaken(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs)) claims.begin(nowMs);
   }
 
@@ -874,8 +929,12 @@
     const { acceptor } = this.#dependencies;
     const voters = this.#voters();
     if (this.#inView || acceptor === undefined || voters.length === 0) return false;
-    const outside = [...this.#contacts.values()].filter((contact) => !contact.inView && this.#fresh(contact, nowMs));
-    return voters.every(({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk));
+    const outside = [...this.#contacts.values()].filter(
+      (contact) => !contact.inView && this.#fresh(contact, nowMs),
+    );
+    return voters.every(
+      ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk),
+    );
   }
 
   /**
@@ -889,7 +948,9 @@
       const before = this.#held?.view.members.find(
         (member) =>
           member.incarnation === this.#seat.incarnation ||
-          (voters.includes(member.disk) && this.#isLive(member.incarnation, nowMs) && !this.#unable.has(member.incarnation)),
+          (voters.includes(member.disk) &&
+            this.#isLive(member.incarnation, nowMs) &&
+            !this.#unable.has(member.incarnation)),
       );
       return before?.incarnation === this.#seat.incarnation;
     }
@@ -976,7 +1037,9 @@
   #isReported(incarnation: string): boolean {
     const view = this.view;
     if (view === undefined) return false;
-    const reports = view.members.filter((member) => this.#reports.get(member.incarnation)?.includes(incarnation)).length;
+    const reports = view.members.filter((member) =>
+      this.#reports.get(member.incarnation)?.includes(incarnation),
+    ).length;
     return reports >= majority(view.members.length);
   }
 
@@ -986,7 +1049,9 @@
       .filter((contact) => !contact.inView && this.#fresh(contact, nowMs))
       .map((contact) => contact.seat);
     const members = this.#held?.view;
-    const fresh = joiners.filter((seat) => !this.#inView || members === undefined || rankOf(members, seat.incarnation) < 0);
+    const fresh = joiners.filter(
+      (seat) => !this.#inView || members === undefined || rankOf(members, seat.incarnation) < 0,
+    );
     return this.#inView ? fresh : [this.#seat, ...fresh];
   }
 
@@ -1033,11 +1098,18 @@
     const seats = [this.#seat];
     for (const founder of founders) {
       if (founder === own) continue;
-      const contact = fresh.find(({ seat, founding }) => (seat.name === founder || seat.address === founder) && founding && seat.disk !== '');
+      const contact = fresh.find(
+        ({ seat, founding }) =>
+          (seat.name === founder || seat.address === founder) && founding && seat.disk !== '',
+      );
       if (contact === undefined) return;
       seats.push(contact.seat);
     }
-    const voters = seats.map((seat) => ({ $typeName: 'rainrun.v1.Voter' as const, disk: seat.disk, name: seat.name }));
+    const voters = seats.map((seat) => ({
+      $typeName: 'rainrun.v1.Voter' as const,
+      disk: seat.disk,
+      name: seat.name,
+    }));
     const epoch = acceptor.promisedEpoch + 1;
     const held: Held<S> = {
       epoch,
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -98,7 +98,10 @@
  * @example
  * later({ epoch: 2, number: 1 }, { epoch: 1, number: 9 }); // true
  */
-export function later(one: { epoch: number; number: number }, other: { epoch: number; number: number }): boolean {
+export function later(
+  one: { epoch: number; number: number },
+  other: { epoch: number; number: number },
+): boolean {
   return one.epoch !== other.epoch ? one.epoch > other.epoch : one.number > other.number;
 }
 
@@ -115,7 +118,9 @@
 function remember(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
   if (level === 1) return answers.slice(-PLAIN_KEPT);
   const brief = answers.filter((answer) => answer.brief).slice(-BRIEF_KEPT);
-  const kept = answers.filter((answer) => (answer.brief ? brief.includes(answer) : clockMs - answer.clockMs <= REMEMBERED_MS));
+  const kept = answers.filter((answer) =>
+    answer.brief ? brief.includes(answer) : clockMs - answer.clockMs <= REMEMBERED_MS,
+  );
   return kept.length === answers.length ? answers : kept;
 }
 
--- a/packages/process-group/src/process-group.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -89,7 +89,10 @@
     const late = b.causal.stop();
     for (const { causal } of [b, c]) causal.finish(cut);
     expect(late.length).toEqual(2);
-    expect([b.heard, c.heard]).toEqual([['a1', 'a2'], ['a1', 'a2']]);
+    expect([b.heard, c.heard]).toEqual([
+      ['a1', 'a2'],
+      ['a1', 'a2'],
+    ]);
   });
 
   it('delivers nothing after it stopped but what was agreed', () => {
@@ -139,7 +142,9 @@
 function acceptorOn(vault: Vault): Acceptor {
   const opening = readRecords({}, 'disk-1');
   return new Acceptor(
-    opening.isOk ? opening.value : { disk: '', deployment: '', promisedEpoch: 0, promisedTo: '', accepted: undefined },
+    opening.isOk
+      ? opening.value
+      : { disk: '', deployment: '', promisedEpoch: 0, promisedTo: '', accepted: undefined },
     vault,
     'test',
     () => undefined,
@@ -147,7 +152,10 @@
 }
 
 function version(epoch: number, number: number) {
-  return create(ProposeSchema, { disk: 'leader', version: create(VersionSchema, { epoch, number, entry: create(EntrySchema) }) });
+  return create(ProposeSchema, {
+    disk: 'leader',
+    version: create(VersionSchema, { epoch, number, entry: create(EntrySchema) }),
+  });
 }
 
 describe('voter', () => {
@@ -167,9 +175,15 @@
     const acceptor = acceptorOn(vault);
     const granted: boolean[] = [];
     const refused: boolean[] = [];
-    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'leader' }), (promise) => granted.push(promise.granted));
-    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'other' }), (promise) => granted.push(promise.granted));
-    acceptor.claim(create(ClaimSchema, { epoch: 2, disk: 'leader' }), (promise) => granted.push(promise.granted));
+    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'leader' }), (promise) =>
+      granted.push(promise.granted),
+    );
+    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'other' }), (promise) =>
+      granted.push(promise.granted),
+    );
+    acceptor.claim(create(ClaimSchema, { epoch: 2, disk: 'leader' }), (promise) =>
+      granted.push(promise.granted),
+    );
     acceptor.propose(version(2, 9), (accepted) => refused.push(accepted.refused));
     vault.sync();
     expect(granted).toEqual([false, false, true]);
@@ -205,19 +219,44 @@
         ? { state: state + 1, outcome: { kind: 'agreed', detail: '' } }
         : { state, outcome: fault('bad-request', 'no such kind') },
   };
-  const start: Held<number> = { epoch: 1, number: 1, deployment: 'd', view: VIEW, before: undefined, voters: [], play: 0, answers: [], level: 1, clockMs: 0 };
+  const start: Held<number> = {
+    epoch: 1,
+    number: 1,
+    deployment: 'd',
+    view: VIEW,
+    before: undefined,
+    voters: [],
+    play: 0,
+    answers: [],
+    level: 1,
+    clockMs: 0,
+  };
 
   it('take effect once for each id, and a refused one never', () => {
-    const operations = ['x', 'x', 'y'].map((id) => create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }));
+    const operations = ['x', 'x', 'y'].map((id) =>
+      create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }),
+    );
     const once = advance(counter, start, 1, create(EntrySchema, { operations }));
     const again = advance(counter, once, 1, create(EntrySchema, { operations }));
     expect([once.play, again.play, again.number]).toEqual([1, 1, 3]);
-    expect(again.answers.map((answer) => `${answer.id} ${answer.kind}@${answer.number}`)).toEqual(['x agreed@2', 'y bad-request@2']);
+    expect(again.answers.map((answer) => `${answer.id} ${answer.kind}@${answer.number}`)).toEqual([
+      'x agreed@2',
+      'y bad-request@2',
+    ]);
   });
 
-  it('are remembered by their ids for ten minutes of the group\'s clock, placements for less', () => {
+  it("are remembered by their ids for ten minutes of the group's clock, placements for less", () => {
     function add(held: Held<number>, id: string, elapsedMs: number, brief = false): Held<number> {
-      return advance(counter, held, 1, create(EntrySchema, { level: 2, elapsedMs, operations: [create(OperationSchema, { id, kind: 'add', brief })] }));
+      return advance(
+        counter,
+        held,
+        1,
+        create(EntrySchema, {
+          level: 2,
+          elapsedMs,
+          operations: [create(OperationSchema, { id, kind: 'add', brief })],
+        }),
+      );
     }
     let held = add(start, 'first', 5);
     for (let place = 0; place < 600; place += 1) held = add(held, `place-${place}`, 900, true);
@@ -227,10 +266,19 @@
   });
 
   it('follow the rules that all members speak, and no joiner comes in whom they cannot reach', () => {
-    expect([levelOf([{ speaks: 2 }, { speaks: 0 }]), levelOf([{ speaks: 3 }, { speaks: 2 }])]).toEqual([1, 2]);
-    const group = [{ speaks: 2, speaksFrom: 1 }, { speaks: 3, speaksFrom: 2 }];
+    expect([levelOf([{ speaks: 2 }, { speaks: 0 }]), levelOf([{ speaks: 3 }, { speaks: 2 }])]).toEqual([
+      1, 2,
+    ]);
+    const group = [
+      { speaks: 2, speaksFrom: 1 },
+      { speaks: 3, speaksFrom: 2 },
+    ];
     expect(unbridged({ speaks: 2, speaksFrom: 1 }, group)).toEqual(undefined);
-    expect(unbridged({ speaks: 0, speaksFrom: 0 }, group)).toEqual('it speaks levels 1 to 1 of the protocol, the group 2 to 2');
-    expect(unbridged({ speaks: 4, speaksFrom: 3 }, group)).toEqual('it speaks levels 3 to 4 of the protocol, the group 2 to 2');
+    expect(unbridged({ speaks: 0, speaksFrom: 0 }, group)).toEqual(
+      'it speaks levels 1 to 1 of the protocol, the group 2 to 2',
+    );
+    expect(unbridged({ speaks: 4, speaksFrom: 3 }, group)).toEqual(
+      'it speaks levels 3 to 4 of the protocol, the group 2 to 2',
+    );
   });
 });
--- a/packages/router/src/balance.ts
+++ b/packages/router/src/balance.ts
@@ -70,7 +70,8 @@
 
   /** Forgets workers that are gone. */
   keepOnly(workers: ReadonlyMap<string, unknown>): void {
-    for (const [id, standing] of this.#standings) if (!workers.has(id) && standing.inFlight === 0) this.#standings.delete(id);
+    for (const [id, standing] of this.#standings)
+      if (!workers.has(id) && standing.inFlight === 0) this.#standings.delete(id);
   }
 
   begun(worker: WorkerView): void {
@@ -109,7 +110,10 @@
     if (nowMs >= worker.coldUntilMs || perS <= 0) return true;
     const standing = this.#standing(worker.id);
     const rate = (perS * COLD_PART) / Math.max(1, this.#dependencies.edges());
-    const cold = (standing.cold ??= { places: spread(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32, atMs: nowMs });
+    const cold = (standing.cold ??= {
+      places: spread(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32,
+      atMs: nowMs,
+    });
     // Places are not saved up while none is asked for: all edges would come with theirs at once.
     cold.places = Math.min(1, cold.places + (rate * Math.min(COLD_STEP_MS, nowMs - cold.atMs)) / 1000);
     cold.atMs = nowMs;
@@ -127,7 +131,13 @@
     let why: NoWorker = 'none';
     for (const worker of workers) {
       if (worker.service !== service.name || worker.leaving || evacuated.includes(worker.zone)) continue;
-      if (route.regions !== undefined && route.regions !== null && route.regions.length > 0 && !route.regions.includes(this.#dependencies.region(worker.zone))) continue;
+      if (
+        route.regions !== undefined &&
+        route.regions !== null &&
+        route.regions.length > 0 &&
+        !route.regions.includes(this.#dependencies.region(worker.zone))
+      )
+        continue;
       if (!this.holds(worker, ask.model, ask.adapter)) {
         if (why === 'none') why = 'not-held';
         continue;
@@ -158,12 +168,19 @@
 
   /** This edge's part of the connections that a worker bears. */
   #mostHere(connections: number): number {
-    return connections <= 0 ? Infinity : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#dependencies.edges())));
+    return connections <= 0
+      ? Infinity
+      : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#dependencies.edges())));
   }
 
   #ranked(passage: Passage, able: WorkerView[]): WorkerView[] {
     const { ask } = passage;
-    const loads = new Map(able.map((worker) => [worker.id, this.inFlight(worker.id) + (worker.zone === this.#dependencies.zone ? 0 : ZONE_SLACK)]));
+    const loads = new Map(
+      able.map((worker) => [
+        worker.id,
+        this.inFlight(worker.id) + (worker.zone === this.#dependencies.zone ? 0 : ZONE_SLACK),
+      ]),
+    );
     const least = Math.min(...loads.values());
     const shared = ask.prefix.at(-1);
     const long = shared !== undefined && ask.promptTokens >= LONG_TOKENS;
@@ -171,18 +188,32 @@
       return loads.get(worker.id) ?? 0;
     }
     // Ties are broken anew for each request: by its shared parts every edge would choose the same worker.
-    able.sort((one, other) => load(one) - load(other) || spread(`${ask.id} ${other.id}`) - spread(`${ask.id} ${one.id}`));
+    able.sort(
+      (one, other) =>
+        load(one) - load(other) || spread(`${ask.id} ${other.id}`) - spread(`${ask.id} ${one.id}`),
+    );
     if (!long) return able;
     const key = `${ask.model}/${ask.adapter}/${shared}`;
-    const kept = [...able].sort((one, other) => spread(`${key} ${other.id}`) - spread(`${key} ${one.id}`)).slice(0, KEPT_AT);
-    const near = able.filter((worker) => kept.includes(worker) && load(worker) <= least + ZONE_SLACK + PREFIX_SLACK);
+    const kept = [...able]
+      .sort((one, other) => spread(`${key} ${other.id}`) - spread(`${key} ${one.id}`))
+      .slice(0, KEPT_AT);
+    const near = able.filter(
+      (worker) => kept.includes(worker) && load(worker) <= least + ZONE_SLACK + PREFIX_SLACK,
+    );
     return [...near, ...able.filter((worker) => !near.includes(worker))];
   }
 
   #standing(id: string): Standing {
     let standing = this.#standings.get(id);
     if (standing === undefined) {
-      standing = { inFlight: 0, heardMs: -Infinity, faults: 0, shunnedUntilMs: -Infinity, cold: undefined, missing: new Map() };
+      standing = {
+        inFlight: 0,
+        heardMs: -Infinity,
+        faults: 0,
+        shunnedUntilMs: -Infinity,
+        cold: undefined,
+        missing: new Map(),
+      };
       this.#standings.set(id, standing);
     }
     return standing;
--- a/packages/router/src/events.test.ts
+++ b/packages/router/src/events.test.ts
@@ -20,7 +20,11 @@
 
 describe('events of a stream', () => {
   it('pass once they are whole, several at once, and the rest waits', () => {
-    expect(taken('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({ lots: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'], ids: ['2'], rest: 5 });
+    expect(taken('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({
+      lots: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
+      ids: ['2'],
+      rest: 5,
+    });
   });
 
   it('are the same however the bytes are cut', () => {
--- a/packages/router/src/events.ts
+++ b/packages/router/src/events.ts
@@ -47,5 +47,8 @@
   if (at < 0) return undefined;
   const start = bytes[at] === LINE_END ? at + 4 : at + 3;
   const end = bytes.indexOf(LINE_END, start);
-  return bytes.subarray(start, end < 0 ? bytes.length : end).toString('utf8').trim();
+  return bytes
+    .subarray(start, end < 0 ? bytes.length : end)
+    .toString('utf8')
+    .trim();
 }
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -7,18 +7,88 @@
 import type { Ask, ClientPort, WorkerView } from './request.js';
 import { valueOf, type WireWords } from './run.js';
 
-const WORDS: WireWords = { requestId: 'call-id', deadlineMs: 'left-ms', lastEventId: 'after', signature: 'mark', expectInstance: 'only', notRun: 'unrun', priority: 'rank' };
+const WORDS: WireWords = {
+  requestId: 'call-id',
+  deadlineMs: 'left-ms',
+  lastEventId: 'after',
+  signature: 'mark',
+  expectInstance: 'only',
+  notRun: 'unrun',
+  priority: 'rank',
+};
 
 const DOCUMENT = {
   revision: 1,
   routes: [
-    { name: 'once', host: 'a.example', prefix: '/once/', service: 'look', kind: 'non_idempotent', timeoutMs: 2000, attempts: 3 },
-    { name: 'often', host: 'a.example', prefix: '/often/', service: 'look', kind: 'idempotent', timeoutMs: 2000, attempts: 3, targetMs: 200 },
-    { name: 'single', host: 'a.example', prefix: '/single/', service: 'look', kind: 'idempotent', timeoutMs: 2000, attempts: 1 },
-    { name: 'talk', host: 'a.example', prefix: '/talk/', service: 'look', kind: 'streaming', timeoutMs: 9000, attempts: 3, resumable: true, gapMs: 600, targetMs: 500 },
-    { name: 'tell', host: 'a.example', prefix: '/tell/', service: 'look', kind: 'streaming', timeoutMs: 9000, attempts: 3, resumable: false, priority: 2 },
-    { name: 'model', host: 'a.example', prefix: '/model/', service: 'assist', kind: 'idempotent', timeoutMs: 2000, attempts: 2 },
-    { name: 'home', host: 'a.example', prefix: '/home/', service: 'look', kind: 'idempotent', timeoutMs: 2000, regions: ['south'] },
+    {
+      name: 'once',
+      host: 'a.example',
+      prefix: '/once/',
+      service: 'look',
+      kind: 'non_idempotent',
+      timeoutMs: 2000,
+      attempts: 3,
+    },
+    {
+      name: 'often',
+      host: 'a.example',
+      prefix: '/often/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 3,
+      targetMs: 200,
+    },
+    {
+      name: 'single',
+      host: 'a.example',
+      prefix: '/single/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 1,
+    },
+    {
+      name: 'talk',
+      host: 'a.example',
+      prefix: '/talk/',
+      service: 'look',
+      kind: 'streaming',
+      timeoutMs: 9000,
+      attempts: 3,
+      resumable: true,
+      gapMs: 600,
+      targetMs: 500,
+    },
+    {
+      name: 'tell',
+      host: 'a.example',
+      prefix: '/tell/',
+      service: 'look',
+      kind: 'streaming',
+      timeoutMs: 9000,
+      attempts: 3,
+      resumable: false,
+      priority: 2,
+    },
+    {
+      name: 'model',
+      host: 'a.example',
+      prefix: '/model/',
+      service: 'assist',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 2,
+    },
+    {
+      name: 'home',
+      host: 'a.example',
+      prefix: '/home/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      regions: ['south'],
+    },
   ],
   services: [{ name: 'look', warmupPerS: 10 }, { name: 'assist' }],
 };
@@ -61,11 +131,18 @@
   }
   /** It says that it has not run the request. */
   decline(status: number): void {
-    this.handler.head(status, [[WORDS.requestId, this.id], [WORDS.notRun, '1']]);
+    this.handler.head(status, [
+      [WORDS.requestId, this.id],
+      [WORDS.notRun, '1'],
+    ]);
     this.handler.end();
   }
   openStream(mark: string): void {
-    this.handler.head(200, [[WORDS.requestId, this.id], [WORDS.signature, mark], ['content-type', 'text/event-stream']]);
+    this.handler.head(200, [
+      [WORDS.requestId, this.id],
+      [WORDS.signature, mark],
+      ['content-type', 'text/event-stream'],
+    ]);
   }
   events(text: string): void {
     this.handler.chunk(Buffer.from(text));
@@ -113,7 +190,18 @@
 }
 
 function worker(id: string, change: Partial<WorkerView> = {}): WorkerView {
-  return { id, service: 'look', address: `${id}:80`, zone: 'north', leaving: false, slots: 4, coldUntilMs: -Infinity, models: new Map(), number: 1, ...change };
+  return {
+    id,
+    service: 'look',
+    address: `${id}:80`,
+    zone: 'north',
+    leaving: false,
+    slots: 4,
+    coldUntilMs: -Infinity,
+    models: new Map(),
+    number: 1,
+    ...change,
+  };
 }
 
 class Bench {
@@ -126,7 +214,11 @@
   readonly router: Router;
   #asked = 0;
 
-  constructor(workers: readonly WorkerView[], retries = { ratio: 1, extra: 20 }, incarnation = 'incarnation-1') {
+  constructor(
+    workers: readonly WorkerView[],
+    retries = { ratio: 1, extra: 20 },
+    incarnation = 'incarnation-1',
+  ) {
     const configuration = configurationOf();
     this.put(...workers);
     this.router = new Router({
@@ -160,7 +252,10 @@
       method: 'POST',
       target,
       host: 'a.example',
-      headers: [['Call-Id', id], ['X-Own', 'kept']],
+      headers: [
+        ['Call-Id', id],
+        ['X-Own', 'kept'],
+      ],
       body: Buffer.from('body'),
       deadlineMs: 1500,
       model: '',
@@ -200,7 +295,14 @@
     const { request } = bench.last();
     bench.last().start();
     bench.last().answer(201, 'made');
-    expect([request.method, request.target, request.body.toString(), valueOf(request.headers, 'Call-Id'), valueOf(request.headers, 'X-Own'), valueOf(request.headers, WORDS.expectInstance)]).toEqual(['POST', '/once/x?a=1', 'body', 'q1', 'kept', 'w1']);
+    expect([
+      request.method,
+      request.target,
+      request.body.toString(),
+      valueOf(request.headers, 'Call-Id'),
+      valueOf(request.headers, 'X-Own'),
+      valueOf(request.headers, WORDS.expectInstance),
+    ]).toEqual(['POST', '/once/x?a=1', 'body', 'q1', 'kept', 'w1']);
     expect(port.seen).toEqual(['answer 201 made']);
   });
 
@@ -213,10 +315,17 @@
       const flown = bench.last();
       flown.start();
       if (end === 'reset') flown.handler.failed(true, 'reset');
-      else if (end === 'foreign') flown.handler.head(200, [[WORDS.requestId, 'another'], [WORDS.signature, 's']]);
+      else if (end === 'foreign')
+        flown.handler.head(200, [
+          [WORDS.requestId, 'another'],
+          [WORDS.signature, 's'],
+        ]);
       else if (end === 'unmarked') flown.handler.head(200, [[WORDS.requestId, flown.id]]);
       else {
-        flown.handler.head(200, [[WORDS.requestId, flown.id], [WORDS.signature, 's']]);
+        flown.handler.head(200, [
+          [WORDS.requestId, flown.id],
+          [WORDS.signature, 's'],
+        ]);
         flown.handler.chunk(Buffer.from('half'));
         flown.handler.failed(true, 'closed');
       }
@@ -247,7 +356,11 @@
     const second = bench.last();
     second.start();
     second.answer(200, 'ok');
-    expect([valueOf(first.request.headers, WORDS.deadlineMs), valueOf(second.request.headers, WORDS.deadlineMs), port.seen]).toEqual(['1500', '1100', ['answer 200 ok']]);
+    expect([
+      valueOf(first.request.headers, WORDS.deadlineMs),
+      valueOf(second.request.headers, WORDS.deadlineMs),
+      port.seen,
+    ]).toEqual(['1500', '1100', ['answer 200 ok']]);
   });
 
   it('is sent on after 421, which says that it has not run', () => {
@@ -349,7 +462,10 @@
     const { port } = bench.ask('/often/x');
     const first = bench.last();
     first.start();
-    first.handler.head(200, [[WORDS.requestId, 'another'], [WORDS.signature, 's']]);
+    first.handler.head(200, [
+      [WORDS.requestId, 'another'],
+      [WORDS.signature, 's'],
+    ]);
     first.handler.chunk(Buffer.from('of another'));
     first.handler.end();
     bench.last().start();
@@ -371,7 +487,12 @@
 
 describe('the budget of further sends', () => {
   /** Every request fails at its first worker; counts first and further arrivals by time. */
-  function arrivals(bench: Bench, everyMs: number, count: number, failing: (turn: number) => boolean): { atMs: number; further: boolean }[] {
+  function arrivals(
+    bench: Bench,
+    everyMs: number,
+    count: number,
+    failing: (turn: number) => boolean,
+  ): { atMs: number; further: boolean }[] {
     const seen: { atMs: number; further: boolean }[] = [];
     for (let turn = 0; turn < count; turn += 1) {
       bench.ask('/often/x');
@@ -389,19 +510,26 @@
   }
 
   it('keeps the further ones of any window within the part of the first ones and the allowance', () => {
-    const bench = new Bench(Array.from({ length: 40 }, (_, place) => worker(`w${place}`)), { ratio: 0.2, extra: 6 });
+    const bench = new Bench(
+      Array.from({ length: 40 }, (_, place) => worker(`w${place}`)),
+      { ratio: 0.2, extra: 6 },
+    );
     const seen = arrivals(bench, 20, 1500, (turn) => turn % 700 > 400);
     const wrong: string[] = [];
     for (const { atMs } of seen) {
       const window = seen.filter((one) => one.atMs >= atMs && one.atMs < atMs + 10_000);
       const first = window.filter((one) => !one.further).length;
-      if (window.length - first > 0.2 * first + 6) wrong.push(`${window.length - first} further of ${first} from ${atMs}`);
+      if (window.length - first > 0.2 * first + 6)
+        wrong.push(`${window.length - first} further of ${first} from ${atMs}`);
     }
     expect([seen.some((one) => one.further), wrong]).toEqual([true, []]);
   });
 
   it('is shared between the edges', () => {
-    const bench = new Bench(Array.from({ length: 40 }, (_, place) => worker(`w${place}`)), { ratio: 0.2, extra: 6 });
+    const bench = new Bench(
+      Array.from({ length: 40 }, (_, place) => worker(`w${place}`)),
+      { ratio: 0.2, extra: 6 },
+    );
     bench.edges = 3;
     bench.earn(200);
     const seen = arrivals(bench, 0, 10, () => true);
@@ -459,7 +587,12 @@
     const half = port.text;
     flown.events('ta: b\n\n');
     flown.handler.end();
-    expect([half, port.text, port.seen, valueOf(flown.request.headers, WORDS.priority)]).toEqual(['id: 1\ndata: a\n\n', 'id: 1\ndata: a\n\nid: 2\ndata: b\n\n', ['open 200 s1', 'close'], '2']);
+    expect([half, port.text, port.seen, valueOf(flown.request.headers, WORDS.priority)]).toEqual([
+      'id: 1\ndata: a\n\n',
+      'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
+      ['open 200 s1', 'close'],
+      '2',
+    ]);
   });
 
   it('that may be resumed goes on at another worker after the last whole event, under its first head', () => {
@@ -476,8 +609,14 @@
     second.openStream('s2');
     second.events('id: 3\ndata: c\n\n');
     second.handler.end();
-    expect([valueOf(second.request.headers, WORDS.lastEventId), first.request.address === second.request.address]).toEqual(['2', false]);
-    expect([port.text, port.seen]).toEqual(['id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n', ['open 200 s1', 'close']]);
+    expect([
+      valueOf(second.request.headers, WORDS.lastEventId),
+      first.request.address === second.request.address,
+    ]).toEqual(['2', false]);
+    expect([port.text, port.seen]).toEqual([
+      'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n',
+      ['open 200 s1', 'close'],
+    ]);
   });
 
   it('that may be resumed begins after the event that the client names', () => {
@@ -499,7 +638,12 @@
       if (end === 'reset') flown.handler.failed(true, 'reset');
       else flown.handler.end();
       bench.later(100);
-      expect([end, port.seen, port.text, bench.link.flown.length - sends]).toEqual([end, ['open 200 s1', 'cut'], 'id: 1\ndata: a\n\n', 1]);
+      expect([end, port.seen, port.text, bench.link.flown.length - sends]).toEqual([
+        end,
+        ['open 200 s1', 'cut'],
+        'id: 1\ndata: a\n\n',
+        1,
+      ]);
     }
   });
 
@@ -590,7 +734,12 @@
       bench.later(1);
       bench.last().start();
       bench.last().answer(200, 'ok');
-      expect([change, started, port.seen, bench.last().request.address]).toEqual([change, false, ['answer 200 ok'], 'w2:80']);
+      expect([change, started, port.seen, bench.last().request.address]).toEqual([
+        change,
+        false,
+        ['answer 200 ok'],
+        'w2:80',
+      ]);
     }
   });
 
@@ -609,7 +758,9 @@
           flown.answer(200, 'ok');
         }
       }
-      const most = Math.max(...atMs.map((fromMs) => atMs.filter((one) => one >= fromMs && one < fromMs + 1000).length));
+      const most = Math.max(
+        ...atMs.map((fromMs) => atMs.filter((one) => one >= fromMs && one < fromMs + 1000).length),
+      );
       expect([edges, most > 0, most <= 10 / edges + 1]).toEqual([edges, true, true]);
     }
   });
@@ -618,7 +769,10 @@
     const PER_S = 10;
     const wrong: string[] = [];
     for (const count of [3, 9, 80]) {
-      const edges = Array.from({ length: count }, (_, place) => new Bench([worker('w1', { slots: 100 })], undefined, `incarnation-${place}`));
+      const edges = Array.from(
+        { length: count },
+        (_, place) => new Bench([worker('w1', { slots: 100 })], undefined, `incarnation-${place}`),
+      );
       const atMs: number[] = [];
       const heartbeatMs = 25;
       for (let nowMs = 1000; nowMs < 41_000; nowMs += heartbeatMs) {
@@ -627,7 +781,14 @@
         for (const edge of edges) {
           edge.edges = count;
           edge.nowMs = nowMs;
-          if (nowMs === 2000 || nowMs === 22_000) edge.put(worker('w1', { slots: 100, coldUntilMs: nowMs + (nowMs === 2000 ? 10_000 : 30_000), number: nowMs }));
+          if (nowMs === 2000 || nowMs === 22_000)
+            edge.put(
+              worker('w1', {
+                slots: 100,
+                coldUntilMs: nowMs + (nowMs === 2000 ? 10_000 : 30_000),
+                number: nowMs,
+              }),
+            );
           const before = edge.link.flown.length;
           if (busy && edge.router.waiting < 2) edge.ask('/often/x');
           edge.router.tick();
@@ -647,7 +808,8 @@
         most = end - place;
         mostMs = fromMs;
       }
-      if (most > PER_S * 1.5 + 5) wrong.push(`${count} edges: ${most} from ${mostMs}, the bound is ${PER_S * 1.5 + 5}`);
+      if (most > PER_S * 1.5 + 5)
+        wrong.push(`${count} edges: ${most} from ${mostMs}, the bound is ${PER_S * 1.5 + 5}`);
       if (atMs.length < 20 * PER_S * 0.5) wrong.push(`${count} edges: only ${atMs.length} in all`);
     }
     expect(wrong).toEqual([]);
@@ -662,7 +824,11 @@
     const address = bench.last().request.address;
     bench.ask('/model/x', { model: 'm2' });
     expect([address, bench.link.flown.length, bench.missed > 0]).toEqual(['w2:80', 1, true]);
-    expect(bench.router.asked().map(({ model, adapter, waiting, inFlight }) => `${model}/${adapter} ${waiting} ${inFlight}`)).toEqual(['m1/a1 0 1', 'm2/ 1 0']);
+    expect(
+      bench.router
+        .asked()
+        .map(({ model, adapter, waiting, inFlight }) => `${model}/${adapter} ${waiting} ${inFlight}`),
+    ).toEqual(['m1/a1 0 1', 'm2/ 1 0']);
   });
 
   it('does not fall again on a worker that lacks the model, until its row is told anew', () => {
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -108,10 +108,12 @@
     this.#count('taken');
     const configuration = this.#dependencies.configuration();
     if (configuration === undefined) return this.#hold(ask, port);
-    if (this.#table?.configuration !== configuration) this.#table = { configuration, routes: new RouteTable(configuration) };
+    if (this.#table?.configuration !== configuration)
+      this.#table = { configuration, routes: new RouteTable(configuration) };
     const route = this.#table.routes.find(ask.host, ask.target);
     const target = route === undefined ? undefined : this.#table.routes.target(route, ask.id);
-    if (target === undefined) return this.#turnAway(port, fault('not-found', `no route for ${ask.host}${ask.target}`));
+    if (target === undefined)
+      return this.#turnAway(port, fault('not-found', `no route for ${ask.host}${ask.target}`));
     const nowMs = this.#dependencies.clock.nowMs();
     const { service } = target;
     const streamed = target.route.kind === 'streaming';
@@ -136,7 +138,8 @@
       notBeforeMs: nowMs,
       cancel: undefined,
     };
-    if (this.#waiting.size >= CROWD_MOST) return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
+    if (this.#waiting.size >= CROWD_MOST)
+      return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
     this.#arrived(passage, nowMs);
     this.#dispatch(passage, nowMs);
     return () => this.#left(passage);
@@ -145,8 +148,15 @@
   /** Nothing is known yet, as just after a start: the request waits a moment for it. */
   #hold(ask: Ask, port: ClientPort): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
-    const early: Early = { ask, port, bornMs: nowMs, endMs: nowMs + Math.min(EARLY_MS, ask.deadlineMs ?? EARLY_MS), leave: undefined };
-    if (this.#early.size >= CROWD_MOST) return this.#turnAway(port, fault('not-admitting', 'no configuration is known here yet'));
+    const early: Early = {
+      ask,
+      port,
+      bornMs: nowMs,
+      endMs: nowMs + Math.min(EARLY_MS, ask.deadlineMs ?? EARLY_MS),
+      leave: undefined,
+    };
+    if (this.#early.size >= CROWD_MOST)
+      return this.#turnAway(port, fault('not-admitting', 'no configuration is known here yet'));
     this.#early.add(early);
     return () => {
       this.#early.delete(early);
@@ -160,7 +170,15 @@
       const { ask, port, bornMs, endMs } = early;
       if (!known && nowMs < endMs) continue;
       this.#early.delete(early);
-      if (known) early.leave = this.take({ ...ask, deadlineMs: ask.deadlineMs === undefined ? undefined : Math.max(0, ask.deadlineMs - (nowMs - bornMs)) }, port);
+      if (known)
+        early.leave = this.take(
+          {
+            ...ask,
+            deadlineMs:
+              ask.deadlineMs === undefined ? undefined : Math.max(0, ask.deadlineMs - (nowMs - bornMs)),
+          },
+          port,
+        );
       else this.#turnAway(port, fault('not-admitting', 'no configuration is known here yet'));
     }
   }
@@ -170,7 +188,9 @@
     const nowMs = this.#dependencies.clock.nowMs();
     this.#balancer.keepOnly(this.#dependencies.workers());
     if (this.#early.size > 0) this.#takeEarly(nowMs);
-    const order = [...this.#waiting].sort((one, other) => one.route.priority - other.route.priority || one.bornMs - other.bornMs);
+    const order = [...this.#waiting].sort(
+      (one, other) => one.route.priority - other.route.priority || one.bornMs - other.bornMs,
+    );
     const nowhere = new Set<string>();
     for (const passage of order) {
       if (nowMs >= passage.endMs) this.#giveUp(passage);
@@ -213,7 +233,8 @@
     const rate = this.#rates.get(passage.key);
     if (rate === undefined || passage.route.targetMs <= 0) return;
     const pressure = waitMs / passage.route.targetMs;
-    rate.pressure = rate.pressure === 0 ? pressure : rate.pressure + (pressure - rate.pressure) * PRESSURE_PART;
+    rate.pressure =
+      rate.pressure === 0 ? pressure : rate.pressure + (pressure - rate.pressure) * PRESSURE_PART;
   }
 
   /** One budget a service: the bound is the service's. */
@@ -224,7 +245,10 @@
       budget = new RetryBudget();
       this.#budgets.set(name, budget);
     }
-    budget.allot(this.#dependencies.incarnation(), this.#dependencies.retries.extra / Math.max(1, this.#dependencies.edges()));
+    budget.allot(
+      this.#dependencies.incarnation(),
+      this.#dependencies.retries.extra / Math.max(1, this.#dependencies.edges()),
+    );
     return budget;
   }
 
@@ -250,7 +274,8 @@
     this.#waiting.add(passage);
     passage.cancel = undefined;
     if (why === 'not-held') this.#dependencies.missing();
-    if (why === 'shunned' && passage.avoided.size > 0 && passage.arrivals < passage.route.attempts) passage.avoided.clear();
+    if (why === 'shunned' && passage.avoided.size > 0 && passage.arrivals < passage.route.attempts)
+      passage.avoided.clear();
   }
 
   #send(passage: Passage, worker: WorkerView, nowMs: number): void {
@@ -277,7 +302,13 @@
   /** The last look before the first byte. */
   #mayStart(passage: Passage, worker: WorkerView): boolean {
     const known = this.#dependencies.workers().get(worker.id);
-    if (passage.left || known === undefined || known.leaving || this.#dependencies.evacuated().includes(known.zone)) return false;
+    if (
+      passage.left ||
+      known === undefined ||
+      known.leaving ||
+      this.#dependencies.evacuated().includes(known.zone)
+    )
+      return false;
     if (this.#dependencies.clock.nowMs() >= passage.endMs) return false;
     passage.unpaid = passage.reserved && !this.#budget(passage).spend();
     passage.reserved = false;
@@ -299,7 +330,8 @@
     if (end.how === 'served' || end.how === 'cut') return;
     if (nowMs >= passage.endMs) return this.#giveUp(passage);
     if (passage.unpaid) return this.#refuse(passage, end);
-    if (end.how === 'not-sent' || end.how === 'unreached') return this.#again(passage, worker, end.how === 'unreached', nowMs);
+    if (end.how === 'not-sent' || end.how === 'unreached')
+      return this.#again(passage, worker, end.how === 'unreached', nowMs);
     const mayRepeat = end.how !== 'failed' || passage.repeatable;
     const mayArrive = passage.arrivals < passage.route.attempts;
     passage.reserved = mayRepeat && mayArrive && this.#budget(passage).reserve();
@@ -358,4 +390,3 @@
   rate.perS *= 0.5 ** ((nowMs - rate.atMs) / 1000 / HALF_LIFE_S);
   rate.atMs = nowMs;
 }
-
--- a/packages/router/src/routes.test.ts
+++ b/packages/router/src/routes.test.ts
@@ -3,24 +3,66 @@
 import { expect } from 'earl';
 import { RouteTable } from './routes.js';
 
-function route(name: string, host: string, prefix: string, change: Record<string, unknown> = { service: 'one' }): Record<string, unknown> {
+function route(
+  name: string,
+  host: string,
+  prefix: string,
+  change: Record<string, unknown> = { service: 'one' },
+): Record<string, unknown> {
   return { name, host, prefix, timeoutMs: 1000, ...change };
 }
 
 function table(...routes: readonly Record<string, unknown>[]): RouteTable {
   const checked = checkConfiguration({ revision: 1, routes, services: [{ name: 'one' }, { name: 'two' }] });
-  return new RouteTable(checked.isOk ? checked.value : ({ routes: [], services: [] } as unknown as Configuration));
+  return new RouteTable(
+    checked.isOk ? checked.value : ({ routes: [], services: [] } as unknown as Configuration),
+  );
 }
 
 describe('the route of a request', () => {
   it('is that of its host whose prefix is the longest that begins its path', () => {
-    const routes = table(route('short', 'a.example', '/x/'), route('long', 'a.example', '/x/y/'), route('other', 'b.example', '/x/y/z/'));
-    const found = [['a.example', '/x/y/z/1'], ['a.example', '/x/z'], ['A.EXAMPLE', '/x/y/'], ['b.example', '/x/y/z/'], ['b.example', '/x/y'], ['c.example', '/x/'], ['a.example', '/x']] as const;
-    expect(found.map(([host, path]) => routes.find(host, path)?.name)).toEqual(['long', 'short', 'long', 'other', undefined, undefined, undefined]);
+    const routes = table(
+      route('short', 'a.example', '/x/'),
+      route('long', 'a.example', '/x/y/'),
+      route('other', 'b.example', '/x/y/z/'),
+    );
+    const found = [
+      ['a.example', '/x/y/z/1'],
+      ['a.example', '/x/z'],
+      ['A.EXAMPLE', '/x/y/'],
+      ['b.example', '/x/y/z/'],
+      ['b.example', '/x/y'],
+      ['c.example', '/x/'],
+      ['a.example', '/x'],
+    ] as const;
+    expect(found.map(([host, path]) => routes.find(host, path)?.name)).toEqual([
+      'long',
+      'short',
+      'long',
+      'other',
+      undefined,
+      undefined,
+      undefined,
+    ]);
   });
 
   it('leads to the services of its split by their weights, the same for the same id, and never to one of weight 0', () => {
-    const routes = table(route('split', 'a.example', '/', { service: null, split: [{ service: 'one', weight: 90 }, { service: 'two', weight: 10 }] }), route('none', 'b.example', '/', { service: null, split: [{ service: 'one', weight: 5 }, { service: 'two', weight: 0 }] }));
+    const routes = table(
+      route('split', 'a.example', '/', {
+        service: null,
+        split: [
+          { service: 'one', weight: 90 },
+          { service: 'two', weight: 10 },
+        ],
+      }),
+      route('none', 'b.example', '/', {
+        service: null,
+        split: [
+          { service: 'one', weight: 5 },
+          { service: 'two', weight: 0 },
+        ],
+      }),
+    );
     const [split, none] = [routes.find('a.example', '/'), routes.find('b.example', '/')];
     let two = 0;
     let wrong = 0;
--- a/packages/router/src/routes.ts
+++ b/packages/router/src/routes.ts
@@ -24,7 +24,8 @@
       known.push(route);
       this.#hosts.set(host, known);
     }
-    for (const routes of this.#hosts.values()) routes.sort((one, other) => other.prefix.length - one.prefix.length);
+    for (const routes of this.#hosts.values())
+      routes.sort((one, other) => other.prefix.length - one.prefix.length);
   }
 
   find(host: string, path: string): RouteEntry | undefined {
