--- a/packages/router/src/run.ts
+++ b/packages/router/src/run.ts
@@ -50,7 +50,17 @@
 const SILENT_MS = 1000;
 const SPEAKS_MS = 700;
 const WHOLE_MOST = 16 * 1024 * 1024;
-const HOP = new Set(['connection', 'keep-alive', 'transfer-encoding', 'proxy-connection', 'te', 'trailer', 'upgrade', 'proxy-authenticate', 'proxy-authorization']);
+const HOP = new Set([
+  'connection',
+  'keep-alive',
+  'transfer-encoding',
+  'proxy-connection',
+  'te',
+  'trailer',
+  'upgrade',
+  'proxy-authenticate',
+  'proxy-authorization',
+]);
 
 /**
  * Whether a header concerns only one connection.
@@ -102,20 +112,30 @@
     const { ask, endMs, route, lastEventId } = this.#passage;
     const { deadlineMs, expectInstance, priority, lastEventId: lastWord } = this.#words;
     const own = new Set([deadlineMs, expectInstance, priority, lastWord].map((name) => name.toLowerCase()));
-    const headers: Header[] = ask.headers.filter(([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length');
+    const headers: Header[] = ask.headers.filter(
+      ([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
+    );
     const leftMs = Math.max(1, Math.floor(endMs - nowMs));
     if (ask.deadlineMs !== undefined) headers.push([deadlineMs, String(leftMs)]);
     if (lastEventId !== undefined) headers.push([lastWord, lastEventId]);
     headers.push([expectInstance, this.#worker.id]);
     if (this.#passage.streamed) headers.push([priority, String(Math.min(9, route.priority))]);
-    return { address: this.#worker.address, method: ask.method, target: ask.target, headers, body: ask.body, stallMs: leftMs + 50 };
+    return {
+      address: this.#worker.address,
+      method: ask.method,
+      target: ask.target,
+      headers,
+      body: ask.body,
+      stallMs: leftMs + 50,
+    };
   }
 
   /** Ends what is past its time, or silent for longer than its route bears. */
   tick(nowMs: number): void {
     if (this.#over) return;
     if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
-    if (this.#passage.repeatable && this.#started && nowMs - this.#lifeMs > this.#patienceMs(nowMs)) this.#abandon('silent for too long');
+    if (this.#passage.repeatable && this.#started && nowMs - this.#lifeMs > this.#patienceMs(nowMs))
+      this.#abandon('silent for too long');
   }
 
   /** The client has left: the worker's connection is closed. */
@@ -138,17 +158,25 @@
     this.#context.heard();
     const echoed = valueOf(headers, this.#words.requestId);
     const notRun = valueOf(headers, this.#words.notRun) !== undefined;
-    if (echoed !== undefined && echoed !== this.#passage.ask.id) return this.#abandon('an answer to another request');
+    if (echoed !== undefined && echoed !== this.#passage.ask.id)
+      return this.#abandon('an answer to another request');
     if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
     if (notRun) return this.#finish({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
-    if (status < 300 && (echoed === undefined || valueOf(headers, this.#words.signature) === undefined)) return this.#abandon('an answer without its marks');
+    if (status < 300 && (echoed === undefined || valueOf(headers, this.#words.signature) === undefined))
+      return this.#abandon('an answer without its marks');
     this.#context.answered(this.#lifeMs - this.#bornMs);
     this.#status = status;
     this.#headers = headers.filter(([name]) => !isHop(name));
     const type = valueOf(headers, 'content-type') ?? '';
-    if (this.#passage.streamed && status < 300 && type.startsWith('text/event-stream')) this.#cutter = new EventCutter();
+    if (this.#passage.streamed && status < 300 && type.startsWith('text/event-stream'))
+      this.#cutter = new EventCutter();
     else if (this.#passage.opened) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (status >= 500 && this.#passage.repeatable && this.#passage.arrivals < this.#passage.route.attempts) this.#abandon(`answered ${status}`);
+    else if (
+      status >= 500 &&
+      this.#passage.repeatable &&
+      this.#passage.arrivals < this.#passage.route.attempts
+    )
+      this.#abandon(`answered ${status}`);
   }
 
   chunk(bytes: Buffer): void {
@@ -199,7 +227,10 @@
 
   #open(): void {
     this.#passage.opened = true;
-    this.#passage.port.open(this.#status, this.#headers.filter(([name]) => name.toLowerCase() !== 'content-length'));
+    this.#passage.port.open(
+      this.#status,
+      this.#headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
+    );
   }
 
   #pass(bytes: Buffer, lastId: string | undefined): void {
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -26,7 +26,14 @@
 const BODY_MOST = 16 * 1024 * 1024;
 
 /** A lost core is replaced before it counts as lost no more. */
-const TIMES: GroupTimes = { ...GROUP_TIMES, replaceMs: 1500, suspectMs: 900, grantMs: 600, helloMs: 100, graceMs: 100 };
+const TIMES: GroupTimes = {
+  ...GROUP_TIMES,
+  replaceMs: 1500,
+  suspectMs: 900,
+  grantMs: 600,
+  helloMs: 100,
+  graceMs: 100,
+};
 
 const CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
@@ -83,7 +90,8 @@
       order: (row, order, done) => this.#order(row, order, done),
       report: (row, done) => this.#report(row, done),
       listLagMs: settings.provider.lagMs,
-      changed: (state) => log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
+      changed: (state) =>
+        log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
       reborn: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
       refused: (why) => log.error({ why }, 'the group does not let this node in'),
       decided: (text) => log.info({}, text),
@@ -97,7 +105,12 @@
   }
 
   /** Opens the disk; a fault says why it cannot be used. */
-  static async open(settings: SystemSettings, dialect: Dialect, log: Log, broken: (why: Fault) => void): Promise<Result<CoreNode, Fault>> {
+  static async open(
+    settings: SystemSettings,
+    dialect: Dialect,
+    log: Log,
+    broken: (why: Fault) => void,
+  ): Promise<Result<CoreNode, Fault>> {
     const opened = await RecordStore.open(settings.folder);
     if (opened.isErr) return Result.err(opened.error);
     const { recordStore, records } = opened.value;
@@ -154,7 +167,8 @@
       this.#listFaults = 0;
       this.#replica.learnList(list.value);
     } else {
-      if (this.#listFaults === 0) this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
+      if (this.#listFaults === 0)
+        this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
       this.#listFaults += 1;
     }
   }
@@ -164,9 +178,13 @@
     let next: string | undefined;
     try {
       do {
-        const { statusCode, body } = await request(`http://${this.#settings.provider.address}${this.#dialect.listPath(next)}`, { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS });
+        const { statusCode, body } = await request(
+          `http://${this.#settings.provider.address}${this.#dialect.listPath(next)}`,
+          { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS },
+        );
         const text = await body.text();
-        if (statusCode !== 200) return Result.err(fault('unreached', `the platform's list answered ${statusCode}`));
+        if (statusCode !== 200)
+          return Result.err(fault('unreached', `the platform's list answered ${statusCode}`));
         const page = this.#dialect.readPage(text);
         if (page.isErr) return Result.err(page.error);
         workers.push(...page.value.workers);
@@ -182,20 +200,44 @@
 
   #order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void {
     const body = this.#dialect.writeOrder(order, this.#replica.group.seat.incarnation);
-    this.#call(row, 'POST', this.#dialect.orderPath, body, () => this.#replica.group.dutyEpoch() === order.fence, (reply) => {
-      done(reply === undefined ? 'no-answer' : this.#dialect.readOrderReply(reply.status));
-      this.#replica.tick();
-    });
+    this.#call(
+      row,
+      'POST',
+      this.#dialect.orderPath,
+      body,
+      () => this.#replica.group.dutyEpoch() === order.fence,
+      (reply) => {
+        done(reply === undefined ? 'no-answer' : this.#dialect.readOrderReply(reply.status));
+        this.#replica.tick();
+      },
+    );
   }
 
-  #report(row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
-    this.#call(row, 'GET', this.#dialect.reportPath, '', () => true, (reply) => {
-      done(reply?.status === 200 ? this.#dialect.readReport(reply.body) : undefined);
-    });
+  #report(
+    row: WorkerRecord,
+    done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void,
+  ): void {
+    this.#call(
+      row,
+      'GET',
+      this.#dialect.reportPath,
+      '',
+      () => true,
+      (reply) => {
+        done(reply?.status === 200 ? this.#dialect.readReport(reply.body) : undefined);
+      },
+    );
   }
 
   /** One call to a worker; `done` comes once, with nothing where there was no whole answer. */
-  #call(row: WorkerRecord, method: string, target: string, body: string, mayStart: () => boolean, done: (reply: Reply | undefined) => void): void {
+  #call(
+    row: WorkerRecord,
+    method: string,
+    target: string,
+    body: string,
+    mayStart: () => boolean,
+    done: (reply: Reply | undefined) => void,
+  ): void {
     let open = true;
     let status = 0;
     const parts: Buffer[] = [];
@@ -205,7 +247,10 @@
       clearTimeout(timer);
       done(reply);
     }
-    const headers: Header[] = [['host', row.address], [this.#dialect.wireWords.expectInstance, row.id]];
+    const headers: Header[] = [
+      ['host', row.address],
+      [this.#dialect.wireWords.expectInstance, row.id],
+    ];
     if (body !== '') headers.push(['content-type', 'application/json']);
     const send = this.#link.send(
       { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_WAIT_MS },
@@ -239,9 +284,15 @@
     } catch {
       return;
     }
-    const reply = bytes > BODY_MOST ? this.#failure(fault('too-large', 'the body is too large')) : await this.#answer(req, Buffer.concat(parts).toString('utf8'));
+    const reply =
+      bytes > BODY_MOST
+        ? this.#failure(fault('too-large', 'the body is too large'))
+        : await this.#answer(req, Buffer.concat(parts).toString('utf8'));
     if (res.destroyed) return;
-    res.writeHead(reply.status, { 'content-type': 'application/json', 'content-length': Buffer.byteLength(reply.body) });
+    res.writeHead(reply.status, {
+      'content-type': 'application/json',
+      'content-length': Buffer.byteLength(reply.body),
+    });
     res.end(reply.body);
   }
 
@@ -249,7 +300,14 @@
     const call = this.#dialect.readCall(req.method ?? '', req.url ?? '', req.headers, body);
     if (call.isErr) return this.#failure(call.error);
     const reply = await this.#carryOut(call.value);
-    this.#log.info({ call: call.value.kind, base: 'base' in call.value ? call.value.base : undefined, status: reply.status }, 'operator');
+    this.#log.info(
+      {
+        call: call.value.kind,
+        base: 'base' in call.value ? call.value.base : undefined,
+        status: reply.status,
+      },
+      'operator',
+    );
     return reply;
   }
 
@@ -303,11 +361,13 @@
     const { group } = this.#replica;
     const askedMs = CLOCK.nowMs();
     while (group.informedMs() < askedMs) {
-      if (CLOCK.nowMs() - askedMs > ANSWER_WAIT_MS) return this.#failure(fault('not-admitting', 'this node cannot know the newest; ask again'));
+      if (CLOCK.nowMs() - askedMs > ANSWER_WAIT_MS)
+        return this.#failure(fault('not-admitting', 'this node cannot know the newest; ask again'));
       await pause(POLL_MS);
     }
     const { document } = this.#replica.state;
-    if (document === undefined) return this.#failure(fault('not-found', 'no configuration has been agreed yet'));
+    if (document === undefined)
+      return this.#failure(fault('not-found', 'no configuration has been agreed yet'));
     return { status: 200, body: this.#dialect.writeDocument(document) };
   }
 
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -60,7 +60,12 @@
   readonly orderPath: string;
   readonly reportPath: string;
   readSettings(text: string): Result<SystemSettings, Fault[]>;
-  readCall(method: string, path: string, headers: Readonly<Record<string, string | string[] | undefined>>, body: string): Result<OperatorCall, Fault>;
+  readCall(
+    method: string,
+    path: string,
+    headers: Readonly<Record<string, string | string[] | undefined>>,
+    body: string,
+  ): Result<OperatorCall, Fault>;
   writeDocument(document: Readonly<Record<string, unknown>>): string;
   /** The status for a fault, where the platform's differs from ours. */
   statusOf(fault: Fault): number | undefined;
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -132,13 +132,23 @@
   #noteReady(): void {
     if (this.#follower.ready === this.#wasReady) return;
     this.#wasReady = this.#follower.ready;
-    this.#log.info({ ready: this.#wasReady, revision: this.#follower.state.revision, workers: this.#follower.workers.size }, 'readiness');
+    this.#log.info(
+      {
+        ready: this.#wasReady,
+        revision: this.#follower.state.revision,
+        workers: this.#follower.workers.size,
+      },
+      'readiness',
+    );
   }
 
   #changed(what: 'state' | 'workers'): void {
     if (what === 'state') {
       this.#front.applyLimits();
-      this.#log.info({ revision: this.#follower.state.revision, evacuated: this.#follower.state.evacuated }, 'configuration');
+      this.#log.info(
+        { revision: this.#follower.state.revision, evacuated: this.#follower.state.evacuated },
+        'configuration',
+      );
     } else this.#link.keepOnly(new Set([...this.#follower.workers.values()].map((worker) => worker.address)));
     this.#router.tick();
   }
--- a/packages/runtime/src/front.test.ts
+++ b/packages/runtime/src/front.test.ts
@@ -8,7 +8,14 @@
 import { expect } from 'earl';
 import { FrontDoor } from './front.js';
 
-const WORDS = { requestId: 'x-id', deadlineMs: 'x-deadline', model: 'x-model', prefix: 'x-prefix', tokens: 'x-tokens', lastEventId: 'last-event-id' };
+const WORDS = {
+  requestId: 'x-id',
+  deadlineMs: 'x-deadline',
+  model: 'x-model',
+  prefix: 'x-prefix',
+  tokens: 'x-tokens',
+  lastEventId: 'last-event-id',
+};
 
 interface Answer {
   readonly status: number;
@@ -33,7 +40,8 @@
   left = 0;
   leaving = false;
   /** Called for each request that is taken. */
-  onTake: (ask: Ask, port: ClientPort) => void = (_, port) => port.answer(200, [['x-mark', 'm']], Buffer.from('well'));
+  onTake: (ask: Ask, port: ClientPort) => void = (_, port) =>
+    port.answer(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
   readonly front = new FrontDoor({
     words: WORDS,
@@ -62,12 +70,22 @@
 
   ask(headers: Record<string, string>, body = ''): Promise<Answer> {
     return new Promise((resolve, reject) => {
-      const req = request({ host: '127.0.0.1', port: this.#port, method: 'POST', path: '/a/1?b=2', headers, agent: this.agent }, (res) => {
-        const parts: Buffer[] = [];
-        res.on('data', (part: Buffer) => parts.push(part));
-        res.on('error', () => undefined);
-        res.on('close', () => resolve({ status: res.statusCode ?? 0, headers: res.headers, body: Buffer.concat(parts).toString(), whole: res.complete }));
-      });
+      const req = request(
+        { host: '127.0.0.1', port: this.#port, method: 'POST', path: '/a/1?b=2', headers, agent: this.agent },
+        (res) => {
+          const parts: Buffer[] = [];
+          res.on('data', (part: Buffer) => parts.push(part));
+          res.on('error', () => undefined);
+          res.on('close', () =>
+            resolve({
+              status: res.statusCode ?? 0,
+              headers: res.headers,
+              body: Buffer.concat(parts).toString(),
+              whole: res.complete,
+            }),
+          );
+        },
+      );
       req.on('error', reject);
       req.end(body);
     });
@@ -80,11 +98,33 @@
 
   it('hands on method, path, body and headers as they came, without those of the connection', async () => {
     bench = await new Bench().open();
-    const answer = await bench.ask({ 'x-id': '7', 'x-model': 'big/a2', 'x-prefix': 'aa:10,bb:20,cc:30', 'x-tokens': '60,8', 'x-deadline': '900', host: 'h.example:80' }, 'work');
+    const answer = await bench.ask(
+      {
+        'x-id': '7',
+        'x-model': 'big/a2',
+        'x-prefix': 'aa:10,bb:20,cc:30',
+        'x-tokens': '60,8',
+        'x-deadline': '900',
+        host: 'h.example:80',
+      },
+      'work',
+    );
     const ask = bench.taken[0]?.ask;
     expect([answer.status, answer.body, answer.headers['x-mark']]).toEqual([200, 'well', 'm']);
-    expect([ask?.id, ask?.method, ask?.target, ask?.host, ask?.body.toString(), ask?.deadlineMs]).toEqual(['7', 'POST', '/a/1?b=2', 'h.example', 'work', 900]);
-    expect([ask?.model, ask?.adapter, ask?.prefix, ask?.promptTokens]).toEqual(['big', 'a2', ['aa', 'bb'], 60]);
+    expect([ask?.id, ask?.method, ask?.target, ask?.host, ask?.body.toString(), ask?.deadlineMs]).toEqual([
+      '7',
+      'POST',
+      '/a/1?b=2',
+      'h.example',
+      'work',
+      900,
+    ]);
+    expect([ask?.model, ask?.adapter, ask?.prefix, ask?.promptTokens]).toEqual([
+      'big',
+      'a2',
+      ['aa', 'bb'],
+      60,
+    ]);
     expect(ask?.headers.some(([name]) => name.toLowerCase() === 'connection')).toEqual(false);
   });
 
@@ -125,6 +165,11 @@
       setImmediate(() => port.answer(200, [], Buffer.from('late')));
     };
     const answer = await bench.ask({ 'x-id': '1' });
-    expect([answer.status, answer.body, answer.headers.connection, front.open]).toEqual([200, 'late', 'close', 0]);
+    expect([answer.status, answer.body, answer.headers.connection, front.open]).toEqual([
+      200,
+      'late',
+      'close',
+      0,
+    ]);
   });
 });
--- a/packages/runtime/src/front.ts
+++ b/packages/runtime/src/front.ts
@@ -31,10 +31,18 @@
 
   constructor(dependencies: FrontDependencies) {
     this.#dependencies = dependencies;
-    this.#server = createServer({ maxHeaderSize: HEADERS_MOST, connectionsCheckingInterval: 500, noDelay: true }, (req, res) => this.#receive(req, res));
+    this.#server = createServer(
+      { maxHeaderSize: HEADERS_MOST, connectionsCheckingInterval: 500, noDelay: true },
+      (req, res) => this.#receive(req, res),
+    );
     this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) => {
       if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
-      const status = thrown.code === 'ERR_HTTP_REQUEST_TIMEOUT' ? '408 Request Timeout' : thrown.code === 'HPE_HEADER_OVERFLOW' ? '431 Request Header Fields Too Large' : '400 Bad Request';
+      const status =
+        thrown.code === 'ERR_HTTP_REQUEST_TIMEOUT'
+          ? '408 Request Timeout'
+          : thrown.code === 'HPE_HEADER_OVERFLOW'
+            ? '431 Request Header Fields Too Large'
+            : '400 Bad Request';
       socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
     });
     this.applyLimits();
@@ -74,11 +82,17 @@
     });
     const limits = this.#dependencies.limits() ?? USUAL_LIMITS;
     const port = new HttpPort(res, () => this.#dependencies.leaving());
-    const headerBytes = req.rawHeaders.reduce((sum, text) => sum + text.length + 2, (req.url ?? '').length + 12);
-    if (headerBytes > limits.headerBytes) return port.end(431, fault('too-large', `headers of ${headerBytes} bytes`), true);
+    const headerBytes = req.rawHeaders.reduce(
+      (sum, text) => sum + text.length + 2,
+      (req.url ?? '').length + 12,
+    );
+    if (headerBytes > limits.headerBytes)
+      return port.end(431, fault('too-large', `headers of ${headerBytes} bytes`), true);
     const id = one(req.headers[this.#dependencies.words.requestId]);
-    if (id === undefined || id === '') return port.end(400, fault('bad-request', 'a request without an id'), true);
-    if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes) return port.end(413, fault('too-large', 'the body is too large'), true);
+    if (id === undefined || id === '')
+      return port.end(400, fault('bad-request', 'a request without an id'), true);
+    if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
+      return port.end(413, fault('too-large', 'the body is too large'), true);
     const parts: Buffer[] = [];
     let bytes = 0;
     let refused = false;
@@ -142,7 +156,10 @@
 
   answer(status: number, headers: readonly Header[], body: Buffer): void {
     if (this.#res.destroyed) return;
-    this.#head(status, [...headers.filter(([name]) => name.toLowerCase() !== 'content-length'), ['Content-Length', String(body.length)]]);
+    this.#head(status, [
+      ...headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
+      ['Content-Length', String(body.length)],
+    ]);
     this.#res.end(body);
   }
 
@@ -155,7 +172,10 @@
     if (this.#res.destroyed || this.#res.headersSent) return;
     const { retryAfterS, ran } = ANSWERS[why.kind];
     const body = Buffer.from(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }));
-    const headers: Header[] = [['Content-Type', 'application/json'], ['Content-Length', String(body.length)]];
+    const headers: Header[] = [
+      ['Content-Type', 'application/json'],
+      ['Content-Length', String(body.length)],
+    ];
     const returnS = why.returnS ?? retryAfterS;
     if (returnS > 0) headers.push(['Retry-After', String(returnS)]);
     if (close) this.#res.shouldKeepAlive = false;
--- a/packages/runtime/src/links.ts
+++ b/packages/runtime/src/links.ts
@@ -1,4 +1,9 @@
 import type { LinkTimes } from '@rainrun/gateway';
 
 /** Connections to workers on a platform: new ones are dear, so they are kept as long as a worker keeps them. */
-export const WORKER_LINK: LinkTimes = { connectMs: 600, keepAliveTimeout: 30_000, keepAliveMaxTimeout: 300_000, keepAliveTimeoutThreshold: 1000 };
+export const WORKER_LINK: LinkTimes = {
+  connectMs: 600,
+  keepAliveTimeout: 30_000,
+  keepAliveMaxTimeout: 300_000,
+  keepAliveTimeoutThreshold: 1000,
+};
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -62,7 +62,13 @@
   #listing = false;
   #listFaults = 0;
 
-  private constructor(settings: Settings, role: Role, acceptor: Acceptor | undefined, log: Logger, broken: (why: Fault) => void) {
+  private constructor(
+    settings: Settings,
+    role: Role,
+    acceptor: Acceptor | undefined,
+    log: Logger,
+    broken: (why: Fault) => void,
+  ) {
     this.#broken = broken;
     this.#settings = settings;
     this.#role = role;
@@ -81,9 +87,14 @@
   }
 
   /** Starts a node; a fault means that nothing was left open. */
-  static async start(settings: Settings, role: Role, broken: (why: Fault) => void): Promise<Result<Node, Fault>> {
+  static async start(
+    settings: Settings,
+    role: Role,
+    broken: (why: Fault) => void,
+  ): Promise<Result<Node, Fault>> {
     const log = pino({ level: settings.logLevel, base: { node: settings.name } });
-    const acceptor = role === 'core' ? await openDisk(settings, broken) : Result.ok<undefined, Fault>(undefined);
+    const acceptor =
+      role === 'core' ? await openDisk(settings, broken) : Result.ok<undefined, Fault>(undefined);
     if (acceptor.isErr) return Result.err(acceptor.error);
     const node = new Node(settings, role, acceptor.value, log, broken);
     const open = await node.#open();
@@ -153,7 +164,10 @@
   #changed(held: Held<Stage>, entry: Entry | undefined): void {
     if (entry === undefined || entry.view !== undefined) {
       const { epoch, number, members } = held.view;
-      this.#log.info({ epoch, view: number, members: members.map((member) => member.name), version: held.number }, 'view');
+      this.#log.info(
+        { epoch, view: number, members: members.map((member) => member.name), version: held.number },
+        'view',
+      );
     }
     this.#edge?.gate.tick();
   }
@@ -195,7 +209,8 @@
       this.#clusterNode.learnList(list.value);
       this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
     } else {
-      if (this.#listFaults === 0) this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
+      if (this.#listFaults === 0)
+        this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
       this.#listFaults += 1;
     }
   }
@@ -246,8 +261,12 @@
         change: action((params) => operators.change(params['patch'] ?? {}, base(params), text(params['id']))),
         operation: action((params) => operators.operation(text(params['id']))),
         zones: action(() => operators.fresh(() => operators.zones())),
-        empty: action((params) => operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id']))),
-        restore: action((params) => operators.submit('zone.restore', { zone: text(params['zone']) }, text(params['id']))),
+        empty: action((params) =>
+          operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id'])),
+        ),
+        restore: action((params) =>
+          operators.submit('zone.restore', { zone: text(params['zone']) }, text(params['id'])),
+        ),
         workers: action(() => operators.fromCoordinator('workers', '')),
         groups: action(() => operators.fromCoordinator('groups', '')),
         counters: action((params) => operators.rows('counters', text(params['node']))),
@@ -269,10 +288,18 @@
     const gate = this.#edge?.gate;
     const door = this.#door;
     const { name } = this.#settings;
-    const { host, port } = { host: this.#settings.http.split(':')[0] ?? '', port: Number(this.#settings.http.split(':')[1]) };
-    function onError(_req: IncomingMessage, res: ServerResponse, thrown: Error & { type?: string; code?: number | string }): void {
+    const { host, port } = {
+      host: this.#settings.http.split(':')[0] ?? '',
+      port: Number(this.#settings.http.split(':')[1]),
+    };
+    function onError(
+      _req: IncomingMessage,
+      res: ServerResponse,
+      thrown: Error & { type?: string; code?: number | string },
+    ): void {
       if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
-      else if (thrown.type === 'entity.parse.failed') sendFault(res, fault('bad-request', 'the body is not JSON'), '');
+      else if (thrown.type === 'entity.parse.failed')
+        sendFault(res, fault('bad-request', 'the body is not JSON'), '');
       else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
       else sendFault(res, fault('bad-request', thrown.message), '');
     }
@@ -343,7 +370,12 @@
   if (opening.isErr) return Result.err(opening.error);
   const { deployment } = opening.value;
   if (deployment !== '' && deployment !== settings.deployment) {
-    return Result.err(fault('foreign', `${settings.folder} belongs to deployment "${deployment}", not "${settings.deployment}"`));
+    return Result.err(
+      fault(
+        'foreign',
+        `${settings.folder} belongs to deployment "${deployment}", not "${settings.deployment}"`,
+      ),
+    );
   }
   const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, broken);
   if (records.disk === undefined) acceptor.mark();
--- a/packages/runtime/src/operators.ts
+++ b/packages/runtime/src/operators.ts
@@ -57,14 +57,17 @@
   async fresh(read: () => OperatorReply): Promise<OperatorReply> {
     const informed = await this.#informed();
     const { status, body } = read();
-    return informed ? { status, body } : { status, body: { ...(body as Record<string, unknown>), stale: true } };
+    return informed
+      ? { status, body }
+      : { status, body: { ...(body as Record<string, unknown>), stale: true } };
   }
 
   async #informed(): Promise<boolean> {
     const { group } = this.#dependencies.clusterNode;
     const askedMs = this.#dependencies.clock.nowMs();
     while (group.informedMs() < askedMs) {
-      if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > FRESH_WAIT_MS) return false;
+      if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > FRESH_WAIT_MS)
+        return false;
       await pause(POLL_MS);
     }
     return true;
@@ -79,13 +82,21 @@
         disk: group.seat.disk,
         self: { name: group.seat.name, incarnation: group.seat.incarnation, zone: group.seat.zone },
         admitting: group.granted(),
-        coordinator: held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ?? null,
+        coordinator:
+          held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ??
+          null,
         epoch: group.epoch,
         number: held?.number ?? 0,
         level: held?.level ?? 0,
         agreed: group.agreed,
         view: group.view === undefined ? null : { epoch: group.view.epoch, number: group.view.number },
-        members: (group.view?.members ?? []).map(({ name, zone, address, disk, speaks }) => ({ name, zone, address, core: disk !== '', speaks: Math.max(1, speaks) })),
+        members: (group.view?.members ?? []).map(({ name, zone, address, disk, speaks }) => ({
+          name,
+          zone,
+          address,
+          core: disk !== '',
+          speaks: Math.max(1, speaks),
+        })),
         voters: (held?.voters ?? []).map(({ name, disk }) => ({ name, disk })),
       },
     };
@@ -113,16 +124,22 @@
     await this.#informed();
     const endMs = this.#dependencies.clock.nowMs() + FRESH_WAIT_MS;
     while (group.held?.answers.some((answer) => answer.id === id) === true && group.ask(id) === undefined) {
-      if (this.#dependencies.clock.nowMs() > endMs) return failure('operation-unknown', 'not known to be agreed yet; ask again', { id });
+      if (this.#dependencies.clock.nowMs() > endMs)
+        return failure('operation-unknown', 'not known to be agreed yet; ask again', { id });
       await pause(POLL_MS);
     }
     const answer = group.ask(id);
-    return answer === undefined ? failure('not-found', `nothing agreed is known of operation ${id}`, { id }) : decided(answer);
+    return answer === undefined
+      ? failure('not-found', `nothing agreed is known of operation ${id}`, { id })
+      : decided(answer);
   }
 
   zones(): OperatorReply {
     const { stage } = this.#dependencies.clusterNode;
-    const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({ zone, emptied: stage.emptied.includes(zone) }));
+    const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
+      zone,
+      emptied: stage.emptied.includes(zone),
+    }));
     return { status: 200, body: { zones } };
   }
 
@@ -134,7 +151,13 @@
       zone: worker.zone,
       kind: worker.kind,
       pool: worker.pool,
-      status: worker.leaving ? 'leaving' : worker.emptied ? 'emptied' : worker.reachable ? 'ready' : 'unreached',
+      status: worker.leaving
+        ? 'leaving'
+        : worker.emptied
+          ? 'emptied'
+          : worker.reachable
+            ? 'ready'
+            : 'unreached',
       target: clusterNode.stage.placement[worker.name] ?? [],
       holdings: worker.holdings,
     }));
@@ -174,40 +197,76 @@
   }
 
   ready(): OperatorReply {
-    const admitting = this.#dependencies.clusterNode.group.granted() && this.#dependencies.clusterNode.stage.spec !== undefined;
+    const admitting =
+      this.#dependencies.clusterNode.group.granted() &&
+      this.#dependencies.clusterNode.stage.spec !== undefined;
     return { status: admitting ? 200 : 503, body: { admitting } };
   }
 
   #explain(id: string): OperatorReply {
     const record = this.#dependencies.explain(id);
     const { name } = this.#dependencies.clusterNode.group.seat;
-    return record === undefined ? failure('not-found', `${name} does not remember request ${id}`) : { status: 200, body: { edge: name, ...record } };
+    return record === undefined
+      ? failure('not-found', `${name} does not remember request ${id}`)
+      : { status: 200, body: { edge: name, ...record } };
   }
 
   #explainModel(model: string): OperatorReply {
     const { clusterNode } = this.#dependencies;
-    if (clusterNode.stage.spec?.spec.models.some((known) => known.name === model) !== true) return failure('not-found', `no model "${model}" in the spec`);
+    if (clusterNode.stage.spec?.spec.models.some((known) => known.name === model) !== true)
+      return failure('not-found', `no model "${model}" in the spec`);
     const copies = Object.entries(clusterNode.stage.placement)
       .filter(([, holdings]) => holdings.some((holding) => holding.model === model))
       .map(([worker]) => worker);
-    return { status: 200, body: { model, copies, reason: clusterNode.reason(model) ?? 'decided before the present coordinator led', placedBy: clusterNode.stage.placedBy } };
+    return {
+      status: 200,
+      body: {
+        model,
+        copies,
+        reason: clusterNode.reason(model) ?? 'decided before the present coordinator led',
+        placedBy: clusterNode.stage.placedBy,
+      },
+    };
   }
 
   #forget(name: string): OperatorReply {
-    if (this.#dependencies.clusterNode.group.forget(name)) return { status: 200, body: { outcome: 'noted', name } };
-    return failure('conflict', `${this.#dependencies.clusterNode.group.seat.name} coordinates no more; ask again`);
+    if (this.#dependencies.clusterNode.group.forget(name))
+      return { status: 200, body: { outcome: 'noted', name } };
+    return failure(
+      'conflict',
+      `${this.#dependencies.clusterNode.group.seat.name} coordinates no more; ask again`,
+    );
   }
 
   #status(): OperatorReply {
     const { group } = this.#dependencies.clusterNode;
     const { inFlight = 0, backlog = 0 } = this.#dependencies.counters();
     const { name, zone } = group.seat;
-    const shared = { admitting: group.granted(), leading: group.leading, epoch: group.epoch, number: group.held?.number ?? 0 };
-    return { status: 200, body: { node: name, zone, ...shared, view: group.view?.number ?? 0, level: group.held?.level ?? 0, inFlight, backlog } };
+    const shared = {
+      admitting: group.granted(),
+      leading: group.leading,
+      epoch: group.epoch,
+      number: group.held?.number ?? 0,
+    };
+    return {
+      status: 200,
+      body: {
+        node: name,
+        zone,
+        ...shared,
+        view: group.view?.number ?? 0,
+        level: group.held?.level ?? 0,
+        inFlight,
+        backlog,
+      },
+    };
   }
 
   #counters(): OperatorReply {
-    return { status: 200, body: { node: this.#dependencies.clusterNode.group.seat.name, ...this.#dependencies.counters() } };
+    return {
+      status: 200,
+      body: { node: this.#dependencies.clusterNode.group.seat.name, ...this.#dependencies.counters() },
+    };
   }
 
   /** Answers a question for the node at which an operator asked it. */
@@ -244,8 +303,12 @@
     const { group } = this.#dependencies.clusterNode;
     const incarnation = group.coordinatorIncarnation;
     const name = group.view?.members.find((member) => member.incarnation === incarnation)?.name ?? '';
-    if (incarnation === undefined) return failure('unreached', 'no coordinator can be reached from here, and only it knows');
-    return (await this.#ask(incarnation, kind, text)) ?? failure('unreached', `${name} coordinates, and did not answer`);
+    if (incarnation === undefined)
+      return failure('unreached', 'no coordinator can be reached from here, and only it knows');
+    return (
+      (await this.#ask(incarnation, kind, text)) ??
+      failure('unreached', `${name} coordinates, and did not answer`)
+    );
   }
 
   /** What the edge knows that a request came to: its name stands before the dot in the id. */
@@ -254,16 +317,27 @@
     const member = this.#member(name);
     if (name === '') return failure('bad-request', `"${id}" is no id of a request: EDGE.WORD`);
     if (member === undefined) return failure('unreached', `${name} is not in the view, and only it knows`);
-    return (await this.#ask(member.incarnation, 'explain', id)) ?? failure('unreached', `${name} did not answer, and only it knows`);
+    return (
+      (await this.#ask(member.incarnation, 'explain', id)) ??
+      failure('unreached', `${name} did not answer, and only it knows`)
+    );
   }
 
   /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
   async rows(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
-    const members = this.#dependencies.clusterNode.group.view?.members ?? [this.#dependencies.clusterNode.group.seat];
+    const members = this.#dependencies.clusterNode.group.view?.members ?? [
+      this.#dependencies.clusterNode.group.seat,
+    ];
     const asked = name === '' ? members : members.filter((member) => member.name === name);
     if (asked.length === 0) return failure('not-found', `${name} is not in the view`);
     const rows = await Promise.all(
-      asked.map(async (member) => (await this.#ask(member.incarnation, kind, ''))?.body ?? { node: member.name, error: 'did not answer' }),
+      asked.map(
+        async (member) =>
+          (await this.#ask(member.incarnation, kind, ''))?.body ?? {
+            node: member.name,
+            error: 'did not answer',
+          },
+      ),
     );
     return { status: 200, body: { [kind]: rows } };
   }
@@ -298,13 +372,22 @@
 
   /** Submits an operation and waits a while for the agreed answer. */
   submit(kind: string, data: unknown, wishedId: string): Promise<OperatorReply> {
-    if (wishedId !== '' && !OPERATION_ID.test(wishedId)) return Promise.resolve(failure('bad-request', 'the operation id is not a word of up to 64 letters'));
+    if (wishedId !== '' && !OPERATION_ID.test(wishedId))
+      return Promise.resolve(failure('bad-request', 'the operation id is not a word of up to 64 letters'));
     if (this.#dependencies.clusterNode.group.full) {
-      return Promise.resolve(failure('over-share', `${REMEMBERED_MOST} operations were answered in the last ten minutes; nothing was sent`));
+      return Promise.resolve(
+        failure(
+          'over-share',
+          `${REMEMBERED_MOST} operations were answered in the last ten minutes; nothing was sent`,
+        ),
+      );
     }
     const id = wishedId === '' ? randomId(this.#dependencies.chance) : wishedId;
     return new Promise((resolve) => {
-      const timer = setTimeout(() => resolve(failure('operation-unknown', 'not known to be agreed yet; ask by id', { id })), ANSWER_WAIT_MS);
+      const timer = setTimeout(
+        () => resolve(failure('operation-unknown', 'not known to be agreed yet; ask by id', { id })),
+        ANSWER_WAIT_MS,
+      );
       const sent = this.#dependencies.clusterNode.submit(id, kind, JSON.stringify(data), (answer) => {
         clearTimeout(timer);
         resolve(decided(answer));
--- a/packages/runtime/src/platform.test.ts
+++ b/packages/runtime/src/platform.test.ts
@@ -16,7 +16,13 @@
   const read = [await readList(good), await readList(bad), await readList(join(folder, 'none.json'))];
   await rm(folder, { recursive: true });
   const [list] = read;
-  expect(list?.isOk === true && [list.value.generation, list.value.workers[0]?.pool, list.value.workers[0]?.leaving]).toEqual([3, 'models', false]);
+  expect(
+    list?.isOk === true && [
+      list.value.generation,
+      list.value.workers[0]?.pool,
+      list.value.workers[0]?.leaving,
+    ],
+  ).toEqual([3, 'models', false]);
   expect(read.map((one) => one.isOk)).toEqual([true, false, false]);
 });
 
@@ -29,9 +35,18 @@
   const bound = server.address();
   const address = `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
   const order = { worker: 'w', epoch: 1, sequence: 1, action: 'inventory', model: '', adapter: '' } as const;
-  const replies = [await sendOrder(address, order), await sendOrder(address, order), await sendOrder(address, order)];
+  const replies = [
+    await sendOrder(address, order),
+    await sendOrder(address, order),
+    await sendOrder(address, order),
+  ];
   server.closeAllConnections();
   server.close();
   const late = await sendOrder('127.0.0.1:1', order);
-  expect([...replies, late].map((reply) => (reply.isOk ? 'taken' : reply.error.kind))).toEqual(['taken', 'worker-nonsense', 'unreached', 'unreached']);
+  expect([...replies, late].map((reply) => (reply.isOk ? 'taken' : reply.error.kind))).toEqual([
+    'taken',
+    'worker-nonsense',
+    'unreached',
+    'unreached',
+  ]);
 });
--- a/packages/runtime/src/platform.ts
+++ b/packages/runtime/src/platform.ts
@@ -50,10 +50,13 @@
 export async function readList(source: string): Promise<Result<WorkerList, Fault>> {
   try {
     const text = source.startsWith('http://')
-      ? await readBody((await request(source, { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS })).body)
+      ? await readBody(
+          (await request(source, { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS })).body,
+        )
       : await readFile(source, 'utf8');
     const parsed = v.safeParse(ListSchema, JSON.parse(text));
-    if (!parsed.success) return Result.err(fault('wire', `the platform's list cannot be read: ${parsed.issues[0].message}`));
+    if (!parsed.success)
+      return Result.err(fault('wire', `the platform's list cannot be read: ${parsed.issues[0].message}`));
     const { generation, workers } = parsed.output;
     return Result.ok(
       create(WorkerListSchema, {
@@ -88,7 +91,9 @@
     const text = await readBody(body);
     if (statusCode !== 200) return Result.err(fault('worker-nonsense', `order answered ${statusCode}`));
     const parsed = v.safeParse(ReplySchema, JSON.parse(text));
-    return parsed.success ? Result.ok(parsed.output) : Result.err(fault('worker-nonsense', parsed.issues[0].message));
+    return parsed.success
+      ? Result.ok(parsed.output)
+      : Result.err(fault('worker-nonsense', parsed.issues[0].message));
   } catch (thrown) {
     return Result.err(fault('unreached', String(thrown)));
   }
--- a/packages/runtime/src/runtime.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -31,7 +31,9 @@
 
   it('name key, value found and what was expected', () => {
     expect(faults({ bind: 'localhost' })[0]?.startsWith('bind: found "localhost", expected')).toEqual(true);
-    expect(faults({ seeds: '1.1.1.1:1,1.1.1.1:2,1.1.1.1:3,1.1.1.1:4' })[0]?.startsWith('seeds:')).toEqual(true);
+    expect(faults({ seeds: '1.1.1.1:1,1.1.1.1:2,1.1.1.1:3,1.1.1.1:4' })[0]?.startsWith('seeds:')).toEqual(
+      true,
+    );
     expect(faults({ name: undefined })[0]?.startsWith('name: found nothing')).toEqual(true);
     expect(faults({ colour: 'red' })[0]?.startsWith('colour:')).toEqual(true);
     expect(faults({}, 'core')[0]?.startsWith('folder:')).toEqual(true);
@@ -45,7 +47,12 @@
     const wire = new Wire('d', (frame) => frames.push(frame));
     await wire.listen('127.0.0.1:0');
     const { port } = wire;
-    const frame = create(FrameSchema, { wire: WIRE, deployment: 'd', from: 'a', body: { case: 'bye', value: create(ByeSchema) } });
+    const frame = create(FrameSchema, {
+      wire: WIRE,
+      deployment: 'd',
+      from: 'a',
+      body: { case: 'bye', value: create(ByeSchema) },
+    });
     const parts = [new Uint8Array([1, 2, 3]), pack({ ...frame, deployment: 'e' }), pack(frame)];
     const bytes = Buffer.concat(
       parts.map((part) => {
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -33,7 +33,10 @@
   /** The platform's list of workers: an http address or a file. */
   platform: v.optional(v.string(), ''),
   drainMs: v.optional(v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(600_000)), 30_000),
-  bodyMaxBytes: v.optional(v.pipe(v.number(), v.integer(), v.minValue(1024), v.maxValue(64 * 1024 * 1024)), 4 * 1024 * 1024),
+  bodyMaxBytes: v.optional(
+    v.pipe(v.number(), v.integer(), v.minValue(1024), v.maxValue(64 * 1024 * 1024)),
+    4 * 1024 * 1024,
+  ),
   /** File into which an edge records its day; none is recorded without it. */
   recordFile: v.optional(v.string(), ''),
   recordMaxBytes: v.optional(v.pipe(v.number(), v.integer(), v.minValue(1024)), 64 * 1024 * 1024),
@@ -54,11 +57,21 @@
  * @example
  * readSettings({ name: 'edge-1', zone: 'north' }, 'edge').isErr; // true: much is missing
  */
-export function readSettings(flags: Readonly<Record<string, unknown>>, role: 'edge' | 'core'): Result<Settings, Fault[]> {
-  const given = Object.entries(flags).map(([key, value]): [string, unknown] => [key, Array.isArray(value) && value.length < 2 ? value[0] : value]);
+export function readSettings(
+  flags: Readonly<Record<string, unknown>>,
+  role: 'edge' | 'core',
+): Result<Settings, Fault[]> {
+  const given = Object.entries(flags).map(([key, value]): [string, unknown] => [
+    key,
+    Array.isArray(value) && value.length < 2 ? value[0] : value,
+  ]);
   const twice = given.filter(([, value]) => Array.isArray(value));
   if (twice.length > 0) {
-    return Result.err(twice.map(([key, value]) => fault('bad-setting', `${key}: found ${JSON.stringify(value)}, expected one value`)));
+    return Result.err(
+      twice.map(([key, value]) =>
+        fault('bad-setting', `${key}: found ${JSON.stringify(value)}, expected one value`),
+      ),
+    );
   }
   const file = readFile(given.find(([key]) => key === 'settings')?.[1]);
   if (file.isErr) return Result.err([file.error]);
@@ -73,27 +86,42 @@
     return Result.err(
       parsed.issues.map((issue) => {
         const path = v.getDotPath(issue) ?? 'settings';
-        return fault('bad-setting', `${path}: found ${issue.input === undefined ? 'nothing' : JSON.stringify(issue.input)}, expected ${issue.expected ?? issue.message} (${issue.message})`);
+        return fault(
+          'bad-setting',
+          `${path}: found ${issue.input === undefined ? 'nothing' : JSON.stringify(issue.input)}, expected ${issue.expected ?? issue.message} (${issue.message})`,
+        );
       }),
     );
   }
   const settings = parsed.output;
-  if (role === 'core' && settings.folder === '') return Result.err([fault('bad-setting', 'folder: found nothing, expected the data folder of a core node')]);
+  if (role === 'core' && settings.folder === '')
+    return Result.err([
+      fault('bad-setting', 'folder: found nothing, expected the data folder of a core node'),
+    ]);
   if (role === 'edge' && settings.folder !== '') {
-    return Result.err([fault('bad-setting', `folder: found "${settings.folder}", expected none on an edge node`)]);
+    return Result.err([
+      fault('bad-setting', `folder: found "${settings.folder}", expected none on an edge node`),
+    ]);
   }
   return Result.ok(settings);
 }
 
 function fromFlag(key: string, value: unknown): unknown {
-  if (LISTS.has(key)) return String(value).split(',').filter((part) => part !== '');
+  if (LISTS.has(key))
+    return String(value)
+      .split(',')
+      .filter((part) => part !== '');
   return NUMBERS.has(key) ? Number(value) : value;
 }
 
 function readFile(path: unknown): Result<Record<string, unknown>, Fault> {
   if (typeof path !== 'string' || path === '') return Result.ok({});
   return tryOrElse(
-    (thrown) => fault('bad-setting', `settings: found ${JSON.stringify(path)}, expected a JSON file (${String(thrown)})`),
+    (thrown) =>
+      fault(
+        'bad-setting',
+        `settings: found ${JSON.stringify(path)}, expected a JSON file (${String(thrown)})`,
+      ),
     () => JSON.parse(readFileSync(path, 'utf8')) as Record<string, unknown>,
   );
 }
--- a/packages/runtime/src/system.ts
+++ b/packages/runtime/src/system.ts
@@ -16,7 +16,9 @@
  */
 export async function runSystem(role: 'edge' | 'core', dialect: Dialect, path: string): Promise<void> {
   const read = tryOrElse(
-    (thrown) => [fault('bad-setting', `settings: found ${JSON.stringify(path)}, expected a file (${String(thrown)})`)],
+    (thrown) => [
+      fault('bad-setting', `settings: found ${JSON.stringify(path)}, expected a file (${String(thrown)})`),
+    ],
     () => readFileSync(path, 'utf8'),
   ).andThen((text) => dialect.readSettings(text));
   if (read.isErr) {
--- a/packages/runtime/src/visitors.ts
+++ b/packages/runtime/src/visitors.ts
@@ -44,7 +44,11 @@
   }
 
   answer(status: number, contentType: string, body: Uint8Array): void {
-    this.#res.writeHead(status, { 'content-type': contentType, 'content-length': body.length, 'rainrun-id': this.#id });
+    this.#res.writeHead(status, {
+      'content-type': contentType,
+      'content-length': body.length,
+      'rainrun-id': this.#id,
+    });
     this.#res.end(body);
   }
 
@@ -53,7 +57,11 @@
   }
 
   open(contentType: string): void {
-    this.#res.writeHead(200, { 'content-type': contentType, 'cache-control': 'no-store', 'rainrun-id': this.#id });
+    this.#res.writeHead(200, {
+      'content-type': contentType,
+      'cache-control': 'no-store',
+      'rainrun-id': this.#id,
+    });
   }
 
   piece(bytes: Uint8Array, resume: () => void): boolean {
@@ -80,11 +88,26 @@
 function readAsk(req: VisitorRequest, id: string): Result<Ask, Fault> {
   const wish = header(req, 'rainrun-deadline-ms');
   const deadlineMs = wish === '' ? undefined : Number(wish);
-  if (deadlineMs !== undefined && !Number.isFinite(deadlineMs)) return Result.err(fault('bad-request', 'rainrun-deadline-ms is not a number'));
+  if (deadlineMs !== undefined && !Number.isFinite(deadlineMs))
+    return Result.err(fault('bad-request', 'rainrun-deadline-ms is not a number'));
   const path = req.originalUrl ?? req.url ?? '/';
-  const shared = { id, path, group: header(req, 'rainrun-group'), kind: header(req, 'rainrun-kind'), deadlineMs };
+  const shared = {
+    id,
+    path,
+    group: header(req, 'rainrun-group'),
+    kind: header(req, 'rainrun-kind'),
+    deadlineMs,
+  };
   if (req.method === 'GET') {
-    return Result.ok({ ...shared, method: 'GET', model: '', adapter: '', prefix: hashText(path), streamed: false, body: undefined });
+    return Result.ok({
+      ...shared,
+      method: 'GET',
+      model: '',
+      adapter: '',
+      prefix: hashText(path),
+      streamed: false,
+      body: undefined,
+    });
   }
   if (req.method !== 'POST') return Result.err(fault('bad-request', `method ${req.method ?? ''}`));
   if (!Buffer.isBuffer(req.body)) return Result.err(fault('bad-request', 'no body'));
@@ -96,7 +119,13 @@
     return Result.err(fault('bad-request', 'the body is not JSON'));
   }
   const chat = v.safeParse(ChatSchema, data);
-  if (!chat.success) return Result.err(fault('bad-request', chat.issues.map((issue) => `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`).join('; ')));
+  if (!chat.success)
+    return Result.err(
+      fault(
+        'bad-request',
+        chat.issues.map((issue) => `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`).join('; '),
+      ),
+    );
   const { model, adapter, stream, messages } = chat.output;
   const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
   return Result.ok({ ...shared, method: 'POST', model, adapter, prefix, streamed: stream, body });
@@ -107,7 +136,13 @@
  * @example
  * visit(gate, 'edge-1', chance, req, res);
  */
-export function visit(gate: Gate, edge: string, chance: Chance, req: VisitorRequest, res: ServerResponse): void {
+export function visit(
+  gate: Gate,
+  edge: string,
+  chance: Chance,
+  req: VisitorRequest,
+  res: ServerResponse,
+): void {
   const id = `${edge}.${randomId(chance)}`;
   const ask = readAsk(req, id);
   if (ask.isErr) return sendFault(res, ask.error, id);
--- a/packages/runtime/src/wire.ts
+++ b/packages/runtime/src/wire.ts
@@ -46,7 +46,15 @@
   #failedMs = new Map<string, number>();
   #guests = new Set<Socket>();
   #closed = false;
-  readonly counts: WireCounts = { framesIn: 0, framesOut: 0, bytesIn: 0, bytesOut: 0, malformed: 0, foreign: 0, dropped: 0 };
+  readonly counts: WireCounts = {
+    framesIn: 0,
+    framesOut: 0,
+    bytesIn: 0,
+    bytesOut: 0,
+    malformed: 0,
+    foreign: 0,
+    dropped: 0,
+  };
 
   constructor(deployment: string, take: (frame: Frame) => void) {
     this.#deployment = deployment;
@@ -65,7 +73,9 @@
     const server = createServer((socket) => this.#guest(socket));
     this.#server = server;
     return new Promise((resolve) => {
-      server.once('error', (thrown) => resolve(Result.err(fault('bad-setting', `bind ${address}: ${thrown.message}`))));
+      server.once('error', (thrown) =>
+        resolve(Result.err(fault('bad-setting', `bind ${address}: ${thrown.message}`))),
+      );
       server.listen(port, host, () => resolve(Result.ok()));
     });
   }
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/figures.ts
@@ -52,7 +52,9 @@
 function prompt(seen: readonly MatineeSeen[], targetMs: number): string {
   const well = seen.filter((one) => one.outcome === 'served' && one.firstPieceMs <= targetMs).length;
   const served = seen.filter((one) => one.outcome === 'served').length;
-  return `${((100 * well) / Math.max(1, seen.length)).toFixed(1)} (${((100 * served) / Math.max(1, seen.length)).toFixed(1)})`.padEnd(16);
+  return `${((100 * well) / Math.max(1, seen.length)).toFixed(1)} (${((100 * served) / Math.max(1, seen.length)).toFixed(1)})`.padEnd(
+    16,
+  );
 }
 
 function fairness(shape: Shape): void {
@@ -60,17 +62,32 @@
   const judged = new Set(day.filter((call) => call.atMs >= 1000 * DAY_S));
   const alone = playMatinee(shape, day, { seed: 1 });
   report('alone', alone);
-  const groups = [...shape.kinds.map(({ group, targetMs }) => ({ group, targetMs })), { group: shape.lookupGroup, targetMs: 250 }];
-  console.log(`the second ${DAY_S} s of a day, beside the flood; in % of a group's own calls: served within target (served at all); flood of ${cli.flags.flood} a second`);
-  console.log(`${'flooded by'.padEnd(18)}${'group'.padEnd(18)}${'alone'.padEnd(16)}${'beside'.padEnd(16)}weights held still`);
+  const groups = [
+    ...shape.kinds.map(({ group, targetMs }) => ({ group, targetMs })),
+    { group: shape.lookupGroup, targetMs: 250 },
+  ];
+  console.log(
+    `the second ${DAY_S} s of a day, beside the flood; in % of a group's own calls: served within target (served at all); flood of ${cli.flags.flood} a second`,
+  );
+  console.log(
+    `${'flooded by'.padEnd(18)}${'group'.padEnd(18)}${'alone'.padEnd(16)}${'beside'.padEnd(16)}weights held still`,
+  );
   for (const { group } of shape.kinds) {
-    const flood = callsOf(makeFlood(shape, group, cli.flags.flood, DAY_S, 2)).map((call) => ({ ...call, atMs: call.atMs + 1000 * DAY_S }));
+    const flood = callsOf(makeFlood(shape, group, cli.flags.flood, DAY_S, 2)).map((call) => ({
+      ...call,
+      atMs: call.atMs + 1000 * DAY_S,
+    }));
     const both = [...day, ...flood].sort((one, other) => one.atMs - other.atMs);
     const beside = playMatinee(shape, both, { seed: 1 });
     const still = playMatinee(shape, both, { seed: 1, loops: STILL });
     report(group, beside);
     for (const other of groups) {
-      const [a, b, c] = [alone, beside, still].map(({ seen }) => prompt(seen.filter((one) => one.call.group === other.group && judged.has(one.call)), other.targetMs));
+      const [a, b, c] = [alone, beside, still].map(({ seen }) =>
+        prompt(
+          seen.filter((one) => one.call.group === other.group && judged.has(one.call)),
+          other.targetMs,
+        ),
+      );
       console.log(`${group.padEnd(18)}${other.group.padEnd(18)}${a ?? ''}${b ?? ''}${c ?? ''}`);
     }
   }
@@ -86,15 +103,25 @@
   const half = callsOf(makeDay(shape, 2 * DAY_S, 1));
   function other(call: Call): Call {
     const number = Number(call.model.split('-')[1]);
-    return { ...call, atMs: call.atMs + 2000 * DAY_S, model: call.model === '' ? '' : `${shape.modelWord}-${shape.models + 1 - number}`, adapter: '' };
+    return {
+      ...call,
+      atMs: call.atMs + 2000 * DAY_S,
+      model: call.model === '' ? '' : `${shape.modelWord}-${shape.models + 1 - number}`,
+      adapter: '',
+    };
   }
   const calls = [...half, ...half.map(other)];
-  for (const [name, loops] of [['placed', {}], ['placement held still', UNPLACED]] as const) {
+  for (const [name, loops] of [
+    ['placed', {}],
+    ['placement held still', UNPLACED],
+  ] as const) {
     const matinee = playMatinee(shape, calls, { seed: 1, loops, spec: specOf(shape) });
     report(name, matinee);
     const atMs = 2000 * DAY_S;
     const questions = matinee.seen.filter((one) => one.call.model !== '');
-    const late = questions.filter((one) => one.call.atMs >= atMs && (one.outcome !== 'served' || one.firstPieceMs > 3000));
+    const late = questions.filter(
+      (one) => one.call.atMs >= atMs && (one.outcome !== 'served' || one.firstPieceMs > 3000),
+    );
     const settledMs = Math.max(0, ...late.map((one) => one.call.atMs - atMs));
     const moves = matinee.orders.filter((order) => order.atMs >= atMs);
     const last = moves.filter((order) => order.atMs >= atMs + 1000 * DAY_S);
@@ -103,9 +130,21 @@
     }
     const before = questions.filter((one) => one.call.atMs < atMs && one.call.atMs > 20_000);
     const after = questions.filter((one) => one.call.atMs >= atMs + 20_000);
-    console.log(`${name}: last call refused or later than 3 s came ${(settledMs / 1000).toFixed(1)} s after the shift, ${late.length} of ${questions.filter((one) => one.call.atMs >= atMs).length}`);
-    console.log(`  loads ${count(moves, 'load')}, unloads ${count(moves, 'unload')} after the shift; in the last ${DAY_S} s ${count(last, 'load')} and ${count(last, 'unload')}`);
-    console.log(`  first piece p95: ${quantile(before.map((one) => one.firstPieceMs), 0.95).toFixed(0)} ms before, ${quantile(after.map((one) => one.firstPieceMs), 0.95).toFixed(0)} ms from 20 s after`);
+    console.log(
+      `${name}: last call refused or later than 3 s came ${(settledMs / 1000).toFixed(1)} s after the shift, ${late.length} of ${questions.filter((one) => one.call.atMs >= atMs).length}`,
+    );
+    console.log(
+      `  loads ${count(moves, 'load')}, unloads ${count(moves, 'unload')} after the shift; in the last ${DAY_S} s ${count(last, 'load')} and ${count(last, 'unload')}`,
+    );
+    console.log(
+      `  first piece p95: ${quantile(
+        before.map((one) => one.firstPieceMs),
+        0.95,
+      ).toFixed(0)} ms before, ${quantile(
+        after.map((one) => one.firstPieceMs),
+        0.95,
+      ).toFixed(0)} ms from 20 s after`,
+    );
   }
 }
 
@@ -116,13 +155,31 @@
   const { group, kind, stream, chars } = sample;
   const calls = Array.from({ length: 4 * shape.models }, (_, place): Call => {
     const model = `${shape.modelWord}-${1 + (place % shape.models)}`;
-    return { atMs: 200 * place, group, kind, path: '/v1/chat/completions', model, adapter: '', stream, prefix: 0, chars };
+    return {
+      atMs: 200 * place,
+      group,
+      kind,
+      path: '/v1/chat/completions',
+      model,
+      adapter: '',
+      stream,
+      prefix: 0,
+      chars,
+    };
   });
   const matinee = playMatinee(shape, calls, { seed: 1, spec: specOf(shape) });
   report('cold', matinee);
   const served = matinee.seen.filter((one) => one.outcome === 'served');
   const models = new Set(served.map((one) => one.call.model));
-  console.log(`models served ${models.size} of ${shape.models}; calls served ${served.length} of ${calls.length}, first piece p50 ${quantile(served.map((one) => one.firstPieceMs), 0.5).toFixed(0)} ms, p95 ${quantile(served.map((one) => one.firstPieceMs), 0.95).toFixed(0)} ms; loads ${matinee.orders.filter((order) => order.action === 'load').length}`);
+  console.log(
+    `models served ${models.size} of ${shape.models}; calls served ${served.length} of ${calls.length}, first piece p50 ${quantile(
+      served.map((one) => one.firstPieceMs),
+      0.5,
+    ).toFixed(0)} ms, p95 ${quantile(
+      served.map((one) => one.firstPieceMs),
+      0.95,
+    ).toFixed(0)} ms; loads ${matinee.orders.filter((order) => order.action === 'load').length}`,
+  );
 }
 
 /** The usual day, with its prefixes and with every prompt beginning alike nowhere. */
@@ -132,7 +189,9 @@
   report('affinity', usual);
   const { hits, misses, savedMs } = usual.prefill;
   const spentMs = day.reduce((sum, call) => sum + call.chars * PREFILL_MS_PER_CHAR, 0);
-  console.log(`prefix kept for ${hits} of ${hits + misses} (${((100 * hits) / (hits + misses)).toFixed(1)} %), ${(savedMs / 1000).toFixed(1)} s of ${(spentMs / 1000).toFixed(1)} s of reading saved`);
+  console.log(
+    `prefix kept for ${hits} of ${hits + misses} (${((100 * hits) / (hits + misses)).toFixed(1)} %), ${(savedMs / 1000).toFixed(1)} s of ${(spentMs / 1000).toFixed(1)} s of reading saved`,
+  );
 }
 
 const shape = SHAPES[cli.flags.shape];
@@ -143,6 +202,8 @@
   console.error('figures: fairness, shift, cold or affinity; see --help');
   process.exitCode = 2;
 } else if (!(room > 0 && room <= 100 && flood > 0 && flood <= 10_000)) {
-  console.error(`figures: --room: found ${room}, expected above 0 and at most 100; --flood: found ${flood}, expected above 0 and at most 10000`);
+  console.error(
+    `figures: --room: found ${room}, expected above 0 and at most 100; --flood: found ${flood}, expected above 0 and at most 10000`,
+  );
   process.exitCode = 2;
 } else act(shape);
--- a/packages/simulator/src/garble.test.ts
+++ b/packages/simulator/src/garble.test.ts
@@ -20,12 +20,16 @@
   let taken = 0;
   for (const bytes of seen) {
     const garbled = Uint8Array.from(bytes);
-    for (let flips = 0; flips < 1; flips += 1) garbled[Math.floor(dice.next() * garbled.length)] = Math.floor(dice.next() * 256);
+    for (let flips = 0; flips < 1; flips += 1)
+      garbled[Math.floor(dice.next() * garbled.length)] = Math.floor(dice.next() * 256);
     const frame = unpack(garbled, 'park');
     if (frame.isErr) continue;
     taken += 1;
     for (const machine of [core, edge]) {
-      machine?.running?.clusterNode.receive({ ...frame.value, to: machine.running.clusterNode.group.seat.incarnation });
+      machine?.running?.clusterNode.receive({
+        ...frame.value,
+        to: machine.running.clusterNode.group.seat.incarnation,
+      });
       machine?.running?.clusterNode.tick();
     }
   }
--- a/packages/simulator/src/grounds.ts
+++ b/packages/simulator/src/grounds.ts
@@ -112,12 +112,18 @@
 
   order(by: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
     const { time, oracle, dice, isCut } = this.#grounds;
-    if (!this.up || this.dark || isCut(by, this.name)) return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
+    if (!this.up || this.dark || isCut(by, this.name))
+      return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
     const acts = order.action !== 'inventory';
     const spec = this.#grounds.spec();
     if (spec !== undefined) this.#heldMb(spec);
     if (acts) oracle.orderBegins(this.name, by, order.epoch, time.nowMs());
-    if (order.epoch < this.#epoch) oracle.breach('orders are fenced', `${this.name} got epoch ${order.epoch} after ${this.#epoch}`, time.nowMs());
+    if (order.epoch < this.#epoch)
+      oracle.breach(
+        'orders are fenced',
+        `${this.name} got epoch ${order.epoch} after ${this.#epoch}`,
+        time.nowMs(),
+      );
     this.#epoch = Math.max(this.#epoch, order.epoch);
     const busy = time.nowMs() < this.#busyUntilMs;
     if (acts && !busy) this.#grounds.ordered(order.action);
@@ -162,7 +168,11 @@
     const warmMs = time.nowMs() - (this.#loadedMs.get(model) ?? -Infinity);
     const atOnce = [...this.#works].filter((other) => other.model === model).length;
     if (warmMs < WARM_MS && atOnce > WARM_MOST) {
-      oracle.breach('a warming worker is not flooded', `${this.name}, ${atOnce} at once ${warmMs.toFixed(0)} ms after loading`, time.nowMs());
+      oracle.breach(
+        'a warming worker is not flooded',
+        `${this.name}, ${atOnce} at once ${warmMs.toFixed(0)} ms after loading`,
+        time.nowMs(),
+      );
     }
     this.#runs += 1;
     const run = `${this.name}-${this.#runs}`;
@@ -271,6 +281,11 @@
     const spec = this.#grounds.spec();
     if (spec === undefined || this.kind === 'lookup') return;
     const heldMb = this.#heldMb(spec);
-    if (heldMb > spec.workers.roomMb) this.#grounds.oracle.breach('room is kept', `${this.name} was told to hold ${heldMb} MB`, this.#grounds.time.nowMs());
+    if (heldMb > spec.workers.roomMb)
+      this.#grounds.oracle.breach(
+        'room is kept',
+        `${this.name} was told to hold ${heldMb} MB`,
+        this.#grounds.time.nowMs(),
+      );
   }
 }
--- a/packages/simulator/src/lines.ts
+++ b/packages/simulator/src/lines.ts
@@ -64,14 +64,26 @@
   #heardMs = 0;
   #line: WorkerLine | undefined;
 
-  constructor(grounds: Grounds, edge: string, worker: SimWorker, request: SendRequest, handler: SendHandler, atEdge: AtEdge, isPowered: () => boolean) {
+  constructor(
+    grounds: Grounds,
+    edge: string,
+    worker: SimWorker,
+    request: SendRequest,
+    handler: SendHandler,
+    atEdge: AtEdge,
+    isPowered: () => boolean,
+  ) {
     this.#grounds = grounds;
     this.#request = request;
     this.#handler = handler;
     this.#worker = worker;
     this.#atEdge = atEdge;
     this.#there = new Pipe(grounds, () => grounds.isCut(edge, worker.name), isPowered);
-    this.#back = new Pipe(grounds, () => grounds.isCut(worker.name, edge), () => worker.up);
+    this.#back = new Pipe(
+      grounds,
+      () => grounds.isCut(worker.name, edge),
+      () => worker.up,
+    );
     this.#connect(() => grounds.isCut(edge, worker.name) || grounds.isCut(worker.name, edge));
   }
 
@@ -159,7 +171,13 @@
   #atEdge: AtEdge;
   #isPowered: () => boolean;
 
-  constructor(grounds: Grounds, edge: string, workers: readonly SimWorker[], atEdge: AtEdge, isPowered: () => boolean) {
+  constructor(
+    grounds: Grounds,
+    edge: string,
+    workers: readonly SimWorker[],
+    atEdge: AtEdge,
+    isPowered: () => boolean,
+  ) {
     this.#isPowered = isPowered;
     this.#grounds = grounds;
     this.#edge = edge;
@@ -175,7 +193,16 @@
 
   send(request: SendRequest, handler: SendHandler): Sending {
     const worker = this.#workers.find((known) => known.name === request.address);
-    if (worker !== undefined) return new SimFlight(this.#grounds, this.#edge, worker, request, handler, this.#atEdge, this.#isPowered);
+    if (worker !== undefined)
+      return new SimFlight(
+        this.#grounds,
+        this.#edge,
+        worker,
+        request,
+        handler,
+        this.#atEdge,
+        this.#isPowered,
+      );
     this.#grounds.time.after(1, () => this.#atEdge(() => handler.failed(false, 'no such address')));
     return { abort: () => undefined, pause: () => undefined, resume: () => undefined };
   }
--- a/packages/simulator/src/matinee.ts
+++ b/packages/simulator/src/matinee.ts
@@ -33,10 +33,19 @@
  * @example
  * const matinee = playMatinee(SHAPES['vejsargs'], day.calls, { seed: 1 });
  */
-export function playMatinee(shape: Shape, calls: readonly Call[], options: { seed: number; spec?: object; loops?: SiteLoops }): Matinee {
+export function playMatinee(
+  shape: Shape,
+  calls: readonly Call[],
+  options: { seed: number; spec?: object; loops?: SiteLoops },
+): Matinee {
   const { cores, edges, workers, zones, pool } = shape;
   const spec = (options.spec ?? exampleSpec(shape)) as { workers: { slots: number } };
-  const site = new Site(options.seed, { cores, edges, workers, zones, pool, slots: spec.workers.slots }, 0, options.loops);
+  const site = new Site(
+    options.seed,
+    { cores, edges, workers, zones, pool, slots: spec.workers.slots },
+    0,
+    options.loops,
+  );
   const { time, oracle } = site;
   site.notes = false;
   for (const machine of site.machines) site.boot(machine);
@@ -52,8 +61,21 @@
       seen.push(record);
       if (edge === undefined) return;
       const { path, group, kind, model, adapter, stream, prefix, chars } = call;
-      const work = { prefix: `${model}/${adapter}/${prefix}`, prefillMs: chars * PREFILL_MS_PER_CHAR, pieces: 4 + ((place * 7) % 12), gapMs: GAP_MS };
-      const asked = { path, group, kind, model, adapter, prefix: hashText(`${model}/${adapter}/${prefix}`), streamed: stream };
+      const work = {
+        prefix: `${model}/${adapter}/${prefix}`,
+        prefillMs: chars * PREFILL_MS_PER_CHAR,
+        pieces: 4 + ((place * 7) % 12),
+        gapMs: GAP_MS,
+      };
+      const asked = {
+        path,
+        group,
+        kind,
+        model,
+        adapter,
+        prefix: hashText(`${model}/${adapter}/${prefix}`),
+        streamed: stream,
+      };
       const askedMs = time.nowMs();
       site.call(edge, model === '' ? asked : { ...asked, work }, (outcome, firstMs, worker) => {
         record.outcome = outcome;
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -73,8 +73,15 @@
     const oracle = new Oracle();
     function withMark(number: number, sizeMb: number): Held<Stage> {
       const version = held(number);
-      const text = JSON.stringify({ ...trialSpec(0), adapters: [{ name: 'race-1', model: 'model-0', sizeMb }] });
-      return { ...version, play: applyToStage(EMPTY_STAGE, { id: 'p', kind: 'spec.put', payload: JSON.stringify({ text }) }, 2).state };
+      const text = JSON.stringify({
+        ...trialSpec(0),
+        adapters: [{ name: 'race-1', model: 'model-0', sizeMb }],
+      });
+      return {
+        ...version,
+        play: applyToStage(EMPTY_STAGE, { id: 'p', kind: 'spec.put', payload: JSON.stringify({ text }) }, 2)
+          .state,
+      };
     }
     for (const _ of [7, 8]) oracle.edits('race-1');
     oracle.edited('race-1', 7, 'agreed', 2);
@@ -144,7 +151,10 @@
     expect(rules(oracle)).toEqual([]);
     oracle.sent('id-0', 20);
     for (let pull = 0; pull < 3; pull += 1) oracle.pulled(2, pull);
-    expect([...new Set(rules(oracle))]).toEqual(['retries stay within the budget', 'the store is not asked too often']);
+    expect([...new Set(rules(oracle))]).toEqual([
+      'retries stay within the budget',
+      'the store is not asked too often',
+    ]);
   });
 
   it('one holder of the duty, one node orders a worker', () => {
@@ -165,10 +175,13 @@
   });
 
   it('draws a timeline with a column for each node', () => {
-    const drawn = renderTimeline(['a', 'b'], [
-      { atMs: 5, node: 'b', text: 'boots' },
-      { atMs: 7, node: '', text: 'cut' },
-    ]);
+    const drawn = renderTimeline(
+      ['a', 'b'],
+      [
+        { atMs: 5, node: 'b', text: 'boots' },
+        { atMs: 7, node: '', text: 'cut' },
+      ],
+    );
     expect(drawn.split('\n').map((line) => line.trimEnd())).toEqual([
       '      ms  a                     b',
       '       5                        boots',
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -114,10 +114,15 @@
     const known = this.#digests.get(number);
     if (known === undefined) this.#digests.set(number, { digest, by: incarnation });
     else if (known.digest !== digest) {
-      this.breach('one history', `version ${number} is ${known.digest} at ${known.by} and ${digest} at ${incarnation}`, atMs);
+      this.breach(
+        'one history',
+        `version ${number} is ${known.digest} at ${known.by} and ${digest} at ${incarnation}`,
+        atMs,
+      );
     }
     const before = this.#newest.get(incarnation) ?? 0;
-    if (number <= before) this.breach('versions never go back', `${incarnation} went from ${before} to ${number}`, atMs);
+    if (number <= before)
+      this.breach('versions never go back', `${incarnation} went from ${before} to ${number}`, atMs);
     this.#newest.set(incarnation, number);
     this.#judgeMarks(held, atMs);
     for (const [zone, emptied] of this.#emptiedMs) {
@@ -143,28 +148,50 @@
   #judgeMarks(held: Held<Stage>, atMs: number): void {
     const adapters = held.play.spec?.spec.adapters ?? [];
     for (const { name, sizeMb } of adapters) {
-      if (name.startsWith('race-') && this.#refusedMarks.has(sizeMb)) this.breach('a refused change never shows', `${name} with mark ${sizeMb}`, atMs);
+      if (name.startsWith('race-') && this.#refusedMarks.has(sizeMb))
+        this.breach('a refused change never shows', `${name} with mark ${sizeMb}`, atMs);
     }
     for (const [name, { mark, number }] of this.#marks) {
       if (held.number < number || (this.#editing.get(name) ?? 0) > 0) continue;
       const found = adapters.find((known) => known.name === name)?.sizeMb;
-      if (found !== mark) this.breach('an agreed change stays', `${name} has mark ${found} at ${held.number}, was agreed as ${mark} in ${number}`, atMs);
+      if (found !== mark)
+        this.breach(
+          'an agreed change stays',
+          `${name} has mark ${found} at ${held.number}, was agreed as ${mark} in ${number}`,
+          atMs,
+        );
     }
   }
 
   /** A visitor's request enters an edge. */
   asked(id: string, repeatable: boolean): void {
-    this.#visits.set(id, { repeatable, sends: 0, runs: 0, told: undefined, run: '', pieces: 0, of: 0, whole: false });
+    this.#visits.set(id, {
+      repeatable,
+      sends: 0,
+      runs: 0,
+      told: undefined,
+      run: '',
+      pieces: 0,
+      of: 0,
+      whole: false,
+    });
   }
 
   /** A visitor is given a piece of an answer. */
   piece(id: string, piece: Piece, atMs: number): void {
     const visit = this.#visits.get(id);
     if (visit === undefined) return;
-    if (piece.id !== id) this.breach('nobody else\'s answer', `${id} was given a piece of ${piece.id}`, atMs);
-    if (visit.whole) this.breach('nothing after the end', `${id} was given piece ${piece.place} after its end`, atMs);
-    if (visit.pieces > 0 && visit.run !== piece.run) this.breach('one run in an answer', `${id} was given ${piece.run} after ${visit.run}`, atMs);
-    if (piece.place !== visit.pieces) this.breach('no piece skipped or repeated', `${id} was given piece ${piece.place} after ${visit.pieces} pieces`, atMs);
+    if (piece.id !== id) this.breach("nobody else's answer", `${id} was given a piece of ${piece.id}`, atMs);
+    if (visit.whole)
+      this.breach('nothing after the end', `${id} was given piece ${piece.place} after its end`, atMs);
+    if (visit.pieces > 0 && visit.run !== piece.run)
+      this.breach('one run in an answer', `${id} was given ${piece.run} after ${visit.run}`, atMs);
+    if (piece.place !== visit.pieces)
+      this.breach(
+        'no piece skipped or repeated',
+        `${id} was given piece ${piece.place} after ${visit.pieces} pieces`,
+        atMs,
+      );
     visit.run = piece.run;
     visit.of = piece.of;
     visit.pieces = piece.place + 1;
@@ -175,8 +202,14 @@
     const visit = this.#visits.get(id);
     if (visit === undefined) return;
     this.served += 1;
-    if (visit.whole || visit.told !== undefined) this.breach('one end', `${id} was told of a second end`, atMs);
-    if (visit.pieces === 0 || visit.pieces < visit.of) this.breach('a cut answer does not look whole', `${id} ended as whole after ${visit.pieces} of ${visit.of} pieces`, atMs);
+    if (visit.whole || visit.told !== undefined)
+      this.breach('one end', `${id} was told of a second end`, atMs);
+    if (visit.pieces === 0 || visit.pieces < visit.of)
+      this.breach(
+        'a cut answer does not look whole',
+        `${id} ended as whole after ${visit.pieces} of ${visit.of} pieces`,
+        atMs,
+      );
     visit.whole = true;
   }
 
@@ -189,7 +222,12 @@
     while ((this.#firsts[0] ?? Infinity) <= atMs - RETRY_WINDOW_MS) this.#firsts.shift();
     while ((this.#extras[0] ?? Infinity) <= atMs - RETRY_WINDOW_MS) this.#extras.shift();
     const most = 0.2 * this.#firsts.length + RETRY_ALLOWANCE;
-    if (this.#extras.length > most) this.breach('retries stay within the budget', `${this.#extras.length} extra sends for ${this.#firsts.length} first ones`, atMs);
+    if (this.#extras.length > most)
+      this.breach(
+        'retries stay within the budget',
+        `${this.#extras.length} extra sends for ${this.#firsts.length} first ones`,
+        atMs,
+      );
   }
 
   /** A worker runs a request. */
@@ -197,23 +235,37 @@
     const visit = this.#visits.get(id);
     if (visit === undefined) return;
     visit.runs += 1;
-    if (visit.runs > 1 && !visit.repeatable) this.breach('never run twice', `${id} ran ${visit.runs} times`, atMs);
-    if (visit.told !== undefined && !visit.repeatable) this.breach('refused never runs', `${id} was refused as ${visit.told} and ran`, atMs);
+    if (visit.runs > 1 && !visit.repeatable)
+      this.breach('never run twice', `${id} ran ${visit.runs} times`, atMs);
+    if (visit.told !== undefined && !visit.repeatable)
+      this.breach('refused never runs', `${id} was refused as ${visit.told} and ran`, atMs);
     const leavingMs = atMs - (this.#leavingMs.get(worker) ?? Infinity);
-    if (leavingMs > LEAVING_MS) this.breach('no work to a leaving worker', `${worker}, ${leavingMs.toFixed(0)} ms after it was known`, atMs);
+    if (leavingMs > LEAVING_MS)
+      this.breach(
+        'no work to a leaving worker',
+        `${worker}, ${leavingMs.toFixed(0)} ms after it was known`,
+        atMs,
+      );
     const emptiedMs = atMs - (this.#emptiedMs.get(zone)?.atMs ?? Infinity);
-    if (emptiedMs > EMPTIED_MS) this.breach('no work to an emptied zone', `${worker} in ${zone}, ${emptiedMs.toFixed(0)} ms after it was agreed`, atMs);
+    if (emptiedMs > EMPTIED_MS)
+      this.breach(
+        'no work to an emptied zone',
+        `${worker} in ${zone}, ${emptiedMs.toFixed(0)} ms after it was agreed`,
+        atMs,
+      );
   }
 
   /** A visitor was told that its request has not run and never will. */
   toldRefused(id: string, kind: string, atMs: number): void {
     const visit = this.#visits.get(id);
     if (visit === undefined) return;
-    if (visit.whole || visit.pieces > 0) this.breach('one end', `${id} was refused as ${kind} after ${visit.pieces} pieces`, atMs);
+    if (visit.whole || visit.pieces > 0)
+      this.breach('one end', `${id} was refused as ${kind} after ${visit.pieces} pieces`, atMs);
     this.refused += 1;
     this.refusals[kind] = (this.refusals[kind] ?? 0) + 1;
     visit.told = kind;
-    if (visit.runs > 0 && !visit.repeatable) this.breach('refused never runs', `${id} ran and was refused as ${kind}`, atMs);
+    if (visit.runs > 0 && !visit.repeatable)
+      this.breach('refused never runs', `${id} ran and was refused as ${kind}`, atMs);
   }
 
   /** Some node has learned which workers are leaving. */
@@ -230,7 +282,8 @@
   pulled(perMinute: number, atMs: number): void {
     this.#pulls = this.#pulls.filter((pullMs) => atMs - pullMs < 60_000);
     this.#pulls.push(atMs);
-    if (this.#pulls.length > perMinute) this.breach('the store is not asked too often', `${this.#pulls.length} pulls in a minute`, atMs);
+    if (this.#pulls.length > perMinute)
+      this.breach('the store is not asked too often', `${this.#pulls.length} pulls in a minute`, atMs);
   }
 
   #judgeEarly(incarnation: string, held: Held<Stage>): void {
@@ -249,7 +302,11 @@
       const known = this.#cutSets.get(view);
       if (known === undefined) this.#cutSets.set(view, { casts, by: incarnation });
       else if (known.casts !== casts) {
-        this.breach('same casts in a view', `view ${view} ended differently at ${known.by} and ${incarnation}`, atMs);
+        this.breach(
+          'same casts in a view',
+          `view ${view} ended differently at ${known.by} and ${incarnation}`,
+          atMs,
+        );
       }
     }
   }
@@ -269,16 +326,27 @@
     return Object.fromEntries(this.#counts.get(incarnation) ?? []);
   }
 
-  cast(incarnation: string, view: number, sender: string, sequence: number, context: Record<string, number>, atMs: number): void {
+  cast(
+    incarnation: string,
+    view: number,
+    sender: string,
+    sequence: number,
+    context: Record<string, number>,
+    atMs: number,
+  ): void {
     this.casts += 1;
     const counts = this.#counts.get(incarnation) ?? new Map<string, number>();
     for (const [other, count] of Object.entries(context)) {
       if ((counts.get(other) ?? 0) < count) {
         const detail = `${incarnation} delivered ${sender}:${sequence} before ${other}:${count}`;
-        this.#early.set(incarnation, [...(this.#early.get(incarnation) ?? []), { view, other, detail, atMs }]);
+        this.#early.set(incarnation, [
+          ...(this.#early.get(incarnation) ?? []),
+          { view, other, detail, atMs },
+        ]);
       }
     }
-    if ((counts.get(sender) ?? 0) >= sequence) this.breach('once each', `${incarnation} delivered ${sender}:${sequence} again`, atMs);
+    if ((counts.get(sender) ?? 0) >= sequence)
+      this.breach('once each', `${incarnation} delivered ${sender}:${sequence} again`, atMs);
     counts.set(sender, sequence);
     this.#counts.set(incarnation, counts);
     this.#open.get(incarnation)?.get(view)?.casts.push(`${sender}:${sequence}`);
@@ -299,7 +367,11 @@
   admits(incarnation: string, number: number, atMs: number): void {
     for (const agreed of this.#agreed) {
       if (agreed.number > number && atMs > agreed.atMs + IN_FORCE_MS) {
-        this.breach('in force within 2 s', `${incarnation} admits at ${number}, ${agreed.number} was agreed at ${agreed.atMs.toFixed(0)}`, atMs);
+        this.breach(
+          'in force within 2 s',
+          `${incarnation} admits at ${number}, ${agreed.number} was agreed at ${agreed.atMs.toFixed(0)}`,
+          atMs,
+        );
       }
     }
     this.#agreed = this.#agreed.slice(-8);
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -44,7 +44,9 @@
       if (machine === victim && reached === step && kind === 'version') strike();
     };
   }
-  if (step === 'answered') net.tap = (from, frame) => (from === other.name && frame.body.case === 'accepted' ? time.after(0, strike) : undefined);
+  if (step === 'answered')
+    net.tap = (from, frame) =>
+      from === other.name && frame.body.case === 'accepted' ? time.after(0, strike) : undefined;
   if (step === 'told') site.atAnswer = strike;
   site.submit(last, 'zone.empty', { zone: 'north' }, (answer) => {
     told = answer.kind;
@@ -56,12 +58,16 @@
   const stands = last.running?.clusterNode.stage.emptied.includes('north') === true;
   if (told === 'agreed' && !stands) wrong.push('agreed, and gone');
   if (told !== '' && told !== 'agreed' && stands) wrong.push(`${told}, and in force`);
-  return wrong.map((text) => `${step}, ${leading ? 'coordinator' : 'other core'}, ${wiped ? 'disk' : 'power'}: ${text}`);
+  return wrong.map(
+    (text) => `${step}, ${leading ? 'coordinator' : 'other core'}, ${wiped ? 'disk' : 'power'}: ${text}`,
+  );
 }
 
 it('what was agreed outlives the loss of power, or of a disk, at each step of its write and answer', () => {
   const wrong = [1, 2].flatMap((seed) =>
-    STEPS.flatMap((step) => [true, false].flatMap((leading) => [true, false].flatMap((wiped) => lose(seed, step, leading, wiped)))),
+    STEPS.flatMap((step) =>
+      [true, false].flatMap((leading) => [true, false].flatMap((wiped) => lose(seed, step, leading, wiped))),
+    ),
   );
   expect(wrong).toEqual([]);
 });
--- a/packages/simulator/src/scale.ts
+++ b/packages/simulator/src/scale.ts
@@ -24,7 +24,9 @@
   return site.time.nowMs() - beganMs;
 }
 
-console.log('nodes  whole after ms  frames/s  kB/s  frames/s a node  view change after kill ms  agreement ms');
+console.log(
+  'nodes  whole after ms  frames/s  kB/s  frames/s a node  view change after kill ms  agreement ms',
+);
 for (const size of cli.flags.sizes.split(',').map(Number)) {
   const site = new Site(1, { cores: 3, edges: size - 3, workers: 0, zones: ['a', 'b', 'c'] }, 0);
   site.notes = false;
@@ -38,10 +40,13 @@
   const beganMs = site.time.nowMs();
   const last = site.machines.at(-1);
   if (last !== undefined) site.submit(last, 'zone.empty', { zone: 'a' });
-  while (site.oracle.agreedCount === 0 && site.time.nowMs() < beganMs + 5000) site.time.runUntil(site.time.nowMs() + 1);
+  while (site.oracle.agreedCount === 0 && site.time.nowMs() < beganMs + 5000)
+    site.time.runUntil(site.time.nowMs() + 1);
   const agreedMs = site.time.nowMs() - beganMs;
   if (last !== undefined) site.kill(last);
   const changeMs = untilWhole(site, size - 1, site.time.nowMs() + 20_000);
-  const row = [size, wholeMs, framesPerS, kbPerS, framesPerS / size, changeMs, agreedMs].map((value) => value.toFixed(0));
+  const row = [size, wholeMs, framesPerS, kbPerS, framesPerS / size, changeMs, agreedMs].map((value) =>
+    value.toFixed(0),
+  );
   console.log(row.join('  '));
 }
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -33,17 +33,26 @@
       const worker = site.workers.find((known) => known.name === name);
       for (const part of cell.split(',').map((text) => text.trim())) {
         const fault =
-          machine === undefined ? stage.actWorker(worker, part) : part.startsWith('=') ? see(machine, part.slice(1)) : stage.act(machine, part);
+          machine === undefined
+            ? stage.actWorker(worker, part)
+            : part.startsWith('=')
+              ? see(machine, part.slice(1))
+              : stage.act(machine, part);
         if (fault !== undefined) wrong.push(`${row[0] ?? ''} ms, ${name}: ${fault}`);
       }
     });
   }
-  for (const { rule, detail, atMs } of site.oracle.breaches) wrong.push(`${atMs.toFixed(0)} ms: ${rule}: ${detail}`);
+  for (const { rule, detail, atMs } of site.oracle.breaches)
+    wrong.push(`${atMs.toFixed(0)} ms: ${rule}: ${detail}`);
   return wrong;
 }
 
 /** Programs of other levels of the protocol, by the word after `boot`. */
-const LEVELS: Readonly<Record<string, Speaks>> = { older: { least: 1, most: 1 }, newer: { least: 2, most: 3 }, far: { least: 3, most: 4 } };
+const LEVELS: Readonly<Record<string, Speaks>> = {
+  older: { least: 1, most: 1 },
+  newer: { least: 2, most: 3 },
+  far: { least: 3, most: 4 },
+};
 
 class Script {
   #site: Site;
@@ -62,7 +71,10 @@
         return undefined;
       case 'add':
         return this.#submitted(
-          this.#site.submit(machine, 'spec.edit', { seen: machine.running?.clusterNode.stage.spec?.version ?? 0, edit: { add: { zones: [word] } } }),
+          this.#site.submit(machine, 'spec.edit', {
+            seen: machine.running?.clusterNode.stage.spec?.version ?? 0,
+            edit: { add: { zones: [word] } },
+          }),
         );
       case 'kill':
         this.#site.kill(machine);
@@ -88,7 +100,10 @@
         this.#cut(machine.name, (from) => from === machine.name);
         return undefined;
       case 'part':
-        this.#cut(machine.name, (from, to) => (from === machine.name && to === word) || (from === word && to === machine.name));
+        this.#cut(
+          machine.name,
+          (from, to) => (from === machine.name && to === word) || (from === word && to === machine.name),
+        );
         return undefined;
       case 'heal':
         this.#heal(machine.name);
@@ -101,7 +116,9 @@
         machine.running?.clusterNode.group.leave();
         return undefined;
       case 'put':
-        return this.#submitted(this.#site.submit(machine, 'spec.put', { base: Number(word), text: JSON.stringify(trialSpec(0)) }));
+        return this.#submitted(
+          this.#site.submit(machine, 'spec.put', { base: Number(word), text: JSON.stringify(trialSpec(0)) }),
+        );
       case 'empty':
         return this.#submitted(this.#site.submit(machine, 'zone.empty', { zone: word }));
       default:
@@ -145,7 +162,8 @@
   #visit(machine: Machine, lookup: boolean, count: number): string | undefined {
     const edge = machine.running?.edge;
     if (edge === undefined) return 'is no edge that runs';
-    for (let place = 0; place < count; place += 1) this.#site.visit(edge, lookup, lookup ? '' : `model-${place % 8}`);
+    for (let place = 0; place < count; place += 1)
+      this.#site.visit(edge, lookup, lookup ? '' : `model-${place % 8}`);
     return undefined;
   }
 
@@ -180,7 +198,9 @@
     emptied: stage.emptied.join('+'),
     level: group.held?.level ?? 0,
     zones: stage.spec?.spec.zones.length ?? 0,
-    voters: (group.held?.voters ?? []).filter((voter) => group.view?.members.some((member) => member.disk === voter.disk)).length,
+    voters: (group.held?.voters ?? []).filter((voter) =>
+      group.view?.members.some((member) => member.disk === voter.disk),
+    ).length,
   };
   const wanted = word === '' ? 'true' : word;
   const found = seen[what];
--- a/packages/simulator/src/seeds.ts
+++ b/packages/simulator/src/seeds.ts
@@ -49,11 +49,16 @@
   if (result.breaches.length > 0) {
     failed += 1;
     console.log(`seed ${seed} FAILED after: ${result.faults.join('; ')}`);
-    for (const { rule, detail, atMs } of result.breaches) console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
+    for (const { rule, detail, atMs } of result.breaches)
+      console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
   }
   if (result.breaches.length > 0 || cli.flags.show) console.log(result.timeline);
 }
-console.log(`operations answered ${agreed}, versions delivered ${versions}, casts delivered ${casts}, slowest recovery ${slowestMs.toFixed(0)} ms`);
-console.log(`requests served ${served}, refused ${refused} ${JSON.stringify(refusals)}, of unknown outcome ${unknown}, streams cut ${cuts}`);
+console.log(
+  `operations answered ${agreed}, versions delivered ${versions}, casts delivered ${casts}, slowest recovery ${slowestMs.toFixed(0)} ms`,
+);
+console.log(
+  `requests served ${served}, refused ${refused} ${JSON.stringify(refusals)}, of unknown outcome ${unknown}, streams cut ${cuts}`,
+);
 console.log(`seeds: ${cli.flags.count - failed} passed, ${failed} failed`);
 process.exitCode = failed === 0 ? 0 : 1;
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -75,7 +75,10 @@
 }
 
 /** A visitor's question, as a day has it. */
-export interface SimCall extends Pick<Ask, 'path' | 'group' | 'kind' | 'model' | 'adapter' | 'prefix' | 'streamed'> {
+export interface SimCall extends Pick<
+  Ask,
+  'path' | 'group' | 'kind' | 'model' | 'adapter' | 'prefix' | 'streamed'
+> {
   readonly work?: SimWork;
 }
 
@@ -128,7 +131,15 @@
       const name = core ? `core-${place}` : `edge-${place - size.cores}`;
       const disk = core ? new SimDisk(this.time, this.#dice) : undefined;
       const zone = size.zones[place % size.zones.length] ?? '';
-      this.machines.push({ name, zone, disk, address: `${name}:0`, running: undefined, boots: 0, speaks: SPEAKS });
+      this.machines.push({
+        name,
+        zone,
+        disk,
+        address: `${name}:0`,
+        running: undefined,
+        boots: 0,
+        speaks: SPEAKS,
+      });
     }
     this.seeds = this.machines.slice(0, 3);
     this.#founders = this.machines.slice(0, size.cores).map((machine) => machine.name);
@@ -164,7 +175,8 @@
   boot(machine: Machine): void {
     if (machine.running !== undefined) return;
     machine.boots += 1;
-    const opening = machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#dice));
+    const opening =
+      machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#dice));
     if (opening?.isErr === true) {
       this.oracle.breach('disk reads back', `${machine.name}: ${opening.error.detail}`, this.time.nowMs());
       return;
@@ -213,7 +225,12 @@
   }
 
   /** Sends an operation from a node; the oracle hears the answer. */
-  submit(machine: Machine, kind: string, payload: unknown, told: (answer: Answer) => void = () => undefined): string {
+  submit(
+    machine: Machine,
+    kind: string,
+    payload: unknown,
+    told: (answer: Answer) => void = () => undefined,
+  ): string {
     const id = randomId(this.#dice);
     const sent = machine.running?.clusterNode.submit(id, kind, JSON.stringify(payload), (answer: Answer) => {
       this.oracle.answered(id, answer.kind, answer.number, this.time.nowMs());
@@ -221,7 +238,8 @@
       told(answer);
       this.atAnswer?.();
       const zone = (payload as { zone?: string }).zone;
-      if (kind === 'zone.empty' && answer.kind === 'agreed' && zone !== undefined) this.oracle.zoneEmptied(zone, answer.number, this.time.nowMs());
+      if (kind === 'zone.empty' && answer.kind === 'agreed' && zone !== undefined)
+        this.oracle.zoneEmptied(zone, answer.number, this.time.nowMs());
     });
     return sent?.isOk === true ? id : '';
   }
@@ -230,7 +248,9 @@
   votersSeated(): number {
     const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.held ?? []);
     const held = helds.sort((one, other) => other.number - one.number)[0];
-    return (held?.voters ?? []).filter((voter) => held?.view.members.some((member) => member.disk === voter.disk)).length;
+    return (held?.voters ?? []).filter((voter) =>
+      held?.view.members.some((member) => member.disk === voter.disk),
+    ).length;
   }
 
   /** Whether every machine runs, in one view, and may admit. */
@@ -242,7 +262,8 @@
       if (group.view === undefined) return `${machine.name} is in no view`;
       if (!group.granted()) return `${machine.name} may not admit`;
       views.add(group.view.number);
-      if (group.view.members.length !== this.machines.length) return `${machine.name} sees ${group.view.members.length} members`;
+      if (group.view.members.length !== this.machines.length)
+        return `${machine.name} sees ${group.view.members.length} members`;
     }
     return views.size === 1 ? undefined : 'views differ';
   }
@@ -286,7 +307,8 @@
 
   #take(machine: Machine, running: Running, frame: Frame): void {
     if (machine.running !== running) return;
-    if (running.waiting.length < 5000) this.#atNode(machine, running, () => running.clusterNode.receive(frame));
+    if (running.waiting.length < 5000)
+      this.#atNode(machine, running, () => running.clusterNode.receive(frame));
   }
 
   #wake(machine: Machine, running: Running): void {
@@ -339,8 +361,19 @@
 
   #heard(clusterNode: ClusterNode, sender: string, payload: Uint8Array): void {
     if (payload[0] !== NOTE[0]) return;
-    const note = JSON.parse(Buffer.from(payload.subarray(1)).toString()) as { view: number; sequence: number; context: Record<string, number> };
-    this.oracle.cast(clusterNode.group.seat.incarnation, note.view, sender, note.sequence, note.context, this.time.nowMs());
+    const note = JSON.parse(Buffer.from(payload.subarray(1)).toString()) as {
+      view: number;
+      sequence: number;
+      context: Record<string, number>;
+    };
+    this.oracle.cast(
+      clusterNode.group.seat.incarnation,
+      note.view,
+      sender,
+      note.sequence,
+      note.context,
+      this.time.nowMs(),
+    );
   }
 
   #edge(machine: Machine, running: Running): Edge {
@@ -352,7 +385,15 @@
       (act) => this.#atNode(machine, running, act),
       () => machine.running === running,
     );
-    return new Edge(running.clusterNode, machine.name, machine.zone, clock, this.#dice, sender, this.#loops.weights);
+    return new Edge(
+      running.clusterNode,
+      machine.name,
+      machine.zone,
+      clock,
+      this.#dice,
+      sender,
+      this.#loops.weights,
+    );
   }
 
   /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
@@ -360,7 +401,15 @@
     const streamed = !lookup && this.#dice.next() < 0.6;
     const path = lookup ? '/lookup/1' : '/v1/chat/completions';
     const prefix = Math.floor(this.#dice.next() * 8);
-    const leave = this.call(edge, { path, group: 'technicians', kind: 'question', model, adapter: '', prefix, streamed });
+    const leave = this.call(edge, {
+      path,
+      group: 'technicians',
+      kind: 'question',
+      model,
+      adapter: '',
+      prefix,
+      streamed,
+    });
     if (this.#dice.next() < LEAVES_RATIO) this.time.after(this.#dice.next() * 400, leave);
   }
 
@@ -371,15 +420,42 @@
     const lookup = model === '';
     this.#wishes.set(id, { model, streamed, ...(work === undefined ? {} : { work }) });
     this.oracle.asked(id, lookup);
-    const ask = { id, path, group, kind, model, adapter, prefix, streamed, body: undefined, deadlineMs: undefined };
-    return edge.gate.grantEntry({ ...ask, method: lookup ? 'GET' : 'POST' }, new SimVisitor(this.oracle, id, () => this.time.nowMs(), ended));
+    const ask = {
+      id,
+      path,
+      group,
+      kind,
+      model,
+      adapter,
+      prefix,
+      streamed,
+      body: undefined,
+      deadlineMs: undefined,
+    };
+    return edge.gate.grantEntry(
+      { ...ask, method: lookup ? 'GET' : 'POST' },
+      new SimVisitor(this.oracle, id, () => this.time.nowMs(), ended),
+    );
   }
 
   #probe(machine: Machine, running: Running): void {
     const { group } = running.clusterNode;
-    if (group.granted()) this.oracle.admits(`${machine.name}/${group.seat.incarnation}`, group.held?.number ?? 0, this.time.nowMs());
-    const holders = this.machines.filter((other) => other.running !== undefined && !other.running.frozen && other.running.clusterNode.group.dutyEpoch() !== undefined);
-    this.oracle.duty(holders.map((other) => other.name), this.time.nowMs());
+    if (group.granted())
+      this.oracle.admits(
+        `${machine.name}/${group.seat.incarnation}`,
+        group.held?.number ?? 0,
+        this.time.nowMs(),
+      );
+    const holders = this.machines.filter(
+      (other) =>
+        other.running !== undefined &&
+        !other.running.frozen &&
+        other.running.clusterNode.group.dutyEpoch() !== undefined,
+    );
+    this.oracle.duty(
+      holders.map((other) => other.name),
+      this.time.nowMs(),
+    );
   }
 
   #diskFailed(machine: Machine, failed: Fault): void {
@@ -407,7 +483,13 @@
     });
   }
 
-  #order(machine: Machine, clusterNode: ClusterNode, to: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
+  #order(
+    machine: Machine,
+    clusterNode: ClusterNode,
+    to: string,
+    order: Order,
+    done: (reply: Result<OrderReply, Fault>) => void,
+  ): void {
     const worker = this.workers.find((known) => known.name === to);
     const running = machine.running;
     if (worker === undefined || running?.clusterNode !== clusterNode) return;
--- a/packages/simulator/src/stalls.ts
+++ b/packages/simulator/src/stalls.ts
@@ -126,7 +126,8 @@
     const before = this.#taken.at(-1);
     if (before !== undefined && before.holder !== taken.holder) {
       const back = this.#taken.findLast((known) => known.holder === taken.holder);
-      if (back !== undefined && taken.atMs - back.atMs < LEASE_MS) this.#yard.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
+      if (back !== undefined && taken.atMs - back.atMs < LEASE_MS)
+        this.#yard.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
     }
     this.#taken.push(taken);
     if (this.#taken.length > 64) this.#taken.shift();
@@ -171,9 +172,17 @@
   }
 
   #checkRoom(what: string): void {
-    const over = this.usedMb() > ENGINE.roomMb ? `${this.usedMb()} MB of ${ENGINE.roomMb}` : this.adapters() > ENGINE.adapterPlaces ? `${this.adapters()} adapters of ${ENGINE.adapterPlaces}` : undefined;
+    const over =
+      this.usedMb() > ENGINE.roomMb
+        ? `${this.usedMb()} MB of ${ENGINE.roomMb}`
+        : this.adapters() > ENGINE.adapterPlaces
+          ? `${this.adapters()} adapters of ${ENGINE.adapterPlaces}`
+          : undefined;
     if (over === undefined) return;
-    this.#yard.breach('limit', `${this.address} ordered to load ${what}: ${over}; holds ${[...this.models.keys()].join(', ')}`);
+    this.#yard.breach(
+      'limit',
+      `${this.address} ordered to load ${what}: ${over}; holds ${[...this.models.keys()].join(', ')}`,
+    );
     this.restart();
   }
 }
@@ -199,7 +208,8 @@
     this.time = time;
     this.dice = dice;
     this.breach = breach;
-    for (let place = 0; place < workers; place += 1) this.stalls.push(new Stall(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
+    for (let place = 0; place < workers; place += 1)
+      this.stalls.push(new Stall(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
   }
 
   /** The platform begins to list what stands here. */
@@ -230,9 +240,14 @@
   /** A holder sends an order: fences never go back between holders, whatever worker it is for. */
   sent(holder: string, fence: number): void {
     const other = this.#fences.get(fence);
-    if (other !== undefined && other !== holder) this.breach('one holder', `${other} and ${holder} share fence ${fence}`);
+    if (other !== undefined && other !== holder)
+      this.breach('one holder', `${other} and ${holder} share fence ${fence}`);
     this.#fences.set(fence, holder);
-    if (fence < this.#newest.fence) this.breach('one holder', `${holder} orders under ${fence} after ${this.#newest.holder} did under ${this.#newest.fence}`);
+    if (fence < this.#newest.fence)
+      this.breach(
+        'one holder',
+        `${holder} orders under ${fence} after ${this.#newest.holder} did under ${this.#newest.fence}`,
+      );
     if (fence >= this.#newest.fence) this.#newest = { fence, holder };
   }
 
@@ -241,13 +256,21 @@
     this.loads.push(atMs);
     const bound = ENGINE.loadsPerS * (WINDOW_MS / 1000) * OVERSHOOT + LOADS_EXTRA;
     const inWindow = this.loads.filter((known) => known > atMs - WINDOW_MS).length;
-    if (inWindow > bound) this.breach('ceiling', `${inWindow} loads from the store in ${WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`);
+    if (inWindow > bound)
+      this.breach(
+        'ceiling',
+        `${inWindow} loads from the store in ${WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`,
+      );
   }
 
   /** A model begins to load in a zone. */
   placed(stall: Stall, model: string): void {
     const sinceMs = this.#evacuatedMs.get(stall.zone);
-    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATE_MS) this.breach('evacuation', `${stall.address} in ${stall.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`);
+    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATE_MS)
+      this.breach(
+        'evacuation',
+        `${stall.address} in ${stall.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`,
+      );
   }
 
   /** What the platform's list shows to one who asks now. */
--- a/packages/simulator/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -37,7 +37,8 @@
   if (result.breaches.length > 0) {
     failed += 1;
     console.log(`seed ${seed} FAILED after: ${result.troubles.join('; ')}`);
-    for (const { rule, detail, atMs } of result.breaches) console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
+    for (const { rule, detail, atMs } of result.breaches)
+      console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
   }
   if (!cli.flags.brief && (result.breaches.length > 0 || cli.flags.show)) console.log(result.timeline);
 }
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -1,5 +1,14 @@
 import { renderTimeline } from './timeline.js';
-import { sampleDocument, SMALL_SYSTEM, System, type CallEnd, type Need, type Station, type SystemBreach, type SystemSize } from './system.js';
+import {
+  sampleDocument,
+  SMALL_SYSTEM,
+  System,
+  type CallEnd,
+  type Need,
+  type Station,
+  type SystemBreach,
+  type SystemSize,
+} from './system.js';
 
 /** How long the parts of a day are. */
 export interface DaySpans {
@@ -58,7 +67,8 @@
     system.start();
     this.put();
     time.runUntil(trafficMs);
-    if (system.acked.revision === 0) system.breach('late answer', 'the first configuration is not acknowledged');
+    if (system.acked.revision === 0)
+      system.breach('late answer', 'the first configuration is not acknowledged');
     this.shift();
     for (let atMs = trafficMs + 500; atMs < trafficMs + troubleMs; atMs += 400 + this.#roll(1600)) {
       time.runUntil(atMs);
@@ -73,7 +83,8 @@
     system.checkEnd();
     for (const core of system.cores) {
       const revision = core.running?.replica?.state.revision ?? 0;
-      if (this.#refused.has(revision)) system.breach('refused in force', `${core.name} holds revision ${revision}, which was refused`);
+      if (this.#refused.has(revision))
+        system.breach('refused in force', `${core.name} holds revision ${revision}, which was refused`);
     }
   }
 
@@ -109,7 +120,8 @@
     this.#sending += 1;
     this.system.put(base, sampleDocument(revision, this.#models, 'put'), (end) => {
       this.#answered(revision, end);
-      if (end.kind !== 'agreed') this.system.breach('answers', `the only change on ${base} ended ${end.kind}`);
+      if (end.kind !== 'agreed')
+        this.system.breach('answers', `the only change on ${base} ended ${end.kind}`);
       else if (this.system.dice.next() < 0.3) this.#again(base, revision);
     });
   }
@@ -133,7 +145,8 @@
         ends.push(end);
         if (ends.length < 2) return;
         const kinds = ends.map((known) => known.kind).sort();
-        if (kinds.join(' ') !== 'agreed conflict') this.system.breach('answers', `a race on ${base} ended ${kinds.join(' and ')}`);
+        if (kinds.join(' ') !== 'agreed conflict')
+          this.system.breach('answers', `a race on ${base} ended ${kinds.join(' and ')}`);
       });
     }
   }
@@ -163,10 +176,17 @@
     this.#sending += 1;
     const document = sampleDocument(revision, this.#models, 'bad');
     const [route] = document['routes'] as Record<string, unknown>[];
-    this.system.call('configuration.put', { base: this.system.acked.revision, document: { ...document, routes: [{ ...route, service: 'nowhere' }] } }, (end) => {
-      this.#answered(revision, end);
-      if (end.kind === 'agreed') this.system.breach('answers', 'an invalid configuration was agreed');
-    });
+    this.system.call(
+      'configuration.put',
+      {
+        base: this.system.acked.revision,
+        document: { ...document, routes: [{ ...route, service: 'nowhere' }] },
+      },
+      (end) => {
+        this.#answered(revision, end);
+        if (end.kind === 'agreed') this.system.breach('answers', 'an invalid configuration was agreed');
+      },
+    );
   }
 
   #zone(): void {
@@ -186,11 +206,14 @@
     if (this.#cores.size >= system.size.lossesBorne) return;
     const leader = system.leader();
     const whole = system.cores.filter((core) => core.running !== undefined && !this.#cores.has(core));
-    const core = system.dice.next() < 0.5 && leader !== undefined && whole.includes(leader) ? leader : this.#one(whole);
+    const core =
+      system.dice.next() < 0.5 && leader !== undefined && whole.includes(leader) ? leader : this.#one(whole);
     if (core === undefined) return;
     const takesMs = 300 + this.#roll(4000);
     this.#cores.set(core, nowMs + takesMs + CATCH_UP_MS);
-    const kind = this.#one(['kill', 'stop', 'freeze', 'cut', 'deaf', 'mute', 'wipe', 'replace', 'stall'] as const) ?? 'kill';
+    const kind =
+      this.#one(['kill', 'stop', 'freeze', 'cut', 'deaf', 'mute', 'wipe', 'replace', 'stall'] as const) ??
+      'kill';
     this.troubles.push(`${kind} ${core.name}`);
     system.note(core.name, kind);
     const { name } = core;
@@ -242,7 +265,8 @@
       system.time.after(takesMs, act);
     }
     if (kind === 'freeze') return system.freeze(edge, takesMs);
-    if (kind === 'cut') return back(system.cut(`off ${name}`, (from, to) => (from === name) !== (to === name)));
+    if (kind === 'cut')
+      return back(system.cut(`off ${name}`, (from, to) => (from === name) !== (to === name)));
     if (kind === 'deaf') return back(system.cut(`to ${name}`, (_from, to) => to === name));
     if (kind === 'mute') return back(system.cut(`from ${name}`, (from) => from === name));
     if (kind === 'stop') system.stop(edge);
@@ -252,7 +276,9 @@
 
   #workerTrouble(): void {
     const { system } = this;
-    const stall = this.#one(system.yard.stalls.filter((known) => !known.away && !known.dark && !known.leaving));
+    const stall = this.#one(
+      system.yard.stalls.filter((known) => !known.away && !known.dark && !known.leaving),
+    );
     if (stall === undefined || system.yard.stalls.some((known) => known.away || known.leaving)) return;
     const takesMs = 300 + this.#roll(3000);
     const kind = this.#one(['restart', 'dark', 'leave'] as const) ?? 'restart';
@@ -279,7 +305,8 @@
   #fitNeeds(): void {
     const { system } = this;
     if (![...system.zones.values()].some(({ evacuated }) => evacuated)) return;
-    const places = 2 * system.yard.stalls.filter((stall) => system.zones.get(stall.zone)?.evacuated !== true).length;
+    const places =
+      2 * system.yard.stalls.filter((stall) => system.zones.get(stall.zone)?.evacuated !== true).length;
     const models = [...new Set(system.needs.map((need) => need.model))].slice(0, places);
     system.needs = system.needs.filter((need) => models.includes(need.model));
   }
@@ -324,5 +351,14 @@
   const day = new Day(seed, size, spans);
   day.run();
   const { system, troubles, acked } = day;
-  return { breaches: system.breaches, acked, loads: system.yard.loads.length, troubles, timeline: renderTimeline(system.stations.map((station) => station.name), system.timeline) };
+  return {
+    breaches: system.breaches,
+    acked,
+    loads: system.yard.loads.length,
+    troubles,
+    timeline: renderTimeline(
+      system.stations.map((station) => station.name),
+      system.timeline,
+    ),
+  };
 }
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -1,7 +1,14 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { runSystemDay, SPANS, SYSTEMS } from './system-trial.js';
-import { sampleDocument, SMALL_SYSTEM, System, type CallEnd, type Station, type SystemSize } from './system.js';
+import {
+  sampleDocument,
+  SMALL_SYSTEM,
+  System,
+  type CallEnd,
+  type Station,
+  type SystemSize,
+} from './system.js';
 
 const SMALL: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, heartbeatMs: 40 };
 const MODELS = SMALL.models;
@@ -39,7 +46,12 @@
 }
 
 /** As soon as an operator is told of a change, something happens; all come back and the end is looked at. */
-function closed(seed: number, size: SystemSize, strike: (system: System, leader: Station) => void, stalled?: StalledDisks): string[] {
+function closed(
+  seed: number,
+  size: SystemSize,
+  strike: (system: System, leader: Station) => void,
+  stalled?: StalledDisks,
+): string[] {
   const system = opened(seed, size);
   const leader = leaderOf(system);
   const struck: string[] = [];
@@ -101,7 +113,9 @@
   });
 
   it('outlives the kill of the coordinator', () => {
-    expect([1, 2].flatMap((seed) => closed(seed, SMALL, (system, leader) => system.kill(leader)))).toEqual([]);
+    expect([1, 2].flatMap((seed) => closed(seed, SMALL, (system, leader) => system.kill(leader)))).toEqual(
+      [],
+    );
   });
 
   it('outlives the replacement of a core by an empty one, then of another', () => {
@@ -162,8 +176,15 @@
       const repeated: CallEnd[] = [];
       system.put(5, system.acked.revision === 7 ? one : other, (end) => repeated.push(end));
       system.time.runUntil(16_000);
-      const kinds = ends.map((end) => end.kind).sort().join(' ');
-      return [...ended(system), ...(kinds === 'agreed conflict' ? [] : [`ended ${kinds}`]), ...(repeated[0]?.kind === 'agreed' ? [] : ['the repeated call was not agreed'])];
+      const kinds = ends
+        .map((end) => end.kind)
+        .sort()
+        .join(' ');
+      return [
+        ...ended(system),
+        ...(kinds === 'agreed conflict' ? [] : [`ended ${kinds}`]),
+        ...(repeated[0]?.kind === 'agreed' ? [] : ['the repeated call was not agreed']),
+      ];
     });
     expect(wrong).toEqual([]);
   });
@@ -172,7 +193,10 @@
     const system = opened(1);
     const leader = leaderOf(system);
     const { name } = system.edges[0] as Station;
-    system.cut('edge from coordinator', (from, to) => (from === name && to === leader.name) || (from === leader.name && to === name));
+    system.cut(
+      'edge from coordinator',
+      (from, to) => (from === name && to === leader.name) || (from === leader.name && to === name),
+    );
     system.time.runUntil(9000);
     system.put(5, sampleDocument(8, MODELS, 'later'));
     system.time.runUntil(11_500);
@@ -205,12 +229,17 @@
         system.time.after(700, () => system.boot(station));
         system.time.runUntil(system.time.nowMs() + 2500);
         revision += 2;
-        system.put(system.acked.revision, sampleDocument(revision, MODELS, 'in turn'), (end) => ends.push(end.kind));
+        system.put(system.acked.revision, sampleDocument(revision, MODELS, 'in turn'), (end) =>
+          ends.push(end.kind),
+        );
         system.time.runUntil(system.time.nowMs() + 3000);
       }
       system.time.runUntil(system.time.nowMs() + 5000);
       const kinds = ends.join(' ');
-      return [...ended(system), ...(kinds === 'agreed agreed agreed agreed agreed' ? [] : [`answered ${kinds}`])];
+      return [
+        ...ended(system),
+        ...(kinds === 'agreed agreed agreed agreed agreed' ? [] : [`answered ${kinds}`]),
+      ];
     });
     expect(wrong).toEqual([]);
   });
@@ -218,19 +247,30 @@
   it('agrees on nothing while no majority meets, and goes on soon after', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
       const system = opened(seed);
-      const apart = system.cut('cores from each other', (from, to) => from.startsWith('core') && to.startsWith('core'));
+      const apart = system.cut(
+        'cores from each other',
+        (from, to) => from.startsWith('core') && to.startsWith('core'),
+      );
       system.time.runUntil(8000);
       const ends: CallEnd[] = [];
       system.put(5, sampleDocument(8, MODELS, 'apart'), (end) => ends.push(end));
       system.time.runUntil(14_000);
       const early = ends.length;
-      const holders = system.cores.filter((core) => core.running?.replica?.group.dutyEpoch() !== undefined).length;
+      const holders = system.cores.filter(
+        (core) => core.running?.replica?.group.dutyEpoch() !== undefined,
+      ).length;
       const informed = system.edges.filter((edge) => edge.running?.follower?.informed === true).length;
       apart();
       system.time.runUntil(18_000);
       const late = ends.map((end) => end.kind).join(' ');
       system.time.runUntil(24_000);
-      return [...ended(system), ...(early === 0 && holders === 0 && informed === 0 ? [] : [`${early} answers, ${holders} holders, ${informed} informed while apart`]), ...(late === 'agreed' ? [] : [`answered "${late}" 4 s after`])];
+      return [
+        ...ended(system),
+        ...(early === 0 && holders === 0 && informed === 0
+          ? []
+          : [`${early} answers, ${holders} holders, ${informed} informed while apart`]),
+        ...(late === 'agreed' ? [] : [`answered "${late}" 4 s after`]),
+      ];
     });
     expect(wrong).toEqual([]);
   });
@@ -248,7 +288,11 @@
       const alone = stale?.group.granted() === true || stale?.group.dutyEpoch() !== undefined;
       heal();
       system.time.runUntil(20_000);
-      return [...ended(system), ...(ends[0]?.kind === 'agreed' ? [] : ['not agreed']), ...(alone ? ['the one cut off still acts'] : [])];
+      return [
+        ...ended(system),
+        ...(ends[0]?.kind === 'agreed' ? [] : ['not agreed']),
+        ...(alone ? ['the one cut off still acts'] : []),
+      ];
     });
     expect(wrong).toEqual([]);
   });
@@ -259,7 +303,11 @@
       system.needs = ['m0', 'm5', 'm6', 'm7'].map((model) => ({ model, adapter: '', count: 2 }));
       for (let turn = 0; turn < 4; turn += 1) {
         system.freeze(leaderOf(system), 700 + 900 * turn);
-        system.needs = [0, 1, 2, 3].map((place) => ({ model: `m${(turn * 3 + place) % 8}`, adapter: '', count: 2 }));
+        system.needs = [0, 1, 2, 3].map((place) => ({
+          model: `m${(turn * 3 + place) % 8}`,
+          adapter: '',
+          count: 2,
+        }));
         system.time.runUntil(system.time.nowMs() + 6000);
       }
       system.time.runUntil(system.time.nowMs() + 6000);
@@ -278,7 +326,9 @@
     const ends: CallEnd[] = [];
     system.put(5, sampleDocument(8, 4, 'without a zone'), (end) => ends.push(end));
     system.time.runUntil(12_000);
-    const revisions = system.edges.map((edge) => edge.running?.follower?.state.revision ?? 0).filter((revision) => revision > 0);
+    const revisions = system.edges
+      .map((edge) => edge.running?.follower?.state.revision ?? 0)
+      .filter((revision) => revision > 0);
     for (const stall of system.yard.stalls) {
       if (stall.away) stall.restart();
       stall.away = false;
@@ -293,7 +343,7 @@
   /** The fewest edges that one of them believed in, while all were at work. */
   function fewest(system: System, forMs: number): number {
     let least = Infinity;
-    for (const endMs = system.time.nowMs() + forMs; system.time.nowMs() < endMs; ) {
+    for (const endMs = system.time.nowMs() + forMs; system.time.nowMs() < endMs;) {
       system.time.runUntil(system.time.nowMs() + 20);
       for (const edge of system.edges) least = Math.min(least, edge.running?.follower?.edges ?? 0);
     }
@@ -320,7 +370,8 @@
 it('days of troubles break no rule', () => {
   const wrong: string[] = [];
   for (let seed = 1; seed <= 16; seed += 1) {
-    for (const { rule, detail, atMs } of runSystemDay(seed, SYSTEMS.least, SPANS.short).breaches) wrong.push(`seed ${seed} at ${atMs.toFixed(0)}: ${rule}: ${detail}`);
+    for (const { rule, detail, atMs } of runSystemDay(seed, SYSTEMS.least, SPANS.short).breaches)
+      wrong.push(`seed ${seed} at ${atMs.toFixed(0)}: ${rule}: ${detail}`);
   }
   expect(wrong).toEqual([]);
 });
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -40,7 +40,14 @@
 }
 
 /** A small system: three cores that bear the loss of one. */
-export const SMALL_SYSTEM: SystemSize = { cores: 3, lossesBorne: 1, edges: 3, workers: 5, models: 12, zones: ['north', 'east', 'west'] };
+export const SMALL_SYSTEM: SystemSize = {
+  cores: 3,
+  lossesBorne: 1,
+  edges: 3,
+  workers: 5,
+  models: 12,
+  zones: ['north', 'east', 'west'],
+};
 
 interface Process {
   readonly skewMs: number;
@@ -105,7 +112,17 @@
 export function sampleDocument(revision: number, models: number, mark: string): Record<string, unknown> {
   return {
     revision,
-    routes: [{ name: 'ask', host: 'a.example', prefix: '/ask/', service: SERVICE, kind: 'streaming', timeoutMs: 5000, note: mark }],
+    routes: [
+      {
+        name: 'ask',
+        host: 'a.example',
+        prefix: '/ask/',
+        service: SERVICE,
+        kind: 'streaming',
+        timeoutMs: 5000,
+        note: mark,
+      },
+    ],
     services: [
       {
         name: SERVICE,
@@ -114,7 +131,13 @@
           roomMb: ENGINE.roomMb,
           adapterPlaces: ENGINE.adapterPlaces,
           loadsPerS: ENGINE.loadsPerS,
-          models: Array.from({ length: models }, (_, place) => ({ name: `m${place}`, sizeMb: sizeOf(`m${place}`), loadS: ENGINE.loadMs / 1000, adapters: 4, adapterMb: ENGINE.adapterMb })),
+          models: Array.from({ length: models }, (_, place) => ({
+            name: `m${place}`,
+            sizeMb: sizeOf(`m${place}`),
+            loadS: ENGINE.loadMs / 1000,
+            adapters: 4,
+            adapterMb: ENGINE.adapterMb,
+          })),
         },
       },
     ],
@@ -162,7 +185,13 @@
   constructor(seed: number, size: SystemSize) {
     this.dice = new Dice(seed);
     this.size = size;
-    this.yard = new Yard(this.time, this.dice, (rule, detail) => this.breach(rule, detail), size.workers, size.zones);
+    this.yard = new Yard(
+      this.time,
+      this.dice,
+      (rule, detail) => this.breach(rule, detail),
+      size.workers,
+      size.zones,
+    );
     this.yard.counted = () => this.settled();
     for (let place = 0; place < size.cores; place += 1) this.addCore();
     for (let place = 0; place < size.edges; place += 1) {
@@ -195,7 +224,8 @@
   start(): void {
     this.yard.open();
     this.#founders = this.cores.slice(0, 3).map((core) => core.address);
-    for (const station of this.stations) this.time.after(this.dice.next() * 300, () => this.boot(station, true));
+    for (const station of this.stations)
+      this.time.after(this.dice.next() * 300, () => this.boot(station, true));
     this.time.after(PROBE_MS, () => this.#probe());
   }
 
@@ -303,12 +333,17 @@
 
   /** Whether the core has been undisturbed, and more than half of it connected, for long enough. */
   settled(): boolean {
-    return this.time.nowMs() - this.#troubleMs > BOUNDS.contactMs && this.#reaching().length > this.size.cores / 2;
+    return (
+      this.time.nowMs() - this.#troubleMs > BOUNDS.contactMs && this.#reaching().length > this.size.cores / 2
+    );
   }
 
   /** The core that coordinates, if one says so. */
   leader(): Station | undefined {
-    return this.cores.find((core) => core.running?.replica?.group.leading === true && core.running.replica.group.dutyEpoch() !== undefined);
+    return this.cores.find(
+      (core) =>
+        core.running?.replica?.group.leading === true && core.running.replica.group.dutyEpoch() !== undefined,
+    );
   }
 
   voters(): number {
@@ -327,7 +362,8 @@
   put(base: number, document: Record<string, unknown>, done: (end: CallEnd) => void = () => undefined): void {
     this.call('configuration.put', { base, document }, (end) => {
       const revision = Number(document['revision']);
-      if (end.kind === 'agreed' && revision > this.acked.revision) this.acked = { revision, document: JSON.stringify(document), atMs: end.atMs };
+      if (end.kind === 'agreed' && revision > this.acked.revision)
+        this.acked = { revision, document: JSON.stringify(document), atMs: end.atMs };
       done(end);
     });
   }
@@ -347,10 +383,17 @@
 
   /** What the acknowledged state lacks in a node's state, or undefined. */
   lacks(state: Deployment, ackedBeforeMs: number): string | undefined {
-    if (this.acked.atMs <= ackedBeforeMs && state.revision < this.acked.revision) return `revision ${state.revision}, acknowledged was ${this.acked.revision}`;
-    if (state.revision === this.acked.revision && this.acked.document !== undefined && this.#textOf(state) !== this.acked.document) return `another document under revision ${state.revision}`;
+    if (this.acked.atMs <= ackedBeforeMs && state.revision < this.acked.revision)
+      return `revision ${state.revision}, acknowledged was ${this.acked.revision}`;
+    if (
+      state.revision === this.acked.revision &&
+      this.acked.document !== undefined &&
+      this.#textOf(state) !== this.acked.document
+    )
+      return `another document under revision ${state.revision}`;
     for (const [zone, { evacuated, atMs }] of this.zones) {
-      if (atMs <= ackedBeforeMs && state.evacuated.includes(zone) !== evacuated) return `${zone} ${evacuated ? 'not evacuated' : 'not taken back'}`;
+      if (atMs <= ackedBeforeMs && state.evacuated.includes(zone) !== evacuated)
+        return `${zone} ${evacuated ? 'not evacuated' : 'not taken back'}`;
     }
     return undefined;
   }
@@ -375,29 +418,56 @@
       const state = running.replica?.state ?? running.follower?.state;
       const lack = state === undefined ? undefined : this.lacks(state, Infinity);
       if (lack !== undefined) this.breach('acknowledged stays', `${station.name}: ${lack}`);
-      if (running.replica !== undefined && !running.replica.group.granted()) this.breach('recovers', `${station.name} is not in a group with a majority`);
-      if (running.follower !== undefined && !running.follower.ready) this.breach('recovers', `${station.name} is not ready`);
-      if (running.follower?.informed === false) this.breach('recovers', `${station.name} hears no core with a majority`);
+      if (running.replica !== undefined && !running.replica.group.granted())
+        this.breach('recovers', `${station.name} is not in a group with a majority`);
+      if (running.follower !== undefined && !running.follower.ready)
+        this.breach('recovers', `${station.name} is not ready`);
+      if (running.follower?.informed === false)
+        this.breach('recovers', `${station.name} hears no core with a majority`);
     }
     if (this.leader() === undefined) this.breach('recovers', 'no core has the duty');
     const wanted = Math.min(2 * this.size.lossesBorne + 1, this.cores.filter((core) => !core.removed).length);
     if (this.voters() < wanted) this.breach('recovers', `${this.voters()} voters, wanted ${wanted}`);
-    for (const call of this.#calls) if (call.end === undefined) this.breach('late answer', `${call.kind} is not answered`);
+    for (const call of this.#calls)
+      if (call.end === undefined) this.breach('late answer', `${call.kind} is not answered`);
     for (const { model, adapter } of this.needs) {
-      for (const edge of this.edges) if (!this.#finds(edge, model, adapter)) this.breach('placed', `${edge.name} knows no worker with ${model}${adapter === '' ? '' : `/${adapter}`}`);
+      for (const edge of this.edges)
+        if (!this.#finds(edge, model, adapter))
+          this.breach(
+            'placed',
+            `${edge.name} knows no worker with ${model}${adapter === '' ? '' : `/${adapter}`}`,
+          );
     }
   }
 
   // Processes.
 
-  #run(station: Station, skewMs: number, replica: CoreReplica | undefined, follower: Follower | undefined): void {
-    const running: Process = { skewMs, replica, follower, frozen: false, waiting: [], leading: false, listedMs: -Infinity, edition: 0, touchMs: this.time.nowMs() };
+  #run(
+    station: Station,
+    skewMs: number,
+    replica: CoreReplica | undefined,
+    follower: Follower | undefined,
+  ): void {
+    const running: Process = {
+      skewMs,
+      replica,
+      follower,
+      frozen: false,
+      waiting: [],
+      leading: false,
+      listedMs: -Infinity,
+      edition: 0,
+      touchMs: this.time.nowMs(),
+    };
     station.running = running;
     this.time.after(this.dice.next() * CORE_TICK_MS, () => this.#tick(station, running));
   }
 
   #seeds(): string[] {
-    return this.cores.filter((core) => !core.removed).slice(0, 3).map((core) => core.address);
+    return this.cores
+      .filter((core) => !core.removed)
+      .slice(0, 3)
+      .map((core) => core.address);
   }
 
   #replica(station: Station, skewMs: number, acceptor: Acceptor, founding: boolean): CoreReplica {
@@ -440,7 +510,8 @@
       post: (to, frame) => this.#post(station, to, frame),
       wants: () => this.#wants(follower),
       changed: (what) => {
-        if (what === 'state') this.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
+        if (what === 'state')
+          this.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
       },
     });
     return follower;
@@ -469,7 +540,9 @@
     running.listedMs = nowMs;
     this.time.after(2 + this.dice.next() * 8, () => {
       const list = this.yard.list();
-      this.time.after(2 + this.dice.next() * 8, () => this.#atStation(station, running, () => replica.learnList(list)));
+      this.time.after(2 + this.dice.next() * 8, () =>
+        this.#atStation(station, running, () => replica.learnList(list)),
+      );
     });
   }
 
@@ -509,14 +582,22 @@
   #disturbedBy(cut: Cut): void {
     const { cores } = this;
     for (const station of this.stations) {
-      const met = cores.some((core) => core !== station && (cut(core.name, station.name) || cut(station.name, core.name)));
+      const met = cores.some(
+        (core) => core !== station && (cut(core.name, station.name) || cut(station.name, core.name)),
+      );
       if (met) this.disturbed(station);
     }
   }
 
   // Orders.
 
-  #order(station: Station, replica: CoreReplica, row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void {
+  #order(
+    station: Station,
+    replica: CoreReplica,
+    row: WorkerRecord,
+    order: StockOrder,
+    done: (reply: StockReply) => void,
+  ): void {
     const running = station.running;
     if (running?.replica !== replica) return;
     let replied = false;
@@ -548,20 +629,27 @@
   }
 
   /** Asks a worker what it holds. */
-  #report(station: Station, row: WorkerRecord, done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void): void {
+  #report(
+    station: Station,
+    row: WorkerRecord,
+    done: (models: ReadonlyMap<string, ReadonlySet<string>> | undefined) => void,
+  ): void {
     const running = station.running;
     if (running === undefined) return;
     this.time.after(0.5 + this.dice.next() * 4, () => {
       const silent = this.isCut(station.name, row.address) || this.isCut(row.address, station.name);
       const models = silent ? undefined : this.yard.report(row.address, row.id);
-      this.time.after(silent ? ORDER_WAIT_MS : 0.5 + this.dice.next() * 4, () => this.#atStation(station, running, () => done(models)));
+      this.time.after(silent ? ORDER_WAIT_MS : 0.5 + this.dice.next() * 4, () =>
+        this.#atStation(station, running, () => done(models)),
+      );
     });
   }
 
   #knows(follower: Follower, model: string, adapter: string): boolean {
     for (const worker of follower.workers.values()) {
       const adapters = worker.models.get(model);
-      if (worker.leaving || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
+      if (worker.leaving || follower.state.evacuated.includes(worker.zone) || adapters === undefined)
+        continue;
       if (adapter === '' || adapters.has(adapter)) return true;
     }
     return false;
@@ -584,7 +672,14 @@
   #wants(follower: Follower): Want[] {
     return this.needs.map(({ model, adapter, count }) => {
       const known = this.#knows(follower, model, adapter);
-      return create(WantSchema, { service: SERVICE, model, adapter, waiting: known ? 0 : count, inFlight: known ? count : 0, perS: count });
+      return create(WantSchema, {
+        service: SERVICE,
+        model,
+        adapter,
+        waiting: known ? 0 : count,
+        inFlight: known ? count : 0,
+        perS: count,
+      });
     });
   }
 
@@ -638,7 +733,14 @@
   /** Running cores that reach, both ways, more than half of the core. */
   #reaching(): Station[] {
     const up = this.cores.filter((core) => core.running?.frozen === false);
-    return up.filter((core) => up.filter((other) => other === core || !(this.isCut(core.name, other.name) || this.isCut(other.name, core.name))).length > this.size.cores / 2);
+    return up.filter(
+      (core) =>
+        up.filter(
+          (other) =>
+            other === core || !(this.isCut(core.name, other.name) || this.isCut(other.name, core.name)),
+        ).length >
+        this.size.cores / 2,
+    );
   }
 
   #probe(): void {
@@ -651,26 +753,35 @@
       this.#neverBack(edge);
       const { running } = edge;
       if (running?.follower === undefined || running.frozen) continue;
-      const reached = reaching.length > 0 && reaching.every((core) => !this.isCut(core.name, edge.name) && !this.isCut(edge.name, core.name));
+      const reached =
+        reaching.length > 0 &&
+        reaching.every((core) => !this.isCut(core.name, edge.name) && !this.isCut(edge.name, core.name));
       if (!reached) running.touchMs = nowMs;
       if (!settled || nowMs - running.touchMs <= BOUNDS.contactMs) continue;
       this.#probeEdge(edge, running.follower, nowMs);
     }
     this.#probeShares(nowMs);
-    const holders = this.cores.filter((core) => core.running?.frozen === false && core.running.replica?.group.dutyEpoch() !== undefined);
-    if (holders.length > 1) this.breach('one holder', `${holders.map((core) => core.name).join(' and ')} both have the duty`);
+    const holders = this.cores.filter(
+      (core) => core.running?.frozen === false && core.running.replica?.group.dutyEpoch() !== undefined,
+    );
+    if (holders.length > 1)
+      this.breach('one holder', `${holders.map((core) => core.name).join(' and ')} both have the duty`);
     for (const call of this.#calls) {
       const sinceMs = Math.max(call.bornMs, this.#troubleMs + BOUNDS.contactMs);
-      if (call.end === undefined && settled && nowMs - sinceMs > BOUNDS.ackMs) this.breach('late answer', `${call.kind} of ${call.bornMs.toFixed(0)}`);
+      if (call.end === undefined && settled && nowMs - sinceMs > BOUNDS.ackMs)
+        this.breach('late answer', `${call.kind} of ${call.bornMs.toFixed(0)}`);
     }
   }
 
   /** What all edges share, such as further sends, each divides by no fewer edges than there are. */
   #probeShares(nowMs: number): void {
-    const steady = this.edges.filter(({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs);
+    const steady = this.edges.filter(
+      ({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs,
+    );
     for (const { name, running } of steady) {
       const edges = running?.follower?.edges ?? 0;
-      if (edges < steady.length) this.breach('share', `${name} divides by ${edges} where ${steady.length} edges are at work`);
+      if (edges < steady.length)
+        this.breach('share', `${name} divides by ${edges} where ${steady.length} edges are at work`);
     }
   }
 
@@ -678,7 +789,12 @@
     const lack = this.lacks(follower.state, nowMs - BOUNDS.applyMs);
     if (lack !== undefined) this.breach('applied in time', `${edge.name}: ${lack}`);
     for (const worker of follower.workers.values()) {
-      if (!worker.leaving && nowMs - Math.max(this.yard.leavingSince(worker.id), this.#troubleMs + BOUNDS.contactMs) > BOUNDS.drainMs) this.breach('drain', `${edge.name} may still send to ${worker.id}`);
+      if (
+        !worker.leaving &&
+        nowMs - Math.max(this.yard.leavingSince(worker.id), this.#troubleMs + BOUNDS.contactMs) >
+          BOUNDS.drainMs
+      )
+        this.breach('drain', `${edge.name} may still send to ${worker.id}`);
     }
   }
 
@@ -686,7 +802,8 @@
     const { running } = station;
     if (running === undefined) return;
     const edition = (running.replica?.state ?? running.follower?.state)?.edition ?? 0;
-    if (edition < running.edition) this.breach('never back', `${station.name} went from edition ${running.edition} to ${edition}`);
+    if (edition < running.edition)
+      this.breach('never back', `${station.name} went from edition ${running.edition} to ${edition}`);
     running.edition = edition;
   }
 }
--- a/packages/simulator/src/timelines.test.ts
+++ b/packages/simulator/src/timelines.test.ts
@@ -215,7 +215,7 @@
     ).toEqual([]);
   });
 
-  it('keep retries within the fleet\'s budget though edges restart and lookups are silent', () => {
+  it("keep retries within the fleet's budget though edges restart and lookups are silent", () => {
     expect(
       play(`
         ms    | core-0 | core-1 | core-2 | edge-0          | edge-1          | lookup-0 | lookup-1 | lookup-2
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -43,15 +43,27 @@
  * @example
  * trialSpec(0).models.length; // 8
  */
-export function trialSpec(turn: number): { models: { name: string; sizeMb: number }[]; groups: unknown[] } & Record<string, unknown> {
+export function trialSpec(
+  turn: number,
+): { models: { name: string; sizeMb: number }[]; groups: unknown[] } & Record<string, unknown> {
   return {
     deployment: 'park',
     zones: ['north', 'east', 'west'],
     store: { pullsPerMinute: 240, concurrentPulls: 2 },
     workers: { roomMb: 50_000, slots: 4 },
-    models: Array.from({ length: 8 }, (_, place) => ({ name: `model-${place}`, sizeMb: 9000 + place * 1000 })),
+    models: Array.from({ length: 8 }, (_, place) => ({
+      name: `model-${place}`,
+      sizeMb: 9000 + place * 1000,
+    })),
     adapters: [{ name: 'adapter-0', model: 'model-0', sizeMb: 200 }],
-    groups: [{ name: 'technicians', share: 1 + turn, kinds: [{ name: 'question', targetMs: 800, patienceMs: 5000 }], models: ['*'] }],
+    groups: [
+      {
+        name: 'technicians',
+        share: 1 + turn,
+        kinds: [{ name: 'question', targetMs: 800, patienceMs: 5000 }],
+        models: ['*'],
+      },
+    ],
     routes: [
       { path: '/v1/chat/completions', serve: 'chat' },
       { path: '/lookup', serve: 'lookup', pool: 'desks' },
@@ -91,7 +103,8 @@
     if (broken !== undefined) oracle.breach('starts in 8 s', broken, time.nowMs());
     this.#site.submit(this.#any(), 'spec.put', { base: 0, text: JSON.stringify(trialSpec(0)) });
     time.runUntil(START_MS + 2000);
-    if (oracle.agreedCount === 0) oracle.breach('a spec is agreed', 'not within 2 s of a quiet start', time.nowMs());
+    if (oracle.agreedCount === 0)
+      oracle.breach('a spec is agreed', 'not within 2 s of a quiet start', time.nowMs());
     this.#site.visitors = true;
     this.#operate();
     this.#break();
@@ -121,24 +134,32 @@
       bytes: net.bytes,
       recoveredMs,
       faults: this.#faults,
-      timeline: renderTimeline(machines.map((machine) => machine.name), this.#site.timeline),
+      timeline: renderTimeline(
+        machines.map((machine) => machine.name),
+        this.#site.timeline,
+      ),
     };
   }
 
   #recover(): number {
     const { time, oracle } = this.#site;
     const mendedMs = time.nowMs();
-    while (time.nowMs() < mendedMs + RECOVER_MS && this.#site.whole() !== undefined) time.runUntil(time.nowMs() + 100);
+    while (time.nowMs() < mendedMs + RECOVER_MS && this.#site.whole() !== undefined)
+      time.runUntil(time.nowMs() + 100);
     const recoveredMs = time.nowMs() - mendedMs;
     const broken = this.#site.whole();
     if (broken !== undefined) oracle.breach('back within 12 s', broken, time.nowMs());
     const before = oracle.agreedCount;
     const deadlineMs = time.nowMs() + 3000;
-    while (this.#site.submit(this.#any(), 'zone.empty', { zone: 'north' }) === '' && time.nowMs() < deadlineMs) {
+    while (
+      this.#site.submit(this.#any(), 'zone.empty', { zone: 'north' }) === '' &&
+      time.nowMs() < deadlineMs
+    ) {
       time.runUntil(time.nowMs() + 100);
     }
     time.runUntil(deadlineMs);
-    if (oracle.agreedCount === before) oracle.breach('agreement after recovery', 'no answer within 3 s', time.nowMs());
+    if (oracle.agreedCount === before)
+      oracle.breach('agreement after recovery', 'no answer within 3 s', time.nowMs());
     return recoveredMs;
   }
 
@@ -162,7 +183,10 @@
     const spec = machine.running?.clusterNode.stage.spec;
     const kind = this.#upTo(5);
     if (kind < 1.6) {
-      const text = JSON.stringify({ ...(JSON.parse(spec?.text ?? '{}') as object), groups: trialSpec(this.#turn).groups });
+      const text = JSON.stringify({
+        ...(JSON.parse(spec?.text ?? '{}') as object),
+        groups: trialSpec(this.#turn).groups,
+      });
       this.#site.submit(machine, 'spec.put', { base: spec?.version ?? 0, text });
     } else if (kind < 3) this.#race();
     else if (kind < 3.6) this.#site.submit(machine, 'zone.empty', { zone: this.#pick(this.#site.zones) });
@@ -191,7 +215,9 @@
     const edit = { [verb]: { adapters: [verb === 'remove' ? name : entry] } };
     const seen = machine.running?.clusterNode.stage.spec?.version ?? 0;
     oracle.edits(name);
-    const id = this.#site.submit(machine, 'spec.edit', { seen, edit }, (answer) => oracle.edited(name, mark, answer.kind, answer.number));
+    const id = this.#site.submit(machine, 'spec.edit', { seen, edit }, (answer) =>
+      oracle.edited(name, mark, answer.kind, answer.number),
+    );
     if (id === '') oracle.edited(name, mark, 'unreached', 0);
   }
 
@@ -310,7 +336,9 @@
   #cutZone(): void {
     const zone = this.#pick(this.#site.zones);
     const { machines, workers } = this.#site;
-    const inside = new Set([...machines, ...workers].filter((one) => one.zone === zone).map((one) => one.name));
+    const inside = new Set(
+      [...machines, ...workers].filter((one) => one.zone === zone).map((one) => one.name),
+    );
     this.#cut(`cut off zone ${zone}`, (from, to) => inside.has(from) !== inside.has(to));
   }
 
@@ -321,7 +349,10 @@
       return;
     }
     const { name } = this.#pick(this.#cores());
-    this.#cut(`cut ${name} from the other cores`, (from, to) => cores.has(from) && cores.has(to) && (from === name) !== (to === name));
+    this.#cut(
+      `cut ${name} from the other cores`,
+      (from, to) => cores.has(from) && cores.has(to) && (from === name) !== (to === name),
+    );
   }
 
   /** Between one edge, or all, and one worker, or all: both ways, or only the requests or only the answers. */
@@ -335,8 +366,9 @@
     function crosses(from: string, to: string): boolean {
       return (!oneEdge || from === edge) && (oneWorker ? to === worker : names.has(to)) && !names.has(from);
     }
-    this.#cut(`cut ${way} between ${oneEdge ? edge : 'all'} and ${oneWorker ? worker : 'every worker'}`, (from, to) =>
-      (way !== 'answers' && crosses(from, to)) || (way !== 'requests' && crosses(to, from)),
+    this.#cut(
+      `cut ${way} between ${oneEdge ? edge : 'all'} and ${oneWorker ? worker : 'every worker'}`,
+      (from, to) => (way !== 'answers' && crosses(from, to)) || (way !== 'requests' && crosses(to, from)),
     );
   }
 
@@ -383,7 +415,8 @@
     const { time } = this.#site;
     const cores = this.#cores();
     this.#fault('all cores lose power at the next answer');
-    for (const machine of cores.slice(0, 2)) if (machine.disk !== undefined) machine.disk.stallUntilMs = time.nowMs() + 2000;
+    for (const machine of cores.slice(0, 2))
+      if (machine.disk !== undefined) machine.disk.stallUntilMs = time.nowMs() + 2000;
     this.#site.atAnswer = () => {
       this.#site.atAnswer = undefined;
       for (const machine of cores) this.#killFor(machine, this.#upTo(1000));
@@ -401,10 +434,18 @@
     this.#fault(`kill the coordinator at its next ${step}`);
     net.tap = (from, frame) => {
       const leader = machines.find((machine) => machine.running?.clusterNode.group.leading === true);
-      if (leader === undefined || frame.body.case !== step || (from !== leader.name && step !== 'flush' && step !== 'accepted')) return;
+      if (
+        leader === undefined ||
+        frame.body.case !== step ||
+        (from !== leader.name && step !== 'flush' && step !== 'accepted')
+      )
+        return;
       net.tap = undefined;
       if (other !== leader.name) {
-        this.#cut(`${leader.name} and ${other} apart`, (one, two) => (one === leader.name && two === other) || (one === other && two === leader.name));
+        this.#cut(
+          `${leader.name} and ${other} apart`,
+          (one, two) => (one === leader.name && two === other) || (one === other && two === leader.name),
+        );
       }
       time.after(this.#upTo(6), () => this.#killFor(leader, this.#upTo(4000)));
     };
@@ -455,7 +496,8 @@
     const { machines, workers } = this.#site;
     this.#fault(`zone ${zone} is lost`);
     const waitMs = this.#upTo(6000);
-    if (this.#upTo(2) < 1) this.#site.submit(this.#any(), 'zone.empty', { zone: this.#pick(this.#site.zones) });
+    if (this.#upTo(2) < 1)
+      this.#site.submit(this.#any(), 'zone.empty', { zone: this.#pick(this.#site.zones) });
     for (const machine of machines) if (machine.zone === zone) this.#killFor(machine, waitMs);
     for (const worker of workers) {
       if (worker.zone !== zone) continue;
@@ -471,14 +513,17 @@
     const edges = this.#site.machines.flatMap((machine) => machine.running?.edge ?? []);
     const at = this.#upTo(2) < 1 ? edges : edges.slice(0, 1);
     this.#fault(`a crowd at ${at.length} edges`);
-    for (const edge of at) for (let place = 0; place < 60; place += 1) this.#site.visit(edge, place % 2 === 0, place % 2 === 0 ? '' : 'model-1');
+    for (const edge of at)
+      for (let place = 0; place < 60; place += 1)
+        this.#site.visit(edge, place % 2 === 0, place % 2 === 0 ? '' : 'model-1');
   }
 
   /** Every model, the rare ones too, is asked for at every edge in one moment. */
   #rareModels(): void {
     this.#fault('every model is asked for at once');
     for (const { running } of this.#site.machines) {
-      for (let place = 0; place < 8 && running?.edge !== undefined; place += 1) this.#site.visit(running.edge, false, `model-${place}`);
+      for (let place = 0; place < 8 && running?.edge !== undefined; place += 1)
+        this.#site.visit(running.edge, false, `model-${place}`);
     }
   }
 
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -130,7 +130,9 @@
     const copies = this.#chance.next() < this.#lossRatio ? 0 : this.#chance.next() < this.#lossRatio ? 2 : 1;
     for (let copy = 0; copy < copies; copy += 1) {
       const slow = this.#chance.next() < 0.01 ? 60 : 0;
-      this.#time.after(0.2 + this.#chance.next() * 3 + slow, () => this.#arrive(from, address, bytes, frame.deployment));
+      this.#time.after(0.2 + this.#chance.next() * 3 + slow, () =>
+        this.#arrive(from, address, bytes, frame.deployment),
+      );
     }
   }
 
@@ -184,7 +186,8 @@
     this.#generation += 1;
     for (const [kind, before] of this.#unsynced) {
       if (this.#chance.next() < 0.5) continue;
-      if (before === undefined) this.#records = Object.fromEntries(Object.entries(this.#records).filter(([known]) => known !== kind));
+      if (before === undefined)
+        this.#records = Object.fromEntries(Object.entries(this.#records).filter(([known]) => known !== kind));
       else this.#records[kind] = before;
     }
     this.#unsynced.clear();
@@ -199,18 +202,23 @@
     const generation = this.#generation;
     const nowMs = this.#time.nowMs();
     if (this.full) return done(Result.err(fault('disk', 'no space left')));
-    this.#freeMs = Math.max(this.#freeMs, nowMs, this.stallUntilMs) + 1 + this.#chance.next() * 6 + this.slowMs;
+    this.#freeMs =
+      Math.max(this.#freeMs, nowMs, this.stallUntilMs) + 1 + this.#chance.next() * 6 + this.slowMs;
     this.#step(generation, this.#freeMs - nowMs, () => {
       this.tap?.('written', kind);
       this.#step(generation, 0.05, () => {
         if (!this.#unsynced.has(kind)) this.#unsynced.set(kind, this.#records[kind]);
         this.#records[kind] = bytes;
         this.tap?.('renamed', kind);
-        this.#step(generation, Math.max(0, this.stallUntilMs - this.#time.nowMs()) + this.#chance.next(), () => {
-          this.#unsynced.delete(kind);
-          this.tap?.('synced', kind);
-          this.#step(generation, 0.02, () => done(Result.ok()));
-        });
+        this.#step(
+          generation,
+          Math.max(0, this.stallUntilMs - this.#time.nowMs()) + this.#chance.next(),
+          () => {
+            this.#unsynced.delete(kind);
+            this.tap?.('synced', kind);
+            this.#step(generation, 0.02, () => done(Result.ok()));
+          },
+        );
       });
     });
   }
--- a/packages/storage/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -37,7 +37,8 @@
  */
 export function unseal(file: Buffer): Result<Uint8Array, Fault> {
   if (file.length < HEADER_BYTES) return Result.err(fault('damaged', `only ${file.length} bytes`));
-  if (!file.subarray(0, MAGIC.length).equals(MAGIC)) return Result.err(fault('foreign', 'not a record of rainrun'));
+  if (!file.subarray(0, MAGIC.length).equals(MAGIC))
+    return Result.err(fault('foreign', 'not a record of rainrun'));
   const bytes = file.subarray(HEADER_BYTES);
   const sum = createHash('sha256').update(bytes).digest();
   if (!timingSafeEqual(sum, file.subarray(MAGIC.length, HEADER_BYTES))) {
@@ -76,11 +77,15 @@
       for (const name of await readdir(folder)) {
         const match = NAME.exec(name);
         if (match === null) {
-          if (!name.endsWith('.aside')) return Result.err(fault('foreign', `${join(folder, name)} is not a record of rainrun`));
+          if (!name.endsWith('.aside'))
+            return Result.err(fault('foreign', `${join(folder, name)} is not a record of rainrun`));
           continue;
         }
         const kind = match[1] as RecordKind;
-        numbers.set(kind, [...(numbers.get(kind) ?? []), Number(match[2])].sort((one, other) => one - other));
+        numbers.set(
+          kind,
+          [...(numbers.get(kind) ?? []), Number(match[2])].sort((one, other) => one - other),
+        );
       }
       for (const [kind, known] of numbers) {
         const path = join(folder, `${kind}.${known.at(-1)}`);
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -21,7 +21,12 @@
 async function filled(path: string): Promise<void> {
   const opened = await RecordStore.open(path);
   if (opened.isErr) return;
-  const writes: [RecordKind, number][] = [['disk', 1], ['version', 1], ['version', 2], ['version', 3]];
+  const writes: [RecordKind, number][] = [
+    ['disk', 1],
+    ['version', 1],
+    ['version', 2],
+    ['version', 3],
+  ];
   for (const [kind, byte] of writes) {
     await new Promise<void>((resolve) => {
       opened.value.recordStore.store(kind, new Uint8Array([byte]), () => resolve());
@@ -73,7 +78,9 @@
     wrongMagic[0] = 0;
     const flipped = Buffer.from(sealed);
     flipped[flipped.length - 1] = 9;
-    const kinds = [unseal(wrongMagic), unseal(flipped), unseal(Buffer.alloc(3))].map((read) => (read.isErr ? read.error.kind : 'taken'));
+    const kinds = [unseal(wrongMagic), unseal(flipped), unseal(Buffer.alloc(3))].map((read) =>
+      read.isErr ? read.error.kind : 'taken',
+    );
     expect(kinds).toEqual(['foreign', 'damaged', 'damaged']);
   });
 });
--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -5,7 +5,11 @@
 /** Format of recorded days; a reader refuses any newer one. */
 export const DAY_VERSION = 1;
 
-const HeadSchema = v.strictObject({ format: v.literal('rainrun-day'), version: v.number(), deployment: v.string() });
+const HeadSchema = v.strictObject({
+  format: v.literal('rainrun-day'),
+  version: v.number(),
+  deployment: v.string(),
+});
 
 const CallSchema = v.strictObject({
   /** Milliseconds since the day began. */
@@ -68,7 +72,8 @@
  * readDay('not a day').isErr; // true
  */
 export function readDay(text: string): Result<Day, Fault> {
-  if (!text.endsWith('\n')) return Result.err(fault('damaged', `line ${text.split('\n').length}: cut off, no end of line`));
+  if (!text.endsWith('\n'))
+    return Result.err(fault('damaged', `line ${text.split('\n').length}: cut off, no end of line`));
   const lines = text.slice(0, -1).split('\n');
   const head = v.safeParse(HeadSchema, parse(lines[0] ?? ''));
   if (!head.success) return Result.err(fault('foreign', 'line 1: not the head of a recorded day'));
@@ -80,7 +85,9 @@
     const call = v.safeParse(CallSchema, parse(lines[place] ?? ''));
     if (!call.success) {
       const issue = call.issues[0];
-      return Result.err(fault('damaged', `line ${place + 1}: ${v.getDotPath(issue) ?? 'call'}: ${issue.message}`));
+      return Result.err(
+        fault('damaged', `line ${place + 1}: ${v.getDotPath(issue) ?? 'call'}: ${issue.message}`),
+      );
     }
     calls.push(call.output);
   }
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -51,9 +51,39 @@
     lookupGroup: 'dashboards',
     lookupsPerS: 30,
     kinds: [
-      { group: 'technicians', share: 6, kind: 'question', targetMs: 800, patienceMs: 6000, perS: 8, stream: true, chars: 160, prefixes: 12 },
-      { group: 'analysts', share: 3, kind: 'question', targetMs: 3000, patienceMs: 20_000, perS: 2, stream: true, chars: 400, prefixes: 20 },
-      { group: 'overnight', share: 1, kind: 'history', targetMs: 20_000, patienceMs: 60_000, perS: 0.5, stream: false, chars: 6000, prefixes: 8 },
+      {
+        group: 'technicians',
+        share: 6,
+        kind: 'question',
+        targetMs: 800,
+        patienceMs: 6000,
+        perS: 8,
+        stream: true,
+        chars: 160,
+        prefixes: 12,
+      },
+      {
+        group: 'analysts',
+        share: 3,
+        kind: 'question',
+        targetMs: 3000,
+        patienceMs: 20_000,
+        perS: 2,
+        stream: true,
+        chars: 400,
+        prefixes: 20,
+      },
+      {
+        group: 'overnight',
+        share: 1,
+        kind: 'history',
+        targetMs: 20_000,
+        patienceMs: 60_000,
+        perS: 0.5,
+        stream: false,
+        chars: 6000,
+        prefixes: 8,
+      },
     ],
   },
   malabon: {
@@ -72,10 +102,50 @@
     lookupGroup: 'seat-board',
     lookupsPerS: 45,
     kinds: [
-      { group: 'buyers', share: 6, kind: 'seat-question', targetMs: 700, patienceMs: 5000, perS: 12, stream: true, chars: 140, prefixes: 16 },
-      { group: 'barangay-offices', share: 2, kind: 'question', targetMs: 2000, patienceMs: 15_000, perS: 2, stream: true, chars: 300, prefixes: 12 },
-      { group: 'resellers', share: 2, kind: 'listing-screen', targetMs: 1500, patienceMs: 10_000, perS: 3, stream: false, chars: 700, prefixes: 6 },
-      { group: 'casework', share: 1, kind: 'refund-draft', targetMs: 10_000, patienceMs: 45_000, perS: 0.5, stream: true, chars: 3000, prefixes: 4 },
+      {
+        group: 'buyers',
+        share: 6,
+        kind: 'seat-question',
+        targetMs: 700,
+        patienceMs: 5000,
+        perS: 12,
+        stream: true,
+        chars: 140,
+        prefixes: 16,
+      },
+      {
+        group: 'barangay-offices',
+        share: 2,
+        kind: 'question',
+        targetMs: 2000,
+        patienceMs: 15_000,
+        perS: 2,
+        stream: true,
+        chars: 300,
+        prefixes: 12,
+      },
+      {
+        group: 'resellers',
+        share: 2,
+        kind: 'listing-screen',
+        targetMs: 1500,
+        patienceMs: 10_000,
+        perS: 3,
+        stream: false,
+        chars: 700,
+        prefixes: 6,
+      },
+      {
+        group: 'casework',
+        share: 1,
+        kind: 'refund-draft',
+        targetMs: 10_000,
+        patienceMs: 45_000,
+        perS: 0.5,
+        stream: true,
+        chars: 3000,
+        prefixes: 4,
+      },
     ],
   },
   small: {
@@ -94,8 +164,28 @@
     lookupGroup: 'dashboards',
     lookupsPerS: 10,
     kinds: [
-      { group: 'technicians', share: 3, kind: 'question', targetMs: 800, patienceMs: 6000, perS: 8, stream: true, chars: 160, prefixes: 4 },
-      { group: 'analysts', share: 1, kind: 'question', targetMs: 3000, patienceMs: 20_000, perS: 3, stream: false, chars: 400, prefixes: 4 },
+      {
+        group: 'technicians',
+        share: 3,
+        kind: 'question',
+        targetMs: 800,
+        patienceMs: 6000,
+        perS: 8,
+        stream: true,
+        chars: 160,
+        prefixes: 4,
+      },
+      {
+        group: 'analysts',
+        share: 1,
+        kind: 'question',
+        targetMs: 3000,
+        patienceMs: 20_000,
+        perS: 3,
+        stream: false,
+        chars: 400,
+        prefixes: 4,
+      },
     ],
   },
 };
@@ -122,7 +212,12 @@
     kinds: [{ name: kind, targetMs, patienceMs }],
     models: ['*'],
   }));
-  groups.push({ name: shape.lookupGroup, share: 1, kinds: [{ name: 'lookup', targetMs: 250, patienceMs: 2000 }], models: ['*'] });
+  groups.push({
+    name: shape.lookupGroup,
+    share: 1,
+    kinds: [{ name: 'lookup', targetMs: 250, patienceMs: 2000 }],
+    models: ['*'],
+  });
   return {
     deployment: shape.deployment,
     zones: shape.zones,
@@ -156,13 +251,38 @@
     for (let atMs = gapMs(dice, kind.perS); atMs < seconds * 1000; atMs += gapMs(dice, kind.perS)) {
       const model = `${shape.modelWord}-${1 + rare(dice, shape.models)}`;
       const fitting = spec.adapters.filter((adapter) => adapter.model === model);
-      const adapter = fitting.length > 0 && dice.next() < 0.4 ? (fitting[rare(dice, fitting.length)]?.name ?? '') : '';
+      const adapter =
+        fitting.length > 0 && dice.next() < 0.4 ? (fitting[rare(dice, fitting.length)]?.name ?? '') : '';
       const { group, kind: name, stream, chars, prefixes } = kind;
-      calls.push({ atMs: Math.round(atMs), group, kind: name, path: CHAT, model, adapter, stream, prefix: rare(dice, prefixes), chars });
+      calls.push({
+        atMs: Math.round(atMs),
+        group,
+        kind: name,
+        path: CHAT,
+        model,
+        adapter,
+        stream,
+        prefix: rare(dice, prefixes),
+        chars,
+      });
     }
   }
-  for (let atMs = gapMs(dice, shape.lookupsPerS); atMs < seconds * 1000; atMs += gapMs(dice, shape.lookupsPerS)) {
-    calls.push({ atMs: Math.round(atMs), group: shape.lookupGroup, kind: 'lookup', path: shape.lookupPath, model: '', adapter: '', stream: false, prefix: 0, chars: 0 });
+  for (
+    let atMs = gapMs(dice, shape.lookupsPerS);
+    atMs < seconds * 1000;
+    atMs += gapMs(dice, shape.lookupsPerS)
+  ) {
+    calls.push({
+      atMs: Math.round(atMs),
+      group: shape.lookupGroup,
+      kind: 'lookup',
+      path: shape.lookupPath,
+      model: '',
+      adapter: '',
+      stream: false,
+      prefix: 0,
+      chars: 0,
+    });
   }
   calls.sort((one, other) => one.atMs - other.atMs);
   return `${[headLine(shape.deployment), ...calls.map((call) => callLine(call))].join('\n')}\n`;
--- a/packages/workloads/src/workloads.test.ts
+++ b/packages/workloads/src/workloads.test.ts
@@ -2,7 +2,17 @@
 import { expect } from 'earl';
 import { callLine, headLine, promptOf, readDay, type Call } from './day.js';
 
-const CALL: Call = { atMs: 5, group: 'g', kind: 'k', path: '/p', model: 'm', adapter: '', stream: true, prefix: 1, chars: 80 };
+const CALL: Call = {
+  atMs: 5,
+  group: 'g',
+  kind: 'k',
+  path: '/p',
+  model: 'm',
+  adapter: '',
+  stream: true,
+  prefix: 1,
+  chars: 80,
+};
 
 it('a day reads back what was written', () => {
   const day = readDay(`${headLine('d')}\n${callLine(CALL)}\n`);
--- a/programs/edge/src/edge.test.ts
+++ b/programs/edge/src/edge.test.ts
@@ -10,18 +10,36 @@
   return { status, stderr };
 }
 
-const GOOD = ['--name', 'edge-1', '--deployment', 'd', '--zone', 'north', '--bind', '127.0.0.1:7001', '--http', '127.0.0.1:8001', '--seeds', '127.0.0.1:7002'];
+const GOOD = [
+  '--name',
+  'edge-1',
+  '--deployment',
+  'd',
+  '--zone',
+  'north',
+  '--bind',
+  '127.0.0.1:7001',
+  '--http',
+  '127.0.0.1:8001',
+  '--seeds',
+  '127.0.0.1:7002',
+];
 
 it('checks its settings and exits', () => {
   expect(run(...GOOD, '--check').status).toEqual(0);
 });
 
 it('exits with 2 on a bad setting, naming key, value and what was expected', () => {
-  const { status, stderr } = run(...GOOD.map((word) => (word === '127.0.0.1:7001' ? 'nowhere' : word)), '--check');
+  const { status, stderr } = run(
+    ...GOOD.map((word) => (word === '127.0.0.1:7001' ? 'nowhere' : word)),
+    '--check',
+  );
   expect([status, stderr.startsWith('edge: bind: found "nowhere", expected')]).toEqual([2, true]);
 });
 
 it('exits with 2 on an unknown flag and on one given twice', () => {
   expect(run(...GOOD, '--colour', 'red').status).toEqual(2);
-  expect(run(...GOOD, '--name', 'edge-2').stderr.trim()).toEqual('edge: name: found ["edge-1","edge-2"], expected one value');
+  expect(run(...GOOD, '--name', 'edge-2').stderr.trim()).toEqual(
+    'edge: name: found ["edge-1","edge-2"], expected one value',
+  );
 });
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -113,13 +113,20 @@
       return { method: 'GET', path: command };
     case 'status':
     case 'counters':
-      return { method: 'GET', path: second === undefined ? command : `${command}?node=${encodeURIComponent(second)}` };
+      return {
+        method: 'GET',
+        path: second === undefined ? command : `${command}?node=${encodeURIComponent(second)}`,
+      };
     case 'spec':
       return specCall(second, third);
     case 'zones':
       if (second === undefined) return { method: 'GET', path: 'zones' };
       if (second !== 'empty' && second !== 'restore') return usage(`unknown command "zones ${second}"`);
-      return { method: 'POST', path: `zones/${encodeURIComponent(need(third, 'the zone'))}/${second}`, body: options() };
+      return {
+        method: 'POST',
+        path: `zones/${encodeURIComponent(need(third, 'the zone'))}/${second}`,
+        body: options(),
+      };
     case 'operation':
       return { method: 'GET', path: `operations/${encodeURIComponent(need(second, 'the id'))}` };
     case 'explain':
@@ -148,11 +155,15 @@
     body = await reply.body.json();
   } catch (thrown) {
     const sent = call.method !== 'GET' && !/ECONNREFUSED|Connect Timeout/.test(String(thrown));
-    console.error(`rainrun: ${cli.flags.node} not reached: ${String(thrown)}${sent ? '; the outcome is unknown, ask by id' : ''}`);
+    console.error(
+      `rainrun: ${cli.flags.node} not reached: ${String(thrown)}${sent ? '; the outcome is unknown, ask by id' : ''}`,
+    );
     return sent ? EXIT.unknown : EXIT.unreached;
   }
   const well = status >= 200 && status < 300;
-  const text = cli.flags.json ? JSON.stringify(body, undefined, 2) : show(cli.input.slice(0, 2).join(' '), body);
+  const text = cli.flags.json
+    ? JSON.stringify(body, undefined, 2)
+    : show(cli.input.slice(0, 2).join(' '), body);
   if (well) console.log(text);
   else console.error(text);
   if (well) return EXIT.well;
--- a/programs/rainrun/src/rainrun.test.ts
+++ b/programs/rainrun/src/rainrun.test.ts
@@ -12,13 +12,23 @@
 
 it('exits with 2 on wrong usage and 4 when the node is not reached', () => {
   const node = ['--node', '127.0.0.1:1'];
-  expect([run(), run('dance'), run('spec', 'check', '/no/such/file'), run('zones', 'empty'), run('view', ...node)]).toEqual([2, 2, 2, 2, 4]);
+  expect([
+    run(),
+    run('dance'),
+    run('spec', 'check', '/no/such/file'),
+    run('zones', 'empty'),
+    run('view', ...node),
+  ]).toEqual([2, 2, 2, 2, 4]);
 });
 
 it('shows tables, pairs and faults', () => {
-  expect(show('zones', { zones: [{ zone: 'north', emptied: false }] })).toEqual('zone   emptied\nnorth  false');
-  expect(show('view', { epoch: 3, admitting: true })).toEqual('epoch: 3\nadmitting: true');
-  expect(show('spec check', { error: { kind: 'bad-spec', message: 'has faults', faults: [{ path: 'zones', message: 'missing' }] } })).toEqual(
-    'bad-spec: has faults\n  zones: missing',
+  expect(show('zones', { zones: [{ zone: 'north', emptied: false }] })).toEqual(
+    'zone   emptied\nnorth  false',
   );
+  expect(show('view', { epoch: 3, admitting: true })).toEqual('epoch: 3\nadmitting: true');
+  expect(
+    show('spec check', {
+      error: { kind: 'bad-spec', message: 'has faults', faults: [{ path: 'zones', message: 'missing' }] },
+    }),
+  ).toEqual('bad-spec: has faults\n  zones: missing');
 });
--- a/programs/rainrun/src/show.ts
+++ b/programs/rainrun/src/show.ts
@@ -17,7 +17,10 @@
   const keys = Object.keys(first);
   const widths = keys.map((key) => Math.max(key.length, ...rows.map((row) => cell(row[key]).length)));
   function line(cells: readonly string[]): string {
-    return cells.map((text, place) => text.padEnd(widths[place] ?? 0)).join('  ').trimEnd();
+    return cells
+      .map((text, place) => text.padEnd(widths[place] ?? 0))
+      .join('  ')
+      .trimEnd();
   }
   return [line(keys), ...rows.map((row) => line(keys.map((key) => cell(row[key]))))].join('\n');
 }
@@ -25,7 +28,8 @@
 function pairs(body: Row): string {
   return Object.entries(body)
     .map(([key, value]) => {
-      if (Array.isArray(value) && value.some((item) => typeof item === 'object')) return `${key}:\n${table(value as Row[])}`;
+      if (Array.isArray(value) && value.some((item) => typeof item === 'object'))
+        return `${key}:\n${table(value as Row[])}`;
       return `${key}: ${cell(value)}`;
     })
     .join('\n');
@@ -42,7 +46,10 @@
   if (error !== undefined) {
     const faults = (error['faults'] as Row[] | undefined) ?? [];
     const lines = faults.map((one) => `  ${cell(one['path'])}: ${cell(one['message'])}`);
-    return [`${cell(error['kind'])}: ${cell(error['message'])}${error['id'] === undefined ? '' : ` (id ${cell(error['id'])})`}`, ...lines].join('\n');
+    return [
+      `${cell(error['kind'])}: ${cell(error['message'])}${error['id'] === undefined ? '' : ` (id ${cell(error['id'])})`}`,
+      ...lines,
+    ].join('\n');
   }
   if (command === 'spec get') return cell(row['text']);
   const only = Object.values(row);
--- a/scripts/unit.mjs
+++ b/scripts/unit.mjs
@@ -10,11 +10,16 @@
 
 /** Reads the list of tests that are known to fail. */
 export function readKnownRed(text) {
-  const lines = text.split('\n').map((line) => line.trim()).filter((line) => line !== '' && !line.startsWith('#'));
-  return new Map(lines.map((line) => {
-    const [name = '', cause = '', issue = ''] = line.split('|').map((part) => part.trim());
-    return [name, { cause, issue }];
-  }));
+  const lines = text
+    .split('\n')
+    .map((line) => line.trim())
+    .filter((line) => line !== '' && !line.startsWith('#'));
+  return new Map(
+    lines.map((line) => {
+      const [name = '', cause = '', issue = ''] = line.split('|').map((part) => part.trim());
+      return [name, { cause, issue }];
+    }),
+  );
 }
 
 /** What the run comes to: tests that failed unlisted, and listed ones that did not fail. */
@@ -29,7 +34,11 @@
   return FOLDERS.filter((folder) => existsSync(folder)).flatMap((folder) =>
     readdirSync(folder, { recursive: true })
       .map((name) => join(folder, name))
-      .filter((name) => !name.includes('node_modules') && (/\/dist\/.*\.test\.js$/.test(name) || name.endsWith('.test.mjs'))),
+      .filter(
+        (name) =>
+          !name.includes('node_modules') &&
+          (/\/dist\/.*\.test\.js$/.test(name) || name.endsWith('.test.mjs')),
+      ),
   );
 }
 
@@ -51,11 +60,13 @@
   stream.compose(spec).pipe(process.stdout);
   await new Promise((resolve) => stream.once('end', resolve));
   const { unlisted, stale } = verdict(failed, known);
-  for (const [name, { cause, issue }] of known) if (failed.has(name)) console.log(`known red: ${name}: ${cause} (${issue})`);
+  for (const [name, { cause, issue }] of known)
+    if (failed.has(name)) console.log(`known red: ${name}: ${cause} (${issue})`);
   for (const name of unlisted) console.log(`FAILED: ${name}`);
   for (const name of stale) console.log(`listed in KNOWN-RED.txt and did not fail: ${name}`);
   console.log(`${counts.passed} passed, ${counts.failed} failed, ${counts.skipped} skipped`);
   process.exit(unlisted.length + stale.length > 0 || counts.passed === 0 ? 1 : 0);
 }
 
-if (import.meta.url === `file://${process.argv[1]}`) await main(process.argv.length > 2 ? process.argv.slice(2) : testFiles());
+if (import.meta.url === `file://${process.argv[1]}`)
+  await main(process.argv.length > 2 ? process.argv.slice(2) : testFiles());
--- a/scripts/unit.test.mjs
+++ b/scripts/unit.test.mjs
@@ -10,7 +10,9 @@
   });
 
   it('lets only the tests that it names fail', () => {
-    expect(verdict(new Set(['a.test.js > one', 'b.test.js > two']), known).unlisted).toEqual(['b.test.js > two']);
+    expect(verdict(new Set(['a.test.js > one', 'b.test.js > two']), known).unlisted).toEqual([
+      'b.test.js > two',
+    ]);
   });
 
   it('must not name a test that passes', () => {
--- a/tools/fleet/src/everywhere.ts
+++ b/tools/fleet/src/everywhere.ts
@@ -6,7 +6,21 @@
 const AGAIN_MS = 500;
 
 /** What only the node that is asked can say about itself, and what counts on while one asks. */
-const OWN = new Set(['self', 'disk', 'admitting', 'inFlight', 'backlog', 'served', 'refused', 'prompt', 'measuredMs', 'id', 'number', 'agreed', 'stale']);
+const OWN = new Set([
+  'self',
+  'disk',
+  'admitting',
+  'inFlight',
+  'backlog',
+  'served',
+  'refused',
+  'prompt',
+  'measuredMs',
+  'id',
+  'number',
+  'agreed',
+  'stale',
+]);
 
 function shared(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(shared);
@@ -34,7 +48,11 @@
   const [first] = answers;
   return answers.flatMap((answer, place) => {
     const same = answer.status === 200 && isDeepStrictEqual(shared(answer.body), shared(first?.body));
-    return same ? [] : [`${path} at ${nodes[place]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`];
+    return same
+      ? []
+      : [
+          `${path} at ${nodes[place]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`,
+        ];
   });
 }
 
@@ -47,10 +65,26 @@
  */
 export async function tryEverywhere(fleet: Fleet, request: string): Promise<string[]> {
   const model = 'model-1';
-  const reads = ['view', 'spec', 'spec/history', 'zones', 'workers', 'groups', `explain/requests/${request}`, `explain/models/${model}`, 'operations/everywhere-0', 'status?node=core-1'];
+  const reads = [
+    'view',
+    'spec',
+    'spec/history',
+    'zones',
+    'workers',
+    'groups',
+    `explain/requests/${request}`,
+    `explain/models/${model}`,
+    'operations/everywhere-0',
+    'status?node=core-1',
+  ];
   const faults: string[] = [];
   const { nodes } = fleet;
-  function ask(node: FleetNode, method: 'GET' | 'POST' | 'PATCH' | 'PUT', path: string, body?: unknown): Promise<Reply> {
+  function ask(
+    node: FleetNode,
+    method: 'GET' | 'POST' | 'PATCH' | 'PUT',
+    path: string,
+    body?: unknown,
+  ): Promise<Reply> {
     return fleet.ask(node.http, method, `/rainrun/v1/${path}`, body);
   }
   for (const [place, node] of nodes.entries()) {
@@ -77,7 +111,8 @@
   for (const key of ['status', 'counters']) {
     for (const node of nodes) {
       const { body } = await ask(node, 'GET', key);
-      if (!isDeepStrictEqual(rowNames(body, key).sort(), nodes.map(({ name }) => name).sort())) faults.push(`${key} at ${node.name}: ${JSON.stringify(body).slice(0, 300)}`);
+      if (!isDeepStrictEqual(rowNames(body, key).sort(), nodes.map(({ name }) => name).sort()))
+        faults.push(`${key} at ${node.name}: ${JSON.stringify(body).slice(0, 300)}`);
     }
   }
   return faults;
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -64,7 +64,13 @@
     const outlines = Array.from({ length: shape.cores + shape.edges }, (_, place) => {
       const core = place < shape.cores;
       const at = core ? place : place - shape.cores;
-      return { name: core ? `core-${at + 1}` : `edge-${at + 1}`, core, zone: zone(at), bind: next(), http: next() };
+      return {
+        name: core ? `core-${at + 1}` : `edge-${at + 1}`,
+        core,
+        zone: zone(at),
+        bind: next(),
+        http: next(),
+      };
     });
     this.#next = next;
     for (const [place, outline] of outlines.entries()) {
@@ -112,7 +118,15 @@
     const { name, zone, bind, reach, http, core, settings } = node;
     const founders = this.nodes.filter((known) => known.core).map((known) => known.name);
     const seeds = this.#seeds.map((seed) => seed.reach);
-    const shared = { name, deployment: this.#shape.deployment, zone, bind, http, seeds, platform: `http://${this.platform}/workers` };
+    const shared = {
+      name,
+      deployment: this.#shape.deployment,
+      zone,
+      bind,
+      http,
+      seeds,
+      platform: `http://${this.platform}/workers`,
+    };
     const relayed = reach === bind ? {} : { reach };
     const own = core ? { founders, folder: join(this.#folder, 'data', name) } : {};
     writeFileSync(settings, `${JSON.stringify({ ...shared, ...relayed, ...own }, undefined, 2)}\n`);
@@ -125,7 +139,8 @@
   /** Resolves with the exit code once the process is gone. */
   ended(name: string): Promise<number | null> {
     const child = this.#children.get(name);
-    if (child === undefined || child.exitCode !== null || child.signalCode !== null) return Promise.resolve(child?.exitCode ?? null);
+    if (child === undefined || child.exitCode !== null || child.signalCode !== null)
+      return Promise.resolve(child?.exitCode ?? null);
     return new Promise((resolve) => {
       child.once('exit', (code) => resolve(code));
     });
@@ -147,7 +162,12 @@
   }
 
   /** Asks a node, or the standIns, in JSON. */
-  async ask(address: string, method: 'GET' | 'POST' | 'PUT' | 'PATCH', path: string, body?: unknown): Promise<{ status: number; body: unknown }> {
+  async ask(
+    address: string,
+    method: 'GET' | 'POST' | 'PUT' | 'PATCH',
+    path: string,
+    body?: unknown,
+  ): Promise<{ status: number; body: unknown }> {
     try {
       const reply = await request(`http://${address}${path}`, {
         method,
@@ -163,8 +183,11 @@
 
   #spawn(name: string, program: string, args: readonly string[]): void {
     const log = openSync(join(this.#folder, `${name}.log`), 'a');
-    const path = program === 'stand-in-workers' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
-    const child = spawn(process.execPath, [join(path, 'dist', 'main.js'), ...args], { stdio: ['ignore', log, log] });
+    const path =
+      program === 'stand-in-workers' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
+    const child = spawn(process.execPath, [join(path, 'dist', 'main.js'), ...args], {
+      stdio: ['ignore', log, log],
+    });
     closeSync(log);
     this.#children.set(name, child);
   }
@@ -177,7 +200,13 @@
       models: { name: string; sizeMb: number }[];
       adapters: { name: string; sizeMb: number }[];
     };
-    const shared = { host: HOST, roomMb: spec.workers.roomMb, slots: spec.workers.slots, pullMbPerS: PULL_MB_PER_S, pieceMs: PIECE_MS };
+    const shared = {
+      host: HOST,
+      roomMb: spec.workers.roomMb,
+      slots: spec.workers.slots,
+      pullMbPerS: PULL_MB_PER_S,
+      pieceMs: PIECE_MS,
+    };
     const workers = Array.from({ length: shape.workers + shape.lookups }, (_, place) => {
       const lookup = place >= shape.workers;
       const at = lookup ? place - shape.workers : place;
@@ -190,7 +219,9 @@
         pool: lookup ? shape.pool : 'models',
       };
     });
-    const sizesMb = Object.fromEntries([...spec.models, ...spec.adapters].map(({ name, sizeMb }) => [name, sizeMb]));
+    const sizesMb = Object.fromEntries(
+      [...spec.models, ...spec.adapters].map(({ name, sizeMb }) => [name, sizeMb]),
+    );
     const port = Number(this.platform.split(':')[1]);
     const setup = { host: HOST, port, pullsPerMinute: spec.store.pullsPerMinute, sizesMb, workers };
     writeFileSync(this.#setup, `${JSON.stringify(setup, undefined, 2)}\n`);
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -82,10 +82,15 @@
     return ((body as { members?: unknown[] }).members ?? []).length === fleet.nodes.length;
   });
   if (!whole) return 'the view is not whole after 12 s';
-  const put = await fleet.ask(first.http, 'PUT', '/rainrun/v1/spec', { base: 0, text: JSON.stringify(exampleSpec(shape), undefined, 2) });
+  const put = await fleet.ask(first.http, 'PUT', '/rainrun/v1/spec', {
+    base: 0,
+    text: JSON.stringify(exampleSpec(shape), undefined, 2),
+  });
   if (put.status !== 200) return `the spec was not agreed: ${JSON.stringify(put.body)}`;
   const ready = await until(2000, async () => {
-    const replies = await Promise.all(fleet.edges.map((edge) => fleet.ask(edge.http, 'GET', '/rainrun/v1/ready')));
+    const replies = await Promise.all(
+      fleet.edges.map((edge) => fleet.ask(edge.http, 'GET', '/rainrun/v1/ready')),
+    );
     return replies.every((reply) => reply.status === 200);
   });
   return ready ? undefined : 'the spec is not in force everywhere after 2 s';
@@ -99,24 +104,39 @@
   const sums: Record<'edge' | 'core', Row> = { edge: {}, core: {} };
   for (const row of (body as { counters?: Row[] }).counters ?? []) {
     const role = fleet.nodes.find((node) => node.name === row['node'])?.core === true ? 'core' : 'edge';
-    for (const key of ['cpuMs', 'bytesOut', 'framesOut', 'heldMb']) sums[role][key] = Number(sums[role][key] ?? 0) + Number(row[key] ?? 0);
+    for (const key of ['cpuMs', 'bytesOut', 'framesOut', 'heldMb'])
+      sums[role][key] = Number(sums[role][key] ?? 0) + Number(row[key] ?? 0);
   }
   return sums;
 }
 
-function showCosts(fleet: Fleet, before: Record<'edge' | 'core', Row>, after: Record<'edge' | 'core', Row>, served: number, seconds: number): void {
+function showCosts(
+  fleet: Fleet,
+  before: Record<'edge' | 'core', Row>,
+  after: Record<'edge' | 'core', Row>,
+  served: number,
+  seconds: number,
+): void {
   for (const role of ['edge', 'core'] as const) {
     const nodes = fleet.nodes.filter((node) => node.core === (role === 'core')).length;
     function spent(key: string): number {
       return Number(after[role][key] ?? 0) - Number(before[role][key] ?? 0);
     }
-    const cpu = `CPU ${(spent('cpuMs') / served).toFixed(2)} ms a request, ${((spent('cpuMs') / 10 / seconds) / nodes).toFixed(1)} % of one processor each`;
+    const cpu = `CPU ${(spent('cpuMs') / served).toFixed(2)} ms a request, ${(spent('cpuMs') / 10 / seconds / nodes).toFixed(1)} % of one processor each`;
     const wire = `${(spent('bytesOut') / 1000 / seconds / nodes).toFixed(1)} kB and ${(spent('framesOut') / seconds / nodes).toFixed(0)} frames a second each between nodes`;
-    console.log(`${role}s: ${cpu}; ${wire}; ${(Number(after[role]['heldMb'] ?? 0) / nodes).toFixed(0)} MB each`);
+    console.log(
+      `${role}s: ${cpu}; ${wire}; ${(Number(after[role]['heldMb'] ?? 0) / nodes).toFixed(0)} MB each`,
+    );
   }
 }
 
-async function serve(fleet: Fleet, shape: Shape, dayText: string, speed: number, after: (report: CrowdReport) => Promise<string[]> = () => Promise.resolve([])): Promise<number> {
+async function serve(
+  fleet: Fleet,
+  shape: Shape,
+  dayText: string,
+  speed: number,
+  after: (report: CrowdReport) => Promise<string[]> = () => Promise.resolve([]),
+): Promise<number> {
   const beganMs = performance.now();
   const closed = await open(fleet, shape);
   if (closed !== undefined) {
@@ -164,9 +184,15 @@
   await pause(25_000);
   const alone = await new LoadGenerator(edges).play(day.value.calls, 1);
   await pause(3000);
-  const [beside, flooded] = await Promise.all([new LoadGenerator(edges).play(day.value.calls, 1), new LoadGenerator(edges).play(mass.value.calls, 1)]);
+  const [beside, flooded] = await Promise.all([
+    new LoadGenerator(edges).play(day.value.calls, 1),
+    new LoadGenerator(edges).play(mass.value.calls, 1),
+  ]);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
-  const breaches = [alone, beside, flooded].flatMap((report) => [...report.breaches, ...compare(report.seen, workers.runs)]);
+  const breaches = [alone, beside, flooded].flatMap((report) => [
+    ...report.breaches,
+    ...compare(report.seen, workers.runs),
+  ]);
   console.log('alone');
   show(alone, workers, breaches);
   console.log(`beside a flood of ${FLOOD_PER_S} a second from ${group}`);
@@ -178,10 +204,17 @@
 /** Good traffic, then every command at every node, then bad input. */
 function smoke(fleet: Fleet, shape: Shape): Promise<number> {
   return serve(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
-    const everywhere = await tryEverywhere(fleet, report.seen.find((seen) => seen.outcome === 'served')?.id ?? '');
-    console.log(`every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`);
+    const everywhere = await tryEverywhere(
+      fleet,
+      report.seen.find((seen) => seen.outcome === 'served')?.id ?? '',
+    );
+    console.log(
+      `every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`,
+    );
     const manners = await tryManners(fleet);
-    console.log(`bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`);
+    console.log(
+      `bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`,
+    );
     return [...everywhere, ...manners];
   });
 }
@@ -199,34 +232,53 @@
   let slowestMs = 0;
   console.log('routes  bytes    agreed after ms  in force everywhere after ms  lookup p50 ms');
   for (const [place, count] of ROUTE_COUNTS.entries()) {
-    const more = Array.from({ length: count }, (_, at) => ({ path: `/v1/many/${at}`, serve: 'lookup', pool: shape.pool }));
+    const more = Array.from({ length: count }, (_, at) => ({
+      path: `/v1/many/${at}`,
+      serve: 'lookup',
+      pool: shape.pool,
+    }));
     const text = JSON.stringify({ ...spec, routes: [...spec.routes, ...more].slice(-count) });
     const node = fleet.nodes[place % fleet.nodes.length];
     const beganMs = performance.now();
     const put = await fleet.ask(node?.http ?? '', 'PUT', '/rainrun/v1/spec', { text });
     const agreedMs = performance.now() - beganMs;
-    if (put.status !== 200) console.error(`fleet: ${count} routes: ${JSON.stringify(put.body).slice(0, 200)}`);
+    if (put.status !== 200)
+      console.error(`fleet: ${count} routes: ${JSON.stringify(put.body).slice(0, 200)}`);
     const version = (put.body as { detail?: string }).detail;
     const inForce = await until(5000, async () => {
-      const replies = await Promise.all(fleet.nodes.map((one) => fleet.ask(one.http, 'GET', '/rainrun/v1/spec/history')));
-      return replies.every(({ body }) => `version ${(body as { history: { version: number }[] }).history.at(-1)?.version ?? 0}` === version);
+      const replies = await Promise.all(
+        fleet.nodes.map((one) => fleet.ask(one.http, 'GET', '/rainrun/v1/spec/history')),
+      );
+      return replies.every(
+        ({ body }) =>
+          `version ${(body as { history: { version: number }[] }).history.at(-1)?.version ?? 0}` === version,
+      );
     });
     const forceMs = inForce ? performance.now() - beganMs : Infinity;
     slowestMs = Math.max(slowestMs, forceMs);
     const times: number[] = [];
     for (let at = 0; at < 50; at += 1) {
       const askedMs = performance.now();
-      await fetch(`http://${fleet.edges[0]?.http ?? ''}/v1/many/${count - 1}/x`, { headers: { 'rainrun-group': shape.lookupGroup } }).then((reply) => reply.text());
+      await fetch(`http://${fleet.edges[0]?.http ?? ''}/v1/many/${count - 1}/x`, {
+        headers: { 'rainrun-group': shape.lookupGroup },
+      }).then((reply) => reply.text());
       times.push(performance.now() - askedMs);
     }
     times.sort((one, other) => one - other);
-    console.log(`${count}  ${Buffer.byteLength(text)}  ${agreedMs.toFixed(0)}  ${forceMs.toFixed(0)}  ${(times[25] ?? 0).toFixed(1)}`);
+    console.log(
+      `${count}  ${Buffer.byteLength(text)}  ${agreedMs.toFixed(0)}  ${forceMs.toFixed(0)}  ${(times[25] ?? 0).toFixed(1)}`,
+    );
   }
   return slowestMs <= 2000 ? 0 : 1;
 }
 
 /** Serves traffic for as long as the trial takes, and judges the whole. */
-async function tryOut(fleet: Fleet, shape: Shape, act: (trial: Trial) => Promise<TrialReport>, relay?: Relay): Promise<number> {
+async function tryOut(
+  fleet: Fleet,
+  shape: Shape,
+  act: (trial: Trial) => Promise<TrialReport>,
+  relay?: Relay,
+): Promise<number> {
   const closed = await open(fleet, shape);
   if (closed !== undefined) {
     console.error(`fleet: ${closed}`);
@@ -243,7 +295,13 @@
   crowd.stop();
   const report = await playing;
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
-  const breaches = [...report.breaches, ...workers.breaches, ...compare(report.seen, workers.runs), ...found.faults, ...trial.lostInPlannedStops(report)];
+  const breaches = [
+    ...report.breaches,
+    ...workers.breaches,
+    ...compare(report.seen, workers.runs),
+    ...found.faults,
+    ...trial.lostInPlannedStops(report),
+  ];
   show(report, workers, breaches);
   for (const line of found.lines) console.log(line);
   return breaches.length === 0 ? 0 : 1;
@@ -265,12 +323,20 @@
 /** A fleet whose nodes reach each other through a relay that cuts. */
 async function cuts(shape: Shape): Promise<number> {
   const relay = new Relay();
-  const code = await withFleet(shape, (fleet) => tryOut(fleet, shape, (trial) => trial.runCuts(), relay), relay);
+  const code = await withFleet(
+    shape,
+    (fleet) => tryOut(fleet, shape, (trial) => trial.runCuts(), relay),
+    relay,
+  );
   relay.close();
   return code;
 }
 
-async function withFleet(shape: Shape, act: (fleet: Fleet) => Promise<number>, relay?: Relay): Promise<number> {
+async function withFleet(
+  shape: Shape,
+  act: (fleet: Fleet) => Promise<number>,
+  relay?: Relay,
+): Promise<number> {
   const folder = cli.flags.folder ?? mkdtempSync(join(tmpdir(), 'rainrun-'));
   const fleet = new Fleet(shape, folder, cli.flags.port, relay);
   let code = 1;
@@ -312,7 +378,10 @@
     const shape = SHAPES[name];
     if (shape === undefined) continue;
     mkdirSync(join('examples', name), { recursive: true });
-    writeFileSync(join('examples', name, 'spec.json'), `${JSON.stringify(exampleSpec(shape), undefined, 2)}\n`);
+    writeFileSync(
+      join('examples', name, 'spec.json'),
+      `${JSON.stringify(exampleSpec(shape), undefined, 2)}\n`,
+    );
     writeFileSync(join('examples', name, 'day.jsonl'), makeDay(shape, 40, 1));
   }
   return 0;
@@ -321,10 +390,12 @@
 /** A flag that is out of range, in words, or undefined. */
 function badFlag(): string | undefined {
   const { port, speed, day, other } = cli.flags;
-  if (!Number.isInteger(port) || port < 1024 || port > 65_000) return `--port: found ${port}, expected a whole number from 1024 to 65000`;
+  if (!Number.isInteger(port) || port < 1024 || port > 65_000)
+    return `--port: found ${port}, expected a whole number from 1024 to 65000`;
   if (!(speed > 0) || speed > 1000) return `--speed: found ${speed}, expected above 0 and at most 1000`;
   if (day !== undefined && !existsSync(day)) return `--day: found "${day}", expected a file`;
-  if (other !== undefined && !existsSync(join(other, 'programs', 'edge', 'dist', 'main.js'))) return `--other: found "${other}", expected a checkout that is built`;
+  if (other !== undefined && !existsSync(join(other, 'programs', 'edge', 'dist', 'main.js')))
+    return `--other: found "${other}", expected a checkout that is built`;
   return undefined;
 }
 
@@ -356,7 +427,9 @@
     case 'examples':
       return writeExamples();
     default:
-      console.error('fleet: start, run, trial, cuts, flood, routes, rollout, smoke or examples; see fleet --help');
+      console.error(
+        'fleet: start, run, trial, cuts, flood, routes, rollout, smoke or examples; see fleet --help',
+      );
       return 2;
   }
 }
--- a/tools/fleet/src/manners.ts
+++ b/tools/fleet/src/manners.ts
@@ -19,20 +19,95 @@
 }
 
 const VISITOR_CASES: readonly Case[] = [
-  { name: 'not JSON', method: 'POST', path: CHAT, headers: GROUP, body: '{', status: 400, kind: 'bad-request' },
-  { name: 'no messages', method: 'POST', path: CHAT, headers: GROUP, body: '{"model":"model-1"}', status: 400, kind: 'bad-request' },
-  { name: 'unknown model', method: 'POST', path: CHAT, headers: GROUP, body: chat('none'), status: 404, kind: 'unknown-model' },
-  { name: 'unknown group', method: 'POST', path: CHAT, headers: { 'rainrun-group': 'none' }, body: chat('model-1'), status: 403, kind: 'unknown-group' },
+  {
+    name: 'not JSON',
+    method: 'POST',
+    path: CHAT,
+    headers: GROUP,
+    body: '{',
+    status: 400,
+    kind: 'bad-request',
+  },
+  {
+    name: 'no messages',
+    method: 'POST',
+    path: CHAT,
+    headers: GROUP,
+    body: '{"model":"model-1"}',
+    status: 400,
+    kind: 'bad-request',
+  },
+  {
+    name: 'unknown model',
+    method: 'POST',
+    path: CHAT,
+    headers: GROUP,
+    body: chat('none'),
+    status: 404,
+    kind: 'unknown-model',
+  },
+  {
+    name: 'unknown group',
+    method: 'POST',
+    path: CHAT,
+    headers: { 'rainrun-group': 'none' },
+    body: chat('model-1'),
+    status: 403,
+    kind: 'unknown-group',
+  },
   { name: 'no route', method: 'GET', path: '/none', headers: GROUP, status: 404, kind: 'not-found' },
-  { name: 'body too large', method: 'POST', path: CHAT, headers: GROUP, body: 'x'.repeat(5 * 1024 * 1024), status: 413, kind: 'too-large' },
-  { name: 'deadline past', method: 'POST', path: CHAT, headers: { ...GROUP, 'rainrun-deadline-ms': '-5' }, body: chat('model-1'), status: 400, kind: 'deadline-past' },
+  {
+    name: 'body too large',
+    method: 'POST',
+    path: CHAT,
+    headers: GROUP,
+    body: 'x'.repeat(5 * 1024 * 1024),
+    status: 413,
+    kind: 'too-large',
+  },
+  {
+    name: 'deadline past',
+    method: 'POST',
+    path: CHAT,
+    headers: { ...GROUP, 'rainrun-deadline-ms': '-5' },
+    body: chat('model-1'),
+    status: 400,
+    kind: 'deadline-past',
+  },
 ];
 
 const OPERATOR_CASES: readonly Case[] = [
-  { name: 'bad spec', method: 'PUT', path: '/rainrun/v1/spec', body: '{"text":"{}"}', status: 422, kind: 'bad-spec' },
-  { name: 'losing race', method: 'PATCH', path: '/rainrun/v1/spec', body: '{"base":0,"patch":{}}', status: 409, kind: 'conflict' },
-  { name: 'unknown zone', method: 'POST', path: '/rainrun/v1/zones/none/empty', body: '{}', status: 404, kind: 'not-found' },
-  { name: 'unknown operation', method: 'GET', path: '/rainrun/v1/operations/none', status: 404, kind: 'not-found' },
+  {
+    name: 'bad spec',
+    method: 'PUT',
+    path: '/rainrun/v1/spec',
+    body: '{"text":"{}"}',
+    status: 422,
+    kind: 'bad-spec',
+  },
+  {
+    name: 'losing race',
+    method: 'PATCH',
+    path: '/rainrun/v1/spec',
+    body: '{"base":0,"patch":{}}',
+    status: 409,
+    kind: 'conflict',
+  },
+  {
+    name: 'unknown zone',
+    method: 'POST',
+    path: '/rainrun/v1/zones/none/empty',
+    body: '{}',
+    status: 404,
+    kind: 'not-found',
+  },
+  {
+    name: 'unknown operation',
+    method: 'GET',
+    path: '/rainrun/v1/operations/none',
+    status: 404,
+    kind: 'not-found',
+  },
   { name: 'unknown command', method: 'GET', path: '/rainrun/v1/none', status: 404, kind: 'not-found' },
 ];
 
@@ -44,7 +119,9 @@
   });
   const text = await reply.text();
   const kind = text.includes(`"kind":"${one.kind}"`);
-  return reply.status === one.status && kind ? undefined : `${one.name}: ${reply.status} ${text.slice(0, 200)}`;
+  return reply.status === one.status && kind
+    ? undefined
+    : `${one.name}: ${reply.status} ${text.slice(0, 200)}`;
 }
 
 /** Headers that never end: the node must answer 408 and close, by itself. */
@@ -78,7 +155,8 @@
   const faults: string[] = [];
   const edge = fleet.edges[0]?.http ?? '';
   const endless = tryEndlessHeaders(edge);
-  for (const one of VISITOR_CASES) faults.push(...[await tryCase(edge, one)].filter((fault) => fault !== undefined));
+  for (const one of VISITOR_CASES)
+    faults.push(...[await tryCase(edge, one)].filter((fault) => fault !== undefined));
   for (const one of OPERATOR_CASES) {
     for (const { http } of [fleet.nodes[0], fleet.edges[0]].filter((node) => node !== undefined)) {
       faults.push(...[await tryCase(http, one)].filter((fault) => fault !== undefined));
@@ -86,13 +164,18 @@
   }
   const id = `once-${Date.now()}`;
   const first = await fleet.ask(edge, 'POST', `/rainrun/v1/zones/north/restore`, { id });
-  const second = await fleet.ask(fleet.nodes[1]?.http ?? '', 'POST', `/rainrun/v1/zones/north/restore`, { id });
+  const second = await fleet.ask(fleet.nodes[1]?.http ?? '', 'POST', `/rainrun/v1/zones/north/restore`, {
+    id,
+  });
   const asked = await fleet.ask(fleet.nodes[2]?.http ?? '', 'GET', `/rainrun/v1/operations/${id}`);
   const answers = [first, second, asked].map((reply) => JSON.stringify(reply));
   if (new Set(answers).size !== 1) faults.push(`one operation has several answers: ${answers.join(' ')}`);
   for (const path of ['spec', 'spec/history', 'zones']) {
-    const replies = await Promise.all(fleet.nodes.map((node) => fleet.ask(node.http, 'GET', `/rainrun/v1/${path}`)));
-    if (new Set(replies.map((reply) => JSON.stringify(reply))).size !== 1) faults.push(`${path} is not the same at every node`);
+    const replies = await Promise.all(
+      fleet.nodes.map((node) => fleet.ask(node.http, 'GET', `/rainrun/v1/${path}`)),
+    );
+    if (new Set(replies.map((reply) => JSON.stringify(reply))).size !== 1)
+      faults.push(`${path} is not the same at every node`);
   }
   faults.push(...[await endless].filter((fault) => fault !== undefined));
   return faults;
