--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -43,13 +43,18 @@
   /** Rolls the fleet, node by node, to this build and back to the one it was started from. */
   async runRollOut(build: string): Promise<TrialReport> {
     const from = this.#fleet.build;
-    for (const [name, to] of [['to the other build', build], ['and back', from]] as const) {
+    for (const [name, to] of [
+      ['to the other build', build],
+      ['and back', from],
+    ] as const) {
       const beganMs = performance.now();
       this.#fleet.build = to;
       const fault = await this.#rollOut(true);
       const view = await this.#fleet.ask(this.#fleet.nodes[0]?.http ?? '', 'GET', '/rainrun/v1/view');
       const { level = 1 } = view.body as { level?: number };
-      this.#lines.push(`${name.padEnd(46)} ${(performance.now() - beganMs).toFixed(0).padStart(6)} ms  ${fault ?? 'well'}, at level ${level}`);
+      this.#lines.push(
+        `${name.padEnd(46)} ${(performance.now() - beganMs).toFixed(0).padStart(6)} ms  ${fault ?? 'well'}, at level ${level}`,
+      );
       if (fault !== undefined) this.#faults.push(`${name}: ${fault}`);
     }
     return { faults: this.#faults, lines: this.#lines };
@@ -69,13 +74,30 @@
       return (from, to) => (from === one && to === two) || (from === two && to === one);
     }
     return this.#play([
-      { name: 'cut an edge off', run: () => this.#cutFor((from, to) => (from === edge) !== (to === edge), [edge]) },
-      { name: 'cut a core off', run: () => this.#cutFor((from, to) => (from === core) !== (to === core), [core]) },
+      {
+        name: 'cut an edge off',
+        run: () => this.#cutFor((from, to) => (from === edge) !== (to === edge), [edge]),
+      },
+      {
+        name: 'cut a core off',
+        run: () => this.#cutFor((from, to) => (from === core) !== (to === core), [core]),
+      },
       { name: 'an edge can hear but not speak', run: () => this.#cutFor((from) => from === edge, [edge]) },
       { name: 'a core can speak but not hear', run: () => this.#cutFor((_, to) => to === other, [other]) },
-      { name: 'cut the core in two', run: () => this.#cutFor((from, to) => cores.has(from) && cores.has(to) && (from === core) !== (to === core), [], [core]) },
+      {
+        name: 'cut the core in two',
+        run: () =>
+          this.#cutFor(
+            (from, to) => cores.has(from) && cores.has(to) && (from === core) !== (to === core),
+            [],
+            [core],
+          ),
+      },
       { name: 'cut two cores apart', run: () => this.#cutFor(apart(core, other), [], [core, other]) },
-      { name: 'cut the core off from the edges', run: () => this.#cutFor((from, to) => cores.has(from) !== cores.has(to), [...cores]) },
+      {
+        name: 'cut the core off from the edges',
+        run: () => this.#cutFor((from, to) => cores.has(from) !== cores.has(to), [...cores]),
+      },
       { name: 'slow and lossy links for 8 s', run: () => this.#slow() },
       { name: 'each core replaced by an empty one, in turn', run: () => this.#replaceCores() },
       { name: 'other seeds for whoever restarts', run: () => this.#otherSeeds() },
@@ -87,7 +109,11 @@
    * Holds a cut, sees who admits meanwhile, and waits for the fleet to be whole
    * again. Those that may be `dropped`, as the coordinator cannot reach them, may admit or not.
    */
-  async #cutFor(cut: LinkCut, silent: readonly string[], dropped: readonly string[] = []): Promise<string | undefined> {
+  async #cutFor(
+    cut: LinkCut,
+    silent: readonly string[],
+    dropped: readonly string[] = [],
+  ): Promise<string | undefined> {
     this.#relay?.cut(cut);
     await pause(CUT_MS);
     const wrong: string[] = [];
@@ -95,7 +121,8 @@
       const { status } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/ready');
       const admits = status === 200;
       if (dropped.includes(node.name)) continue;
-      if (admits === silent.includes(node.name)) wrong.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
+      if (admits === silent.includes(node.name))
+        wrong.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
     }
     this.#relay?.heal();
     const back = await this.#back();
@@ -154,7 +181,9 @@
     const zone = nodes[1]?.zone ?? '';
     const lost = nodes.filter((node) => node.zone === zone);
     const { body } = await this.#fleet.ask(platform, 'GET', '/workers');
-    const workers = (body as { workers: { name: string; zone: string }[] }).workers.filter((worker) => worker.zone === zone);
+    const workers = (body as { workers: { name: string; zone: string }[] }).workers.filter(
+      (worker) => worker.zone === zone,
+    );
     for (const node of lost) this.#crowd.setDown(node.http, true);
     for (const node of lost) this.#fleet.signal(node.name, 'SIGKILL');
     await Promise.all(workers.map((worker) => this.#worker(worker.name, 'crash', 0)));
@@ -184,7 +213,8 @@
     const lost: string[] = [];
     for (const seen of report.seen) {
       if (seen.outcome !== 'cut' && seen.outcome !== 'no-answer') continue;
-      if (this.#planned.some((stop) => stop.edge === seen.edge && overlaps(seen, stop))) lost.push(`${seen.id} at ${seen.edge}: ${seen.outcome}`);
+      if (this.#planned.some((stop) => stop.edge === seen.edge && overlaps(seen, stop)))
+        lost.push(`${seen.id} at ${seen.edge}: ${seen.outcome}`);
     }
     return lost;
   }
@@ -237,7 +267,8 @@
       const view = body as { admitting?: boolean; members?: unknown[] };
       if (status !== 200) return `${node.name} does not answer`;
       if (view.admitting !== true) return `${node.name} does not admit`;
-      if (view.members?.length !== nodes.length) return `${node.name} sees ${view.members?.length ?? 0} members`;
+      if (view.members?.length !== nodes.length)
+        return `${node.name} sees ${view.members?.length ?? 0} members`;
     }
     const [first] = nodes;
     const put = await this.#fleet.ask(first?.http ?? '', 'PATCH', '/rainrun/v1/spec', { patch: {} });
@@ -301,11 +332,18 @@
     const emptied = await this.#fleet.ask(first?.http ?? '', 'POST', `/rainrun/v1/zones/${zone}/empty`, {});
     if (emptied.status !== 200) return `not emptied: ${JSON.stringify(emptied.body)}`;
     const { body } = await this.#fleet.ask(this.#fleet.platform, 'GET', '/workers');
-    const names = (body as { workers: { name: string; zone: string }[] }).workers.filter((worker) => worker.zone === zone).map((worker) => worker.name);
+    const names = (body as { workers: { name: string; zone: string }[] }).workers
+      .filter((worker) => worker.zone === zone)
+      .map((worker) => worker.name);
     await Promise.all(names.map((name) => this.#worker(name, 'emptied', 0)));
     await pause(7000);
     await Promise.all(names.map((name) => this.#worker(name, 'restored', 0)));
-    const restored = await this.#fleet.ask(other?.http ?? '', 'POST', `/rainrun/v1/zones/${zone}/restore`, {});
+    const restored = await this.#fleet.ask(
+      other?.http ?? '',
+      'POST',
+      `/rainrun/v1/zones/${zone}/restore`,
+      {},
+    );
     return restored.status === 200 ? this.#back() : `not restored: ${JSON.stringify(restored.body)}`;
   }
 
--- a/tools/load-generator/src/crowd.ts
+++ b/tools/load-generator/src/crowd.ts
@@ -43,7 +43,12 @@
  */
 export class LoadGenerator {
   #edges: readonly string[];
-  #agent = new Agent({ connections: 256, pipelining: 1, headersTimeout: DEADLINE_MS, bodyTimeout: DEADLINE_MS });
+  #agent = new Agent({
+    connections: 256,
+    pipelining: 1,
+    headersTimeout: DEADLINE_MS,
+    bodyTimeout: DEADLINE_MS,
+  });
   #breaches: string[] = [];
   #seen: Seen[] = [];
   #next = 0;
@@ -107,7 +112,14 @@
             'rainrun-kind': call.kind,
             'rainrun-deadline-ms': String(DEADLINE_MS),
           },
-          body: lookup ? null : JSON.stringify({ model: call.model, adapter: call.adapter, stream: call.stream, messages: [{ role: 'user', content: prompt }] }),
+          body: lookup
+            ? null
+            : JSON.stringify({
+                model: call.model,
+                adapter: call.adapter,
+                stream: call.stream,
+                messages: [{ role: 'user', content: prompt }],
+              }),
         },
         visit,
       );
@@ -193,7 +205,11 @@
     this.#sent = true;
   }
 
-  onResponseStart(_controller: Dispatcher.DispatchController, status: number, headers: Record<string, string | string[] | undefined>): void {
+  onResponseStart(
+    _controller: Dispatcher.DispatchController,
+    status: number,
+    headers: Record<string, string | string[] | undefined>,
+  ): void {
     this.#status = status;
     this.#headers = headers;
   }
@@ -229,9 +245,17 @@
 
   #judgeRefusal(text: string): { outcome: string; ran: Seen['ran']; breach: string | undefined } {
     const error = (parse(text) as { error?: { kind?: string; ran?: string } } | undefined)?.error;
-    if (error?.kind === undefined) return { outcome: `status-${this.#status}`, ran: 'maybe', breach: `status ${this.#status} without a kind` };
+    if (error?.kind === undefined)
+      return {
+        outcome: `status-${this.#status}`,
+        ran: 'maybe',
+        breach: `status ${this.#status} without a kind`,
+      };
     const mustReturn = this.#status === 429 || this.#status === 503;
-    const breach = mustReturn && this.#headers['retry-after'] === undefined ? `${error.kind} without Retry-After` : undefined;
+    const breach =
+      mustReturn && this.#headers['retry-after'] === undefined
+        ? `${error.kind} without Retry-After`
+        : undefined;
     return { outcome: error.kind, ran: error.ran === 'no' ? 'no' : 'maybe', breach };
   }
 
@@ -239,7 +263,9 @@
     const { model, adapter, stream, path } = this.#call;
     if (model === '') {
       const body = parse(text) as { path?: string; value?: string } | undefined;
-      return body?.path === `${path}/${this.#place % 200}` && body.value !== undefined ? undefined : `lookup answered ${text.slice(0, 80)}`;
+      return body?.path === `${path}/${this.#place % 200}` && body.value !== undefined
+        ? undefined
+        : `lookup answered ${text.slice(0, 80)}`;
     }
     if (!stream) {
       const body = parse(text) as { choices?: { message?: { content?: string } }[] } | undefined;
@@ -249,7 +275,11 @@
     if (events.at(-1) !== 'data: [DONE]') return 'a stream that ended as whole lacks its closing event';
     const content = events
       .slice(0, -1)
-      .map((event) => (parse(event.slice(6)) as { choices?: { delta?: { content?: string } }[] } | undefined)?.choices?.[0]?.delta?.content ?? '')
+      .map(
+        (event) =>
+          (parse(event.slice(6)) as { choices?: { delta?: { content?: string } }[] } | undefined)
+            ?.choices?.[0]?.delta?.content ?? '',
+      )
       .join('');
     return wrong(model, adapter, this.#prompt, content);
   }
@@ -272,7 +302,8 @@
   const breaches: string[] = [];
   for (const { id, ran, outcome, call } of seen) {
     const times = runs[id] ?? 0;
-    if (ran === 'no' && times > 0 && call.model !== '') breaches.push(`${id} was refused as ${outcome} and ran ${times} times`);
+    if (ran === 'no' && times > 0 && call.model !== '')
+      breaches.push(`${id} was refused as ${outcome} and ran ${times} times`);
     if (ran === 'yes' && times === 0) breaches.push(`${id} was served and never ran`);
   }
   return breaches;
--- a/tools/load-generator/src/main.ts
+++ b/tools/load-generator/src/main.ts
@@ -27,5 +27,11 @@
   process.exit(2);
 }
 const report = await new LoadGenerator(cli.flags.edges.split(',')).play(day.value.calls, cli.flags.speed);
-console.log(JSON.stringify({ outcomes: report.outcomes, byKind: report.byKind, breaches: report.breaches }, undefined, 2));
+console.log(
+  JSON.stringify(
+    { outcomes: report.outcomes, byKind: report.byKind, breaches: report.breaches },
+    undefined,
+    2,
+  ),
+);
 process.exitCode = report.breaches.length === 0 ? 0 : 1;
--- a/tools/planner/src/main.ts
+++ b/tools/planner/src/main.ts
@@ -35,7 +35,9 @@
   },
 );
 
-const ListSchema = v.object({ workers: v.array(v.object({ name: v.string(), zone: v.string(), kind: v.picklist(['model', 'lookup']) })) });
+const ListSchema = v.object({
+  workers: v.array(v.object({ name: v.string(), zone: v.string(), kind: v.picklist(['model', 'lookup']) })),
+});
 
 function fail(message: string): never {
   console.error(`survey: ${message}`);
@@ -63,7 +65,9 @@
   if (unknown.length > 0) console.log(`asked for and not in the catalogue: ${unknown.join(', ')}`);
   for (const { without, slots, roomMb, unplaced, interrupted, pulls, pullS, agrees } of findings) {
     const state = without === 'all' ? 'whole site' : `without ${without}`;
-    console.log(`${state}: ${slots} slots, room ${roomMb} MB, ${pulls} pulls in ${pullS} s${agrees === undefined ? '' : agrees ? '' : ', NO majority of cores'}`);
+    console.log(
+      `${state}: ${slots} slots, room ${roomMb} MB, ${pulls} pulls in ${pullS} s${agrees === undefined ? '' : agrees ? '' : ', NO majority of cores'}`,
+    );
     if (interrupted.length > 0) console.log(`  loaded elsewhere first: ${interrupted.join(', ')}`);
     if (unplaced.length > 0) console.log(`  does not fit: ${unplaced.join(', ')}`);
   }
@@ -72,12 +76,18 @@
 const spec = readSpec(read(cli.flags.spec));
 if (spec.isErr) fail(`${cli.flags.spec}: ${specFaultText(spec.error)}`);
 const list = v.safeParse(ListSchema, json(cli.flags.workers));
-if (!list.success) fail(`${cli.flags.workers}: ${list.issues.map((issue) => `${v.getDotPath(issue) ?? 'list'}: ${issue.message}`).join('; ')}`);
+if (!list.success)
+  fail(
+    `${cli.flags.workers}: ${list.issues.map((issue) => `${v.getDotPath(issue) ?? 'list'}: ${issue.message}`).join('; ')}`,
+  );
 const day = readDay(read(cli.flags.day));
 if (day.isErr) fail(`${cli.flags.day}: ${day.error.detail}`);
 const cores = cli.flags.cores.split(',').filter((zone) => zone !== '');
-const strange = [...new Set([...cores, ...list.output.workers.map((worker) => worker.zone)])].filter((zone) => !spec.value.zones.includes(zone));
-if (strange.length > 0) fail(`zones ${strange.join(', ')}: not in the spec, expected ${spec.value.zones.join(', ')}`);
+const strange = [...new Set([...cores, ...list.output.workers.map((worker) => worker.zone)])].filter(
+  (zone) => !spec.value.zones.includes(zone),
+);
+if (strange.length > 0)
+  fail(`zones ${strange.join(', ')}: not in the spec, expected ${spec.value.zones.join(', ')}`);
 const found = survey(spec.value, list.output.workers, day.value.calls, cores);
 if (cli.flags.json) console.log(JSON.stringify(found, undefined, 2));
 else show(found);
--- a/tools/planner/src/survey.test.ts
+++ b/tools/planner/src/survey.test.ts
@@ -9,15 +9,24 @@
 function parts(roomMb: number): { spec: Spec; workers: ListedWorker[]; calls: readonly Call[] } {
   const spec = readSpec(JSON.stringify({ ...exampleSpec(SHAPE), workers: { roomMb, slots: 8 } }));
   const day = readDay(makeDay(SHAPE, 60, 1));
-  const workers = Array.from({ length: 4 }, (_, place) => ({ name: `worker-${place}`, zone: SHAPE.zones[place % 3] ?? '', kind: 'model' }));
+  const workers = Array.from({ length: 4 }, (_, place) => ({
+    name: `worker-${place}`,
+    zone: SHAPE.zones[place % 3] ?? '',
+    kind: 'model',
+  }));
   return { spec: spec.isOk ? spec.value : ({} as Spec), workers, calls: day.isOk ? day.value.calls : [] };
 }
 
 it('a survey says what fits, what is lost with a zone, and how long the pulls take', () => {
   const { spec, workers, calls } = parts(80_000);
   const found = survey(spec, workers, calls, SHAPE.zones);
-  expect([isSound(found), found.findings.map(({ without }) => without)]).toEqual([true, ['all', 'north', 'east', 'west']]);
-  expect(found.findings.every(({ pulls, pullS, agrees }) => pullS === Math.ceil(pulls / 4) && agrees === true)).toEqual(true);
+  expect([isSound(found), found.findings.map(({ without }) => without)]).toEqual([
+    true,
+    ['all', 'north', 'east', 'west'],
+  ]);
+  expect(
+    found.findings.every(({ pulls, pullS, agrees }) => pullS === Math.ceil(pulls / 4) && agrees === true),
+  ).toEqual(true);
   const together = survey(spec, workers, calls, ['north', 'north', 'east']);
   expect(together.findings.map(({ agrees }) => agrees)).toEqual([true, false, true, true]);
 });
@@ -26,5 +35,9 @@
   const { spec, workers, calls } = parts(16_000);
   const strange = { ...(calls.find((call) => call.model !== '') as Call), model: 'none' };
   const found = survey(spec, workers, [...calls, strange], []);
-  expect([found.unknown, isSound(found), (found.findings[0]?.unplaced.length ?? 0) > 0]).toEqual([['none'], false, true]);
+  expect([found.unknown, isSound(found), (found.findings[0]?.unplaced.length ?? 0) > 0]).toEqual([
+    ['none'],
+    false,
+    true,
+  ]);
 });
--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -52,9 +52,15 @@
 }
 
 /** Steps of the placer itself until it rests. */
-function settle(spec: Spec, workers: readonly PlaceWorker[], demands: ReadonlyMap<string, ModelDemand>): Placement {
+function settle(
+  spec: Spec,
+  workers: readonly PlaceWorker[],
+  demands: ReadonlyMap<string, ModelDemand>,
+): Placement {
   const placer = new Placer(PLACE_SETTINGS);
-  const placement = new Map<string, readonly HoldingTarget[]>(workers.map((worker) => [worker.name, worker.holdings]));
+  const placement = new Map<string, readonly HoldingTarget[]>(
+    workers.map((worker) => [worker.name, worker.holdings]),
+  );
   for (let step = 0; step < STEPS_MOST; step += 1) {
     const seen = workers.map((worker) => ({ ...worker, holdings: placement.get(worker.name) ?? [] }));
     const changes = Object.entries(placer.step(spec, seen, demands, step * STEP_MS));
@@ -68,7 +74,8 @@
   const parts: string[] = [];
   for (const [worker, holdings] of placement) {
     if (!usable.has(worker)) continue;
-    for (const { model, adapters } of holdings) parts.push(model, ...adapters.map((adapter) => `${model}/${adapter}`));
+    for (const { model, adapters } of holdings)
+      parts.push(model, ...adapters.map((adapter) => `${model}/${adapter}`));
   }
   return parts;
 }
@@ -79,10 +86,21 @@
  * @example
  * survey(spec, workers, day.calls, ['coast', 'ridge', 'harbour']).findings[0].unplaced; // []
  */
-export function survey(spec: Spec, listed: readonly ListedWorker[], calls: readonly Call[], coreZones: readonly string[]): Survey {
+export function survey(
+  spec: Spec,
+  listed: readonly ListedWorker[],
+  calls: readonly Call[],
+  coreZones: readonly string[],
+): Survey {
   const demands = demandOf(calls);
-  const asked = [...demands].flatMap(([model, { adapters }]) => [model, ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`)]);
-  const catalogue = new Set([...spec.models.map(({ name }) => name), ...spec.adapters.map(({ name, model }) => `${model}/${name}`)]);
+  const asked = [...demands].flatMap(([model, { adapters }]) => [
+    model,
+    ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
+  ]);
+  const catalogue = new Set([
+    ...spec.models.map(({ name }) => name),
+    ...spec.adapters.map(({ name, model }) => `${model}/${name}`),
+  ]);
   const unknown = asked.filter((part) => !catalogue.has(part));
   const wanted = asked.filter((part) => catalogue.has(part));
   const workers = listed
@@ -96,13 +114,24 @@
     const staying = workers.filter((worker) => worker.zone !== without);
     const usable = new Set(staying.map((worker) => worker.name));
     const left = new Set(partsOf(whole, usable));
-    const began = without === '' ? workers : workers.map((worker) => ({ ...worker, usable: usable.has(worker.name), holdings: whole.get(worker.name) ?? [] }));
+    const began =
+      without === ''
+        ? workers
+        : workers.map((worker) => ({
+            ...worker,
+            usable: usable.has(worker.name),
+            holdings: whole.get(worker.name) ?? [],
+          }));
     const settled = without === '' ? whole : settle(spec, began, demands);
     const held = new Set(partsOf(settled, usable));
     let pulls = 0;
     for (const worker of staying) {
-      const before = new Set(without === '' ? [] : partsOf(new Map([[worker.name, whole.get(worker.name) ?? []]]), usable));
-      pulls += partsOf(new Map([[worker.name, settled.get(worker.name) ?? []]]), usable).filter((part) => !before.has(part)).length;
+      const before = new Set(
+        without === '' ? [] : partsOf(new Map([[worker.name, whole.get(worker.name) ?? []]]), usable),
+      );
+      pulls += partsOf(new Map([[worker.name, settled.get(worker.name) ?? []]]), usable).filter(
+        (part) => !before.has(part),
+      ).length;
     }
     const cores = coreZones.filter((zone) => zone !== without).length;
     return {
@@ -129,5 +158,8 @@
  * isSound(survey(spec, workers, [], [])); // true: nothing is asked for
  */
 export function isSound({ unknown, findings }: Survey): boolean {
-  return unknown.length === 0 && findings.every(({ unplaced, agrees }) => unplaced.length === 0 && agrees !== false);
+  return (
+    unknown.length === 0 &&
+    findings.every(({ unplaced, agrees }) => unplaced.length === 0 && agrees !== false)
+  );
 }
--- a/tools/replay/src/compare.ts
+++ b/tools/replay/src/compare.ts
@@ -41,10 +41,18 @@
       const change = `${call.outcome} -> ${outcome}`;
       outcomes[change] = (outcomes[change] ?? 0) + 1;
     }
-    if (call.firstPieceMs !== undefined && outcome === 'served') ratios.push(firstPieceMs / Math.max(1, call.firstPieceMs));
+    if (call.firstPieceMs !== undefined && outcome === 'served')
+      ratios.push(firstPieceMs / Math.max(1, call.firstPieceMs));
     if (call.worker === undefined || call.worker === '' || worker === undefined) continue;
     if (call.worker === worker) sameWorker += 1;
     else otherWorker += 1;
   }
-  return { calls: replayed.length, outcomes, sameWorker, otherWorker, ratioP50: quantile(ratios, 0.5), ratioP95: quantile(ratios, 0.95) };
+  return {
+    calls: replayed.length,
+    outcomes,
+    sameWorker,
+    otherWorker,
+    ratioP50: quantile(ratios, 0.5),
+    ratioP95: quantile(ratios, 0.95),
+  };
 }
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -54,7 +54,9 @@
 async function workerOf(seen: Seen): Promise<string | undefined> {
   if (seen.id === '') return undefined;
   try {
-    const reply = await request(`http://${seen.edge}/rainrun/v1/explain/requests/${seen.id}`, { headersTimeout: 5000 });
+    const reply = await request(`http://${seen.edge}/rainrun/v1/explain/requests/${seen.id}`, {
+      headersTimeout: 5000,
+    });
     const body = (await reply.body.json()) as { worker?: string };
     return reply.statusCode === 200 ? body.worker : undefined;
   } catch {
@@ -108,7 +110,8 @@
 if (!(speed > 0)) usage('--speed must be above 0');
 const shape = SHAPES[simulate ?? ''];
 if ((edges === undefined) === (shape === undefined)) usage('either --edges or --simulate is needed');
-const { replayed, breaches } = shape === undefined ? await againstFleet(day.value.calls, edges ?? '') : simulated(day.value.calls, shape);
+const { replayed, breaches } =
+  shape === undefined ? await againstFleet(day.value.calls, edges ?? '') : simulated(day.value.calls, shape);
 const found = differences(replayed);
 console.log(JSON.stringify({ outcomesNow: counted(replayed), ...found, breaches }, undefined, 2));
 process.exitCode = Object.keys(found.outcomes).length + breaches.length === 0 ? 0 : 1;
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -5,7 +5,13 @@
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
 
-export const PATHS = { list: '/list', order: '/order', report: '/report', configuration: '/configuration', readiness: '/ready' } as const;
+export const PATHS = {
+  list: '/list',
+  order: '/order',
+  report: '/report',
+  configuration: '/configuration',
+  readiness: '/ready',
+} as const;
 export const EXPECT_INSTANCE = 'x-instance';
 
 const HoldingsSchema = v.array(v.tuple([v.string(), v.array(v.string())]));
@@ -26,7 +32,13 @@
 });
 
 /** What an order says on the stand-in's wire. */
-export const OrderSchema = v.object({ action: v.picklist(['load', 'unload']), model: v.string(), adapter: v.string(), fence: v.number(), holder: v.string() });
+export const OrderSchema = v.object({
+  action: v.picklist(['load', 'unload']),
+  model: v.string(),
+  adapter: v.string(),
+  fence: v.number(),
+  holder: v.string(),
+});
 
 function readJson(text: string): Result<unknown, Fault> {
   return tryOrElse(
@@ -56,12 +68,19 @@
   });
 }
 
-function readCall(method: string, path: string, _headers: unknown, body: string): Result<OperatorCall, Fault> {
+function readCall(
+  method: string,
+  path: string,
+  _headers: unknown,
+  body: string,
+): Result<OperatorCall, Fault> {
   if (path !== PATHS.configuration || method === 'DELETE') return Result.ok({ kind: 'none' });
   if (method === 'GET') return Result.ok({ kind: 'read' });
   return readJson(body).map((data): OperatorCall => {
     const record = data as Record<string, unknown>;
-    return method === 'PUT' ? { kind: 'put', base: undefined, document: record } : { kind: 'patch', base: undefined, patch: record };
+    return method === 'PUT'
+      ? { kind: 'put', base: undefined, document: record }
+      : { kind: 'patch', base: undefined, patch: record };
   });
 }
 
@@ -73,12 +92,30 @@
 
 /** The words of the stand-in: the project's own, as no platform is met here. */
 export const DIALECT: Dialect = {
-  doorWords: { requestId: 'x-request', deadlineMs: 'x-deadline', model: 'x-model', prefix: 'x-prefix', tokens: 'x-tokens', lastEventId: 'last-event-id' },
-  wireWords: { requestId: 'x-request', deadlineMs: 'x-deadline', lastEventId: 'last-event-id', signature: 'x-signature', expectInstance: EXPECT_INSTANCE, notRun: 'x-not-run', priority: 'x-priority' },
+  doorWords: {
+    requestId: 'x-request',
+    deadlineMs: 'x-deadline',
+    model: 'x-model',
+    prefix: 'x-prefix',
+    tokens: 'x-tokens',
+    lastEventId: 'last-event-id',
+  },
+  wireWords: {
+    requestId: 'x-request',
+    deadlineMs: 'x-deadline',
+    lastEventId: 'last-event-id',
+    signature: 'x-signature',
+    expectInstance: EXPECT_INSTANCE,
+    notRun: 'x-not-run',
+    priority: 'x-priority',
+  },
   readinessPath: PATHS.readiness,
   orderPath: PATHS.order,
   reportPath: PATHS.report,
-  readSettings: (text) => readJson(text).mapErr((why) => [why]).map((data) => data as SystemSettings),
+  readSettings: (text) =>
+    readJson(text)
+      .mapErr((why) => [why])
+      .map((data) => data as SystemSettings),
   readCall,
   writeDocument: (document) => JSON.stringify(document),
   statusOf: () => undefined,
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -42,7 +42,9 @@
     const old = edges.shift();
     old?.leave();
     await grow(1);
-    await new Promise((resolve) => setTimeout(resolve, Math.max(0, beganMs + (nth + 1) * everyMs - sharedMs())));
+    await new Promise((resolve) =>
+      setTimeout(resolve, Math.max(0, beganMs + (nth + 1) * everyMs - sharedMs())),
+    );
   }
 }
 
@@ -57,7 +59,10 @@
     const nth = turn * 3 + (asked % 4) - 1;
     const model = nth % held;
     const cold = Math.ceil(perModel / 2);
-    edge?.ask(modelName(model), adapterName(model + size.models * (cold + (Math.floor(nth / held) % Math.max(1, perModel - cold)))));
+    edge?.ask(
+      modelName(model),
+      adapterName(model + size.models * (cold + (Math.floor(nth / held) % Math.max(1, perModel - cold)))),
+    );
   }
   asked += 1;
 }
@@ -71,13 +76,31 @@
 function choose(): number {
   const workers = edges[0]?.follower.workers;
   if (workers === undefined || workers.size === 0) return 0;
-  const balancer = new Balancer({ zone: 'zone-00', nowMs: () => performance.now(), evacuated: () => [], edges: () => edges.length, region: regionOf, salt: 'hollow' });
+  const balancer = new Balancer({
+    zone: 'zone-00',
+    nowMs: () => performance.now(),
+    evacuated: () => [],
+    edges: () => edges.length,
+    region: regionOf,
+    salt: 'hollow',
+  });
   const held = heldModels(size);
   const rounds = 300;
   const began = process.cpuUsage();
   for (let round = 0; round < rounds; round += 1) {
-    const ask = { id: `request-${round}`, model: modelName(round % held), adapter: '', prefix: [], promptTokens: 100 };
-    const passage = { ask, service: { name: SERVICE, connections: 640, warmupPerS: 0 }, route: {}, avoided: new Set() } as unknown as Passage;
+    const ask = {
+      id: `request-${round}`,
+      model: modelName(round % held),
+      adapter: '',
+      prefix: [],
+      promptTokens: 100,
+    };
+    const passage = {
+      ask,
+      service: { name: SERVICE, connections: 640, warmupPerS: 0 },
+      route: {},
+      avoided: new Set(),
+    } as unknown as Passage;
     balancer.choose(passage, workers.values());
   }
   const { user, system } = process.cpuUsage(began);
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -31,7 +31,19 @@
 }
 
 export function noTraffic(): Traffic {
-  return { follows: 0, followBytes: 0, tells: 0, tellBytes: 0, states: 0, stateBytes: 0, wholes: 0, wholeBytes: 0, changes: 0, rows: 0, changeBytes: 0 };
+  return {
+    follows: 0,
+    followBytes: 0,
+    tells: 0,
+    tellBytes: 0,
+    states: 0,
+    stateBytes: 0,
+    wholes: 0,
+    wholeBytes: 0,
+    changes: 0,
+    rows: 0,
+    changeBytes: 0,
+  };
 }
 
 /** What all followers of one process have seen since the last mark. */
@@ -98,7 +110,15 @@
   /** Whether it keeps the rows that it is told; otherwise one stands for all. */
   #whole: boolean;
 
-  private constructor(place: number, size: Size, host: string, seeds: readonly string[], whole: boolean, door: Door, notes: () => Notes) {
+  private constructor(
+    place: number,
+    size: Size,
+    host: string,
+    seeds: readonly string[],
+    whole: boolean,
+    door: Door,
+    notes: () => Notes,
+  ) {
     const bornMs = sharedMs();
     this.#wire = door.wire;
     this.#whole = whole;
@@ -120,7 +140,14 @@
   }
 
   /** Opens a wire at a free port and follows. */
-  static async open(place: number, size: Size, host: string, seeds: readonly string[], whole: boolean, notes: () => Notes): Promise<HollowEdge> {
+  static async open(
+    place: number,
+    size: Size,
+    host: string,
+    seeds: readonly string[],
+    whole: boolean,
+    notes: () => Notes,
+  ): Promise<HollowEdge> {
     const door: Door = { wire: new Wire('system', (frame) => door.take(frame)), take: () => undefined };
     await door.wire.listen(`${host}:0`);
     return new HollowEdge(place, size, host, seeds, whole, door, notes);
@@ -174,7 +201,12 @@
   #wants(): Want[] {
     const nowMs = sharedMs();
     this.#asks = this.#asks.filter((ask) => nowMs - ask.sinceMs < WANT_AGAIN_MS);
-    return [...this.#usual, ...this.#asks.map(({ model, adapter }) => create(WantSchema, { service: SERVICE, model, adapter, waiting: 1, perS: 0.2 }))];
+    return [
+      ...this.#usual,
+      ...this.#asks.map(({ model, adapter }) =>
+        create(WantSchema, { service: SERVICE, model, adapter, waiting: 1, perS: 0.2 }),
+      ),
+    ];
   }
 
   #post(address: string, frame: Frame): void {
@@ -241,7 +273,11 @@
     if (this.#asks.length === 0) return;
     const nowMs = sharedMs();
     this.#asks = this.#asks.filter(({ model, adapter, sinceMs }) => {
-      const held = rows.some((row) => row.holdings.some((holding) => holding.model === model && (adapter === '' || holding.adapters.includes(adapter))));
+      const held = rows.some((row) =>
+        row.holdings.some(
+          (holding) => holding.model === model && (adapter === '' || holding.adapters.includes(adapter)),
+        ),
+      );
       if (held) notes.placedMs.push(nowMs - sinceMs);
       return !held;
     });
@@ -251,10 +287,15 @@
     const notes = this.#notes();
     if (what === 'state') {
       const { revision } = this.#follower.state;
-      for (let passed = Math.max(this.#revision, revision - 64) + 1; passed <= revision; passed += 1) notes.note(notes.revisions, passed);
+      for (let passed = Math.max(this.#revision, revision - 64) + 1; passed <= revision; passed += 1)
+        notes.note(notes.revisions, passed);
       this.#revision = revision;
     }
-    if (this.#joinedMs === undefined && this.#follower.configuration !== undefined && this.#follower.workers.size > 0) {
+    if (
+      this.#joinedMs === undefined &&
+      this.#follower.configuration !== undefined &&
+      this.#follower.workers.size > 0
+    ) {
       this.#joinedMs = sharedMs();
       notes.joinsMs.push(this.#joinedMs - bornMs);
     }
@@ -272,6 +313,12 @@
     const model = (place * 7 + nth) % held;
     const turn = place * size.asked + nth;
     const inFlight = Math.floor((turn + 1) * part) - Math.floor(turn * part);
-    return create(WantSchema, { service: SERVICE, model: modelName(model), adapter: adapterName(model), inFlight, perS: 1.234 });
+    return create(WantSchema, {
+      service: SERVICE,
+      model: modelName(model),
+      adapter: adapterName(model),
+      inFlight,
+      perS: 1.234,
+    });
   });
 }
--- a/tools/scale/src/ipc.ts
+++ b/tools/scale/src/ipc.ts
@@ -27,7 +27,9 @@
   process.on('disconnect', () => process.exit(0));
   process.on('message', (message) => {
     const { id, kind, data } = message as Asked;
-    void Promise.resolve(handlers[kind]?.(data as never)).then((value) => process.send?.({ id, value } satisfies Told));
+    void Promise.resolve(handlers[kind]?.(data as never)).then((value) =>
+      process.send?.({ id, value } satisfies Told),
+    );
   });
 }
 
@@ -46,7 +48,8 @@
  */
 export function used(pid: number): Used {
   let ns = 0;
-  for (const task of readdirSync(`/proc/${pid}/task`)) ns += Number(readFileSync(`/proc/${pid}/task/${task}/schedstat`, 'utf8').split(' ')[0]);
+  for (const task of readdirSync(`/proc/${pid}/task`))
+    ns += Number(readFileSync(`/proc/${pid}/task/${task}/schedstat`, 'utf8').split(' ')[0]);
   const pages = Number(readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[1]);
   return { cpuMs: ns / 1e6, rssMb: (pages * PAGE_BYTES) / 2 ** 20 };
 }
@@ -65,7 +68,13 @@
   #gone = false;
   #exited: Promise<void>;
 
-  constructor(name: string, script: string, args: readonly string[], logPath: string, execArgv: readonly string[] = []) {
+  constructor(
+    name: string,
+    script: string,
+    args: readonly string[],
+    logPath: string,
+    execArgv: readonly string[] = [],
+  ) {
     this.name = name;
     const log = openSync(logPath, 'a');
     this.#process = fork(fileURLToPath(new URL(script, import.meta.url)), [...args], {
@@ -105,7 +114,9 @@
         return;
       }
       this.#next += 1;
-      this.#open.set(this.#next, (value) => (this.#gone ? reject(new Error(`${this.name} has ended`)) : resolve(value as T)));
+      this.#open.set(this.#next, (value) =>
+        this.#gone ? reject(new Error(`${this.name} has ended`)) : resolve(value as T),
+      );
       this.#process.send({ id: this.#next, kind, data } satisfies Asked);
     });
   }
--- a/tools/scale/src/main.ts
+++ b/tools/scale/src/main.ts
@@ -65,7 +65,8 @@
   },
 );
 
-const { models, adapters, routes, asked, seconds, changes, restarts, mostMb, keptBy, port, out, keep } = cli.flags;
+const { models, adapters, routes, asked, seconds, changes, restarts, mostMb, keptBy, port, out, keep } =
+  cli.flags;
 const sizes = readSizes(cli.flags.sizes, { models, adapters, routes, asked });
 if (typeof sizes === 'string') {
   console.error(`scale: ${sizes}`);
@@ -83,10 +84,23 @@
 }
 for (const [nth, size] of cli.flags.from === '' ? sizes.entries() : []) {
   console.error(`${size.nodes} edges, ${size.rows} workers`);
-  const run = new Run(size, { port, folder: join(folder, String(nth)), seconds, changesFactor: changes, restartsFactor: restarts, mostMb, keptBy, note: (text) => console.error(text) });
+  const run = new Run(size, {
+    port,
+    folder: join(folder, String(nth)),
+    seconds,
+    changesFactor: changes,
+    restartsFactor: restarts,
+    mostMb,
+    keptBy,
+    note: (text) => console.error(text),
+  });
   try {
     if (cli.flags.profile) {
-      for (const { name, alone, whole } of await run.profile()) if (whole >= LISTED) console.log(`${(100 * whole).toFixed(1).padStart(6)} % whole ${(100 * alone).toFixed(1).padStart(6)} % alone  ${name}`);
+      for (const { name, alone, whole } of await run.profile())
+        if (whole >= LISTED)
+          console.log(
+            `${(100 * whole).toFixed(1).padStart(6)} % whole ${(100 * alone).toFixed(1).padStart(6)} % alone  ${name}`,
+          );
       continue;
     }
     const played = await run.play();
@@ -96,16 +110,29 @@
     console.error(`scale: ${size.nodes}x${size.rows} was not played to its end: ${String(thrown)}`);
     process.exitCode = 1;
   }
-  if (out !== '') writeFileSync(out, `{"points":[\n${points.map((point) => JSON.stringify(point)).join(',\n')}\n],"unsettled":${JSON.stringify(unsettled)}}\n`);
+  if (out !== '')
+    writeFileSync(
+      out,
+      `{"points":[\n${points.map((point) => JSON.stringify(point)).join(',\n')}\n],"unsettled":${JSON.stringify(unsettled)}}\n`,
+    );
 }
 if (cli.flags.plots !== '') mkdirSync(cli.flags.plots, { recursive: true });
-if (cli.flags.plots !== '') for (const [name, svg] of plots(points)) writeFileSync(join(cli.flags.plots, `${name}.svg`), svg);
+if (cli.flags.plots !== '')
+  for (const [name, svg] of plots(points)) writeFileSync(join(cli.flags.plots, `${name}.svg`), svg);
 if (points.length > 0) console.log(tableOf(points));
-for (const { size, join: { times, phase } } of unsettled) {
-  console.log(`${size.nodes}x${size.rows}: not settled; ${times.count} of ${size.nodes - 1} followers ready, coordinator ${phase.coordinator.cpuMsPerS.toFixed(0)} ms/s`);
+for (const {
+  size,
+  join: { times, phase },
+} of unsettled) {
+  console.log(
+    `${size.nodes}x${size.rows}: not settled; ${times.count} of ${size.nodes - 1} followers ready, coordinator ${phase.coordinator.cpuMsPerS.toFixed(0)} ms/s`,
+  );
 }
 if (cli.flags.check) {
-  for (const fault of [...faultsOf(points), ...unsettled.map(({ size }) => `${size.nodes}x${size.rows}: not settled`)]) {
+  for (const fault of [
+    ...faultsOf(points),
+    ...unsettled.map(({ size }) => `${size.nodes}x${size.rows}: not settled`),
+  ]) {
     console.error(`scale: ${fault}`);
     process.exitCode = 1;
   }
--- a/tools/scale/src/plot.ts
+++ b/tools/scale/src/plot.ts
@@ -28,11 +28,26 @@
   );
   const fit = draw([0, mostX].map((x) => [x, Math.max(0, base + each * x)] as const)) ?? '';
   const parts = [
-    ...up.ticks(4).map((tick) => `<path d="M${LEFT} ${up(tick)}H${WIDE - RIGHT}" stroke="#ddd"/><text x="${LEFT - 4}" y="${up(tick) + 4}" text-anchor="end">${up.tickFormat(4, '~s')(tick)}</text>`),
-    ...across.ticks(5).map((tick) => `<text x="${across(tick)}" y="${HIGH - BOTTOM + 14}" text-anchor="middle">${tick}</text>`),
+    ...up
+      .ticks(4)
+      .map(
+        (tick) =>
+          `<path d="M${LEFT} ${up(tick)}H${WIDE - RIGHT}" stroke="#ddd"/><text x="${LEFT - 4}" y="${up(tick) + 4}" text-anchor="end">${up.tickFormat(4, '~s')(tick)}</text>`,
+      ),
+    ...across
+      .ticks(5)
+      .map(
+        (tick) => `<text x="${across(tick)}" y="${HIGH - BOTTOM + 14}" text-anchor="middle">${tick}</text>`,
+      ),
     `<path d="${fit}" stroke="#36c" fill="none"/>`,
-    ...places.map(([x, y]) => `<circle cx="${across(x).toFixed(1)}" cy="${up(y).toFixed(1)}" r="3" fill="#36c"/>`),
-    ...(figure.budget === undefined ? [] : [`<path d="M${LEFT} ${up(figure.budget)}H${WIDE - RIGHT}" stroke="#c33" stroke-dasharray="4 3"/><text x="${WIDE - RIGHT}" y="${up(figure.budget) - 3}" text-anchor="end" fill="#c33">budget</text>`]),
+    ...places.map(
+      ([x, y]) => `<circle cx="${across(x).toFixed(1)}" cy="${up(y).toFixed(1)}" r="3" fill="#36c"/>`,
+    ),
+    ...(figure.budget === undefined
+      ? []
+      : [
+          `<path d="M${LEFT} ${up(figure.budget)}H${WIDE - RIGHT}" stroke="#c33" stroke-dasharray="4 3"/><text x="${WIDE - RIGHT}" y="${up(figure.budget) - 3}" text-anchor="end" fill="#c33">budget</text>`,
+        ]),
     `<text x="${LEFT}" y="16" font-weight="bold">${figure.name}, ${figure.unit}</text>`,
     `<text x="${WIDE - RIGHT}" y="${HIGH - 6}" text-anchor="end">${overOf(figure, points) === 'nodes' ? 'edges' : 'workers'}</text>`,
   ];
@@ -41,5 +56,8 @@
 
 /** One plot for each figure, by the name of its file. */
 export function plots(points: readonly Point[]): [name: string, svg: string][] {
-  return FIGURES.map((figure) => [figure.name.replaceAll(',', '').replaceAll(' ', '-'), plot(figure, points)]);
+  return FIGURES.map((figure) => [
+    figure.name.replaceAll(',', '').replaceAll(' ', '-'),
+    plot(figure, points),
+  ]);
 }
--- a/tools/scale/src/point.ts
+++ b/tools/scale/src/point.ts
@@ -44,15 +44,61 @@
   readonly diskBytes: number;
   /** Processor time of one choice of a worker at an edge, in microseconds. */
   readonly chooseUs: number;
-  readonly join: { readonly settled: boolean; readonly times: Times; readonly tableBytes: number; readonly coordinatorCpuMs: number; readonly phase: Phase };
+  readonly join: {
+    readonly settled: boolean;
+    readonly times: Times;
+    readonly tableBytes: number;
+    readonly coordinatorCpuMs: number;
+    readonly phase: Phase;
+  };
   readonly quiet: Phase & { readonly groupFramesInPerS: number | undefined };
-  readonly loads: Phase & { readonly askedPerS: number; readonly orders: number; readonly reports: number; readonly placed: Times; readonly tellsWithRows: number; readonly tellBytes: number; readonly rows: number };
-  readonly changes: Phase & { readonly factor: number; readonly made: number; readonly agreed: Times; readonly held: Times; readonly heldByAll: boolean; readonly stateTells: number; readonly stateBytes: number };
-  readonly restarts: Phase & { readonly factor: number; readonly made: number; readonly join: Times; readonly wholes: number; /** Tables that followers came to hold anew: one for each restart, and one each where another core came to coordinate. */ readonly taken: number };
-  readonly zone: { readonly settled: boolean; readonly rows: number; readonly heldMs: number; readonly bytes: number };
-  readonly parted: { readonly followers: number; readonly uninformedMs: number; readonly currentMs: number; readonly settled: boolean };
+  readonly loads: Phase & {
+    readonly askedPerS: number;
+    readonly orders: number;
+    readonly reports: number;
+    readonly placed: Times;
+    readonly tellsWithRows: number;
+    readonly tellBytes: number;
+    readonly rows: number;
+  };
+  readonly changes: Phase & {
+    readonly factor: number;
+    readonly made: number;
+    readonly agreed: Times;
+    readonly held: Times;
+    readonly heldByAll: boolean;
+    readonly stateTells: number;
+    readonly stateBytes: number;
+  };
+  readonly restarts: Phase & {
+    readonly factor: number;
+    readonly made: number;
+    readonly join: Times;
+    readonly wholes: number;
+    /** Tables that followers came to hold anew: one for each restart, and one each where another core came to coordinate. */ readonly taken: number;
+  };
+  readonly zone: {
+    readonly settled: boolean;
+    readonly rows: number;
+    readonly heldMs: number;
+    readonly bytes: number;
+  };
+  readonly parted: {
+    readonly followers: number;
+    readonly uninformedMs: number;
+    readonly currentMs: number;
+    readonly settled: boolean;
+  };
   readonly killedEdge: { readonly settled: boolean; readonly knownMs: number };
-  readonly killedCoordinator: { readonly settled: boolean; readonly leadsMs: number; readonly knownMs: number; readonly tableMs: number; readonly tables: number; readonly wholes: number; readonly wholeBytes: number };
+  readonly killedCoordinator: {
+    readonly settled: boolean;
+    readonly leadsMs: number;
+    readonly knownMs: number;
+    readonly tableMs: number;
+    readonly tables: number;
+    readonly wholes: number;
+    readonly wholeBytes: number;
+  };
   readonly mostRssMb: number;
 }
 
@@ -66,7 +112,11 @@
  */
 export function timesOf(values: readonly number[]): Times {
   const sorted = [...values].sort((one, other) => one - other);
-  return { count: sorted.length, middle: sorted[Math.floor(sorted.length / 2)] ?? 0, most: sorted.at(-1) ?? 0 };
+  return {
+    count: sorted.length,
+    middle: sorted[Math.floor(sorted.length / 2)] ?? 0,
+    most: sorted.at(-1) ?? 0,
+  };
 }
 
 /** The letter's size. */
--- a/tools/scale/src/profile.ts
+++ b/tools/scale/src/profile.ts
@@ -3,7 +3,13 @@
 import * as v from 'valibot';
 
 const ProfileSchema = v.object({
-  nodes: v.array(v.object({ id: v.number(), callFrame: v.object({ functionName: v.string(), url: v.string() }), children: v.optional(v.array(v.number()), []) })),
+  nodes: v.array(
+    v.object({
+      id: v.number(),
+      callFrame: v.object({ functionName: v.string(), url: v.string() }),
+      children: v.optional(v.array(v.number()), []),
+    }),
+  ),
   samples: v.array(v.number()),
   timeDeltas: v.array(v.number()),
 });
@@ -24,9 +30,17 @@
 export function partsOf(folder: string): Part[] {
   const [file] = readdirSync(folder).filter((name) => name.endsWith('.cpuprofile'));
   if (file === undefined) return [];
-  const { nodes, samples, timeDeltas } = v.parse(ProfileSchema, JSON.parse(readFileSync(join(folder, file), 'utf8')));
+  const { nodes, samples, timeDeltas } = v.parse(
+    ProfileSchema,
+    JSON.parse(readFileSync(join(folder, file), 'utf8')),
+  );
   const parents = new Map(nodes.flatMap((node) => node.children.map((child) => [child, node.id] as const)));
-  const names = new Map(nodes.map(({ id, callFrame: { functionName, url } }) => [id, `${functionName === '' ? '(nameless)' : functionName} ${url.split('/').slice(-2).join('/')}`.trim()]));
+  const names = new Map(
+    nodes.map(({ id, callFrame: { functionName, url } }) => [
+      id,
+      `${functionName === '' ? '(nameless)' : functionName} ${url.split('/').slice(-2).join('/')}`.trim(),
+    ]),
+  );
   const [alone, whole] = [new Map<string, number>(), new Map<string, number>()];
   let busy = 0;
   for (const [nth, sample] of samples.entries()) {
@@ -36,8 +50,11 @@
     busy += us;
     alone.set(name, (alone.get(name) ?? 0) + us);
     const stack = new Set<string>();
-    for (let at: number | undefined = sample; at !== undefined; at = parents.get(at)) stack.add(names.get(at) ?? '');
+    for (let at: number | undefined = sample; at !== undefined; at = parents.get(at))
+      stack.add(names.get(at) ?? '');
     for (const caller of stack) whole.set(caller, (whole.get(caller) ?? 0) + us);
   }
-  return [...whole].map(([name, us]) => ({ name, alone: (alone.get(name) ?? 0) / busy, whole: us / busy })).sort((one, other) => other.whole - one.whole);
+  return [...whole]
+    .map(([name, us]) => ({ name, alone: (alone.get(name) ?? 0) / busy, whole: us / busy }))
+    .sort((one, other) => other.whole - one.whole);
 }
--- a/tools/scale/src/run.ts
+++ b/tools/scale/src/run.ts
@@ -5,7 +5,15 @@
 import { PATHS } from './dialect.js';
 import { noTraffic, type Held, type Traffic } from './hollow.js';
 import { Child, sharedMs } from './ipc.js';
-import { LETTER, timesOf, type FollowerTraffic, type Phase, type Point, type RoleUse, type Unsettled } from './point.js';
+import {
+  LETTER,
+  timesOf,
+  type FollowerTraffic,
+  type Phase,
+  type Point,
+  type RoleUse,
+  type Unsettled,
+} from './point.js';
 import { partsOf, type Part } from './profile.js';
 import { configuration, regions, route, zoneOf, type Size } from './site.js';
 
@@ -137,7 +145,23 @@
     const killedCoordinator = await this.#killCoordinator();
     const { listBytes } = await (this.#standIn as Child).ask<{ listBytes: number }>('counts');
     const stateBytes = changes.stateTells === 0 ? 0 : Math.round(changes.stateBytes / changes.stateTells);
-    return { size, stateBytes, listBytes, diskBytes: this.#diskBytes(), chooseUs, join, quiet, loads, changes, restarts, zone, parted, killedEdge, killedCoordinator, mostRssMb: this.#mostRssMb };
+    return {
+      size,
+      stateBytes,
+      listBytes,
+      diskBytes: this.#diskBytes(),
+      chooseUs,
+      join,
+      quiet,
+      loads,
+      changes,
+      restarts,
+      zone,
+      parted,
+      killedEdge,
+      killedCoordinator,
+      mostRssMb: this.#mostRssMb,
+    };
   }
 
   get size(): Size {
@@ -178,7 +202,11 @@
       founding: true,
       folder: join(folder, `${name}.disk`),
       lossesBorne: 1,
-      listen: { clients: `${host}:${port + 4}`, readiness: `${host}:${port + 5}`, operators: `${host}:${port + 2}` },
+      listen: {
+        clients: `${host}:${port + 4}`,
+        readiness: `${host}:${port + 5}`,
+        operators: `${host}:${port + 2}`,
+      },
       provider: { address: `127.77.2.1:${port + 3}`, callsPerS: 10, lagMs: 1000 },
       retries: { ratio: 0.2, extra: 200 },
       graceMs: 8000,
@@ -194,7 +222,16 @@
     await this.#standIn.ask('counts');
     for (const [place, host] of this.#coreHosts().entries()) {
       const name = `core-${place}`;
-      this.#cores.push(this.#start(name, './system-child.js', ['core', this.#settings(name, place, host)], this.#profiled ? ['--cpu-prof', `--cpu-prof-dir=${join(this.#plan.folder, `${name}.profile`)}`] : []));
+      this.#cores.push(
+        this.#start(
+          name,
+          './system-child.js',
+          ['core', this.#settings(name, place, host)],
+          this.#profiled
+            ? ['--cpu-prof', `--cpu-prof-dir=${join(this.#plan.folder, `${name}.profile`)}`]
+            : [],
+        ),
+      );
     }
     await this.#until(30_000, async () => (await this.#call('PUT', configuration(this.#size))) === 200);
   }
@@ -205,7 +242,10 @@
     for (const [place, host] of this.#coreHosts().entries()) {
       if (this.#cores[place]?.alive !== true) continue;
       try {
-        const { statusCode, body: answer } = await request(`http://${host}:${this.#plan.port + 2}${PATHS.configuration}`, { method, body: JSON.stringify(body), headersTimeout: 3000 });
+        const { statusCode, body: answer } = await request(
+          `http://${host}:${this.#plan.port + 2}${PATHS.configuration}`,
+          { method, body: JSON.stringify(body), headersTimeout: 3000 },
+        );
         await answer.dump();
         if (statusCode === 200) return statusCode;
       } catch {
@@ -220,7 +260,10 @@
     this.#revision += 1;
     const revision = this.#revision;
     const sentMs = sharedMs();
-    const status = await this.#call('PATCH', { revision, set: { routes: [route(revision % Math.max(1, this.#size.routes), revision)] } });
+    const status = await this.#call('PATCH', {
+      revision,
+      set: { routes: [route(revision % Math.max(1, this.#size.routes), revision)] },
+    });
     return { revision, sentMs, agreedMs: status === 200 ? sharedMs() : undefined };
   }
 
@@ -267,7 +310,12 @@
   async #settled(mostMs: number): Promise<boolean> {
     return this.#until(mostMs, async () => {
       const notes = await this.#notes();
-      return notes.ready === notes.followers && notes.tablesHeld.length === 1 && notes.newestRow === notes.oldestRow && notes.least === this.#revision;
+      return (
+        notes.ready === notes.followers &&
+        notes.tablesHeld.length === 1 &&
+        notes.newestRow === notes.oldestRow &&
+        notes.least === this.#revision
+      );
     });
   }
 
@@ -278,7 +326,8 @@
     for (const [place] of this.#cores.entries()) {
       const lines = this.#log(`core-${place}`).filter((line) => line['msg'] === 'coordination');
       const last = lines.at(-1);
-      if (last?.['leading'] !== true || Number(last['epoch']) <= newest || this.#cores[place]?.alive !== true) continue;
+      if (last?.['leading'] !== true || Number(last['epoch']) <= newest || this.#cores[place]?.alive !== true)
+        continue;
       newest = Number(last['epoch']);
       leading = place;
     }
@@ -287,21 +336,33 @@
 
   #log(name: string): Record<string, unknown>[] {
     const lines = readFileSync(join(this.#plan.folder, `${name}.log`), 'utf8').split('\n');
-    return lines.filter((line) => line.startsWith('{') && line.endsWith('}')).map((line) => JSON.parse(line) as Record<string, unknown>);
+    return lines
+      .filter((line) => line.startsWith('{') && line.endsWith('}'))
+      .map((line) => JSON.parse(line) as Record<string, unknown>);
   }
 
   /** Plays something, and measures every role meanwhile. */
-  async #phase<T>(name: string, during: () => Promise<T>): Promise<{ phase: Phase; notes: HollowNotes; value: T }> {
+  async #phase<T>(
+    name: string,
+    during: () => Promise<T>,
+  ): Promise<{ phase: Phase; notes: HollowNotes; value: T }> {
     await this.#mark();
     const place = Math.max(0, this.#leading());
     const before = new Map(this.#children.map((child) => [child, child.used]));
     const beganMs = sharedMs();
     const value = await during();
     const windowMs = sharedMs() - beganMs;
-    const uses = new Map([...before].map(([child, { cpuMs }]) => [child, { cpuMsPerS: ((child.used.cpuMs - cpuMs) / windowMs) * 1000, rssMb: child.used.rssMb }]));
+    const uses = new Map(
+      [...before].map(([child, { cpuMs }]) => [
+        child,
+        { cpuMsPerS: ((child.used.cpuMs - cpuMs) / windowMs) * 1000, rssMb: child.used.rssMb },
+      ]),
+    );
     const notes = await this.#notes();
     const none: RoleUse = { cpuMsPerS: 0, rssMb: 0 };
-    const others = this.#cores.filter((child, nth) => nth !== place && child.alive).map((child) => uses.get(child) ?? none);
+    const others = this.#cores
+      .filter((child, nth) => nth !== place && child.alive)
+      .map((child) => uses.get(child) ?? none);
     const hollow = this.#hollow.map((child) => uses.get(child) ?? none);
     const phase: Phase = {
       windowMs,
@@ -313,7 +374,9 @@
       withOthers: perFollower(notes.other, notes.followers, windowMs),
       processors: [...uses.values()].reduce((sum, use) => sum + use.cpuMsPerS, 0) / 1000,
     };
-    this.#plan.note(`  ${name}: ${(windowMs / 1000).toFixed(1)} s, coordinator ${phase.coordinator.cpuMsPerS.toFixed(1)} ms/s, all ${phase.processors.toFixed(2)} processors, ${notes.ready} of ${notes.followers} ready`);
+    this.#plan.note(
+      `  ${name}: ${(windowMs / 1000).toFixed(1)} s, coordinator ${phase.coordinator.cpuMsPerS.toFixed(1)} ms/s, all ${phase.processors.toFixed(2)} processors, ${notes.ready} of ${notes.followers} ready`,
+    );
     return { phase, notes, value };
   }
 
@@ -325,12 +388,24 @@
     const hollow = nodes - 1;
     const processes = Math.ceil(hollow / PER_PROCESS);
     for (let nth = 0; nth < processes; nth += 1) {
-      const args = [JSON.stringify(this.#size), `127.77.1.${1 + nth}`, this.#coreHosts().map((host) => `${host}:${port}`).join(','), String(nth * 100_000), String(this.#plan.keptBy)];
-      this.#hollow.push(this.#start(`hollow-${nth}`, './hollow-child.js', args, [`--max-old-space-size=${HOLLOW_HEAP_MB}`]));
+      const args = [
+        JSON.stringify(this.#size),
+        `127.77.1.${1 + nth}`,
+        this.#coreHosts()
+          .map((host) => `${host}:${port}`)
+          .join(','),
+        String(nth * 100_000),
+        String(this.#plan.keptBy),
+      ];
+      this.#hollow.push(
+        this.#start(`hollow-${nth}`, './hollow-child.js', args, [`--max-old-space-size=${HOLLOW_HEAP_MB}`]),
+      );
     }
     await this.#notesOfNone();
     const { phase, notes, value } = await this.#phase('join', async () => {
-      const counts = this.#hollow.map((_, nth) => Math.floor(hollow / processes) + (nth < hollow % processes ? 1 : 0));
+      const counts = this.#hollow.map(
+        (_, nth) => Math.floor(hollow / processes) + (nth < hollow % processes ? 1 : 0),
+      );
       await Promise.all(this.#hollow.map((child, nth) => child.ask('grow', counts[nth])));
       return this.#settled(60_000);
     });
@@ -354,9 +429,15 @@
   async #quiet(): Promise<Point['quiet']> {
     const began = Date.now();
     const { phase } = await this.#phase('quiet', () => pause(this.#plan.seconds * QUIET_PHASES * 1000));
-    const others = this.#cores.flatMap((_, place) => (place === this.#leading() ? [] : [this.#framesIn(`core-${place}`, began)]));
+    const others = this.#cores.flatMap((_, place) =>
+      place === this.#leading() ? [] : [this.#framesIn(`core-${place}`, began)],
+    );
     const rates = others.filter((rate) => rate !== undefined);
-    const groupFrames = rates.length === 0 ? undefined : rates.reduce((sum, rate) => sum + rate, 0) / rates.length - phase.withOthers.framesOut * (this.#size.nodes / (CORES - 1));
+    const groupFrames =
+      rates.length === 0
+        ? undefined
+        : rates.reduce((sum, rate) => sum + rate, 0) / rates.length -
+          phase.withOthers.framesOut * (this.#size.nodes / (CORES - 1));
     return { ...phase, groupFramesInPerS: groupFrames };
   }
 
@@ -381,7 +462,16 @@
     });
     const after = await standIn.ask<{ orders: number; reports: number }>('counts');
     const { changes, changeBytes, rows } = notes.leader;
-    return { ...phase, askedPerS, orders: after.orders - before.orders, reports: after.reports - before.reports, placed: timesOf(notes.placedMs), tellsWithRows: changes, tellBytes: changeBytes, rows };
+    return {
+      ...phase,
+      askedPerS,
+      orders: after.orders - before.orders,
+      reports: after.reports - before.reports,
+      placed: timesOf(notes.placedMs),
+      tellsWithRows: changes,
+      tellBytes: changeBytes,
+      rows,
+    };
   }
 
   async #changes(): Promise<Point['changes']> {
@@ -424,14 +514,23 @@
       await (this.#hollow[0] as Child).ask('restart', { count: made, everyMs });
       await this.#settled(10_000);
     });
-    return { ...phase, factor, made, join: timesOf(notes.joinsMs), wholes: notes.leader.wholes + notes.other.wholes, taken: notes.tables.reduce((sum, { count }) => sum + count, 0) };
+    return {
+      ...phase,
+      factor,
+      made,
+      join: timesOf(notes.joinsMs),
+      wholes: notes.leader.wholes + notes.other.wholes,
+      taken: notes.tables.reduce((sum, { count }) => sum + count, 0),
+    };
   }
 
   /** One region of six loses the cores for a while, and a change is made meanwhile. */
   async #parted(): Promise<Point['parted']> {
     await this.#mark();
     const cutMs = sharedMs();
-    const counts = await Promise.all(this.#hollow.map((child) => child.ask<number>('cut', { share: 1 / 6, cut: true })));
+    const counts = await Promise.all(
+      this.#hollow.map((child) => child.ask<number>('cut', { share: 1 / 6, cut: true })),
+    );
     const followers = counts.reduce((sum, count) => sum + count, 0);
     await this.#until(10_000, async () => {
       const notes = await this.#notes();
@@ -487,15 +586,27 @@
     await this.#cores[place]?.kill();
     let lines: Record<string, unknown>[] = [];
     await this.#until(30_000, () => {
-      lines = this.#cores.flatMap((child, nth) => (child.alive ? this.#log(`core-${nth}`).filter((line) => line['msg'] === 'coordination' && line['leading'] === true && Number(line['time']) > killedAt) : []));
+      lines = this.#cores.flatMap((child, nth) =>
+        child.alive
+          ? this.#log(`core-${nth}`).filter(
+              (line) =>
+                line['msg'] === 'coordination' && line['leading'] === true && Number(line['time']) > killedAt,
+            )
+          : [],
+      );
       return Promise.resolve(lines.length > 0);
     });
-    const renewed = await this.#until(40_000, async () => !(await this.#notes()).tablesHeld.some((table) => before.includes(table)));
+    const renewed = await this.#until(
+      40_000,
+      async () => !(await this.#notes()).tablesHeld.some((table) => before.includes(table)),
+    );
     const settled = renewed && (await this.#settled(20_000));
     const notes = await this.#notes();
     const known = notes.leaders.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
     const table = notes.tables.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
-    this.#plan.note(`  coordinator killed: ${settled ? 'settled' : 'NOT settled'}, ${notes.tables.length} tables, ${notes.leader.wholes} whole tables sent`);
+    this.#plan.note(
+      `  coordinator killed: ${settled ? 'settled' : 'NOT settled'}, ${notes.tables.length} tables, ${notes.leader.wholes} whole tables sent`,
+    );
     return {
       settled,
       leadsMs: Number(lines[0]?.['time'] ?? killedAt) - killedAt,
@@ -529,17 +640,31 @@
   for (const entry of other) {
     const known = held.get(entry.key);
     if (known === undefined) held.set(entry.key, entry);
-    else held.set(entry.key, { key: entry.key, count: known.count + entry.count, firstMs: Math.min(known.firstMs, entry.firstMs), lastMs: Math.max(known.lastMs, entry.lastMs) });
+    else
+      held.set(entry.key, {
+        key: entry.key,
+        count: known.count + entry.count,
+        firstMs: Math.min(known.firstMs, entry.firstMs),
+        lastMs: Math.max(known.lastMs, entry.lastMs),
+      });
   }
   return [...held.values()];
 }
 
 function averaged(uses: readonly RoleUse[], count: number): RoleUse {
   const among = Math.max(1, count);
-  return { cpuMsPerS: uses.reduce((sum, use) => sum + use.cpuMsPerS, 0) / among, rssMb: uses.reduce((sum, use) => sum + use.rssMb, 0) / among };
+  return {
+    cpuMsPerS: uses.reduce((sum, use) => sum + use.cpuMsPerS, 0) / among,
+    rssMb: uses.reduce((sum, use) => sum + use.rssMb, 0) / among,
+  };
 }
 
 function perFollower(traffic: Traffic, followers: number, windowMs: number): FollowerTraffic {
   const each = 1000 / windowMs / Math.max(1, followers);
-  return { framesOut: traffic.follows * each, framesIn: traffic.tells * each, bytesOut: traffic.followBytes * each, bytesIn: traffic.tellBytes * each };
+  return {
+    framesOut: traffic.follows * each,
+    framesIn: traffic.tells * each,
+    bytesOut: traffic.followBytes * each,
+    bytesIn: traffic.tellBytes * each,
+  };
 }
--- a/tools/scale/src/scale.test.ts
+++ b/tools/scale/src/scale.test.ts
@@ -14,20 +14,42 @@
     { ...REST, nodes: 870, rows: 7300 },
     { ...REST, nodes: 16, rows: 100 },
   ]);
-  expect([readSizes('1', REST), readSizes('8,x', REST)].map((found) => typeof found)).toEqual(['string', 'string']);
+  expect([readSizes('1', REST), readSizes('8,x', REST)].map((found) => typeof found)).toEqual([
+    'string',
+    'string',
+  ]);
 });
 
 it('a slope goes through points on a line, and through their middle otherwise', () => {
-  expect(slopeOf([[0, 1], [2, 5], [4, 9]])).toEqual({ base: 1, each: 2 });
-  expect(slopeOf([[1, 1], [1, 3]])).toEqual({ base: 2, each: 0 });
-  expect([timesOf([9, 1, 2]), timesOf([])]).toEqual([{ count: 3, middle: 2, most: 9 }, { count: 0, middle: 0, most: 0 }]);
+  expect(
+    slopeOf([
+      [0, 1],
+      [2, 5],
+      [4, 9],
+    ]),
+  ).toEqual({ base: 1, each: 2 });
+  expect(
+    slopeOf([
+      [1, 1],
+      [1, 3],
+    ]),
+  ).toEqual({ base: 2, each: 0 });
+  expect([timesOf([9, 1, 2]), timesOf([])]).toEqual([
+    { count: 3, middle: 2, most: 9 },
+    { count: 0, middle: 0, most: 0 },
+  ]);
 });
 
 it('a site has 23 zones, and half of its models stand nowhere at first', () => {
   const size = { ...REST, nodes: 8, rows: 300 };
   const workers = Array.from({ length: size.rows }, (_, place) => worker(place, size, 1));
   const models = new Set(workers.flatMap((entry) => entry.models.map(([model]) => model)));
-  expect([new Set(workers.map((entry) => entry.zone)).size, models.size, heldModels(size), zoneOf(23)]).toEqual([23, 20, 20, 'zone-00']);
+  expect([
+    new Set(workers.map((entry) => entry.zone)).size,
+    models.size,
+    heldModels(size),
+    zoneOf(23),
+  ]).toEqual([23, 20, 20, 'zone-00']);
   expect((configuration(size)['routes'] as unknown[]).length).toEqual(3);
 });
 
--- a/tools/scale/src/site.ts
+++ b/tools/scale/src/site.ts
@@ -46,7 +46,9 @@
 
 /** Zone by zone, the region it lies in. */
 export function regions(): Record<string, string> {
-  return Object.fromEntries(Array.from({ length: ZONES }, (_, place) => [zoneOf(place), regionOf(zoneOf(place))]));
+  return Object.fromEntries(
+    Array.from({ length: ZONES }, (_, place) => [zoneOf(place), regionOf(zoneOf(place))]),
+  );
 }
 
 export function modelName(place: number): string {
@@ -77,7 +79,9 @@
   const perModel = Math.max(1, Math.floor(size.adapters / size.models));
   const models = Array.from({ length: MODELS_HELD }, (_, nth) => {
     const model = (place * MODELS_HELD + nth) % held;
-    const adapters = Array.from({ length: ADAPTERS_HELD }, (__, turn) => adapterName(model + size.models * ((place + turn) % Math.max(1, Math.floor(perModel / 2)))));
+    const adapters = Array.from({ length: ADAPTERS_HELD }, (__, turn) =>
+      adapterName(model + size.models * ((place + turn) % Math.max(1, Math.floor(perModel / 2)))),
+    );
     return [modelName(model), [...new Set(adapters)]] as const;
   });
   return {
@@ -129,7 +133,13 @@
           roomMb: 220_000,
           adapterPlaces: 8,
           loadsPerS: 40,
-          models: Array.from({ length: size.models }, (_, place) => ({ name: modelName(place), sizeMb: 70_000, loadS: 0.6, adapters: perModel, adapterMb: 300 })),
+          models: Array.from({ length: size.models }, (_, place) => ({
+            name: modelName(place),
+            sizeMb: 70_000,
+            loadS: 0.6,
+            adapters: perModel,
+            adapterMb: 300,
+          })),
         },
       },
     ],
--- a/tools/scale/src/sizes.ts
+++ b/tools/scale/src/sizes.ts
@@ -11,8 +11,13 @@
   for (const part of text.split(',')) {
     const match = /^(\d+)(?:x(\d+))?$/.exec(part.trim());
     const nodes = Number(match?.[1]);
-    if (match === null || nodes < 2) return `--sizes: found ${JSON.stringify(part)}, expected EDGES or EDGESxWORKERS with two edges or more`;
-    sizes.push({ ...rest, nodes, rows: match[2] === undefined ? Math.round((nodes * LETTER.rows) / LETTER.nodes) : Number(match[2]) });
+    if (match === null || nodes < 2)
+      return `--sizes: found ${JSON.stringify(part)}, expected EDGES or EDGESxWORKERS with two edges or more`;
+    sizes.push({
+      ...rest,
+      nodes,
+      rows: match[2] === undefined ? Math.round((nodes * LETTER.rows) / LETTER.nodes) : Number(match[2]),
+    });
   }
   return sizes;
 }
--- a/tools/scale/src/stand-in.ts
+++ b/tools/scale/src/stand-in.ts
@@ -15,7 +15,15 @@
   #port: number;
   #list = '';
   #rows = new Map<string, Map<string, { readyMs: number; adapters: Set<string> }>>();
-  readonly counts = { lists: 0, reports: 0, orders: 0, modelLoads: 0, adapterLoads: 0, unloads: 0, strange: 0 };
+  readonly counts = {
+    lists: 0,
+    reports: 0,
+    orders: 0,
+    modelLoads: 0,
+    adapterLoads: 0,
+    unloads: 0,
+    strange: 0,
+  };
 
   constructor(size: Size, port: number) {
     this.#size = size;
@@ -34,7 +42,11 @@
     const workers = all.filter((entry) => entry.zone !== zone);
     this.#list = JSON.stringify({ workers });
     for (const { id, models } of workers) {
-      if (!this.#rows.has(id)) this.#rows.set(id, new Map(models.map(([model, adapters]) => [model, { readyMs: 0, adapters: new Set(adapters) }])));
+      if (!this.#rows.has(id))
+        this.#rows.set(
+          id,
+          new Map(models.map(([model, adapters]) => [model, { readyMs: 0, adapters: new Set(adapters) }])),
+        );
     }
     return all.length - workers.length;
   }
@@ -53,7 +65,10 @@
     const parts: Buffer[] = [];
     req.on('data', (part: Buffer) => parts.push(part));
     req.on('end', () => {
-      res.writeHead(this.#order(String(req.headers[EXPECT_INSTANCE]), Buffer.concat(parts).toString('utf8')), { 'content-length': '0' });
+      res.writeHead(
+        this.#order(String(req.headers[EXPECT_INSTANCE]), Buffer.concat(parts).toString('utf8')),
+        { 'content-length': '0' },
+      );
       res.end();
     });
   }
@@ -106,4 +121,7 @@
     });
   }),
 );
-answerParent({ counts: () => ({ ...standIn.counts, listBytes: standIn.listBytes }), lose: (zone: string) => standIn.lose(zone) });
+answerParent({
+  counts: () => ({ ...standIn.counts, listBytes: standIn.listBytes }),
+  lose: (zone: string) => standIn.lose(zone),
+});
--- a/tools/stand-in-workers/src/main.ts
+++ b/tools/stand-in-workers/src/main.ts
@@ -19,12 +19,15 @@
 
 interface SetupFile extends Omit<StandInWorkersSetup, 'workers'> {
   readonly sizesMb: Record<string, number>;
-  readonly workers: readonly (Omit<StandInWorkersSetup['workers'][number], 'sizesMb'>)[];
+  readonly workers: readonly Omit<StandInWorkersSetup['workers'][number], 'sizesMb'>[];
 }
 
 const file = JSON.parse(readFileSync(cli.flags.setup, 'utf8')) as SetupFile;
 const sizesMb = new Map(Object.entries(file.sizesMb));
-const standIns = new StandInWorkers({ ...file, workers: file.workers.map((worker) => ({ ...worker, sizesMb })) });
+const standIns = new StandInWorkers({
+  ...file,
+  workers: file.workers.map((worker) => ({ ...worker, sizesMb })),
+});
 await standIns.start();
 console.log('standIns is open');
 process.on('SIGTERM', () => process.exit(0));
--- a/tools/stand-in-workers/src/report.ts
+++ b/tools/stand-in-workers/src/report.ts
@@ -51,6 +51,10 @@
   }
 
   report(): Report {
-    return { breaches: this.#breaches, runs: Object.fromEntries(this.#runs), counts: Object.fromEntries(this.#counts) };
+    return {
+      breaches: this.#breaches,
+      runs: Object.fromEntries(this.#runs),
+      counts: Object.fromEntries(this.#counts),
+    };
   }
 }
--- a/tools/stand-in-workers/src/worker.ts
+++ b/tools/stand-in-workers/src/worker.ts
@@ -125,7 +125,8 @@
     if (sinceMs === undefined) return;
     const lateMs = performance.now() - sinceMs;
     this.#book.latest(`last work after ${what}, ms`, lateMs);
-    if (lateMs > graceMs) this.#book.breach(`${this.setup.name} got work ${lateMs.toFixed(0)} ms after ${what}`);
+    if (lateMs > graceMs)
+      this.#book.breach(`${this.setup.name} got work ${lateMs.toFixed(0)} ms after ${what}`);
   }
 
   async #lookup(req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
@@ -166,7 +167,9 @@
     const sizeMb = this.setup.sizesMb.get(adapter === '' ? model : adapter) ?? 0;
     const heldMb = this.#heldMb();
     if (heldMb + sizeMb > this.setup.roomMb) {
-      this.#book.breach(`${this.setup.name} was told to hold ${heldMb + sizeMb} MB in ${this.setup.roomMb} MB`);
+      this.#book.breach(
+        `${this.setup.name} was told to hold ${heldMb + sizeMb} MB in ${this.setup.roomMb} MB`,
+      );
     }
     this.#book.pulled(performance.now());
     this.#busy = true;
@@ -193,7 +196,10 @@
 
   async #chat(chat: ChatBody, req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
     const { model, adapter = '', stream = false, messages } = chat;
-    if (this.#holdings.get(model) === undefined || (adapter !== '' && this.#holdings.get(model)?.has(adapter) !== true)) {
+    if (
+      this.#holdings.get(model) === undefined ||
+      (adapter !== '' && this.#holdings.get(model)?.has(adapter) !== true)
+    ) {
       this.#book.count('not-held');
       json(res, 503, { error: 'not held here', ran: false });
       return;
@@ -216,7 +222,8 @@
 
   #warmCheck(model: string): void {
     const warmMs = performance.now() - (this.#loadedMs.get(model) ?? -Infinity);
-    if (warmMs < WARM_MS && this.#running > this.setup.slots) this.#book.breach(`${this.setup.name} was flooded ${warmMs.toFixed(0)} ms after it loaded ${model}`);
+    if (warmMs < WARM_MS && this.#running > this.setup.slots)
+      this.#book.breach(`${this.setup.name} was flooded ${warmMs.toFixed(0)} ms after it loaded ${model}`);
   }
 
   async #reply(work: Work, req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -238,7 +245,8 @@
       }
       const text = piece(model, adapter, prompt, place, run);
       whole += text;
-      if (stream) res.write(`data: ${JSON.stringify({ choices: [{ index: 0, delta: { content: text } }] })}\n\n`);
+      if (stream)
+        res.write(`data: ${JSON.stringify({ choices: [{ index: 0, delta: { content: text } }] })}\n\n`);
     }
     if (!stream && mood === 'early') {
       res.writeHead(200, { 'content-type': 'application/json', 'content-length': 10_000 });
