--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -9,7 +9,7 @@
   type Entry,
   type Follow,
   type Frame,
-  type Seat,
+  type Tell,
   type WorkerRow,
 } from '@rainrun/messages';
 import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
@@ -33,6 +33,9 @@
   type StockReply,
 } from '@rainrun/placement';
 import { Result } from 'true-myth';
+import { PlanPacer } from './plan-pacer.js';
+import { writeToldState, type ToldState } from './told-state.js';
+import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
 
 const DEPLOYMENT_PLAY: Play<Deployment> = {
   empty: () => EMPTY_DEPLOYMENT,
@@ -47,10 +50,6 @@
   },
 };
 
-/** A follower that was not heard for so long is forgotten. */
-const FOLLOWER_MS = 2500;
-/** Changes of the table are gathered the longer, the more are to be told. */
-const GATHER_MS_EACH = 0.1;
 /** A worker's report is so old at most. */
 const REPORT_LAG_MS = 300;
 /** An order is done after so long, also where many load at once. */
@@ -75,14 +74,6 @@
   decided(text: string): void;
 }
 
-interface Follower {
-  seat: Seat;
-  atMs: number;
-  edition: number;
-  table: string;
-  row: number;
-}
-
 /**
  * A core: a member of the process group that holds the deployment's state and
  * the placement, and tells the nodes that follow it. The coordinator keeps the
@@ -98,15 +89,15 @@
   #planner: PlacementPlanner;
   #table = '';
   #tableEpoch = -1;
-  #followers = new Map<string, Follower>();
+  #subscribers = new Subscribers();
+  #pacer = new PlanPacer();
   #waiting = new Map<string, (answer: Answer) => void>();
-  #dirtyMs: number | undefined;
   /** Since when this node may order, in this epoch. */
   #dutySinceMs: number | undefined;
   /** When a worker was last asked what it holds. */
   #askedMs = new Map<string, number>();
   #read: { readonly state: Deployment; readonly engines: ReadonlyMap<string, StockEngine> } | undefined;
-  #encoded: { readonly state: Deployment; readonly bytes: Uint8Array } | undefined;
+  #told: { readonly state: Deployment; readonly bytes: ToldState } | undefined;
 
   constructor(dependencies: CoreReplicaDependencies) {
     this.#dependencies = dependencies;
@@ -143,7 +134,7 @@
   }
 
   get followers(): number {
-    return this.#followers.size;
+    return this.#subscribers.size;
   }
 
   receive(frame: Frame): void {
@@ -153,10 +144,9 @@
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#group.tick();
-    for (const [incarnation, follower] of this.#followers)
-      if (nowMs - follower.atMs > FOLLOWER_MS) this.#followers.delete(incarnation);
+    this.#subscribers.expire(nowMs);
     this.#openTable();
-    if (this.#group.leading) this.#stock(nowMs);
+    if (this.#group.leading) this.#placeModels(nowMs);
     this.#tellChanges(nowMs);
   }
 
@@ -166,7 +156,7 @@
     this.#openTable();
     const nowMs = this.#dependencies.clock.nowMs();
     this.#book.learn(list, nowMs);
-    this.#stock(nowMs);
+    this.#placeModels(nowMs);
     this.#tellChanges(nowMs);
   }
 
@@ -232,30 +222,32 @@
     if (this.#group.dutyEpoch() === undefined) return;
     this.#dutySinceMs ??= nowMs;
     const heldMs = nowMs - this.#dutySinceMs;
-    const pressed = this.#planner.pressed;
-    for (const row of this.#book.rows) {
-      if (row.sure || row.gone) continue;
-      if (heldMs > this.#dependencies.listLagMs + ORDERS_MS) {
-        this.#planner.settle(row, row.listed);
-        continue;
-      }
-      if (
-        !pressed ||
-        heldMs < REPORT_LAG_MS ||
-        nowMs - (this.#askedMs.get(row.id) ?? -Infinity) < REPORT_LAG_MS
-      )
-        continue;
-      this.#askedMs.set(row.id, nowMs);
-      const planner = this.#planner;
-      this.#dependencies.report(row, (models) => {
-        if (models !== undefined && planner === this.#planner && !row.sure) planner.settle(row, models);
-      });
-    }
+    const unsure = [...this.#book.rows].filter((row) => !row.sure && !row.gone);
+    if (unsure.length === 0) return;
+    const isListNewer = heldMs > this.#dependencies.listLagMs + ORDERS_MS;
+    if (isListNewer) return unsure.forEach((row) => this.#planner.settle(row, row.listed));
+    if (heldMs < REPORT_LAG_MS || !this.#planner.pressed) return;
+    for (const row of unsure) this.#askForReport(row, nowMs);
+  }
+
+  #askForReport(row: WorkerRecord, nowMs: number): void {
+    if (nowMs - (this.#askedMs.get(row.id) ?? -Infinity) < REPORT_LAG_MS) return;
+    this.#askedMs.set(row.id, nowMs);
+    const planner = this.#planner;
+    this.#dependencies.report(row, (models) => {
+      if (models !== undefined && planner === this.#planner && !row.sure) planner.settle(row, models);
+    });
   }
 
-  #stock(nowMs: number): void {
+  /** Plans where the pacer allows it, and sends the orders that are due. */
+  #placeModels(nowMs: number): void {
     this.#confirm(nowMs);
-    this.#planner.tick(this.#engines(), this.state.evacuated, nowMs);
+    const engines = this.#engines();
+    if (this.#pacer.isDue(nowMs)) {
+      this.#planner.plan(engines, this.state.evacuated, nowMs);
+      this.#pacer.planned(nowMs, this.#dependencies.clock.nowMs());
+    }
+    this.#planner.pursue(engines, nowMs);
   }
 
   #onFrame(body: Frame['body']): void {
@@ -263,82 +255,80 @@
   }
 
   #onFollow(follow: Follow): void {
-    const { seat, edition, table, row, wants, leaving } = follow;
+    const { seat, wants, leaving } = follow;
     if (seat === undefined) return;
+    if (leaving) return this.#subscribers.remove(seat.incarnation);
     const nowMs = this.#dependencies.clock.nowMs();
-    if (leaving) {
-      this.#followers.delete(seat.incarnation);
-      return;
-    }
-    const follower: Follower = { seat, atMs: nowMs, edition, table, row };
-    this.#followers.set(seat.incarnation, follower);
+    const subscriber = this.#subscribers.heard(follow, seat, nowMs);
     if (this.#group.leading) {
       this.#planner.want(seat.incarnation, wants, nowMs);
-      this.#stock(nowMs);
+      if (wants.some(({ waiting }) => waiting > 0)) this.#placeModels(nowMs);
     }
-    this.#tell(follower, nowMs);
+    if (this.#subscribers.isAnswerDue(subscriber, this.#offer(), nowMs)) this.#tell(subscriber, nowMs);
     this.#tellChanges(nowMs);
   }
 
-  #tellChanges(nowMs: number): void {
-    let due = false;
-    for (const follower of this.#followers.values()) due ||= this.#isBehind(follower);
-    if (!due) {
-      this.#dirtyMs = undefined;
-      return;
-    }
-    this.#dirtyMs ??= nowMs;
-    if (nowMs - this.#dirtyMs < Math.floor(this.#followers.size * GATHER_MS_EACH)) return;
-    this.#dirtyMs = undefined;
-    for (const follower of this.#followers.values())
-      if (this.#isBehind(follower)) this.#tell(follower, nowMs);
+  /** What this core can tell those who follow it; only the coordinator has a table of workers. */
+  #offer(): Offer {
+    const { leading } = this.#group;
+    const table = leading && this.#book.number > 0 ? this.#table : '';
+    return { edition: this.state.edition, table, row: this.#book.number, leading };
   }
 
-  #isBehind(follower: Follower): boolean {
-    if (follower.edition < this.state.edition) return true;
-    return this.#group.leading && (follower.table !== this.#table || follower.row < this.#book.number);
+  #tellChanges(nowMs: number): void {
+    const due = this.#subscribers.due(this.#offer(), this.#book.takeChanges(), nowMs);
+    for (const subscriber of due) this.#tell(subscriber, nowMs);
   }
 
   /** What is told is taken for known until the follower says otherwise, so that it is told once. */
-  #tell(follower: Follower, nowMs: number): void {
-    const { state } = this;
-    const view = this.#group.view;
-    const leaderIncarnation = this.#group.coordinatorIncarnation;
-    const leader = view?.members.find((member) => member.incarnation === leaderIncarnation);
+  #tell(subscriber: Subscriber, nowMs: number): void {
+    const offer = this.#offer();
     const tell = create(TellSchema, {
-      edition: state.edition,
+      edition: this.state.edition,
       granted: this.#group.granted(),
-      cores: view?.members ?? [],
-      followers: this.#followers.size,
+      followers: this.#subscribers.size,
     });
-    if (leader !== undefined) tell.leader = leader;
-    if (follower.edition < state.edition) tell.state = this.#bytes(state);
-    if (this.#group.leading && this.#book.number > 0) {
-      const whole = follower.table !== this.#table;
-      tell.table = this.#table;
-      tell.whole = whole;
-      tell.row = this.#book.number;
-      tell.base = whole ? 0 : follower.row;
-      tell.rows = this.#book.since(whole ? 0 : follower.row).map((row) => rowOf(row, nowMs));
-    }
-    follower.edition = Math.max(follower.edition, state.edition);
-    if (tell.table !== '') {
-      follower.table = tell.table;
-      follower.row = tell.row;
+    this.#addView(tell, subscriber, nowMs);
+    if (this.#subscribers.isStateDue(subscriber, offer, nowMs)) {
+      this.#addState(tell, subscriber);
+      this.#subscribers.sentState(subscriber, offer, nowMs);
     }
+    if (offer.table !== '') this.#addRows(tell, subscriber, offer, nowMs);
+    subscriber.toldMs = nowMs;
     const frame = create(FrameSchema, {
       wire: WIRE,
       deployment: this.#dependencies.deployment,
       from: this.#group.seat.incarnation,
-      to: follower.seat.incarnation,
+      to: subscriber.seat.incarnation,
     });
     frame.body = { case: 'tell', value: tell };
-    this.#dependencies.post(follower.seat.address, frame);
+    this.#dependencies.post(subscriber.seat.address, frame);
+  }
+
+  #addView(tell: Tell, subscriber: Subscriber, nowMs: number): void {
+    const { view, coordinatorIncarnation } = this.#group;
+    const leader = view?.members.find((member) => member.incarnation === coordinatorIncarnation);
+    if (leader !== undefined) tell.leader = leader;
+    if (view === undefined || !this.#subscribers.isViewDue(subscriber, view.number, nowMs)) return;
+    tell.cores = view.members;
+    this.#subscribers.sentView(subscriber, view.number, nowMs);
   }
 
-  #bytes(state: Deployment): Uint8Array {
-    if (this.#encoded?.state !== state) this.#encoded = { state, bytes: encodeDeployment(state) };
-    return this.#encoded.bytes;
+  #addRows(tell: Tell, subscriber: Subscriber, offer: Offer, nowMs: number): void {
+    const whole = subscriber.table !== offer.table;
+    tell.table = offer.table;
+    tell.whole = whole;
+    tell.row = offer.row;
+    tell.base = whole ? 0 : subscriber.row;
+    tell.rows = this.#book.since(tell.base).map((row) => rowOf(row, nowMs));
+    this.#subscribers.sentRows(subscriber, offer, tell.rows.length, nowMs);
+  }
+
+  #addState(tell: Tell, { readsDeflated }: Subscriber): void {
+    const { state } = this;
+    if (this.#told?.state !== state) this.#told = { state, bytes: writeToldState(state) };
+    if (readsDeflated) tell.deflatedState = this.#told.bytes.deflated;
+    else tell.state = this.#told.bytes.plain;
   }
 
   #onVersion(held: Held<Deployment>, _entry: Entry | undefined): void {
--- a/packages/cluster-node/src/follower.ts
+++ b/packages/cluster-node/src/follower.ts
@@ -12,12 +12,12 @@
 } from '@rainrun/messages';
 import {
   checkConfiguration,
-  decodeDeployment,
   EMPTY_DEPLOYMENT,
   type Configuration,
   type Deployment,
 } from '@rainrun/configuration';
-import { randomId, type Chance, type Clock } from '@rainrun/common';
+import { randomId, spread, type Chance, type Clock } from '@rainrun/common';
+import { readToldState } from './told-state.js';
 
 /** A worker as an edge knows it. */
 export interface KnownWorker {
@@ -51,7 +51,7 @@
 }
 
 const FOLLOW_MS = 250;
-/** A node that cannot serve yet asks this often. */
+/** A node that cannot serve yet, and that no coordinator knows of, asks this often. */
 const EAGER_MS = 80;
 const SELDOM_MS = 750;
 const HASTE_MS = 6;
@@ -63,6 +63,10 @@
 
 interface Core {
   readonly address: string;
+  /** The incarnation at this address, once a view has named it. */
+  incarnation: string;
+  /** Each edge prefers the cores in an order of its own, so that all are followed by alike many. */
+  readonly place: number;
   heardMs: number;
   granted: boolean;
   askedMs: number;
@@ -144,7 +148,9 @@
     const hasty = this.#hasteMs !== undefined && nowMs - this.#hasteMs >= HASTE_MS;
     for (const core of this.#followed(nowMs)) {
       const leads = core.address === this.#leader?.address;
-      const everyMs = !this.ready ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
+      const leaderHeard = this.#isLeaderHeard(nowMs);
+      const everyMs =
+        !this.ready && !leaderHeard ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
       if (nowMs - core.askedMs >= everyMs || (hasty && leads)) this.#follow(core, nowMs, leads);
     }
     if (hasty) this.#hasteMs = undefined;
@@ -160,6 +166,12 @@
     this.#onTell(frame.body.value, frame.from);
   }
 
+  /** Whether the coordinator answers: then it tells this node all that is new unasked. */
+  #isLeaderHeard(nowMs: number): boolean {
+    const core = this.#cores.get(this.#leader?.address ?? '');
+    return core !== undefined && core.incarnation !== '' && nowMs - core.heardMs < FRESH_MS;
+  }
+
   /** The leader and a few more: seeds until cores are known. */
   #followed(nowMs: number): Core[] {
     for (const [address, core] of this.#cores) {
@@ -170,7 +182,8 @@
     const known = [...this.#cores.values()].filter((core) => core.address !== this.#seat.address);
     const fresh = known.filter((core) => nowMs - core.heardMs < FRESH_MS);
     const leader = known.filter((core) => core.address === this.#leader?.address);
-    const chosen = new Set([...leader, ...fresh.filter((core) => core.granted).slice(0, CORES_MOST)]);
+    const granted = fresh.filter((core) => core.granted).sort((one, other) => one.place - other.place);
+    const chosen = new Set([...leader, ...granted.slice(0, CORES_MOST)]);
     if (leader.length === 0 || !fresh.includes(leader[0] as Core) || chosen.size < CORES_MOST)
       for (const core of known) chosen.add(core);
     return [...chosen];
@@ -179,7 +192,14 @@
   #core(address: string): Core {
     let core = this.#cores.get(address);
     if (core === undefined) {
-      core = { address, heardMs: this.#dependencies.clock.nowMs(), granted: false, askedMs: -Infinity };
+      core = {
+        address,
+        incarnation: '',
+        place: spread(`${this.#seat.incarnation} ${address}`),
+        heardMs: this.#dependencies.clock.nowMs(),
+        granted: false,
+        askedMs: -Infinity,
+      };
       this.#cores.set(address, core);
     }
     return core;
@@ -198,6 +218,7 @@
       row: this.#row,
       wants: [...wants],
       leaving,
+      readsDeflated: true,
     });
     const frame = create(FrameSchema, {
       wire: WIRE,
@@ -211,12 +232,11 @@
 
   #onTell(tell: Tell, from: string): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    for (const seat of tell.cores) {
-      const core = this.#core(seat.address);
-      if (seat.incarnation === from) {
-        core.heardMs = nowMs;
-        core.granted = tell.granted;
-      }
+    for (const seat of tell.cores) this.#core(seat.address).incarnation = seat.incarnation;
+    const core = [...this.#cores.values()].find((known) => known.incarnation === from);
+    if (core !== undefined) {
+      core.heardMs = nowMs;
+      core.granted = tell.granted;
     }
     if (tell.granted && tell.leader !== undefined) this.#leader = tell.leader;
     this.#countEdges(tell, nowMs);
@@ -234,9 +254,9 @@
   }
 
   #takeState(tell: Tell): void {
-    if (tell.edition <= this.#state.edition || tell.state.length === 0) return;
-    const state = decodeDeployment(tell.state);
-    if (state.isErr) return;
+    if (tell.edition <= this.#state.edition) return;
+    const state = readToldState(tell);
+    if (state === undefined || state.isErr) return;
     this.#state = state.value;
     const checked = state.value.document === undefined ? undefined : checkConfiguration(state.value.document);
     if (checked?.isOk === true) this.#configuration = checked.value;
--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -4,3 +4,6 @@
 export * from './roster.js';
 export * from './follower.js';
 export * from './core-replica.js';
+export * from './told-state.js';
+export * from './subscribers.js';
+export * from './plan-pacer.js';
--- /dev/null
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -0,0 +1,158 @@
+import { describe, it } from 'node:test';
+import { create } from '@bufbuild/protobuf';
+import { FollowSchema, SeatSchema, TellSchema, WantSchema } from '@rainrun/messages';
+import { EMPTY_DEPLOYMENT } from '@rainrun/configuration';
+import { expect } from 'earl';
+import { PlanPacer } from './plan-pacer.js';
+import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
+import { readToldState, writeToldState } from './told-state.js';
+
+const NOTHING = { all: false, models: new Set<string>() };
+
+function seatOf(incarnation: string) {
+  return create(SeatSchema, { name: incarnation, incarnation, address: `${incarnation}:1` });
+}
+
+function heard(subscribers: Subscribers, edge: string, nowMs: number, known = {}, model = ''): Subscriber {
+  const wants = model === '' ? [] : [create(WantSchema, { service: 'assist', model })];
+  const follow = create(FollowSchema, {
+    seat: seatOf(edge),
+    table: 't',
+    row: 5,
+    edition: 3,
+    wants,
+    ...known,
+  });
+  return subscribers.heard(follow, seatOf(edge), nowMs);
+}
+
+function offer(change: Partial<Offer> = {}): Offer {
+  return { edition: 3, table: 't', row: 5, leading: true, ...change };
+}
+
+function names(subscribers: readonly Subscriber[]): string[] {
+  return subscribers.map(({ seat }) => seat.incarnation);
+}
+
+describe('subscribers', () => {
+  it('tells a change of a model at once to those who ask for it, and to the others with later ones', () => {
+    const subscribers = new Subscribers();
+    for (const edge of ['a', 'b', 'c'])
+      subscribers.sentRows(heard(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'), offer(), 0, 1000);
+    const changes = { all: false, models: new Set(['assist/m']) };
+    expect(names(subscribers.due(offer({ row: 6 }), changes, 1001))).toEqual(['b']);
+    expect(names(subscribers.due(offer({ row: 6 }), NOTHING, 1003))).toEqual(['a', 'b', 'c']);
+  });
+
+  it('tells everyone at once that a worker came or leaves', () => {
+    const subscribers = new Subscribers();
+    for (const edge of ['a', 'b']) subscribers.sentRows(heard(subscribers, edge, 1000), offer(), 0, 1000);
+    expect(names(subscribers.due(offer({ row: 6 }), { all: true, models: new Set() }, 1001))).toEqual([
+      'a',
+      'b',
+    ]);
+  });
+
+  it('does not lose an urgent change that came while others were gathered', () => {
+    const subscribers = new Subscribers();
+    for (let edge = 0; edge < 40; edge += 1)
+      subscribers.sentRows(
+        heard(subscribers, `e${edge}`, 1000, {}, edge === 7 ? 'm' : 'n'),
+        offer(),
+        0,
+        1000,
+      );
+    const changes = { all: false, models: new Set(['assist/m']) };
+    expect(names(subscribers.due(offer({ row: 6 }), changes, 1001))).toEqual([]);
+    expect(names(subscribers.due(offer({ row: 6 }), NOTHING, 1006))).toEqual(['e7']);
+  });
+
+  it('tells a new state in a storm of changes five times a second, and always the newest in the end', () => {
+    const subscribers = new Subscribers();
+    heard(subscribers, 'a', 1000);
+    let told = 0;
+    let nowMs = 1000;
+    for (let edition = 4; edition < 34; edition += 1) {
+      nowMs += 50;
+      for (const one of subscribers.due(offer({ edition }), NOTHING, nowMs)) {
+        told += 1;
+        subscribers.sentState(one, offer({ edition }), nowMs);
+      }
+    }
+    const [last] = subscribers.due(offer({ edition: 33 }), NOTHING, nowMs + 200);
+    const newest = last === undefined ? 33 : last.edition;
+    expect([told, newest >= 30]).toEqual([8, true]);
+  });
+
+  it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
+    const subscribers = new Subscribers();
+    const one = heard(subscribers, 'a', 1000, { row: 0 });
+    subscribers.sentRows(one, offer(), 5, 1000);
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1010, { row: 0 }), offer(), 1010)).toEqual(true);
+    one.toldMs = 1005;
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1011, { row: 0 }), offer(), 1011)).toEqual(false);
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1100, { row: 0 }), offer(), 1100)).toEqual(true);
+  });
+
+  it('tells nobody unasked from a core that does not coordinate', () => {
+    const subscribers = new Subscribers();
+    heard(subscribers, 'a', 1000);
+    expect(subscribers.due(offer({ edition: 9, leading: false }), NOTHING, 2000)).toEqual([]);
+    expect(
+      subscribers.isAnswerDue(heard(subscribers, 'a', 2000), offer({ edition: 9, leading: false }), 2000),
+    ).toEqual(true);
+  });
+
+  it('forgets a subscriber that is silent', () => {
+    const subscribers = new Subscribers();
+    heard(subscribers, 'a', 1000);
+    subscribers.expire(3400);
+    expect(subscribers.size).toEqual(1);
+    subscribers.expire(3600);
+    expect(subscribers.size).toEqual(0);
+  });
+});
+
+describe('the state as edges are told it', () => {
+  it('comes back the same in both forms, without what operators sent', () => {
+    const state = { ...EMPTY_DEPLOYMENT, edition: 4, revision: 9, evacuated: ['north'] };
+    const told = writeToldState(state);
+    for (const tell of [
+      create(TellSchema, { state: told.plain }),
+      create(TellSchema, { deflatedState: told.deflated }),
+    ]) {
+      const read = readToldState(tell);
+      expect(read?.isOk === true ? read.value : undefined).toEqual({ ...state, taken: [] });
+    }
+  });
+
+  it('is refused where it is garbled', () => {
+    expect(readToldState(create(TellSchema, { deflatedState: new Uint8Array([1, 2, 3]) }))?.isErr).toEqual(
+      true,
+    );
+    expect(readToldState(create(TellSchema))).toEqual(undefined);
+  });
+});
+
+describe('pacing of plans', () => {
+  it('leaves three quarters of the time to everything else, however dear a plan is', () => {
+    const pacer = new PlanPacer();
+    let nowMs = 0;
+    let planningMs = 0;
+    while (nowMs < 10_000) {
+      if (pacer.isDue(nowMs)) {
+        pacer.planned(nowMs, nowMs + 30);
+        planningMs += 30;
+        nowMs += 30;
+      } else nowMs += 1;
+    }
+    expect(planningMs <= 2600).toEqual(true);
+    expect(planningMs >= 2400).toEqual(true);
+  });
+
+  it('lets cheap plans follow each other at once', () => {
+    const pacer = new PlanPacer();
+    pacer.planned(1000, 1000);
+    expect([pacer.isDue(1003), pacer.isDue(1004)]).toEqual([false, true]);
+  });
+});
--- /dev/null
+++ b/packages/cluster-node/src/told-state.ts
@@ -0,0 +1,43 @@
+/**
+ * The agreed state as cores tell it to edges: without what only operators' orders need, and deflated, since a
+ * configuration is mostly repeated field names and an edge's link is slow.
+ */
+import { deflateRawSync, inflateRawSync } from 'node:zlib';
+import type { Tell } from '@rainrun/messages';
+import { decodeDeployment, encodeDeployment, type Deployment } from '@rainrun/configuration';
+import { fault, type Fault } from '@rainrun/common';
+import type { Result } from 'true-myth';
+import { tryOrElse } from 'true-myth/result';
+
+/** No state is larger once it is inflated. */
+const STATE_MOST_BYTES = 64 * 1024 * 1024;
+
+/** The agreed state in both forms. */
+export interface ToldState {
+  readonly plain: Uint8Array;
+  readonly deflated: Uint8Array;
+}
+
+/**
+ * The state as edges are told it.
+ * @example
+ * tell.deflatedState = writeToldState(state).deflated;
+ */
+export function writeToldState(state: Deployment): ToldState {
+  const plain = encodeDeployment({ ...state, taken: [] });
+  return { plain, deflated: deflateRawSync(plain) };
+}
+
+/**
+ * The state that a message brings; nothing where it brings none, an error where it cannot be read.
+ * @example
+ * readToldState(create(TellSchema)); // undefined
+ */
+export function readToldState(tell: Tell): Result<Deployment, Fault> | undefined {
+  if (tell.deflatedState.length === 0)
+    return tell.state.length === 0 ? undefined : decodeDeployment(tell.state);
+  return tryOrElse(
+    (thrown) => fault('wire', `the state cannot be inflated: ${String(thrown)}`),
+    () => inflateRawSync(tell.deflatedState, { maxOutputLength: STATE_MOST_BYTES }),
+  ).andThen((bytes) => decodeDeployment(bytes));
+}
--- /dev/null
+++ b/packages/placement/src/demand-totals.test.ts
@@ -0,0 +1,36 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { DemandTotals, type StockWant } from './demand-totals.js';
+
+function want(model: string, change: Partial<StockWant> = {}): StockWant {
+  return {
+    service: 'assist',
+    model,
+    adapter: '',
+    waiting: 1,
+    inFlight: 2,
+    perS: 0.3,
+    pressure: 0.5,
+    ...change,
+  };
+}
+
+describe('totals of demand', () => {
+  it('add up over edges and replace what an edge said before', () => {
+    const totals = new DemandTotals();
+    totals.set('a', [want('m'), want('m', { adapter: 'a1' })], 0);
+    totals.set('b', [want('m'), want('n', { waiting: 4 })], 0);
+    totals.set('a', [want('m', { waiting: 7 })], 10);
+    const demand = totals.of('assist').get('m');
+    expect([demand?.waiting, demand?.inFlight, totals.waiting]).toEqual([8, 4, 12]);
+    expect(demand?.adapters.get('a1')?.waiting).toEqual(0);
+  });
+
+  it('are exactly nothing after ten thousand reports came and went', () => {
+    const totals = new DemandTotals();
+    for (let turn = 0; turn < 10_000; turn += 1)
+      totals.set(`e${turn % 7}`, [want('m', { perS: 0.1 * turn })], turn);
+    totals.expire(20_000);
+    expect([totals.of('assist').size, totals.waiting]).toEqual([0, 0]);
+  });
+});
--- /dev/null
+++ b/packages/placement/src/demand-totals.ts
@@ -0,0 +1,129 @@
+/**
+ * What all edges together ask for, by service and model, kept up to date edge by edge: a plan reads the totals
+ * instead of adding up what every edge said.
+ */
+
+/** What one edge asks for of a model or of an adapter of it. */
+export interface StockWant {
+  readonly service: string;
+  readonly model: string;
+  readonly adapter: string;
+  /** Requests that wait for a worker, and those that run. */
+  readonly waiting: number;
+  readonly inFlight: number;
+  /** Requests a second. */
+  readonly perS: number;
+  /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
+  readonly pressure: number;
+}
+
+/** Requests for an adapter. */
+export interface AdapterDemand {
+  waiting: number;
+  inFlight: number;
+  perS: number;
+}
+
+/** Requests for a model, adapters included. */
+export interface Demand extends AdapterDemand {
+  /** Sum of the pressures, each as often as it is asked for. */
+  pressed: number;
+  readonly adapters: Map<string, AdapterDemand>;
+  /** How many reports stand in it: with the last one it is gone, and with it all errors of rounding. */
+  reports: number;
+}
+
+interface Report {
+  readonly atMs: number;
+  readonly wants: readonly StockWant[];
+}
+
+const NOTHING: ReadonlyMap<string, Demand> = new Map();
+
+/**
+ * Totals of what edges ask for.
+ * @example
+ * const totals = new DemandTotals();
+ * totals.set('edge-1', wants, nowMs);
+ * totals.of('assist').get('model-1')?.waiting;
+ */
+export class DemandTotals {
+  #reports = new Map<string, Report>();
+  #byService = new Map<string, Map<string, Demand>>();
+  #waiting = 0;
+
+  /** Requests that wait for a worker, at all edges. */
+  get waiting(): number {
+    return this.#waiting;
+  }
+
+  /** Takes what an edge asks for now; it replaces what it asked for before. */
+  set(edge: string, wants: readonly StockWant[], nowMs: number): void {
+    this.#remove(edge);
+    this.#reports.set(edge, { atMs: nowMs, wants });
+    for (const want of wants) this.#add(want);
+  }
+
+  /** Forgets edges that were last heard before a time. */
+  expire(beforeMs: number): void {
+    for (const [edge, { atMs }] of this.#reports) if (atMs < beforeMs) this.#remove(edge);
+  }
+
+  /** What is asked for of a service, by model. */
+  of(service: string): ReadonlyMap<string, Demand> {
+    return this.#byService.get(service) ?? NOTHING;
+  }
+
+  #remove(edge: string): void {
+    const report = this.#reports.get(edge);
+    if (report === undefined) return;
+    this.#reports.delete(edge);
+    for (const want of report.wants) this.#subtract(want);
+  }
+
+  #add(want: StockWant): void {
+    this.#waiting += want.waiting;
+    let models = this.#byService.get(want.service);
+    if (models === undefined) {
+      models = new Map();
+      this.#byService.set(want.service, models);
+    }
+    let demand = models.get(want.model);
+    if (demand === undefined) {
+      demand = { waiting: 0, inFlight: 0, perS: 0, pressed: 0, adapters: new Map(), reports: 0 };
+      models.set(want.model, demand);
+    }
+    demand.reports += 1;
+    demand.pressed += want.pressure * want.perS;
+    accumulate(demand, want, 1);
+    if (want.adapter === '') return;
+    let adapter = demand.adapters.get(want.adapter);
+    if (adapter === undefined) {
+      adapter = { waiting: 0, inFlight: 0, perS: 0 };
+      demand.adapters.set(want.adapter, adapter);
+    }
+    accumulate(adapter, want, 1);
+  }
+
+  #subtract(want: StockWant): void {
+    this.#waiting -= want.waiting;
+    const models = this.#byService.get(want.service);
+    const demand = models?.get(want.model);
+    if (demand === undefined) return;
+    demand.reports -= 1;
+    if (demand.reports === 0) {
+      models?.delete(want.model);
+      return;
+    }
+    demand.pressed -= want.pressure * want.perS;
+    accumulate(demand, want, -1);
+    const adapter = demand.adapters.get(want.adapter);
+    if (adapter !== undefined) accumulate(adapter, want, -1);
+  }
+}
+
+function accumulate(demand: AdapterDemand, want: StockWant, sign: 1 | -1): void {
+  demand.waiting += sign * want.waiting;
+  demand.inFlight += sign * want.inFlight;
+  demand.perS += sign * want.perS;
+}
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -3,3 +3,4 @@
 export * from './placer.js';
 export * from './worker-table.js';
 export * from './planner.js';
+export * from './demand-totals.js';
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -1,13 +1,8 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { WorkerTable, type WorkerRecord, type ListedWorker } from './worker-table.js';
-import {
-  PlacementPlanner,
-  type StockEngine,
-  type StockOrder,
-  type StockReply,
-  type StockWant,
-} from './planner.js';
+import { PlacementPlanner, type StockEngine, type StockOrder, type StockReply } from './planner.js';
+import type { StockWant } from './demand-totals.js';
 
 const HEARTBEAT_MS = 20;
 const LOAD_MS = 600;
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,5 +1,6 @@
 import { spread } from '@rainrun/common';
 import { WorkerTable, type WorkerRecord } from './worker-table.js';
+import { DemandTotals, type Demand, type StockWant } from './demand-totals.js';
 import { Loop, type LoopSettings } from './loop.js';
 
 /** What a model weighs and how long it takes to load. */
@@ -20,18 +21,6 @@
   readonly models: ReadonlyMap<string, StockModel>;
 }
 
-/** What one edge asks for of a model or of an adapter of it. */
-export interface StockWant {
-  readonly service: string;
-  readonly model: string;
-  readonly adapter: string;
-  readonly waiting: number;
-  readonly inFlight: number;
-  readonly perS: number;
-  /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
-  readonly pressure: number;
-}
-
 /** An order to a worker. */
 export interface StockOrder {
   readonly action: 'load' | 'unload';
@@ -77,15 +66,6 @@
   readonly sinceMs: Map<string, number>;
 }
 
-interface Demand {
-  waiting: number;
-  inFlight: number;
-  perS: number;
-  /** Sum of the pressures, each as often as it is asked for. */
-  pressed: number;
-  adapters: Map<string, { waiting: number; inFlight: number; perS: number }>;
-}
-
 /** A copy that is wanted. */
 interface Need {
   readonly model: string;
@@ -173,7 +153,7 @@
   #book: WorkerTable;
   #dependencies: PlannerDependencies;
   #works = new Map<string, Work>();
-  #wants = new Map<string, { atMs: number; wants: readonly StockWant[] }>();
+  #totals = new DemandTotals();
   #usedMs = new Map<string, number>();
   /** Since when a model that stands nowhere is waited for. */
   #waitingMs = new Map<string, number>();
@@ -192,21 +172,35 @@
 
   /** Takes what an edge asks for now; it replaces what it asked for before. */
   want(incarnation: string, wants: readonly StockWant[], nowMs: number): void {
-    this.#wants.set(incarnation, { atMs: nowMs, wants });
+    this.#totals.set(incarnation, wants, nowMs);
   }
 
+  /** Decides anew and sends the orders that are due. */
   tick(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
-    for (const [incarnation, known] of this.#wants)
-      if (nowMs - known.atMs > WANT_MS) this.#wants.delete(incarnation);
+    this.plan(engines, evacuated, nowMs);
+    this.pursue(engines, nowMs);
+  }
+
+  /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
+  plan(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
+    this.#totals.expire(nowMs - WANT_MS);
     for (const id of this.#works.keys()) if (this.#book.row(id) === undefined) this.#works.delete(id);
     for (const engine of engines.values()) {
-      const rows = [...this.#book.rows].filter((row) => row.service === engine.service && !row.gone);
       this.#refill(engine, nowMs);
-      this.#plan(engine, rows, evacuated, nowMs);
-      for (const row of rows) this.#pursue(engine, row, nowMs);
+      this.#plan(engine, this.#rowsOf(engine), evacuated, nowMs);
     }
   }
 
+  /** Sends the orders that are due, in what was decided before. */
+  pursue(engines: ReadonlyMap<string, StockEngine>, nowMs: number): void {
+    for (const engine of engines.values())
+      for (const row of this.#rowsOf(engine)) this.#pursue(engine, row, nowMs);
+  }
+
+  #rowsOf(engine: StockEngine): WorkerRecord[] {
+    return [...this.#book.rows].filter((row) => row.service === engine.service && !row.gone);
+  }
+
   #work(row: WorkerRecord): Work {
     let work = this.#works.get(row.id);
     if (work === undefined) {
@@ -239,31 +233,11 @@
     return Math.max(1, Math.round((engine.loadsPerS * loadMs) / 1000));
   }
 
+  /** What is asked for of the models that an engine can load. */
   #demands(engine: StockEngine): Map<string, Demand> {
     const demands = new Map<string, Demand>();
-    for (const { wants } of this.#wants.values()) {
-      for (const want of wants) {
-        if (want.service !== engine.service || !engine.models.has(want.model)) continue;
-        const demand = demands.get(want.model) ?? {
-          waiting: 0,
-          inFlight: 0,
-          perS: 0,
-          pressed: 0,
-          adapters: new Map<string, { waiting: number; inFlight: number; perS: number }>(),
-        };
-        demands.set(want.model, demand);
-        demand.waiting += want.waiting;
-        demand.inFlight += want.inFlight;
-        demand.perS += want.perS;
-        demand.pressed += want.pressure * want.perS;
-        if (want.adapter === '') continue;
-        const adapter = demand.adapters.get(want.adapter) ?? { waiting: 0, inFlight: 0, perS: 0 };
-        demand.adapters.set(want.adapter, adapter);
-        adapter.waiting += want.waiting;
-        adapter.inFlight += want.inFlight;
-        adapter.perS += want.perS;
-      }
-    }
+    for (const [model, demand] of this.#totals.of(engine.service))
+      if (engine.models.has(model)) demands.set(model, demand);
     return demands;
   }
 
@@ -421,7 +395,7 @@
       this.#retiredMs.set(key, nowMs);
       most.models.delete(model);
       this.#work(most).retired.add(model);
-      this.#book.changed(most);
+      this.#book.changed(most, model);
       copies.set(model, count - 1);
     }
   }
@@ -438,7 +412,7 @@
         continue;
       work.retired.delete(model);
       row.models.set(model, new Set(work.present.get(model) ?? []));
-      this.#book.changed(row);
+      this.#book.changed(row, model);
       copies.set(model, (copies.get(model) ?? 0) + 1);
       return true;
     }
@@ -490,7 +464,7 @@
       const inUse = (counts.demands.get(victim)?.inFlight ?? 0) > 0;
       work.steps.push(step('unload', victim, '', nowMs + (inUse ? SETTLE_USED_MS : SETTLE_MS)));
     }
-    if (victims.length > 0) this.#book.changed(row);
+    for (const victim of victims) this.#book.changed(row, victim);
     work.steps.push(step('load', need.model, '', nowMs));
     work.present.set(need.model, new Set());
     counts.copies.set(need.model, (counts.copies.get(need.model) ?? 0) + 1);
@@ -565,7 +539,7 @@
           const oldest = free.sort((one, other) => one.usedMs - other.usedMs)[0];
           if (oldest === undefined) continue;
           row.models.get(oldest.known)?.delete(oldest.name);
-          this.#book.changed(row);
+          this.#book.changed(row, oldest.known);
           work.steps.push(step('unload', oldest.known, oldest.name, nowMs + SETTLE_MS));
         }
         work.steps.push(step('load', model, adapter, nowMs));
@@ -594,7 +568,7 @@
 
   /** Whether some request waits for a model or an adapter. */
   get pressed(): boolean {
-    return [...this.#wants.values()].some(({ wants }) => wants.some((want) => want.waiting > 0));
+    return this.#totals.waiting > 0;
   }
 
   #pursue(engine: StockEngine, row: WorkerRecord, nowMs: number): void {
@@ -678,7 +652,7 @@
       work.sinceMs.set(done.model, this.#dependencies.nowMs());
       row.models.set(done.model, new Set(work.present.get(done.model) ?? []));
     } else row.models.get(done.model)?.add(done.adapter);
-    this.#book.changed(row);
+    this.#book.changed(row, done.model);
   }
 }
 
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -35,6 +35,14 @@
 const FORGET_MS = 30_000;
 const COLD_STEP_MS = 400;
 
+/** What changed in a table since it was last asked. */
+export interface TableChanges {
+  /** Something changed that concerns every request: a worker came, leaves, is gone, or its holdings were read anew. */
+  readonly all: boolean;
+  /** Models, each as `service/model`, that a worker began or ceased to serve. */
+  readonly models: ReadonlySet<string>;
+}
+
 /**
  * The table of workers, a numbered row each, so that a reader that has all
  * rows up to a number is told only what came after it.
@@ -46,6 +54,8 @@
 export class WorkerTable {
   #rows = new Map<string, WorkerRecord>();
   #number = 0;
+  #changedAll = false;
+  #changedModels = new Set<string>();
 
   /** Number of the newest change. */
   get number(): number {
@@ -65,9 +75,20 @@
     return [...this.#rows.values()].filter((row) => row.number > number);
   }
 
-  changed(row: WorkerRecord): void {
+  /** Numbers a changed row anew; `model` is named where nothing but the copies of that model changed. */
+  changed(row: WorkerRecord, model?: string): void {
     this.#number += 1;
     row.number = this.#number;
+    if (model === undefined) this.#changedAll = true;
+    else this.#changedModels.add(`${row.service}/${model}`);
+  }
+
+  /** What changed since the last call. */
+  takeChanges(): TableChanges {
+    const changes: TableChanges = { all: this.#changedAll, models: this.#changedModels };
+    this.#changedAll = false;
+    this.#changedModels = new Set();
+    return changes;
   }
 
   /** Takes the platform's whole list. Holdings count only for incarnations that were not known: later ones follow from replies to orders. */
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -94,7 +94,7 @@
         log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
       reborn: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
       refused: (why) => log.error({ why }, 'the group does not let this node in'),
-      decided: (text) => log.info({}, text),
+      decided: (text) => log.debug({}, text),
     });
     this.#server = createServer((req, res) => {
       this.#receive(req, res).catch((thrown: unknown) => {
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -1,5 +1,6 @@
 /** What nodes log through; pino has this shape. */
 export interface Log {
+  debug(data: object, text: string): void;
   info(data: object, text: string): void;
   warn(data: object, text: string): void;
   error(data: object, text: string): void;
--- a/packages/runtime/src/wire.ts
+++ b/packages/runtime/src/wire.ts
@@ -8,6 +8,8 @@
 /** A line on which nothing was acknowledged for so long, though something is due, is given up. */
 const SILENT_MS = 1000;
 const ACK = Buffer.from([1]);
+/** Acknowledgements wait this long for more to acknowledge: well below the silence that ends a line. */
+const ACK_DELAY_MS = 200;
 
 /** Counters of the wire. */
 export interface WireCounts {
@@ -132,15 +134,25 @@
 
   #guest(socket: Socket): void {
     let rest: Buffer = Buffer.alloc(0);
+    let acking: NodeJS.Timeout | undefined;
+    function acknowledgeSoon(): void {
+      acking ??= setTimeout(() => {
+        acking = undefined;
+        if (!socket.destroyed) socket.write(ACK);
+      }, ACK_DELAY_MS);
+    }
     this.#guests.add(socket);
     socket.setNoDelay(true);
     socket.on('error', () => undefined);
-    socket.on('close', () => this.#guests.delete(socket));
+    socket.on('close', () => {
+      clearTimeout(acking);
+      this.#guests.delete(socket);
+    });
     socket.on('data', (chunk: Buffer) => {
       rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
       let taken = false;
       for (;;) {
-        if (taken && rest.length < 4) socket.write(ACK);
+        if (taken && rest.length < 4) acknowledgeSoon();
         if (rest.length < 4) return;
         const length = rest.readUInt32BE();
         if (length > FRAME_MAX_BYTES) {
@@ -149,7 +161,7 @@
           return;
         }
         if (rest.length < 4 + length) {
-          socket.write(ACK);
+          acknowledgeSoon();
           return;
         }
         const bytes = rest.subarray(4, 4 + length);
