--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -255,13 +255,13 @@
   }
 
   #onFollow(follow: Follow): void {
-    const { seat, wants, leaving } = follow;
+    const { seat, wants, leaving, partial } = follow;
     if (seat === undefined) return;
     if (leaving) return this.#subscribers.remove(seat.incarnation);
     const nowMs = this.#dependencies.clock.nowMs();
     const subscriber = this.#subscribers.heard(follow, seat, nowMs);
     if (this.#group.leading) {
-      this.#planner.want(seat.incarnation, wants, nowMs);
+      this.#planner.want(seat.incarnation, wants, nowMs, partial);
       if (wants.some(({ waiting }) => waiting > 0)) this.#placeModels(nowMs);
     }
     if (this.#subscribers.isAnswerDue(subscriber, this.#offer(), nowMs)) this.#tell(subscriber, nowMs);
--- a/packages/cluster-node/src/follower.ts
+++ b/packages/cluster-node/src/follower.ts
@@ -94,6 +94,8 @@
   /** Whose count of the edges is taken, and since when. */
   #counted = { table: '', sinceMs: -Infinity };
   #hasteMs: number | undefined;
+  /** What the coordinator was told to wait, since the last whole question. */
+  #toldWaiting = new Set<string>();
   #knewMs: number | undefined;
 
   constructor(dependencies: FollowerDependencies) {
@@ -151,14 +153,15 @@
       const leaderHeard = this.#isLeaderHeard(nowMs);
       const everyMs =
         !this.ready && !leaderHeard ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
-      if (nowMs - core.askedMs >= everyMs || (hasty && leads)) this.#follow(core, nowMs, leads);
+      if (nowMs - core.askedMs >= everyMs) this.#follow(core, nowMs, leads);
+      else if (hasty && leads) this.#hasten(core);
     }
     if (hasty) this.#hasteMs = undefined;
   }
 
   /** Says that this node goes. */
   leave(): void {
-    for (const core of this.#cores.values()) this.#post(core.address, true, []);
+    for (const core of this.#cores.values()) this.#post(core.address, { leaving: true });
   }
 
   receive(frame: Frame): void {
@@ -207,18 +210,28 @@
 
   #follow(core: Core, nowMs: number, leads: boolean): void {
     core.askedMs = nowMs;
-    this.#post(core.address, false, leads ? this.#dependencies.wants() : []);
+    const wants = leads ? this.#dependencies.wants() : [];
+    if (leads) this.#toldWaiting = new Set(wants.filter(({ waiting }) => waiting > 0).map(keyOf));
+    this.#post(core.address, { wants: [...wants] });
   }
 
-  #post(address: string, leaving: boolean, wants: readonly Want[]): void {
+  /** Between two whole questions the coordinator is told only of what waits, or waited when it was told last. */
+  #hasten(leader: Core): void {
+    const wants = this.#dependencies
+      .wants()
+      .filter((want) => want.waiting > 0 || this.#toldWaiting.has(keyOf(want)));
+    for (const want of wants) this.#toldWaiting.add(keyOf(want));
+    this.#post(leader.address, { wants, partial: true });
+  }
+
+  #post(address: string, question: { wants?: Want[]; leaving?: boolean; partial?: boolean }): void {
     const value = create(FollowSchema, {
       seat: this.#seat,
       edition: this.#state.edition,
       table: this.#table,
       row: this.#row,
-      wants: [...wants],
-      leaving,
       readsDeflated: true,
+      ...question,
     });
     const frame = create(FrameSchema, {
       wire: WIRE,
@@ -294,6 +307,10 @@
   }
 }
 
+function keyOf({ service, model, adapter }: Want): string {
+  return `${service}/${model}/${adapter}`;
+}
+
 function epochOf(table: string): number {
   return table === '' ? -1 : Number(table.slice(0, table.indexOf('-')));
 }
--- a/packages/cluster-node/src/subscribers.ts
+++ b/packages/cluster-node/src/subscribers.ts
@@ -101,7 +101,8 @@
       subscriber.table = follow.table;
       subscriber.row = follow.row;
     }
-    subscriber.wants = new Set(follow.wants.map(({ service, model }) => `${service}/${model}`));
+    const models = follow.wants.map(({ service, model }) => `${service}/${model}`);
+    subscriber.wants = new Set(follow.partial ? [...subscriber.wants, ...models] : models);
     return subscriber;
   }
 
--- a/packages/placement/src/demand-totals.test.ts
+++ b/packages/placement/src/demand-totals.test.ts
@@ -26,6 +26,15 @@
     expect(demand?.adapters.get('a1')?.waiting).toEqual(0);
   });
 
+  it('keep what a partial report does not name', () => {
+    const totals = new DemandTotals();
+    totals.set('a', [want('m'), want('n')], 0);
+    totals.update('a', [want('n', { waiting: 5 })], 10);
+    expect([totals.of('assist').get('m')?.waiting, totals.of('assist').get('n')?.waiting]).toEqual([1, 5]);
+    totals.set('a', [], 20);
+    expect([totals.of('assist').size, totals.waiting]).toEqual([0, 0]);
+  });
+
   it('are exactly nothing after ten thousand reports came and went', () => {
     const totals = new DemandTotals();
     for (let turn = 0; turn < 10_000; turn += 1)
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -34,8 +34,9 @@
 }
 
 interface Report {
-  readonly atMs: number;
-  readonly wants: readonly StockWant[];
+  atMs: number;
+  /** By service, model and adapter. */
+  readonly wants: Map<string, StockWant>;
 }
 
 const NOTHING: ReadonlyMap<string, Demand> = new Map();
@@ -57,11 +58,24 @@
     return this.#waiting;
   }
 
-  /** Takes what an edge asks for now; it replaces what it asked for before. */
+  /** Takes all that an edge asks for now; it replaces what it asked for before. */
   set(edge: string, wants: readonly StockWant[], nowMs: number): void {
     this.#remove(edge);
-    this.#reports.set(edge, { atMs: nowMs, wants });
-    for (const want of wants) this.#add(want);
+    this.update(edge, wants, nowMs);
+  }
+
+  /** Takes what has changed at an edge; what else it asked for stays. */
+  update(edge: string, wants: readonly StockWant[], nowMs: number): void {
+    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, wants: new Map<string, StockWant>() };
+    this.#reports.set(edge, report);
+    report.atMs = nowMs;
+    for (const want of wants) {
+      const key = `${want.service}/${want.model}/${want.adapter}`;
+      const before = report.wants.get(key);
+      if (before !== undefined) this.#subtract(before);
+      report.wants.set(key, want);
+      this.#add(want);
+    }
   }
 
   /** Forgets edges that were last heard before a time. */
@@ -78,7 +92,7 @@
     const report = this.#reports.get(edge);
     if (report === undefined) return;
     this.#reports.delete(edge);
-    for (const want of report.wants) this.#subtract(want);
+    for (const want of report.wants.values()) this.#subtract(want);
   }
 
   #add(want: StockWant): void {
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -170,9 +170,10 @@
     this.#dependencies = dependencies;
   }
 
-  /** Takes what an edge asks for now; it replaces what it asked for before. */
-  want(incarnation: string, wants: readonly StockWant[], nowMs: number): void {
-    this.#totals.set(incarnation, wants, nowMs);
+  /** Takes all that an edge asks for now, or where `partial` what has changed of it. */
+  want(incarnation: string, wants: readonly StockWant[], nowMs: number, partial = false): void {
+    if (partial) this.#totals.update(incarnation, wants, nowMs);
+    else this.#totals.set(incarnation, wants, nowMs);
   }
 
   /** Decides anew and sends the orders that are due. */
