--- /dev/null
+++ b/packages/process-group/src/casts.ts
@@ -0,0 +1,116 @@
+/** Causal multicast across views: what waits for a view, and the causal order within one. */
+import type { Cast, Heartbeat, View } from '@rainrun/messages';
+import { Causal } from './causal.js';
+import type { GroupParts } from './group-parts.js';
+import { rankOf } from './play.js';
+
+/** Payloads kept while this node cannot cast; the oldest goes first. */
+const BACKLOG_MOST = 64;
+
+/** Casts kept that came before their view; the oldest goes first. */
+const EARLY_CASTS_MOST = 4096;
+
+type CastParts<S> = Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>;
+
+/**
+ * Sends and delivers causal casts. Payloads wait while the view is being
+ * changed; casts of a view that this node has not entered yet wait for it.
+ * @example
+ * casts.cast(payload);
+ */
+export class Casts<S> {
+  #parts: CastParts<S>;
+  #causal: Causal | undefined;
+  #backlog: Uint8Array[] = [];
+  #early: Cast[] = [];
+
+  constructor(parts: CastParts<S>) {
+    this.#parts = parts;
+  }
+
+  /** True while no casts are sent: outside a view, and while the view is being changed. */
+  get stopped(): boolean {
+    return this.#causal?.stopped ?? true;
+  }
+
+  /** Casts kept until all members are known to have them. */
+  get unstableCount(): number {
+    return this.#causal?.keptCount ?? 0;
+  }
+
+  get contextBytes(): number {
+    return this.#causal?.contextBytes ?? 0;
+  }
+
+  /** Multicasts a payload causally to the view; held back while the view is changing. */
+  cast(payload: Uint8Array): void {
+    const { local, transport } = this.#parts;
+    if (!local.inView || this.#causal === undefined || this.#causal.stopped) {
+      this.#backlog.push(payload);
+      if (this.#backlog.length > BACKLOG_MOST) this.#backlog.shift();
+      return;
+    }
+    const cast = this.#causal.send(payload);
+    for (const member of local.others()) transport.parcel(member, { case: 'cast', value: cast });
+  }
+
+  receive(cast: Cast): void {
+    const viewNumber = this.#parts.local.view?.number ?? 0;
+    if (cast.view > viewNumber) {
+      this.#early.push(cast);
+      if (this.#early.length > EARLY_CASTS_MOST) this.#early.shift();
+      return;
+    }
+    this.#causal?.receive(cast);
+  }
+
+  /** How many casts of each member were delivered here, by rank. */
+  delivered(): number[] {
+    return [...(this.#causal?.delivered ?? [])];
+  }
+
+  /** How many casts of each member were delivered everywhere, by rank. */
+  stable(): number[] {
+    return [...(this.#causal?.stable ?? [])];
+  }
+
+  /** Takes what a member of this view says about delivery. */
+  learn(from: string, heartbeat: Heartbeat): void {
+    this.#causal?.learnDelivered(from, heartbeat.delivered);
+    this.#causal?.learnStable(heartbeat.stable);
+  }
+
+  /** Ends delivery in this view and returns what may be missing elsewhere. */
+  stop(): Cast[] {
+    return this.#causal?.stop() ?? [];
+  }
+
+  /** Delivers what was agreed to end this view. */
+  finish(cut: readonly Cast[]): void {
+    this.#causal?.finish(cut);
+  }
+
+  /** Starts the causal order of a new view. */
+  enter(view: View): void {
+    this.#causal = new Causal(view, this.#parts.local.incarnation, (cast) => this.#deliver(view, cast));
+  }
+
+  /** Takes the casts and payloads that waited for the view. */
+  open(): void {
+    const early = this.#early;
+    this.#early = [];
+    for (const cast of early) this.receive(cast);
+    const backlog = this.#backlog;
+    this.#backlog = [];
+    for (const payload of backlog) this.cast(payload);
+  }
+
+  clear(): void {
+    this.#causal = undefined;
+  }
+
+  #deliver(view: View, cast: Cast): void {
+    const sender = view.members[rankOf(view, cast.sender)];
+    if (sender !== undefined) this.#parts.dependencies.audience.onCast(sender, cast.payload);
+  }
+}
--- /dev/null
+++ b/packages/process-group/src/election.ts
@@ -0,0 +1,113 @@
+/** When this node claims the next epoch, and as what it answers the claims of others. */
+import type { Acceptor } from './acceptor.js';
+import { Claims, type ClaimContext } from './claims.js';
+import type { GroupParts } from './group-parts.js';
+
+type ElectionParts<S> = Pick<
+  GroupParts<S>,
+  | 'coordination'
+  | 'coordinatorWatch'
+  | 'dependencies'
+  | 'directory'
+  | 'discovery'
+  | 'founding'
+  | 'liveness'
+  | 'local'
+  | 'transport'
+  | 'voters'
+>;
+
+/**
+ * Decides when a voter that does not coordinate claims the next epoch: when
+ * no coordinator is heard and no voter that comes before it can be reached.
+ * @example
+ * election.tick(nowMs); // while this node does not coordinate
+ */
+export class Election<S> {
+  #parts: ElectionParts<S>;
+  #claims: Claims | undefined;
+
+  constructor(parts: ElectionParts<S>) {
+    this.#parts = parts;
+    const { acceptor } = parts.dependencies;
+    this.#claims = acceptor === undefined ? undefined : new Claims(this.#claimContext(acceptor));
+  }
+
+  /** Claims to an epoch, own and others'; only on a node with a disk. */
+  get claims(): Claims | undefined {
+    return this.#claims;
+  }
+
+  tick(nowMs: number): void {
+    const { coordination, dependencies, founding } = this.#parts;
+    const { acceptor } = dependencies;
+    const claims = this.#claims;
+    if (acceptor === undefined || claims === undefined) return;
+    if (founding.mayFound()) return founding.tick();
+    if (claims.pressing) return claims.tick(nowMs);
+    if (!claims.due(nowMs) && !this.#isEveryVoterOutside(acceptor)) return;
+    if (coordination.isUnable(nowMs) || acceptor.busy) return;
+    if (!claims.isTaken(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs)) claims.begin(nowMs);
+  }
+
+  /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
+  #isEveryVoterOutside(acceptor: Acceptor): boolean {
+    const { discovery, local, voters } = this.#parts;
+    const known = voters.list();
+    if (local.inView || known.length === 0) return false;
+    const outside = discovery.freshContacts().filter((contact) => !contact.inView);
+    return known.every(
+      ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk),
+    );
+  }
+
+  /**
+   * Whether no voter of lower rank can be reached. Members come first, in the
+   * view's order; a voter that is back under a new incarnation comes after them.
+   */
+  #isNext(disk: string, nowMs: number): boolean {
+    const { local, voters } = this.#parts;
+    const disks = voters.list().map((voter) => voter.disk);
+    if (!disks.includes(disk)) return false;
+    return local.inView ? this.#isFirstMember(disks, nowMs) : this.#isFirstOutside(disks, disk);
+  }
+
+  #isFirstMember(disks: readonly string[], nowMs: number): boolean {
+    const { liveness, local } = this.#parts;
+    const first = local.view?.members.find(
+      ({ disk, incarnation }) =>
+        incarnation === local.incarnation ||
+        (disks.includes(disk) && liveness.isLive(incarnation, nowMs) && !liveness.isUnable(incarnation)),
+    );
+    return first?.incarnation === local.incarnation;
+  }
+
+  #isFirstOutside(disks: readonly string[], ownDisk: string): boolean {
+    const contacts = this.#parts.discovery.freshContacts();
+    if (contacts.some((contact) => contact.inView && disks.includes(contact.seat.disk))) return false;
+    const first = disks.find(
+      (disk) =>
+        disk === ownDisk || contacts.some((contact) => contact.number > 0 && contact.seat.disk === disk),
+    );
+    return first === ownDisk;
+  }
+
+  #claimContext(acceptor: Acceptor): ClaimContext {
+    const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } = this.#parts;
+    const { times, chance } = dependencies;
+    return {
+      acceptor,
+      times,
+      chance,
+      nowMs: () => local.nowMs(),
+      voters: () => voters.list(),
+      voterSeat: (disk) => voters.seat(disk),
+      seat: (incarnation) => directory.seat(incarnation),
+      post: (seat, body) => transport.post(seat, body),
+      following: () => coordinatorWatch.live()?.incarnation,
+      epoch: () => local.epoch,
+      sawEpoch: (epoch) => local.sawEpoch(epoch),
+      take: (epoch, version) => coordination.start(epoch, version),
+    };
+  }
+}
--- a/packages/process-group/src/index.ts
+++ b/packages/process-group/src/index.ts
@@ -3,6 +3,7 @@
 export * from './claims.js';
 export * from './coordinator.js';
 export * from './grants.js';
+export * from './group-dependencies.js';
 export * from './group.js';
 export * from './play.js';
 export * from './times.js';
--- /dev/null
+++ b/packages/process-group/src/liveness.ts
@@ -0,0 +1,95 @@
+/** Failure detection: which members answer, and what they say of one another. */
+import { FailureDetector } from '@rainrun/failure-detector';
+import type { Heartbeat } from '@rainrun/messages';
+import type { GroupParts } from './group-parts.js';
+import { majority } from './play.js';
+
+/**
+ * What this node knows of the health of the others: whether they answer its
+ * heartbeats and keep up with its channel, whom they suspect themselves, and
+ * who has said goodbye.
+ * @example
+ * if (!liveness.isLive('incarnation-2', nowMs)) suspects.push('incarnation-2');
+ */
+export class Liveness<S> {
+  #parts: Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>;
+  #detector: FailureDetector;
+  /** Whom each member suspects, as its last heartbeat said. */
+  #suspectsOf = new Map<string, readonly string[]>();
+  /** Members that cannot coordinate now, as their last heartbeat said. */
+  #unable = new Set<string>();
+  #saidGoodbye = new Set<string>();
+
+  constructor(parts: Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>) {
+    this.#parts = parts;
+    this.#detector = new FailureDetector(parts.dependencies.times);
+  }
+
+  /** To be called at every tick; returns for how long this process itself was away. */
+  tick(nowMs: number): number {
+    return this.#detector.tick(nowMs);
+  }
+
+  /** Live: answers our heartbeats and does not lag behind our parcels beyond the bound. */
+  isLive(incarnation: string, nowMs: number): boolean {
+    const lagMs = this.#parts.transport.lagMs(incarnation, nowMs);
+    return lagMs <= this.#parts.dependencies.times.lagMs && this.#detector.live(incarnation, nowMs);
+  }
+
+  /** Whether most members say that they cannot reach this incarnation. */
+  isReported(incarnation: string): boolean {
+    const view = this.#parts.local.view;
+    if (view === undefined) return false;
+    const reports = view.members.filter((member) =>
+      this.#suspectsOf.get(member.incarnation)?.includes(incarnation),
+    );
+    return reports.length >= majority(view.members.length);
+  }
+
+  isUnable(incarnation: string): boolean {
+    return this.#unable.has(incarnation);
+  }
+
+  hasSaidGoodbye(incarnation: string): boolean {
+    return this.#saidGoodbye.has(incarnation);
+  }
+
+  watch(incarnation: string, nowMs: number): void {
+    this.#detector.watch(incarnation, nowMs);
+  }
+
+  answered(incarnation: string, nowMs: number): void {
+    this.#detector.answered(incarnation, nowMs);
+  }
+
+  /** Holds an incarnation for failed, for good. */
+  report(incarnation: string): void {
+    this.#detector.report(incarnation);
+  }
+
+  onBye(incarnation: string): void {
+    this.#saidGoodbye.add(incarnation);
+    this.#detector.report(incarnation);
+  }
+
+  /** Takes what a member says of itself and the others. */
+  learn(from: string, heartbeat: Heartbeat): void {
+    this.#suspectsOf.set(from, heartbeat.suspects);
+    if (heartbeat.unable) this.#unable.add(from);
+    else this.#unable.delete(from);
+  }
+
+  forget(incarnation: string): void {
+    this.#detector.forget(incarnation);
+  }
+
+  /** A new view: what was said of members of the old one does not count. */
+  clearReports(): void {
+    this.#suspectsOf.clear();
+  }
+
+  clear(): void {
+    this.#detector.clear();
+    this.#suspectsOf.clear();
+  }
+}
--- /dev/null
+++ b/packages/process-group/src/voters.ts
@@ -0,0 +1,36 @@
+/** The voters of the agreed state: which disks vote, and where they are now. */
+import type { Seat, Voter } from '@rainrun/messages';
+import type { GroupParts } from './group-parts.js';
+
+type VoterParts<S> = Pick<GroupParts<S>, 'dependencies' | 'discovery' | 'liveness' | 'local'>;
+
+/**
+ * Finds the voters: from the state held in a view, else from the version
+ * that this node's disk accepted last.
+ * @example
+ * voters.seat(voters.list()[0].disk); // the member with that disk, if it is in touch
+ */
+export class Voters<S> {
+  #parts: VoterParts<S>;
+
+  constructor(parts: VoterParts<S>) {
+    this.#parts = parts;
+  }
+
+  list(): readonly Voter[] {
+    const { dependencies, local } = this.#parts;
+    const { held } = local;
+    const accepted = dependencies.acceptor?.accepted?.state?.voters ?? [];
+    return held !== undefined && held.voters.length > 0 && local.inView ? held.voters : accepted;
+  }
+
+  /** Where the voter with this disk is now, if it is known. */
+  seat(disk: string): Seat | undefined {
+    const { discovery, liveness, local } = this.#parts;
+    const nowMs = local.nowMs();
+    const member = local.view?.members.find(
+      (seat) => seat.disk === disk && liveness.isLive(seat.incarnation, nowMs),
+    );
+    return member ?? discovery.freshContacts().find((contact) => contact.seat.disk === disk)?.seat;
+  }
+}
