--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,5 +1,19 @@
+/**
+ * The lint rules. What existed before a rule came is listed in
+ * eslint-suppressions.json, by file and rule with a count: a new violation
+ * fails, and so does an entry that is no longer needed, so the list shrinks
+ * only. Take entries out with `npx eslint . --prune-suppressions`.
+ */
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
+/** Bounds on size, in lines without blanks and comments, and on branches. */
+const FILE_LINES_MOST = 400;
+const FUNCTION_LINES_MOST = 60;
+const COMPLEXITY_MOST = 15;
+
+const SKIP_BLANK_AND_COMMENTS = { skipBlankLines: true, skipComments: true };
+
 export default tseslint.config(
   {
     ignores: [
@@ -21,6 +35,8 @@
       },
     },
     rules: {
+      'max-lines': ['error', { max: FILE_LINES_MOST, ...SKIP_BLANK_AND_COMMENTS }],
+      complexity: ['error', COMPLEXITY_MOST],
       '@typescript-eslint/no-unused-vars': ['error', { varsIgnorePattern: '^_', argsIgnorePattern: '^_' }],
       'func-style': ['error', 'declaration', { allowArrowFunctions: false }],
       'no-restricted-syntax': [
@@ -56,6 +72,29 @@
     },
   },
   { files: ['eslint.config.js'], ...tseslint.configs.disableTypeChecked },
+  {
+    // A `describe` block holds all of its tests, so tests are bounded by the file alone.
+    files: ['**/src/**/*.ts'],
+    ignores: ['**/*.test.ts'],
+    plugins: { jsdoc },
+    rules: {
+      'max-lines-per-function': ['error', { max: FUNCTION_LINES_MOST, ...SKIP_BLANK_AND_COMMENTS }],
+      'jsdoc/require-jsdoc': [
+        'error',
+        {
+          publicOnly: { ancestorsOnly: true, esm: true, cjs: false, window: false },
+          require: { ClassDeclaration: true, FunctionDeclaration: true },
+          contexts: [
+            'TSInterfaceDeclaration',
+            'TSTypeAliasDeclaration',
+            'TSEnumDeclaration',
+            'ExportNamedDeclaration > VariableDeclaration',
+          ],
+          enableFixer: false,
+        },
+      ],
+    },
+  },
   {
     files: [
       'packages/{common,messages,failure-detector,storage,process-group,configuration,placement,gateway,cluster-node,workloads}/src/**/*.ts',
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -34,6 +34,7 @@
 
 const CHAT = '/v1/chat/completions';
 
+/** The known deployments' shapes by name. */
 export const SHAPES: Readonly<Record<string, Shape>> = {
   vejsargs: {
     deployment: 'vejsargs',
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -5,6 +5,7 @@
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
 
+/** Paths under which the stand-in platform answers. */
 export const PATHS = {
   list: '/list',
   order: '/order',
@@ -12,6 +13,7 @@
   configuration: '/configuration',
   readiness: '/ready',
 } as const;
+/** Header that names the worker instance that an order is meant for. */
 export const EXPECT_INSTANCE = 'x-instance';
 
 const HoldingsSchema = v.array(v.tuple([v.string(), v.array(v.string())]));
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -30,6 +30,7 @@
   lastMs: number;
 }
 
+/** Traffic of which nothing has been seen yet. */
 export function noTraffic(): Traffic {
   return {
     follows: 0,
--- a/tools/scale/src/site.ts
+++ b/tools/scale/src/site.ts
@@ -23,7 +23,9 @@
   readonly models: readonly (readonly [model: string, adapters: readonly string[]])[];
 }
 
+/** The one service of the made-up site. */
 export const SERVICE = 'findings-llm';
+/** The host under which the service is called. */
 export const HOST = 'findings.example';
 /** Requests that a worker takes at once. */
 export const SLOTS = 24;
@@ -36,10 +38,12 @@
 export const ADDRESSES = 64;
 const FIRST_REVISION = 1;
 
+/** The zone of the worker at a place of the table. */
 export function zoneOf(place: number): string {
   return `zone-${String(place % ZONES).padStart(2, '0')}`;
 }
 
+/** The region that a zone lies in. */
 export function regionOf(zone: string): string {
   return `region-${Number(zone.slice(-2)) % REGIONS}`;
 }
@@ -51,10 +55,12 @@
   );
 }
 
+/** The name of the model at a place of the catalogue. */
 export function modelName(place: number): string {
   return `model-${String(place).padStart(3, '0')}`;
 }
 
+/** The name of the adapter at a place of the catalogue. */
 export function adapterName(place: number): string {
   return `adapter-${String(place).padStart(4, '0')}`;
 }
--- a/tools/scale/src/slope.ts
+++ b/tools/scale/src/slope.ts
@@ -222,6 +222,7 @@
   return slopeOf(placesOf(figure, points.filter(rests)));
 }
 
+/** A figure at each point that has it, over the size that it depends on. */
 export function placesOf(figure: Figure, points: readonly Point[]): (readonly [number, number])[] {
   const over = overOf(figure, points);
   return points.flatMap((point) => {
