--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,6 +1,7 @@
 import type { RouteEntry, ServiceEntry } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
+import type { NoWorker } from './balance.js';
 
 /** A whole request, read and taken apart at the door. */
 export interface Ask {
@@ -79,5 +80,7 @@
   /** A further send was promised, and its part of the budget is gone. */
   unpaid: boolean;
   notBeforeMs: number;
+  /** Why no worker could take it when it was tried last, while it waits. */
+  waitsFor: NoWorker | undefined;
   cancel: (() => void) | undefined;
 }
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -831,6 +831,13 @@
     ).toEqual(['m1/a1 0 1', 'm2/ 1 0']);
   });
 
+  it('asks once for a model that stands nowhere, however often the request is tried meanwhile', () => {
+    const bench = new Bench([worker('w1', { service: 'assist', models: new Map() })]);
+    bench.ask('/model/x', { model: 'm1' });
+    for (let turn = 0; turn < 20; turn += 1) bench.router.tick();
+    expect(bench.missed).toEqual(1);
+  });
+
   it('does not fall again on a worker that lacks the model, until its row is told anew', () => {
     const models = new Map([['m1', new Set<string>()]]);
     const bench = new Bench([worker('w1', { service: 'assist', models })], { ratio: 1, extra: 20 });
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -136,6 +136,7 @@
       reserved: false,
       unpaid: false,
       notBeforeMs: nowMs,
+      waitsFor: undefined,
       cancel: undefined,
     };
     if (this.#waiting.size >= CROWD_MOST)
@@ -266,14 +267,17 @@
       return false;
     }
     this.#waiting.delete(passage);
+    passage.waitsFor = undefined;
     this.#send(passage, choice, nowMs);
     return true;
   }
 
   #wait(passage: Passage, why: NoWorker): void {
+    const isNews = passage.waitsFor !== why;
     this.#waiting.add(passage);
     passage.cancel = undefined;
-    if (why === 'not-held') this.#dependencies.missing();
+    passage.waitsFor = why;
+    if (why === 'not-held' && isNews) this.#dependencies.missing();
     if (why === 'shunned' && passage.avoided.size > 0 && passage.arrivals < passage.route.attempts)
       passage.avoided.clear();
   }
