--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -19,6 +19,7 @@
   decodeDeployment,
   EMPTY_DEPLOYMENT,
   encodeDeployment,
+  encodeForFollowers,
   type Configuration,
   type Deployment,
 } from '@rainrun/configuration';
@@ -337,7 +338,7 @@
   }
 
   #bytes(state: Deployment): Uint8Array {
-    if (this.#encoded?.state !== state) this.#encoded = { state, bytes: encodeDeployment(state) };
+    if (this.#encoded?.state !== state) this.#encoded = { state, bytes: encodeForFollowers(state) };
     return this.#encoded.bytes;
   }
 
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,7 +1,6 @@
-import { createHash } from 'node:crypto';
-import { fault, type Fault, type FaultKind } from '@rainrun/common';
+/** The configuration of a deployment by routes and services: its form, and how it is checked. */
+import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
-import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
 
 const Count = v.pipe(v.number(), v.minValue(0));
@@ -58,12 +57,19 @@
 });
 
 const ConfigurationSchema = v.looseObject({
-  revision: v.pipe(v.number(), v.integer(), v.minValue(1)),
+  revision: v.pipe(v.number(), v.safeInteger(), v.minValue(1)),
   routes: v.array(RouteSchema),
   services: v.array(ServiceSchema),
   limits: v.optional(v.nullable(LimitsSchema)),
 });
 
+/** The same, with routes and services left to be checked one by one. */
+const OutlineSchema = v.looseObject({
+  ...ConfigurationSchema.entries,
+  routes: v.array(v.unknown()),
+  services: v.array(v.unknown()),
+});
+
 /** A checked configuration of routes and services. Fields that are not known are kept. */
 export type Configuration = v.InferOutput<typeof ConfigurationSchema>;
 export type RouteEntry = Configuration['routes'][number];
@@ -75,263 +81,106 @@
 /** The limits where a configuration names none. */
 export const USUAL_LIMITS: Limits = v.parse(LimitsSchema, {});
 
+/** Faults that no entry has by itself: names and places that stand twice, services that are not there. */
 function placeFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
   const places = new Set<string>();
   const names = new Set<string>();
   const faults: string[] = [];
   for (const [at, route] of configuration.routes.entries()) {
-    const path = `routes.${at} (${route.name})`;
     const place = `${route.host.toLowerCase()} ${route.prefix}`;
-    if (places.has(place)) faults.push(`${path}: host and prefix "${place}" stand here a second time`);
-    if (names.has(route.name)) faults.push(`${path}: the name stands here a second time`);
+    const found = routeFaults(route, services);
+    if (places.has(place)) found.push(`host and prefix "${place}" stand here a second time`);
+    if (names.has(route.name)) found.push('the name stands here a second time');
     places.add(place);
     names.add(route.name);
-    const split = route.split ?? [];
-    const targets = split.length > 0 ? split.map((part) => part.service) : [route.service ?? ''];
-    for (const target of targets)
-      if (!services.has(target)) faults.push(`${path}: unknown service "${target}"`);
-    if (split.length > 0 && split.reduce((sum, part) => sum + part.weight, 0) <= 0)
-      faults.push(`${path}: the weights sum to 0`);
-    if (split.length === 0 && route.split !== undefined && route.split !== null)
-      faults.push(`${path}: a split without parts`);
+    for (const what of found) faults.push(`routes.${at} (${route.name}): ${what}`);
   }
   if (services.size !== configuration.services.length)
     faults.push('services: a name stands here a second time');
   return faults;
 }
 
-/**
- * Checks a configuration whole; a fault names each place and what is wrong there.
- * @example
- * checkConfiguration({ revision: 1, routes: [], services: [] }).isOk; // true
- */
-export function checkConfiguration(data: unknown): Result<Configuration, Fault> {
-  const parsed = v.safeParse(ConfigurationSchema, data);
-  if (!parsed.success) {
-    const faults = parsed.issues
-      .slice(0, 8)
-      .map((issue) => `${v.getDotPath(issue) ?? 'configuration'}: ${issue.message}`);
-    return Result.err(fault('bad-spec', faults.join('\n')));
+function routeFaults(route: RouteEntry, services: ReadonlySet<string>): string[] {
+  const { split, service } = route;
+  const faults: string[] = [];
+  if (split === undefined || split === null || split.length === 0) {
+    if (!services.has(service ?? '')) faults.push(`unknown service "${service ?? ''}"`);
+    if (split?.length === 0) faults.push('a split without parts');
+    return faults;
   }
-  const faults = placeFaults(parsed.output);
-  return faults.length > 0
-    ? Result.err(fault('bad-spec', faults.slice(0, 8).join('\n')))
-    : Result.ok(parsed.output);
-}
-
-/** A change that was taken, so that the same call is answered alike when it comes again. */
-interface Taken {
-  readonly revision: number;
-  readonly digest: string;
-}
-
-/** The agreed state of a deployment that is configured by routes and services. */
-export interface Deployment {
-  /** Grows by one with each operation that changed something. */
-  readonly edition: number;
-  /** The document as it was sent, in our terms; undefined before the first. */
-  readonly document: Readonly<Record<string, unknown>> | undefined;
-  readonly revision: number;
-  readonly evacuated: readonly string[];
-  /** In which edition each zone was last evacuated or taken back. */
-  readonly zones: Readonly<Record<string, number>>;
-  readonly taken: readonly Taken[];
+  let weight = 0;
+  for (const part of split) {
+    if (!services.has(part.service)) faults.push(`unknown service "${part.service}"`);
+    weight += part.weight;
+  }
+  if (weight <= 0) faults.push('the weights sum to 0');
+  return faults;
 }
 
-/** The state before anything was agreed. */
-export const EMPTY_DEPLOYMENT: Deployment = {
-  edition: 0,
-  document: undefined,
-  revision: 0,
-  evacuated: [],
-  zones: {},
-  taken: [],
-};
-
-const TAKEN_KEPT = 256;
-
-const StoredSchema = v.object({
-  edition: v.number(),
-  document: v.optional(v.record(v.string(), v.unknown())),
-  revision: v.number(),
-  evacuated: v.array(v.string()),
-  zones: v.optional(v.record(v.string(), v.number()), {}),
-  taken: v.array(v.object({ revision: v.number(), digest: v.string() })),
-});
-
-const PutSchema = v.object({ base: v.optional(v.number()), document: v.record(v.string(), v.unknown()) });
-const ItemsSchema = v.record(v.string(), v.unknown());
-const PatchSchema = v.object({
-  base: v.optional(v.number()),
-  patch: v.object({
-    revision: v.pipe(v.number(), v.integer()),
-    set: v.optional(v.nullable(ItemsSchema), {}),
-    drop: v.optional(v.nullable(v.record(v.string(), v.array(v.string()))), {}),
-  }),
-});
-/** `seen` is the edition that the caller's node held: a call that was held up does not undo a later one. */
-const ZoneSchema = v.object({
-  zone: v.pipe(v.string(), v.minLength(1), v.maxLength(200)),
-  seen: v.optional(v.number()),
-});
-
-interface Applied {
-  readonly state: Deployment;
-  readonly outcome: { readonly kind: 'agreed' | FaultKind; readonly detail: string };
-}
+const FAULTS_TOLD = 8;
 
-function refuse(state: Deployment, kind: FaultKind, detail: string): Applied {
-  return { state, outcome: { kind, detail } };
+function issueText(issue: v.BaseIssue<unknown>, place: string): string {
+  const path = [place, v.getDotPath(issue) ?? ''].filter((part) => part !== '').join('.');
+  return `${path === '' ? 'configuration' : path}: ${issue.message}`;
 }
 
-function nameOf(item: unknown): unknown {
-  return typeof item === 'object' && item !== null ? (item as Record<string, unknown>)['name'] : undefined;
-}
+/**
+ * Checks the items of one list. Most items of a configuration are taken over
+ * from the last one as they are, and never changed in place: those that were
+ * part of the last list are not checked again.
+ */
+class ItemCheck<S extends v.GenericSchema> {
+  #schema: S;
+  #last: ReadonlyMap<unknown, v.InferOutput<S>> = new Map();
 
-/** Lists are changed item by item, by name; anything else is replaced. */
-function patched(
-  document: Readonly<Record<string, unknown>>,
-  set: Readonly<Record<string, unknown>>,
-  drop: Readonly<Record<string, readonly string[]>>,
-): Record<string, unknown> {
-  const next: Record<string, unknown> = { ...document };
-  for (const [key, names] of Object.entries(drop)) {
-    const list = next[key];
-    if (Array.isArray(list)) next[key] = list.filter((item) => !names.includes(String(nameOf(item))));
+  constructor(schema: S) {
+    this.#schema = schema;
   }
-  for (const [key, value] of Object.entries(set)) {
-    const list = next[key];
-    if (!Array.isArray(value)) {
-      next[key] = value;
-      continue;
-    }
-    const items: unknown[] = Array.isArray(list) ? [...(list as unknown[])] : [];
-    for (const item of value as unknown[]) {
-      const at = items.findIndex((known) => nameOf(known) === nameOf(item));
-      if (at < 0) items.push(item);
-      else items[at] = item;
+
+  /** The items as checked; what is wrong with others is added to `faults`. */
+  items(list: readonly unknown[], name: string, faults: string[]): v.InferOutput<S>[] {
+    const checked = new Map<unknown, v.InferOutput<S>>();
+    const items: v.InferOutput<S>[] = [];
+    for (const [place, item] of list.entries()) {
+      const output = this.#last.get(item) ?? this.#check(item, `${name}.${place}`, faults);
+      if (output === undefined) continue;
+      items.push(output);
+      checked.set(item, output);
     }
-    next[key] = items;
+    this.#last = checked;
+    return items;
   }
-  return next;
-}
 
-function adopt(
-  state: Deployment,
-  base: number | undefined,
-  revision: number,
-  digest: string,
-  next: () => Record<string, unknown>,
-): Applied {
-  if (state.taken.some((taken) => taken.revision === revision && taken.digest === digest)) {
-    return { state, outcome: { kind: 'agreed', detail: `revision ${revision} was taken before` } };
+  #check(item: unknown, place: string, faults: string[]): v.InferOutput<S> | undefined {
+    const parsed = v.safeParse(this.#schema, item);
+    if (parsed.success) return parsed.output;
+    faults.push(...parsed.issues.map((issue) => issueText(issue, place)));
+    return undefined;
   }
-  if (base !== undefined && base !== state.revision)
-    return refuse(state, 'conflict', `revision ${state.revision} is in force, not ${base}`);
-  const document = next();
-  const checked = checkConfiguration(document);
-  if (checked.isErr) return refuse(state, checked.error.kind, checked.error.detail);
-  if (revision <= state.revision)
-    return refuse(state, 'bad-spec', `revision: found ${revision}, expected one above ${state.revision}`);
-  const taken = [...state.taken, { revision, digest }].slice(-TAKEN_KEPT);
-  return {
-    state: { ...state, edition: state.edition + 1, document, revision, taken },
-    outcome: { kind: 'agreed', detail: `revision ${revision}` },
-  };
 }
 
-function setZone(state: Deployment, zone: string, seen: number | undefined, evacuate: boolean): Applied {
-  const agreed = { kind: 'agreed', detail: `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}` } as const;
-  if (state.evacuated.includes(zone) === evacuate) return { state, outcome: agreed };
-  if (seen !== undefined && (state.zones[zone] ?? 0) > seen) {
-    return refuse(
-      state,
-      'operation-unknown',
-      `zone ${zone} was changed in edition ${state.zones[zone] ?? 0}, after edition ${seen}; send it again if it is still meant`,
-    );
-  }
-  const others = state.evacuated.filter((known) => known !== zone);
-  const edition = state.edition + 1;
-  return {
-    state: {
-      ...state,
-      edition,
-      zones: { ...state.zones, [zone]: edition },
-      evacuated: evacuate ? [...others, zone].sort() : others,
-    },
-    outcome: agreed,
-  };
-}
-
-function digestOf(text: string): string {
-  return createHash('sha256').update(text).digest('base64').slice(0, 16);
-}
+const ROUTE_CHECK = new ItemCheck(RouteSchema);
+const SERVICE_CHECK = new ItemCheck(ServiceSchema);
 
 /**
- * Applies one operation to the deployment's state: a pure function, the same on every node.
- * @example
- * applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'zone.evacuate', payload: '{"zone":"north"}' }).state.evacuated; // ['north']
- */
-export function applyToDeployment(
-  state: Deployment,
-  operation: { readonly kind: string; readonly payload: string },
-): Applied {
-  const { kind, payload } = operation;
-  const data = tryOrElse(
-    (thrown) => String(thrown),
-    () => JSON.parse(payload) as unknown,
-  );
-  if (data.isErr) return refuse(state, 'bad-request', data.error);
-  if (kind === 'configuration.put') {
-    const put = v.safeParse(PutSchema, data.value);
-    if (!put.success) return refuse(state, 'bad-spec', put.issues[0].message);
-    const { base, document } = put.output;
-    const revision = typeof document['revision'] === 'number' ? document['revision'] : 0;
-    return adopt(state, base, revision, digestOf(`put ${JSON.stringify(document)}`), () => document);
-  }
-  if (kind === 'configuration.patch') {
-    const call = v.safeParse(PatchSchema, data.value);
-    if (!call.success) return refuse(state, 'bad-spec', call.issues[0].message);
-    const { base, patch } = call.output;
-    return adopt(state, base, patch.revision, digestOf(`patch ${JSON.stringify(patch)}`), () => ({
-      ...patched(state.document ?? {}, patch.set ?? {}, patch.drop ?? {}),
-      revision: patch.revision,
-    }));
-  }
-  const zone = v.safeParse(ZoneSchema, data.value);
-  if (zone.success && kind === 'zone.evacuate')
-    return setZone(state, zone.output.zone, zone.output.seen, true);
-  if (zone.success && kind === 'zone.return')
-    return setZone(state, zone.output.zone, zone.output.seen, false);
-  return refuse(state, 'bad-request', `no operation "${kind}" with this payload`);
-}
-
-/**
- * The state as bytes, for disks, joiners and followers.
+ * Checks a configuration whole; a fault names each place and what is wrong there.
  * @example
- * decodeDeployment(encodeDeployment(EMPTY_DEPLOYMENT)).isOk; // true
+ * checkConfiguration({ revision: 1, routes: [], services: [] }).isOk; // true
  */
-export function encodeDeployment(state: Deployment): Uint8Array {
-  return new TextEncoder().encode(JSON.stringify(state));
+export function checkConfiguration(data: unknown): Result<Configuration, Fault> {
+  const outline = v.safeParse(OutlineSchema, data);
+  if (!outline.success) return refusal(outline.issues.map((issue) => issueText(issue, '')));
+  const faults: string[] = [];
+  const configuration: Configuration = {
+    ...outline.output,
+    routes: ROUTE_CHECK.items(outline.output.routes, 'routes', faults),
+    services: SERVICE_CHECK.items(outline.output.services, 'services', faults),
+  };
+  if (faults.length === 0) faults.push(...placeFaults(configuration));
+  return faults.length > 0 ? refusal(faults) : Result.ok(configuration);
 }
 
-/**
- * Bytes as a state, or why not.
- * @example
- * decodeDeployment(new Uint8Array([123])).isErr; // true
- */
-export function decodeDeployment(bytes: Uint8Array): Result<Deployment, Fault> {
-  return tryOrElse(
-    (thrown) => fault('damaged', `the deployment's state: ${String(thrown)}`),
-    () => JSON.parse(new TextDecoder().decode(bytes)) as unknown,
-  ).andThen((data) => {
-    const parsed = v.safeParse(StoredSchema, data);
-    if (!parsed.success)
-      return Result.err<Deployment, Fault>(
-        fault('damaged', `the deployment's state: ${parsed.issues[0].message}`),
-      );
-    const { document, ...rest } = parsed.output;
-    return Result.ok<Deployment, Fault>({ ...rest, document });
-  });
+function refusal(faults: readonly string[]): Result<Configuration, Fault> {
+  return Result.err(fault('bad-spec', faults.slice(0, FAULTS_TOLD).join('\n')));
 }
--- /dev/null
+++ b/packages/configuration/src/deployment-codec.ts
@@ -0,0 +1,97 @@
+/** A deployment's state as bytes, for disks, joiners and followers. */
+import { fault, type Fault } from '@rainrun/common';
+import { Result } from 'true-myth';
+import { tryOrElse } from 'true-myth/result';
+import * as v from 'valibot';
+import type { Deployment } from './deployment.js';
+import { documentText } from './document-text.js';
+import { DIGEST_CHARS, NO_TAKEN_CHANGES, type TakenChanges } from './taken-changes.js';
+
+/** Revisions beside each other and digests in one text, since there may be thousands. */
+const TakenSchema = v.pipe(
+  v.object({
+    forgottenRevision: v.number(),
+    revisions: v.array(v.number()),
+    digests: v.string(),
+  }),
+  v.check(
+    ({ revisions, digests }) => digests.length === revisions.length * DIGEST_CHARS,
+    'as many digests as revisions',
+  ),
+  v.transform(({ forgottenRevision, revisions, digests }): TakenChanges => {
+    const changes = revisions.map((revision, place) => ({
+      revision,
+      digest: digests.slice(place * DIGEST_CHARS, (place + 1) * DIGEST_CHARS),
+    }));
+    return { forgottenRevision, changes };
+  }),
+);
+
+/** As earlier builds wrote it: their digests say nothing of the base, so all counts as forgotten. */
+const EarlierTakenSchema = v.pipe(
+  v.array(v.object({ revision: v.number() })),
+  v.transform((taken): TakenChanges => {
+    const forgottenRevision = Math.max(0, ...taken.map(({ revision }) => revision));
+    return { forgottenRevision, changes: [] };
+  }),
+);
+
+const StoredSchema = v.object({
+  edition: v.number(),
+  document: v.optional(v.record(v.string(), v.unknown())),
+  revision: v.number(),
+  evacuated: v.array(v.string()),
+  zones: v.optional(v.record(v.string(), v.number()), {}),
+  taken: v.union([TakenSchema, EarlierTakenSchema]),
+});
+
+function write(state: Deployment, taken: TakenChanges): Uint8Array {
+  const { edition, document, revision, evacuated, zones } = state;
+  const written = {
+    forgottenRevision: taken.forgottenRevision,
+    revisions: taken.changes.map((change) => change.revision),
+    digests: taken.changes.map((change) => change.digest).join(''),
+  };
+  const rest = JSON.stringify({ edition, revision, evacuated, zones, taken: written });
+  const text = document === undefined ? rest : `{"document":${documentText(document)},${rest.slice(1)}`;
+  return new TextEncoder().encode(text);
+}
+
+/**
+ * The state as bytes, for disks and joiners.
+ * @example
+ * decodeDeployment(encodeDeployment(EMPTY_DEPLOYMENT)).isOk; // true
+ */
+export function encodeDeployment(state: Deployment): Uint8Array {
+  return write(state, state.taken);
+}
+
+/**
+ * The state as bytes for nodes that only follow it: without the memory of
+ * changes, which only those need that decide on orders.
+ * @example
+ * decodeDeployment(encodeForFollowers(EMPTY_DEPLOYMENT)).isOk; // true
+ */
+export function encodeForFollowers(state: Deployment): Uint8Array {
+  return write(state, NO_TAKEN_CHANGES);
+}
+
+/**
+ * Bytes as a state, or why not.
+ * @example
+ * decodeDeployment(new Uint8Array([123])).isErr; // true
+ */
+export function decodeDeployment(bytes: Uint8Array): Result<Deployment, Fault> {
+  return tryOrElse(
+    (thrown) => fault('damaged', `the deployment's state: ${String(thrown)}`),
+    () => JSON.parse(new TextDecoder().decode(bytes)) as unknown,
+  ).andThen((data) => {
+    const parsed = v.safeParse(StoredSchema, data);
+    if (!parsed.success)
+      return Result.err<Deployment, Fault>(
+        fault('damaged', `the deployment's state: ${parsed.issues[0].message}`),
+      );
+    const { document, ...rest } = parsed.output;
+    return Result.ok<Deployment, Fault>({ ...rest, document });
+  });
+}
--- /dev/null
+++ b/packages/configuration/src/deployment.ts
@@ -0,0 +1,307 @@
+/**
+ * The agreed state of a deployment, and the operations that change it: pure
+ * functions, the same on every core.
+ */
+import { fault, type Fault, type FaultKind } from '@rainrun/common';
+import { Result } from 'true-myth';
+import { tryOrElse } from 'true-myth/result';
+import * as v from 'valibot';
+import { checkConfiguration } from './configuration.js';
+import { documentText } from './document-text.js';
+import {
+  digestOfChange,
+  isTakenChange,
+  mayBeForgottenChange,
+  NO_TAKEN_CHANGES,
+  withTakenChange,
+  type TakenChanges,
+} from './taken-changes.js';
+
+/** A configuration as it was sent, in our terms. */
+export type ConfigurationDocument = Readonly<Record<string, unknown>>;
+
+/** The agreed state of a deployment that is configured by routes and services. */
+export interface Deployment {
+  /** Grows by one with each operation that changed something. */
+  readonly edition: number;
+  /** The document as it was sent, in our terms; undefined before the first. */
+  readonly document: ConfigurationDocument | undefined;
+  readonly revision: number;
+  readonly evacuated: readonly string[];
+  /** In which edition each zone was last evacuated or taken back. */
+  readonly zones: Readonly<Record<string, number>>;
+  readonly taken: TakenChanges;
+}
+
+/** The state before anything was agreed. */
+export const EMPTY_DEPLOYMENT: Deployment = {
+  edition: 0,
+  document: undefined,
+  revision: 0,
+  evacuated: [],
+  zones: {},
+  taken: NO_TAKEN_CHANGES,
+};
+
+/**
+ * No document is larger, as JSON text. One message between nodes holds the
+ * operation and the state that it leads to, and carries 8 MiB.
+ */
+export const DOCUMENT_MOST_BYTES = 3 * 1024 * 1024;
+
+/** So many zones may be known as evacuated or taken back: names come from callers. */
+const ZONES_MOST = 1024;
+
+/** An operation of an operator on the deployment. */
+export type DeploymentOperation =
+  | {
+      readonly kind: 'configuration.put';
+      /** The revision that must be in force. */
+      readonly base?: number | undefined;
+      readonly document: ConfigurationDocument;
+    }
+  | {
+      readonly kind: 'configuration.patch';
+      readonly base?: number | undefined;
+      readonly patch: v.InferOutput<typeof PatchSchema>['patch'];
+    }
+  | {
+      readonly kind: 'zone.evacuate' | 'zone.return';
+      readonly zone: string;
+      /** Edition that the caller's node held: a call that was held up does not undo a later one. */
+      readonly seen?: number | undefined;
+    };
+
+const Revision = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
+const Base = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
+const PutSchema = v.object({ base: Base, document: v.record(v.string(), v.unknown()) });
+const ItemsSchema = v.record(v.string(), v.unknown());
+const PatchSchema = v.object({
+  base: Base,
+  patch: v.object({
+    revision: Revision,
+    set: v.optional(v.nullable(ItemsSchema), {}),
+    drop: v.optional(v.nullable(v.record(v.string(), v.array(v.string()))), {}),
+  }),
+});
+const ZoneSchema = v.object({
+  zone: v.pipe(v.string(), v.minLength(1), v.maxLength(200)),
+  seen: v.optional(v.number()),
+});
+
+function parsed<S extends v.GenericSchema>(
+  schema: S,
+  payload: unknown,
+  kind: FaultKind,
+): Result<v.InferOutput<S>, Fault> {
+  const read = v.safeParse(schema, payload);
+  if (read.success) return Result.ok(read.output);
+  const [issue] = read.issues;
+  return Result.err(fault(kind, `${v.getDotPath(issue) ?? 'payload'}: ${issue.message}`));
+}
+
+function checkedSize(document: ConfigurationDocument): Result<ConfigurationDocument, Fault> {
+  const bytes = Buffer.byteLength(documentText(document));
+  return bytes > DOCUMENT_MOST_BYTES
+    ? Result.err(fault('too-large', `${bytes} bytes of configuration, at most ${DOCUMENT_MOST_BYTES}`))
+    : Result.ok(document);
+}
+
+/** A document that can be in force, whatever is in force now. */
+function checkedDocument(document: ConfigurationDocument): Result<ConfigurationDocument, Fault> {
+  return checkedSize(document).andThen(() => checkConfiguration(document).map(() => document));
+}
+
+/**
+ * Reads an operation and checks what can be checked without the state: its
+ * form, and a whole configuration with all that is in it. What is refused here
+ * is refused in every state.
+ * @example
+ * readOperation('zone.evacuate', { zone: 'north' }).isOk; // true
+ */
+export function readOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
+  switch (kind) {
+    case 'configuration.put':
+      return parsed(PutSchema, payload, 'bad-spec').andThen(({ base, document }) =>
+        checkedDocument(document).map((): DeploymentOperation => ({ kind, base, document })),
+      );
+    case 'configuration.patch':
+      return parsed(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
+    case 'zone.evacuate':
+    case 'zone.return':
+      return parsed(ZoneSchema, payload, 'bad-request').map(({ zone, seen }) => ({ kind, zone, seen }));
+    default:
+      return Result.err(fault('bad-request', `no operation "${kind}"`));
+  }
+}
+
+/** The state after an operation, and how it ended. */
+export interface Applied {
+  readonly state: Deployment;
+  readonly outcome: { readonly kind: 'agreed' | FaultKind; readonly detail: string };
+}
+
+function agreed(state: Deployment, detail: string): Applied {
+  return { state, outcome: { kind: 'agreed', detail } };
+}
+
+function refused(state: Deployment, { kind, detail }: Fault): Applied {
+  return { state, outcome: { kind, detail } };
+}
+
+function nameOf(item: unknown): unknown {
+  return typeof item === 'object' && item !== null ? (item as Record<string, unknown>)['name'] : undefined;
+}
+
+/** Lists are changed item by item, by name; anything else is replaced. */
+function patched(
+  document: ConfigurationDocument,
+  set: Readonly<Record<string, unknown>>,
+  drop: Readonly<Record<string, readonly string[]>>,
+): Record<string, unknown> {
+  const next: Record<string, unknown> = { ...document };
+  for (const [key, names] of Object.entries(drop)) {
+    const list = next[key];
+    const dropped = new Set(names);
+    if (Array.isArray(list)) next[key] = list.filter((item) => !dropped.has(String(nameOf(item))));
+  }
+  for (const [key, value] of Object.entries(set)) {
+    next[key] = Array.isArray(value) ? upserted(next[key], value) : value;
+  }
+  return next;
+}
+
+function upserted(list: unknown, changes: readonly unknown[]): unknown[] {
+  const items: unknown[] = Array.isArray(list) ? [...(list as unknown[])] : [];
+  const places = new Map<unknown, number>();
+  for (const [place, item] of items.entries()) if (!places.has(nameOf(item))) places.set(nameOf(item), place);
+  for (const item of changes) {
+    const place = places.get(nameOf(item));
+    if (place === undefined) {
+      places.set(nameOf(item), items.length);
+      items.push(item);
+    } else items[place] = item;
+  }
+  return items;
+}
+
+/** A change of the configuration as it is compared with those that were taken. */
+interface Change {
+  readonly base: number | undefined;
+  readonly revision: number;
+  readonly digest: string;
+}
+
+/**
+ * Takes a change at most once. One that was taken is agreed to again, whatever
+ * came after it; one that may have been taken, but is no longer remembered, is
+ * neither agreed to nor refused.
+ */
+function takeChange(
+  state: Deployment,
+  change: Change,
+  documentAfter: () => Result<ConfigurationDocument, Fault>,
+): Applied {
+  const { base, revision } = change;
+  if (isTakenChange(state.taken, change)) return agreed(state, `revision ${revision} was taken before`);
+  if (mayBeForgottenChange(state.taken, revision, base)) {
+    const detail = `revision ${revision} is too old to know whether this change was taken`;
+    return refused(state, fault('operation-unknown', detail));
+  }
+  if (base !== undefined && base !== state.revision)
+    return refused(state, fault('conflict', `revision ${state.revision} is in force, not ${base}`));
+  const next = documentAfter();
+  if (next.isErr) return refused(state, next.error);
+  if (revision <= state.revision) {
+    const detail = `revision: found ${revision}, expected one above ${state.revision}`;
+    return refused(state, fault('bad-spec', detail));
+  }
+  const { digest } = change;
+  const taken = withTakenChange(state.taken, { revision, digest });
+  return agreed(
+    { ...state, edition: state.edition + 1, document: next.value, revision, taken },
+    `revision ${revision}`,
+  );
+}
+
+function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
+  const revision = Number(document['revision']);
+  const digest = digestOfChange('put', base, documentText(document));
+  return takeChange(state, { base, revision, digest }, () => Result.ok(document));
+}
+
+function applyPatch(
+  state: Deployment,
+  base: number | undefined,
+  patch: v.InferOutput<typeof PatchSchema>['patch'],
+): Applied {
+  const { revision } = patch;
+  const digest = digestOfChange('patch', base, JSON.stringify(patch));
+  return takeChange(state, { base, revision, digest }, () =>
+    checkedDocument({ ...patched(state.document ?? {}, patch.set ?? {}, patch.drop ?? {}), revision }),
+  );
+}
+
+function setZone(state: Deployment, zone: string, seen: number | undefined, evacuate: boolean): Applied {
+  const detail = `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}`;
+  if (state.evacuated.includes(zone) === evacuate) return agreed(state, detail);
+  const changed = state.zones[zone];
+  if (seen !== undefined && (changed ?? 0) > seen) {
+    const why = `zone ${zone} was changed in edition ${changed ?? 0}, after edition ${seen}`;
+    return refused(state, fault('operation-unknown', `${why}; send it again if it is still meant`));
+  }
+  if (changed === undefined && Object.keys(state.zones).length >= ZONES_MOST)
+    return refused(state, fault('bad-request', `${ZONES_MOST} zones are known already`));
+  const others = state.evacuated.filter((known) => known !== zone);
+  const edition = state.edition + 1;
+  const zones = { ...state.zones, [zone]: edition };
+  return agreed(
+    { ...state, edition, zones, evacuated: evacuate ? [...others, zone].sort() : others },
+    detail,
+  );
+}
+
+/** Payloads that were read lately: a coordinator applies each operation when it proposes and when it holds it. */
+const READ_KEPT = 4;
+const readPayloads: {
+  readonly kind: string;
+  readonly payload: string;
+  readonly read: Result<DeploymentOperation, Fault>;
+}[] = [];
+
+function readPayload(kind: string, payload: string): Result<DeploymentOperation, Fault> {
+  const known = readPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
+  if (known !== undefined) return known.read;
+  const read = tryOrElse(
+    (thrown) => fault('bad-request', String(thrown)),
+    () => JSON.parse(payload) as unknown,
+  ).andThen((data) => readOperation(kind, data));
+  readPayloads.push({ kind, payload, read });
+  if (readPayloads.length > READ_KEPT) readPayloads.shift();
+  return read;
+}
+
+/**
+ * Applies one operation to the deployment's state: the same on every node, and
+ * without effect where it is refused.
+ * @example
+ * applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'zone.evacuate', payload: '{"zone":"north"}' }).state.evacuated; // ['north']
+ */
+export function applyToDeployment(
+  state: Deployment,
+  { kind, payload }: { readonly kind: string; readonly payload: string },
+): Applied {
+  const read = readPayload(kind, payload);
+  if (read.isErr) return refused(state, read.error);
+  const operation = read.value;
+  switch (operation.kind) {
+    case 'configuration.put':
+      return applyPut(state, operation.base, operation.document);
+    case 'configuration.patch':
+      return applyPatch(state, operation.base, operation.patch);
+    case 'zone.evacuate':
+      return setZone(state, operation.zone, operation.seen, true);
+    case 'zone.return':
+      return setZone(state, operation.zone, operation.seen, false);
+  }
+}
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -2,3 +2,5 @@
 export * from './spec.js';
 export * from './stage.js';
 export * from './configuration.js';
+export * from './deployment.js';
+export * from './deployment-codec.js';
--- /dev/null
+++ b/packages/configuration/src/taken-changes.ts
@@ -0,0 +1,79 @@
+/**
+ * Memory of the configuration changes that were taken, by which an order that
+ * is sent again is recognized.
+ */
+import { createHash } from 'node:crypto';
+
+/** A change that was taken: its revision and what it said. */
+export interface TakenChange {
+  readonly revision: number;
+  readonly digest: string;
+}
+
+/** The newest changes that were taken, and up to which revision earlier ones are forgotten. */
+export interface TakenChanges {
+  /** Changes of this revision and below are no longer remembered; 0 while all are. */
+  readonly forgottenRevision: number;
+  /** In the order of their revisions, which is the order in which they were taken. */
+  readonly changes: readonly TakenChange[];
+}
+
+/** The memory before anything was taken. */
+export const NO_TAKEN_CHANGES: TakenChanges = { forgottenRevision: 0, changes: [] };
+
+/**
+ * So many changes are remembered: at most 57 KB in a stored version, and at 20
+ * changes a minute over three hours, where a caller gives up within minutes.
+ */
+export const TAKEN_CHANGES_KEPT = 4096;
+
+/** Base64 characters of a digest: 48 bits, compared only between changes of one revision. */
+export const DIGEST_CHARS = 8;
+
+/**
+ * Identifies what an order says: its kind, the revision that it builds on and its content.
+ * @example
+ * digestOfChange('put', 5, '{"revision":7}').length; // 8
+ */
+export function digestOfChange(kind: 'put' | 'patch', base: number | undefined, content: string): string {
+  const hash = createHash('sha256')
+    .update(`${kind} ${base ?? ''} `)
+    .update(content);
+  return hash.digest('base64').slice(0, DIGEST_CHARS);
+}
+
+/**
+ * The memory with one more change, which has the highest revision so far.
+ * @example
+ * withTakenChange(NO_TAKEN_CHANGES, { revision: 7, digest }).changes.length; // 1
+ */
+export function withTakenChange(taken: TakenChanges, change: TakenChange): TakenChanges {
+  const changes = [...taken.changes, change];
+  if (changes.length <= TAKEN_CHANGES_KEPT) return { ...taken, changes };
+  const forgotten = changes.shift();
+  return { forgottenRevision: forgotten?.revision ?? taken.forgottenRevision, changes };
+}
+
+/**
+ * Whether this very change is remembered as taken.
+ * @example
+ * isTakenChange(NO_TAKEN_CHANGES, { revision: 7, digest }); // false
+ */
+export function isTakenChange(taken: TakenChanges, change: TakenChange): boolean {
+  const known = taken.changes.findLast(({ revision }) => revision <= change.revision);
+  return known?.revision === change.revision && known.digest === change.digest;
+}
+
+/**
+ * Whether a change may have been taken and forgotten since. One that builds on
+ * its own revision or a later one cannot have been taken.
+ * @example
+ * mayBeForgottenChange(NO_TAKEN_CHANGES, 7, 5); // false
+ */
+export function mayBeForgottenChange(
+  taken: TakenChanges,
+  revision: number,
+  base: number | undefined,
+): boolean {
+  return revision <= taken.forgottenRevision && (base === undefined || base < revision);
+}
