--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -4,3 +4,4 @@
 export * from './roster.js';
 export * from './follower.js';
 export * from './core-replica.js';
+export * from './operator-service.js';
--- /dev/null
+++ b/packages/cluster-node/src/operator-service.ts
@@ -0,0 +1,226 @@
+/**
+ * Answers operators on a core: orders by agreement, questions by a quorum read.
+ * It owns no socket and no timer, so that the program and the simulator run the
+ * same code.
+ */
+import type { Answer } from '@rainrun/messages';
+import {
+  readOperation,
+  type ConfigurationDocument,
+  type Deployment,
+  type DeploymentOperation,
+} from '@rainrun/configuration';
+import { ANSWERS, fault, isFaultKind, type Clock, type Fault } from '@rainrun/common';
+import type { Result } from 'true-myth';
+
+/** A call of an operator, in our terms. */
+export type OperatorCall =
+  | {
+      readonly kind: 'put';
+      /** The revision that must be in force. */
+      readonly base: number | undefined;
+      readonly document: Record<string, unknown>;
+    }
+  | { readonly kind: 'patch'; readonly base: number | undefined; readonly patch: Record<string, unknown> }
+  | { readonly kind: 'read' }
+  | { readonly kind: 'evacuate' | 'return'; readonly zone: string }
+  | { readonly kind: 'none' };
+
+/** The answer to a call, as it goes into an HTTP response. */
+export interface OperatorReply {
+  readonly status: number;
+  readonly body: string;
+}
+
+/** The core's replica, as far as operators reach it. */
+export interface OperatorReplica {
+  readonly state: Deployment;
+  readonly group: { informedMs(): number };
+  submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault>;
+  forgetAnswer(id: string): void;
+}
+
+/** How answers are put for the callers of one platform. */
+export interface OperatorFormat {
+  writeDocument(document: ConfigurationDocument): string;
+  /** The status for a fault, where the platform's differs from ours. */
+  statusOf(why: Fault): number | undefined;
+}
+
+/** What the service is given by its program, or by the simulator. */
+export interface OperatorServiceDependencies {
+  readonly replica: OperatorReplica;
+  readonly clock: Clock;
+  readonly format: OperatorFormat;
+}
+
+type Done = (reply: OperatorReply) => void;
+
+interface PendingOrder {
+  readonly bornMs: number;
+  readonly done: Done;
+  id: string;
+}
+
+/** An order on a zone that has come and is not yet submitted. */
+interface ZoneOrder {
+  readonly kind: 'zone.evacuate' | 'zone.return';
+  readonly payload: { readonly zone: string; readonly seen: number };
+  readonly bornMs: number;
+  readonly done: Done;
+  readonly isCallerGone: () => boolean;
+}
+
+interface PendingRead {
+  readonly askedMs: number;
+  readonly done: Done;
+}
+
+/** A caller goes on to another node after a second of silence: it is answered before. */
+export const ANSWER_WAIT_MS = 800;
+
+/**
+ * Orders on zones bear no version by which a late copy shows. They wait for so
+ * long, a round trip between regions: where a cut has held a call up, the end
+ * of its connection comes by then, and a call without a caller is not submitted.
+ */
+export const ZONE_WAIT_MS = 100;
+
+/**
+ * The operator side of one core. Every answer that says what is in force, or
+ * what is not, was agreed after the call came or read once a majority was heard
+ * after it; a core that cannot know so in time answers 503, and the caller asks
+ * another one.
+ * @example
+ * const service = new OperatorService({ replica, clock, format });
+ * service.answer({ kind: 'read' }, (reply) => respond(reply));
+ * service.tick(); // every 25 ms
+ */
+export class OperatorService {
+  #dependencies: OperatorServiceDependencies;
+  #orders = new Set<PendingOrder>();
+  #zoneOrders = new Set<ZoneOrder>();
+  #reads = new Set<PendingRead>();
+  #draining = false;
+
+  constructor(dependencies: OperatorServiceDependencies) {
+    this.#dependencies = dependencies;
+  }
+
+  /**
+   * Answers a call; `done` is called once, at once or from a later `tick`.
+   * `isCallerGone` tells whether nobody waits for the answer any more.
+   */
+  answer(call: OperatorCall, done: Done, isCallerGone: () => boolean = () => false): void {
+    if (this.#draining) return done(this.failure(fault('draining', 'this node ends; ask another')));
+    const { edition } = this.#dependencies.replica.state;
+    const bornMs = this.#dependencies.clock.nowMs();
+    switch (call.kind) {
+      case 'put':
+        return this.#order('configuration.put', { base: call.base, document: call.document }, bornMs, done);
+      case 'patch':
+        return this.#order('configuration.patch', { base: call.base, patch: call.patch }, bornMs, done);
+      case 'evacuate':
+        return this.#orderZone('zone.evacuate', { zone: call.zone, seen: edition }, done, isCallerGone);
+      case 'return':
+        return this.#orderZone('zone.return', { zone: call.zone, seen: edition }, done, isCallerGone);
+      case 'read':
+        this.#reads.add({ askedMs: bornMs, done });
+        return this.#answerReads();
+      case 'none':
+        return done(this.failure(fault('not-found', 'nothing is served here')));
+    }
+  }
+
+  /** Answers what can be answered now, and ends what has waited too long. */
+  tick(): void {
+    this.#answerReads();
+    this.#submitZoneOrders();
+    const nowMs = this.#dependencies.clock.nowMs();
+    for (const order of this.#orders) {
+      if (nowMs - order.bornMs < ANSWER_WAIT_MS) continue;
+      this.#orders.delete(order);
+      this.#dependencies.replica.forgetAnswer(order.id);
+      order.done(this.failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
+    }
+  }
+
+  /** Takes no further calls: this node is about to leave the group. */
+  drain(): void {
+    this.#draining = true;
+  }
+
+  /** The answer for a fault. */
+  failure(why: Fault): OperatorReply {
+    const { status, ran } = ANSWERS[why.kind];
+    return {
+      status: this.#dependencies.format.statusOf(why) ?? status,
+      body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }),
+    };
+  }
+
+  #orderZone(
+    kind: ZoneOrder['kind'],
+    payload: ZoneOrder['payload'],
+    done: Done,
+    isCallerGone: () => boolean,
+  ): void {
+    const checked = readOperation(kind, payload);
+    if (checked.isErr) return done(this.failure(checked.error));
+    this.#zoneOrders.add({ kind, payload, bornMs: this.#dependencies.clock.nowMs(), done, isCallerGone });
+  }
+
+  #submitZoneOrders(): void {
+    const nowMs = this.#dependencies.clock.nowMs();
+    for (const order of this.#zoneOrders) {
+      if (nowMs - order.bornMs < ZONE_WAIT_MS) continue;
+      this.#zoneOrders.delete(order);
+      if (order.isCallerGone()) order.done(this.failure(fault('visitor-left', 'the caller has gone')));
+      else this.#order(order.kind, order.payload, order.bornMs, order.done);
+    }
+  }
+
+  /** What is invalid in every state is refused here and now; all else is for agreement to decide. */
+  #order(kind: DeploymentOperation['kind'], payload: unknown, bornMs: number, done: Done): void {
+    const checked = readOperation(kind, payload);
+    if (checked.isErr) return done(this.failure(checked.error));
+    const order: PendingOrder = { bornMs, done, id: '' };
+    this.#orders.add(order);
+    const sent = this.#dependencies.replica.submit(kind, payload, (answer) => {
+      if (this.#orders.delete(order)) done(this.#outcome(answer));
+    });
+    if (sent.isOk) order.id = sent.value;
+    else if (this.#orders.delete(order)) done(this.failure(sent.error));
+  }
+
+  #outcome({ kind, detail }: Answer): OperatorReply {
+    return isFaultKind(kind)
+      ? this.failure(fault(kind, detail))
+      : { status: 200, body: JSON.stringify({ outcome: kind, detail }) };
+  }
+
+  /** A question is answered once this node holds all that was agreed before it. */
+  #answerReads(): void {
+    const { replica, clock } = this.#dependencies;
+    if (this.#reads.size === 0) return;
+    const informedMs = replica.group.informedMs();
+    const nowMs = clock.nowMs();
+    for (const read of this.#reads) {
+      const informed = informedMs >= read.askedMs;
+      if (!informed && nowMs - read.askedMs < ANSWER_WAIT_MS) continue;
+      this.#reads.delete(read);
+      read.done(
+        informed
+          ? this.#configuration()
+          : this.failure(fault('not-admitting', 'this node cannot know the newest; ask again')),
+      );
+    }
+  }
+
+  #configuration(): OperatorReply {
+    const { document } = this.#dependencies.replica.state;
+    if (document === undefined)
+      return this.failure(fault('not-found', 'no configuration has been agreed yet'));
+    return { status: 200, body: this.#dependencies.format.writeDocument(document) };
+  }
+}
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,17 +1,17 @@
-import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 import { SPEAKS } from '@rainrun/messages';
 import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/process-group';
 import { PoolLink, type Header } from '@rainrun/gateway';
-import { CoreReplica } from '@rainrun/cluster-node';
+import { CoreReplica, OperatorService } from '@rainrun/cluster-node';
 import { RecordStore } from '@rainrun/storage';
-import { ANSWERS, fault, isFaultKind, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
+import { fault, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
 import type { WorkerRecord, ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
-import type { Dialect, OperatorCall, SystemSettings } from './dialect.js';
+import type { Dialect, SystemSettings } from './dialect.js';
 import type { Log } from './log.js';
 import { WORKER_LINK } from './links.js';
+import { OperatorServer } from './operator-server.js';
 import { splitAddress, Wire } from './wire.js';
 
 const HEARTBEAT_MS = 25;
@@ -21,9 +21,6 @@
 const LIST_WAIT_MS = 900;
 const ORDER_WAIT_MS = 800;
 const COUNTERS_MS = 10_000;
-const ANSWER_WAIT_MS = 900;
-const POLL_MS = 10;
-const BODY_MOST = 16 * 1024 * 1024;
 
 /** A lost core is replaced before it counts as lost no more. */
 const TIMES: GroupTimes = {
@@ -38,6 +35,7 @@
 const CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
 
+/** The answer of a worker. */
 interface Reply {
   readonly status: number;
   readonly body: string;
@@ -58,7 +56,8 @@
   #wire: Wire;
   #replica: CoreReplica;
   #link = new PoolLink(WORKER_LINK);
-  #server: Server;
+  #operators: OperatorService;
+  #operatorServer: OperatorServer;
   #timers: NodeJS.Timeout[] = [];
   #listing = false;
   #listFaults = 0;
@@ -96,12 +95,8 @@
       refused: (why) => log.error({ why }, 'the group does not let this node in'),
       decided: (text) => log.info({}, text),
     });
-    this.#server = createServer((req, res) => {
-      this.#receive(req, res).catch((thrown: unknown) => {
-        log.error({ detail: String(thrown) }, 'a call could not be answered');
-        res.destroy();
-      });
-    });
+    this.#operators = new OperatorService({ replica: this.#replica, clock: CLOCK, format: dialect });
+    this.#operatorServer = new OperatorServer(dialect, this.#operators, log);
   }
 
   /** Opens the disk; a fault says why it cannot be used. */
@@ -125,7 +120,7 @@
     const { host, ports, listen } = this.#settings;
     const bound = await this.#wire.listen(`${host}:${ports[0]}`);
     if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the other nodes');
-    this.#server.listen({ host, port: splitAddress(listen.operators).port, backlog: 256 });
+    this.#operatorServer.listen(host, splitAddress(listen.operators).port);
     this.#timers.push(
       setInterval(() => this.#tick(), HEARTBEAT_MS),
       setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
@@ -137,6 +132,7 @@
     if (this.#stopping) return;
     this.#stopping = true;
     this.#log.info({ counters: this.#counters() }, 'stopping');
+    this.#operators.drain();
     this.#replica.group.leave();
     await pause(150);
     for (const timer of this.#timers) clearInterval(timer);
@@ -144,6 +140,7 @@
 
   #tick(): void {
     this.#heartbeats += 1;
+    this.#operators.tick();
     const { leading } = this.#replica.group;
     if (!leading && this.#heartbeats % SELDOM !== 0) return;
     this.#replica.tick();
@@ -270,107 +267,6 @@
     }, ORDER_WAIT_MS + 100);
   }
 
-  // Operators.
-
-  async #receive(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const parts: Buffer[] = [];
-    let bytes = 0;
-    try {
-      for await (const part of req as AsyncIterable<Buffer>) {
-        bytes += part.length;
-        if (bytes > BODY_MOST) break;
-        parts.push(part);
-      }
-    } catch {
-      return;
-    }
-    const reply =
-      bytes > BODY_MOST
-        ? this.#failure(fault('too-large', 'the body is too large'))
-        : await this.#answer(req, Buffer.concat(parts).toString('utf8'));
-    if (res.destroyed) return;
-    res.writeHead(reply.status, {
-      'content-type': 'application/json',
-      'content-length': Buffer.byteLength(reply.body),
-    });
-    res.end(reply.body);
-  }
-
-  async #answer(req: IncomingMessage, body: string): Promise<Reply> {
-    const call = this.#dialect.readCall(req.method ?? '', req.url ?? '', req.headers, body);
-    if (call.isErr) return this.#failure(call.error);
-    const reply = await this.#carryOut(call.value);
-    this.#log.info(
-      {
-        call: call.value.kind,
-        base: 'base' in call.value ? call.value.base : undefined,
-        status: reply.status,
-      },
-      'operator',
-    );
-    return reply;
-  }
-
-  #carryOut(call: OperatorCall): Promise<Reply> | Reply {
-    switch (call.kind) {
-      case 'put':
-        return this.#submit('configuration.put', { base: call.base, document: call.document });
-      case 'patch':
-        return this.#submit('configuration.patch', { base: call.base, patch: call.patch });
-      case 'evacuate':
-        return this.#submit('zone.evacuate', { zone: call.zone, seen: this.#replica.state.edition });
-      case 'return':
-        return this.#submit('zone.return', { zone: call.zone, seen: this.#replica.state.edition });
-      case 'read':
-        return this.#readBack();
-      case 'none':
-        return this.#failure(fault('not-found', 'nothing is served here'));
-    }
-  }
-
-  #failure(why: Fault): Reply {
-    const { ran } = ANSWERS[why.kind];
-    const status = this.#dialect.statusOf(why) ?? ANSWERS[why.kind].status;
-    return { status, body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }) };
-  }
-
-  /** Answers what was agreed, or that nothing is known yet: then the caller asks again. */
-  #submit(kind: string, payload: unknown): Promise<Reply> {
-    return new Promise((resolve) => {
-      let id = '';
-      const timer = setTimeout(() => {
-        this.#replica.forgetAnswer(id);
-        resolve(this.#failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
-      }, ANSWER_WAIT_MS);
-      const sent = this.#replica.submit(kind, payload, (answer) => {
-        clearTimeout(timer);
-        if (isFaultKind(answer.kind)) resolve(this.#failure(fault(answer.kind, answer.detail)));
-        else resolve({ status: 200, body: JSON.stringify({ outcome: answer.kind, detail: answer.detail }) });
-      });
-      if (sent.isOk) {
-        id = sent.value;
-        return;
-      }
-      clearTimeout(timer);
-      resolve(this.#failure(sent.error));
-    });
-  }
-
-  /** Waits until this node holds all that was agreed before the question. */
-  async #readBack(): Promise<Reply> {
-    const { group } = this.#replica;
-    const askedMs = CLOCK.nowMs();
-    while (group.informedMs() < askedMs) {
-      if (CLOCK.nowMs() - askedMs > ANSWER_WAIT_MS)
-        return this.#failure(fault('not-admitting', 'this node cannot know the newest; ask again'));
-      await pause(POLL_MS);
-    }
-    const { document } = this.#replica.state;
-    if (document === undefined)
-      return this.#failure(fault('not-found', 'no configuration has been agreed yet'));
-    return { status: 200, body: this.#dialect.writeDocument(document) };
-  }
-
   #counters(): Record<string, number> {
     const { group, planner, followers, book } = this.#replica;
     const { user, system } = process.cpuUsage();
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -1,8 +1,11 @@
+import type { OperatorCall, OperatorFormat } from '@rainrun/cluster-node';
 import type { Fault } from '@rainrun/common';
 import type { WireWords } from '@rainrun/router';
 import type { ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
 import type { Result } from 'true-myth';
 
+export type { OperatorCall } from '@rainrun/cluster-node';
+
 /** The settings of a node that runs on a platform, in our terms. */
 export interface SystemSettings {
   readonly name: string;
@@ -28,14 +31,6 @@
   readonly memoryMb: number;
 }
 
-/** A call of an operator, in our terms. */
-export type OperatorCall =
-  | { readonly kind: 'put'; readonly base: number | undefined; readonly document: Record<string, unknown> }
-  | { readonly kind: 'patch'; readonly base: number | undefined; readonly patch: Record<string, unknown> }
-  | { readonly kind: 'read' }
-  | { readonly kind: 'evacuate' | 'return'; readonly zone: string }
-  | { readonly kind: 'none' };
-
 /** Names of headers that the door reads, lower case. */
 export interface DoorWords {
   readonly requestId: string;
@@ -53,7 +48,7 @@
 }
 
 /** What a platform calls things: it only translates, and decides nothing. */
-export interface Dialect {
+export interface Dialect extends OperatorFormat {
   readonly doorWords: DoorWords;
   readonly wireWords: WireWords;
   readonly readinessPath: string;
@@ -66,9 +61,6 @@
     headers: Readonly<Record<string, string | string[] | undefined>>,
     body: string,
   ): Result<OperatorCall, Fault>;
-  writeDocument(document: Readonly<Record<string, unknown>>): string;
-  /** The status for a fault, where the platform's differs from ours. */
-  statusOf(fault: Fault): number | undefined;
   listPath(next: string | undefined): string;
   readPage(text: string): Result<ListPage, Fault>;
   writeOrder(order: StockOrder, holder: string): string;
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -10,3 +10,4 @@
 export * from './edge-node.js';
 export * from './core-node.js';
 export * from './system.js';
+export * from './operator-server.js';
--- /dev/null
+++ b/packages/runtime/src/operator-server.test.ts
@@ -0,0 +1,87 @@
+import { describe, it } from 'node:test';
+import { once } from 'node:events';
+import { connect } from 'node:net';
+import type { OperatorCall, OperatorReply } from '@rainrun/cluster-node';
+import { ANSWERS, type Fault } from '@rainrun/common';
+import { expect } from 'earl';
+import { Result } from 'true-myth';
+import { request } from 'undici';
+import type { Dialect } from './dialect.js';
+import { jsonDepth } from './json-depth.js';
+import type { Log } from './log.js';
+import { BODY_MOST_BYTES, OperatorServer } from './operator-server.js';
+
+function readCall(
+  _method: string,
+  path: string,
+  _headers: unknown,
+  body: string,
+): Result<OperatorCall, Fault> {
+  if (path.startsWith('/zones/')) return Result.ok({ kind: 'evacuate', zone: path.slice(7) });
+  return Result.ok({ kind: 'put', base: 0, document: JSON.parse(body) as Record<string, unknown> });
+}
+
+function failure(why: Fault): OperatorReply {
+  return { status: ANSWERS[why.kind].status, body: JSON.stringify(why) };
+}
+
+const SILENT = { info: () => undefined, error: () => undefined } as unknown as Log;
+
+/** A server whose calls are answered with 200 and listed. */
+async function open(): Promise<{ server: OperatorServer; calls: OperatorCall[]; address: string }> {
+  const calls: OperatorCall[] = [];
+  const answers = {
+    answer(call: OperatorCall, done: (reply: OperatorReply) => void): void {
+      calls.push(call);
+      done({ status: 200, body: '{}' });
+    },
+    failure,
+  };
+  const server = new OperatorServer({ readCall } as unknown as Dialect, answers, SILENT);
+  await new Promise<void>((resolve) => server.listen('127.0.0.1', 0, resolve));
+  return { server, calls, address: `127.0.0.1:${server.port}` };
+}
+
+async function send(address: string, path: string, body: string | Buffer): Promise<number> {
+  const reply = await request(`http://${address}${path}`, { method: 'PUT', body });
+  await reply.body.dump();
+  return reply.statusCode;
+}
+
+describe('control safety, point 1: bad input of operators', () => {
+  it('is refused with a status, and the server goes on', async () => {
+    const { server, calls, address } = await open();
+    const depth = 200_000;
+    const statuses = [
+      await send(address, '/', '{"a":1}'),
+      await send(address, '/', ' '.repeat(BODY_MOST_BYTES + 1)),
+      await send(address, '/', ' '.repeat(3 * BODY_MOST_BYTES)),
+      await send(address, '/', `{"routes":${'['.repeat(depth)}${']'.repeat(depth)}}`),
+      await send(address, '/', Buffer.from([0x7b, 0x22, 0xff, 0x22, 0x3a, 0x31, 0x7d])),
+      await send(address, '/', '{"a":"[[[[\\"[["}'),
+    ];
+    server.close();
+    expect(statuses).toEqual([200, 413, 413, 400, 400, 200]);
+    expect(calls.length).toEqual(2);
+  });
+});
+
+describe('control safety, point 2: a call whose caller has gone', () => {
+  it('is not carried out: it was held up here, and its caller has asked another node', async () => {
+    const { server, calls, address } = await open();
+    const socket = connect(server.port, '127.0.0.1');
+    await once(socket, 'connect');
+    socket.end('POST /zones/west HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n');
+    socket.resume();
+    await once(socket, 'close');
+    const status = await send(address, '/zones/east', '');
+    server.close();
+    expect([status, calls]).toEqual([200, [{ kind: 'evacuate', zone: 'east' }]]);
+  });
+});
+
+describe('the depth of a JSON text', () => {
+  it('counts lists and objects, not what stands in texts', () => {
+    expect(['1', '{}', '{"a":[{"b":"[[["}]}', '"\\"[["', '[[]'].map(jsonDepth)).toEqual([0, 1, 3, 0, 2]);
+  });
+});
--- /dev/null
+++ b/packages/runtime/src/operator-server.ts
@@ -0,0 +1,132 @@
+/** The HTTP side of a core, where operators call. */
+import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
+import { setImmediate as nextTurn } from 'node:timers/promises';
+import type { OperatorCall, OperatorReply, OperatorService } from '@rainrun/cluster-node';
+import { fault, type Fault } from '@rainrun/common';
+import { Result } from 'true-myth';
+import { tryOrElse } from 'true-myth/result';
+import type { Dialect } from './dialect.js';
+import { jsonDepth } from './json-depth.js';
+import type { Log } from './log.js';
+
+/** A configuration is 3 MiB at most; its JSON text may be written with more space than ours. */
+export const BODY_MOST_BYTES = 4 * 1024 * 1024;
+const DEPTH_MOST = 64;
+
+/** What the server needs of the operators' side. */
+export type OperatorAnswers = Pick<OperatorService, 'answer' | 'failure'>;
+
+/**
+ * Reads calls of operators, has them answered and logs each. A call whose
+ * caller has gone meanwhile is dropped: it has been sent to another node.
+ * @example
+ * const server = new OperatorServer(dialect, service, log);
+ * server.listen('10.0.0.4', 8146);
+ */
+export class OperatorServer {
+  #dialect: Dialect;
+  #answers: OperatorAnswers;
+  #log: Log;
+  #server: Server;
+
+  constructor(dialect: Dialect, answers: OperatorAnswers, log: Log) {
+    this.#dialect = dialect;
+    this.#answers = answers;
+    this.#log = log;
+    this.#server = createServer((req, res) => {
+      this.#receive(req, res).catch((thrown: unknown) => {
+        log.error({ detail: String(thrown) }, 'a call could not be answered');
+        res.destroy();
+      });
+    });
+  }
+
+  /** The port it listens on, 0 before it does. */
+  get port(): number {
+    const bound = this.#server.address();
+    return typeof bound === 'object' && bound !== null ? bound.port : 0;
+  }
+
+  listen(host: string, port: number, listening: () => void = () => undefined): void {
+    this.#server.listen({ host, port, backlog: 256 }, listening);
+  }
+
+  close(): void {
+    this.#server.close();
+    this.#server.closeAllConnections();
+  }
+
+  async #receive(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    const body = await readBody(req);
+    // The end of the connection is read one turn of the event loop after the call.
+    await nextTurn();
+    await nextTurn();
+    if (isCallerGone(req)) return;
+    const reply = await this.#answer(req, body);
+    if (res.destroyed) return;
+    res.writeHead(reply.status, {
+      'content-type': 'application/json',
+      'content-length': Buffer.byteLength(reply.body),
+    });
+    res.end(reply.body);
+  }
+
+  async #answer(req: IncomingMessage, body: Result<string, Fault>): Promise<OperatorReply> {
+    const call = body.andThen((text) =>
+      this.#dialect.readCall(req.method ?? '', req.url ?? '', req.headers, text),
+    );
+    const reply = call.isOk ? await this.#carryOut(call.value, req) : this.#answers.failure(call.error);
+    this.#log.info(
+      call.isOk ? logged(call.value, reply) : { refused: call.error, status: reply.status },
+      'operator',
+    );
+    return reply;
+  }
+
+  #carryOut(call: OperatorCall, req: IncomingMessage): Promise<OperatorReply> {
+    return new Promise((resolve) => this.#answers.answer(call, resolve, () => isCallerGone(req)));
+  }
+}
+
+function logged(call: OperatorCall, { status }: OperatorReply): Record<string, unknown> {
+  return { call: call.kind, base: 'base' in call ? call.base : undefined, status };
+}
+
+/**
+ * Whether the caller has closed its connection. What it sent may have waited
+ * here, in a process that was frozen or behind a cut that healed.
+ */
+function isCallerGone(req: IncomingMessage): boolean {
+  return req.socket.readableEnded || req.socket.destroyed;
+}
+
+/** The body of a call as text. What is too large is read on and let go, so that the caller meets the answer and not a reset. */
+function readBody(req: IncomingMessage): Promise<Result<string, Fault>> {
+  const tooLarge = fault('too-large', `the body is larger than ${BODY_MOST_BYTES} bytes`);
+  return new Promise((resolve) => {
+    const parts: Buffer[] = [];
+    let bytes = 0;
+    req.on('data', (part: Buffer) => {
+      bytes += part.length;
+      if (bytes <= BODY_MOST_BYTES) {
+        parts.push(part);
+        return;
+      }
+      parts.length = 0;
+      resolve(Result.err(tooLarge));
+    });
+    req.on('end', () => resolve(readText(Buffer.concat(parts))));
+    req.on('error', (thrown) => resolve(Result.err(fault('bad-request', thrown.message))));
+  });
+}
+
+function readText(bytes: Buffer): Result<string, Fault> {
+  return tryOrElse(
+    () => fault('bad-request', 'the body is not UTF-8 text'),
+    () => new TextDecoder('utf-8', { fatal: true }).decode(bytes),
+  ).andThen((text) =>
+    jsonDepth(text) > DEPTH_MOST
+      ? Result.err<string, Fault>(fault('bad-request', `the body is nested deeper than ${DEPTH_MOST}`))
+      : Result.ok<string, Fault>(text),
+  );
+}
