--- a/packages/process-group/src/coordinator.ts
+++ b/packages/process-group/src/coordinator.ts
@@ -86,6 +86,8 @@
 }
 
 const BATCH = 64;
+/** Payloads of one version's operations, but for a larger one that goes alone: a proposal must fit into a frame. */
+const BATCH_BYTES = 1024 * 1024;
 
 /**
  * The one node that, in its epoch, changes the view and sequences the agreed
@@ -201,8 +203,11 @@
     let room = REMEMBERED_MOST - rememberedCount(this.#held);
     const batch: Operation[] = [];
     const later: Operation[] = [];
+    let bytes = 0;
     for (const operation of this.#backlog) {
-      const fits = batch.length < BATCH && (operation.brief || room > 0);
+      const small = batch.length === 0 || bytes + operation.payload.length <= BATCH_BYTES;
+      const fits = small && batch.length < BATCH && (operation.brief || room > 0);
+      if (fits) bytes += operation.payload.length;
       if (fits && !operation.brief) room -= 1;
       (fits ? batch : later).push(operation);
     }
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -237,7 +237,7 @@
 
   /** When this node's right to admit ends; compare with the clock just before each act. */
   grantEndMs(): number {
-    if (!this.#inView || this.#held === undefined) return -Infinity;
+    if (!this.#inView || this.#held === undefined || this.#leaving) return -Infinity;
     return this.#grants.endMs(this.#held.view, this.#seat.incarnation, this.#held.number, this.#now());
   }
 
@@ -632,7 +632,8 @@
       epoch: this.epoch,
       dropped: !known,
       duty: heartbeat.epoch > 0 && heartbeat.epoch >= this.epoch,
-      withheld: this.#staying !== undefined && !this.#staying.has(from),
+      // The others agree without a member that leaves: it must not vouch for who may miss what they agree.
+      withheld: this.#leaving || (this.#staying !== undefined && !this.#staying.has(from)),
     });
     this.#post(seat, { case: 'heartbeatAck', value });
   }
