--- /dev/null
+++ b/packages/cluster-node/src/core-status.ts
@@ -0,0 +1,86 @@
+/** How a core sees its group, for people who operate it. */
+import type { Seat } from '@rainrun/messages';
+import type { CoreReplica } from './core-replica.js';
+
+/** A core in the view. */
+export interface MemberStatus {
+  readonly name: string;
+  readonly zone: string;
+  readonly address: string;
+  readonly voter: boolean;
+  /** The version in force there when it last answered; null where nothing was heard. */
+  readonly version: number | null;
+  /** How many versions it has still to catch up. */
+  readonly behind: number | null;
+}
+
+/** A disk that votes. */
+export interface VoterStatus {
+  readonly name: string;
+  readonly disk: string;
+  /** Whether it is in the view; one that is not is replaced. */
+  readonly member: boolean;
+  readonly version: number | null;
+}
+
+/** A group as one core sees it. */
+export interface CoreStatus {
+  readonly node: string;
+  readonly zone: string;
+  readonly epoch: number;
+  /** Null while none is heard. */
+  readonly coordinator: string | null;
+  /** Newest version in force here, and the newest known to be agreed. */
+  readonly version: number;
+  readonly agreed: number;
+  readonly revision: number;
+  readonly evacuated: readonly string[];
+  readonly edges: number;
+  readonly members: readonly MemberStatus[];
+  readonly voters: readonly VoterStatus[];
+}
+
+/**
+ * What a core knows of its group at this moment, current or not.
+ * @example
+ * coreStatus(replica).coordinator; // 'core-1'
+ */
+export function coreStatus(replica: CoreReplica): CoreStatus {
+  const { group, state } = replica;
+  const seats = group.view?.members ?? [];
+  const voters = group.held?.voters ?? [];
+  const version = group.held?.number ?? 0;
+  function versionOf(seat: Seat | undefined): number | null {
+    if (seat === undefined) return null;
+    return seat.incarnation === group.seat.incarnation
+      ? version
+      : (group.versionAt(seat.incarnation) ?? null);
+  }
+  const newest = Math.max(version, ...seats.map((seat) => versionOf(seat) ?? 0));
+  return {
+    node: group.seat.name,
+    zone: group.seat.zone,
+    epoch: group.epoch,
+    coordinator: seats.find((seat) => seat.incarnation === group.coordinatorIncarnation)?.name ?? null,
+    version,
+    agreed: group.agreed,
+    revision: state.revision,
+    evacuated: state.evacuated,
+    edges: replica.followers,
+    members: seats.map((seat) => {
+      const held = versionOf(seat);
+      return {
+        name: seat.name,
+        zone: seat.zone,
+        address: seat.address,
+        voter: voters.some((voter) => voter.disk === seat.disk),
+        version: held,
+        behind: held === null ? null : newest - held,
+      };
+    }),
+    voters: voters.map(({ name, disk }) => {
+      const seat = seats.find((known) => known.disk === disk);
+      return { name, disk, member: seat !== undefined, version: versionOf(seat) };
+    }),
+  };
+}
--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -5,3 +5,4 @@
 export * from './follower.js';
 export * from './core-replica.js';
 export * from './operator-service.js';
+export * from './core-status.js';
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -5,6 +5,7 @@
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
+import type { CoreStatus } from './core-status.js';
 import {
   ANSWER_WAIT_MS,
   OperatorService,
@@ -22,6 +23,20 @@
 const VALID: OperatorCall = { kind: 'put', base: 0, document: DOCUMENT };
 const INVALID: OperatorCall = { kind: 'put', base: 0, document: { ...DOCUMENT, services: [] } };
 
+const STATUS: CoreStatus = {
+  node: 'core-1',
+  zone: 'north',
+  epoch: 3,
+  coordinator: 'core-2',
+  version: 41,
+  agreed: 41,
+  revision: 7,
+  evacuated: [],
+  edges: 9,
+  members: [],
+  voters: [],
+};
+
 interface Submitted {
   readonly id: string;
   readonly kind: string;
@@ -67,6 +82,7 @@
       writeDocument: (document) => JSON.stringify(document),
       statusOf: (why) => (why.kind === 'conflict' ? 412 : why.kind === 'bad-spec' ? 400 : undefined),
     },
+    status: () => STATUS,
   });
 
   /** The status of the answer, once there is one; the list shows each answer. */
@@ -123,6 +139,17 @@
     expect(read[0]?.body).toEqual(JSON.stringify(DOCUMENT));
   });
 
+  it('shows how its group stands only as what it knew last', () => {
+    const bench = new Bench();
+    const view = bench.ask({ kind: 'status' });
+    bench.pass(ANSWER_WAIT_MS);
+    bench.replica.heardMs = Infinity;
+    const current = bench.ask({ kind: 'status' });
+    const [stale, fresh] = [view, current].map((replies) => JSON.parse(replies[0]?.body ?? '{}') as object);
+    expect(statuses(view, current)).toEqual([[503], [200]]);
+    expect([Object.keys(stale ?? {}), fresh]).toEqual([['error', 'lastKnown'], STATUS]);
+  });
+
   it('leaves every valid order unclear within a second, and does not send it on any more', () => {
     const bench = new Bench();
     const orders = [
@@ -206,6 +233,14 @@
     ]);
   });
 
+  it('is left unclear and not submitted where this process was frozen meanwhile', () => {
+    const bench = new Bench();
+    const replies = bench.ask({ kind: 'evacuate', zone: 'west' });
+    bench.nowMs += 20_000;
+    bench.service.tick();
+    expect([...statuses(replies), bench.replica.submitted.length]).toEqual([[503], 0]);
+  });
+
   it('is not submitted once its caller has gone, also where it reaches a node that knows the later return', () => {
     const bench = new Bench();
     for (const kind of ['evacuate', 'return'] as const) {
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -12,6 +12,7 @@
 } from '@rainrun/configuration';
 import { ANSWERS, fault, isFaultKind, type Clock, type Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
+import type { CoreStatus } from './core-status.js';
 
 /** A call of an operator, in our terms. */
 export type OperatorCall =
@@ -22,7 +23,7 @@
       readonly document: Record<string, unknown>;
     }
   | { readonly kind: 'patch'; readonly base: number | undefined; readonly patch: Record<string, unknown> }
-  | { readonly kind: 'read' }
+  | { readonly kind: 'read' | 'status' }
   | { readonly kind: 'evacuate' | 'return'; readonly zone: string }
   | { readonly kind: 'none' };
 
@@ -52,8 +53,13 @@
   readonly replica: OperatorReplica;
   readonly clock: Clock;
   readonly format: OperatorFormat;
+  /** How this core sees its group now. */
+  status(): CoreStatus;
 }
 
+const UNANSWERED = fault('not-admitting', 'not known to be agreed yet; send it again');
+const UNINFORMED = fault('not-admitting', 'no majority answered since the question; ask another node');
+
 type Done = (reply: OperatorReply) => void;
 
 interface PendingOrder {
@@ -71,9 +77,12 @@
   readonly isCallerGone: () => boolean;
 }
 
+/** A question, with its answers once this node knows the newest state and where it cannot. */
 interface PendingRead {
   readonly askedMs: number;
   readonly done: Done;
+  informed(): OperatorReply;
+  uninformed(): OperatorReply;
 }
 
 /** A caller goes on to another node after a second of silence: it is answered before. */
@@ -125,8 +134,19 @@
       case 'return':
         return this.#orderZone('zone.return', { zone: call.zone, seen: edition }, done, isCallerGone);
       case 'read':
-        this.#reads.add({ askedMs: bornMs, done });
-        return this.#answerReads();
+        return this.#read({
+          askedMs: bornMs,
+          done,
+          informed: () => this.#configuration(),
+          uninformed: () => this.failure(UNINFORMED),
+        });
+      case 'status':
+        return this.#read({
+          askedMs: bornMs,
+          done,
+          informed: () => ({ status: 200, body: JSON.stringify(this.#dependencies.status()) }),
+          uninformed: () => this.failure(UNINFORMED, { lastKnown: this.#dependencies.status() }),
+        });
       case 'none':
         return done(this.failure(fault('not-found', 'nothing is served here')));
     }
@@ -141,7 +161,7 @@
       if (nowMs - order.bornMs < ANSWER_WAIT_MS) continue;
       this.#orders.delete(order);
       this.#dependencies.replica.forgetAnswer(order.id);
-      order.done(this.failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
+      order.done(this.failure(UNANSWERED));
     }
   }
 
@@ -150,12 +170,12 @@
     this.#draining = true;
   }
 
-  /** The answer for a fault. */
-  failure(why: Fault): OperatorReply {
+  /** The answer for a fault, with what else there is to tell. */
+  failure(why: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
     const { status, ran } = ANSWERS[why.kind];
     return {
       status: this.#dependencies.format.statusOf(why) ?? status,
-      body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }),
+      body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran }, ...more }),
     };
   }
 
@@ -175,7 +195,8 @@
     for (const order of this.#zoneOrders) {
       if (nowMs - order.bornMs < ZONE_WAIT_MS) continue;
       this.#zoneOrders.delete(order);
-      if (order.isCallerGone()) order.done(this.failure(fault('visitor-left', 'the caller has gone')));
+      if (nowMs - order.bornMs >= ANSWER_WAIT_MS) order.done(this.failure(UNANSWERED));
+      else if (order.isCallerGone()) order.done(this.failure(fault('visitor-left', 'the caller has gone')));
       else this.#order(order.kind, order.payload, order.bornMs, order.done);
     }
   }
@@ -199,6 +220,11 @@
       : { status: 200, body: JSON.stringify({ outcome: kind, detail }) };
   }
 
+  #read(read: PendingRead): void {
+    this.#reads.add(read);
+    this.#answerReads();
+  }
+
   /** A question is answered once this node holds all that was agreed before it. */
   #answerReads(): void {
     const { replica, clock } = this.#dependencies;
@@ -209,11 +235,7 @@
       const informed = informedMs >= read.askedMs;
       if (!informed && nowMs - read.askedMs < ANSWER_WAIT_MS) continue;
       this.#reads.delete(read);
-      read.done(
-        informed
-          ? this.#configuration()
-          : this.failure(fault('not-admitting', 'this node cannot know the newest; ask again')),
-      );
+      read.done(informed ? read.informed() : read.uninformed());
     }
   }
 
--- a/packages/process-group/src/grants.ts
+++ b/packages/process-group/src/grants.ts
@@ -29,6 +29,11 @@
     if (known === undefined || sentMs >= known.sentMs) this.#words.set(incarnation, { sentMs, number });
   }
 
+  /** The version that a member held when it last gave its word. */
+  versionAt(incarnation: string): number | undefined {
+    return this.#words.get(incarnation)?.number;
+  }
+
   givenDuty(incarnation: string, sentMs: number): void {
     this.#duties.set(incarnation, Math.max(sentMs, this.#duties.get(incarnation) ?? -Infinity));
   }
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -246,6 +246,11 @@
     return this.grantEndMs() - this.#dependencies.times.grantMs;
   }
 
+  /** The version in force at another member when it last answered a heartbeat. */
+  versionAt(incarnation: string): number | undefined {
+    return this.#grants.versionAt(incarnation);
+  }
+
   granted(): boolean {
     return this.grantEndMs() > this.#now();
   }
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -2,7 +2,7 @@
 import { SPEAKS } from '@rainrun/messages';
 import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/process-group';
 import { PoolLink, type Header } from '@rainrun/gateway';
-import { CoreReplica, OperatorService } from '@rainrun/cluster-node';
+import { CoreReplica, coreStatus, OperatorService } from '@rainrun/cluster-node';
 import { RecordStore } from '@rainrun/storage';
 import { fault, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
 import type { WorkerRecord, ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
@@ -95,7 +95,12 @@
       refused: (why) => log.error({ why }, 'the group does not let this node in'),
       decided: (text) => log.info({}, text),
     });
-    this.#operators = new OperatorService({ replica: this.#replica, clock: CLOCK, format: dialect });
+    this.#operators = new OperatorService({
+      replica: this.#replica,
+      clock: CLOCK,
+      format: dialect,
+      status: () => coreStatus(this.#replica),
+    });
     this.#operatorServer = new OperatorServer(dialect, this.#operators, log);
   }
 
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 import { show } from './show.js';
 
-const EXIT = { well: 0, refused: 1, usage: 2, unknown: 3, unreached: 4 } as const;
+const EXIT = { well: 0, refused: 1, usage: 2, unknown: 3, unreached: 4, notCurrent: 5 } as const;
 
 const cli = meow(
   `
@@ -38,6 +38,7 @@
 
   Exit codes
     0 done   1 refused for good   2 wrong usage   3 outcome unknown: ask by id   4 node not reached
+    5 not current: the node hears no majority, ask another
 `,
   {
     importMeta: import.meta,
@@ -139,6 +140,12 @@
   }
 }
 
+/** False where a node shows what it knew last and cannot know whether that is still so. */
+function isCurrent(body: unknown): boolean {
+  const { stale, lastKnown } = body as { stale?: boolean; lastKnown?: unknown };
+  return stale !== true && lastKnown === undefined;
+}
+
 async function run(): Promise<number> {
   const call = await callOf(cli.input);
   let status: number;
@@ -160,13 +167,15 @@
     );
     return sent ? EXIT.unknown : EXIT.unreached;
   }
-  const well = status >= 200 && status < 300;
+  const current = isCurrent(body);
+  const well = status >= 200 && status < 300 && current;
   const text = cli.flags.json
     ? JSON.stringify(body, undefined, 2)
     : show(cli.input.slice(0, 2).join(' '), body);
   if (well) console.log(text);
   else console.error(text);
   if (well) return EXIT.well;
+  if (!current) return EXIT.notCurrent;
   return status === 504 ? EXIT.unknown : EXIT.refused;
 }
 
--- a/programs/rainrun/src/rainrun.test.ts
+++ b/programs/rainrun/src/rainrun.test.ts
@@ -1,4 +1,6 @@
-import { spawnSync } from 'node:child_process';
+import { spawn, spawnSync } from 'node:child_process';
+import { once } from 'node:events';
+import { createServer } from 'node:http';
 import { it } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { expect } from 'earl';
@@ -32,3 +34,36 @@
     }),
   ).toEqual('bad-spec: has faults\n  zones: missing');
 });
+
+/** Runs `rainrun view` against a node that answers so. */
+async function view(status: number, body: object): Promise<{ code: unknown; out: string; told: string }> {
+  const server = createServer((_req, res) => res.writeHead(status).end(JSON.stringify(body)));
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const bound = server.address();
+  const port = typeof bound === 'object' && bound !== null ? bound.port : 0;
+  const child = spawn(process.execPath, [MAIN, 'view', '--node', `127.0.0.1:${port}`]);
+  let [out, told] = ['', ''];
+  child.stdout.on('data', (part: Buffer) => (out += part.toString()));
+  child.stderr.on('data', (part: Buffer) => (told += part.toString()));
+  const [code] = (await once(child, 'close')) as [number];
+  server.close();
+  return { code, out, told };
+}
+
+it('control safety, point 1: view does not present as current what a node without a majority knows', async () => {
+  const known = { node: 'core-1', epoch: 3, voters: [{ name: 'core-2', version: 41 }] };
+  const current = await view(200, known);
+  const ends = [
+    await view(503, { error: { kind: 'not-admitting', message: 'ask another node' }, lastKnown: known }),
+    await view(200, { ...known, stale: true }),
+  ];
+  expect([current.code, current.out]).toEqual([
+    0,
+    'node: core-1\nepoch: 3\nvoters:\nname    version\ncore-2  41\n',
+  ]);
+  for (const { code, out, told } of ends) {
+    expect([code, out]).toEqual([5, '']);
+    expect(told.includes('not current') && told.includes('epoch: 3')).toEqual(true);
+  }
+});
--- a/programs/rainrun/src/show.ts
+++ b/programs/rainrun/src/show.ts
@@ -46,11 +46,17 @@
   if (error !== undefined) {
     const faults = (error['faults'] as Row[] | undefined) ?? [];
     const lines = faults.map((one) => `  ${cell(one['path'])}: ${cell(one['message'])}`);
+    const lastKnown = row['lastKnown'] as Row | undefined;
+    if (lastKnown !== undefined) lines.push('not current, last known here:', pairs(lastKnown));
     return [
       `${cell(error['kind'])}: ${cell(error['message'])}${error['id'] === undefined ? '' : ` (id ${cell(error['id'])})`}`,
       ...lines,
     ].join('\n');
   }
+  if (row['stale'] === true) {
+    const { stale: _stale, ...known } = row;
+    return `not current, this node hears no majority; last known here:\n${show(command, known)}`;
+  }
   if (command === 'spec get') return cell(row['text']);
   const only = Object.values(row);
   if (only.length === 1 && Array.isArray(only[0])) return table(only[0] as Row[]);
