--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -7,3 +7,5 @@
 export * from './told-state.js';
 export * from './subscribers.js';
 export * from './plan-pacer.js';
+export * from './operator-service.js';
+export * from './core-status.js';
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -122,7 +122,10 @@
       create(TellSchema, { deflatedState: told.deflated }),
     ]) {
       const read = readToldState(tell);
-      expect(read?.isOk === true ? read.value : undefined).toEqual({ ...state, taken: [] });
+      expect(read?.isOk === true ? read.value : undefined).toEqual({
+        ...state,
+        taken: EMPTY_DEPLOYMENT.taken,
+      });
     }
   });
 
--- a/packages/cluster-node/src/told-state.ts
+++ b/packages/cluster-node/src/told-state.ts
@@ -4,7 +4,7 @@
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { Tell } from '@rainrun/messages';
-import { decodeDeployment, encodeDeployment, type Deployment } from '@rainrun/configuration';
+import { decodeDeployment, encodeForFollowers, type Deployment } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
@@ -24,7 +24,7 @@
  * tell.deflatedState = writeToldState(state).deflated;
  */
 export function writeToldState(state: Deployment): ToldState {
-  const plain = encodeDeployment({ ...state, taken: [] });
+  const plain = encodeForFollowers(state);
   return { plain, deflated: deflateRawSync(plain) };
 }
 
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -79,6 +79,11 @@
     return this.grantEndMs() - this.#parts.dependencies.times.grantMs;
   }
 
+  /** The version in force at another member when it last answered a heartbeat. */
+  versionAt(incarnation: string): number | undefined {
+    return this.#parts.leases.versionAt(incarnation);
+  }
+
   granted(): boolean {
     return this.#parts.leases.isGranted();
   }
--- a/packages/process-group/src/heartbeats.ts
+++ b/packages/process-group/src/heartbeats.ts
@@ -84,7 +84,8 @@
       epoch: local.epoch,
       dropped: !isMember,
       duty: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
-      withheld: viewChange.isLeavingOut(from),
+      // The others agree without a member that leaves: it must not vouch for who may miss what they agree.
+      withheld: local.leaving || viewChange.isLeavingOut(from),
     });
     transport.post(seat, { case: 'heartbeatAck', value });
   }
--- a/packages/process-group/src/leases.ts
+++ b/packages/process-group/src/leases.ts
@@ -34,10 +34,15 @@
   /** When this node's right to admit ends; compare with the clock just before each act. */
   grantEndMs(): number {
     const { local } = this.#parts;
-    if (!local.inView || local.held === undefined) return -Infinity;
+    if (!local.inView || local.held === undefined || local.leaving) return -Infinity;
     return this.#grants.endMs(local.held.view, local.incarnation, local.held.number, local.nowMs());
   }
 
+  /** The version that a member held when it last gave its word. */
+  versionAt(incarnation: string): number | undefined {
+    return this.#grants.versionAt(incarnation);
+  }
+
   isGranted(): boolean {
     return this.grantEndMs() > this.#parts.local.nowMs();
   }
