--- /dev/null
+++ b/packages/simulator/src/system/linearizability.ts
@@ -0,0 +1,299 @@
+/**
+ * A linearizability check of the configuration as a register with
+ * compare-and-set. Each change names its base revision and revisions rise, so
+ * the changes that took effect form one chain. The check looks for a chain
+ * that explains every answer, and for one moment of effect for each change in
+ * it. Only changes without a clear answer leave a choice, so the search is
+ * nearly linear in the length of the history.
+ */
+import {
+  firstAcknowledgedMs,
+  firstInvokedMs,
+  type Attempt,
+  type ChangeOrder,
+  type History,
+  type Read,
+} from './history.js';
+
+/** No more candidate chains are tried; a history that needs more is reported as undecided. */
+const CHAINS_TRIED_MOST = 2000;
+
+/** What the check found. */
+export interface Linearization {
+  /** Why no order of the operations explains the answers; empty if one does. */
+  readonly violations: readonly string[];
+  /** The changes that took effect, in order, if an order was found. */
+  readonly chain: readonly ChangeOrder[];
+  /** How many whole chains were looked at; a measure of the work. */
+  readonly chainsTried: number;
+}
+
+interface Refusal {
+  readonly change: ChangeOrder;
+  readonly attempt: Attempt;
+}
+
+/** A link of the chain: a change in effect, or the empty register at the start. */
+interface Link {
+  readonly change: ChangeOrder | undefined;
+  readonly revision: number;
+}
+
+const START: Link = { change: undefined, revision: 0 };
+
+/**
+ * Checks a history; the result names what is wrong or the chain of changes.
+ * @example
+ * checkLinearizable({ changes: [], reads: [] }).violations; // []
+ */
+export function checkLinearizable(history: History): Linearization {
+  const violations = findPlainViolations(history);
+  if (violations.length > 0) return { violations, chain: [], chainsTried: 0 };
+  return new ChainSearch(history).run();
+}
+
+/** Violations that can be named without a search. */
+function findPlainViolations({ changes, reads }: History): string[] {
+  const violations: string[] = [];
+  const acknowledgedByBase = new Map<number, ChangeOrder>();
+  for (const change of changes) {
+    violations.push(...findRefusedRepeats(change));
+    if (firstAcknowledgedMs(change.attempts) === Infinity) continue;
+    if (!change.valid || change.revision <= change.base)
+      violations.push(`${describeChange(change)} is invalid and was acknowledged`);
+    const other = acknowledgedByBase.get(change.base);
+    if (other !== undefined)
+      violations.push(
+        `${describeChange(other)} and ${describeChange(change)} were both acknowledged on one base`,
+      );
+    acknowledgedByBase.set(change.base, change);
+  }
+  const byId = new Map(changes.map((change) => [change.id, change]));
+  for (const read of reads) violations.push(...findImpossibleRead(read, byId));
+  return violations;
+}
+
+function findRefusedRepeats(change: ChangeOrder): string[] {
+  const acknowledgedMs = firstAcknowledgedMs(change.attempts);
+  const refused = change.attempts.find((attempt) => attempt.outcome === 'refused');
+  if (refused === undefined || acknowledgedMs === Infinity) return [];
+  return [
+    refused.invokedMs > acknowledgedMs
+      ? `${describeChange(change)} was acknowledged at ${acknowledgedMs.toFixed(0)}, sent again at ${refused.invokedMs.toFixed(0)} and refused`
+      : `${describeChange(change)} was refused at ${refused.respondedMs.toFixed(0)} and acknowledged at ${acknowledgedMs.toFixed(0)}`,
+  ];
+}
+
+function findImpossibleRead(read: Read, byId: ReadonlyMap<string, ChangeOrder>): string[] {
+  if (read.changeId === undefined)
+    return read.revision === 0 ? [] : [`${describeRead(read)}, which no change wrote`];
+  const change = byId.get(read.changeId);
+  if (change === undefined) return [`${describeRead(read)}, which was never sent`];
+  if (change.revision !== read.revision) return [`${describeRead(read)}, but ${describeChange(change)}`];
+  if (!change.valid) return [`${describeRead(read)}, which is invalid`];
+  if (isRefused(change)) return [`${describeRead(read)}, which was refused`];
+  return [];
+}
+
+function isRefused(change: ChangeOrder): boolean {
+  return change.attempts.some((attempt) => attempt.outcome === 'refused');
+}
+
+function describeChange(change: ChangeOrder): string {
+  return `change ${change.id} (${change.base} -> ${change.revision})`;
+}
+
+function describeRead(read: Read): string {
+  return `${read.reader} read revision ${read.revision} of change ${read.changeId ?? 'none'} from ${read.invokedMs.toFixed(0)} to ${read.respondedMs.toFixed(0)}`;
+}
+
+/** A search in depth over the chains that the acknowledged changes and the reads leave possible. */
+class ChainSearch {
+  /** Changes that may have taken effect, by base. */
+  #candidates = new Map<number, ChangeOrder[]>();
+  /** Changes that certainly took effect. */
+  #required = new Set<ChangeOrder>();
+  #readsOf = new Map<ChangeOrder | undefined, Read[]>();
+  #refusalsOnBase = new Map<number, Refusal[]>();
+  #chain: Link[] = [START];
+  #tried = 0;
+  /** Links that are known to lead nowhere, each with the earliest moment of its effect and the required changes before it. */
+  #deadEnds = new Map<ChangeOrder, Set<string>>();
+  /** Why the chain that came furthest failed. */
+  #best = { length: -1, why: 'no chain of changes explains the answers' };
+
+  constructor({ changes, reads }: History) {
+    const byId = new Map(changes.map((change) => [change.id, change]));
+    for (const change of changes) {
+      if (isRefused(change)) this.#addRefusals(change);
+      else if (change.valid && change.revision > change.base) push(this.#candidates, change.base, change);
+      if (firstAcknowledgedMs(change.attempts) !== Infinity) this.#required.add(change);
+    }
+    for (const read of reads) {
+      const change = read.changeId === undefined ? undefined : byId.get(read.changeId);
+      push(this.#readsOf, change, read);
+      if (change !== undefined) this.#required.add(change);
+    }
+  }
+
+  run(): Linearization {
+    const found = this.#extend(-Infinity, 0);
+    const chainsTried = this.#tried;
+    if (found)
+      return { violations: [], chain: this.#chain.flatMap((link) => link.change ?? []), chainsTried };
+    const undecided = chainsTried >= CHAINS_TRIED_MOST;
+    const why = undecided ? `undecided after ${chainsTried} chains: ${this.#best.why}` : this.#best.why;
+    return { violations: [why], chain: [], chainsTried };
+  }
+
+  #addRefusals(change: ChangeOrder): void {
+    if (!change.valid || change.revision <= change.base) return;
+    for (const attempt of change.attempts)
+      if (attempt.outcome === 'refused') push(this.#refusalsOnBase, change.base, { change, attempt });
+  }
+
+  /** Tries to extend the chain so that all required changes stand in it. */
+  #extend(effectMs: number, requiredSoFar: number): boolean {
+    const link = this.#chain.at(-1) ?? START;
+    const key = `${effectMs} ${requiredSoFar}`;
+    if (link.change !== undefined && this.#deadEnds.get(link.change)?.has(key) === true) return false;
+    const triedBefore = this.#tried;
+    if (requiredSoFar === this.#required.size && this.#explainsAll()) return true;
+    for (const next of this.#successors(link.revision)) {
+      if (this.#tried >= CHAINS_TRIED_MOST) return false;
+      const earliestMs = this.#earliestMs(link, effectMs, next);
+      const why = this.#whyNot(link, next, earliestMs);
+      if (why !== undefined) {
+        this.#fail(why);
+        continue;
+      }
+      this.#chain.push({ change: next, revision: next.revision });
+      if (this.#extend(earliestMs, requiredSoFar + (this.#required.has(next) ? 1 : 0))) return true;
+      this.#chain.pop();
+    }
+    const wholeChainFailed = this.#tried > triedBefore;
+    if (link.change !== undefined && !wholeChainFailed) this.#markDeadEnd(link.change, key);
+    this.#failForMissing(requiredSoFar);
+    return false;
+  }
+
+  /** An acknowledged change leaves no choice; else any without an answer may have taken effect. */
+  #successors(revision: number): readonly ChangeOrder[] {
+    const candidates = this.#candidates.get(revision) ?? [];
+    const required = candidates.filter((change) => this.#required.has(change));
+    return required.length > 0 ? required : candidates;
+  }
+
+  /** A change takes effect after it was sent, after its predecessor, and after the last read of that began. */
+  #earliestMs(link: Link, effectMs: number, next: ChangeOrder): number {
+    const readMs = (this.#readsOf.get(link.change) ?? []).map((read) => read.invokedMs);
+    return Math.max(effectMs, firstInvokedMs(next.attempts), ...readMs);
+  }
+
+  /** Why a change cannot follow a link, if it takes effect no earlier than this. */
+  #whyNot(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
+    const latest = this.#latestOf(next);
+    if (earliestMs > latest) {
+      const stale = (this.#readsOf.get(link.change) ?? []).find((read) => read.invokedMs > latest);
+      if (stale !== undefined) return `${describeRead(stale)}, after ${describeChange(next)} took effect`;
+      return `${describeChange(next)} took effect before it could follow ${describeLink(link)}`;
+    }
+    const refusal = this.#refusalWithinReign(link, earliestMs);
+    return refusal === undefined ? undefined : describeRefusal(refusal);
+  }
+
+  /** A refusal of an attempt during all of which the base of its change was in force. */
+  #refusalWithinReign(link: Link, succeededMs: number): Refusal | undefined {
+    return (this.#refusalsOnBase.get(link.revision) ?? []).find(
+      ({ attempt }) => succeededMs > attempt.respondedMs && this.#latestOf(link.change) < attempt.invokedMs,
+    );
+  }
+
+  #markDeadEnd(change: ChangeOrder, key: string): void {
+    const keys = this.#deadEnds.get(change) ?? new Set<string>();
+    keys.add(key);
+    this.#deadEnds.set(change, keys);
+  }
+
+  #failForMissing(requiredSoFar: number): void {
+    if (requiredSoFar === this.#required.size) return;
+    const inChain = new Set(this.#chain.map((link) => link.change));
+    const missing = [...this.#required].find((change) => !inChain.has(change));
+    if (missing === undefined) return;
+    this.#fail(
+      `${describeChange(missing)} took effect, but no chain of changes leads to it beyond ${describeLink(this.#chain.at(-1) ?? START)}`,
+    );
+  }
+
+  #fail(why: string): void {
+    if (this.#chain.length <= this.#best.length) return;
+    this.#best = { length: this.#chain.length, why };
+  }
+
+  /**
+   * Whether the whole chain has moments that also explain each refusal. A
+   * refused change had another revision before it at some moment of the
+   * attempt: its base came into force after the attempt began, or was
+   * succeeded before the answer. The least moments are raised until all hold.
+   */
+  #explainsAll(): boolean {
+    this.#tried += 1;
+    const momentsMs = this.#chain.map(() => -Infinity);
+    for (let raised = true; raised;) {
+      this.#settleMoments(momentsMs);
+      raised = false;
+      for (const [place, link] of this.#chain.entries()) {
+        const succeededMs = momentsMs[place + 1] ?? Infinity;
+        const refusal = this.#refusalWithinReign(link, succeededMs);
+        if (refusal !== undefined) {
+          this.#fail(describeRefusal(refusal));
+          return false;
+        }
+        raised ||= this.#raise(momentsMs, place, link, succeededMs);
+      }
+    }
+    return momentsMs.every((momentMs, place) => momentMs <= this.#latestOf(this.#chain[place]?.change));
+  }
+
+  /** Moves a link's moment behind the start of an attempt that was refused before the link was succeeded. */
+  #raise(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
+    const momentMs = momentsMs[place] ?? -Infinity;
+    let raisedMs = momentMs;
+    for (const { attempt } of this.#refusalsOnBase.get(link.revision) ?? [])
+      if (succeededMs > attempt.respondedMs) raisedMs = Math.max(raisedMs, attempt.invokedMs);
+    momentsMs[place] = raisedMs;
+    return raisedMs > momentMs;
+  }
+
+  /** Raises each moment to the least that its predecessor and its own order allow. */
+  #settleMoments(momentsMs: number[]): void {
+    for (let place = 1; place < this.#chain.length; place += 1) {
+      const link = this.#chain[place - 1] ?? START;
+      const next = this.#chain[place]?.change;
+      if (next === undefined) continue;
+      const earliestMs = this.#earliestMs(link, momentsMs[place - 1] ?? -Infinity, next);
+      momentsMs[place] = Math.max(momentsMs[place] ?? -Infinity, earliestMs);
+    }
+  }
+
+  /** A change has taken effect by the time it is acknowledged or has been read. */
+  #latestOf(change: ChangeOrder | undefined): number {
+    if (change === undefined) return -Infinity;
+    const reads = this.#readsOf.get(change) ?? [];
+    return Math.min(firstAcknowledgedMs(change.attempts), ...reads.map((read) => read.respondedMs));
+  }
+}
+
+function describeRefusal({ change, attempt }: Refusal): string {
+  return `${describeChange(change)} was refused from ${attempt.invokedMs.toFixed(0)} to ${attempt.respondedMs.toFixed(0)} though its base was in force`;
+}
+
+function describeLink(link: Link): string {
+  return link.change === undefined ? 'the empty start' : describeChange(link.change);
+}
+
+function push<K, V>(lists: Map<K, V[]>, key: K, value: V): void {
+  const list = lists.get(key);
+  if (list === undefined) lists.set(key, [value]);
+  else list.push(value);
+}
--- /dev/null
+++ b/packages/simulator/src/system/zone-history.ts
@@ -0,0 +1,47 @@
+/**
+ * A check of evacuations: whether a zone is evacuated is a register that
+ * evacuations and returns overwrite. A write without a clear answer may take
+ * effect at any later time; one that was acknowledged stays until another may
+ * have come after it.
+ */
+import { firstAcknowledgedMs, firstInvokedMs, type ZoneOrder, type ZoneRead } from './history.js';
+
+/** A write of the register, or its initial value. */
+interface Write {
+  readonly evacuated: boolean;
+  readonly fromMs: number;
+  readonly byMs: number;
+}
+
+const INITIAL: Write = { evacuated: false, fromMs: -Infinity, byMs: -Infinity };
+
+/**
+ * What contradicts the acknowledged evacuations.
+ * @example
+ * checkZones([], [{ reader: 'core-0', zone: 'north', atMs: 5, evacuated: false }]); // []
+ */
+export function checkZones(orders: readonly ZoneOrder[], reads: readonly ZoneRead[]): string[] {
+  const violations = orders
+    .filter((order) => order.attempts.some((attempt) => attempt.outcome === 'refused'))
+    .map((order) => `order ${order.id} for zone ${order.zone} was refused`);
+  for (const read of reads) {
+    const writes = [INITIAL, ...orders.filter((order) => order.zone === read.zone).map(writeOf)];
+    if (!writes.some((write) => explains(write, read, writes)))
+      violations.push(
+        `${read.reader} has zone ${read.zone} ${read.evacuated ? '' : 'not '}evacuated at ${read.atMs.toFixed(0)}`,
+      );
+  }
+  return violations;
+}
+
+function writeOf({ evacuated, attempts }: ZoneOrder): Write {
+  return { evacuated, fromMs: firstInvokedMs(attempts), byMs: firstAcknowledgedMs(attempts) };
+}
+
+/** Whether a write may be the newest at the moment of the read: none was both begun after it and done before. */
+function explains(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
+  if (write.evacuated !== read.evacuated || write.fromMs > read.atMs) return false;
+  return !writes.some(
+    (later) => later.evacuated !== write.evacuated && later.fromMs > write.byMs && later.byMs < read.atMs,
+  );
+}
