--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -6,6 +6,7 @@
 export * from './trial.js';
 export * from './world.js';
 export * from './matinee.js';
-export * from './stalls.js';
 export * from './system.js';
 export * from './system-trial.js';
+export * from './system/size.js';
+export * from './system/linearizability.js';
--- a/packages/simulator/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -1,5 +1,5 @@
 import meow from 'meow';
-import { runSystemDay, SYSTEMS } from './system-trial.js';
+import { profileOf, PROFILES, runSystemDay, SPANS, SYSTEMS, type Profile } from './system-trial.js';
 
 const cli = meow(
   `
@@ -12,6 +12,7 @@
     --from    first seed (default 1)
     --count   how many seeds (default 20)
     --size    small or five (default small)
+    --profile what the days are about: mixed, changes, partitions, membership, power (default by seed)
     --show    print the timeline of every seed, not only of failing ones
     --brief   print no timeline at all
 `,
@@ -21,6 +22,7 @@
       from: { type: 'number', default: 1 },
       count: { type: 'number', default: 20 },
       size: { type: 'string', default: 'small', choices: Object.keys(SYSTEMS) },
+      profile: { type: 'string', choices: [...PROFILES] },
       show: { type: 'boolean', default: false },
       brief: { type: 'boolean', default: false },
     },
@@ -31,12 +33,14 @@
 let acked = 0;
 let loads = 0;
 for (let seed = cli.flags.from; seed < cli.flags.from + cli.flags.count; seed += 1) {
-  const result = runSystemDay(seed, SYSTEMS[cli.flags.size as keyof typeof SYSTEMS]);
+  const profile = (cli.flags.profile as Profile | undefined) ?? profileOf(seed);
+  const size = SYSTEMS[cli.flags.size as keyof typeof SYSTEMS];
+  const result = runSystemDay(seed, size, SPANS.whole, profile);
   acked += result.acked;
   loads += result.loads;
   if (result.breaches.length > 0) {
     failed += 1;
-    console.log(`seed ${seed} FAILED after: ${result.troubles.join('; ')}`);
+    console.log(`seed ${seed} (${profile}) FAILED after: ${result.troubles.join('; ')}`);
     for (const { rule, detail, atMs } of result.breaches)
       console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
   }
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -1,14 +1,10 @@
+/** Simulated days of a whole system: faults and orders drawn from a seed, and what they broke. */
+import type { Need } from './system/demand.js';
+import { Faults } from './system/faults.js';
+import { OperatorLoad } from './system/operator-load.js';
+import { SMALL_SYSTEM, type SystemSize } from './system/size.js';
+import { System, type SystemBreach } from './system.js';
 import { renderTimeline } from './timeline.js';
-import {
-  sampleDocument,
-  SMALL_SYSTEM,
-  System,
-  type CallEnd,
-  type Need,
-  type Station,
-  type SystemBreach,
-  type SystemSize,
-} from './system.js';
 
 /** How long the parts of a day are. */
 export interface DaySpans {
@@ -23,8 +19,6 @@
   whole: { trafficMs: 8000, troubleMs: 32_000, calmMs: 9000, backMs: 14_000 },
   short: { trafficMs: 4000, troubleMs: 10_000, calmMs: 5000, backMs: 11_000 },
 };
-/** A core that is back counts as lost for so long. */
-const CATCH_UP_MS = 4000;
 
 /** Sizes of simulated systems by name. */
 export const SYSTEMS: Readonly<Record<'small' | 'five' | 'least', SystemSize>> = {
@@ -33,6 +27,93 @@
   five: { ...SMALL_SYSTEM, cores: 5, lossesBorne: 2, heartbeatMs: 50 },
 };
 
+/** What a day is mostly about. */
+export const PROFILES = ['mixed', 'changes', 'partitions', 'membership', 'power'] as const;
+export type Profile = (typeof PROFILES)[number];
+
+/** What a day injects, by its weight. */
+type Act =
+  | 'core'
+  | 'edge'
+  | 'worker'
+  | 'demand'
+  | 'order'
+  | 'storm'
+  | 'answers lost'
+  | 'long cut'
+  | 'zone loss'
+  | 'zone cut'
+  | 'second loss'
+  | 'planned'
+  | 'disk slow'
+  | 'lossy'
+  | 'all killed'
+  | 'all without power'
+  | 'power during change'
+  | 'power after acknowledgement';
+
+const WEIGHTS: Readonly<Record<Profile, Readonly<Partial<Record<Act, number>>>>> = {
+  mixed: {
+    core: 24,
+    edge: 16,
+    worker: 18,
+    demand: 8,
+    order: 22,
+    storm: 2,
+    'answers lost': 3,
+    'zone loss': 2,
+    'zone cut': 1,
+    planned: 2,
+    'disk slow': 2,
+  },
+  changes: {
+    core: 30,
+    edge: 10,
+    order: 20,
+    'answers lost': 15,
+    'disk slow': 8,
+    planned: 5,
+    'long cut': 4,
+    'all killed': 3,
+    'power during change': 5,
+  },
+  partitions: {
+    core: 10,
+    edge: 10,
+    worker: 8,
+    order: 30,
+    'answers lost': 6,
+    'long cut': 20,
+    'zone cut': 8,
+    'zone loss': 6,
+    lossy: 2,
+  },
+  membership: {
+    core: 16,
+    edge: 6,
+    order: 30,
+    'answers lost': 4,
+    'second loss': 18,
+    planned: 20,
+    worker: 6,
+  },
+  power: {
+    core: 14,
+    order: 30,
+    worker: 6,
+    'all killed': 10,
+    'all without power': 10,
+    'power during change': 20,
+    'power after acknowledgement': 10,
+  },
+};
+
+/** A change goes out so often on a day of changes: hundreds a day. */
+const STORM_MS = 150;
+const STORM_LENGTH_MS = 4000;
+const LONGEST_TROUBLE_MS = 34_000;
+const STEP_MS = 500;
+
 /** How one simulated day of a system ended. */
 export interface SystemResult {
   readonly breaches: readonly SystemBreach[];
@@ -44,63 +125,117 @@
 
 class Day {
   readonly system: System;
-  readonly troubles: string[] = [];
-  acked = 0;
-  #models: number;
+  readonly faults: Faults;
+  readonly load: OperatorLoad;
   #spans: DaySpans;
-  #revision = 3;
-  #sending = 0;
-  #cores = new Map<Station, number>();
-  #zoneBusy = false;
-  #refused = new Set<number>();
+  #profile: Profile;
 
-  constructor(seed: number, size: SystemSize, spans: DaySpans) {
+  constructor(seed: number, size: SystemSize, spans: DaySpans, profile: Profile) {
     this.#spans = spans;
+    this.#profile = profile;
     this.system = new System(seed, size);
-    this.#models = size.models;
+    this.faults = new Faults(this.system);
+    this.load = new OperatorLoad(this.system);
   }
 
   run(): void {
-    const { system } = this;
+    const { system, faults } = this;
     const { time } = system;
     const { trafficMs, troubleMs, calmMs, backMs } = this.#spans;
     system.start();
-    this.put();
+    this.load.putFirst();
     time.runUntil(trafficMs);
     if (system.acked.revision === 0)
       system.breach('late answer', 'the first configuration is not acknowledged');
-    this.shift();
-    for (let atMs = trafficMs + 500; atMs < trafficMs + troubleMs; atMs += 400 + this.#roll(1600)) {
+    this.#shiftDemand();
+    if (this.#profile === 'changes') this.load.storm(STORM_MS, troubleMs);
+    for (let atMs = trafficMs + STEP_MS; atMs < trafficMs + troubleMs; atMs += 400 + this.#roll(1600)) {
       time.runUntil(atMs);
-      this.#trouble();
+      this.#inject(this.#draw());
     }
-    time.runUntil(trafficMs + troubleMs + 6000 + calmMs);
-    this.#restore();
+    this.#waitForRepairs();
+    time.runUntil(time.nowMs() + 6000 + calmMs);
+    faults.restoreAll();
     time.runUntil(time.nowMs() + calmMs);
     this.#close();
     time.runUntil(time.nowMs() + backMs);
-    this.#restore();
+    faults.restoreAll();
     system.checkEnd();
-    for (const core of system.cores) {
-      const revision = core.running?.replica?.state.revision ?? 0;
-      if (this.#refused.has(revision))
-        system.breach('refused in force', `${core.name} holds revision ${revision}, which was refused`);
-    }
+  }
+
+  /** Until nothing is lost any more; the longest cuts end after the last fault was injected. */
+  #waitForRepairs(): void {
+    const { time } = this.system;
+    const endMs = time.nowMs() + LONGEST_TROUBLE_MS;
+    while (this.faults.lost > 0 && time.nowMs() < endMs) time.runUntil(time.nowMs() + STEP_MS);
   }
 
   #roll(most: number): number {
     return Math.floor(this.system.dice.next() * most);
   }
 
-  #one<T>(list: readonly T[]): T | undefined {
-    return list[this.#roll(list.length)];
+  #draw(): Act {
+    const weights = Object.entries(WEIGHTS[this.#profile]) as [Act, number][];
+    const sum = weights.reduce((total, [, weight]) => total + weight, 0);
+    let left = this.system.dice.next() * sum;
+    return weights.find(([, weight]) => (left -= weight) < 0)?.[0] ?? 'order';
+  }
+
+  #inject(act: Act): void {
+    const { faults, load } = this;
+    function send(): void {
+      load.put();
+    }
+    switch (act) {
+      case 'core':
+        return faults.anyCore();
+      case 'edge':
+        return faults.anyEdge();
+      case 'worker':
+        return faults.anyWorker();
+      case 'demand':
+        return this.#shiftDemand();
+      case 'order':
+        return load.any();
+      case 'storm':
+        return load.storm(STORM_MS, STORM_LENGTH_MS);
+      case 'answers lost':
+        return faults.loseAnswers();
+      case 'long cut':
+        return faults.longCut();
+      case 'zone loss':
+        return faults.zone('loss');
+      case 'zone cut':
+        return faults.zone('cut');
+      case 'second loss':
+        return faults.secondLoss();
+      case 'planned':
+        return faults.planned();
+      case 'disk slow':
+        return faults.slowDisk();
+      case 'lossy':
+        return faults.lossy();
+      case 'all killed':
+        return this.#whenWhole(() => faults.allCores('kill'));
+      case 'all without power':
+        return this.#whenWhole(() => faults.allCores('power'));
+      case 'power during change':
+        return this.#whenWhole(() => faults.powerDuringChange(send));
+      case 'power after acknowledgement':
+        return this.#whenWhole(() => faults.powerAfterAcknowledgement(send));
+    }
+  }
+
+  /** All at once only while nothing else is lost: a disk that is wiped has to be replaced first. */
+  #whenWhole(act: () => void): void {
+    if (this.faults.lost === 0 && this.faults.mayLose) act();
   }
 
   /** Demand moves to other models. */
-  shift(): void {
+  #shiftDemand(): void {
     const needs: Need[] = [];
     for (let count = 0; count < 6; count += 1) {
-      const model = `m${this.#roll(this.#models)}`;
+      const model = `m${this.#roll(this.system.size.models)}`;
       if (needs.some((need) => need.model === model)) continue;
       needs.push({ model, adapter: '', count: 1 + this.#roll(4) });
       if (this.system.dice.next() < 0.6) needs.push({ model, adapter: `a${this.#roll(4)}`, count: 1 });
@@ -108,256 +243,74 @@
     this.system.needs = needs;
   }
 
-  #answered(revision: number, end: CallEnd): void {
-    this.#sending -= 1;
-    if (end.kind === 'agreed') this.acked += 1;
-    else this.#refused.add(revision);
-  }
-
-  put(): void {
-    const base = this.system.acked.revision;
-    const revision = this.#next();
-    this.#sending += 1;
-    this.system.put(base, sampleDocument(revision, this.#models, 'put'), (end) => {
-      this.#answered(revision, end);
-      if (end.kind !== 'agreed')
-        this.system.breach('answers', `the only change on ${base} ended ${end.kind}`);
-      else if (this.system.dice.next() < 0.3) this.#again(base, revision);
-    });
-  }
-
-  /** The same call once more: it is agreed once more. */
-  #again(base: number, revision: number): void {
-    this.system.put(base, sampleDocument(revision, this.#models, 'put'), (end) => {
-      if (end.kind !== 'agreed') this.system.breach('answers', `a repeated call ended ${end.kind}`);
-    });
-  }
-
-  /** Two operators change the same version: one of them wins. */
-  race(): void {
-    const base = this.system.acked.revision;
-    const ends: CallEnd[] = [];
-    for (const mark of ['one', 'other']) {
-      const revision = this.#next();
-      this.#sending += 1;
-      this.system.put(base, sampleDocument(revision, this.#models, mark), (end) => {
-        this.#answered(revision, end);
-        ends.push(end);
-        if (ends.length < 2) return;
-        const kinds = ends.map((known) => known.kind).sort();
-        if (kinds.join(' ') !== 'agreed conflict')
-          this.system.breach('answers', `a race on ${base} ended ${kinds.join(' and ')}`);
-      });
-    }
-  }
-
-  #next(): number {
-    this.#revision += 1 + this.#roll(3);
-    return this.#revision;
-  }
-
-  #trouble(): void {
-    const { system } = this;
-    const roll = this.#roll(100);
-    if (roll < 26) return this.#coreTrouble();
-    if (roll < 44) return this.#edgeTrouble();
-    if (roll < 64) return this.#workerTrouble();
-    if (roll < 72) return this.shift();
-    if (roll < 80) return this.#zone();
-    if (this.#sending > 0) return;
-    if (roll < 86) return this.race();
-    if (roll < 90) return this.#invalid();
-    system.note('', 'a change');
-    this.put();
-  }
-
-  #invalid(): void {
-    const revision = this.#next();
-    this.#sending += 1;
-    const document = sampleDocument(revision, this.#models, 'bad');
-    const [route] = document['routes'] as Record<string, unknown>[];
-    this.system.call(
-      'configuration.put',
-      {
-        base: this.system.acked.revision,
-        document: { ...document, routes: [{ ...route, service: 'nowhere' }] },
-      },
-      (end) => {
-        this.#answered(revision, end);
-        if (end.kind === 'agreed') this.system.breach('answers', 'an invalid configuration was agreed');
-      },
-    );
-  }
-
-  #zone(): void {
-    if (this.#zoneBusy) return;
-    const zone = this.system.size.zones[0] ?? '';
-    this.#zoneBusy = true;
-    this.system.zone(zone, this.system.zones.get(zone)?.evacuated !== true, () => {
-      this.#zoneBusy = false;
-    });
-  }
-
-  /** Disturbs a core, as long as no more are lost than are borne. */
-  #coreTrouble(): void {
-    const { system } = this;
-    const nowMs = system.time.nowMs();
-    for (const [core, untilMs] of this.#cores) if (untilMs < nowMs) this.#cores.delete(core);
-    if (this.#cores.size >= system.size.lossesBorne) return;
-    const leader = system.leader();
-    const whole = system.cores.filter((core) => core.running !== undefined && !this.#cores.has(core));
-    const core =
-      system.dice.next() < 0.5 && leader !== undefined && whole.includes(leader) ? leader : this.#one(whole);
-    if (core === undefined) return;
-    const takesMs = 300 + this.#roll(4000);
-    this.#cores.set(core, nowMs + takesMs + CATCH_UP_MS);
-    const kind =
-      this.#one(['kill', 'stop', 'freeze', 'cut', 'deaf', 'mute', 'wipe', 'replace', 'stall'] as const) ??
-      'kill';
-    this.troubles.push(`${kind} ${core.name}`);
-    system.note(core.name, kind);
-    const { name } = core;
-    function back(act: () => void): void {
-      system.time.after(takesMs, act);
-    }
-    switch (kind) {
-      case 'kill':
-        system.kill(core);
-        return back(() => system.boot(core));
-      case 'stop':
-        system.stop(core);
-        return back(() => system.time.after(200, () => system.boot(core)));
-      case 'freeze':
-        return system.freeze(core, takesMs);
-      case 'cut':
-        return back(system.cut(`off ${name}`, (from, to) => (from === name) !== (to === name)));
-      case 'deaf':
-        return back(system.cut(`to ${name}`, (_from, to) => to === name));
-      case 'mute':
-        return back(system.cut(`from ${name}`, (from) => from === name));
-      case 'wipe':
-        system.kill(core);
-        core.disk?.wipe();
-        return back(() => system.boot(core));
-      case 'replace': {
-        system.remove(core);
-        const other = system.addCore();
-        this.#cores.delete(core);
-        this.#cores.set(other, nowMs + takesMs + CATCH_UP_MS);
-        return back(() => system.boot(other));
-      }
-      case 'stall':
-        if (core.disk !== undefined) core.disk.stallUntilMs = nowMs + takesMs;
-        system.disturbed(core);
-        return back(() => system.disturbed(core));
-    }
-  }
-
-  #edgeTrouble(): void {
-    const { system } = this;
-    const edge = this.#one(system.edges.filter((known) => known.running !== undefined));
-    if (edge === undefined) return;
-    const takesMs = 300 + this.#roll(5000);
-    const { name } = edge;
-    const kind = this.#one(['kill', 'stop', 'freeze', 'cut', 'deaf', 'mute'] as const) ?? 'kill';
-    this.troubles.push(`${kind} ${name}`);
-    function back(act: () => void): void {
-      system.time.after(takesMs, act);
-    }
-    if (kind === 'freeze') return system.freeze(edge, takesMs);
-    if (kind === 'cut')
-      return back(system.cut(`off ${name}`, (from, to) => (from === name) !== (to === name)));
-    if (kind === 'deaf') return back(system.cut(`to ${name}`, (_from, to) => to === name));
-    if (kind === 'mute') return back(system.cut(`from ${name}`, (from) => from === name));
-    if (kind === 'stop') system.stop(edge);
-    else system.kill(edge);
-    system.time.after(takesMs + 200, () => system.boot(edge));
-  }
-
-  #workerTrouble(): void {
-    const { system } = this;
-    const stall = this.#one(
-      system.yard.stalls.filter((known) => !known.away && !known.dark && !known.leaving),
-    );
-    if (stall === undefined || system.yard.stalls.some((known) => known.away || known.leaving)) return;
-    const takesMs = 300 + this.#roll(3000);
-    const kind = this.#one(['restart', 'dark', 'leave'] as const) ?? 'restart';
-    this.troubles.push(`${kind} ${stall.address}`);
-    system.note('', `${kind} ${stall.address} (${stall.id})`);
-    if (kind === 'restart') return stall.restart();
-    if (kind === 'dark') {
-      stall.dark = true;
-      return system.time.after(takesMs, () => {
-        stall.dark = false;
-      });
-    }
-    system.yard.leave(stall);
-    system.time.after(4000, () => {
-      stall.away = true;
-      system.time.after(takesMs, () => {
-        stall.away = false;
-        stall.restart();
-      });
-    });
-  }
-
   /** Without a zone the workers that are left have room for two models each, and no more is asked for. */
-  #fitNeeds(): void {
+  #fitDemand(): void {
     const { system } = this;
-    if (![...system.zones.values()].some(({ evacuated }) => evacuated)) return;
-    const places =
-      2 * system.yard.stalls.filter((stall) => system.zones.get(stall.zone)?.evacuated !== true).length;
-    const models = [...new Set(system.needs.map((need) => need.model))].slice(0, places);
+    const { zones } = system.expectations;
+    if (![...zones.values()].some(({ evacuated }) => evacuated)) return;
+    const kept = system.workers.members.filter((worker) => zones.get(worker.zone)?.evacuated !== true);
+    const models = [...new Set(system.needs.map((need) => need.model))].slice(0, 2 * kept.length);
     system.needs = system.needs.filter((need) => models.includes(need.model));
   }
 
-  #restore(): void {
-    for (const station of this.system.stations) this.system.boot(station);
-  }
-
   /** What may close a day, right after something was acknowledged. */
   #close(): void {
-    const { system } = this;
-    this.#fitNeeds();
-    const kind = this.#one(['calm', 'power', 'wipe', 'race'] as const) ?? 'calm';
-    this.troubles.push(`closing ${kind}`);
+    const { system, faults, load } = this;
+    this.#fitDemand();
+    const kinds = ['calm', 'power', 'kill', 'wipe', 'race'] as const;
+    const kind = kinds[this.#roll(kinds.length)] ?? 'calm';
+    faults.injected.push(`closing ${kind}`);
     system.note('', `closing ${kind}`);
-    if (kind === 'calm' || this.#sending > 0) return;
+    if (kind === 'calm') return;
     if (kind === 'race') {
-      this.race();
-      const leader = system.leader();
+      load.race();
       return system.time.after(this.#roll(30), () => {
+        const leader = system.leader();
         if (leader !== undefined) system.kill(leader);
-        system.time.after(1000, () => this.#restore());
+        system.time.after(1000, () => faults.restoreAll());
       });
     }
-    const wiped = this.#one(system.cores.filter((core) => !core.removed));
-    system.atAnswer = () => {
-      system.atAnswer = undefined;
-      for (const station of system.stations) system.kill(station);
+    const wiped = system.cores.filter((core) => !core.removed)[this.#roll(system.size.cores)];
+    system.operators.onAnswer = (answer) => {
+      if (answer !== 'agreed') return;
+      system.operators.onAnswer = undefined;
+      for (const machine of system.machines) {
+        if (kind === 'kill') system.kill(machine);
+        else system.losePower(machine);
+      }
       if (kind === 'wipe') wiped?.disk?.wipe();
-      system.time.after(500 + this.#roll(1000), () => this.#restore());
+      system.time.after(500 + this.#roll(1000), () => faults.restoreAll());
     };
-    this.put();
+    load.put();
   }
 }
 
+/** The profile that a seed stands for where none is named. */
+export function profileOf(seed: number): Profile {
+  return PROFILES[seed % PROFILES.length] ?? 'mixed';
+}
+
 /**
  * Plays one simulated day of a system from a seed.
  * @example
  * runSystemDay(1, SYSTEMS.small).breaches; // []
  */
-export function runSystemDay(seed: number, size: SystemSize, spans: DaySpans = SPANS.whole): SystemResult {
-  const day = new Day(seed, size, spans);
+export function runSystemDay(
+  seed: number,
+  size: SystemSize,
+  spans: DaySpans = SPANS.whole,
+  profile: Profile = profileOf(seed),
+): SystemResult {
+  const day = new Day(seed, size, spans, profile);
   day.run();
-  const { system, troubles, acked } = day;
+  const { system, faults, load } = day;
   return {
     breaches: system.breaches,
-    acked,
-    loads: system.yard.loads.length,
-    troubles,
+    acked: load.acknowledged,
+    loads: system.workers.loads.length,
+    troubles: faults.injected,
     timeline: renderTimeline(
-      system.stations.map((station) => station.name),
+      system.machines.map((machine) => machine.name),
       system.timeline,
     ),
   };
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -1,14 +1,11 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { runSystemDay, SPANS, SYSTEMS } from './system-trial.js';
-import {
-  sampleDocument,
-  SMALL_SYSTEM,
-  System,
-  type CallEnd,
-  type Station,
-  type SystemSize,
-} from './system.js';
+import { sampleDocument } from './system/configuration.js';
+import type { Machine } from './system/machine.js';
+import type { OrderEnd } from './system/operator-client.js';
+import { SMALL_SYSTEM, type SystemSize } from './system/size.js';
+import { System } from './system.js';
 
 const SMALL: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, heartbeatMs: 40 };
 const MODELS = SMALL.models;
@@ -23,7 +20,7 @@
 }
 
 function restore(system: System): void {
-  for (const station of system.stations) system.boot(station);
+  for (const machine of system.machines) system.boot(machine);
 }
 
 function ended(system: System): string[] {
@@ -31,14 +28,14 @@
   return system.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
 }
 
-function leaderOf(system: System): Station {
-  return system.leader() ?? (system.cores[0] as Station);
+function leaderOf(system: System): Machine {
+  return system.leader() ?? (system.cores[0] as Machine);
 }
 
 /** Whose disks hang: of all cores but the coordinator one, so that a bare majority carries a change; or the other one for a while as well. */
 type StalledDisks = 'one' | 'both';
 
-function stall(system: System, leader: Station, stalled: StalledDisks): void {
+function stall(system: System, leader: Machine, stalled: StalledDisks): void {
   const [other, third] = system.cores.filter((core) => core !== leader);
   const nowMs = system.time.nowMs();
   if (third?.disk !== undefined) third.disk.stallUntilMs = nowMs + 2000;
@@ -49,13 +46,13 @@
 function closed(
   seed: number,
   size: SystemSize,
-  strike: (system: System, leader: Station) => void,
+  strike: (system: System, leader: Machine) => void,
   stalled?: StalledDisks,
 ): string[] {
   const system = opened(seed, size);
   const leader = leaderOf(system);
   const struck: string[] = [];
-  system.atAnswer = (kind) => {
+  system.operators.onAnswer = (kind) => {
     if (struck.length > 0 || kind !== 'agreed') return;
     struck.push(kind);
     strike(system, leader);
@@ -72,7 +69,7 @@
 }
 
 function powerOff(system: System): void {
-  for (const station of system.stations) system.kill(station);
+  for (const machine of system.machines) system.losePower(machine);
 }
 
 describe('what was acknowledged', () => {
@@ -124,11 +121,11 @@
       system.put(5, sampleDocument(8, MODELS, 'last'));
       system.time.runUntil(6000);
       for (const place of [0, 1]) {
-        system.remove(system.cores[place] as Station);
+        system.remove(system.cores[place] as Machine);
         system.boot(system.addCore());
         system.time.runUntil(system.time.nowMs() + 4000);
       }
-      system.remove(system.cores[2] as Station);
+      system.remove(system.cores[2] as Machine);
       system.boot(system.addCore());
       system.time.runUntil(system.time.nowMs() + 8000);
       powerOff(system);
@@ -143,7 +140,7 @@
     const wrong = [1, 2, 3, 4, 5, 6].flatMap((seed) =>
       [1500, 6000].flatMap((cutMs) => {
         const system = opened(seed);
-        const [far] = system.cores.filter((core) => core !== leaderOf(system)) as [Station];
+        const [far] = system.cores.filter((core) => core !== leaderOf(system)) as [Machine];
         const heal = system.cut('off', (from, to) => (from === far.name) !== (to === far.name));
         const replica = far.running?.replica;
         const sent = replica?.submit('zone.evacuate', { zone: 'north' }, () => undefined);
@@ -164,7 +161,7 @@
   it('on the same version: one is agreed, also when the coordinator dies, and a repeated call is agreed again', () => {
     const wrong = [1, 2, 3, 4].flatMap((seed) => {
       const system = opened(seed);
-      const ends: CallEnd[] = [];
+      const ends: OrderEnd[] = [];
       const one = sampleDocument(7, MODELS, 'one');
       const other = sampleDocument(9, MODELS, 'other');
       system.put(5, one, (end) => ends.push(end));
@@ -173,7 +170,7 @@
       system.time.after(seed * 5, () => system.kill(leader));
       system.time.after(1500, () => restore(system));
       system.time.runUntil(14_000);
-      const repeated: CallEnd[] = [];
+      const repeated: OrderEnd[] = [];
       system.put(5, system.acked.revision === 7 ? one : other, (end) => repeated.push(end));
       system.time.runUntil(16_000);
       const kinds = ends
@@ -192,7 +189,7 @@
   it('reach every edge that reaches a core with a majority, though the coordinator is cut off from it', () => {
     const system = opened(1);
     const leader = leaderOf(system);
-    const { name } = system.edges[0] as Station;
+    const { name } = system.edges[0] as Machine;
     system.cut(
       'edge from coordinator',
       (from, to) => (from === name && to === leader.name) || (from === leader.name && to === name),
@@ -207,9 +204,9 @@
     const five: SystemSize = { ...SMALL, cores: 5, lossesBorne: 2 };
     const system = opened(3, five);
     const voters = system.voters();
-    for (const core of [leaderOf(system), system.cores[4] as Station]) system.kill(core);
+    for (const core of [leaderOf(system), system.cores[4] as Machine]) system.kill(core);
     system.time.runUntil(9000);
-    const ends: CallEnd[] = [];
+    const ends: OrderEnd[] = [];
     system.put(5, sampleDocument(8, MODELS, 'with three'), (end) => ends.push(end));
     system.time.runUntil(12_000);
     restore(system);
@@ -224,9 +221,9 @@
       const system = opened(seed);
       const ends: string[] = [];
       let revision = 5;
-      for (const station of system.stations) {
-        system.stop(station);
-        system.time.after(700, () => system.boot(station));
+      for (const machine of system.machines) {
+        system.stop(machine);
+        system.time.after(700, () => system.boot(machine));
         system.time.runUntil(system.time.nowMs() + 2500);
         revision += 2;
         system.put(system.acked.revision, sampleDocument(revision, MODELS, 'in turn'), (end) =>
@@ -252,7 +249,7 @@
         (from, to) => from.startsWith('core') && to.startsWith('core'),
       );
       system.time.runUntil(8000);
-      const ends: CallEnd[] = [];
+      const ends: OrderEnd[] = [];
       system.put(5, sampleDocument(8, MODELS, 'apart'), (end) => ends.push(end));
       system.time.runUntil(14_000);
       const early = ends.length;
@@ -280,7 +277,7 @@
       const system = opened(seed);
       const leader = leaderOf(system);
       const heal = system.cut('coordinator', (from, to) => (from === leader.name) !== (to === leader.name));
-      const ends: CallEnd[] = [];
+      const ends: OrderEnd[] = [];
       system.time.runUntil(5300);
       system.put(5, sampleDocument(8, MODELS, 'without'), (end) => ends.push(end));
       system.time.runUntil(12_000);
@@ -320,18 +317,18 @@
     const system = opened(4, { ...SMALL, edges: 3, workers: 3, models: 4 });
     system.needs = ['m0', 'm1'].map((model) => ({ model, adapter: '', count: 2 }));
     const zone = leaderOf(system).zone;
-    for (const station of system.stations) if (station.zone === zone) system.kill(station);
-    for (const stall of system.yard.stalls) if (stall.zone === zone) stall.away = true;
+    for (const machine of system.machines) if (machine.zone === zone) system.losePower(machine);
+    for (const worker of system.workers.members) if (worker.zone === zone) worker.away = true;
     system.time.runUntil(9000);
-    const ends: CallEnd[] = [];
+    const ends: OrderEnd[] = [];
     system.put(5, sampleDocument(8, 4, 'without a zone'), (end) => ends.push(end));
     system.time.runUntil(12_000);
     const revisions = system.edges
       .map((edge) => edge.running?.follower?.state.revision ?? 0)
       .filter((revision) => revision > 0);
-    for (const stall of system.yard.stalls) {
-      if (stall.away) stall.restart();
-      stall.away = false;
+    for (const worker of system.workers.members) {
+      if (worker.away) worker.restart();
+      worker.away = false;
     }
     restore(system);
     system.time.runUntil(22_000);
@@ -358,7 +355,7 @@
 
   it('is divided by as many as there are, when a core is replaced or starts again', () => {
     const replaced = opened(2, { ...SMALL, edges });
-    replaced.remove(replaced.cores.find((core) => core !== leaderOf(replaced)) as Station);
+    replaced.remove(replaced.cores.find((core) => core !== leaderOf(replaced)) as Machine);
     replaced.boot(replaced.addCore());
     const again = opened(3, { ...SMALL, edges });
     again.kill(leaderOf(again));
--- /dev/null
+++ b/packages/simulator/src/system/core-directory.ts
@@ -0,0 +1,39 @@
+/** The operators' list of cores, which lags. */
+import type { Dice } from '@rainrun/common';
+import type { VirtualTime } from '../world.js';
+import type { Machine } from './machine.js';
+import { BOUNDS } from './size.js';
+
+const SAMPLE_MS = 250;
+
+/**
+ * Remembers which cores there were, and shows a list that is up to `seedLagMs` old.
+ * @example
+ * directory.list(); // cores as they were a little before
+ */
+export class CoreDirectory {
+  #time: VirtualTime;
+  #dice: Dice;
+  #cores: () => readonly Machine[];
+  #samples: { readonly atMs: number; readonly cores: readonly Machine[] }[] = [];
+
+  constructor(time: VirtualTime, dice: Dice, cores: () => readonly Machine[]) {
+    this.#time = time;
+    this.#dice = dice;
+    this.#cores = cores;
+  }
+
+  /** Begins to remember. */
+  open(): void {
+    const atMs = this.#time.nowMs();
+    this.#samples.push({ atMs, cores: this.#cores().filter((core) => !core.removed) });
+    if (this.#samples.length > 2 + BOUNDS.seedLagMs / SAMPLE_MS) this.#samples.shift();
+    this.#time.after(SAMPLE_MS, () => this.open());
+  }
+
+  list(): readonly Machine[] {
+    const wantedMs = this.#time.nowMs() - this.#dice.next() * BOUNDS.seedLagMs;
+    const sample = this.#samples.findLast((known) => known.atMs <= wantedMs) ?? this.#samples[0];
+    return sample?.cores ?? this.#cores();
+  }
+}
--- /dev/null
+++ b/packages/simulator/src/system/demand.ts
@@ -0,0 +1,71 @@
+/** What clients of the edges ask for, and where it can be had. */
+import { create } from '@bufbuild/protobuf';
+import type { Follower } from '@rainrun/cluster-node';
+import { WantSchema, type Want } from '@rainrun/messages';
+import type { Machine } from './machine.js';
+import { SERVICE, type WorkerPool } from './workers.js';
+
+/** What edges ask for now. */
+export interface Need {
+  readonly model: string;
+  /** Empty for the model itself. */
+  readonly adapter: string;
+  readonly count: number;
+}
+
+/**
+ * The demand on all edges.
+ * @example
+ * demand.needs = [{ model: 'm0', adapter: '', count: 2 }];
+ */
+export class Demand {
+  needs: readonly Need[] = [];
+  #workers: WorkerPool;
+
+  constructor(workers: WorkerPool) {
+    this.#workers = workers;
+  }
+
+  /** What an edge tells the coordinator that it wants. */
+  wantsOf(follower: Follower): Want[] {
+    return this.needs.map(({ model, adapter, count }) => {
+      const known = knows(follower, model, adapter);
+      return create(WantSchema, {
+        service: SERVICE,
+        model,
+        adapter,
+        waiting: known ? 0 : count,
+        inFlight: known ? count : 0,
+        perS: count,
+      });
+    });
+  }
+
+  /** Whether an edge lacks a worker for something that is asked for. */
+  isUnserved(follower: Follower): boolean {
+    return this.needs.some(({ model, adapter }) => !knows(follower, model, adapter));
+  }
+
+  /** Whether an edge knows a worker that holds a model, and that worker does hold it. */
+  finds(edge: Machine, { model, adapter }: Need): boolean {
+    const { follower } = edge.running ?? {};
+    if (follower === undefined) return false;
+    for (const known of follower.workers.values()) {
+      const worker = this.#workers.workerAt(known.address);
+      const believed = known.models.get(model);
+      const held = worker?.id === known.id ? worker.models.get(model) : undefined;
+      if (known.leaving || believed === undefined || held === undefined) continue;
+      if (adapter === '' || (believed.has(adapter) && held.has(adapter))) return true;
+    }
+    return false;
+  }
+}
+
+function knows(follower: Follower, model: string, adapter: string): boolean {
+  for (const worker of follower.workers.values()) {
+    const adapters = worker.models.get(model);
+    if (worker.leaving || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
+    if (adapter === '' || adapters.has(adapter)) return true;
+  }
+  return false;
+}
--- /dev/null
+++ b/packages/simulator/src/system/faults.ts
@@ -0,0 +1,377 @@
+/** Faults that a simulated day injects: what each does, how long it lasts, and what the system may lose at once. */
+import type { Dice } from '@rainrun/common';
+import type { System } from '../system.js';
+import type { Cut, SimDisk } from '../world.js';
+import type { Machine } from './machine.js';
+import { BOUNDS } from './size.js';
+
+/** Faults of one core; each counts as a loss while it lasts and for `catchUpMs` after. */
+const CORE_FAULTS = [
+  'kill',
+  'power',
+  'stop',
+  'freeze',
+  'cut',
+  'deaf',
+  'mute',
+  'wipe',
+  'replace',
+  'disk stall',
+  'disk full',
+] as const;
+type CoreFault = (typeof CORE_FAULTS)[number];
+
+const EDGE_FAULTS = ['kill', 'stop', 'freeze', 'cut', 'deaf', 'mute'] as const;
+const WORKER_FAULTS = ['restart', 'dark', 'leave'] as const;
+
+const LONG_CUT_MS = 20_000;
+const STOPPED_MS = 200;
+const DRAIN_MS = 4000;
+const SLOW_DISK_MS = 40;
+const LOSSY_RATIO = 0.05;
+/** A successor has joined, been made a voter and caught up by then. */
+const SUCCESSOR_MS = BOUNDS.catchUpMs;
+
+/** Cuts between a machine and all others: both directions, or one. */
+function cutOf(kind: 'cut' | 'deaf' | 'mute', name: string): Cut {
+  if (kind === 'deaf') return (_from, to) => to === name;
+  if (kind === 'mute') return (from) => from === name;
+  return (from, to) => (from === name) !== (to === name);
+}
+
+/**
+ * Injects faults by chance, and no more core losses at once than the system is to bear.
+ * @example
+ * faults.core(faults.anyCore());
+ */
+export class Faults {
+  /** What was injected, for reports. */
+  readonly injected: string[] = [];
+  #system: System;
+  #dice: Dice;
+  /** Until when each core counts as lost. */
+  #lostUntilMs = new Map<Machine, number>();
+  #replacing = false;
+
+  constructor(system: System) {
+    this.#system = system;
+    this.#dice = system.dice;
+  }
+
+  #roll(most: number): number {
+    return Math.floor(this.#dice.next() * most);
+  }
+
+  #pick<T>(list: readonly T[]): T | undefined {
+    return list[this.#roll(list.length)];
+  }
+
+  #inject(what: string, machine?: Machine): void {
+    this.injected.push(machine === undefined ? what : `${what} ${machine.name}`);
+    this.#system.note(machine?.name ?? '', what);
+  }
+
+  #after(waitMs: number, act: () => void): void {
+    this.#system.time.after(waitMs, act);
+  }
+
+  // Losses.
+
+  /** Cores that count as lost now. */
+  get lost(): number {
+    const nowMs = this.#system.time.nowMs();
+    for (const [core, untilMs] of this.#lostUntilMs) if (untilMs < nowMs) this.#lostUntilMs.delete(core);
+    return this.#lostUntilMs.size;
+  }
+
+  /** Whether another core may be lost now. */
+  get mayLose(): boolean {
+    return this.lost < this.#system.size.lossesBorne && !this.#replacing;
+  }
+
+  #lose(core: Machine, forMs: number): void {
+    this.#lostUntilMs.set(core, this.#system.time.nowMs() + forMs + BOUNDS.catchUpMs);
+  }
+
+  /** A core that is not lost; the coordinator as often as all others together. */
+  wholeCore(): Machine | undefined {
+    const { cores } = this.#system;
+    const whole = cores.filter((core) => core.running !== undefined && !this.#lostUntilMs.has(core));
+    const leader = this.#system.leader();
+    if (leader !== undefined && whole.includes(leader) && this.#dice.next() < 0.5) return leader;
+    return this.#pick(whole);
+  }
+
+  // Faults of cores.
+
+  /** Any fault of one core, for up to some seconds. */
+  anyCore(): void {
+    const core = this.mayLose ? this.wholeCore() : undefined;
+    if (core !== undefined) this.core(core, this.#pick(CORE_FAULTS) ?? 'kill', 300 + this.#roll(4000));
+  }
+
+  core(core: Machine, kind: CoreFault, forMs: number): void {
+    const system = this.#system;
+    this.#inject(kind, core);
+    this.#lose(core, forMs);
+    switch (kind) {
+      case 'kill':
+        system.kill(core);
+        return this.#bootAfter(core, forMs);
+      case 'power':
+        system.losePower(core);
+        return this.#bootAfter(core, forMs);
+      case 'stop':
+        system.stop(core);
+        return this.#bootAfter(core, forMs + STOPPED_MS);
+      case 'freeze':
+        return system.freeze(core, forMs);
+      case 'cut':
+      case 'deaf':
+      case 'mute':
+        return this.#after(forMs, system.cut(`${kind} ${core.name}`, cutOf(kind, core.name)));
+      case 'wipe':
+        system.losePower(core);
+        core.disk?.wipe();
+        return this.#bootAfter(core, forMs);
+      case 'replace':
+        return this.#replace(core, forMs);
+      case 'disk stall':
+        if (core.disk !== undefined) core.disk.stallUntilMs = system.time.nowMs() + forMs;
+        system.disturbed(core);
+        return this.#after(forMs, () => system.disturbed(core));
+      case 'disk full':
+        return this.#fillDisk(core, forMs);
+    }
+  }
+
+  #bootAfter(core: Machine, waitMs: number): void {
+    this.#after(waitMs, () => this.#system.boot(core));
+  }
+
+  /** The machine is lost for good; an empty one comes later, at an address of its own. */
+  #replace(core: Machine, forMs: number): void {
+    this.#system.remove(core);
+    const successor = this.#system.addCore(core.zone);
+    this.#lostUntilMs.delete(core);
+    this.#lose(successor, forMs);
+    this.#bootAfter(successor, forMs);
+  }
+
+  /** The process ends at its next write; it can start again once there is room. */
+  #fillDisk(core: Machine, forMs: number): void {
+    const { disk } = core;
+    if (disk === undefined) return;
+    disk.full = true;
+    this.#system.disturbed(core);
+    this.#after(forMs, () => {
+      disk.full = false;
+      this.#system.disturbed(core);
+      this.#system.boot(core);
+    });
+  }
+
+  /** A disk that is slow, but does sync: the core is not lost. */
+  slowDisk(): void {
+    const core = this.wholeCore();
+    if (core?.disk === undefined) return;
+    const { disk } = core;
+    this.#inject('disk slow', core);
+    disk.slowMs = SLOW_DISK_MS;
+    this.#after(1000 + this.#roll(6000), () => {
+      disk.slowMs = 0;
+    });
+  }
+
+  /** The coordinator is cut off for 20 s and more, in both directions or in one. */
+  longCut(): void {
+    const leader = this.#system.leader();
+    if (!this.mayLose || leader === undefined) return;
+    this.core(leader, this.#pick(['cut', 'deaf', 'mute'] as const) ?? 'cut', LONG_CUT_MS + this.#roll(6000));
+  }
+
+  /** As many cores as may be lost at once; and as many others right after those have caught up. */
+  secondLoss(): void {
+    const { size } = this.#system;
+    if (this.lost > 0 || this.#replacing) return;
+    const forMs = 300 + this.#roll(2000);
+    const kinds = ['kill', 'power', 'wipe', 'replace'] as const;
+    this.#inject('second loss after catch-up');
+    const first: Machine[] = [];
+    for (let count = 0; count < size.lossesBorne; count += 1) {
+      const core = this.wholeCore();
+      if (core === undefined) continue;
+      first.push(core);
+      this.core(core, this.#pick(kinds) ?? 'kill', forMs);
+    }
+    this.#after(forMs + BOUNDS.catchUpMs + 10, () => {
+      if (this.lost > 0) return;
+      const others = this.#system.cores.filter((core) => core.running !== undefined && !first.includes(core));
+      for (const core of others.slice(0, size.lossesBorne))
+        this.core(core, this.#pick(kinds) ?? 'kill', forMs);
+    });
+  }
+
+  /** Planned replacement: the new machine first, then the old one is asked to end and is removed. */
+  planned(): void {
+    const system = this.#system;
+    const core = this.lost > 0 || this.#replacing ? undefined : this.wholeCore();
+    if (core === undefined) return;
+    this.#replacing = true;
+    this.#inject('planned replacement', core);
+    const successor = system.addCore(core.zone);
+    system.boot(successor);
+    this.#after(SUCCESSOR_MS, () => {
+      system.stop(core);
+      this.#after(STOPPED_MS, () => {
+        system.remove(core);
+        this.#lose(successor, 0);
+        this.#replacing = false;
+      });
+    });
+  }
+
+  /** All cores are killed, or lose power, and come back. */
+  allCores(kind: 'kill' | 'power'): void {
+    const { cores } = this.#system;
+    this.#inject(`all cores ${kind}`);
+    for (const core of cores) {
+      if (kind === 'kill') this.#system.kill(core);
+      else this.#system.losePower(core);
+      if (!core.removed) this.#lose(core, 1500);
+    }
+    for (const core of cores) this.#bootAfter(core, 300 + this.#roll(1200));
+  }
+
+  /** Power of all cores is lost soon after a change was sent, before or after it is acknowledged. */
+  powerDuringChange(send: () => void): void {
+    send();
+    this.#after(5 + this.#roll(395), () => this.allCores('power'));
+  }
+
+  /** All cores lose power as soon as the next order is acknowledged. */
+  powerAfterAcknowledgement(send: () => void): void {
+    const { operators } = this.#system;
+    operators.onAnswer = (kind) => {
+      if (kind !== 'agreed') return;
+      operators.onAnswer = undefined;
+      this.allCores('power');
+    };
+    send();
+  }
+
+  // Faults of other machines and of the network.
+
+  anyEdge(): void {
+    const system = this.#system;
+    const edge = this.#pick(system.edges.filter((known) => known.running !== undefined));
+    if (edge === undefined) return;
+    const forMs = 300 + this.#roll(5000);
+    const kind = this.#pick(EDGE_FAULTS) ?? 'kill';
+    this.#inject(kind, edge);
+    switch (kind) {
+      case 'freeze':
+        return system.freeze(edge, forMs);
+      case 'cut':
+      case 'deaf':
+      case 'mute':
+        return this.#after(forMs, system.cut(`${kind} ${edge.name}`, cutOf(kind, edge.name)));
+      case 'stop':
+        system.stop(edge);
+        return this.#bootAfter(edge, forMs + STOPPED_MS);
+      case 'kill':
+        system.kill(edge);
+        return this.#bootAfter(edge, forMs);
+    }
+  }
+
+  anyWorker(): void {
+    const { workers, time } = this.#system;
+    if (workers.members.some((known) => known.away || known.leaving)) return;
+    const worker = this.#pick(workers.members.filter((known) => !known.dark));
+    if (worker === undefined) return;
+    const forMs = 300 + this.#roll(3000);
+    const kind = this.#pick(WORKER_FAULTS) ?? 'restart';
+    this.#inject(`${kind} worker ${worker.address}`);
+    if (kind === 'restart') return worker.restart();
+    if (kind === 'dark') {
+      worker.dark = true;
+      return time.after(forMs, () => {
+        worker.dark = false;
+      });
+    }
+    workers.leave(worker);
+    this.#after(DRAIN_MS, () => {
+      worker.away = true;
+      this.#after(forMs, () => {
+        worker.away = false;
+        worker.restart();
+      });
+    });
+  }
+
+  /** A whole zone goes down or is cut off: its cores, edges and workers. */
+  zone(kind: 'loss' | 'cut'): void {
+    const system = this.#system;
+    const zone = this.#pick(system.size.zones) ?? '';
+    const cores = system.cores.filter((core) => core.zone === zone && !core.removed);
+    if (!this.mayLose || this.lost + cores.length > system.size.lossesBorne) return;
+    const forMs = 1000 + this.#roll(4000);
+    this.#inject(`zone ${kind} ${zone}`);
+    const machines = system.machines.filter((machine) => machine.zone === zone);
+    const workers = system.workers.members.filter((worker) => worker.zone === zone);
+    for (const core of cores) this.#lose(core, forMs);
+    if (kind === 'cut') {
+      const inside = new Set([...machines.map(({ name }) => name), ...workers.map(({ address }) => address)]);
+      const heal = system.cut(`zone ${zone}`, (from, to) => inside.has(from) !== inside.has(to));
+      return this.#after(forMs, heal);
+    }
+    for (const machine of machines) {
+      system.losePower(machine);
+      this.#bootAfter(machine, forMs);
+    }
+    for (const worker of workers.filter((known) => !known.away && !known.leaving)) {
+      worker.away = true;
+      this.#after(forMs, () => {
+        worker.away = false;
+        worker.restart();
+      });
+    }
+  }
+
+  /** More frames are lost for a while. */
+  lossy(): void {
+    const { network } = this.#system;
+    const before = network.lossRatio;
+    if (before === LOSSY_RATIO) return;
+    this.#inject('lossy network');
+    network.lossRatio = LOSSY_RATIO;
+    this.#after(1000 + this.#roll(4000), () => {
+      network.lossRatio = before;
+    });
+  }
+
+  /** Answers to operators are lost for a while, up to 0.7 of them. */
+  loseAnswers(): void {
+    const { operators } = this.#system;
+    if (operators.answerLossRatio > 0) return;
+    this.#inject('answers lost');
+    operators.answerLossRatio = 0.2 + this.#dice.next() * 0.5;
+    this.#after(2000 + this.#roll(8000), () => {
+      operators.answerLossRatio = 0;
+    });
+  }
+
+  /** Every disk that is full has room again, and all machines run. */
+  restoreAll(): void {
+    for (const machine of this.#system.machines) {
+      if (machine.disk !== undefined) restoreDisk(machine.disk);
+      this.#system.boot(machine);
+    }
+  }
+}
+
+function restoreDisk(disk: SimDisk): void {
+  disk.full = false;
+  disk.slowMs = 0;
+}
--- /dev/null
+++ b/packages/simulator/src/system/invariants.ts
@@ -0,0 +1,305 @@
+/** The rules that must hold while a simulated system runs, and those at its end. */
+import type { Follower } from '@rainrun/cluster-node';
+import type { Deployment } from '@rainrun/configuration';
+import type { VirtualTime } from '../world.js';
+import { canonicalText, changeIdOf, patchDocument, type Document } from './configuration.js';
+import type { Demand } from './demand.js';
+import type { Expectations } from './expectations.js';
+import type { ChangeOrder, Read } from './history.js';
+import { checkLinearizable } from './linearizability.js';
+import type { Machine, Process } from './machine.js';
+import type { Network } from './network.js';
+import type { OperatorClient } from './operator-client.js';
+import { LEASE_MS } from './processes.js';
+import { BOUNDS, type SystemSize } from './size.js';
+import type { WorkerPool } from './workers.js';
+import { checkZones } from './zone-history.js';
+
+const PROBE_MS = 50;
+
+/** What the checks look at. */
+export interface InvariantContext {
+  readonly time: VirtualTime;
+  readonly size: SystemSize;
+  readonly network: Network;
+  readonly workers: WorkerPool;
+  readonly demand: Demand;
+  readonly operators: OperatorClient;
+  readonly expectations: Expectations;
+  readonly cores: readonly Machine[];
+  readonly edges: readonly Machine[];
+  breach(rule: string, detail: string): void;
+}
+
+/**
+ * Looks at all machines every 50 ms, and once more when all is calm.
+ * @example
+ * invariants.open();
+ */
+export class Invariants {
+  #context: InvariantContext;
+  /** When a core was last disturbed. */
+  #disturbedMs = 0;
+  /** When the state that each change wrote was first seen on a node. */
+  #firstSeen = new Map<string, { readonly read: Read; readonly text: string }>();
+  #seenStates = new WeakSet<Deployment>();
+
+  constructor(context: InvariantContext) {
+    this.#context = context;
+  }
+
+  open(): void {
+    this.#context.time.after(PROBE_MS, () => this.open());
+    this.#probe();
+  }
+
+  /** The bounds count anew for a machine, and for all if it is a core. */
+  disturbed(machine: Machine): void {
+    const nowMs = this.#context.time.nowMs();
+    if (machine.running !== undefined) machine.running.touchMs = nowMs;
+    if (machine.disk !== undefined) this.#disturbedMs = nowMs;
+  }
+
+  /** Whether the core has been undisturbed, and more than half of it connected, for long enough. */
+  settled(): boolean {
+    return (
+      this.#context.time.nowMs() - this.#disturbedMs > BOUNDS.contactMs &&
+      this.#reaching().length > this.#context.size.cores / 2
+    );
+  }
+
+  /** Running cores that reach, both ways, more than half of the core. */
+  #reaching(): Machine[] {
+    const { cores, network, size } = this.#context;
+    const up = cores.filter((core) => core.running?.frozen === false);
+    return up.filter((core) => {
+      const met = up.filter((other) => other === core || !network.isApart(core.name, other.name));
+      return met.length > size.cores / 2;
+    });
+  }
+
+  #probe(): void {
+    const reaching = this.#reaching();
+    const settled = this.settled();
+    for (const core of this.#context.cores) this.#probeCore(core, reaching, settled);
+    for (const edge of this.#context.edges) this.#probeEdge(edge, reaching, settled);
+    this.#probeShares();
+    this.#probeHolders();
+    if (settled) this.#probeOrders();
+  }
+
+  #probeCore(core: Machine, reaching: readonly Machine[], settled: boolean): void {
+    this.#neverBack(core);
+    const { running } = core;
+    if (running?.replica === undefined || running.frozen) return;
+    const nowMs = this.#context.time.nowMs();
+    if (!reaching.includes(core)) running.touchMs = nowMs;
+    const { state, group } = running.replica;
+    if (group.dutyEpoch() !== undefined)
+      this.#checkLack('leads with old state', core, state, nowMs - LEASE_MS);
+    if (settled && nowMs - running.touchMs > BOUNDS.contactMs)
+      this.#checkLack('core behind', core, state, nowMs - BOUNDS.applyMs);
+  }
+
+  #checkLack(rule: string, machine: Machine, state: Deployment, beforeMs: number): void {
+    const lack = this.#context.expectations.lacks(state, beforeMs);
+    if (lack !== undefined) this.#context.breach(rule, `${machine.name}: ${lack}`);
+  }
+
+  #probeEdge(edge: Machine, reaching: readonly Machine[], settled: boolean): void {
+    this.#neverBack(edge);
+    const { running } = edge;
+    if (running?.follower === undefined || running.frozen) return;
+    const nowMs = this.#context.time.nowMs();
+    const { network } = this.#context;
+    const reached = reaching.length > 0 && reaching.every((core) => !network.isApart(core.name, edge.name));
+    if (!reached) running.touchMs = nowMs;
+    if (!settled || nowMs - running.touchMs <= BOUNDS.contactMs) return;
+    this.#checkLack('applied in time', edge, running.follower.state, nowMs - BOUNDS.applyMs);
+    this.#probeDrains(edge, running.follower);
+  }
+
+  #probeDrains(edge: Machine, follower: Follower): void {
+    const { time, workers } = this.#context;
+    for (const worker of follower.workers.values()) {
+      const sinceMs = Math.max(workers.leavingSince(worker.id), this.#disturbedMs + BOUNDS.contactMs);
+      if (!worker.leaving && time.nowMs() - sinceMs > BOUNDS.drainMs)
+        this.#context.breach('drain', `${edge.name} may still send to ${worker.id}`);
+    }
+  }
+
+  /** What all edges share, such as further sends, each divides by no fewer edges than there are. */
+  #probeShares(): void {
+    const nowMs = this.#context.time.nowMs();
+    const steady = this.#context.edges.filter(
+      ({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs,
+    );
+    for (const { name, running } of steady) {
+      const edges = running?.follower?.edges ?? 0;
+      if (edges < steady.length)
+        this.#context.breach('share', `${name} divides by ${edges} where ${steady.length} edges are at work`);
+    }
+  }
+
+  #probeHolders(): void {
+    const holders = this.#context.cores.filter(
+      (core) => core.running?.frozen === false && core.running.replica?.group.dutyEpoch() !== undefined,
+    );
+    if (holders.length > 1)
+      this.#context.breach(
+        'one holder',
+        `${holders.map((core) => core.name).join(' and ')} both have the duty`,
+      );
+  }
+
+  /** Orders are answered in time, unless their answers are lost on the way. */
+  #probeOrders(): void {
+    const { operators, time } = this.#context;
+    if (operators.answerLossRatio > 0) return;
+    for (const order of operators.underWay) {
+      const sinceMs = Math.max(order.bornMs, this.#disturbedMs + BOUNDS.contactMs, operators.lossEndedMs);
+      if (time.nowMs() - sinceMs > BOUNDS.ackMs)
+        this.#context.breach('late answer', `${order.request.kind} of ${order.bornMs.toFixed(0)}`);
+    }
+  }
+
+  #neverBack(machine: Machine): void {
+    const { running } = machine;
+    const state = stateOf(running);
+    if (running === undefined || state === undefined) return;
+    if (state.edition < running.edition)
+      this.#context.breach(
+        'never back',
+        `${machine.name} went from edition ${running.edition} to ${state.edition}`,
+      );
+    running.edition = state.edition;
+    this.#observe(machine, state);
+  }
+
+  /**
+   * A state that stands on any node was decided, and so belongs to the history.
+   * When it takes effect is open: a core may hold it before its operator or any
+   * reader is told.
+   */
+  #observe(machine: Machine, state: Deployment): void {
+    if (this.#seenStates.has(state) || state.document === undefined) return;
+    this.#seenStates.add(state);
+    const text = canonicalText(state.document);
+    const key = changeIdOf(state.revision, state.document) ?? '';
+    const known = this.#firstSeen.get(key);
+    if (known !== undefined && known.text !== text)
+      this.#context.breach('one document', `${machine.name} holds another document under ${key}`);
+    if (known !== undefined) return;
+    const read = this.#readOf(machine, state, -Infinity, Infinity);
+    this.#firstSeen.set(key, { read, text });
+  }
+
+  #readOf(machine: Machine, state: Deployment, invokedMs: number, respondedMs: number): Read {
+    return {
+      reader: machine.name,
+      invokedMs,
+      respondedMs,
+      revision: state.revision,
+      changeId: changeIdOf(state.revision, state.document),
+    };
+  }
+
+  /** Checks what must hold once all is calm: acknowledged state everywhere, a whole core, every model in demand served. */
+  checkEnd(): void {
+    const { cores, edges, size } = this.#context;
+    for (const machine of [...cores, ...edges]) this.#checkMachine(machine);
+    const leads = cores.some((core) => core.running?.replica?.group.dutyEpoch() !== undefined);
+    if (!leads) this.#context.breach('recovers', 'no core has the duty');
+    const wanted = Math.min(2 * size.lossesBorne + 1, cores.filter((core) => !core.removed).length);
+    const voters = countVoters(cores);
+    if (voters < wanted) this.#context.breach('recovers', `${voters} voters, wanted ${wanted}`);
+    for (const order of this.#context.operators.underWay)
+      this.#context.breach('late answer', `${order.request.kind} is not answered`);
+    this.#checkDemand();
+    this.#checkHistory();
+  }
+
+  #checkMachine(machine: Machine): void {
+    const { running } = machine;
+    const { breach } = this.#context;
+    if (running === undefined) {
+      if (!machine.removed) breach('end', `${machine.name} does not run`);
+      return;
+    }
+    const state = stateOf(running);
+    if (state !== undefined) this.#checkLack('acknowledged stays', machine, state, Infinity);
+    const { replica, follower } = running;
+    if (replica?.group.granted() === false)
+      breach('recovers', `${machine.name} is not in a group with a majority`);
+    if (follower?.ready === false) breach('recovers', `${machine.name} is not ready`);
+    if (follower?.informed === false) breach('recovers', `${machine.name} hears no core with a majority`);
+  }
+
+  #checkDemand(): void {
+    const { demand, edges } = this.#context;
+    for (const need of demand.needs) {
+      const what = need.adapter === '' ? need.model : `${need.model}/${need.adapter}`;
+      for (const edge of edges)
+        if (!demand.finds(edge, need))
+          this.#context.breach('placed', `${edge.name} knows no worker with ${what}`);
+    }
+  }
+
+  /** The operators' history, with all states that were seen and those that stand now, is linearizable. */
+  #checkHistory(): void {
+    const { operators, cores, edges, time } = this.#context;
+    const nowMs = time.nowMs();
+    const last = [...cores, ...edges].flatMap((machine) => {
+      const state = stateOf(machine.running);
+      return state === undefined ? [] : [this.#readOf(machine, state, nowMs, nowMs)];
+    });
+    const seen = [...this.#firstSeen.values()].map(({ read }) => read);
+    const reads = [...operators.reads, ...seen, ...last];
+    const { violations, chain } = checkLinearizable({ changes: operators.changes, reads });
+    for (const violation of violations) this.#context.breach('linearizable', violation);
+    if (violations.length === 0) this.#checkDocuments(chain);
+    this.#checkZones(nowMs);
+  }
+
+  /** Every document that was seen is the one that the chain of changes makes. */
+  #checkDocuments(chain: readonly ChangeOrder[]): void {
+    const { operators } = this.#context;
+    let document: Document = {};
+    for (const change of chain) {
+      const request = operators.requestOf(change);
+      if (request?.kind === 'put') ({ document } = request);
+      if (request?.kind === 'patch') document = patchDocument(document, request.patch);
+      const seen = this.#firstSeen.get(change.id);
+      if (seen !== undefined && seen.text !== canonicalText(document))
+        this.#context.breach(
+          'one document',
+          `${seen.read.reader} holds another document than change ${change.id} makes`,
+        );
+    }
+  }
+
+  #checkZones(atMs: number): void {
+    const { operators, cores, edges, size } = this.#context;
+    const reads = [...cores, ...edges].flatMap((machine) => {
+      const state = stateOf(machine.running);
+      if (state === undefined) return [];
+      return size.zones.map((zone) => ({
+        reader: machine.name,
+        zone,
+        atMs,
+        evacuated: state.evacuated.includes(zone),
+      }));
+    });
+    for (const violation of checkZones(operators.zoneOrders, reads))
+      this.#context.breach('evacuations', violation);
+  }
+}
+
+function stateOf(running: Process | undefined): Deployment | undefined {
+  return running?.replica?.state ?? running?.follower?.state;
+}
+
+/** How many voters the core with the most knows of. */
+export function countVoters(cores: readonly Machine[]): number {
+  return Math.max(0, ...cores.map((core) => core.running?.replica?.group.held?.voters.length ?? 0));
+}
--- /dev/null
+++ b/packages/simulator/src/system/network.ts
@@ -0,0 +1,75 @@
+/** The network between the machines: each direction keeps its order, as TCP does. */
+import { pack, unpack, type Frame } from '@rainrun/messages';
+import type { Dice } from '@rainrun/common';
+import type { Cut, VirtualTime } from '../world.js';
+import type { Machine } from './machine.js';
+
+const LEAST_LATENCY_MS = 0.5;
+const JITTER_MS = 2;
+const SLOW_SHARE = 0.01;
+const SLOW_MS = 60;
+/** A frozen process loses what arrives beyond so many waiting acts. */
+const WAITING_MOST = 5000;
+
+/**
+ * Carries frames between machines; late, lossy, cut in one or both directions.
+ * @example
+ * network.post(machine, 'core-0:1', frame);
+ */
+export class Network {
+  /** Share of frames that are lost. */
+  lossRatio = 0.002;
+  #time: VirtualTime;
+  #dice: Dice;
+  #machines: () => readonly Machine[];
+  #cuts = new Set<Cut>();
+  #arrivals = new Map<string, number>();
+
+  constructor(time: VirtualTime, dice: Dice, machines: () => readonly Machine[]) {
+    this.#time = time;
+    this.#dice = dice;
+    this.#machines = machines;
+  }
+
+  addCut(cut: Cut): void {
+    this.#cuts.add(cut);
+  }
+
+  /** Whether the cut was still there. */
+  removeCut(cut: Cut): boolean {
+    return this.#cuts.delete(cut);
+  }
+
+  /** Whether nothing gets through now from one name or address to another. */
+  isCut(from: string, to: string): boolean {
+    for (const cut of this.#cuts) if (cut(from, to)) return true;
+    return false;
+  }
+
+  /** Whether two machines are cut off from each other in either direction. */
+  isApart(one: string, other: string): boolean {
+    return this.isCut(one, other) || this.isCut(other, one);
+  }
+
+  post(sender: Machine, address: string, frame: Frame): void {
+    const target = this.#machines().find((known) => known.address === address);
+    if (sender.running === undefined || target === undefined) return;
+    const bytes = pack(frame);
+    if (this.#dice.next() < this.lossRatio) return;
+    const nowMs = this.#time.nowMs();
+    const direction = `${sender.name} ${address}`;
+    const slowMs = this.#dice.next() < SLOW_SHARE ? SLOW_MS : 0;
+    const latencyMs = LEAST_LATENCY_MS + this.#dice.next() * JITTER_MS + slowMs;
+    const atMs = Math.max(this.#arrivals.get(direction) ?? 0, nowMs + latencyMs);
+    this.#arrivals.set(direction, atMs);
+    this.#time.after(atMs - nowMs, () => this.#arrive(sender, target, bytes));
+  }
+
+  #arrive(sender: Machine, target: Machine, bytes: Uint8Array): void {
+    const { running } = target;
+    if (running === undefined || this.isCut(sender.name, target.name)) return;
+    const frame = unpack(bytes, 'system');
+    if (frame.isErr || running.waiting.length > WAITING_MOST) return;
+    target.perform(running, () => (running.replica ?? running.follower)?.receive(frame.value));
+  }
+}
--- /dev/null
+++ b/packages/simulator/src/system/operator-client.ts
@@ -0,0 +1,247 @@
+/**
+ * How operators send their orders: to any core on a list that lags, again to
+ * another core after a failure, a 5xx or silence, and the same order until its
+ * answer is clear. Everything is recorded for the checkers.
+ */
+import type { Dice } from '@rainrun/common';
+import type { VirtualTime } from '../world.js';
+import { changeIdOf, type Document } from './configuration.js';
+import type { CoreDirectory } from './core-directory.js';
+import type { Attempt, ChangeOrder, History, Outcome, Read, ZoneOrder } from './history.js';
+import type { Machine } from './machine.js';
+import {
+  answerOperator,
+  type ChangeRequest,
+  type OperatorReply,
+  type OperatorRequest,
+} from './operator-desk.js';
+
+/** How an order ended: `agreed`, a kind of fault, or `given up`. */
+export interface OrderEnd {
+  readonly kind: string;
+  readonly atMs: number;
+  /** The configuration that was read. */
+  readonly document?: Document;
+}
+
+/** An order that is under way or done. */
+export interface Order {
+  readonly request: OperatorRequest;
+  readonly bornMs: number;
+  /** It is sent again until this moment. */
+  readonly untilMs: number;
+  /** Recorded attempts; shared with the history's entry. */
+  readonly attempts: Attempt[];
+  end: OrderEnd | undefined;
+}
+
+/** What the client needs of the system around it. */
+export interface OperatorContext {
+  readonly time: VirtualTime;
+  readonly dice: Dice;
+  readonly directory: CoreDirectory;
+  machineAt(address: string): Machine | undefined;
+  note(node: string, text: string): void;
+}
+
+const PATIENCE_MS = 1000;
+const REDIRECTS_MOST = 2;
+const FIRST_PAUSE_MS = 20;
+const PAUSE_GROWTH = 1.5;
+const LONGEST_PAUSE_MS = 500;
+/** Statuses that say nothing clear: the order is sent again. */
+const UNCLEAR: ReadonlySet<number> = new Set([408, 429]);
+
+/**
+ * Sends orders and keeps their history.
+ * @example
+ * client.send({ kind: 'put', base: 0, document }, true, (end) => note(end.kind));
+ */
+export class OperatorClient {
+  /** When answers were last lost on their way. */
+  lossEndedMs = -Infinity;
+  readonly orders: Order[] = [];
+  readonly changes: ChangeOrder[] = [];
+  readonly reads: Read[] = [];
+  readonly zoneOrders: ZoneOrder[] = [];
+  /** Called for each clear answer. */
+  onAnswer: ((kind: string) => void) | undefined;
+  #context: OperatorContext;
+  #answerLossRatio = 0;
+  #requests = new Map<ChangeOrder, OperatorRequest>();
+
+  constructor(context: OperatorContext) {
+    this.#context = context;
+  }
+
+  /** Share of answers that are lost on their way. */
+  get answerLossRatio(): number {
+    return this.#answerLossRatio;
+  }
+
+  set answerLossRatio(ratio: number) {
+    this.#answerLossRatio = ratio;
+    this.lossEndedMs = this.#context.time.nowMs();
+  }
+
+  /** What was sent for a change. */
+  requestOf(change: ChangeOrder): OperatorRequest | undefined {
+    return this.#requests.get(change);
+  }
+
+  get history(): History {
+    return { changes: this.changes, reads: this.reads };
+  }
+
+  /** Orders without a clear answer. */
+  get underWay(): readonly Order[] {
+    return this.orders.filter((order) => order.end === undefined);
+  }
+
+  /** Sends an order until its answer is clear. `valid` says whether a core may accept it. */
+  send(
+    request: OperatorRequest,
+    valid: boolean,
+    done: (end: OrderEnd) => void = () => undefined,
+    forMs = Infinity,
+  ): Order {
+    const bornMs = this.#context.time.nowMs();
+    const order: Order = {
+      request,
+      bornMs,
+      untilMs: bornMs + forMs,
+      attempts: this.#record(request, valid),
+      end: undefined,
+    };
+    this.orders.push(order);
+    this.#attempt(order, undefined, FIRST_PAUSE_MS, done);
+    return order;
+  }
+
+  /** The history's entry of the same change, or a new one. A change is known by its revision and mark. */
+  #record(request: OperatorRequest, valid: boolean): Attempt[] {
+    if (request.kind === 'read') return [];
+    if (request.kind === 'evacuate' || request.kind === 'return') {
+      const attempts: Attempt[] = [];
+      const id = `${request.kind}-${this.zoneOrders.length}`;
+      this.zoneOrders.push({ id, zone: request.zone, evacuated: request.kind === 'evacuate', attempts });
+      return attempts;
+    }
+    return this.#recordChange(request, valid);
+  }
+
+  #recordChange(request: ChangeRequest, valid: boolean): Attempt[] {
+    const { id, revision } = identityOf(request);
+    const known = this.changes.find((change) => change.id === id && change.base === request.base);
+    if (known?.revision === revision) return known.attempts;
+    const change: ChangeOrder = { id, base: request.base, revision, valid, attempts: [] };
+    this.changes.push(change);
+    this.#requests.set(change, request);
+    return change.attempts;
+  }
+
+  #attempt(
+    order: Order,
+    previous: Machine | undefined,
+    pauseMs: number,
+    done: (end: OrderEnd) => void,
+  ): void {
+    const { time, directory, dice } = this.#context;
+    if (time.nowMs() > order.untilMs)
+      return this.#finish(order, { kind: 'given up', atMs: time.nowMs() }, done);
+    const listed = directory.list();
+    const others = listed.filter((core) => core !== previous);
+    const choice = others.length > 0 ? others : listed;
+    const core = choice[Math.floor(dice.next() * choice.length)];
+    const attempt: Attempt = { invokedMs: time.nowMs(), respondedMs: Infinity, outcome: 'unknown' };
+    order.attempts.push(attempt);
+    this.#exchange(order, core, REDIRECTS_MOST, (reply) => {
+      attempt.respondedMs = time.nowMs();
+      attempt.outcome = outcomeOf(order.request, reply);
+      if (attempt.outcome === 'unknown' || reply === undefined) {
+        time.after(pauseMs * (0.5 + dice.next()), () =>
+          this.#attempt(order, core, Math.min(LONGEST_PAUSE_MS, pauseMs * PAUSE_GROWTH), done),
+        );
+        return;
+      }
+      this.#take(order, attempt, core, reply, done);
+    });
+  }
+
+  /** One request and its answer, redirects included; undefined where none came in time. */
+  #exchange(
+    order: Order,
+    core: Machine | undefined,
+    redirects: number,
+    done: (reply: OperatorReply | undefined) => void,
+  ): void {
+    const { time, dice } = this.#context;
+    let open = true;
+    const finish = (reply: OperatorReply | undefined): void => {
+      if (!open) return;
+      open = false;
+      if (reply?.status !== 307 || redirects === 0) return done(reply);
+      this.#exchange(order, this.#context.machineAt(reply.location ?? ''), redirects - 1, done);
+    };
+    time.after(PATIENCE_MS, () => finish(undefined));
+    time.after(0.5 + dice.next() * 2, () => {
+      const running = core?.running;
+      if (core === undefined || running?.replica === undefined) {
+        time.after(1, () => finish(undefined));
+        return;
+      }
+      const context = {
+        replica: running.replica,
+        nowMs: () => time.nowMs() + running.skewMs,
+        after: (waitMs: number, act: () => void) => time.after(waitMs, () => core.perform(running, act)),
+      };
+      core.perform(running, () =>
+        answerOperator(context, order.request, (reply) => {
+          if (dice.next() < this.answerLossRatio) return;
+          time.after(0.5 + dice.next() * 2, () => finish(reply));
+        }),
+      );
+    });
+  }
+
+  #take(
+    order: Order,
+    attempt: Attempt,
+    core: Machine | undefined,
+    reply: OperatorReply,
+    done: (end: OrderEnd) => void,
+  ): void {
+    const { kind, detail, document } = reply;
+    const { request } = order;
+    this.#context.note(core?.name ?? '', `${request.kind} ${kind}: ${detail}`);
+    if (request.kind === 'read') this.#recordRead(attempt, document);
+    const end: OrderEnd = { kind, atMs: attempt.respondedMs };
+    this.#finish(order, document === undefined ? end : { ...end, document }, done);
+    this.onAnswer?.(kind);
+  }
+
+  #recordRead({ invokedMs, respondedMs }: Attempt, document: Document | undefined): void {
+    const revision = Number(document?.['revision'] ?? 0);
+    const changeId = changeIdOf(revision, document);
+    this.reads.push({ reader: 'operator', invokedMs, respondedMs, revision, changeId });
+  }
+
+  #finish(order: Order, end: OrderEnd, done: (end: OrderEnd) => void): void {
+    order.end = end;
+    done(end);
+  }
+}
+
+/** A read before the first configuration is answered with 404: that is a clear answer. */
+function outcomeOf(request: OperatorRequest, reply: OperatorReply | undefined): Outcome {
+  if (reply === undefined || reply.status >= 500 || UNCLEAR.has(reply.status) || reply.status === 307)
+    return 'unknown';
+  if (reply.status < 300 || (request.kind === 'read' && reply.status === 404)) return 'acknowledged';
+  return 'refused';
+}
+
+function identityOf(request: ChangeRequest): { readonly id: string; readonly revision: number } {
+  const written = request.kind === 'put' ? request.document : request.patch.set;
+  const revision = request.kind === 'put' ? Number(request.document['revision']) : request.patch.revision;
+  return { id: changeIdOf(revision, written) ?? '', revision };
+}
--- /dev/null
+++ b/packages/simulator/src/system/operator-load.ts
@@ -0,0 +1,198 @@
+/** The mix of orders that operators send during a simulated day. */
+import type { System } from '../system.js';
+import { makeInvalid, sampleDocument, samplePatch, type Document } from './configuration.js';
+import type { OrderEnd } from './operator-client.js';
+import type { OperatorRequest } from './operator-desk.js';
+import { BOUNDS } from './size.js';
+
+/** No more orders are under way at once. */
+const UNDER_WAY_MOST = 8;
+const OPERATORS = 2;
+const LARGE_ROUTES = 150;
+/** An order that was taken is sent again no later than this. */
+const REPEAT_WITHIN_MS = 10_000;
+
+type OrderKind = 'put' | 'large' | 'patch' | 'race' | 'invalid' | 'zone' | 'read';
+
+/** Weights out of 100. */
+const MIX: readonly (readonly [kind: OrderKind, weight: number])[] = [
+  ['put', 30],
+  ['patch', 33],
+  ['race', 14],
+  ['invalid', 7],
+  ['zone', 5],
+  ['read', 9],
+  ['large', 2],
+];
+
+/** What one operator believes to be in force. */
+interface Belief {
+  revision: number;
+}
+
+/**
+ * Sends orders as two operators do who each know what they were last told.
+ * @example
+ * const load = new OperatorLoad(system);
+ * load.putFirst();
+ * load.storm(200, 30_000);
+ */
+export class OperatorLoad {
+  acknowledged = 0;
+  #system: System;
+  #beliefs: Belief[] = Array.from({ length: OPERATORS }, () => ({ revision: 0 }));
+  #marks = 0;
+  #zonesBusy = new Set<string>();
+
+  constructor(system: System) {
+    this.#system = system;
+  }
+
+  /** Orders that are under way. */
+  get underWay(): number {
+    return this.#system.operators.underWay.length;
+  }
+
+  /** The first configuration, before traffic. */
+  putFirst(): void {
+    this.#change(this.#belief(), 'put');
+  }
+
+  /** One order of any kind, if not too many are under way. */
+  any(): void {
+    if (this.underWay >= UNDER_WAY_MOST) return;
+    const belief = this.#belief();
+    let weight = this.#roll(100);
+    const kind = MIX.find(([, share]) => (weight -= share) < 0)?.[0] ?? 'put';
+    switch (kind) {
+      case 'put':
+      case 'patch':
+      case 'large':
+        return this.#change(belief, kind);
+      case 'race':
+        return this.race();
+      case 'invalid':
+        return this.#invalid(belief);
+      case 'zone':
+        return this.zone();
+      case 'read':
+        return this.#read(belief);
+    }
+  }
+
+  /** Orders one after the other, as many at once as may be. */
+  storm(everyMs: number, forMs: number): void {
+    const { time, dice } = this.#system;
+    const endMs = time.nowMs() + forMs;
+    const next = (): void => {
+      if (time.nowMs() > endMs) return;
+      this.any();
+      time.after(everyMs * (0.5 + dice.next()), next);
+    };
+    next();
+  }
+
+  /** A single valid change, on what is in force. */
+  put(): void {
+    this.#change(this.#belief(), 'put');
+  }
+
+  /** Both operators change the same revision; they may pick the same number. */
+  race(): void {
+    const base = Math.max(...this.#beliefs.map((belief) => belief.revision));
+    const ends: OrderEnd[] = [];
+    const sameNumber = this.#system.dice.next() < 0.5 ? this.#nextRevision(base) : undefined;
+    for (const belief of this.#beliefs) {
+      belief.revision = base;
+      this.#change(belief, this.#roll(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
+    }
+  }
+
+  /** Evacuates a zone, or takes it back. */
+  zone(): void {
+    const { size, expectations } = this.#system;
+    const zone = size.zones[0] ?? '';
+    if (this.#zonesBusy.has(zone)) return;
+    this.#zonesBusy.add(zone);
+    this.#system.zone(zone, expectations.zones.get(zone)?.evacuated !== true, () =>
+      this.#zonesBusy.delete(zone),
+    );
+  }
+
+  #roll(most: number): number {
+    return Math.floor(this.#system.dice.next() * most);
+  }
+
+  #belief(): Belief {
+    return this.#beliefs[this.#roll(OPERATORS)] as Belief;
+  }
+
+  #nextRevision(base: number): number {
+    return base + 1 + this.#roll(4);
+  }
+
+  #change(
+    belief: Belief,
+    kind: 'put' | 'patch' | 'large',
+    revision = this.#nextRevision(belief.revision),
+    done: (end: OrderEnd) => void = () => undefined,
+  ): void {
+    const request = this.#requestFor(belief.revision, kind, revision);
+    this.#system.order(request, true, (end) => {
+      this.#learn(belief, revision, end);
+      if (end.kind === 'agreed' && this.#roll(10) === 0) this.#repeatLater(request);
+      done(end);
+    });
+  }
+
+  #requestFor(base: number, kind: 'put' | 'patch' | 'large', revision: number): OperatorRequest {
+    this.#marks += 1;
+    const mark = `change-${this.#marks}`;
+    if (kind === 'patch' && base > 0)
+      return { kind: 'patch', base, patch: samplePatch(revision, mark, this.#roll(4)) };
+    const routes = kind === 'large' ? LARGE_ROUTES : this.#roll(3);
+    return { kind: 'put', base, document: sampleDocument(revision, this.#system.size.models, mark, routes) };
+  }
+
+  #learn(belief: Belief, revision: number, end: OrderEnd): void {
+    if (end.kind === 'agreed') {
+      this.acknowledged += 1;
+      belief.revision = Math.max(belief.revision, revision);
+    } else this.#read(belief);
+  }
+
+  /** The same order once more: what was taken is acknowledged again. */
+  #repeatLater(request: OperatorRequest): void {
+    const { time, dice } = this.#system;
+    time.after(dice.next() * REPEAT_WITHIN_MS, () => this.#system.order(request, true));
+  }
+
+  #invalid(belief: Belief): void {
+    const base = belief.revision;
+    const document = this.#invalidDocument(base);
+    const invalid = { kind: 'put', base, document } as const;
+    this.#system.order(invalid, false);
+  }
+
+  /** A route to an unknown service, or a revision that is not above its base. */
+  #invalidDocument(base: number): Document {
+    this.#marks += 1;
+    const mark = `invalid-${this.#marks}`;
+    const { models } = this.#system.size;
+    return this.#roll(3) === 0
+      ? sampleDocument(base, models, mark)
+      : makeInvalid(sampleDocument(this.#nextRevision(base), models, mark));
+  }
+
+  #read(belief: Belief): void {
+    this.#system.order(
+      { kind: 'read' },
+      true,
+      (end) => {
+        const revision = Number(end.document?.['revision'] ?? 0);
+        belief.revision = Math.max(belief.revision, revision);
+      },
+      2 * BOUNDS.ackMs,
+    );
+  }
+}
--- /dev/null
+++ b/packages/simulator/src/system/processes.ts
@@ -0,0 +1,267 @@
+/** Starts, drives and ends the processes of a simulated system, on the production code. */
+import { CoreReplica, Follower } from '@rainrun/cluster-node';
+import { randomId, type Dice } from '@rainrun/common';
+import { SPEAKS } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type GroupTimes } from '@rainrun/process-group';
+import type { VirtualTime } from '../world.js';
+import type { Demand } from './demand.js';
+import type { Machine, Process } from './machine.js';
+import type { Network } from './network.js';
+import type { SystemSize } from './size.js';
+import type { WorkerCalls } from './worker-calls.js';
+import { LIST_LAG_MS, type WorkerPool } from './workers.js';
+
+/** Times of the cores as the program sets them. */
+const TIMES: GroupTimes = {
+  ...GROUP_TIMES,
+  replaceMs: 1500,
+  suspectMs: 900,
+  grantMs: 600,
+  helloMs: 100,
+  graceMs: 100,
+};
+/** A coordinator that was succeeded may believe in its duty for so long. */
+export const LEASE_MS = TIMES.grantMs;
+const CORE_TICK_MS = 20;
+const EDGE_TICK_MS = 25;
+const LIST_MS = 500;
+const STOP_MS = 150;
+const SEEDS = 3;
+
+/** What processes need of the system around them. */
+export interface ProcessContext {
+  readonly time: VirtualTime;
+  readonly dice: Dice;
+  readonly size: SystemSize;
+  readonly network: Network;
+  readonly workers: WorkerPool;
+  readonly calls: WorkerCalls;
+  readonly demand: Demand;
+  /** Cores as a settings file that is written now would name them. */
+  listedCores(): readonly Machine[];
+  /** The bounds count anew for this machine, and for all if it is a core. */
+  disturbed(machine: Machine): void;
+  note(node: string, text: string): void;
+  breach(rule: string, detail: string): void;
+}
+
+/**
+ * The processes of all machines.
+ * @example
+ * processes.boot(machine);
+ */
+export class Processes {
+  #context: ProcessContext;
+  #founders: readonly string[] = [];
+
+  constructor(context: ProcessContext) {
+    this.#context = context;
+  }
+
+  /** Names the cores that found the system at its first start. */
+  found(cores: readonly Machine[]): void {
+    this.#founders = cores.slice(0, SEEDS).map((core) => core.address);
+  }
+
+  boot(machine: Machine, founding = false): void {
+    if (machine.running !== undefined || machine.removed) return;
+    const { dice } = this.#context;
+    const skewMs = dice.next() * 1e6;
+    if (machine.disk === undefined) this.#run(machine, skewMs, undefined, this.#follower(machine, skewMs));
+    else {
+      const acceptor = this.#openDisk(machine);
+      if (acceptor === undefined) return;
+      this.#run(machine, skewMs, this.#replica(machine, skewMs, acceptor, founding), undefined);
+    }
+    this.#context.disturbed(machine);
+    this.#context.note(machine.name, 'boots');
+  }
+
+  #openDisk(machine: Machine): Acceptor | undefined {
+    const { disk } = machine;
+    if (disk === undefined) return undefined;
+    const records = disk.open();
+    const opening = readRecords(records, randomId(this.#context.dice));
+    if (opening.isErr) {
+      this.#context.breach('disk reads back', `${machine.name}: ${opening.error.detail}`);
+      return undefined;
+    }
+    const acceptor = new Acceptor(opening.value, disk, 'system', (failed) => {
+      this.#context.note(machine.name, `disk: ${failed.detail}`);
+      this.kill(machine);
+    });
+    if (records.disk === undefined) acceptor.mark();
+    return acceptor;
+  }
+
+  /** The process ends at once; the machine and what it has written stay. */
+  kill(machine: Machine): void {
+    if (machine.running === undefined) return;
+    machine.disk?.endProcess();
+    this.#end(machine, 'killed');
+  }
+
+  /** The machine loses power: what its disk has not synced may be gone. */
+  losePower(machine: Machine): void {
+    machine.disk?.losePower();
+    if (machine.running !== undefined) this.#end(machine, 'loses power');
+  }
+
+  #end(machine: Machine, why: string): void {
+    machine.running = undefined;
+    this.#context.disturbed(machine);
+    this.#context.note(machine.name, why);
+  }
+
+  /** The process is asked to end, and does so in order. */
+  stop(machine: Machine): void {
+    const running = machine.running;
+    if (running === undefined) return;
+    this.#context.disturbed(machine);
+    this.#context.note(machine.name, 'stops');
+    machine.perform(running, () => {
+      running.replica?.group.leave();
+      running.follower?.leave();
+    });
+    this.#context.time.after(STOP_MS, () => {
+      if (machine.running === running) this.kill(machine);
+    });
+  }
+
+  freeze(machine: Machine, waitMs: number): void {
+    const running = machine.running;
+    if (running === undefined || running.frozen) return;
+    running.frozen = true;
+    this.#context.disturbed(machine);
+    this.#context.note(machine.name, `frozen ${waitMs.toFixed(0)}`);
+    this.#context.time.after(waitMs, () => {
+      if (machine.running !== running) return;
+      running.frozen = false;
+      this.#context.disturbed(machine);
+      this.#context.note(machine.name, 'thaws');
+      const { waiting } = running;
+      running.waiting = [];
+      for (const act of waiting) machine.perform(running, act);
+    });
+  }
+
+  #run(
+    machine: Machine,
+    skewMs: number,
+    replica: CoreReplica | undefined,
+    follower: Follower | undefined,
+  ): void {
+    const { time, dice } = this.#context;
+    const running: Process = {
+      skewMs,
+      startedMs: time.nowMs(),
+      replica,
+      follower,
+      frozen: false,
+      waiting: [],
+      leading: false,
+      listedMs: -Infinity,
+      edition: 0,
+      touchMs: time.nowMs(),
+    };
+    machine.running = running;
+    time.after(dice.next() * CORE_TICK_MS, () => this.#tick(machine, running));
+  }
+
+  /** Addresses of some cores, as the operators' list has them: some may be gone. */
+  #seeds(): string[] {
+    const { dice } = this.#context;
+    const listed = [...this.#context.listedCores()];
+    const seeds: string[] = [];
+    while (seeds.length < SEEDS && listed.length > 0) {
+      const [chosen] = listed.splice(Math.floor(dice.next() * listed.length), 1);
+      if (chosen !== undefined) seeds.push(chosen.address);
+    }
+    return seeds;
+  }
+
+  #replica(machine: Machine, skewMs: number, acceptor: Acceptor, founding: boolean): CoreReplica {
+    const { time, dice, size, network, calls } = this.#context;
+    const { name, zone, address } = machine;
+    const replica: CoreReplica = new CoreReplica({
+      name,
+      address,
+      zone,
+      deployment: 'system',
+      seeds: founding ? this.#founders : this.#seeds(),
+      founders: founding ? this.#founders : [],
+      votersWanted: 2 * size.lossesBorne + 1,
+      clock: { nowMs: () => time.nowMs() + skewMs },
+      chance: dice,
+      times: TIMES,
+      acceptor,
+      speaks: SPEAKS,
+      post: (to, frame) => network.post(machine, to, frame),
+      order: (row, order, done) => calls.order(machine, replica, row, order, done),
+      report: (row, done) => calls.report(machine, row, done),
+      listLagMs: LIST_LAG_MS,
+      changed: () => undefined,
+      reborn: () => this.#context.note(name, 'dropped, rejoins'),
+      refused: (why) => this.#context.note(name, `refused: ${why}`),
+      decided: (text) => this.#context.note(name, text),
+    });
+    return replica;
+  }
+
+  #follower(machine: Machine, skewMs: number): Follower {
+    const { time, dice, network, demand } = this.#context;
+    const { name, zone, address } = machine;
+    const follower: Follower = new Follower({
+      name,
+      zone,
+      address,
+      deployment: 'system',
+      seeds: this.#seeds(),
+      clock: { nowMs: () => time.nowMs() + skewMs },
+      chance: dice,
+      post: (to, frame) => network.post(machine, to, frame),
+      wants: () => demand.wantsOf(follower),
+      changed: (what) => {
+        if (what === 'state')
+          this.#context.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
+      },
+    });
+    return follower;
+  }
+
+  #tick(machine: Machine, running: Process): void {
+    if (machine.running !== running) return;
+    const { time, dice, size, demand } = this.#context;
+    const { replica, follower } = running;
+    const everyMs = size.heartbeatMs ?? (replica === undefined ? EDGE_TICK_MS : CORE_TICK_MS);
+    time.after(everyMs * (0.9 + dice.next() * 0.2), () => this.#tick(machine, running));
+    if (running.frozen) return;
+    if (follower !== undefined) {
+      if (demand.isUnserved(follower)) follower.haste();
+      follower.tick();
+    }
+    if (replica === undefined) return;
+    replica.tick();
+    this.#noteCoordination(machine, running, replica);
+    if (running.leading) this.#readList(machine, running, replica);
+  }
+
+  #noteCoordination(machine: Machine, running: Process, replica: CoreReplica): void {
+    const { leading, epoch } = replica.group;
+    if (leading === running.leading) return;
+    this.#context.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
+    running.leading = leading;
+    running.listedMs = -Infinity;
+  }
+
+  /** Reads the platform's list of workers from time to time. */
+  #readList(machine: Machine, running: Process, replica: CoreReplica): void {
+    const { time, dice, workers } = this.#context;
+    if (time.nowMs() - running.listedMs < LIST_MS) return;
+    running.listedMs = time.nowMs();
+    time.after(2 + dice.next() * 8, () => {
+      const list = workers.list();
+      time.after(2 + dice.next() * 8, () => machine.perform(running, () => replica.learnList(list)));
+    });
+  }
+}
--- a/packages/simulator/src/stalls.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -1,6 +1,6 @@
 import { randomId, type Dice } from '@rainrun/common';
 import type { ListedWorker, StockOrder, StockReply } from '@rainrun/placement';
-import type { VirtualTime } from './world.js';
+import type { VirtualTime } from '../world.js';
 
 /** The one service of models of a simulated system. */
 export const SERVICE = 'assist';
@@ -31,7 +31,7 @@
   return 30 + 6 * (Number(model.slice(1)) % 2);
 }
 
-/** Takes note of a rule that was broken. */
+/** Records that a rule was broken. */
 export type Note = (rule: string, detail: string) => void;
 
 interface Taken {
@@ -45,8 +45,8 @@
   readonly done: () => void;
 }
 
-/** One place of the platform at which incarnations of a worker follow each other. */
-export class Stall {
+/** An address of the platform at which incarnations of a worker follow each other. */
+export class SimulatedWorker {
   readonly zone: string;
   readonly address: string;
   id: string;
@@ -56,28 +56,28 @@
   /** Off the platform's list and away. */
   away = false;
   readonly models = new Map<string, Set<string>>();
-  #yard: Yard;
+  #pool: WorkerPool;
   #onDisk = new Set<string>();
   #doing: Doing | undefined;
   #coming = '';
   #taken: Taken[] = [];
 
-  constructor(yard: Yard, zone: string, address: string) {
-    this.#yard = yard;
+  constructor(pool: WorkerPool, zone: string, address: string) {
+    this.#pool = pool;
     this.zone = zone;
     this.address = address;
-    this.id = yard.newId();
+    this.id = pool.newId();
   }
 
   /** Holds a model from the start. */
-  stock(model: string): void {
+  preload(model: string): void {
     this.models.set(model, new Set());
     this.#onDisk.add(model);
   }
 
   /** A new incarnation begins, empty and with nothing remembered; its disk is the same. */
   restart(): void {
-    this.id = this.#yard.newId();
+    this.id = this.#pool.newId();
     this.models.clear();
     this.#doing = undefined;
     this.#coming = '';
@@ -99,7 +99,7 @@
 
   /** An order arrives; undefined: no answer is ever given. */
   order(id: string, holder: string, order: StockOrder): StockReply | undefined {
-    const nowMs = this.#yard.time.nowMs();
+    const nowMs = this.#pool.time.nowMs();
     if (this.dark || this.away) return undefined;
     if (id !== this.id) return 'wrong-worker';
     if (this.#taken.some((taken) => taken.fence > order.fence)) return 'fenced';
@@ -117,7 +117,7 @@
   /** Ends what is done by now. */
   settle(): void {
     const doing = this.#doing;
-    if (doing === undefined || this.#yard.time.nowMs() < doing.untilMs) return;
+    if (doing === undefined || this.#pool.time.nowMs() < doing.untilMs) return;
     this.#doing = undefined;
     doing.done();
   }
@@ -127,7 +127,7 @@
     if (before !== undefined && before.holder !== taken.holder) {
       const back = this.#taken.findLast((known) => known.holder === taken.holder);
       if (back !== undefined && taken.atMs - back.atMs < LEASE_MS)
-        this.#yard.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
+        this.#pool.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
     }
     this.#taken.push(taken);
     if (this.#taken.length > 64) this.#taken.shift();
@@ -139,16 +139,16 @@
       if (adapters === undefined) return 'refused';
       if (adapters.has(adapter)) return 'held';
       adapters.add(adapter);
-      this.#begin(nowMs, 5 + this.#yard.dice.next() * 15, () => undefined);
+      this.#begin(nowMs, 5 + this.#pool.dice.next() * 15, () => undefined);
       this.#checkRoom(`adapter ${adapter} of ${model}`);
       return 'begun';
     }
     if (adapters !== undefined) return 'held';
     const fromDisk = this.#onDisk.has(model);
-    if (!fromDisk) this.#yard.loaded(nowMs);
-    this.#yard.placed(this, model);
+    if (!fromDisk) this.#pool.loaded(nowMs);
+    this.#pool.placed(this, model);
     this.#coming = model;
-    this.#begin(nowMs, ENGINE.loadMs * (fromDisk ? 0.6 : 1) * (0.9 + this.#yard.dice.next() * 0.8), () => {
+    this.#begin(nowMs, ENGINE.loadMs * (fromDisk ? 0.6 : 1) * (0.9 + this.#pool.dice.next() * 0.8), () => {
       this.#coming = '';
       this.#onDisk.add(model);
       this.models.set(model, new Set());
@@ -160,7 +160,7 @@
   #unload({ model, adapter }: StockOrder, nowMs: number): StockReply {
     const adapters = this.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return 'held';
-    this.#begin(nowMs, this.#yard.dice.next() * 200, () => {
+    this.#begin(nowMs, this.#pool.dice.next() * 200, () => {
       if (adapter === '') this.models.delete(model);
       else adapters.delete(adapter);
     });
@@ -179,7 +179,7 @@
           ? `${this.adapters()} adapters of ${ENGINE.adapterPlaces}`
           : undefined;
     if (over === undefined) return;
-    this.#yard.breach(
+    this.#pool.breach(
       'limit',
       `${this.address} ordered to load ${what}: ${over}; holds ${[...this.models.keys()].join(', ')}`,
     );
@@ -188,10 +188,10 @@
 }
 
 /** The platform's workers and its list of them, which lags. */
-export class Yard {
+export class WorkerPool {
   readonly time: VirtualTime;
   readonly dice: Dice;
-  readonly stalls: Stall[] = [];
+  readonly members: SimulatedWorker[] = [];
   readonly breach: Note;
   /** When each load from the store began, and whether it counts. */
   readonly loads: number[] = [];
@@ -209,7 +209,7 @@
     this.dice = dice;
     this.breach = breach;
     for (let place = 0; place < workers; place += 1)
-      this.stalls.push(new Stall(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
+      this.members.push(new SimulatedWorker(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
   }
 
   /** The platform begins to list what stands here. */
@@ -222,9 +222,9 @@
   }
 
   /** A worker is marked as leaving. */
-  leave(stall: Stall): void {
-    stall.leaving = true;
-    this.#leavingMs.set(stall.id, this.time.nowMs());
+  leave(worker: SimulatedWorker): void {
+    worker.leaving = true;
+    this.#leavingMs.set(worker.id, this.time.nowMs());
   }
 
   evacuate(zone: string, evacuated: boolean): void {
@@ -264,12 +264,12 @@
   }
 
   /** A model begins to load in a zone. */
-  placed(stall: Stall, model: string): void {
-    const sinceMs = this.#evacuatedMs.get(stall.zone);
+  placed(worker: SimulatedWorker, model: string): void {
+    const sinceMs = this.#evacuatedMs.get(worker.zone);
     if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATE_MS)
       this.breach(
         'evacuation',
-        `${stall.address} in ${stall.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`,
+        `${worker.address} in ${worker.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`,
       );
   }
 
@@ -283,23 +283,23 @@
 
   /** What a worker says that it holds, as it stood a little before; undefined where it says nothing or is at an order. */
   report(address: string, id: string): ReadonlyMap<string, ReadonlySet<string>> | undefined {
-    const stall = this.stallAt(address);
-    if (stall === undefined || stall.id !== id || stall.dark || stall.away) return undefined;
+    const worker = this.workerAt(address);
+    if (worker === undefined || worker.id !== id || worker.dark || worker.away) return undefined;
     const stoodMs = this.time.nowMs() - this.dice.next() * REPORT_LAG_MS;
     const snapshot = this.#snapshots.findLast((known) => known.atMs <= stoodMs);
     if (snapshot === undefined || snapshot.busy.has(id)) return undefined;
     return snapshot.list.find((listed) => listed.id === id)?.models;
   }
 
-  stallAt(address: string): Stall | undefined {
-    return this.stalls.find((stall) => stall.address === address);
+  workerAt(address: string): SimulatedWorker | undefined {
+    return this.members.find((worker) => worker.address === address);
   }
 
   #snap(): void {
     const nowMs = this.time.nowMs();
-    for (const stall of this.stalls) stall.settle();
-    const list = this.stalls
-      .filter((stall) => !stall.away)
+    for (const worker of this.members) worker.settle();
+    const list = this.members
+      .filter((worker) => !worker.away)
       .map(({ id, address, zone, leaving, models }) => ({
         id,
         service: SERVICE,
@@ -310,7 +310,7 @@
         coldMs: 0,
         models: new Map([...models].map(([model, adapters]) => [model, new Set(adapters)])),
       }));
-    const busy = new Set(this.stalls.filter((stall) => stall.busy).map((stall) => stall.id));
+    const busy = new Set(this.members.filter((worker) => worker.busy).map((worker) => worker.id));
     this.#snapshots.push({ atMs: nowMs, list, busy });
     if (this.#snapshots.length > 2 * (LIST_LAG_MS / LIST_STEP_MS)) this.#snapshots.shift();
     this.time.after(LIST_STEP_MS, () => this.#snap());
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -181,7 +181,17 @@
     return { ...this.#records };
   }
 
-  /** The process is gone: what was not synced may or may not be there, what was is. */
+  /** What a process finds when it opens the disk. */
+  open(): Records {
+    return this.records;
+  }
+
+  /** The process ends, the machine does not: what it has renamed is there, though a loss of power may still undo it. */
+  endProcess(): void {
+    this.#generation += 1;
+  }
+
+  /** The machine loses power: what was not synced may or may not be there, what was is. */
   losePower(): void {
     this.#generation += 1;
     for (const [kind, before] of this.#unsynced) {
