--- a/packages/simulator/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -13,6 +13,7 @@
     --count   how many seeds (default 20)
     --size    small or five (default small)
     --profile what the days are about: mixed, changes, partitions, membership, power (default by seed)
+    --span    whole, short, or long with hundreds of changes (default whole)
     --show    print the timeline of every seed, not only of failing ones
     --brief   print no timeline at all
 `,
@@ -23,6 +24,7 @@
       count: { type: 'number', default: 20 },
       size: { type: 'string', default: 'small', choices: Object.keys(SYSTEMS) },
       profile: { type: 'string', choices: [...PROFILES] },
+      span: { type: 'string', default: 'whole', choices: Object.keys(SPANS) },
       show: { type: 'boolean', default: false },
       brief: { type: 'boolean', default: false },
     },
@@ -35,7 +37,7 @@
 for (let seed = cli.flags.from; seed < cli.flags.from + cli.flags.count; seed += 1) {
   const profile = (cli.flags.profile as Profile | undefined) ?? profileOf(seed);
   const size = SYSTEMS[cli.flags.size as keyof typeof SYSTEMS];
-  const result = runSystemDay(seed, size, SPANS.whole, profile);
+  const result = runSystemDay(seed, size, SPANS[cli.flags.span as keyof typeof SPANS], profile);
   acked += result.acked;
   loads += result.loads;
   if (result.breaches.length > 0) {
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -14,9 +14,10 @@
   readonly backMs: number;
 }
 
-/** A whole day, and one for tests that are run often. */
-export const SPANS: Readonly<Record<'whole' | 'short', DaySpans>> = {
+/** A whole day, one with hundreds of changes, and one for tests that are run often. */
+export const SPANS: Readonly<Record<'whole' | 'short' | 'long', DaySpans>> = {
   whole: { trafficMs: 8000, troubleMs: 32_000, calmMs: 9000, backMs: 14_000 },
+  long: { trafficMs: 8000, troubleMs: 150_000, calmMs: 9000, backMs: 14_000 },
   short: { trafficMs: 4000, troubleMs: 10_000, calmMs: 5000, backMs: 11_000 },
 };
 
--- /dev/null
+++ b/packages/simulator/src/system/disk.test.ts
@@ -0,0 +1,49 @@
+import { describe, it } from 'node:test';
+import { Dice } from '@rainrun/common';
+import { ClaimSchema } from '@rainrun/messages';
+import { create } from '@bufbuild/protobuf';
+import { Acceptor, readRecords } from '@rainrun/process-group';
+import { expect } from 'earl';
+import { SimDisk, VirtualTime } from '../world.js';
+
+const EPOCH = 5;
+
+function openAcceptor(disk: SimDisk): Acceptor {
+  const opening = readRecords(disk.open(), 'disk-1');
+  if (opening.isErr) throw new Error(opening.error.detail);
+  return new Acceptor(opening.value, disk, 'system', () => undefined);
+}
+
+/** Whether a claimant is promised the epoch. */
+function isPromised(disk: SimDisk, time: VirtualTime, claimant: string): boolean {
+  let granted = false;
+  openAcceptor(disk).claim(create(ClaimSchema, { epoch: EPOCH, disk: claimant }), (promise) => {
+    granted = promise.granted;
+  });
+  time.runUntil(time.nowMs() + 1000);
+  return granted;
+}
+
+/** The process is killed between the rename of a promise and the sync of its folder. */
+function killedWhileStoring(time: VirtualTime, disk: SimDisk): void {
+  disk.tap = (step) => {
+    if (step === 'renamed') disk.endProcess();
+  };
+  openAcceptor(disk).claim(create(ClaimSchema, { epoch: EPOCH, disk: 'one' }), () => undefined);
+  time.runUntil(1000);
+  disk.tap = undefined;
+}
+
+describe('an acceptor that was killed before its folder was synced', () => {
+  it('gives no epoch to two claimants, also if power is lost after it has promised again', () => {
+    const outcomes = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
+      const time = new VirtualTime();
+      const disk = new SimDisk(time, new Dice(seed));
+      killedWhileStoring(time, disk);
+      const first = isPromised(disk, time, 'one');
+      disk.losePower();
+      return first && isPromised(disk, time, 'two');
+    });
+    expect(outcomes.filter((bothPromised) => bothPromised)).toEqual([]);
+  });
+});
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -181,8 +181,9 @@
     return { ...this.#records };
   }
 
-  /** What a process finds when it opens the disk. */
+  /** What a process finds when it opens the disk; the folder is synced first, as the program's store does. */
   open(): Records {
+    this.#unsynced.clear();
     return this.records;
   }
 
--- a/packages/storage/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -1,6 +1,6 @@
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { mkdir, open, readdir, readFile, rename, unlink } from 'node:fs/promises';
-import { join } from 'node:path';
+import { dirname, join, resolve } from 'node:path';
 import { fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
@@ -51,6 +51,28 @@
   return fault('disk', thrown instanceof Error ? thrown.message : String(thrown));
 }
 
+async function syncFolder(path: string): Promise<void> {
+  const folder = await open(path, 'r');
+  try {
+    await folder.sync();
+  } finally {
+    await folder.close();
+  }
+}
+
+/** Makes a folder that outlives a loss of power: each folder above that gained an entry is synced. */
+async function makeFolder(path: string): Promise<void> {
+  const firstMade = await mkdir(path, { recursive: true });
+  if (firstMade === undefined) return;
+  const top = dirname(resolve(firstMade));
+  let above = dirname(resolve(path));
+  while (above !== top) {
+    await syncFolder(above);
+    above = dirname(above);
+  }
+  await syncFolder(top);
+}
+
 /**
  * One data folder. Each version of a record is a file of its own, written
  * aside, synced, renamed, and the folder synced; the last two are kept.
@@ -68,12 +90,18 @@
     this.#numbers = numbers;
   }
 
-  /** Opens or makes the folder and reads the newest record of each kind. A damaged newest record is a fault, never guessed around. */
+  /**
+   * Opens or makes the folder and reads the newest record of each kind. A
+   * damaged newest record is a fault, never guessed around. The folder is synced
+   * before anything is built upon what was read: a process that was killed may
+   * have renamed a record and not synced the folder, and a later loss of power
+   * would take that record away again.
+   */
   static async open(folder: string): Promise<Result<{ recordStore: RecordStore; records: Records }, Fault>> {
     const numbers = new Map<RecordKind, number[]>();
     const records: Records = {};
     try {
-      await mkdir(folder, { recursive: true });
+      await makeFolder(folder);
       for (const name of await readdir(folder)) {
         const match = NAME.exec(name);
         if (match === null) {
@@ -93,6 +121,7 @@
         if (bytes.isErr) return Result.err(fault(bytes.error.kind, `${path}: ${bytes.error.detail}`));
         records[kind] = bytes.value;
       }
+      await syncFolder(folder);
     } catch (thrown) {
       return Result.err(diskFault(thrown));
     }
@@ -119,7 +148,7 @@
         await aside.close();
       }
       await rename(`${path}.aside`, path);
-      await this.#syncFolder();
+      await syncFolder(this.#folder);
       this.#numbers.set(kind, [...known, number]);
       await this.#prune(kind);
       return Result.ok();
@@ -128,15 +157,6 @@
     }
   }
 
-  async #syncFolder(): Promise<void> {
-    const folder = await open(this.#folder, 'r');
-    try {
-      await folder.sync();
-    } finally {
-      await folder.close();
-    }
-  }
-
   async #prune(kind: RecordKind): Promise<void> {
     const known = this.#numbers.get(kind) ?? [];
     for (const number of known.splice(0, Math.max(0, known.length - KEPT))) {
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -1,7 +1,8 @@
-import { mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
+import { readlinkSync } from 'node:fs';
+import { mkdtemp, open, readdir, readFile, rm, writeFile, type FileHandle } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { afterEach, describe, it } from 'node:test';
+import { afterEach, describe, it, mock } from 'node:test';
 import { expect } from 'earl';
 import { RecordStore, seal, unseal, type RecordKind } from './index.js';
 
@@ -34,6 +35,22 @@
   }
 }
 
+/** Paths of the handles that are synced while something is done. */
+async function syncedWhile(act: () => Promise<unknown>): Promise<string[]> {
+  const handle = await open(tmpdir());
+  const prototype = Object.getPrototypeOf(handle) as FileHandle;
+  await handle.close();
+  const synced: string[] = [];
+  function recordSync(this: FileHandle): Promise<void> {
+    synced.push(readlinkSync(`/proc/self/fd/${this.fd}`));
+    return Promise.resolve();
+  }
+  const spy = mock.method(prototype, 'sync', recordSync);
+  await act();
+  spy.mock.restore();
+  return synced;
+}
+
 describe('recordStore', () => {
   it('keeps one file a version, the last two of each kind', async () => {
     const path = await folder();
@@ -60,6 +77,19 @@
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
+  it('syncs the folder as it opens it: what a killed process had renamed only is not built upon', async () => {
+    const path = await folder();
+    await filled(path);
+    const synced = await syncedWhile(() => RecordStore.open(path));
+    expect(synced).toEqual([path]);
+  });
+
+  it('syncs the folders above a data folder that it makes', async () => {
+    const path = await folder();
+    const synced = await syncedWhile(() => RecordStore.open(join(path, 'made', 'data')));
+    expect(synced).toEqual([join(path, 'made'), path, join(path, 'made', 'data')]);
+  });
+
   it('refuses a folder with something else in it, or without its own disk record', async () => {
     const path = await folder();
     await writeFile(join(path, 'notes.txt'), 'mine');
