--- /dev/null
+++ b/packages/simulator/src/control-safety.test.ts
@@ -0,0 +1,140 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { sampleDocument } from './system/configuration.js';
+import { Faults } from './system/faults.js';
+import type { Machine } from './system/machine.js';
+import { OperatorLoad } from './system/operator-load.js';
+import { BOUNDS, SMALL_SYSTEM, type SystemSize } from './system/size.js';
+import { System } from './system.js';
+
+const THREE: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, heartbeatMs: 40 };
+const FIVE: SystemSize = { ...THREE, cores: 5, lossesBorne: 2 };
+const QUIET_MS = 5000;
+
+interface Site {
+  readonly system: System;
+  readonly load: OperatorLoad;
+  readonly faults: Faults;
+}
+
+/** A system with its first configuration, undisturbed for a while. */
+function openSite(seed: number, size: SystemSize): Site {
+  const system = new System(seed, size);
+  const load = new OperatorLoad(system);
+  system.start();
+  load.putFirst();
+  system.time.runUntil(QUIET_MS);
+  return { system, load, faults: new Faults(system) };
+}
+
+function runFor({ system }: Site, forMs: number): void {
+  system.time.runUntil(system.time.nowMs() + forMs);
+}
+
+/** What was broken, after a while of calm and with all machines back. */
+function breachesOf(site: Site): string[] {
+  site.faults.restoreAll();
+  runFor(site, 12_000);
+  site.system.checkEnd();
+  return site.system.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
+}
+
+function leaderOf(system: System): Machine {
+  return system.leader() ?? (system.cores[0] as Machine);
+}
+
+describe('point 1: a core that is cut off for twenty seconds', () => {
+  for (const kind of ['cut', 'deaf', 'mute'] as const) {
+    it(`(${kind}) serves no old state, refuses no valid order, acknowledges nothing that is lost`, () => {
+      const wrong = [1, 2].flatMap((seed) => {
+        const site = openSite(seed, THREE);
+        site.faults.core(leaderOf(site.system), kind, 20_000);
+        site.load.storm(150, 24_000);
+        runFor(site, 26_000);
+        return breachesOf(site);
+      });
+      expect(wrong).toEqual([]);
+    });
+  }
+});
+
+describe('point 2: answers lost, orders sent again, operators that race', () => {
+  it('acknowledges one change of a race, and every repeat of what was taken', () => {
+    const wrong = [1, 2, 3].flatMap((seed) => {
+      const site = openSite(seed, THREE);
+      site.system.operators.answerLossRatio = 0.7;
+      for (let race = 0; race < 8; race += 1) {
+        site.load.race();
+        if (race === 4) site.faults.core(leaderOf(site.system), 'kill', 1000);
+        runFor(site, 3000);
+      }
+      site.system.operators.answerLossRatio = 0;
+      runFor(site, 10_000);
+      return breachesOf(site);
+    });
+    expect(wrong).toEqual([]);
+  });
+});
+
+describe('point 3: a second loss right after a repair, and members that leave', () => {
+  it('keeps all acknowledged state at three and at five cores', () => {
+    const wrong = [1, 2, 3].flatMap((seed) =>
+      [THREE, FIVE].flatMap((size) => {
+        const site = openSite(seed, size);
+        site.load.storm(300, 8000);
+        site.faults.secondLoss();
+        runFor(site, 16_000);
+        return breachesOf(site);
+      }),
+    );
+    expect(wrong).toEqual([]);
+  });
+
+  it('keeps it while each core in turn is replaced as planned, the new one first', () => {
+    const wrong = [1, 2].flatMap((seed) => {
+      const site = openSite(seed, THREE);
+      site.load.storm(300, 36_000);
+      for (let turn = 0; turn < 3; turn += 1) {
+        site.faults.planned();
+        runFor(site, 2 * BOUNDS.catchUpMs + 4000);
+      }
+      return breachesOf(site);
+    });
+    expect(wrong).toEqual([]);
+  });
+});
+
+describe('point 4: a member that was away during hundreds of changes', () => {
+  it('catches up in time while changes go on, and leads with nothing older', () => {
+    const wrong = [1, 2].flatMap((seed) => {
+      const site = openSite(seed, THREE);
+      const away = site.system.cores.find((core) => core !== leaderOf(site.system)) as Machine;
+      site.system.kill(away);
+      site.load.storm(60, 30_000);
+      runFor(site, 20_000);
+      site.system.boot(away);
+      runFor(site, BOUNDS.catchUpMs);
+      for (const core of site.system.cores) if (core !== away) site.system.kill(core);
+      site.system.time.after(800, () => site.faults.restoreAll());
+      runFor(site, 12_000);
+      const few = site.load.acknowledged < 100 ? [`only ${site.load.acknowledged} changes`] : [];
+      return [...breachesOf(site), ...few];
+    });
+    expect(wrong).toEqual([]);
+  });
+});
+
+describe('power that is lost while a change is on its way', () => {
+  it('leaves every acknowledged change, whatever the moment', () => {
+    const moments = [5, 10, 20, 30, 40, 50, 70, 100, 200, 400];
+    const wrong = moments.flatMap((waitMs) => {
+      const { system, load, faults } = openSite(waitMs, THREE);
+      load.put();
+      system.time.after(waitMs, () => faults.allCores('power'));
+      system.time.runUntil(QUIET_MS + 8000);
+      system.put(system.acked.revision, sampleDocument(system.acked.revision + 9, THREE.models, 'after'));
+      return breachesOf({ system, load, faults }).map((text) => `${waitMs} ms: ${text}`);
+    });
+    expect(wrong).toEqual([]);
+  });
+});
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -28,6 +28,7 @@
 const STOPPED_MS = 200;
 const DRAIN_MS = 4000;
 const SLOW_DISK_MS = 40;
+const SLOWEST_DISK_MS = 200;
 const LOSSY_RATIO = 0.05;
 /** A successor has joined, been made a voter and caught up by then. */
 const SUCCESSOR_MS = BOUNDS.catchUpMs;
@@ -249,12 +250,15 @@
     this.#after(5 + this.#roll(395), () => this.allCores('power'));
   }
 
-  /** All cores lose power as soon as the next order is acknowledged. */
+  /** All cores lose power as soon as the next order is acknowledged; at times all disks are slow before. */
   powerAfterAcknowledgement(send: () => void): void {
-    const { operators } = this.#system;
+    const { operators, cores } = this.#system;
+    const slowMs = this.#dice.next() < 0.5 ? SLOWEST_DISK_MS * this.#dice.next() : 0;
+    for (const core of cores) if (core.disk !== undefined) core.disk.slowMs = slowMs;
     operators.onAnswer = (kind) => {
       if (kind !== 'agreed') return;
       operators.onAnswer = undefined;
+      for (const core of cores) if (core.disk !== undefined) core.disk.slowMs = 0;
       this.allCores('power');
     };
     send();
