--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -30,7 +30,7 @@
 
 /** What a day is mostly about. */
 export const PROFILES = ['mixed', 'changes', 'partitions', 'membership', 'power'] as const;
-/** How a simulated day went. */
+/** A kind of simulated day. */
 export type Profile = (typeof PROFILES)[number];
 
 /** What a day injects, by its weight. */
