--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -5,7 +5,7 @@
  */
 import type { Answer } from '@rainrun/messages';
 import {
-  readOperation,
+  checkOperation,
   type ConfigurationDocument,
   type Deployment,
   type DeploymentOperation,
@@ -185,7 +185,7 @@
     done: Done,
     isCallerGone: () => boolean,
   ): void {
-    const checked = readOperation(kind, payload);
+    const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
     this.#zoneOrders.add({ kind, payload, bornMs: this.#dependencies.clock.nowMs(), done, isCallerGone });
   }
@@ -203,7 +203,7 @@
 
   /** What is invalid in every state is refused here and now; all else is for agreement to decide. */
   #order(kind: DeploymentOperation['kind'], payload: unknown, bornMs: number, done: Done): void {
-    const checked = readOperation(kind, payload);
+    const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
     const order: PendingOrder = { bornMs, done, id: '' };
     this.#orders.add(order);
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -10,9 +10,9 @@
 import { documentText } from './document-text.js';
 import {
   digestOfChange,
-  isTakenChange,
   mayBeForgottenChange,
   NO_TAKEN_CHANGES,
+  takenUnder,
   withTakenChange,
   type TakenChanges,
 } from './taken-changes.js';
@@ -113,18 +113,14 @@
 }
 
 /**
- * Reads an operation and checks what can be checked without the state: its
- * form, and a whole configuration with all that is in it. What is refused here
- * is refused in every state.
+ * Reads the form of an operation.
  * @example
  * readOperation('zone.evacuate', { zone: 'north' }).isOk; // true
  */
-export function readOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
+function readOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
   switch (kind) {
     case 'configuration.put':
-      return parsed(PutSchema, payload, 'bad-spec').andThen(({ base, document }) =>
-        checkedDocument(document).map((): DeploymentOperation => ({ kind, base, document })),
-      );
+      return parsed(PutSchema, payload, 'bad-spec').map(({ base, document }) => ({ kind, base, document }));
     case 'configuration.patch':
       return parsed(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
     case 'zone.evacuate':
@@ -135,6 +131,21 @@
   }
 }
 
+/**
+ * Checks what can be checked of an operation without the state: its form, and
+ * a whole configuration with all that is in it. What is refused here is refused
+ * in every state.
+ * @example
+ * checkOperation('zone.evacuate', { zone: 'north' }).isOk; // true
+ */
+export function checkOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
+  return readOperation(kind, payload).andThen((operation) =>
+    operation.kind === 'configuration.put'
+      ? checkedDocument(operation.document).map(() => operation)
+      : Result.ok<DeploymentOperation, Fault>(operation),
+  );
+}
+
 /** The state after an operation, and how it ended. */
 export interface Applied {
   readonly state: Deployment;
@@ -185,11 +196,14 @@
   return items;
 }
 
-/** A change of the configuration as it is compared with those that were taken. */
+/** A change of the configuration. */
 interface Change {
   readonly base: number | undefined;
   readonly revision: number;
-  readonly digest: string;
+  /** What the change says; costs a pass over all of it. */
+  digest(): string;
+  /** The document that it leads to, if that is valid. */
+  result(): Result<ConfigurationDocument, Fault>;
 }
 
 /**
@@ -197,37 +211,44 @@
  * came after it; one that may have been taken, but is no longer remembered, is
  * neither agreed to nor refused.
  */
-function takeChange(
-  state: Deployment,
-  change: Change,
-  documentAfter: () => Result<ConfigurationDocument, Fault>,
-): Applied {
+function takeChange(state: Deployment, change: Change): Applied {
   const { base, revision } = change;
-  if (isTakenChange(state.taken, change)) return agreed(state, `revision ${revision} was taken before`);
+  const known = takenUnder(state.taken, revision);
+  if (known !== undefined && known.digest === change.digest())
+    return agreed(state, `revision ${revision} was taken before`);
   if (mayBeForgottenChange(state.taken, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
     return refused(state, fault('operation-unknown', detail));
   }
   if (base !== undefined && base !== state.revision)
     return refused(state, fault('conflict', `revision ${state.revision} is in force, not ${base}`));
-  const next = documentAfter();
+  const next = change.result();
   if (next.isErr) return refused(state, next.error);
   if (revision <= state.revision) {
     const detail = `revision: found ${revision}, expected one above ${state.revision}`;
     return refused(state, fault('bad-spec', detail));
   }
-  const { digest } = change;
-  const taken = withTakenChange(state.taken, { revision, digest });
+  const taken = withTakenChange(state.taken, { revision, digest: change.digest() });
   return agreed(
     { ...state, edition: state.edition + 1, document: next.value, revision, taken },
     `revision ${revision}`,
   );
 }
 
+/** An invalid one was never taken, however old it is. */
 function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
-  const revision = Number(document['revision']);
-  const digest = digestOfChange('put', base, documentText(document));
-  return takeChange(state, { base, revision, digest }, () => Result.ok(document));
+  const revision = v.safeParse(Revision, document['revision']);
+  if (!revision.success) return refused(state, fault('bad-spec', `revision: ${revision.issues[0].message}`));
+  if (mayBeForgottenChange(state.taken, revision.output, base)) {
+    const checked = checkedDocument(document);
+    if (checked.isErr) return refused(state, checked.error);
+  }
+  return takeChange(state, {
+    base,
+    revision: revision.output,
+    digest: () => digestOfChange('put', base, documentText(document)),
+    result: () => checkedDocument(document),
+  });
 }
 
 function applyPatch(
@@ -235,11 +256,13 @@
   base: number | undefined,
   patch: v.InferOutput<typeof PatchSchema>['patch'],
 ): Applied {
-  const { revision } = patch;
-  const digest = digestOfChange('patch', base, JSON.stringify(patch));
-  return takeChange(state, { base, revision, digest }, () =>
-    checkedDocument({ ...patched(state.document ?? {}, patch.set ?? {}, patch.drop ?? {}), revision }),
-  );
+  const { revision, set, drop } = patch;
+  return takeChange(state, {
+    base,
+    revision,
+    digest: () => digestOfChange('patch', base, JSON.stringify(patch)),
+    result: () => checkedDocument({ ...patched(state.document ?? {}, set ?? {}, drop ?? {}), revision }),
+  });
 }
 
 function setZone(state: Deployment, zone: string, seen: number | undefined, evacuate: boolean): Applied {
--- a/packages/configuration/src/taken-changes.ts
+++ b/packages/configuration/src/taken-changes.ts
@@ -55,13 +55,13 @@
 }
 
 /**
- * Whether this very change is remembered as taken.
+ * The change that was taken under a revision, as far as it is remembered.
  * @example
- * isTakenChange(NO_TAKEN_CHANGES, { revision: 7, digest }); // false
+ * takenUnder(NO_TAKEN_CHANGES, 7); // undefined
  */
-export function isTakenChange(taken: TakenChanges, change: TakenChange): boolean {
-  const known = taken.changes.findLast(({ revision }) => revision <= change.revision);
-  return known?.revision === change.revision && known.digest === change.digest;
+export function takenUnder(taken: TakenChanges, revision: number): TakenChange | undefined {
+  const known = taken.changes.findLast((change) => change.revision <= revision);
+  return known?.revision === revision ? known : undefined;
 }
 
 /**
