--- a/packages/process-group/src/claims.ts
+++ b/packages/process-group/src/claims.ts
@@ -111,6 +111,7 @@
       promises: new Map(),
     };
     this.#press(this.#claiming, nowMs);
+    this.#supported(this.#claiming, acceptor.disk);
   }
 
   tick(nowMs: number): void {
--- /dev/null
+++ b/packages/process-group/src/lone-voter.test.ts
@@ -0,0 +1,81 @@
+/** A group of one voter: what a deployment has that is to bear no loss. */
+import { describe, it } from 'node:test';
+import type { Fault } from '@rainrun/common';
+import { SPEAKS } from '@rainrun/messages';
+import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import { expect } from 'earl';
+import { Result, type Unit } from 'true-myth';
+import { Acceptor, readRecords } from './acceptor.js';
+import { Group } from './group.js';
+import type { Play } from './play.js';
+import { GROUP_TIMES } from './times.js';
+
+const TICK_MS = 20;
+const SETTLED_MS = 6000;
+const ADDRESS = '127.0.0.1:1';
+
+const NO_STATE: Play<undefined> = {
+  empty: () => undefined,
+  encode: () => ({ play: new Uint8Array(), extra: new Uint8Array() }),
+  decode: () => Result.ok(undefined),
+  apply: () => ({ state: undefined, outcome: { kind: 'agreed', detail: '' } }),
+  plain: () => undefined,
+};
+
+/** A disk that syncs at once and outlives its node. */
+class PromptVault implements Vault {
+  records: Records = {};
+
+  store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
+    this.records[kind] = bytes;
+    done(Result.ok());
+  }
+}
+
+function failed(why: Fault): never {
+  throw new Error(`${why.kind}: ${why.detail}`);
+}
+
+/** Starts the only core on a disk and runs it for long enough to coordinate. */
+function start(vault: PromptVault): Group<undefined> {
+  let nowMs = 0;
+  let seed = 7;
+  const opening = readRecords(vault.records, 'disk-a').unwrapOrElse(failed);
+  const group = new Group<undefined>({
+    name: 'core-1',
+    address: ADDRESS,
+    zone: 'coast',
+    deployment: 'site',
+    seeds: [ADDRESS],
+    founders: [ADDRESS],
+    votersWanted: 1,
+    clock: { nowMs: () => nowMs },
+    chance: { next: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647 },
+    times: GROUP_TIMES,
+    play: NO_STATE,
+    acceptor: new Acceptor(opening, vault, 'site', failed),
+    speaks: SPEAKS,
+    audience: {
+      onVersion: () => undefined,
+      onCast: () => undefined,
+      onAnswer: () => undefined,
+      onReborn: () => undefined,
+      onFrame: () => undefined,
+      onRefused: () => undefined,
+    },
+    post: () => undefined,
+  });
+  for (; nowMs < SETTLED_MS; nowMs += TICK_MS) group.tick();
+  return group;
+}
+
+describe('a group of one voter', () => {
+  it('coordinates again after its core was restarted', () => {
+    const vault = new PromptVault();
+    const founded = start(vault);
+    expect([founded.leading, founded.epoch]).toEqual([true, 1]);
+    const restarted = start(vault);
+    expect([restarted.leading, restarted.epoch]).toEqual([true, 2]);
+    expect(restarted.granted()).toEqual(true);
+  });
+});
