--- /dev/null
+++ b/packages/cluster-node/src/older-disk.test.ts
@@ -0,0 +1,144 @@
+/**
+ * Disks that were written before messages, fields and classes got their
+ * present names still open, and a core goes on from them. The fixtures are the
+ * whole data folders of single cores, run by the build of commit 897331f.
+ */
+import { mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { describe, it } from 'node:test';
+import { fault, type Chance, type Fault } from '@rainrun/common';
+import { SPEAKS } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords } from '@rainrun/process-group';
+import { RecordStore, type RecordKind, type Records, type Vault } from '@rainrun/storage';
+import { expect } from 'earl';
+import { Result, type Unit } from 'true-myth';
+import { ClusterNode } from './cluster-node.js';
+import { CoreReplica } from './core-replica.js';
+
+const TICK_MS = 20;
+const START_MS = 6000;
+const ANSWER_MS = 1000;
+const ADDRESS = '127.0.0.1:1';
+
+/** A disk that syncs at once. */
+class PromptVault implements Vault {
+  store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
+    done(Result.ok());
+  }
+}
+
+/** Opens the data folder of a fixture as a node does at its start. */
+async function openFixture(name: string): Promise<Records> {
+  const text = await readFile(new URL(`../fixtures/${name}`, import.meta.url), 'utf8');
+  const folder = await mkdtemp(join(tmpdir(), 'older-disk-'));
+  try {
+    for (const [file, base64] of Object.entries(JSON.parse(text) as Record<string, string>))
+      await writeFile(join(folder, file), Buffer.from(base64, 'base64'));
+    return (await RecordStore.open(folder)).unwrapOrElse(failed).records;
+  } finally {
+    await rm(folder, { recursive: true });
+  }
+}
+
+function failed(why: Fault): never {
+  throw new Error(`${why.kind}: ${why.detail}`);
+}
+
+function acceptorOf(records: Records, deployment: string): Acceptor {
+  const opening = readRecords(records, 'a fresh disk').unwrapOrElse(failed);
+  expect(opening.disk).toEqual('disk-a');
+  expect(opening.deployment).toEqual(deployment);
+  expect(opening.promisedEpoch).toEqual(1);
+  return new Acceptor(opening, new PromptVault(), deployment, failed);
+}
+
+/** Time and chance of one node alone, and what all nodes are given alike. */
+class LoneNode {
+  #nowMs = 0;
+  #seed = 7;
+  #chance: Chance = { next: () => this.#nextChance() };
+
+  dependencies(acceptor: Acceptor, deployment: string) {
+    return {
+      name: 'core-1',
+      address: ADDRESS,
+      zone: 'coast',
+      deployment,
+      seeds: [ADDRESS],
+      founders: [ADDRESS],
+      votersWanted: 1,
+      clock: { nowMs: () => this.#nowMs },
+      chance: this.#chance,
+      times: GROUP_TIMES,
+      acceptor,
+      speaks: SPEAKS,
+      post: () => undefined,
+      reborn: () => undefined,
+      changed: () => undefined,
+      refused: (why: string) => failed(fault('not-admitting', why)),
+    };
+  }
+
+  run(node: { tick(): void }, forMs: number): void {
+    for (const endMs = this.#nowMs + forMs; this.#nowMs < endMs; this.#nowMs += TICK_MS) node.tick();
+  }
+
+  #nextChance(): number {
+    this.#seed = (this.#seed * 16_807) % 2_147_483_647;
+    return this.#seed / 2_147_483_647;
+  }
+}
+
+describe('a disk of an earlier build', () => {
+  it('gives a core back its deployment, and the core goes on from it', async () => {
+    const lone = new LoneNode();
+    const acceptor = acceptorOf(await openFixture('core-disk.json'), 'system');
+    const replica = new CoreReplica({
+      ...lone.dependencies(acceptor, 'system'),
+      order: () => undefined,
+      report: () => undefined,
+      listLagMs: 1000,
+      decided: () => undefined,
+    });
+    lone.run(replica, START_MS);
+    const { edition, revision, evacuated, zones, document } = replica.state;
+    expect({ edition, revision, evacuated, zones }).toEqual({
+      edition: 2,
+      revision: 4,
+      evacuated: ['north'],
+      zones: { north: 2 },
+    });
+    expect(document?.['note']).toEqual({ kept: true });
+    const answers: string[] = [];
+    replica.submit('zone.return', { zone: 'north', seen: edition }, (answer) => answers.push(answer.kind));
+    lone.run(replica, ANSWER_MS);
+    expect(answers).toEqual(['agreed']);
+    expect(replica.state.evacuated).toEqual([]);
+    expect(replica.group.epoch).toEqual(2);
+  });
+
+  it('gives a cluster node back its spec, and what it answered is not done twice', async () => {
+    const lone = new LoneNode();
+    const acceptor = acceptorOf(await openFixture('cluster-node-disk.json'), 'site');
+    const node = new ClusterNode({
+      ...lone.dependencies(acceptor, 'site'),
+      order: () => undefined,
+      heard: () => undefined,
+      question: () => ({ status: 404, body: {} }),
+    });
+    lone.run(node, START_MS);
+    const { spec, emptied, touched } = node.stage;
+    expect(spec?.version).toEqual(1);
+    expect(spec?.spec.models.map((model) => model.name)).toEqual(['model-1']);
+    expect(emptied).toEqual(['inland']);
+    expect(touched['zones/coast']).toEqual(1);
+    const answers: string[] = [];
+    node.submit('op-2', 'zone.empty', JSON.stringify({ zone: 'coast' }), ({ detail }) =>
+      answers.push(detail),
+    );
+    lone.run(node, ANSWER_MS);
+    expect(answers).toEqual(['zone inland emptied']);
+    expect(node.stage.emptied).toEqual(['inland']);
+  });
+});
