--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -80,6 +80,97 @@
   return parts;
 }
 
+/** Names of what is asked for: models, and adapters as `model/adapter`. */
+function askedParts(demands: ReadonlyMap<string, ModelDemand>): string[] {
+  return [...demands].flatMap(([model, { adapters }]) => [
+    model,
+    ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
+  ]);
+}
+
+function catalogueParts(spec: Spec): Set<string> {
+  return new Set([
+    ...spec.models.map(({ name }) => name),
+    ...spec.adapters.map(({ name, model }) => `${model}/${name}`),
+  ]);
+}
+
+function emptyWorkers(spec: Spec, listed: readonly ListedWorker[]): PlaceWorker[] {
+  return listed
+    .filter((worker) => worker.kind === 'model')
+    .map(({ name, zone }) => {
+      const { roomMb, slots } = spec.workers.named.find((named) => named.name === name) ?? spec.workers;
+      return { name, zone, roomMb, slots, usable: true, holdings: [] };
+    });
+}
+
+/** What a worker holds after a change and did not hold before. */
+function pullsOf(worker: string, before: Placement, after: Placement): number {
+  const usable = new Set([worker]);
+  const held = new Set(partsOf(new Map([[worker, before.get(worker) ?? []]]), usable));
+  return partsOf(new Map([[worker, after.get(worker) ?? []]]), usable).filter((part) => !held.has(part))
+    .length;
+}
+
+/** What holds for every finding of one survey. */
+interface SurveyBase {
+  readonly spec: Spec;
+  readonly workers: readonly PlaceWorker[];
+  readonly demands: ReadonlyMap<string, ModelDemand>;
+  /** Known parts that are asked for. */
+  readonly wanted: readonly string[];
+  readonly coreZones: readonly string[];
+  /** Where everything stands while all zones are there. */
+  readonly whole: Placement;
+}
+
+/** Whether the cores that are left are a majority; undefined if none are known. */
+function isMajorityLeft(coreZones: readonly string[], without: string | undefined): boolean | undefined {
+  if (coreZones.length === 0) return undefined;
+  return coreZones.filter((zone) => zone !== without).length > coreZones.length / 2;
+}
+
+function findingOf(
+  base: SurveyBase,
+  without: string | undefined,
+  before: Placement,
+  after: Placement,
+): Finding {
+  const { spec, workers, wanted, coreZones, whole } = base;
+  const staying = workers.filter((worker) => worker.zone !== without);
+  const usable = new Set(staying.map((worker) => worker.name));
+  const left = new Set(partsOf(whole, usable));
+  const held = new Set(partsOf(after, usable));
+  const pulls = staying.reduce((sum, worker) => sum + pullsOf(worker.name, before, after), 0);
+  return {
+    without: without ?? 'all',
+    slots: staying.reduce((sum, worker) => sum + worker.slots, 0),
+    roomMb: staying.reduce((sum, worker) => sum + worker.roomMb, 0),
+    unplaced: wanted.filter((part) => !held.has(part)),
+    interrupted: wanted.filter((part) => !left.has(part)),
+    pulls,
+    pullS: Math.ceil((pulls * 60) / spec.store.pullsPerMinute),
+    agrees: isMajorityLeft(coreZones, without),
+  };
+}
+
+/** All zones are there, and everything is pulled for the first time; so nothing is interrupted. */
+function findWhole(base: SurveyBase): Finding {
+  const finding = findingOf(base, undefined, new Map(), base.whole);
+  return { ...finding, interrupted: [] };
+}
+
+/** One zone is lost, and what it held is placed elsewhere. */
+function findWithout(base: SurveyBase, zone: string): Finding {
+  const { spec, workers, demands, whole } = base;
+  const began = workers.map((worker) => ({
+    ...worker,
+    usable: worker.zone !== zone,
+    holdings: whole.get(worker.name) ?? [],
+  }));
+  return findingOf(base, zone, whole, settle(spec, began, demands));
+}
+
 /**
  * Whether all that a day asks for fits a site, and what is lost with each
  * zone. Placement is decided by the placer that the nodes run.
@@ -93,62 +184,21 @@
   coreZones: readonly string[],
 ): Survey {
   const demands = demandOf(calls);
-  const asked = [...demands].flatMap(([model, { adapters }]) => [
-    model,
-    ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
-  ]);
-  const catalogue = new Set([
-    ...spec.models.map(({ name }) => name),
-    ...spec.adapters.map(({ name, model }) => `${model}/${name}`),
-  ]);
-  const unknown = asked.filter((part) => !catalogue.has(part));
-  const wanted = asked.filter((part) => catalogue.has(part));
-  const workers = listed
-    .filter((worker) => worker.kind === 'model')
-    .map(({ name, zone }): PlaceWorker => {
-      const { roomMb, slots } = spec.workers.named.find((named) => named.name === name) ?? spec.workers;
-      return { name, zone, roomMb, slots, usable: true, holdings: [] };
-    });
-  const whole = settle(spec, workers, demands);
-  function find(without: string): Finding {
-    const staying = workers.filter((worker) => worker.zone !== without);
-    const usable = new Set(staying.map((worker) => worker.name));
-    const left = new Set(partsOf(whole, usable));
-    const began =
-      without === ''
-        ? workers
-        : workers.map((worker) => ({
-            ...worker,
-            usable: usable.has(worker.name),
-            holdings: whole.get(worker.name) ?? [],
-          }));
-    const settled = without === '' ? whole : settle(spec, began, demands);
-    const held = new Set(partsOf(settled, usable));
-    let pulls = 0;
-    for (const worker of staying) {
-      const before = new Set(
-        without === '' ? [] : partsOf(new Map([[worker.name, whole.get(worker.name) ?? []]]), usable),
-      );
-      pulls += partsOf(new Map([[worker.name, settled.get(worker.name) ?? []]]), usable).filter(
-        (part) => !before.has(part),
-      ).length;
-    }
-    const cores = coreZones.filter((zone) => zone !== without).length;
-    return {
-      without: without === '' ? 'all' : without,
-      slots: staying.reduce((sum, worker) => sum + worker.slots, 0),
-      roomMb: staying.reduce((sum, worker) => sum + worker.roomMb, 0),
-      unplaced: wanted.filter((part) => !held.has(part)),
-      interrupted: without === '' ? [] : wanted.filter((part) => !left.has(part)),
-      pulls,
-      pullS: Math.ceil((pulls * 60) / spec.store.pullsPerMinute),
-      agrees: coreZones.length === 0 ? undefined : cores > coreZones.length / 2,
-    };
-  }
+  const asked = askedParts(demands);
+  const catalogue = catalogueParts(spec);
+  const workers = emptyWorkers(spec, listed);
+  const base: SurveyBase = {
+    spec,
+    workers,
+    demands,
+    wanted: asked.filter((part) => catalogue.has(part)),
+    coreZones,
+    whole: settle(spec, workers, demands),
+  };
   return {
     catalogueMb: [...spec.models, ...spec.adapters].reduce((sum, { sizeMb }) => sum + sizeMb, 0),
-    unknown,
-    findings: ['', ...spec.zones].map(find),
+    unknown: asked.filter((part) => !catalogue.has(part)),
+    findings: [findWhole(base), ...spec.zones.map((zone) => findWithout(base, zone))],
   };
 }
 
--- a/tools/scale/src/check.ts
+++ b/tools/scale/src/check.ts
@@ -4,6 +4,9 @@
 const FRAMES_MOST = 16;
 /** A follower's frames and bytes may differ by so much between the smallest and the largest size. */
 const GROWTH_MOST = 1.25;
+/** Orders for each load that was placed, and so many more for what was under way. */
+const ORDERS_EACH = 4;
+const ORDERS_MORE = 8;
 
 function framesOf({ quiet: { withCoordinator: one, withOthers: other } }: Point): number {
   return one.framesIn + one.framesOut + other.framesIn + other.framesOut;
@@ -13,37 +16,45 @@
   return one.bytesIn + one.bytesOut + other.bytesIn + other.bytesOut;
 }
 
+/** What is off in one point, each in words. */
+function faultsAt(point: Point): string[] {
+  const { join, loads, changes, restarts, zone, parted, killedEdge, killedCoordinator: killed } = point;
+  const frames = framesOf(point);
+  const checks: readonly (readonly [isSound: boolean, otherwise: string])[] = [
+    [frames <= FRAMES_MOST, `${frames.toFixed(1)} frames a second of one follower, at most ${FRAMES_MOST}`],
+    [join.settled, 'not every follower joined'],
+    [loads.placed.count > 0, 'nothing that was asked for was placed'],
+    [
+      loads.orders <= ORDERS_EACH * loads.placed.count + ORDERS_MORE,
+      `${loads.orders} orders for ${loads.placed.count} placed`,
+    ],
+    [changes.heldByAll, 'a change was not held by all'],
+    [restarts.taken >= restarts.made, `${restarts.taken} tables taken for ${restarts.made} restarts`],
+    [
+      restarts.wholes === restarts.taken,
+      `${restarts.wholes} whole tables sent where ${restarts.taken} were taken`,
+    ],
+    [zone.settled, 'a lost zone was not known to all'],
+    [parted.settled, 'followers that were parted did not catch up'],
+    [killedEdge.settled, 'a killed edge was not known to all'],
+    [
+      killed.settled && killed.tables === 1,
+      `${killed.tables} tables after one kill, settled: ${killed.settled}`,
+    ],
+  ];
+  return checks.flatMap(([isSound, otherwise]) => (isSound ? [] : [otherwise]));
+}
+
 /**
  * What is off by counts at some size; nothing here looks at how fast the machine was.
  * @example
  * faultsOf(points).length; // 0
  */
 export function faultsOf(points: readonly Point[]): string[] {
-  const faults: string[] = [];
   const sorted = [...points].sort((one, other) => one.size.nodes - other.size.nodes);
-  for (const point of sorted) {
-    const { size, join, loads, changes, restarts, zone, parted, killedEdge, killedCoordinator } = point;
-    const at = `${size.nodes}x${size.rows}`;
-    const frames = framesOf(point);
-    if (frames > FRAMES_MOST)
-      faults.push(`${at}: ${frames.toFixed(1)} frames a second of one follower, at most ${FRAMES_MOST}`);
-    if (!join.settled) faults.push(`${at}: not every follower joined`);
-    if (loads.placed.count === 0) faults.push(`${at}: nothing that was asked for was placed`);
-    if (loads.orders > 4 * loads.placed.count + 8)
-      faults.push(`${at}: ${loads.orders} orders for ${loads.placed.count} placed`);
-    if (!changes.heldByAll) faults.push(`${at}: a change was not held by all`);
-    if (restarts.taken < restarts.made)
-      faults.push(`${at}: ${restarts.taken} tables taken for ${restarts.made} restarts`);
-    if (restarts.wholes !== restarts.taken)
-      faults.push(`${at}: ${restarts.wholes} whole tables sent where ${restarts.taken} were taken`);
-    if (!zone.settled) faults.push(`${at}: a lost zone was not known to all`);
-    if (!parted.settled) faults.push(`${at}: followers that were parted did not catch up`);
-    if (!killedEdge.settled) faults.push(`${at}: a killed edge was not known to all`);
-    if (!killedCoordinator.settled || killedCoordinator.tables !== 1)
-      faults.push(
-        `${at}: ${killedCoordinator.tables} tables after one kill, settled: ${killedCoordinator.settled}`,
-      );
-  }
+  const faults = sorted.flatMap((point) =>
+    faultsAt(point).map((fault) => `${point.size.nodes}x${point.size.rows}: ${fault}`),
+  );
   const [first, last] = [sorted.at(0), sorted.at(-1)];
   if (first === undefined || last === undefined) return [...faults, 'no size was played'];
   for (const [name, of] of [['frames', framesOf] as const, ['bytes', bytesOf] as const]) {
