--- a/tools/scale/src/check.ts
+++ b/tools/scale/src/check.ts
@@ -29,6 +29,7 @@
       `${loads.orders} orders for ${loads.placed.count} placed`,
     ],
     [changes.heldByAll, 'a change was not held by all'],
+    [changes.stateTells > 0, 'no follower noted that it was told a state'],
     [restarts.taken >= restarts.made, `${restarts.taken} tables taken for ${restarts.made} restarts`],
     [
       restarts.wholes === restarts.taken,
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -238,13 +238,14 @@
     const traffic = this.#traffic(frame.from === this.#leaderIncarnation);
     traffic.tells += 1;
     traffic.tellBytes += bytes;
-    if (tell.state.length > 0) {
+    const stateBytes = tell.state.length + tell.deflatedState.length;
+    if (stateBytes > 0) {
       traffic.states += 1;
-      traffic.stateBytes += tell.state.length;
+      traffic.stateBytes += stateBytes;
     }
     if (tell.whole) {
       traffic.wholes += 1;
-      traffic.wholeBytes += bytes - tell.state.length;
+      traffic.wholeBytes += bytes - stateBytes;
     } else if (tell.rows.length > 0) {
       traffic.changes += 1;
       traffic.rows += tell.rows.length;
