--- a/packages/cluster-node/src/edge.ts
+++ b/packages/cluster-node/src/edge.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import { ObservationSchema } from '@rainrun/messages';
-import { Gate, type Sender } from '@rainrun/gateway';
+import { Gateway, type Sender } from '@rainrun/gateway';
 import type { Chance, Clock } from '@rainrun/common';
 import { Loop, type LoopSettings } from '@rainrun/placement';
 import type { ClusterNode } from './cluster-node.js';
@@ -19,18 +19,18 @@
 export const OBSERVE_MS = 500;
 
 /**
- * The data plane of an edge, tied to its node: the gate sees the node's
- * stage, workers and grant; the node's members see what the gate measured.
+ * The data plane of an edge, tied to its node: the gateway sees the node's
+ * stage, workers and grant; the node's members see what the gateway measured.
  * @example
  * const edge = new Edge(clusterNode, 'edge-1', 'north', clock, chance, sender);
- * edge.gate.grantEntry(ask, port);
+ * edge.gateway.admit(ask, port);
  * edge.observe(); // every OBSERVE_MS
  */
 export class Edge {
   #clusterNode: ClusterNode;
   #loopSettings: LoopSettings;
   #loops = new Map<string, Loop>();
-  readonly gate: Gate;
+  readonly gateway: Gateway;
 
   constructor(
     clusterNode: ClusterNode,
@@ -43,7 +43,7 @@
   ) {
     this.#loopSettings = loops;
     this.#clusterNode = clusterNode;
-    this.gate = new Gate({
+    this.gateway = new Gateway({
       name,
       zone,
       clock,
@@ -58,13 +58,13 @@
     });
   }
 
-  /** Casts what the gate measured since the last time, and moves the loops. */
+  /** Casts what the gateway measured since the last time, and moves the loops. */
   observe(): void {
-    const { measures: measured, demands, faults } = this.gate.takeMeasures();
+    const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
     const known = new Set(measures.map((measure) => measure.group));
     for (const { name } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
-      const now = this.gate.groupNow(name);
+      const now = this.gateway.groupNow(name);
       if (known.has(name) || now.inFlight + now.backlog === 0) continue;
       measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
     }
@@ -73,7 +73,7 @@
       loads: this.#clusterNode.workers().map((worker) => ({
         $typeName: 'rainrun.v1.WorkerLoad' as const,
         worker: worker.name,
-        inFlight: this.gate.workerInFlight(worker.name),
+        inFlight: this.gateway.workerInFlight(worker.name),
         faults: faults.get(worker.name) ?? 0,
       })),
       groups: measures.map(({ group, kind, served, refused, prompt, waitSumMs }) => ({
@@ -84,7 +84,7 @@
         refused,
         prompt,
         waitMs: served === 0 ? 0 : Math.round(waitSumMs / served),
-        ...this.gate.groupNow(group),
+        ...this.gateway.groupNow(group),
       })),
     });
     this.#clusterNode.observe(observation);
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -1,5 +1,5 @@
 /** Timings of failure detection. */
-export interface AnemometerTimes {
+export interface FailureDetectorTimes {
   /** A member that has not answered for so long is suspected. */
   readonly suspectMs: number;
   /** A longer gap between own heartbeats means that this process was frozen. */
@@ -17,12 +17,12 @@
  * detector.suspects('incarnation-1', nowMs + 2000); // true
  */
 export class FailureDetector {
-  #times: AnemometerTimes;
+  #times: FailureDetectorTimes;
   #answeredMs = new Map<string, number>();
   #reported = new Set<string>();
   #heartbeatMs: number | undefined;
 
-  constructor(times: AnemometerTimes) {
+  constructor(times: FailureDetectorTimes) {
     this.#times = times;
   }
 
--- a/packages/gateway/src/assign.ts
+++ b/packages/gateway/src/assign.ts
@@ -9,7 +9,7 @@
 const SHUN_MOST_MS = 8000;
 
 /** What the assigner keeps for each worker. */
-interface CoordinatorContext {
+interface WorkerStanding {
   inFlight: number;
   faults: number;
   shunnedUntilMs: number;
@@ -47,7 +47,7 @@
 export class Assigner {
   #self: string;
   #zone: string;
-  #desks = new Map<string, CoordinatorContext>();
+  #standings = new Map<string, WorkerStanding>();
   #prefixes = new Map<number, string>();
 
   constructor(self: string, zone: string) {
@@ -56,7 +56,7 @@
   }
 
   inFlight(worker: string): number {
-    return this.#context(worker).inFlight;
+    return this.#standing(worker).inFlight;
   }
 
   assign(need: Need, workers: readonly RosterView[], edges: readonly string[], nowMs: number): Assignment {
@@ -65,24 +65,24 @@
     let why = 'no worker holds it';
     for (const worker of workers) {
       if (!this.#serves(worker, need)) continue;
-      const context = this.#context(worker.name);
-      if (nowMs < context.shunnedUntilMs) {
+      const standing = this.#standing(worker.name);
+      if (nowMs < standing.shunnedUntilMs) {
         why = 'its workers failed lately';
         continue;
       }
       const most = this.#limit(worker, need, edges, nowMs);
-      if (context.inFlight >= most) {
+      if (standing.inFlight >= most) {
         why = 'no slot is free';
         continue;
       }
       if (
         need.beyond &&
-        context.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)
+        standing.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)
       ) {
         why = 'the last slots are kept for groups below their share';
         continue;
       }
-      const load = (context.inFlight + worker.othersInFlight) / worker.slots;
+      const load = (standing.inFlight + worker.othersInFlight) / worker.slots;
       const kept = this.#prefixes.get(need.prefix) === worker.name ? 0.5 : 0;
       const near = worker.zone === this.#zone ? 0.25 : 0;
       const points = kept + near - load + score(worker.name, this.#self) / 2 ** 36;
@@ -96,7 +96,7 @@
   }
 
   begun(worker: string, prefix: number): void {
-    this.#context(worker).inFlight += 1;
+    this.#standing(worker).inFlight += 1;
     this.#prefixes.delete(prefix);
     this.#prefixes.set(prefix, worker);
     const oldest = this.#prefixes.keys().next();
@@ -105,17 +105,17 @@
 
   /** A send that was not answered: from here on the worker counts as warming. */
   failed(worker: string, nowMs: number): void {
-    this.#context(worker).failedMs = nowMs;
+    this.#standing(worker).failedMs = nowMs;
   }
 
   ended(worker: string, well: boolean, nowMs: number): void {
-    const context = this.#context(worker);
-    context.inFlight = Math.max(0, context.inFlight - 1);
-    if (well) context.faults = 0;
+    const standing = this.#standing(worker);
+    standing.inFlight = Math.max(0, standing.inFlight - 1);
+    if (well) standing.faults = 0;
     else {
-      context.faults += 1;
-      const waitMs = Math.min(SHUN_MOST_MS, SHUN_BASE_MS * 2 ** (context.faults - 1));
-      if (context.faults >= 2) context.shunnedUntilMs = nowMs + waitMs;
+      standing.faults += 1;
+      const waitMs = Math.min(SHUN_MOST_MS, SHUN_BASE_MS * 2 ** (standing.faults - 1));
+      if (standing.faults >= 2) standing.shunnedUntilMs = nowMs + waitMs;
     }
   }
 
@@ -136,19 +136,19 @@
     const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map(
       (key) => worker.sinceMs.get(key) ?? nowMs,
     );
-    const warmMs = nowMs - Math.max(...since, this.#context(worker.name).failedMs);
+    const warmMs = nowMs - Math.max(...since, this.#standing(worker.name).failedMs);
     const allowed = 2 ** Math.floor(warmMs / WARM_STEP_MS);
     if (allowed >= worker.slots) return usual;
     const rank = edges.filter((edge) => score(worker.name, edge) > score(worker.name, this.#self)).length;
     return Math.min(usual, Math.floor((allowed + edges.length - 1 - rank) / Math.max(1, edges.length)));
   }
 
-  #context(worker: string): CoordinatorContext {
-    let context = this.#desks.get(worker);
-    if (context === undefined) {
-      context = { inFlight: 0, faults: 0, shunnedUntilMs: -Infinity, failedMs: -Infinity };
-      this.#desks.set(worker, context);
+  #standing(worker: string): WorkerStanding {
+    let standing = this.#standings.get(worker);
+    if (standing === undefined) {
+      standing = { inFlight: 0, faults: 0, shunnedUntilMs: -Infinity, failedMs: -Infinity };
+      this.#standings.set(worker, standing);
     }
-    return context;
+    return standing;
   }
 }
--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -2,7 +2,7 @@
 import type { Chance, Clock, FaultKind } from '@rainrun/common';
 import type { Sender } from './sender.js';
 
-/** A worker as the gate needs to see it. */
+/** A worker as the gateway needs to see it. */
 export interface RosterView {
   readonly name: string;
   readonly address: string;
@@ -17,8 +17,8 @@
   readonly othersInFlight: number;
 }
 
-/** What the gate asks of its node. */
-export interface GateDependencies {
+/** What the gateway asks of its node. */
+export interface GatewayDependencies {
   readonly name: string;
   readonly zone: string;
   readonly clock: Clock;
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -4,7 +4,7 @@
 import { Backlog } from './backlog.js';
 import { RetryBudget } from './budget.js';
 import { Catalogue } from './catalogue.js';
-import { Gate } from './gateway.js';
+import { Gateway } from './gateway.js';
 import type { Ask, RosterView } from './dependencies.js';
 import type { SendHandler, Sender, Sending, SendRequest } from './sender.js';
 import { Pace } from './pace.js';
@@ -89,7 +89,7 @@
   readonly flown: Flown[] = [];
   readonly probed: string[] = [];
   cut = false;
-  readonly gate = new Gate({
+  readonly gateway = new Gateway({
     name: 'edge',
     zone: 'z1',
     clock: { nowMs: () => this.nowMs },
@@ -146,7 +146,7 @@
       deadlineMs: undefined,
       ...change,
     };
-    return { port, leave: this.gate.grantEntry(ask, port) };
+    return { port, leave: this.gateway.admit(ask, port) };
   }
 
   /** Five requests well served earn one extra send. */
@@ -188,7 +188,7 @@
     const { port } = stand.ask();
     stand.last().handler.mayStart();
     stand.last().handler.failed(true, 'reset');
-    stand.gate.tick();
+    stand.gateway.tick();
     expect([stand.flown.length, port.seen]).toEqual([1, ['outcome-unknown']]);
   });
 
@@ -225,7 +225,7 @@
       stand.cut = cut;
       for (let place = 0; place < 4; place += 1) {
         stand.nowMs += 250;
-        stand.gate.tick();
+        stand.gateway.tick();
       }
       return [stand.probed.length > 0, [...port.seen], stand.last().aborted];
     }
@@ -247,7 +247,7 @@
     stand.last().handler.failed(false, 'not started');
     expect([stand.flown.length, port.seen]).toEqual([1, []]);
     stand.granted = true;
-    stand.gate.tick();
+    stand.gateway.tick();
     stand.reply(stand.last(), 200, '{}');
     expect([stand.flown.length, port.seen]).toEqual([2, ['200 {}']]);
   });
@@ -271,7 +271,7 @@
     second.handler.start(200, SSE);
     second.handler.chunk(Buffer.from('data: 1\n\n'));
     stand.nowMs = 501;
-    stand.gate.tick();
+    stand.gateway.tick();
     expect([plain.port.seen, stream.port.seen.at(-1), first.aborted, second.aborted]).toEqual([
       ['deadline-exceeded'],
       'cut',
@@ -335,7 +335,7 @@
     const stand = new Stand();
     const { leave } = stand.ask({ streamed: true });
     leave();
-    expect([stand.last().aborted, stand.gate.inFlight, stand.gate.counts['visitor-left']]).toEqual([
+    expect([stand.last().aborted, stand.gateway.inFlight, stand.gateway.counts['visitor-left']]).toEqual([
       true,
       0,
       1,
@@ -352,14 +352,14 @@
         stand.last().handler.mayStart();
         stand.last().handler.failed(true, 'reset');
         stand.nowMs += 1;
-        stand.gate.tick();
+        stand.gateway.tick();
       }
       stand.nowMs += 100;
       return port;
     });
     const sends = stand.flown.length;
-    const firsts = stand.gate.counts['sends'] ?? 0;
-    const extra = stand.gate.counts['retries'] ?? 0;
+    const firsts = stand.gateway.counts['sends'] ?? 0;
+    const extra = stand.gateway.counts['retries'] ?? 0;
     expect(sends).toEqual(firsts);
     expect([extra > 0, extra <= 0.2 * (sends - extra)]).toEqual([true, true]);
     expect(ports.every((port) => port.seen.length <= 1)).toEqual(true);
@@ -393,7 +393,7 @@
     stand.granted = false;
     const cutOff = stand.ask().port.seen;
     stand.granted = true;
-    stand.gate.drain();
+    stand.gateway.drain();
     expect([cutOff, stand.ask().port.seen]).toEqual([['not-admitting'], ['draining']]);
   });
 
@@ -420,10 +420,10 @@
     stand.workers = [];
     const { port } = stand.ask();
     stand.nowMs = 990;
-    stand.gate.tick();
+    stand.gateway.tick();
     expect(port.seen).toEqual([]);
     stand.nowMs = 1010;
-    stand.gate.tick();
+    stand.gateway.tick();
     expect(port.seen).toEqual(['no-worker']);
   });
 
@@ -442,7 +442,7 @@
     for (let place = 0; place < 8; place += 1) stand.ask();
     expect(stand.flown.length).toEqual(1);
     stand.nowMs = 600;
-    stand.gate.tick();
+    stand.gateway.tick();
     expect(stand.flown.length).toEqual(2);
   });
 });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -6,13 +6,13 @@
 import { RetryBudget } from './budget.js';
 import { Catalogue } from './catalogue.js';
 import { Doubt } from './doubt.js';
-import type { Ask, EndRecord, GateDependencies, RosterView } from './dependencies.js';
+import type { Ask, EndRecord, GatewayDependencies, RosterView } from './dependencies.js';
 import { demandKey, Measures, type Measured } from './measures.js';
 import { Pace } from './pace.js';
 import { Send, type SendEnd } from './send.js';
 import type { Visit, VisitorPort } from './visit.js';
 
-interface GateEvents {
+interface GatewayEvents {
   ended: (record: EndRecord) => void;
 }
 
@@ -30,12 +30,12 @@
  * backlog or goes to a worker; its continuation is kept in a slab meanwhile.
  * Work that may not be repeated is sent once.
  * @example
- * const gate = new Gate(dependencies);
- * const leave = gate.grantEntry(ask, port);
- * gate.tick(); // every 20 ms and after each change
+ * const gateway = new Gateway(dependencies);
+ * const leave = gateway.admit(ask, port);
+ * gateway.tick(); // every 20 ms and after each change
  */
-export class Gate extends EventEmitter<GateEvents> {
-  #dependencies: GateDependencies;
+export class Gateway extends EventEmitter<GatewayEvents> {
+  #dependencies: GatewayDependencies;
   #groups = new Register();
   #kinds = new Register();
   #models = new Register();
@@ -55,12 +55,12 @@
   #catalogued: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
   #counts = new Map<string, number>();
 
-  constructor(dependencies: GateDependencies) {
+  constructor(dependencies: GatewayDependencies) {
     super();
     this.#dependencies = dependencies;
     this.#assigner = new Assigner(dependencies.name, dependencies.zone);
     this.#doubt = new Doubt(dependencies.sender);
-    this.#filters = [(visit) => this.#mayGrantEntry(visit), (visit) => this.#knows(visit)];
+    this.#filters = [(visit) => this.#mayAdmit(visit), (visit) => this.#knows(visit)];
   }
 
   get inFlight(): number {
@@ -83,7 +83,7 @@
   }
 
   /** Lets a visitor in; the returned function says that the visitor has left. */
-  grantEntry(ask: Ask, port: VisitorPort): () => void {
+  admit(ask: Ask, port: VisitorPort): () => void {
     const catalogue = this.#catalogue();
     const nowMs = this.#dependencies.clock.nowMs();
     const route = catalogue?.route(ask.path);
@@ -178,7 +178,7 @@
 
   // Filters.
 
-  #mayGrantEntry(visit: Visit): Fault | undefined {
+  #mayAdmit(visit: Visit): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
     if (!this.#dependencies.granted()) return fault('not-admitting', 'this node is cut off from most others');
     if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Counts what the gate sees, to be taken twice a second as an observation.
+ * Counts what the gateway sees, to be taken twice a second as an observation.
  * @example
  * measures.refused('technicians', 'question');
  * measures.take(new Map()).measures[0].refused; // 1
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -17,8 +17,8 @@
   readonly fault: Fault;
 }
 
-/** What a send needs of its gate. */
-export interface SendDesk {
+/** What a send needs of its gateway. */
+export interface SendContext {
   nowMs(): number;
   mayStart(): boolean;
   over(end: SendEnd): void;
@@ -35,7 +35,7 @@
 export class Send implements SendHandler {
   #visit: Visit;
   #worker: RosterView;
-  #context: SendDesk;
+  #context: SendContext;
   #sending: Sending | undefined;
   #status = 0;
   #contentType = '';
@@ -47,7 +47,7 @@
   #withheld = false;
   #over = false;
 
-  constructor(visit: Visit, worker: RosterView, context: SendDesk) {
+  constructor(visit: Visit, worker: RosterView, context: SendContext) {
     this.#visit = visit;
     this.#worker = worker;
     this.#context = context;
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -22,7 +22,7 @@
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
 const GROUP_TICK_MS = 50;
-const GATE_TICK_MS = 20;
+const GATEWAY_TICK_MS = 20;
 const LIST_MS = 500;
 const COUNTERS_MS = 10_000;
 const SPEC_BODY = '3mb';
@@ -104,10 +104,10 @@
   /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
   async stop(): Promise<void> {
     this.#log.info('stopping');
-    this.#edge?.gate.drain();
+    this.#edge?.gateway.drain();
     this.#door.drain();
     const endMs = CLOCK.nowMs() + this.#settings.drainMs;
-    while ((this.#edge?.gate.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
+    while ((this.#edge?.gateway.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
     await this.#door.empty(Math.min(LINGER_MS, this.#settings.drainMs));
@@ -149,7 +149,7 @@
   #makeEdge(): Edge {
     const { name, zone } = this.#settings;
     const edge = new Edge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
-    edge.gate.on('ended', (record) => this.#remember(record));
+    edge.gateway.on('ended', (record) => this.#remember(record));
     return edge;
   }
 
@@ -169,7 +169,7 @@
         'view',
       );
     }
-    this.#edge?.gate.tick();
+    this.#edge?.gateway.tick();
   }
 
   async #open(): Promise<Result<Unit, Fault>> {
@@ -190,7 +190,7 @@
     const edge = this.#edge;
     if (edge !== undefined) {
       this.#timers.push(
-        setInterval(() => edge.gate.tick(), GATE_TICK_MS),
+        setInterval(() => edge.gateway.tick(), GATEWAY_TICK_MS),
         setInterval(() => edge.observe(), OBSERVE_MS),
       );
     }
@@ -219,10 +219,10 @@
     const { group } = this.#clusterNode;
     const { user, system } = process.cpuUsage();
     return {
-      ...this.#edge?.gate.counts,
+      ...this.#edge?.gateway.counts,
       ...this.#wire.counts,
-      inFlight: this.#edge?.gate.inFlight ?? 0,
-      backlog: this.#edge?.gate.backlogCount ?? 0,
+      inFlight: this.#edge?.gateway.inFlight ?? 0,
+      backlog: this.#edge?.gateway.backlogCount ?? 0,
       version: group.held?.number ?? 0,
       viewNumber: group.view?.number ?? 0,
       members: group.view?.members.length ?? 0,
@@ -285,7 +285,7 @@
   }
 
   #api(): ServiceSchema {
-    const gate = this.#edge?.gate;
+    const gateway = this.#edge?.gateway;
     const door = this.#door;
     const { name } = this.#settings;
     const { host, port } = {
@@ -304,8 +304,8 @@
       else sendFault(res, fault('bad-request', thrown.message), '');
     }
     function visitor(req: VisitorRequest, res: ServerResponse): void {
-      if (gate === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
-      else visit(gate, name, CHANCE, req, res);
+      if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
+      else visit(gateway, name, CHANCE, req, res);
     }
     return {
       name: 'api',
--- a/packages/runtime/src/recorder.ts
+++ b/packages/runtime/src/recorder.ts
@@ -52,7 +52,7 @@
  * Records an edge's day up to a bound.
  * @example
  * const recorder = new Recorder(settings, nowMs);
- * gate.on('ended', (record) => recorder.take(record));
+ * gateway.on('ended', (record) => recorder.take(record));
  */
 export class Recorder {
   #settings: RecorderSettings;
--- a/packages/runtime/src/visitors.ts
+++ b/packages/runtime/src/visitors.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Ask, Gate, VisitorPort } from '@rainrun/gateway';
+import type { Ask, Gateway, VisitorPort } from '@rainrun/gateway';
 import { ANSWERS, fault, hashText, randomId, type Chance, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
@@ -132,12 +132,12 @@
 }
 
 /**
- * Takes a visitor's request from HTTP to the gate.
+ * Takes a visitor's request from HTTP to the gateway.
  * @example
- * visit(gate, 'edge-1', chance, req, res);
+ * visit(gateway, 'edge-1', chance, req, res);
  */
 export function visit(
-  gate: Gate,
+  gateway: Gateway,
   edge: string,
   chance: Chance,
   req: VisitorRequest,
@@ -146,7 +146,7 @@
   const id = `${edge}.${randomId(chance)}`;
   const ask = readAsk(req, id);
   if (ask.isErr) return sendFault(res, ask.error, id);
-  const leave = gate.grantEntry(ask.value, new HttpPort(res, id));
+  const leave = gateway.admit(ask.value, new HttpPort(res, id));
   res.on('close', () => {
     if (!res.writableFinished) leave();
   });
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -334,7 +334,7 @@
     if (running.heartbeats % LIST_BEATS === 0) this.#readList(running);
     if (this.notes && this.#dice.next() < 0.1) this.#castNote(running);
     if (running.edge === undefined) return;
-    running.edge.gate.tick();
+    running.edge.gateway.tick();
     if (running.heartbeats % LIST_BEATS === 0) running.edge.observe();
     if (!this.visitors || this.#dice.next() >= 0.4) return;
     const lookup = this.#dice.next() < 0.4;
@@ -432,7 +432,7 @@
       body: undefined,
       deadlineMs: undefined,
     };
-    return edge.gate.grantEntry(
+    return edge.gateway.admit(
       { ...ask, method: lookup ? 'GET' : 'POST' },
       new SimVisitor(this.oracle, id, () => this.time.nowMs(), ended),
     );
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -17,7 +17,7 @@
  * A simulated visitor's end of one request. It tells the oracle what it saw,
  * piece by piece, and how it ended.
  * @example
- * edge.gate.grantEntry(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
+ * edge.gateway.admit(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
  */
 export class SimVisitor implements VisitorPort {
   #oracle: Oracle;
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -285,14 +285,14 @@
     return 1;
   }
   await pause(10_000);
-  const crowd = new LoadGenerator(fleet.edges.map((edge) => edge.http));
-  const trial = new Trial(fleet, crowd, relay);
+  const loadGenerator = new LoadGenerator(fleet.edges.map((edge) => edge.http));
+  const trial = new Trial(fleet, loadGenerator, relay);
   const day = readDay(makeDay(shape, 600, 1));
   if (day.isErr) return 1;
-  const playing = crowd.play(day.value.calls, 1);
+  const playing = loadGenerator.play(day.value.calls, 1);
   await pause(2000);
   const found = await act(trial);
-  crowd.stop();
+  loadGenerator.stop();
   const report = await playing;
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -23,21 +23,21 @@
  * Failures brought about on a real fleet while visitors call, one after the
  * other, each followed by the question whether service came back.
  * @example
- * const report = await new Trial(fleet, crowd).run();
+ * const report = await new Trial(fleet, loadGenerator).run();
  */
 export class Trial {
   #fleet: Fleet;
   #relay: Relay | undefined;
-  #crowd: LoadGenerator;
+  #loadGenerator: LoadGenerator;
   #lines: string[] = [];
   #faults: string[] = [];
   #planned: { edge: string; fromMs: number; toMs: number }[] = [];
 
   /** With a relay between its nodes the fleet's network is cut too. */
-  constructor(fleet: Fleet, crowd: LoadGenerator, relay?: Relay) {
+  constructor(fleet: Fleet, loadGenerator: LoadGenerator, relay?: Relay) {
     this.#relay = relay;
     this.#fleet = fleet;
-    this.#crowd = crowd;
+    this.#loadGenerator = loadGenerator;
   }
 
   /** Rolls the fleet, node by node, to this build and back to the one it was started from. */
@@ -172,7 +172,7 @@
     const restarting = [edges.at(-1), nodes[0]].filter((node) => node !== undefined);
     await Promise.all(restarting.map((node) => this.#restart(node, 'SIGKILL')));
     const back = await this.#back();
-    for (const node of restarting) this.#crowd.setDown(node.http, false);
+    for (const node of restarting) this.#loadGenerator.setDown(node.http, false);
     return back;
   }
 
@@ -184,7 +184,7 @@
     const workers = (body as { workers: { name: string; zone: string }[] }).workers.filter(
       (worker) => worker.zone === zone,
     );
-    for (const node of lost) this.#crowd.setDown(node.http, true);
+    for (const node of lost) this.#loadGenerator.setDown(node.http, true);
     for (const node of lost) this.#fleet.signal(node.name, 'SIGKILL');
     await Promise.all(workers.map((worker) => this.#worker(worker.name, 'crash', 0)));
     await Promise.all(lost.map((node) => this.#fleet.ended(node.name)));
@@ -192,7 +192,7 @@
     for (const node of lost) this.#fleet.startNode(node);
     await Promise.all(workers.map((worker) => this.#worker(worker.name, 'return', 0)));
     const back = await this.#back();
-    for (const node of lost) this.#crowd.setDown(node.http, false);
+    for (const node of lost) this.#loadGenerator.setDown(node.http, false);
     return back;
   }
 
@@ -276,7 +276,7 @@
   }
 
   async #restart(node: FleetNode, signal: NodeJS.Signals, told = true): Promise<number | null> {
-    if (told) this.#crowd.setDown(node.http, true);
+    if (told) this.#loadGenerator.setDown(node.http, true);
     this.#fleet.signal(node.name, signal);
     const code = await this.#fleet.ended(node.name);
     this.#fleet.startNode(node);
@@ -286,7 +286,7 @@
   async #killNode(node: FleetNode): Promise<string | undefined> {
     await this.#restart(node, 'SIGKILL');
     const back = await this.#back();
-    this.#crowd.setDown(node.http, false);
+    this.#loadGenerator.setDown(node.http, false);
     return back;
   }
 
@@ -361,7 +361,7 @@
       this.#planned.push({ edge: node.http, fromMs, toMs: performance.now() });
       if (code !== 0) return `${node.name} ended with ${code ?? 'a signal'}`;
       const back = await this.#back();
-      this.#crowd.setDown(node.http, false);
+      this.#loadGenerator.setDown(node.http, false);
       if (back !== undefined) return `${node.name}: ${back}`;
     }
     return undefined;
--- a/tools/load-generator/src/index.ts
+++ b/tools/load-generator/src/index.ts
@@ -1,1 +1,1 @@
-export * from './crowd.js';
+export * from './load-generator.js';
--- a/tools/load-generator/src/crowd.ts
+++ b/tools/load-generator/src/load-generator.ts
@@ -15,7 +15,7 @@
   readonly edge: string;
 }
 
-/** What a crowd saw in sum. */
+/** What all clients saw in sum. */
 export interface CrowdReport {
   readonly breaches: string[];
   readonly outcomes: Record<string, number>;
@@ -38,8 +38,8 @@
  * Stand-in visitors: they make the calls of a day against the edges and check
  * every answer by themselves.
  * @example
- * const crowd = new LoadGenerator(['127.0.0.1:8104']);
- * const report = await crowd.play(day.calls, 1);
+ * const loadGenerator = new LoadGenerator(['127.0.0.1:8104']);
+ * const report = await loadGenerator.play(day.calls, 1);
  */
 export class LoadGenerator {
   #edges: readonly string[];
--- a/tools/load-generator/src/main.ts
+++ b/tools/load-generator/src/main.ts
@@ -2,14 +2,14 @@
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
 import { readDay } from '@rainrun/workloads';
-import { LoadGenerator } from './crowd.js';
+import { LoadGenerator } from './load-generator.js';
 
 const cli = meow(
   `
   Stand-in visitors that check their answers.
 
   Usage
-    $ crowd --day FILE --edges IP:PORT[,IP:PORT] [--speed 2]
+    $ load-generator --day FILE --edges IP:PORT[,IP:PORT] [--speed 2]
 `,
   {
     importMeta: import.meta,
@@ -23,7 +23,7 @@
 
 const day = readDay(readFileSync(cli.flags.day, 'utf8'));
 if (day.isErr) {
-  console.error(`crowd: ${cli.flags.day}: ${day.error.detail}`);
+  console.error(`load-generator: ${cli.flags.day}: ${day.error.detail}`);
   process.exit(2);
 }
 const report = await new LoadGenerator(cli.flags.edges.split(',')).play(day.value.calls, cli.flags.speed);
--- a/tools/planner/src/main.ts
+++ b/tools/planner/src/main.ts
@@ -11,7 +11,7 @@
   Whether what a day asks for fits a site, and what is lost with each zone.
 
   Usage
-    $ survey --spec FILE --workers FILE --day FILE [--cores ZONE,ZONE,ZONE] [--json]
+    $ planner --spec FILE --workers FILE --day FILE [--cores ZONE,ZONE,ZONE] [--json]
 
   Options
     --spec      the spec
@@ -40,7 +40,7 @@
 });
 
 function fail(message: string): never {
-  console.error(`survey: ${message}`);
+  console.error(`planner: ${message}`);
   process.exit(2);
 }
 
