--- a/eslint.config.js
+++ b/eslint.config.js
@@ -105,8 +105,8 @@
         'error',
         { name: 'Date', message: 'Wall clocks jump: the core is given a monotonic Clock.' },
         { name: 'performance', message: 'The core is given its Clock.' },
-        { name: 'setTimeout', message: 'The core is driven by beats.' },
-        { name: 'setInterval', message: 'The core is driven by beats.' },
+        { name: 'setTimeout', message: 'The core is driven by ticks.' },
+        { name: 'setInterval', message: 'The core is driven by ticks.' },
       ],
       'no-restricted-syntax': [
         'error',
--- a/packages/common/src/chance.ts
+++ b/packages/common/src/chance.ts
@@ -25,9 +25,9 @@
 }
 
 /**
- * A short random word, as used for incarnations, disk ids and operation ids.
+ * A short random id, as used for incarnations, disk ids and operation ids.
  * @example
- * word(new Dice(1)).length; // 12
+ * randomId(new Dice(1)).length; // 12
  */
 export function randomId(chance: Chance): string {
   let text = '';
--- a/packages/common/src/kinds.ts
+++ b/packages/common/src/kinds.ts
@@ -80,11 +80,11 @@
 }
 
 /**
- * Tells whether a word is one of the closed list of kinds.
+ * Tells whether a text is one of the closed list of kinds.
  * @example
  * isFaultKind('conflict'); // true
  * isFaultKind('agreed'); // false
  */
-export function isFaultKind(word: string): word is FaultKind {
-  return Object.hasOwn(ANSWERS, word);
+export function isFaultKind(text: string): text is FaultKind {
+  return Object.hasOwn(ANSWERS, text);
 }
--- a/packages/failure-detector/src/index.ts
+++ b/packages/failure-detector/src/index.ts
@@ -26,7 +26,7 @@
     this.#times = times;
   }
 
-  /** Starts to watch a incarnation, as if it had just answered. */
+  /** Starts to watch an incarnation, as if it had just answered. */
   watch(incarnation: string, nowMs: number): void {
     if (!this.#answeredMs.has(incarnation)) this.#answeredMs.set(incarnation, nowMs);
   }
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -118,7 +118,7 @@
     return this.#parts.submissions.full;
   }
 
-  /** An operator's word that a name will not come back. Only the coordinator can use it. */
+  /** An operator's statement that a name will not come back. Only the coordinator can use it. */
   forget(name: string): boolean {
     const { coordinator } = this.#parts.coordination;
     coordinator?.forget(name);
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -85,7 +85,7 @@
 }
 
 /**
- * The rank of a incarnation in a view, or -1.
+ * The rank of an incarnation in a view, or -1.
  * @example
  * rankOf(view, 'incarnation-1'); // 0
  */
--- a/packages/process-group/src/view-change.ts
+++ b/packages/process-group/src/view-change.ts
@@ -21,7 +21,7 @@
 
 /**
  * Takes this node from one view to the next: it stops its casts at the
- * coordinator's word, hands over what may be missing elsewhere, and opens the
+ * coordinator's request, hands over what may be missing elsewhere, and opens the
  * new view once that is in force. A node that was left out starts anew.
  * @example
  * viewChange.onStop('incarnation-1', stop); // answers with a flush
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -311,7 +311,7 @@
     }
   }
 
-  /** Opens a view at a incarnation, so that an empty set counts too. */
+  /** Opens a view at an incarnation, so that an empty set counts too. */
   enter(incarnation: string, view: number): void {
     const views = this.#open.get(incarnation) ?? new Map<number, ViewNote>();
     this.#open.set(incarnation, views);
--- a/packages/simulator/src/timelines.test.ts
+++ b/packages/simulator/src/timelines.test.ts
@@ -117,7 +117,7 @@
     ).toEqual([]);
   });
 
-  it('replace an voter whose disk is lost by the empty one at a new address', () => {
+  it('replace a voter whose disk is lost by the empty one at a new address', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
