--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 import { EventEmitter } from 'eventemitter3';
-import type { Spec } from '@rainrun/configuration';
+import type { Spec, SpecGroup } from '@rainrun/configuration';
 import { fault, Register, Slab, type Fault } from '@rainrun/common';
 import { Assigner, type Need } from './assign.js';
 import { Backlog } from './backlog.js';
@@ -7,6 +7,7 @@
 import { Catalogue } from './catalogue.js';
 import { Doubt } from './doubt.js';
 import type { Ask, EndRecord, GatewayDependencies, RosterView } from './dependencies.js';
+import { GroupShares } from './group-shares.js';
 import { demandKey, Measures, type Measured } from './measures.js';
 import { Pace } from './pace.js';
 import { Send, type SendEnd } from './send.js';
@@ -21,9 +22,6 @@
 const DEADLINE_MS = 120_000;
 const STALL_MS = 15_000;
 const LOOKUP_SEND_MS = 1500;
-const BACKLOG_LEAST = 8;
-const BACKLOG_PER_SLOT = 4;
-const ACTIVE_MS = 10_000;
 
 /**
  * The data plane of one edge. A request passes the filters, then waits in the
@@ -45,8 +43,7 @@
   #assigner: Assigner;
   #budget = new RetryBudget();
   #filters: readonly Filter[];
-  #groupInFlight: number[] = [];
-  #groupSeenMs: number[] = [];
+  #shares: GroupShares;
   #paces: Pace[] = [];
   #measures = new Measures();
   #doubt: Doubt;
@@ -58,6 +55,7 @@
   constructor(dependencies: GatewayDependencies) {
     super();
     this.#dependencies = dependencies;
+    this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
     this.#assigner = new Assigner(dependencies.name, dependencies.zone);
     this.#doubt = new Doubt(dependencies.sender);
     this.#filters = [(visit) => this.#mayAdmit(visit), (visit) => this.#knows(visit)];
@@ -84,14 +82,30 @@
 
   /** Lets a visitor in; the returned function says that the visitor has left. */
   admit(ask: Ask, port: VisitorPort): () => void {
-    const catalogue = this.#catalogue();
     const nowMs = this.#dependencies.clock.nowMs();
+    const visit = this.#visitOf(ask, port, nowMs);
+    this.#count('entered');
+    for (const filter of this.#filters) {
+      const refused = filter(visit);
+      if (refused === undefined) continue;
+      this.#refuse(visit, refused);
+      return () => undefined;
+    }
+    this.#noteArrival(visit, nowMs);
+    const key = this.#wait(visit);
+    this.tick();
+    const crowded = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(visit);
+    if (crowded !== undefined) this.#giveUp(key, crowded);
+    return () => this.#visitorLeft(visit);
+  }
+
+  /** A request with its names as indices; what the spec does not know stands as the empty name. */
+  #visitOf(ask: Ask, port: VisitorPort, nowMs: number): Visit {
+    const catalogue = this.#catalogue();
     const route = catalogue?.route(ask.path);
     const group = catalogue?.group(ask.group);
-    const kind =
-      group?.kinds.find((known) => known.name === ask.kind) ??
-      (ask.kind === '' ? group?.kinds[0] : undefined);
-    const visit: Visit = {
+    const kind = kindOf(group, ask.kind);
+    return {
       id: ask.id,
       port,
       group: this.#groups.index(group?.name ?? ''),
@@ -118,19 +132,6 @@
       firstPieceMs: undefined,
       trail: [],
     };
-    this.#count('entered');
-    for (const filter of this.#filters) {
-      const refused = filter(visit);
-      if (refused === undefined) continue;
-      this.#refuse(visit, refused);
-      return () => undefined;
-    }
-    this.#noteArrival(visit, nowMs);
-    const key = this.#wait(visit);
-    this.tick();
-    const crowded = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(visit);
-    if (crowded !== undefined) this.#giveUp(key, crowded);
-    return () => this.#visitorLeft(visit);
   }
 
   /** Gives up what has waited too long, and sends what can be sent now. */
@@ -169,7 +170,7 @@
 
   groupNow(group: string): { inFlight: number; backlog: number } {
     const index = this.#groups.index(group);
-    return { inFlight: this.#groupInFlight[index] ?? 0, backlog: this.#backlog.countOf(index) };
+    return { inFlight: this.#shares.inFlight(index), backlog: this.#backlog.countOf(index) };
   }
 
   workerInFlight(worker: string): number {
@@ -217,10 +218,7 @@
 
   /** A group may not have more waiting than its share; what can be sent at once does not wait. */
   #overBacklog(visit: Visit): Fault | undefined {
-    const most = Math.max(
-      BACKLOG_LEAST,
-      Math.floor(this.#slotsHere() * BACKLOG_PER_SLOT * this.#shareOf(visit.group)),
-    );
+    const most = this.#shares.mostWaiting(visit.group);
     if (this.#backlog.countOf(visit.group) <= most) return undefined;
     return fault(
       'over-share',
@@ -228,24 +226,6 @@
     );
   }
 
-  #slotsHere(): number {
-    const slots = this.#dependencies
-      .workers()
-      .reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
-    return Math.max(1, slots / Math.max(1, this.#dependencies.edges().length));
-  }
-
-  /** A group's part among the groups that have asked lately. */
-  #shareOf(group: number): number {
-    const nowMs = this.#dependencies.clock.nowMs();
-    let sum = 0;
-    for (let other = 0; other < this.#groups.size; other += 1) {
-      const active = other === group || nowMs - (this.#groupSeenMs[other] ?? -Infinity) < ACTIVE_MS;
-      if (active) sum += this.#dependencies.weight(this.#groups.name(other));
-    }
-    return sum === 0 ? 1 : this.#dependencies.weight(this.#groups.name(group)) / sum;
-  }
-
   // Waiting and sending.
 
   #wait(visit: Visit): number {
@@ -272,7 +252,7 @@
       for (const { key, group } of lane) {
         const visit = this.#slab.get(key);
         if (visit === undefined) continue;
-        if (!visit.repeatable && this.#overShare(group)) continue;
+        if (!visit.repeatable && this.#shares.isHeldBack(group)) continue;
         const wanted = this.#need(visit);
         const need = `${visit.pool}/${this.#demandKey(visit)}/${wanted.beyond}`;
         if (nowhere.has(need)) continue;
@@ -291,25 +271,14 @@
     return false;
   }
 
-  /** While others wait, a group is held to its part of the slots. */
-  #overShare(group: number): boolean {
-    const others = this.#backlog.count - this.#backlog.countOf(group);
-    return others > 0 && this.#hasPart(group);
-  }
-
-  #hasPart(group: number): boolean {
-    return (
-      (this.#groupInFlight[group] ?? 0) >= Math.max(1, Math.ceil(this.#slotsHere() * this.#shareOf(group)))
-    );
-  }
-
   #need(visit: Visit): Need {
     return {
       pool: visit.pool,
       model: visit.repeatable ? '' : this.#models.name(visit.model),
       adapter: visit.repeatable ? '' : this.#adapters.name(visit.adapter),
       prefix: visit.prefix,
-      beyond: !visit.repeatable && this.#hasPart(visit.group) && this.#shareOf(visit.group) < 1,
+      beyond:
+        !visit.repeatable && this.#shares.hasItsPart(visit.group) && this.#shares.shareOf(visit.group) < 1,
     };
   }
 
@@ -320,7 +289,7 @@
     visit.worker = worker.name;
     this.#assigner.begun(worker.name, visit.prefix);
     this.#backlog.charge(visit.group, this.#dependencies.weight(this.#groups.name(visit.group)));
-    this.#groupInFlight[visit.group] = (this.#groupInFlight[visit.group] ?? 0) + 1;
+    this.#shares.begun(visit.group);
     this.#pace(visit.group).sent(nowMs);
     this.#count('sends');
     const send = new Send(visit, worker, {
@@ -391,7 +360,7 @@
 
   #sendOver(visit: Visit, worker: RosterView, end: SendEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#groupInFlight[visit.group] = Math.max(0, (this.#groupInFlight[visit.group] ?? 0) - 1);
+    this.#shares.ended(visit.group);
     this.#assigner.ended(worker.name, end.well, nowMs);
     if (end.done === undefined && end.tried && !visit.left) this.#assigner.failed(worker.name, nowMs);
     if (!end.well) this.#measures.failed(worker.name);
@@ -502,12 +471,17 @@
   }
 
   #noteArrival(visit: Visit, nowMs: number): void {
-    this.#groupSeenMs[visit.group] = nowMs;
+    this.#shares.asked(visit.group, nowMs);
     if (!visit.repeatable)
       this.#measures.arrived(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
   }
 }
 
+/** The kind of work that is named, or the group's first where none is. */
+function kindOf(group: SpecGroup | undefined, name: string): SpecGroup['kinds'][number] | undefined {
+  return group?.kinds.find((known) => known.name === name) ?? (name === '' ? group?.kinds[0] : undefined);
+}
+
 /** Whether a worker may get work now, as far as this node knows. */
 function mayServe(workers: readonly RosterView[], worker: RosterView): boolean {
   const now = workers.find((known) => known.name === worker.name);
--- /dev/null
+++ b/packages/gateway/src/group-shares.ts
@@ -0,0 +1,80 @@
+/** How an edge shares its part of the workers' slots among the research groups. */
+import type { Register } from '@rainrun/common';
+import type { Backlog } from './backlog.js';
+import type { GatewayDependencies } from './dependencies.js';
+
+const BACKLOG_LEAST = 8;
+const BACKLOG_PER_SLOT = 4;
+/** A group counts among those that share for so long after it asked. */
+const ACTIVE_MS = 10_000;
+
+/**
+ * The groups' shares, by their weights and by who has asked lately; a group
+ * is its index in the register.
+ * @example
+ * if (shares.isHeldBack(group)) continue; // others wait, and it has its part
+ */
+export class GroupShares {
+  #dependencies: GatewayDependencies;
+  #groups: Register;
+  #backlog: Backlog;
+  #inFlight: number[] = [];
+  #seenMs: number[] = [];
+
+  constructor(dependencies: GatewayDependencies, groups: Register, backlog: Backlog) {
+    this.#dependencies = dependencies;
+    this.#groups = groups;
+    this.#backlog = backlog;
+  }
+
+  inFlight(group: number): number {
+    return this.#inFlight[group] ?? 0;
+  }
+
+  asked(group: number, nowMs: number): void {
+    this.#seenMs[group] = nowMs;
+  }
+
+  begun(group: number): void {
+    this.#inFlight[group] = this.inFlight(group) + 1;
+  }
+
+  ended(group: number): void {
+    this.#inFlight[group] = Math.max(0, this.inFlight(group) - 1);
+  }
+
+  /** How many requests of a group may wait here. */
+  mostWaiting(group: number): number {
+    return Math.max(BACKLOG_LEAST, Math.floor(this.#slotsHere() * BACKLOG_PER_SLOT * this.shareOf(group)));
+  }
+
+  /** A group's part among the groups that have asked lately. */
+  shareOf(group: number): number {
+    const nowMs = this.#dependencies.clock.nowMs();
+    let sum = 0;
+    for (let other = 0; other < this.#groups.size; other += 1) {
+      const active = other === group || nowMs - (this.#seenMs[other] ?? -Infinity) < ACTIVE_MS;
+      if (active) sum += this.#dependencies.weight(this.#groups.name(other));
+    }
+    return sum === 0 ? 1 : this.#dependencies.weight(this.#groups.name(group)) / sum;
+  }
+
+  /** Whether a group has its part of the slots in flight already. */
+  hasItsPart(group: number): boolean {
+    return this.inFlight(group) >= Math.max(1, Math.ceil(this.#slotsHere() * this.shareOf(group)));
+  }
+
+  /** While others wait, a group is held to its part of the slots. */
+  isHeldBack(group: number): boolean {
+    const others = this.#backlog.count - this.#backlog.countOf(group);
+    return others > 0 && this.hasItsPart(group);
+  }
+
+  /** This edge's part of the slots of all usable workers. */
+  #slotsHere(): number {
+    const slots = this.#dependencies
+      .workers()
+      .reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
+    return Math.max(1, slots / Math.max(1, this.#dependencies.edges().length));
+  }
+}
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -31,6 +31,29 @@
 /** A stopping node answers callers that keep their connections for so long. */
 const LINGER_MS = 5000;
 
+/** Operators' paths, and the actions that answer them. */
+const OPERATOR_ALIASES = {
+  'GET view': 'operator.view',
+  'GET spec': 'operator.spec',
+  'PUT spec': 'operator.put',
+  'PATCH spec': 'operator.change',
+  'POST spec/check': 'operator.check',
+  'GET spec/history': 'operator.history',
+  'GET operations/:id': 'operator.operation',
+  'GET zones': 'operator.zones',
+  'POST zones/:zone/empty': 'operator.empty',
+  'POST zones/:zone/restore': 'operator.restore',
+  'GET workers': 'operator.workers',
+  'GET groups': 'operator.groups',
+  'GET counters': 'operator.counters',
+  'GET status': 'operator.status',
+  'GET ready': 'operator.ready',
+  'GET metrics': 'operator.metrics',
+  'GET explain/requests/:id': 'operator.explain',
+  'GET explain/models/:model': 'operator.explainModel',
+  'POST forget/:name': 'operator.forget',
+} as const;
+
 const CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
 
@@ -292,17 +315,6 @@
       host: this.#settings.http.split(':')[0] ?? '',
       port: Number(this.#settings.http.split(':')[1]),
     };
-    function onError(
-      _req: IncomingMessage,
-      res: ServerResponse,
-      thrown: Error & { type?: string; code?: number | string },
-    ): void {
-      if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
-      else if (thrown.type === 'entity.parse.failed')
-        sendFault(res, fault('bad-request', 'the body is not JSON'), '');
-      else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
-      else sendFault(res, fault('bad-request', thrown.message), '');
-    }
     function visitor(req: VisitorRequest, res: ServerResponse): void {
       if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
       else visit(gateway, name, CHANCE, req, res);
@@ -317,33 +329,13 @@
         logRequestParams: null,
         logResponse: null,
         logRouteRegistration: null,
-        onError,
+        onError: answerError,
         routes: [
           {
             path: '/rainrun/v1',
             mergeParams: true,
             bodyParsers: { json: { limit: SPEC_BODY } },
-            aliases: {
-              'GET view': 'operator.view',
-              'GET spec': 'operator.spec',
-              'PUT spec': 'operator.put',
-              'PATCH spec': 'operator.change',
-              'POST spec/check': 'operator.check',
-              'GET spec/history': 'operator.history',
-              'GET operations/:id': 'operator.operation',
-              'GET zones': 'operator.zones',
-              'POST zones/:zone/empty': 'operator.empty',
-              'POST zones/:zone/restore': 'operator.restore',
-              'GET workers': 'operator.workers',
-              'GET groups': 'operator.groups',
-              'GET counters': 'operator.counters',
-              'GET status': 'operator.status',
-              'GET ready': 'operator.ready',
-              'GET metrics': 'operator.metrics',
-              'GET explain/requests/:id': 'operator.explain',
-              'GET explain/models/:model': 'operator.explainModel',
-              'POST forget/:name': 'operator.forget',
-            },
+            aliases: OPERATOR_ALIASES,
           },
           {
             path: '/',
@@ -362,6 +354,19 @@
   }
 }
 
+/** Answers a request that the HTTP layer could not read or find. */
+function answerError(
+  _req: IncomingMessage,
+  res: ServerResponse,
+  thrown: Error & { type?: string; code?: number | string },
+): void {
+  if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
+  else if (thrown.type === 'entity.parse.failed')
+    sendFault(res, fault('bad-request', 'the body is not JSON'), '');
+  else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
+  else sendFault(res, fault('bad-request', thrown.message), '');
+}
+
 async function openDisk(settings: Settings, broken: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
   const opened = await RecordStore.open(settings.folder);
   if (opened.isErr) return Result.err(opened.error);
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -51,6 +51,11 @@
 const LISTS = new Set(['seeds', 'founders']);
 const NUMBERS = new Set(['drainMs', 'bodyMaxBytes', 'recordMaxBytes']);
 
+/** Flags that are not settings themselves. */
+const NOT_SETTINGS = new Set(['settings', 'check']);
+
+type Flags = readonly (readonly [key: string, value: unknown])[];
+
 /**
  * Puts settings file and flags together, flags first, and checks the whole.
  * A fault names the key, the value found and what was expected.
@@ -61,48 +66,68 @@
   flags: Readonly<Record<string, unknown>>,
   role: 'edge' | 'core',
 ): Result<Settings, Fault[]> {
+  return singleFlags(flags)
+    .andThen((given) => mergedWithFile(given))
+    .andThen((merged) => parseSettings(merged))
+    .andThen((settings) => checkFolder(settings, role));
+}
+
+/** A flag that is given twice has no one value. */
+function singleFlags(flags: Readonly<Record<string, unknown>>): Result<Flags, Fault[]> {
   const given = Object.entries(flags).map(([key, value]): [string, unknown] => [
     key,
     Array.isArray(value) && value.length < 2 ? value[0] : value,
   ]);
-  const twice = given.filter(([, value]) => Array.isArray(value));
-  if (twice.length > 0) {
-    return Result.err(
-      twice.map(([key, value]) =>
-        fault('bad-setting', `${key}: found ${JSON.stringify(value)}, expected one value`),
-      ),
+  const faults = given
+    .filter(([, value]) => Array.isArray(value))
+    .map(([key, value]) =>
+      fault('bad-setting', `${key}: found ${JSON.stringify(value)}, expected one value`),
     );
-  }
-  const file = readFile(given.find(([key]) => key === 'settings')?.[1]);
-  if (file.isErr) return Result.err([file.error]);
-  const merged: Record<string, unknown> = { ...file.value };
-  for (const [key, value] of given) {
-    if (value === undefined || value === '' || key === 'settings' || key === 'check') continue;
-    if (key === 'recordContents' && value === false) continue;
-    merged[key] = fromFlag(key, value);
-  }
+  return faults.length > 0 ? Result.err(faults) : Result.ok(given);
+}
+
+function mergedWithFile(given: Flags): Result<Record<string, unknown>, Fault[]> {
+  const path = given.find(([key]) => key === 'settings')?.[1];
+  return readFile(path)
+    .map((file) => ({
+      ...file,
+      ...Object.fromEntries(
+        given
+          .filter(([key, value]) => isGiven(key, value))
+          .map(([key, value]) => [key, fromFlag(key, value)]),
+      ),
+    }))
+    .mapErr((why) => [why]);
+}
+
+/** Whether a flag says anything; `recordContents` is false unless it is given. */
+function isGiven(key: string, value: unknown): boolean {
+  if (value === undefined || value === '' || NOT_SETTINGS.has(key)) return false;
+  return !(key === 'recordContents' && value === false);
+}
+
+function parseSettings(merged: Readonly<Record<string, unknown>>): Result<Settings, Fault[]> {
   const parsed = v.safeParse(SettingsSchema, merged);
-  if (!parsed.success) {
-    return Result.err(
-      parsed.issues.map((issue) => {
-        const path = v.getDotPath(issue) ?? 'settings';
-        return fault(
-          'bad-setting',
-          `${path}: found ${issue.input === undefined ? 'nothing' : JSON.stringify(issue.input)}, expected ${issue.expected ?? issue.message} (${issue.message})`,
-        );
-      }),
-    );
-  }
-  const settings = parsed.output;
-  if (role === 'core' && settings.folder === '')
+  if (parsed.success) return Result.ok(parsed.output);
+  return Result.err(
+    parsed.issues.map((issue) => {
+      const path = v.getDotPath(issue) ?? 'settings';
+      const found = issue.input === undefined ? 'nothing' : JSON.stringify(issue.input);
+      const expected = issue.expected ?? issue.message;
+      return fault('bad-setting', `${path}: found ${found}, expected ${expected} (${issue.message})`);
+    }),
+  );
+}
+
+/** A core needs a data folder; an edge has none. */
+function checkFolder(settings: Settings, role: 'edge' | 'core'): Result<Settings, Fault[]> {
+  const { folder } = settings;
+  if (role === 'core' && folder === '')
     return Result.err([
       fault('bad-setting', 'folder: found nothing, expected the data folder of a core node'),
     ]);
-  if (role === 'edge' && settings.folder !== '') {
-    return Result.err([
-      fault('bad-setting', `folder: found "${settings.folder}", expected none on an edge node`),
-    ]);
-  }
+  if (role === 'edge' && folder !== '')
+    return Result.err([fault('bad-setting', `folder: found "${folder}", expected none on an edge node`)]);
   return Result.ok(settings);
 }
 
