--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -22,7 +22,7 @@
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
 const GROUP_TICK_MS = 50;
-const GATE_TICK_MS = 20;
+const GATEWAY_TICK_MS = 20;
 const LIST_MS = 500;
 const COUNTERS_MS = 10_000;
 const SPEC_BODY = '3mb';
@@ -31,6 +31,29 @@
 /** A stopping node answers callers that keep their connections for so long. */
 const LINGER_MS = 5000;
 
+/** Operators' paths, and the actions that answer them. */
+const OPERATOR_ALIASES = {
+  'GET view': 'operator.view',
+  'GET spec': 'operator.spec',
+  'PUT spec': 'operator.put',
+  'PATCH spec': 'operator.change',
+  'POST spec/check': 'operator.check',
+  'GET spec/history': 'operator.history',
+  'GET operations/:id': 'operator.operation',
+  'GET zones': 'operator.zones',
+  'POST zones/:zone/empty': 'operator.empty',
+  'POST zones/:zone/restore': 'operator.restore',
+  'GET workers': 'operator.workers',
+  'GET groups': 'operator.groups',
+  'GET counters': 'operator.counters',
+  'GET status': 'operator.status',
+  'GET ready': 'operator.ready',
+  'GET metrics': 'operator.metrics',
+  'GET explain/requests/:id': 'operator.explain',
+  'GET explain/models/:model': 'operator.explainModel',
+  'POST forget/:name': 'operator.forget',
+} as const;
+
 const CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
 
@@ -104,10 +127,10 @@
   /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
   async stop(): Promise<void> {
     this.#log.info('stopping');
-    this.#edge?.gate.drain();
+    this.#edge?.gateway.drain();
     this.#door.drain();
     const endMs = CLOCK.nowMs() + this.#settings.drainMs;
-    while ((this.#edge?.gate.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
+    while ((this.#edge?.gateway.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
     await this.#door.empty(Math.min(LINGER_MS, this.#settings.drainMs));
@@ -149,7 +172,7 @@
   #makeEdge(): Edge {
     const { name, zone } = this.#settings;
     const edge = new Edge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
-    edge.gate.on('ended', (record) => this.#remember(record));
+    edge.gateway.on('ended', (record) => this.#remember(record));
     return edge;
   }
 
@@ -169,7 +192,7 @@
         'view',
       );
     }
-    this.#edge?.gate.tick();
+    this.#edge?.gateway.tick();
   }
 
   async #open(): Promise<Result<Unit, Fault>> {
@@ -190,7 +213,7 @@
     const edge = this.#edge;
     if (edge !== undefined) {
       this.#timers.push(
-        setInterval(() => edge.gate.tick(), GATE_TICK_MS),
+        setInterval(() => edge.gateway.tick(), GATEWAY_TICK_MS),
         setInterval(() => edge.observe(), OBSERVE_MS),
       );
     }
@@ -219,10 +242,10 @@
     const { group } = this.#clusterNode;
     const { user, system } = process.cpuUsage();
     return {
-      ...this.#edge?.gate.counts,
+      ...this.#edge?.gateway.counts,
       ...this.#wire.counts,
-      inFlight: this.#edge?.gate.inFlight ?? 0,
-      backlog: this.#edge?.gate.backlogCount ?? 0,
+      inFlight: this.#edge?.gateway.inFlight ?? 0,
+      backlog: this.#edge?.gateway.backlogCount ?? 0,
       version: group.held?.number ?? 0,
       viewNumber: group.view?.number ?? 0,
       members: group.view?.members.length ?? 0,
@@ -285,27 +308,16 @@
   }
 
   #api(): ServiceSchema {
-    const gate = this.#edge?.gate;
+    const gateway = this.#edge?.gateway;
     const door = this.#door;
     const { name } = this.#settings;
     const { host, port } = {
       host: this.#settings.http.split(':')[0] ?? '',
       port: Number(this.#settings.http.split(':')[1]),
     };
-    function onError(
-      _req: IncomingMessage,
-      res: ServerResponse,
-      thrown: Error & { type?: string; code?: number | string },
-    ): void {
-      if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
-      else if (thrown.type === 'entity.parse.failed')
-        sendFault(res, fault('bad-request', 'the body is not JSON'), '');
-      else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
-      else sendFault(res, fault('bad-request', thrown.message), '');
-    }
     function visitor(req: VisitorRequest, res: ServerResponse): void {
-      if (gate === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
-      else visit(gate, name, CHANCE, req, res);
+      if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
+      else visit(gateway, name, CHANCE, req, res);
     }
     return {
       name: 'api',
@@ -317,33 +329,13 @@
         logRequestParams: null,
         logResponse: null,
         logRouteRegistration: null,
-        onError,
+        onError: answerError,
         routes: [
           {
             path: '/rainrun/v1',
             mergeParams: true,
             bodyParsers: { json: { limit: SPEC_BODY } },
-            aliases: {
-              'GET view': 'operator.view',
-              'GET spec': 'operator.spec',
-              'PUT spec': 'operator.put',
-              'PATCH spec': 'operator.change',
-              'POST spec/check': 'operator.check',
-              'GET spec/history': 'operator.history',
-              'GET operations/:id': 'operator.operation',
-              'GET zones': 'operator.zones',
-              'POST zones/:zone/empty': 'operator.empty',
-              'POST zones/:zone/restore': 'operator.restore',
-              'GET workers': 'operator.workers',
-              'GET groups': 'operator.groups',
-              'GET counters': 'operator.counters',
-              'GET status': 'operator.status',
-              'GET ready': 'operator.ready',
-              'GET metrics': 'operator.metrics',
-              'GET explain/requests/:id': 'operator.explain',
-              'GET explain/models/:model': 'operator.explainModel',
-              'POST forget/:name': 'operator.forget',
-            },
+            aliases: OPERATOR_ALIASES,
           },
           {
             path: '/',
@@ -362,6 +354,19 @@
   }
 }
 
+/** Answers a request that the HTTP layer could not read or find. */
+function answerError(
+  _req: IncomingMessage,
+  res: ServerResponse,
+  thrown: Error & { type?: string; code?: number | string },
+): void {
+  if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
+  else if (thrown.type === 'entity.parse.failed')
+    sendFault(res, fault('bad-request', 'the body is not JSON'), '');
+  else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
+  else sendFault(res, fault('bad-request', thrown.message), '');
+}
+
 async function openDisk(settings: Settings, broken: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
   const opened = await RecordStore.open(settings.folder);
   if (opened.isErr) return Result.err(opened.error);
