--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -39,6 +39,7 @@
   | 'worker'
   | 'demand'
   | 'order'
+  | 'evacuation'
   | 'storm'
   | 'answers lost'
   | 'long cut'
@@ -79,12 +80,13 @@
     'power during change': 5,
   },
   partitions: {
-    core: 10,
+    core: 20,
     edge: 10,
     worker: 8,
     order: 30,
     'answers lost': 6,
-    'long cut': 20,
+    evacuation: 14,
+    'long cut': 14,
     'zone cut': 8,
     'zone loss': 6,
     lossy: 2,
@@ -198,6 +200,8 @@
         return this.#shiftDemand();
       case 'order':
         return load.any();
+      case 'evacuation':
+        return load.zone();
       case 'storm':
         return load.storm(STORM_MS, STORM_LENGTH_MS);
       case 'answers lost':
@@ -227,9 +231,9 @@
     }
   }
 
-  /** All at once only while nothing else is lost: a disk that is wiped has to be replaced first. */
+  /** All at once only while every disk is there: one that was wiped has to catch up first. */
   #whenWhole(act: () => void): void {
-    if (this.faults.lost === 0 && this.faults.mayLose) act();
+    if (this.faults.mayLosePowerEverywhere) act();
   }
 
   /** Demand moves to other models. */
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -52,6 +52,8 @@
   #dice: Dice;
   /** Until when each core counts as lost. */
   #lostUntilMs = new Map<Machine, number>();
+  /** Of those, the ones whose disk was lost as well. */
+  #emptied = new Set<Machine>();
   #replacing = false;
 
   constructor(system: System) {
@@ -81,17 +83,27 @@
   /** Cores that count as lost now. */
   get lost(): number {
     const nowMs = this.#system.time.nowMs();
-    for (const [core, untilMs] of this.#lostUntilMs) if (untilMs < nowMs) this.#lostUntilMs.delete(core);
+    for (const [core, untilMs] of this.#lostUntilMs) {
+      if (untilMs >= nowMs) continue;
+      this.#lostUntilMs.delete(core);
+      this.#emptied.delete(core);
+    }
     return this.#lostUntilMs.size;
   }
 
+  /** Whether every disk that counts holds all that it ever synced, so that all cores may lose power. */
+  get mayLosePowerEverywhere(): boolean {
+    return this.lost === 0 || this.#emptied.size === 0;
+  }
+
   /** Whether another core may be lost now. */
   get mayLose(): boolean {
     return this.lost < this.#system.size.lossesBorne && !this.#replacing;
   }
 
   #lose(core: Machine, forMs: number): void {
-    this.#lostUntilMs.set(core, this.#system.time.nowMs() + forMs + BOUNDS.catchUpMs);
+    const untilMs = this.#system.time.nowMs() + forMs + BOUNDS.catchUpMs;
+    this.#lostUntilMs.set(core, Math.max(untilMs, this.#lostUntilMs.get(core) ?? 0));
   }
 
   /** A core that is not lost; the coordinator as often as all others together. */
@@ -134,6 +146,7 @@
       case 'wipe':
         system.losePower(core);
         core.disk?.wipe();
+        this.#emptied.add(core);
         return this.#bootAfter(core, forMs);
       case 'replace':
         return this.#replace(core, forMs);
@@ -155,6 +168,7 @@
     this.#system.remove(core);
     const successor = this.#system.addCore(core.zone);
     this.#lostUntilMs.delete(core);
+    this.#emptied.add(successor);
     this.#lose(successor, forMs);
     this.#bootAfter(successor, forMs);
   }
@@ -222,13 +236,20 @@
     this.#inject('planned replacement', core);
     const successor = system.addCore(core.zone);
     system.boot(successor);
-    this.#after(SUCCESSOR_MS, () => {
-      system.stop(core);
-      this.#after(STOPPED_MS, () => {
-        system.remove(core);
-        this.#lose(successor, 0);
-        this.#replacing = false;
-      });
+    this.#after(SUCCESSOR_MS, () => this.#retire(core, successor));
+  }
+
+  /** Ends and removes a core once its successor has caught up and nothing else is lost. */
+  #retire(core: Machine, successor: Machine): void {
+    if (this.lost > 0) {
+      this.#after(SUCCESSOR_MS, () => this.#retire(core, successor));
+      return;
+    }
+    this.#system.stop(core);
+    this.#lose(successor, 0);
+    this.#after(STOPPED_MS, () => {
+      this.#system.remove(core);
+      this.#replacing = false;
     });
   }
 
@@ -240,6 +261,7 @@
       if (kind === 'kill') this.#system.kill(core);
       else this.#system.losePower(core);
       if (!core.removed) this.#lose(core, 1500);
+      if (core.disk !== undefined) core.disk.full = false;
     }
     for (const core of cores) this.#bootAfter(core, 300 + this.#roll(1200));
   }
