--- a/packages/gateway/src/budget.ts
+++ b/packages/gateway/src/budget.ts
@@ -28,6 +28,11 @@
     this.#tokens = Math.min(this.#tokens, part);
   }
 
+  /** Whether this edge's part can ever pay for an extra send. */
+  get bearsRetries(): boolean {
+    return this.#part >= 1 - ROUNDING;
+  }
+
   /** A request is sent for the first time. */
   first(ratio: number): void {
     this.#tokens = Math.min(this.#part, this.#tokens + ratio);
--- a/packages/gateway/src/link.ts
+++ b/packages/gateway/src/link.ts
@@ -1,4 +1,4 @@
-import { buildConnector, Pool, type Dispatcher } from 'undici';
+import { buildConnector, Client, Pool, type Dispatcher } from 'undici';
 
 /** A header as it stands on the wire. */
 export type Header = readonly [name: string, value: string];
@@ -29,6 +29,8 @@
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly stallMs: number;
+  /** Whether it goes on a connection of its own, on which no answer to an earlier send can still come. */
+  readonly ownConnection?: boolean;
 }
 
 /** How requests reach workers; the tests have one of their own. */
@@ -54,7 +56,14 @@
     connect(options, (...[thrown, socket]: Parameters<buildConnector.Callback>) => {
       if (thrown !== null) return callback(thrown, null);
       const destroy = socket.destroy.bind(socket);
-      socket.destroy = (why?: Error) => (why === undefined ? destroy() : socket.resetAndDestroy());
+      let cause: Error | undefined;
+      // resetAndDestroy() calls destroy() again, without the cause: undici must hear it, or it takes the end of
+      // the connection for the end of an answer without a length.
+      socket.destroy = (why?: Error) => {
+        if (why === undefined || cause !== undefined) return destroy(cause);
+        cause = why;
+        return socket.resetAndDestroy();
+      };
       callback(null, socket);
     });
   };
@@ -63,12 +72,14 @@
 class Flight implements Dispatcher.DispatchHandler, LinkSend {
   #handler: LinkHandler;
   #controller: Dispatcher.DispatchController | undefined;
+  #method: string;
   #sent = false;
   #ended = false;
   #aborted = false;
 
-  constructor(handler: LinkHandler) {
+  constructor(handler: LinkHandler, method: string) {
     this.#handler = handler;
+    this.#method = method;
   }
 
   abort(): void {
@@ -94,7 +105,11 @@
   }
 
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
-    if (status >= 200) this.#handler.head(status, pairs(controller.rawHeaders));
+    if (status < 200) return;
+    const headers = pairs(controller.rawHeaders);
+    if (this.#method !== 'HEAD' && !tellsItsEnd(status, headers))
+      return controller.abort(new Error('an answer without a length'));
+    this.#handler.head(status, headers);
   }
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
@@ -121,6 +136,15 @@
   return headers;
 }
 
+/** Whether the end of an answer can be told from a broken connection: by its length, its last chunk or its status. */
+function tellsItsEnd(status: number, headers: readonly Header[]): boolean {
+  if (status === 204 || status === 304) return true;
+  return headers.some(([name, value]) => {
+    const lower = name.toLowerCase();
+    return lower === 'content-length' || (lower === 'transfer-encoding' && /chunked\s*$/i.test(value));
+  });
+}
+
 /**
  * Sends through undici, one pool of kept connections a worker. A request is
  * written once: undici does not repeat it, and `mayStart` is asked just before
@@ -138,9 +162,10 @@
   }
 
   send(request: LinkRequest, handler: LinkHandler): LinkSend {
-    const { address, method, target, headers, body, stallMs } = request;
-    const flight = new Flight(handler);
-    this.#pool(address).dispatch(
+    const { address, method, target, headers, body, stallMs, ownConnection } = request;
+    const flight = new Flight(handler, method);
+    const dispatcher = ownConnection === true ? this.#client(address) : this.#pool(address);
+    dispatcher.dispatch(
       {
         method,
         path: target,
@@ -153,6 +178,7 @@
       },
       flight,
     );
+    if (ownConnection === true) void dispatcher.close();
     return flight;
   }
 
@@ -170,6 +196,11 @@
     this.#pools.clear();
   }
 
+  /** A connection for one request, closed behind it. */
+  #client(address: string): Client {
+    return new Client(`http://${address}`, this.#options);
+  }
+
   #pool(address: string): Pool {
     let pool = this.#pools.get(address);
     if (pool === undefined) {
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -66,10 +66,14 @@
   readonly streamed: boolean;
   /** Workers that were sent this request and had it. */
   arrivals: number;
+  /** Addresses of the workers that were sent this request, by worker. */
+  readonly sentTo: Map<string, string>;
   /** Workers that turned it away or failed it. */
   readonly avoided: Set<string>;
   /** Whether any byte of an answer went to the client. */
   opened: boolean;
+  /** When the last byte of an answer went to the client. */
+  passedMs: number;
   /** Id of the last event that went to the client whole. */
   lastEventId: string | undefined;
   /** Whether a worker may have run it. */
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -412,6 +412,29 @@
     expect([port.seen, bench.link.flown.length]).toEqual([['answer 500 broken'], 1]);
   });
 
+  it('control safety, point 5: is not begun after a freeze that outlasted its time, and is refused with a promise', () => {
+    const bench = new Bench([worker('w1')]);
+    const { port } = bench.ask('/once/x');
+    const flown = bench.last();
+    bench.nowMs += 60_000;
+    const started = flown.start();
+    flown.handler.failed(false, 'not started');
+    expect([started, port.seen]).toEqual([false, ['refuse 503 again']]);
+  });
+
+  it('control safety, point 5: is not begun after a freeze in which its worker began to leave', () => {
+    const bench = new Bench([worker('w1'), worker('w2')]);
+    const { port } = bench.ask('/once/x');
+    const flown = bench.last();
+    bench.nowMs += 500;
+    bench.put(worker(flown.request.address.slice(0, 2), { leaving: true }));
+    const started = flown.start();
+    flown.handler.failed(false, 'not started');
+    bench.last().start();
+    bench.last().answer(200, 'ok');
+    expect([started, port.seen]).toEqual([false, ['answer 200 ok']]);
+  });
+
   it('is not begun for a client that has left, and is broken off', () => {
     const bench = new Bench([worker('w1')]);
     const { port, leave } = bench.ask('/once/x');
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -42,6 +42,10 @@
 const HELD_AGAIN_S = 0.2;
 const EARLY_MS = 1500;
 const CROWD_MOST = 2000;
+/** A stream that is to go on elsewhere looks for a worker this often. */
+const RESUME_EVERY_MS = 250;
+/** Clients give a stream up after a silence of the longest of these. */
+const SILENCE_BORNE = { leastMs: 2000, targets: 4, gaps: 8 } as const;
 
 /** A request that came before any configuration. */
 interface Early {
@@ -78,6 +82,9 @@
   #rates = new Map<string, Rate>();
   #inFlight = new Map<string, number>();
   #counts = new Map<string, number>();
+  /** Ids of requests under way that may not be repeated. */
+  #once = new Set<string>();
+  #closed = false;
 
   constructor(dependencies: RouterDependencies) {
     this.#dependencies = dependencies;
@@ -106,8 +113,9 @@
   /** Takes a request; the returned function says that the client has left. */
   take(ask: Ask, port: ClientPort): () => void {
     this.#count('taken');
+    if (this.#closed) return this.#turnAway(port, fault('draining', 'this node ends'));
     const configuration = this.#dependencies.configuration();
-    if (configuration === undefined) return this.#hold(ask, port);
+    if (configuration === undefined) return this.#holdEarly(ask, port);
     if (this.#table?.configuration !== configuration)
       this.#table = { configuration, routes: new RouteTable(configuration) };
     const route = this.#table.routes.find(ask.host, ask.target);
@@ -128,8 +136,10 @@
       repeatable: target.route.kind === 'idempotent' || (streamed && target.route.resumable),
       streamed,
       arrivals: 0,
+      sentTo: new Map(),
       avoided: new Set(),
       opened: false,
+      passedMs: nowMs,
       lastEventId: ask.lastEventId,
       ran: false,
       left: false,
@@ -141,13 +151,26 @@
     };
     if (this.#waiting.size >= CROWD_MOST)
       return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
+    if (!passage.repeatable && this.#once.has(ask.id))
+      return this.#turnAway(port, fault('outcome-unknown', 'a request with this id is under way here'));
+    if (!passage.repeatable) this.#once.add(ask.id);
     this.#arrived(passage, nowMs);
     this.#dispatch(passage, nowMs);
     return () => this.#left(passage);
   }
 
+  /** Answers whatever has no answer yet, and takes nothing more. */
+  close(): void {
+    this.#closed = true;
+    for (const early of this.#early)
+      this.#turnAway(early.port, fault('not-admitting', 'no configuration is known here yet'));
+    this.#early.clear();
+    for (const run of [...this.#runs]) run.giveUp();
+    for (const passage of [...this.#waiting]) this.#giveUp(passage);
+  }
+
   /** Nothing is known yet, as just after a start: the request waits a moment for it. */
-  #hold(ask: Ask, port: ClientPort): () => void {
+  #holdEarly(ask: Ask, port: ClientPort): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
     const early: Early = {
       ask,
@@ -195,6 +218,7 @@
     const nowhere = new Set<string>();
     for (const passage of order) {
       if (nowMs >= passage.endMs) this.#giveUp(passage);
+      else if (passage.opened && !passage.reserved) this.#resume(passage, nowMs);
       else if (nowMs >= passage.notBeforeMs && !(passage.avoided.size === 0 && nowhere.has(passage.key))) {
         if (!this.#dispatch(passage, nowMs) && passage.avoided.size === 0) nowhere.add(passage.key);
       }
@@ -261,7 +285,7 @@
 
   /** Sends a request if a worker may take it now; false: it waits. */
   #dispatch(passage: Passage, nowMs: number): boolean {
-    const choice = this.#balancer.choose(passage, this.#dependencies.workers().values());
+    const choice = this.#choose(passage);
     if (typeof choice === 'string') {
       this.#wait(passage, choice);
       return false;
@@ -272,6 +296,64 @@
     return true;
   }
 
+  /** Once a request was sent to as many workers as its route allows, only these are left for it. */
+  #choose(passage: Passage): WorkerView | NoWorker {
+    const workers = this.#dependencies.workers();
+    if (passage.sentTo.size < passage.route.attempts) return this.#balancer.choose(passage, workers.values());
+    const known = [...passage.sentTo.keys()].map((id) => workers.get(id));
+    return this.#balancer.choose(
+      passage,
+      known.filter((worker) => worker !== undefined),
+    );
+  }
+
+  /** Whether a request can leave its worker for another one at once; if so, a part of the budget is set aside. */
+  #mayMove(passage: Passage, worker: WorkerView): boolean {
+    if (passage.arrivals < passage.route.attempts && this.#budget(passage).reserve()) {
+      passage.avoided.add(worker.id);
+      passage.reserved = typeof this.#choose(passage) !== 'string';
+      if (passage.reserved) return true;
+      passage.avoided.delete(worker.id);
+      this.#budget(passage).release();
+    }
+    return false;
+  }
+
+  /** The client has a part of this stream, and no worker may take the rest now. */
+  #hold(passage: Passage): void {
+    passage.avoided.clear();
+    passage.unpaid = false;
+    passage.cancel = undefined;
+    this.#waiting.add(passage);
+  }
+
+  /**
+   * A stream of which the client has a part goes on looking for a worker, as
+   * long as the client bears its silence and a worker may take it.
+   */
+  #resume(passage: Passage, nowMs: number): void {
+    const { targetMs, gapMs } = passage.route;
+    const { leastMs, targets, gaps } = SILENCE_BORNE;
+    const borneMs = Math.max(leastMs, targets * targetMs, gaps * gapMs);
+    if (nowMs - passage.passedMs >= borneMs) return this.#cut(passage);
+    if (nowMs < passage.notBeforeMs) return;
+    passage.notBeforeMs = nowMs + RESUME_EVERY_MS;
+    const choice = this.#choose(passage);
+    if (choice === 'none' && passage.sentTo.size >= passage.route.attempts) return this.#cut(passage);
+    if (typeof choice === 'string' || !this.#budget(passage).reserve()) return;
+    passage.reserved = true;
+    this.#waiting.delete(passage);
+    this.#send(passage, choice, nowMs);
+  }
+
+  #cut(passage: Passage): void {
+    this.#waiting.delete(passage);
+    this.#release(passage);
+    this.#once.delete(passage.ask.id);
+    this.#count('cut off');
+    passage.port.cut();
+  }
+
   #wait(passage: Passage, why: NoWorker): void {
     const isNews = passage.waitsFor !== why;
     this.#waiting.add(passage);
@@ -291,6 +373,8 @@
       mayStart: () => this.#mayStart(passage, worker),
       heardMs: () => this.#balancer.heardMs(worker.id),
       heard: () => this.#balancer.heard(worker.id),
+      mayMove: () => this.#mayMove(passage, worker),
+      silent: () => this.#balancer.failed(worker),
       answered: (waitMs) => this.#notePressure(passage, waitMs),
       over: (end) => {
         this.#runs.delete(run);
@@ -318,6 +402,7 @@
     passage.reserved = false;
     if (passage.unpaid) return false;
     passage.arrivals += 1;
+    passage.sentTo.set(worker.id, worker.address);
     return true;
   }
 
@@ -330,15 +415,17 @@
     if (end.how === 'misdirected') this.#balancer.lacks(worker, passage.ask.model, passage.ask.adapter);
     if (end.how === 'not-run') this.#balancer.full(worker, end.againMs ?? AGAIN_MS);
     if (end.how === 'failed' || end.how === 'unreached') this.#balancer.failed(worker);
-    if (passage.left) return;
-    if (end.how === 'served' || end.how === 'cut') return;
-    if (nowMs >= passage.endMs) return this.#giveUp(passage);
+    if (passage.left || end.how === 'served' || end.how === 'cut') {
+      this.#once.delete(passage.ask.id);
+      return;
+    }
+    if (nowMs >= passage.endMs || this.#closed) return this.#giveUp(passage);
     if (passage.unpaid) return this.#refuse(passage, end);
     if (end.how === 'not-sent' || end.how === 'unreached')
       return this.#again(passage, worker, end.how === 'unreached', nowMs);
     const mayRepeat = end.how !== 'failed' || passage.repeatable;
     const mayArrive = passage.arrivals < passage.route.attempts;
-    passage.reserved = mayRepeat && mayArrive && this.#budget(passage).reserve();
+    passage.reserved ||= mayRepeat && mayArrive && this.#budget(passage).reserve();
     if (passage.reserved) return this.#again(passage, worker, true, nowMs);
     this.#refuse(passage, end);
   }
@@ -357,10 +444,10 @@
 
   #refuse(passage: Passage, end: RunEnd): void {
     this.#release(passage);
-    if (passage.opened) {
-      this.#count('cut off');
-      return passage.port.cut();
-    }
+    if (passage.opened && passage.repeatable && this.#budget(passage).bearsRetries)
+      return this.#hold(passage);
+    if (passage.opened) return this.#cut(passage);
+    this.#once.delete(passage.ask.id);
     if (passage.ran) return passage.port.refuse(fault('outcome-unknown', end.why));
     this.#count('refused full');
     passage.port.refuse({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
@@ -371,7 +458,8 @@
     this.#release(passage);
     if (passage.left) return;
     this.#count('given up');
-    if (passage.opened) return passage.port.cut();
+    if (passage.opened) return this.#cut(passage);
+    this.#once.delete(passage.ask.id);
     if (passage.ran) passage.port.refuse(fault('deadline-exceeded', 'the time for it has passed'));
     else passage.port.refuse({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
   }
@@ -381,6 +469,7 @@
     passage.left = true;
     this.#count('client left');
     this.#waiting.delete(passage);
+    this.#once.delete(passage.ask.id);
     passage.cancel?.();
     this.#release(passage);
   }
--- a/packages/router/src/run.ts
+++ b/packages/router/src/run.ts
@@ -42,6 +42,10 @@
   heardMs(): number;
   /** It was heard now. */
   heard(): void;
+  /** Whether the request can go to another worker now; a part of the budget is then set aside for that. */
+  mayMove(): boolean;
+  /** The worker is silent, and the request stays with it. */
+  silent(): void;
   /** The first word of an answer came so long after the send. */
   answered(waitMs: number): void;
   over(end: RunEnd): void;
@@ -49,6 +53,8 @@
 
 const SILENT_MS = 1000;
 const SPEAKS_MS = 700;
+/** How often a request at a silent worker looks for another one. */
+const MOVE_EVERY_MS = 250;
 const WHOLE_MOST = 16 * 1024 * 1024;
 const HOP = new Set([
   'connection',
@@ -93,6 +99,7 @@
   #over = false;
   #lifeMs: number;
   #bornMs: number;
+  #moveAskedMs = -Infinity;
 
   constructor(passage: Passage, worker: WorkerView, words: WireWords, context: RunDesk) {
     this.#passage = passage;
@@ -127,15 +134,28 @@
       headers,
       body: ask.body,
       stallMs: leftMs + 50,
+      ownConnection: [...this.#passage.sentTo.values()].includes(this.#worker.address),
     };
   }
 
-  /** Ends what is past its time, or silent for longer than its route bears. */
+  /**
+   * Ends what is past its time, and what is silent for longer than its route
+   * bears. A stream of which the client has a part is left only for a worker
+   * that can take it: silence alone cuts no answer.
+   */
   tick(nowMs: number): void {
     if (this.#over) return;
     if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
-    if (this.#passage.repeatable && this.#started && nowMs - this.#lifeMs > this.#patienceMs(nowMs))
-      this.#abandon('silent for too long');
+    if (!this.#passage.repeatable || !this.#started) return;
+    if (nowMs - this.#lifeMs <= this.#patienceMs(nowMs) || nowMs - this.#moveAskedMs < MOVE_EVERY_MS) return;
+    this.#moveAskedMs = nowMs;
+    if (!this.#passage.opened || this.#context.mayMove()) this.#abandon('silent for too long');
+    else this.#context.silent();
+  }
+
+  /** This node ends: what has no answer yet gets one of ours. */
+  giveUp(): void {
+    this.#abandon('this node ends');
   }
 
   /** The client has left: the worker's connection is closed. */
@@ -157,13 +177,13 @@
     this.#lifeMs = this.#context.nowMs();
     this.#context.heard();
     const echoed = valueOf(headers, this.#words.requestId);
+    if (echoed !== this.#passage.ask.id) return this.#abandon('an answer to another request');
     const notRun = valueOf(headers, this.#words.notRun) !== undefined;
-    if (echoed !== undefined && echoed !== this.#passage.ask.id)
-      return this.#abandon('an answer to another request');
+    if (notRun && status < 300) return this.#abandon('an answer that says that it was not run');
     if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
     if (notRun) return this.#finish({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
-    if (status < 300 && (echoed === undefined || valueOf(headers, this.#words.signature) === undefined))
-      return this.#abandon('an answer without its marks');
+    if (status < 300 && valueOf(headers, this.#words.signature) === undefined)
+      return this.#abandon('an answer without its signature');
     this.#context.answered(this.#lifeMs - this.#bornMs);
     this.#status = status;
     this.#headers = headers.filter(([name]) => !isHop(name));
@@ -171,11 +191,7 @@
     if (this.#passage.streamed && status < 300 && type.startsWith('text/event-stream'))
       this.#cutter = new EventCutter();
     else if (this.#passage.opened) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (
-      status >= 500 &&
-      this.#passage.repeatable &&
-      this.#passage.arrivals < this.#passage.route.attempts
-    )
+    else if (status >= 500 && this.#passage.repeatable && this.#context.mayMove())
       this.#abandon(`answered ${status}`);
   }
 
@@ -235,6 +251,7 @@
 
   #pass(bytes: Buffer, lastId: string | undefined): void {
     if (!this.#passage.opened) this.#open();
+    this.#passage.passedMs = this.#lifeMs;
     if (lastId !== undefined) this.#passage.lastEventId = lastId;
     if (!this.#passage.port.piece(bytes, () => this.#send?.resume())) this.#send?.pause();
   }
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -47,11 +47,15 @@
   readonly next: string | undefined;
 }
 
-/** What a platform calls things: it only translates, and decides nothing. */
-export interface Dialect extends OperatorFormat {
+/** What a platform calls things that an edge meets. */
+export interface EdgeDialect {
   readonly doorWords: DoorWords;
   readonly wireWords: WireWords;
   readonly readinessPath: string;
+}
+
+/** What a platform calls things: it only translates, and decides nothing. */
+export interface Dialect extends EdgeDialect, OperatorFormat {
   readonly orderPath: string;
   readonly reportPath: string;
   readSettings(text: string): Result<SystemSettings, Fault[]>;
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -6,7 +6,7 @@
 import { Follower } from '@rainrun/cluster-node';
 import type { Chance, Clock } from '@rainrun/common';
 import { Router } from '@rainrun/router';
-import type { Dialect, SystemSettings } from './dialect.js';
+import type { EdgeDialect, SystemSettings } from './dialect.js';
 import { FrontDoor } from './front.js';
 import { WORKER_LINK } from './links.js';
 import type { Log } from './log.js';
@@ -19,8 +19,10 @@
 /** The platform asks every second and believes the second miss: so long new connections still come. */
 const STILL_COMING_MS = 3000;
 const GRACE_LEFT_MS = 700;
+/** The last answers of our own and the word to the cores get so long to leave. */
+const LAST_ANSWERS_MS = 50;
 
-const CLOCK: Clock = { nowMs: () => performance.now() };
+const MONOTONIC: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
 
 /**
@@ -32,6 +34,7 @@
  */
 export class EdgeNode {
   #settings: SystemSettings;
+  #clock: Clock;
   #log: Log;
   #wire: Wire;
   #follower: Follower;
@@ -44,8 +47,9 @@
   #wasReady = false;
   #haste: NodeJS.Timeout | undefined;
 
-  constructor(settings: SystemSettings, dialect: Dialect, log: Log) {
+  constructor(settings: SystemSettings, dialect: EdgeDialect, log: Log, clock = MONOTONIC) {
     this.#settings = settings;
+    this.#clock = clock;
     this.#log = log;
     this.#wire = new Wire('system', (frame) => this.#follower.receive(frame));
     this.#follower = new Follower({
@@ -54,7 +58,7 @@
       address: `${settings.host}:${settings.ports[0] + 1}`,
       deployment: 'system',
       seeds: settings.seeds.map((host) => `${host}:${settings.ports[0]}`),
-      clock: CLOCK,
+      clock,
       chance: CHANCE,
       post: (address, frame) => this.#wire.post(address, frame),
       wants: () => this.#wants(),
@@ -62,7 +66,7 @@
     });
     this.#router = new Router({
       zone: settings.zone,
-      clock: CLOCK,
+      clock,
       link: this.#link,
       words: dialect.wireWords,
       retries: settings.retries,
@@ -109,16 +113,27 @@
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
-    const startMs = CLOCK.nowMs();
+    const startMs = this.#clock.nowMs();
     const endMs = startMs + this.#settings.graceMs - GRACE_LEFT_MS;
     this.#log.info({ open: this.#front.open }, 'stopping');
     await pause(Math.min(STILL_COMING_MS, this.#settings.graceMs / 2));
     this.#front.close();
-    while (this.#front.open > 0 && CLOCK.nowMs() < endMs) await pause(25);
+    while (this.#front.open > 0 && this.#clock.nowMs() < endMs) await pause(25);
+    this.#router.close();
     this.#follower.leave();
-    await pause(30);
+    await pause(LAST_ANSWERS_MS);
     this.#log.info({ counters: this.#counters() }, 'stopped');
+    await this.close();
+  }
+
+  /** Ends at once: timers, sockets and connections. */
+  async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
+    clearTimeout(this.#haste);
+    this.#front.tear();
+    this.#readiness.close();
+    this.#wire.close();
+    await this.#link.close();
   }
 
   #hasten(): void {
--- a/packages/runtime/src/front.ts
+++ b/packages/runtime/src/front.ts
@@ -1,12 +1,19 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
+import type { Duplex } from 'node:stream';
 import { USUAL_LIMITS, type Limits } from '@rainrun/configuration';
 import { ANSWERS, fault, type Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
 import { isHop, type Ask, type ClientPort } from '@rainrun/router';
+import { ClientConnections } from './client-connections.js';
 import type { DoorWords } from './dialect.js';
 import { splitAddress } from './wire.js';
 
 const HEADERS_MOST = 128 * 1024;
+/** The answer to what cannot be read, by the code of node's error. */
+const UNREADABLE_STATUS: ReadonlyMap<string, string> = new Map([
+  ['ERR_HTTP_REQUEST_TIMEOUT', '408 Request Timeout'],
+  ['HPE_HEADER_OVERFLOW', '431 Request Header Fields Too Large'],
+]);
 
 /** What the front door needs of its node. */
 export interface FrontDependencies {
@@ -27,6 +34,7 @@
 export class FrontDoor {
   #dependencies: FrontDependencies;
   #server: Server;
+  #connections = new ClientConnections();
   #open = 0;
 
   constructor(dependencies: FrontDependencies) {
@@ -35,16 +43,12 @@
       { maxHeaderSize: HEADERS_MOST, connectionsCheckingInterval: 500, noDelay: true },
       (req, res) => this.#receive(req, res),
     );
-    this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) => {
-      if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
-      const status =
-        thrown.code === 'ERR_HTTP_REQUEST_TIMEOUT'
-          ? '408 Request Timeout'
-          : thrown.code === 'HPE_HEADER_OVERFLOW'
-            ? '431 Request Header Fields Too Large'
-            : '400 Bad Request';
-      socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
-    });
+    this.#server.on('connection', (socket) => this.#connections.add(socket));
+    this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) =>
+      this.#refuseUnreadable(thrown, socket),
+    );
+    // What node calls idle includes answers that are still being written out.
+    this.#server.closeIdleConnections = () => this.#connections.drain();
     this.applyLimits();
   }
 
@@ -69,16 +73,35 @@
     });
   }
 
-  /** Takes no new connections; those without a request under way are closed. */
+  /** Takes no new connections; the others end behind the answers that are due on them. */
   close(): void {
     this.#server.close();
-    this.#server.closeIdleConnections();
+  }
+
+  /** Ends every connection, with or without an answer. */
+  tear(): void {
+    this.#server.close();
+    this.#server.closeAllConnections();
+  }
+
+  /**
+   * What a client sends cannot be read, or does not come in time. An answer to
+   * it may be written only where no other is due on the connection: the client
+   * would take it for that one.
+   */
+  #refuseUnreadable(thrown: NodeJS.ErrnoException, socket: Duplex): void {
+    if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
+    if (this.#connections.owesAnswer(socket)) return this.#connections.endWhenAnswered(socket);
+    const status = UNREADABLE_STATUS.get(thrown.code ?? '') ?? '400 Bad Request';
+    socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 
   #receive(req: IncomingMessage, res: ServerResponse): void {
+    if (!this.#connections.opened(req)) return;
     this.#open += 1;
     res.on('close', () => {
       this.#open -= 1;
+      this.#connections.closed(req);
     });
     const limits = this.#dependencies.limits() ?? USUAL_LIMITS;
     const port = new HttpPort(res, () => this.#dependencies.leaving());
@@ -91,6 +114,8 @@
     const id = one(req.headers[this.#dependencies.words.requestId]);
     if (id === undefined || id === '')
       return port.end(400, fault('bad-request', 'a request without an id'), true);
+    if (this.#standsTwice(req, this.#dependencies.words.requestId) || this.#standsTwice(req, 'host'))
+      return port.end(400, fault('bad-request', 'a request with two ids or two hosts'), true);
     if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
       return port.end(413, fault('too-large', 'the body is too large'), true);
     const parts: Buffer[] = [];
@@ -106,7 +131,7 @@
     });
     req.on('error', () => undefined);
     req.on('end', () => {
-      if (refused || !req.complete) return;
+      if (refused || !req.complete || res.destroyed) return;
       const leave = this.#dependencies.take(this.#ask(req, id, Buffer.concat(parts)), port);
       res.on('close', () => {
         if (!res.writableFinished) leave();
@@ -114,6 +139,10 @@
     });
   }
 
+  #standsTwice(req: IncomingMessage, header: string): boolean {
+    return (req.headersDistinct[header]?.length ?? 0) > 1;
+  }
+
   #ask(req: IncomingMessage, id: string, body: Buffer): Ask {
     const { words } = this.#dependencies;
     const headers: Header[] = [];
@@ -141,6 +170,13 @@
   }
 }
 
+function withLength(headers: readonly Header[], length: number): Header[] {
+  return [
+    ...headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
+    ['Content-Length', String(length)],
+  ];
+}
+
 function one(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
@@ -156,10 +192,7 @@
 
   answer(status: number, headers: readonly Header[], body: Buffer): void {
     if (this.#res.destroyed) return;
-    this.#head(status, [
-      ...headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
-      ['Content-Length', String(body.length)],
-    ]);
+    this.#head(status, this.#bodiless(status) ? headers : withLength(headers, body.length));
     this.#res.end(body);
   }
 
@@ -200,8 +233,14 @@
     if (!this.#res.destroyed) this.#res.end();
   }
 
+  /** Also where the answer still waits behind another one on its connection. */
   cut(): void {
-    this.#res.socket?.destroy();
+    this.#res.destroy();
+  }
+
+  /** These have no body, and a length of 0 would not be the worker's. */
+  #bodiless(status: number): boolean {
+    return status === 204 || status === 304 || this.#res.req.method === 'HEAD';
   }
 
   #head(status: number, headers: readonly Header[]): void {
--- /dev/null
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -0,0 +1,303 @@
+import { createServer } from 'node:net';
+import type { AddressInfo } from 'node:net';
+import { create } from '@bufbuild/protobuf';
+import { encodeDeployment, EMPTY_DEPLOYMENT } from '@rainrun/configuration';
+import {
+  FrameSchema,
+  SeatSchema,
+  TellSchema,
+  WIRE,
+  WorkerRowSchema,
+  type Follow,
+  type Frame,
+} from '@rainrun/messages';
+import type { EdgeDialect } from '../dialect.js';
+import { EdgeNode } from '../edge-node.js';
+import type { SystemSettings } from '../dialect.js';
+import type { Log } from '../log.js';
+import { Wire } from '../wire.js';
+import { RawClient } from './raw-client.js';
+import type { StandInWorker } from './stand-in-worker.js';
+
+/** The names on the wire that stand-in workers and raw clients use. */
+export const TEST_DIALECT: EdgeDialect = {
+  doorWords: {
+    requestId: 'request-id',
+    deadlineMs: 'deadline-ms',
+    model: 'model-name',
+    prefix: 'prompt-prefix',
+    tokens: 'token-usage',
+    lastEventId: 'last-event-id',
+  },
+  wireWords: {
+    requestId: 'request-id',
+    deadlineMs: 'deadline-ms',
+    lastEventId: 'last-event-id',
+    signature: 'response-signature',
+    expectInstance: 'target-instance',
+    notRun: 'not-executed',
+    priority: 'request-priority',
+  },
+  readinessPath: '/ready',
+};
+
+/** A log that tells when a line of this text is written. */
+class ExpectantLog implements Log {
+  #expected: string;
+  #seen: () => void = () => undefined;
+  readonly seen: Promise<void>;
+
+  constructor(expected: string) {
+    this.#expected = expected;
+    this.seen = new Promise((resolve) => {
+      this.#seen = resolve;
+    });
+  }
+
+  info(_data: object, text: string): void {
+    if (text === this.#expected) this.#seen();
+  }
+
+  warn(): void {
+    return;
+  }
+
+  error(): void {
+    return;
+  }
+}
+
+const CORE_INCARNATION = 'stand-in-core';
+const TABLE = '1-table';
+
+/** A worker as the stand-in core lists it. */
+export interface ListedStandIn {
+  readonly id: string;
+  readonly address: string;
+  readonly leaving?: boolean;
+}
+
+/**
+ * A core that tells the edges that follow it one configuration and one list of workers.
+ * @example
+ * const core = await StandInCore.open(7001, { revision: 1, routes: [], services: [] });
+ * core.list([{ id: 'w1', address: '127.0.0.1:8001' }]);
+ */
+export class StandInCore {
+  #wire: Wire;
+  #address: string;
+  #state: Uint8Array;
+  #row = 0;
+  #workers: readonly ListedStandIn[] = [];
+  #knowing: (() => void)[] = [];
+
+  private constructor(port: number, document: Readonly<Record<string, unknown>>) {
+    this.#address = `127.0.0.1:${port}`;
+    this.#state = encodeDeployment({ ...EMPTY_DEPLOYMENT, edition: 1, revision: 1, document });
+    this.#wire = new Wire('system', (frame) => this.#receive(frame));
+  }
+
+  static async open(port: number, document: Readonly<Record<string, unknown>>): Promise<StandInCore> {
+    const core = new StandInCore(port, document);
+    await core.#wire.listen(core.#address);
+    return core;
+  }
+
+  /** Lists these workers from now on; resolves once an edge knows them. */
+  list(workers: readonly ListedStandIn[]): Promise<void> {
+    this.#workers = workers;
+    this.#row += 1;
+    return new Promise((resolve) => this.#knowing.push(resolve));
+  }
+
+  close(): void {
+    this.#wire.close();
+  }
+
+  #receive(frame: Frame): void {
+    if (frame.body.case !== 'follow') return;
+    const follow = frame.body.value;
+    if (follow.row === this.#row && follow.edition === 1) {
+      for (const resolve of this.#knowing) resolve();
+      this.#knowing = [];
+    }
+    this.#tell(follow);
+  }
+
+  #tell(follow: Follow): void {
+    const seat = create(SeatSchema, { name: 'core', incarnation: CORE_INCARNATION, address: this.#address });
+    const value = create(TellSchema, {
+      edition: 1,
+      state: follow.edition === 1 ? new Uint8Array() : this.#state,
+      granted: true,
+      leader: seat,
+      cores: [seat],
+      table: TABLE,
+      row: this.#row,
+      whole: follow.row !== this.#row,
+      base: this.#row,
+      rows:
+        follow.row === this.#row
+          ? []
+          : this.#workers.map(({ id, address, leaving }, place) =>
+              create(WorkerRowSchema, {
+                id,
+                address,
+                service: 'look',
+                zone: 'north',
+                slots: 8,
+                leaving: leaving ?? false,
+                number: this.#row * 100 + place,
+              }),
+            ),
+      followers: 1,
+    });
+    const frame = create(FrameSchema, {
+      wire: WIRE,
+      deployment: 'system',
+      from: CORE_INCARNATION,
+      to: follow.seat?.incarnation ?? '',
+    });
+    frame.body = { case: 'tell', value };
+    this.#wire.post(follow.seat?.address ?? '', frame);
+  }
+}
+
+/** Routes of each kind; all go to the service of the stand-in workers. */
+export function testDocument(): Readonly<Record<string, unknown>> {
+  const shared = { host: 'a.example', service: 'look', timeoutMs: 5000, targetMs: 300, attempts: 3 };
+  return {
+    revision: 1,
+    routes: [
+      { ...shared, name: 'once', prefix: '/once/', kind: 'non_idempotent' },
+      { ...shared, name: 'often', prefix: '/often/', kind: 'idempotent' },
+      { ...shared, name: 'brief', prefix: '/brief/', kind: 'non_idempotent', timeoutMs: 150 },
+      { ...shared, name: 'tell', prefix: '/tell/', kind: 'streaming', resumable: false },
+      { ...shared, name: 'talk', prefix: '/talk/', kind: 'streaming', resumable: true, gapMs: 300 },
+    ],
+    services: [{ name: 'look' }],
+    limits: { headerMs: 400, idleMs: 15_000 },
+  };
+}
+
+/** Where an edge and its stand-in core listen; the edge hears its core at the port after the core's. */
+export interface EdgePorts {
+  readonly core: number;
+  readonly clients: number;
+  readonly readiness: number;
+}
+
+/** Ports of this machine that are free now; the first two are neighbours. */
+export async function freePorts(): Promise<EdgePorts> {
+  for (;;) {
+    const core = await freePort();
+    if (!(await isFree(core + 1))) continue;
+    const clients = await freePort();
+    const readiness = await freePort();
+    if (new Set([core, core + 1, clients, readiness]).size === 4) return { core, clients, readiness };
+  }
+}
+
+function isFree(port: number): Promise<boolean> {
+  return new Promise((resolve) => {
+    const server = createServer();
+    server.once('error', () => resolve(false));
+    server.listen(port, '127.0.0.1', () => server.close(() => resolve(true)));
+  });
+}
+
+function freePort(): Promise<number> {
+  return new Promise((resolve) => {
+    const server = createServer();
+    server.listen(0, '127.0.0.1', () => {
+      const { port } = server.address() as AddressInfo;
+      server.close(() => resolve(port));
+    });
+  });
+}
+
+/** What an edge under test may be given beyond the usual. */
+export interface EdgeOptions {
+  readonly graceMs?: number;
+}
+
+/**
+ * The real edge program's node in this process, with a stand-in core that
+ * lists stand-in workers.
+ * @example
+ * const edge = await EdgeUnderTest.open([worker]);
+ * const client = await edge.connect();
+ */
+export class EdgeUnderTest {
+  readonly core: StandInCore;
+  readonly node: EdgeNode;
+  /** Added to the edge's monotonic clock: what a freeze of the machine does to it. */
+  clockJumpMs = 0;
+  #clockReads = 0;
+  #clientPort: number;
+  #clients: RawClient[] = [];
+
+  private constructor(core: StandInCore, ports: EdgePorts, options: EdgeOptions, log: Log) {
+    this.core = core;
+    this.#clientPort = ports.clients;
+    this.node = new EdgeNode(testSettings(ports, options), TEST_DIALECT, log, {
+      nowMs: () => {
+        this.#clockReads += 1;
+        return performance.now() + this.clockJumpMs;
+      },
+    });
+  }
+
+  static async open(workers: readonly StandInWorker[], options: EdgeOptions = {}): Promise<EdgeUnderTest> {
+    const ports = await freePorts();
+    const core = await StandInCore.open(ports.core, testDocument());
+    const ready = new ExpectantLog('readiness');
+    const edge = new EdgeUnderTest(core, ports, options, ready);
+    void core.list(workers.map(({ name, address }) => ({ id: name, address })));
+    await edge.node.start();
+    await ready.seen;
+    return edge;
+  }
+
+  async connect(): Promise<RawClient> {
+    const client = await RawClient.connect(this.#clientPort);
+    this.#clients.push(client);
+    return client;
+  }
+
+  /** Resolves once the edge has had two of its heartbeats, at which it ends what is past its time. */
+  async beat(): Promise<void> {
+    const from = this.#clockReads;
+    // Each heartbeat reads the clock; the follower and the router both do.
+    while (this.#clockReads < from + 4) await new Promise((resolve) => setImmediate(resolve));
+  }
+
+  async close(): Promise<void> {
+    for (const client of this.#clients) client.close();
+    await this.node.close();
+    this.core.close();
+  }
+}
+
+function testSettings(ports: EdgePorts, { graceMs = 3000 }: EdgeOptions): SystemSettings {
+  return {
+    name: 'edge-1',
+    zone: 'north',
+    regions: {},
+    host: '127.0.0.1',
+    ports: [ports.core, ports.core + 1],
+    seeds: ['127.0.0.1'],
+    founding: false,
+    folder: '',
+    lossesBorne: 1,
+    listen: {
+      clients: `127.0.0.1:${ports.clients}`,
+      readiness: `127.0.0.1:${ports.readiness}`,
+      operators: '127.0.0.1:0',
+    },
+    provider: { address: '', callsPerS: 1, lagMs: 1000 },
+    retries: { ratio: 1, extra: 20 },
+    graceMs,
+    memoryMb: 256,
+  };
+}
--- /dev/null
+++ b/packages/runtime/src/testing/index.ts
@@ -0,0 +1,5 @@
+export * from './edge-under-test.js';
+export * from './raw-client.js';
+export * from './stand-in-worker.js';
+export * from './trial.js';
+export * from './waiters.js';
--- /dev/null
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -0,0 +1,183 @@
+import { createConnection, type Socket } from 'node:net';
+import { Waiters } from './waiters.js';
+
+/** An answer as it came over the wire. */
+export interface ClientAnswer {
+  /** 0 where the connection ended before an answer began. */
+  readonly status: number;
+  readonly headers: ReadonlyMap<string, string>;
+  readonly body: string;
+  /** Whether it ended as its head says. */
+  readonly whole: boolean;
+}
+
+/** A request that a raw client sends. */
+export interface ClientRequest {
+  readonly id: string;
+  readonly path: string;
+  readonly method?: string;
+  readonly headers?: readonly string[];
+  readonly body?: string;
+}
+
+const NOTHING: ClientAnswer = { status: 0, headers: new Map(), body: '', whole: false };
+
+/**
+ * A client that speaks raw TCP: it may send several requests at once or half
+ * ones, and sees every byte that comes back.
+ * @example
+ * const client = await RawClient.connect(8000);
+ * client.ask({ id: 'r1', path: '/often/x' });
+ * (await client.next()).status; // 200
+ */
+export class RawClient {
+  #socket: Socket;
+  #rest = '';
+  #methods: string[] = [];
+  #answers = new Waiters<ClientAnswer>();
+  #texts: { text: string; found: () => void }[] = [];
+  #ended = false;
+  /** All that came. */
+  text = '';
+
+  private constructor(socket: Socket) {
+    this.#socket = socket;
+    socket.on('error', () => undefined);
+    socket.on('data', (bytes: Buffer) => this.#take(bytes.toString('latin1')));
+    socket.on('close', () => this.#close());
+  }
+
+  static connect(port: number): Promise<RawClient> {
+    return new Promise((resolve, reject) => {
+      const socket = createConnection({ port, host: '127.0.0.1', noDelay: true });
+      socket.once('error', reject);
+      socket.once('connect', () => resolve(new RawClient(socket)));
+    });
+  }
+
+  get ended(): boolean {
+    return this.#ended;
+  }
+
+  /** Bytes that belong to no answer so far. */
+  get rest(): string {
+    return this.#rest;
+  }
+
+  send(text: string): void {
+    this.#socket.write(text);
+  }
+
+  ask(request: ClientRequest): void {
+    this.send(this.textOf(request));
+  }
+
+  /** The text of a request; its answer is expected from now on. */
+  textOf({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
+    this.#methods.push(method);
+    const lines = [
+      `${method} ${path} HTTP/1.1`,
+      'Host: a.example',
+      `Request-Id: ${id}`,
+      ...headers,
+      ...(body === '' ? [] : [`Content-Length: ${body.length}`]),
+    ];
+    return `${lines.join('\r\n')}\r\n\r\n${body}`;
+  }
+
+  /** The next answer; one with status 0 or not whole where the connection ends first. */
+  next(): Promise<ClientAnswer> {
+    return this.#answers.next();
+  }
+
+  /** Resolves once this text has come. */
+  until(text: string): Promise<void> {
+    if (this.text.includes(text)) return Promise.resolve();
+    return new Promise((found) => this.#texts.push({ text, found }));
+  }
+
+  pause(): void {
+    this.#socket.pause();
+  }
+
+  resume(): void {
+    this.#socket.resume();
+  }
+
+  reset(): void {
+    this.#socket.resetAndDestroy();
+  }
+
+  close(): void {
+    this.#socket.destroy();
+  }
+
+  #take(text: string): void {
+    this.text += text;
+    this.#rest += text;
+    for (let answer = this.#readAnswer(); answer !== undefined; answer = this.#readAnswer())
+      this.#answers.put(answer);
+    for (const waiting of this.#texts.filter((one) => this.text.includes(one.text))) waiting.found();
+    this.#texts = this.#texts.filter((one) => !this.text.includes(one.text));
+  }
+
+  #close(): void {
+    this.#ended = true;
+    const headEnd = this.#rest.indexOf('\r\n\r\n');
+    this.#answers.put(
+      headEnd < 0
+        ? NOTHING
+        : { ...readHead(this.#rest.slice(0, headEnd)), body: this.#rest.slice(headEnd + 4), whole: false },
+    );
+  }
+
+  #readAnswer(): ClientAnswer | undefined {
+    const headEnd = this.#rest.indexOf('\r\n\r\n');
+    if (headEnd < 0) return undefined;
+    const head = readHead(this.#rest.slice(0, headEnd));
+    const after = this.#rest.slice(headEnd + 4);
+    const read = this.#isBodiless(head.status)
+      ? { body: '', rest: after }
+      : head.headers.get('transfer-encoding') === 'chunked'
+        ? readChunks(after)
+        : readLength(after, Number(head.headers.get('content-length') ?? Infinity));
+    if (read === undefined) return undefined;
+    this.#methods.shift();
+    this.#rest = read.rest;
+    return { ...head, body: read.body, whole: true };
+  }
+
+  #isBodiless(status: number): boolean {
+    return this.#methods[0] === 'HEAD' || status === 204 || status === 304;
+  }
+}
+
+function readHead(text: string): Pick<ClientAnswer, 'status' | 'headers'> {
+  const [first = '', ...lines] = text.split('\r\n');
+  const headers = new Map(
+    lines.map((line) => {
+      const colon = line.indexOf(':');
+      return [line.slice(0, colon).toLowerCase(), line.slice(colon + 1).trim()];
+    }),
+  );
+  return { status: Number(first.split(' ')[1]), headers };
+}
+
+function readLength(text: string, length: number): { body: string; rest: string } | undefined {
+  return text.length < length ? undefined : { body: text.slice(0, length), rest: text.slice(length) };
+}
+
+function readChunks(text: string): { body: string; rest: string } | undefined {
+  let rest = text;
+  let body = '';
+  for (;;) {
+    const lineEnd = rest.indexOf('\r\n');
+    if (lineEnd < 0) return undefined;
+    const length = Number.parseInt(rest.slice(0, lineEnd), 16);
+    const end = lineEnd + 2 + length + 2;
+    if (rest.length < end) return undefined;
+    body += rest.slice(lineEnd + 2, lineEnd + 2 + length);
+    rest = rest.slice(end);
+    if (length === 0) return { body, rest };
+  }
+}
--- /dev/null
+++ b/packages/runtime/src/testing/trial.ts
@@ -0,0 +1,91 @@
+import { spread } from '@rainrun/common';
+import { EdgeUnderTest, type EdgeOptions } from './edge-under-test.js';
+import type { ClientAnswer, RawClient } from './raw-client.js';
+import { StandInWorker, type WorkerCall } from './stand-in-worker.js';
+import { Waiters } from './waiters.js';
+
+/**
+ * An edge under test with stand-in workers and one client.
+ * @example
+ * const trial = await Trial.open(2);
+ * trial.client.ask({ id: trial.idFor('w1'), path: '/once/x' });
+ * (await trial.next()).answer();
+ */
+export class Trial {
+  readonly edge: EdgeUnderTest;
+  readonly client: RawClient;
+  readonly workers: readonly StandInWorker[];
+  #calls: Waiters<WorkerCall>;
+  #asked = 0;
+
+  private constructor(
+    edge: EdgeUnderTest,
+    client: RawClient,
+    workers: readonly StandInWorker[],
+    calls: Waiters<WorkerCall>,
+  ) {
+    this.edge = edge;
+    this.client = client;
+    this.workers = workers;
+    this.#calls = calls;
+  }
+
+  static async open(workerCount: number, options: EdgeOptions = {}): Promise<Trial> {
+    const calls = new Waiters<WorkerCall>();
+    const names = Array.from({ length: workerCount }, (_, place) => `w${place}`);
+    const workers = await Promise.all(names.map((name) => StandInWorker.open(name, calls)));
+    const edge = await EdgeUnderTest.open(workers, options);
+    return new Trial(edge, await edge.connect(), workers, calls);
+  }
+
+  worker(name: string): StandInWorker {
+    return this.workers.find((worker) => worker.name === name) as StandInWorker;
+  }
+
+  /** The next whole request at any worker. */
+  next(): Promise<WorkerCall> {
+    return this.#calls.next();
+  }
+
+  /** A new request id that the balancer sends to this worker while all are alike. */
+  idFor(name: string): string {
+    for (;;) {
+      this.#asked += 1;
+      const id = `r${this.#asked}`;
+      const [first] = [...this.workers].sort(
+        (one, other) => spread(`${id} ${other.name}`) - spread(`${id} ${one.name}`),
+      );
+      if (first?.name === name) return id;
+    }
+  }
+
+  /** How often workers received this request whole. */
+  runs(id: string): number {
+    return this.workers.flatMap(({ received }) => received).filter((call) => call.id === id).length;
+  }
+
+  /** A request that is answered well at this worker, so that connections are there to be reused. */
+  async warm(name: string): Promise<void> {
+    this.client.ask({ id: this.idFor(name), path: '/once/warm' });
+    (await this.next()).answer();
+    await this.client.next();
+  }
+
+  /** Requests that are answered well, each of which earns a part of the retry budget. */
+  async earn(count: number): Promise<void> {
+    for (let done = 0; done < count; done += 1) await this.warm('w0');
+  }
+
+  /** Asks on the same client connection, to the same worker, and answers well; gives what the client got. */
+  async after(name: string, client = this.client): Promise<ClientAnswer> {
+    const id = this.idFor(name);
+    client.ask({ id, path: '/once/after' });
+    (await this.next()).answer();
+    return client.next();
+  }
+
+  async close(): Promise<void> {
+    await this.edge.close();
+    for (const worker of this.workers) worker.close();
+  }
+}
