--- /dev/null
+++ b/packages/gateway/src/link.test.ts
@@ -0,0 +1,70 @@
+import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
+import { afterEach, describe, it } from 'node:test';
+import { expect } from 'earl';
+import { PoolLink, type LinkHandler } from './link.js';
+
+/** Notes what a send reports, and resolves when its first word of an answer comes. */
+class Noting implements LinkHandler {
+  readonly seen: string[] = [];
+  #resolve: () => void = () => undefined;
+  readonly begun = new Promise<void>((resolve) => {
+    this.#resolve = resolve;
+  });
+
+  mayStart(): boolean {
+    return true;
+  }
+
+  head(status: number): void {
+    this.seen.push(`head ${status}`);
+    this.#resolve();
+  }
+
+  chunk(): void {
+    return;
+  }
+
+  end(): void {
+    this.seen.push('end');
+  }
+
+  failed(sent: boolean): void {
+    this.seen.push(`failed ${sent}`);
+  }
+}
+
+describe('control safety, point 5: connections to workers', () => {
+  let server: Server;
+  let sockets: Socket[] = [];
+
+  afterEach(() => {
+    for (const socket of sockets) socket.destroy();
+    sockets = [];
+    server.close();
+  });
+
+  function listen(answer: string): Promise<string> {
+    server = createServer((socket) => {
+      sockets.push(socket);
+      socket.on('error', () => undefined);
+      socket.on('data', () => socket.write(answer));
+    });
+    return new Promise((resolve) => {
+      server.listen(0, '127.0.0.1', () => resolve(`127.0.0.1:${(server.address() as AddressInfo).port}`));
+    });
+  }
+
+  it('control safety, point 5: a link that closes as a send is given up ends once, and the process lives', async () => {
+    const address = await listen('HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhalf');
+    const link = new PoolLink({ connectMs: 600, keepAliveTimeout: 30_000 });
+    const handler = new Noting();
+    const send = link.send(
+      { address, method: 'POST', target: '/x', headers: [], body: Buffer.from('b'), stallMs: 5000 },
+      handler,
+    );
+    await handler.begun;
+    send.abort();
+    await link.close();
+    expect(handler.seen).toEqual(['head 200', 'failed true']);
+  });
+});
