--- a/packages/router/src/index.ts
+++ b/packages/router/src/index.ts
@@ -4,3 +4,4 @@
 export * from './balance.js';
 export * from './run.js';
 export * from './router.js';
+export * from './demand.js';
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -711,6 +711,30 @@
     expect([paused, flown.paused]).toEqual([true, false]);
   });
 
+  it('control safety, point 5: is not taken from a worker that is held up by a slow client', () => {
+    const bench = new Bench([worker('w1'), worker('w2')]);
+    bench.earn(5);
+    const sends = bench.link.flown.length;
+    const { port } = bench.ask('/talk/x', { deadlineMs: 9000 });
+    const flown = bench.last();
+    flown.start();
+    flown.openStream('s1');
+    port.slow = true;
+    flown.events('id: 1\ndata: a\n\n');
+    bench.later(3000);
+    port.slow = false;
+    port.drained?.();
+    bench.later(900);
+    flown.events('id: 2\ndata: b\n\n');
+    flown.handler.end();
+    expect([flown.aborted, bench.link.flown.length - sends, port.text, port.seen]).toEqual([
+      false,
+      1,
+      'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
+      ['open 200 s1', 'close'],
+    ]);
+  });
+
   it('of a client that has left is given up', () => {
     const bench = new Bench([worker('w1'), worker('w2')]);
     bench.earn(5);
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -2,22 +2,11 @@
 import type { Configuration } from '@rainrun/configuration';
 import { fault, type Clock, type Fault } from '@rainrun/common';
 import { Balancer, type NoWorker } from './balance.js';
+import { Demand, type Asked } from './demand.js';
 import type { Ask, ClientPort, Passage, WorkerView } from './request.js';
 import { RouteTable } from './routes.js';
 import { Run, type RunEnd, type WireWords } from './run.js';
 
-/** What a model or an adapter of it is asked for at this edge. */
-export interface Asked {
-  readonly service: string;
-  readonly model: string;
-  readonly adapter: string;
-  readonly waiting: number;
-  readonly inFlight: number;
-  readonly perS: number;
-  /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
-  readonly pressure: number;
-}
-
 /** What the router is given by its node. */
 export interface RouterDependencies {
   readonly zone: string;
@@ -36,8 +25,6 @@
   missing(): void;
 }
 
-const HALF_LIFE_S = 4;
-const PRESSURE_PART = 0.15;
 const AGAIN_MS = 25;
 const HELD_AGAIN_S = 0.2;
 const EARLY_MS = 1500;
@@ -56,12 +43,6 @@
   leave: (() => void) | undefined;
 }
 
-interface Rate {
-  perS: number;
-  pressure: number;
-  atMs: number;
-}
-
 /**
  * The data plane of an edge for routes and services. A request waits for a
  * worker that may take it and is sent once; again only where its route allows
@@ -79,8 +60,7 @@
   #runs = new Set<Run>();
   #early = new Set<Early>();
   #budgets = new Map<string, RetryBudget>();
-  #rates = new Map<string, Rate>();
-  #inFlight = new Map<string, number>();
+  #demand = new Demand();
   #counts = new Map<string, number>();
   /** Ids of requests under way that may not be repeated. */
   #once = new Set<string>();
@@ -154,7 +134,8 @@
     if (!passage.repeatable && this.#once.has(ask.id))
       return this.#turnAway(port, fault('outcome-unknown', 'a request with this id is under way here'));
     if (!passage.repeatable) this.#once.add(ask.id);
-    this.#arrived(passage, nowMs);
+    this.#budget(passage).first(this.#dependencies.retries.ratio);
+    this.#demand.arrived(passage, nowMs);
     this.#dispatch(passage, nowMs);
     return () => this.#left(passage);
   }
@@ -228,38 +209,7 @@
 
   /** What is asked for now, by service, model and adapter. */
   asked(): Asked[] {
-    const nowMs = this.#dependencies.clock.nowMs();
-    const waiting = new Map<string, number>();
-    for (const passage of this.#waiting) waiting.set(passage.key, (waiting.get(passage.key) ?? 0) + 1);
-    const asked: Asked[] = [];
-    for (const [key, rate] of this.#rates) {
-      fade(rate, nowMs);
-      const now = { waiting: waiting.get(key) ?? 0, inFlight: this.#inFlight.get(key) ?? 0 };
-      if (rate.perS < 0.01 && now.waiting + now.inFlight === 0) {
-        this.#rates.delete(key);
-        continue;
-      }
-      const [service = '', model = '', adapter = ''] = key.split('/');
-      asked.push({ service, model, adapter, ...now, perS: rate.perS, pressure: rate.pressure });
-    }
-    return asked;
-  }
-
-  #arrived(passage: Passage, nowMs: number): void {
-    this.#budget(passage).first(this.#dependencies.retries.ratio);
-    if (passage.ask.model === '') return;
-    const rate = this.#rates.get(passage.key) ?? { perS: 0, pressure: 0, atMs: nowMs };
-    this.#rates.set(passage.key, rate);
-    fade(rate, nowMs);
-    rate.perS += Math.LN2 / HALF_LIFE_S;
-  }
-
-  #notePressure(passage: Passage, waitMs: number): void {
-    const rate = this.#rates.get(passage.key);
-    if (rate === undefined || passage.route.targetMs <= 0) return;
-    const pressure = waitMs / passage.route.targetMs;
-    rate.pressure =
-      rate.pressure === 0 ? pressure : rate.pressure + (pressure - rate.pressure) * PRESSURE_PART;
+    return this.#demand.asked(this.#waiting, this.#dependencies.clock.nowMs());
   }
 
   /** One budget a service: the bound is the service's. */
@@ -338,12 +288,15 @@
     if (nowMs - passage.passedMs >= borneMs) return this.#cut(passage);
     if (nowMs < passage.notBeforeMs) return;
     passage.notBeforeMs = nowMs + RESUME_EVERY_MS;
-    const choice = this.#choose(passage);
-    if (choice === 'none' && passage.sentTo.size >= passage.route.attempts) return this.#cut(passage);
-    if (typeof choice === 'string' || !this.#budget(passage).reserve()) return;
+    if (!this.#budget(passage).reserve()) return;
     passage.reserved = true;
-    this.#waiting.delete(passage);
-    this.#send(passage, choice, nowMs);
+    const choice = this.#choose(passage);
+    if (typeof choice !== 'string') {
+      this.#waiting.delete(passage);
+      return this.#send(passage, choice, nowMs);
+    }
+    this.#release(passage);
+    if (choice === 'none' && passage.sentTo.size >= passage.route.attempts) this.#cut(passage);
   }
 
   #cut(passage: Passage): void {
@@ -367,7 +320,7 @@
   #send(passage: Passage, worker: WorkerView, nowMs: number): void {
     const { key } = passage;
     this.#balancer.begun(worker);
-    this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
+    this.#demand.sent(key);
     const run = new Run(passage, worker, this.#dependencies.words, {
       nowMs: () => this.#dependencies.clock.nowMs(),
       mayStart: () => this.#mayStart(passage, worker),
@@ -375,10 +328,10 @@
       heard: () => this.#balancer.heard(worker.id),
       mayMove: () => this.#mayMove(passage, worker),
       silent: () => this.#balancer.failed(worker),
-      answered: (waitMs) => this.#notePressure(passage, waitMs),
+      answered: (waitMs) => this.#demand.answered(passage, waitMs),
       over: (end) => {
         this.#runs.delete(run);
-        this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 1) - 1));
+        this.#demand.ended(key);
         this.#over(passage, worker, end);
       },
     });
@@ -478,8 +431,3 @@
     this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
   }
 }
-
-function fade(rate: Rate, nowMs: number): void {
-  rate.perS *= 0.5 ** ((nowMs - rate.atMs) / 1000 / HALF_LIFE_S);
-  rate.atMs = nowMs;
-}
--- a/packages/router/src/run.ts
+++ b/packages/router/src/run.ts
@@ -96,6 +96,8 @@
   #wholeBytes = 0;
   #started = false;
   #withheld = false;
+  /** The client reads too slowly, so the worker is held up. */
+  #paused = false;
   #over = false;
   #lifeMs: number;
   #bornMs: number;
@@ -146,7 +148,7 @@
   tick(nowMs: number): void {
     if (this.#over) return;
     if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
-    if (!this.#passage.repeatable || !this.#started) return;
+    if (!this.#passage.repeatable || !this.#started || this.#paused) return;
     if (nowMs - this.#lifeMs <= this.#patienceMs(nowMs) || nowMs - this.#moveAskedMs < MOVE_EVERY_MS) return;
     this.#moveAskedMs = nowMs;
     if (!this.#passage.opened || this.#context.mayMove()) this.#abandon('silent for too long');
@@ -253,7 +255,16 @@
     if (!this.#passage.opened) this.#open();
     this.#passage.passedMs = this.#lifeMs;
     if (lastId !== undefined) this.#passage.lastEventId = lastId;
-    if (!this.#passage.port.piece(bytes, () => this.#send?.resume())) this.#send?.pause();
+    if (this.#passage.port.piece(bytes, () => this.#goOn())) return;
+    this.#paused = true;
+    this.#send?.pause();
+  }
+
+  /** The client reads again; meanwhile the worker could say nothing. */
+  #goOn(): void {
+    this.#paused = false;
+    this.#lifeMs = this.#context.nowMs();
+    this.#send?.resume();
   }
 
   #abandon(why: string): void {
