--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -54,6 +54,10 @@
     });
   }
 
+  debug(): void {
+    return;
+  }
+
   info(_data: object, text: string): void {
     if (text === this.#expected) this.#seen();
   }
