--- /dev/null
+++ b/packages/process-group/src/agreement-search.ts
@@ -0,0 +1,503 @@
+/**
+ * Search through what a few machines may do: all orders of messages, losses,
+ * duplicates, syncs and crashes within a budget. A message that was sent may be
+ * delivered at any later moment, more than once or never. The code of a machine
+ * runs once for each of its states and inputs; the search itself goes over
+ * numbered states.
+ */
+import type { Records } from '@rainrun/storage';
+import { violation } from './agreement-invariants.js';
+import { messageName, type Message } from './agreement-messages.js';
+import {
+  emptyDisk,
+  firstDisk,
+  firstVersion,
+  ModelMachine,
+  type AgreementCode,
+  type Input,
+} from './agreement-model.js';
+
+/** How often each kind of trouble and of work may come. */
+export interface Budget {
+  readonly claims: number;
+  readonly crashes: number;
+  readonly operations: number;
+  readonly replacements: number;
+  /** Machines that may go for good with their disks, one after the other's replacement. */
+  readonly losses: number;
+}
+
+/** What is searched. */
+export interface Scope {
+  readonly voters: readonly string[];
+  readonly spares: readonly string[];
+  /** The machine that coordinates when the search begins. */
+  readonly coordinator: string;
+  readonly budget: Budget;
+  /** Machines that may claim. */
+  readonly claimants: readonly string[];
+  /** Machines that may crash and start again. */
+  readonly crashing: readonly string[];
+  /** Machines that go with their disks right after the first election. */
+  readonly lost: readonly string[];
+  /** Disks that a coordinator may take for lost, and replace. */
+  readonly replaceable: readonly string[];
+  /** Whether other things may happen between a write and its sync. */
+  readonly slowDisks: boolean;
+  /** Whether refusals are sent: they end claims and terms, and tell of newer epochs. */
+  readonly refusals: boolean;
+}
+
+/** One thing that happens to one machine; a delivery goes by the number of its message. */
+export interface Action {
+  readonly machine: number;
+  readonly what:
+    | Exclude<Input, { readonly kind: 'deliver' }>
+    | { readonly kind: 'deliver'; readonly message: number }
+    | { readonly kind: 'crash' }
+    | { readonly kind: 'lose' };
+}
+
+type OwnAction = Exclude<Action['what'], { readonly kind: 'crash' | 'lose' }>;
+
+/** Where all machines stand and what has been sent. */
+export interface State {
+  /** Numbers of the machines' states; -1 stands for one that is gone. */
+  readonly machines: readonly number[];
+  /** Numbers of all messages that were ever sent, in rising order. */
+  readonly sent: readonly number[];
+  readonly budget: Budget;
+}
+
+/** What follows from an action. */
+export interface Step {
+  readonly state: State;
+  readonly violation: string | undefined;
+}
+
+interface MachineState {
+  readonly name: string;
+  readonly boot: { readonly life: number; readonly records: Records };
+  readonly inputs: readonly Input[];
+  readonly records: Records;
+  readonly writesWait: boolean;
+  readonly mayClaim: boolean;
+  readonly idleCoordinator: boolean;
+  /** Names of the messages that are not taken again. */
+  readonly heard: ReadonlySet<string>;
+  /** A machine in this state, until it is used for what follows; then its inputs are repeated. */
+  live: ModelMachine | undefined;
+}
+
+interface Transition {
+  readonly next: number;
+  readonly sent: readonly number[];
+}
+
+const GONE = -1;
+
+/**
+ * The graph of states of one scope, over one build of the code.
+ * @example
+ * const space = new StateSpace(code, scope);
+ * for (const action of space.actions(space.start)) space.step(space.start, action);
+ */
+export class StateSpace {
+  readonly start: State;
+  #code: AgreementCode;
+  #scope: Scope;
+  #names: readonly string[];
+  #states: MachineState[] = [];
+  #stateNumbers = new Map<string, number>();
+  #transitions = new Map<string, Transition>();
+  #messages: { readonly message: Message; readonly name: string }[] = [];
+  #messageNumbers = new Map<string, number>();
+  /** Messages that are not delivered any more. */
+  #delivered = new Set<number>();
+
+  constructor(code: AgreementCode, scope: Scope) {
+    this.#code = code;
+    this.#scope = scope;
+    this.#names = [...scope.voters, ...scope.spares];
+    this.start = this.#elected();
+  }
+
+  /** Everything that may happen next. */
+  actions(state: State): Action[] {
+    const actions: Action[] = [];
+    for (const [machine, number] of state.machines.entries()) {
+      const known = this.#states[number];
+      if (known === undefined) continue;
+      this.#addOwnActions(actions, state, machine, known);
+      for (const sent of state.sent) this.#addDelivery(actions, machine, known, sent);
+    }
+    return actions;
+  }
+
+  /** What follows from an action; the same state if nothing does. */
+  step(state: State, action: Action): Step {
+    const { machine, what } = action;
+    switch (what.kind) {
+      case 'crash':
+        return { state: this.#crash(state, machine), violation: undefined };
+      case 'lose':
+        return { state: this.#lose(state, machine), violation: undefined };
+      default:
+        return this.#apply(state, machine, what);
+    }
+  }
+
+  /** An action in words. */
+  describe({ machine, what }: Action): string {
+    const name = this.#names[machine] ?? '';
+    if (what.kind !== 'deliver')
+      return `${name}: ${what.kind}${what.kind === 'replace' ? ` ${what.disk}` : ''}`;
+    return `${name}: takes ${readable(this.#message(what.message))}`;
+  }
+
+  /** Equal for equal states. */
+  key(state: State): string {
+    const { claims, crashes, operations, replacements, losses } = state.budget;
+    return `${state.machines.join()} ${state.sent.join()} ${claims} ${crashes} ${operations} ${replacements} ${losses}`;
+  }
+
+  // The beginning.
+
+  /** The first coordinator is elected and everyone holds its first version. */
+  #elected(): State {
+    const { voters, spares, coordinator, budget } = this.#scope;
+    const version = firstVersion(this.#names, voters);
+    const machines = [
+      ...voters.map((name) => this.#boot(name, 1, firstDisk(name, version, coordinator))),
+      ...spares.map((name) => this.#boot(name, 1, emptyDisk(name))),
+    ];
+    const machine = voters.indexOf(coordinator);
+    let state = this.#apply({ machines, sent: [], budget }, machine, { kind: 'claim' }).state;
+    for (;;) {
+      const next = this.#progress(state);
+      if (next === undefined) return this.#settled(state, budget);
+      state = next;
+    }
+  }
+
+  /** The first election is over: its messages are known to the invariants, and not delivered again. */
+  #settled(state: State, budget: Budget): State {
+    for (const number of state.sent) this.#delivered.add(number);
+    const machines = state.machines.map((number, place) =>
+      this.#scope.lost.includes(this.#names[place] ?? '') ? GONE : number,
+    );
+    return { ...state, machines, budget };
+  }
+
+  /** The state after some sync or delivery that changes anything. */
+  #progress(state: State): State | undefined {
+    for (const action of this.actions(state)) {
+      if (action.what.kind !== 'sync' && action.what.kind !== 'deliver') continue;
+      const next = this.step(state, action).state;
+      if (next !== state) return next;
+    }
+    return undefined;
+  }
+
+  #boot(name: string, life: number, records: Records): number {
+    return this.#intern(
+      new ModelMachine(this.#code, { machine: name, life }, records),
+      { life, records },
+      [],
+    );
+  }
+
+  #intern(machine: ModelMachine, boot: MachineState['boot'], inputs: readonly Input[]): number {
+    const fingerprint = machine.fingerprint();
+    const known = this.#stateNumbers.get(fingerprint);
+    if (known !== undefined) return known;
+    const number = this.#states.length;
+    const { records, writesWait, mayClaim, idleCoordinator, heardMessages } = machine;
+    this.#stateNumbers.set(fingerprint, number);
+    this.#states.push({
+      name: machine.from.machine,
+      boot,
+      inputs,
+      records,
+      writesWait,
+      mayClaim,
+      idleCoordinator,
+      heard: heardMessages,
+      live: machine,
+    });
+    return number;
+  }
+
+  // What may happen.
+
+  #addOwnActions(actions: Action[], state: State, machine: number, known: MachineState): void {
+    const { budget } = state;
+    if (known.writesWait) actions.push({ machine, what: { kind: 'sync' } });
+    if (budget.claims > 0 && known.mayClaim && this.#scope.claimants.includes(known.name))
+      actions.push({ machine, what: { kind: 'claim' } });
+    if (budget.crashes > 0 && this.#scope.crashing.includes(known.name))
+      actions.push({ machine, what: { kind: 'crash' } });
+    if (budget.operations > 0 && known.idleCoordinator) actions.push({ machine, what: { kind: 'operate' } });
+    if (budget.replacements > 0 && known.idleCoordinator) {
+      for (const disk of this.#scope.replaceable)
+        if (disk !== this.#names[machine]) actions.push({ machine, what: { kind: 'replace', disk } });
+    }
+    if (budget.losses > 0 && this.#mayLose(state)) actions.push({ machine, what: { kind: 'lose' } });
+  }
+
+  /** One disk may go while all voters of the newest chosen version have theirs. */
+  #mayLose(state: State): boolean {
+    let voters: readonly string[] = this.#scope.voters;
+    let newest = 0;
+    for (const number of state.sent) {
+      const message = this.#messages[number]?.message;
+      if (message?.kind !== 'chosen' || message.version.number <= newest) continue;
+      newest = message.version.number;
+      voters = (message.version.state?.voters ?? []).map((voter) => voter.disk);
+    }
+    return voters.every((name) => state.machines[this.#names.indexOf(name)] !== GONE);
+  }
+
+  #addDelivery(actions: Action[], machine: number, known: MachineState, sent: number): void {
+    if (this.#delivered.has(sent) || !this.#isFor(this.#message(sent), known)) return;
+    if (known.heard.has(this.#messages[sent]?.name ?? '')) return;
+    actions.push({ machine, what: { kind: 'deliver', message: sent } });
+  }
+
+  #isFor(message: Message, { name, boot }: MachineState): boolean {
+    switch (message.kind) {
+      case 'claim':
+      case 'propose':
+        return message.to === name;
+      case 'promise':
+      case 'accepted':
+        return message.to.machine === name && message.to.life === boot.life && message.from.machine !== name;
+      default:
+        return false;
+    }
+  }
+
+  // What follows.
+
+  #apply(state: State, machine: number, what: OwnAction): Step {
+    const from = state.machines[machine] ?? GONE;
+    let { next, sent } = this.#transition(from, what);
+    while (!this.#scope.slowDisks && this.#states[next]?.writesWait === true) {
+      const synced = this.#transition(next, { kind: 'sync' });
+      next = synced.next;
+      sent = [...sent, ...synced.sent];
+    }
+    const fresh = [...new Set(sent)].filter((number) => !state.sent.includes(number));
+    if (next === from && fresh.length === 0 && what.kind === 'deliver')
+      return { state, violation: undefined };
+    return {
+      state: {
+        machines: withState(state.machines, machine, next),
+        sent: fresh.length === 0 ? state.sent : [...state.sent, ...fresh].sort((one, other) => one - other),
+        budget: spent(state.budget, what),
+      },
+      violation: this.#violation(state.sent, fresh),
+    };
+  }
+
+  #violation(sent: readonly number[], fresh: readonly number[]): string | undefined {
+    if (fresh.length === 0) return undefined;
+    const before = sent.map((number) => this.#message(number));
+    for (const number of fresh) {
+      const message = this.#message(number);
+      const found = violation(before, message);
+      if (found !== undefined) return found;
+      before.push(message);
+    }
+    return undefined;
+  }
+
+  #message(number: number): Message {
+    return (this.#messages[number] as { message: Message }).message;
+  }
+
+  #transition(from: number, what: OwnAction): Transition {
+    const key = `${from} ${inputName(what)}`;
+    const known = this.#transitions.get(key);
+    if (known !== undefined) return known;
+    const { boot, inputs } = this.#states[from] as MachineState;
+    const input: Input = what.kind === 'deliver' ? { ...what, message: this.#message(what.message) } : what;
+    const machine = this.#machineIn(this.#states[from] as MachineState);
+    const sent = machine
+      .apply(input)
+      .filter((message) => this.#scope.refusals || !isRefusal(message))
+      .map((message) => this.#internMessage(message));
+    const transition = { next: this.#intern(machine, boot, [...inputs, input]), sent };
+    this.#transitions.set(key, transition);
+    return transition;
+  }
+
+  #machineIn(state: MachineState): ModelMachine {
+    const { live, name, boot, inputs } = state;
+    state.live = undefined;
+    if (live !== undefined) return live;
+    const machine = new ModelMachine(this.#code, { machine: name, life: boot.life }, boot.records);
+    for (const earlier of inputs) machine.apply(earlier);
+    return machine;
+  }
+
+  #internMessage(message: Message): number {
+    const name = messageName(message);
+    const known = this.#messageNumbers.get(name);
+    if (known !== undefined) return known;
+    const number = this.#messages.length;
+    this.#messageNumbers.set(name, number);
+    this.#messages.push({ message, name });
+    return number;
+  }
+
+  #crash(state: State, machine: number): State {
+    const { boot, records } = this.#states[state.machines[machine] ?? GONE] as MachineState;
+    const next = this.#boot(this.#names[machine] ?? '', boot.life + 1, records);
+    const budget = { ...state.budget, crashes: state.budget.crashes - 1 };
+    return { ...state, budget, machines: withState(state.machines, machine, next) };
+  }
+
+  #lose(state: State, machine: number): State {
+    const budget = { ...state.budget, losses: state.budget.losses - 1 };
+    return { ...state, budget, machines: withState(state.machines, machine, GONE) };
+  }
+}
+
+function withState(machines: readonly number[], machine: number, next: number): number[] {
+  return machines.map((number, place) => (place === machine ? next : number));
+}
+
+function spent(budget: Budget, input: OwnAction): Budget {
+  switch (input.kind) {
+    case 'claim':
+      return { ...budget, claims: budget.claims - 1 };
+    case 'operate':
+      return { ...budget, operations: budget.operations - 1 };
+    case 'replace':
+      return { ...budget, replacements: budget.replacements - 1 };
+    default:
+      return budget;
+  }
+}
+
+function inputName(what: OwnAction): string {
+  if (what.kind === 'deliver') return String(what.message);
+  return what.kind === 'replace' ? `replace ${what.disk}` : what.kind;
+}
+
+function isRefusal(message: Message): boolean {
+  if (message.kind === 'promise') return !message.promise.granted;
+  return message.kind === 'accepted' && message.accepted.refused;
+}
+
+function readable(message: Message): string {
+  return messageName(message).replace(/(\d+\/\d+)\/\S+$/, 'version $1');
+}
+
+/**
+ * Walks at random: each choice picks one of the actions that change anything,
+ * most often a delivery or a sync. Returns the violation it met and its way.
+ * @example
+ * walk(space, [3, 1, 4, 1, 5]);
+ */
+export function walk(space: StateSpace, choices: readonly number[]): Walked {
+  const trace: string[] = [];
+  let state = space.start;
+  for (const choice of choices) {
+    const actions = space.actions(state);
+    const due = actions.filter(({ what }) => what.kind === 'deliver' || what.kind === 'sync');
+    const others = actions.filter((action) => !due.includes(action));
+    const taken = choice % TROUBLE_EACH === 0 ? others : due;
+    const step = firstChange(space, state, taken, Math.floor(choice / TROUBLE_EACH));
+    if (step === undefined) continue;
+    trace.push(step.text);
+    if (step.violation !== undefined) return { trace, violation: step.violation };
+    state = step.state;
+  }
+  return { trace, violation: undefined };
+}
+
+const TROUBLE_EACH = 6;
+
+/** How a walk went. */
+export interface Walked {
+  readonly trace: readonly string[];
+  readonly violation: string | undefined;
+}
+
+/** The first action from a place in a list, and round to it, that changes anything. */
+function firstChange(
+  space: StateSpace,
+  state: State,
+  actions: readonly Action[],
+  from: number,
+): (Step & { readonly text: string }) | undefined {
+  for (let place = 0; place < actions.length; place += 1) {
+    const action = actions[(from + place) % actions.length] as Action;
+    const step = space.step(state, action);
+    if (step.state !== state || step.violation !== undefined)
+      return { ...step, text: space.describe(action) };
+  }
+  return undefined;
+}
+
+/** What an exhaustive search found. */
+export interface Found {
+  readonly states: number;
+  readonly steps: number;
+  /** Whether every state of the scope was seen. */
+  readonly whole: boolean;
+  readonly violation: string | undefined;
+  /** The shortest way to the violation. */
+  readonly trace: readonly string[];
+}
+
+interface Way {
+  /** The visit that this one was reached from. */
+  readonly before: number;
+  readonly action: Action | undefined;
+}
+
+/**
+ * Goes through all states of a scope, nearest first, and stops at the first
+ * violation or after so many states.
+ * @example
+ * const found = searchAll(new StateSpace(code, scope), 100_000);
+ */
+export function searchAll(space: StateSpace, statesMost: number): Found {
+  const waiting: (State | undefined)[] = [space.start];
+  const seen = new Set([space.key(space.start)]);
+  const ways: Way[] = [{ before: -1, action: undefined }];
+  let steps = 0;
+  for (let place = 0; place < waiting.length; place += 1) {
+    const state = waiting[place] as State;
+    waiting[place] = undefined;
+    for (const action of space.actions(state)) {
+      steps += 1;
+      const step = space.step(state, action);
+      if (step.violation !== undefined) {
+        const trace = wayTo(ways, place, action).map((taken) => space.describe(taken));
+        return { states: seen.size, steps, whole: false, violation: step.violation, trace };
+      }
+      if (step.state === state) continue;
+      const key = space.key(step.state);
+      if (seen.has(key)) continue;
+      if (seen.size >= statesMost)
+        return { states: seen.size, steps, whole: false, violation: undefined, trace: [] };
+      seen.add(key);
+      waiting.push(step.state);
+      ways.push({ before: place, action });
+    }
+  }
+  return { states: seen.size, steps, whole: true, violation: undefined, trace: [] };
+}
+
+function wayTo(ways: readonly Way[], place: number, last: Action): Action[] {
+  const actions = [last];
+  for (let at = place; at > 0; at = ways[at]?.before ?? 0) {
+    const action = ways[at]?.action;
+    if (action !== undefined) actions.unshift(action);
+  }
+  return actions;
+}
--- a/packages/process-group/src/claims.ts
+++ b/packages/process-group/src/claims.ts
@@ -3,7 +3,6 @@
   ClaimSchema,
   PromiseSchema,
   type Claim,
-  type Voter,
   type Frame,
   type Promise as Promised,
   type Seat,
@@ -11,7 +10,7 @@
 } from '@rainrun/messages';
 import type { Chance } from '@rainrun/common';
 import type { Acceptor } from './acceptor.js';
-import { later, majority } from './play.js';
+import { disksOf, isQuorum, later, type VoterSets } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What claims need of the node that they run in. */
@@ -20,7 +19,8 @@
   readonly times: GroupTimes;
   readonly chance: Chance;
   nowMs(): number;
-  voters(): readonly Voter[];
+  /** The voters of the newest version that this node knows of. */
+  voters(): VoterSets;
   /** Where the voter with this disk is now, if it is known. */
   voterSeat(disk: string): Seat | undefined;
   seat(incarnation: string): Seat | undefined;
@@ -124,10 +124,10 @@
     claiming.sentMs = nowMs;
     const { epoch, asking } = claiming;
     const value = create(ClaimSchema, { epoch, disk: acceptor.disk, asking });
-    for (const voter of this.#context.voters()) {
-      if (asking ? claiming.supporters.has(voter.disk) : claiming.promises.has(voter.disk)) continue;
-      const seat = this.#context.voterSeat(voter.disk);
-      if (voter.disk === acceptor.disk) acceptor.claim(value, (promise) => this.onPromise(promise));
+    for (const disk of disksOf(this.#context.voters())) {
+      if (asking ? claiming.supporters.has(disk) : claiming.promises.has(disk)) continue;
+      const seat = this.#context.voterSeat(disk);
+      if (disk === acceptor.disk) acceptor.claim(value, (promise) => this.onPromise(promise));
       else if (seat !== undefined) this.#context.post(seat, { case: 'claim', value });
     }
   }
@@ -164,23 +164,27 @@
     if (!promise.granted) return this.#drop(this.#context.nowMs());
     if (promise.asking) return this.#supported(claiming, promise.disk);
     claiming.promises.set(promise.disk, promise);
+    this.#conclude(claiming);
+  }
+
+  /**
+   * Takes the epoch once a quorum promised it. This node's own disk must be
+   * among them: after a crash it would otherwise claim the same epoch again,
+   * and coordinate in it a second time.
+   */
+  #conclude(claiming: Claiming): void {
+    const { promises, epoch } = claiming;
+    const { disk } = this.#context.acceptor;
     const best = bestOf(claiming);
-    const voters = best?.state?.voters ?? [];
-    const promised = voters.filter((voter) => claiming.promises.has(voter.disk)).length;
-    const mine = this.#context.voters();
-    const promisedOfMine = mine.filter((voter) => claiming.promises.has(voter.disk)).length;
-    if (best === undefined || promised < majority(voters.length) || promisedOfMine < majority(mine.length))
-      return;
+    if (best?.state === undefined || !promises.has(disk)) return;
+    if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises)) return;
     this.#claiming = undefined;
-    if (voters.some((voter) => voter.disk === this.#context.acceptor.disk))
-      this.#context.take(claiming.epoch, best);
+    if (best.state.voters.some((voter) => voter.disk === disk)) this.#context.take(epoch, best);
   }
 
   #supported(claiming: Claiming, disk: string): void {
     claiming.supporters.add(disk);
-    const voters = this.#context.voters();
-    const supporters = voters.filter((voter) => claiming.supporters.has(voter.disk)).length;
-    if (!claiming.asking || supporters < majority(voters.length)) return;
+    if (!claiming.asking || !isQuorum(this.#context.voters(), claiming.supporters)) return;
     claiming.asking = false;
     claiming.sentMs = -Infinity;
     this.#press(claiming, this.#context.nowMs());
--- a/packages/process-group/src/coordinator.ts
+++ b/packages/process-group/src/coordinator.ts
@@ -23,6 +23,8 @@
 import {
   advance,
   bare,
+  disksOf,
+  isQuorum,
   levelOf,
   majority,
   rankOf,
@@ -66,7 +68,6 @@
   readonly held: Held<S>;
   readonly entry: Entry;
   readonly version: Version;
-  readonly voters: readonly (readonly Voter[])[];
   readonly acks: Set<string>;
   sentMs: number;
 }
@@ -175,10 +176,7 @@
     if (proposal === undefined || accepted.refused) return;
     if (accepted.epoch !== this.#epoch || accepted.number !== proposal.held.number) return;
     proposal.acks.add(accepted.disk);
-    const chosen = proposal.voters.every(
-      (set) => set.filter((voter) => proposal.acks.has(voter.disk)).length >= majority(set.length),
-    );
-    if (chosen) this.#choose(proposal);
+    if (isQuorum(proposal.held, proposal.acks)) this.#choose(proposal);
   }
 
   flushed(incarnation: string, flush: Flush): void {
@@ -191,13 +189,18 @@
     if (this.#settling !== undefined && !this.#settle(this.#settling)) return;
     if (this.#change !== undefined) return this.#pursue(this.#change, nowMs);
     if (this.#begin(nowMs)) return;
-    if (this.#held.before !== undefined) return this.#next(create(EntrySchema), nowMs);
+    if (this.#mustConclude()) return this.#next(create(EntrySchema), nowMs);
     const voters = this.#replacement(nowMs);
     if (voters !== undefined) return this.#next(create(EntrySchema, { voters }), nowMs);
     const operations = this.#batch();
     if (operations.length > 0) this.#next(create(EntrySchema, { operations }), nowMs);
   }
 
+  /** Whether the newest version changed the view or the voters: the next one says that the change is settled. */
+  #mustConclude(): boolean {
+    return this.#held.before !== undefined || this.#held.votersBefore.length > 0;
+  }
+
   /** Operations for the next version: as many as their answers can be remembered. */
   #batch(): Operation[] {
     let room = REMEMBERED_MOST - rememberedCount(this.#held);
@@ -228,7 +231,6 @@
       held,
       entry,
       version,
-      voters: [this.#held.voters, held.voters],
       acks: new Set(),
       sentMs: -Infinity,
     };
@@ -238,9 +240,8 @@
   #send(proposal: Proposal<S>, nowMs: number): void {
     if (nowMs - proposal.sentMs < this.#context.times.resendMs) return;
     proposal.sentMs = nowMs;
-    const disks = new Set(proposal.voters.flat().map((voter) => voter.disk));
     const value = create(ProposeSchema, { disk: this.#context.disk, version: proposal.version });
-    for (const disk of disks) {
+    for (const disk of disksOf(proposal.held)) {
       if (proposal.acks.has(disk)) continue;
       if (disk === this.#context.disk) {
         this.#context.vote(proposal.version);
--- a/packages/process-group/src/election.ts
+++ b/packages/process-group/src/election.ts
@@ -100,7 +100,7 @@
       times,
       chance,
       nowMs: () => local.nowMs(),
-      voters: () => voters.list(),
+      voters: () => voters.sets(),
       voterSeat: (disk) => voters.seat(disk),
       seat: (incarnation) => directory.seat(incarnation),
       post: (seat, body) => transport.post(seat, body),
--- a/packages/process-group/src/founding.ts
+++ b/packages/process-group/src/founding.ts
@@ -76,6 +76,7 @@
       view: create(ViewSchema, { epoch, number: 1, members: [...seats] }),
       before: undefined,
       voters: seats.map(({ disk, name }) => create(VoterSchema, { disk, name })),
+      votersBefore: [],
       play: play.empty(),
       answers: [],
       level: 1,
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -54,6 +54,8 @@
   /** The view that this version ended, until the next version says that this is settled. */
   readonly before: View | undefined;
   readonly voters: readonly Voter[];
+  /** The voters before this version, if it changed them: until it is known to be chosen, elections and votes need a majority of both sets. */
+  readonly votersBefore: readonly Voter[];
   readonly play: S;
   readonly answers: readonly Answer[];
   /** The level of the protocol by which the newest entry was applied. */
@@ -84,6 +86,36 @@
   return Math.floor(size / 2) + 1;
 }
 
+/** The voters of a version, and those before it where it changed them. */
+export interface VoterSets {
+  readonly voters: readonly Voter[];
+  readonly votersBefore: readonly Voter[];
+}
+
+/**
+ * Whether these disks are a majority of the voters, and of those before where a
+ * version changed them.
+ * @example
+ * isQuorum(held, new Set(['disk-1', 'disk-2']));
+ */
+export function isQuorum(sets: VoterSets, disks: { has(disk: string): boolean }): boolean {
+  const { voters, votersBefore } = sets;
+  return hasMajority(voters, disks) && (votersBefore.length === 0 || hasMajority(votersBefore, disks));
+}
+
+function hasMajority(voters: readonly Voter[], disks: { has(disk: string): boolean }): boolean {
+  return voters.filter((voter) => disks.has(voter.disk)).length >= majority(voters.length);
+}
+
+/**
+ * The disks of all voters of a version, and of those before it.
+ * @example
+ * disksOf(held); // Set { 'disk-1', 'disk-2', 'disk-3' }
+ */
+export function disksOf(sets: VoterSets): Set<string> {
+  return new Set([...sets.voters, ...sets.votersBefore].map((voter) => voter.disk));
+}
+
 /**
  * The rank of a incarnation in a view, or -1.
  * @example
@@ -155,6 +187,7 @@
     view: entry.view ?? held.view,
     before: entry.view === undefined ? undefined : held.view,
     voters: entry.voters.length > 0 ? entry.voters : held.voters,
+    votersBefore: entry.voters.length > 0 ? held.voters : [],
     play: state,
     answers,
     level,
@@ -203,6 +236,7 @@
     deployment: held.deployment,
     view: held.view,
     voters: [...held.voters],
+    votersBefore: [...held.votersBefore],
     play: bytes,
     answers: [...held.answers],
   });
@@ -224,6 +258,7 @@
     view: state.view ?? create(ViewSchema),
     before: state.before,
     voters: state.voters,
+    votersBefore: state.votersBefore,
     play: own,
     answers: state.answers,
     level: Math.max(1, version.entry?.level ?? 0),
--- a/packages/process-group/src/process-group.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -226,6 +226,7 @@
     view: VIEW,
     before: undefined,
     voters: [],
+    votersBefore: [],
     play: 0,
     answers: [],
     level: 1,
--- a/packages/process-group/src/voters.ts
+++ b/packages/process-group/src/voters.ts
@@ -1,6 +1,7 @@
 /** The voters of the agreed state: which disks vote, and where they are now. */
 import type { Seat, Voter } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
+import type { VoterSets } from './play.js';
 
 type VoterParts<S> = Pick<GroupParts<S>, 'dependencies' | 'discovery' | 'liveness' | 'local'>;
 
@@ -18,10 +19,15 @@
   }
 
   list(): readonly Voter[] {
+    return this.sets().voters;
+  }
+
+  /** The voters, and those before them while their change is not known to be chosen. */
+  sets(): VoterSets {
     const { dependencies, local } = this.#parts;
     const { held } = local;
-    const accepted = dependencies.acceptor?.accepted?.state?.voters ?? [];
-    return held !== undefined && held.voters.length > 0 && local.inView ? held.voters : accepted;
+    const accepted = dependencies.acceptor?.accepted?.state ?? { voters: [], votersBefore: [] };
+    return held !== undefined && held.voters.length > 0 && local.inView ? held : accepted;
   }
 
   /** Where the voter with this disk is now, if it is known. */
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -16,6 +16,7 @@
     view: create(ViewSchema, { epoch: 1, number: view, members: [] }),
     before: undefined,
     voters: [],
+    votersBefore: [],
     play: { ...EMPTY_STAGE, emptied },
     answers: [],
     level: 2,
