--- a/packages/process-group/src/disk-watch.ts
+++ b/packages/process-group/src/disk-watch.ts
@@ -1,31 +1,46 @@
 /** Whether this node's own disk still syncs what is written to it. */
 import type { Acceptor } from './acceptor.js';
+import type { GroupTimes } from './times.js';
 
 /**
  * Notices a disk that has synced nothing for too long though writes wait.
  * @example
- * const diskWatch = new DiskWatch(acceptor, 4000);
- * if (diskWatch.isStalled(nowMs)) leaveTheView();
+ * const diskWatch = new DiskWatch(acceptor, times);
+ * if (diskWatch.isStalled(nowMs, true)) leaveTheView();
  */
 export class DiskWatch {
   #acceptor: Acceptor | undefined;
-  #mostMs: number;
+  #times: GroupTimes;
   /** When the disk last synced something, while writes are waiting. */
   #lastSync: { syncs: number; sinceMs: number } | undefined;
 
-  constructor(acceptor: Acceptor | undefined, mostMs: number) {
+  constructor(acceptor: Acceptor | undefined, times: GroupTimes) {
     this.#acceptor = acceptor;
-    this.#mostMs = mostMs;
+    this.#times = times;
   }
 
-  isStalled(nowMs: number): boolean {
+  /**
+   * Whether this node has to be without its disk for now: a member leaves the
+   * view then. Outside a view, where others may wait for its claim, it is silent
+   * sooner.
+   */
+  isStalled(nowMs: number, inView: boolean): boolean {
+    return this.#waitMs(nowMs) > (inView ? this.#times.lagMs : this.#times.suspectMs);
+  }
+
+  /** Whether the disk holds up this node's own promise: then the next voter claims. */
+  isSlow(nowMs: number): boolean {
+    return this.#waitMs(nowMs) > this.#times.suspectMs;
+  }
+
+  #waitMs(nowMs: number): number {
     const acceptor = this.#acceptor;
     if (acceptor === undefined || !acceptor.busy) {
       this.#lastSync = undefined;
-      return false;
+      return 0;
     }
     if (this.#lastSync?.syncs !== acceptor.syncs) this.#lastSync = { syncs: acceptor.syncs, sinceMs: nowMs };
-    return nowMs - this.#lastSync.sinceMs > this.#mostMs;
+    return nowMs - this.#lastSync.sinceMs;
   }
 
   /** This process was away: the disk is not to blame for that time. */
--- a/packages/process-group/src/election.ts
+++ b/packages/process-group/src/election.ts
@@ -64,6 +64,8 @@
   /**
    * Whether no voter of lower rank can be reached. Members come first, in the
    * view's order; a voter that is back under a new incarnation comes after them.
+   * Outside a view nobody waits for a voter with an older version: that one may
+   * know too little of the voters to be elected.
    */
   #isNext(disk: string, nowMs: number): boolean {
     const { local, voters } = this.#parts;
@@ -83,11 +85,14 @@
   }
 
   #isFirstOutside(disks: readonly string[], ownDisk: string): boolean {
-    const contacts = this.#parts.discovery.freshContacts();
+    const { discovery, local } = this.#parts;
+    const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView && disks.includes(contact.seat.disk))) return false;
+    const number = Math.max(1, local.newestNumber);
     const first = disks.find(
       (disk) =>
-        disk === ownDisk || contacts.some((contact) => contact.number > 0 && contact.seat.disk === disk),
+        disk === ownDisk ||
+        contacts.some((contact) => contact.number >= number && contact.seat.disk === disk),
     );
     return first === ownDisk;
   }
--- a/packages/process-group/src/group-parts.ts
+++ b/packages/process-group/src/group-parts.ts
@@ -72,7 +72,7 @@
     this.transport = new Transport<S>(this);
     this.receiver = new Receiver<S>(this);
     this.liveness = new Liveness<S>(this);
-    this.diskWatch = new DiskWatch(dependencies.acceptor, dependencies.times.lagMs);
+    this.diskWatch = new DiskWatch(dependencies.acceptor, dependencies.times);
     this.discovery = new Discovery<S>(this);
     this.heartbeats = new Heartbeats<S>(this);
     this.leases = new Leases<S>(this);
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -138,7 +138,7 @@
       this.#parts;
     const nowMs = local.nowMs();
     this.#noteSleep(nowMs);
-    const isDiskStalled = diskWatch.isStalled(nowMs);
+    const isDiskStalled = diskWatch.isStalled(nowMs, local.inView);
     if (isDiskStalled && local.inView) viewChange.rejoin();
     heartbeats.tick(nowMs);
     if (!isDiskStalled) discovery.tick(nowMs);
--- a/packages/process-group/src/heartbeats.ts
+++ b/packages/process-group/src/heartbeats.ts
@@ -20,6 +20,7 @@
   | 'coordination'
   | 'coordinatorWatch'
   | 'dependencies'
+  | 'diskWatch'
   | 'directory'
   | 'leases'
   | 'liveness'
@@ -134,8 +135,9 @@
   }
 
   #heartbeat(held: Held<S>, others: readonly Seat[], nowMs: number): Heartbeat {
-    const { coordination, liveness, local } = this.#parts;
+    const { coordination, diskWatch, liveness, local } = this.#parts;
     const coordinator = coordination.coordinator;
+    const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
     return create(HeartbeatSchema, {
       sequence: this.#sequence,
       view: held.view.number,
@@ -144,7 +146,7 @@
       suspects: others
         .filter((member) => !liveness.isLive(member.incarnation, nowMs))
         .map((member) => member.incarnation),
-      unable: coordination.isUnable(nowMs) || local.leaving,
+      unable: coordination.isUnable(nowMs) || local.leaving || mayNotClaim,
       agreed: coordinator?.agreed ?? local.agreed,
     });
   }
