--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,5 +1,5 @@
 import { RetryBudget, type Link } from '@rainrun/gateway';
-import type { Configuration } from '@rainrun/configuration';
+import type { Configuration, RouteEntry } from '@rainrun/configuration';
 import { fault, type Clock, type Fault } from '@rainrun/common';
 import { Balancer, type NoWorker } from './balance.js';
 import { Demand, type Asked } from './demand.js';
@@ -199,6 +199,8 @@
     const nowhere = new Set<string>();
     for (const passage of order) {
       if (nowMs >= passage.endMs) this.#giveUp(passage);
+      else if (passage.opened && nowMs - passage.passedMs >= silenceBorneMs(passage.route))
+        this.#cut(passage);
       else if (passage.opened && !passage.reserved) this.#resume(passage, nowMs);
       else if (nowMs >= passage.notBeforeMs && !(passage.avoided.size === 0 && nowhere.has(passage.key))) {
         if (!this.#dispatch(passage, nowMs) && passage.avoided.size === 0) nowhere.add(passage.key);
@@ -282,10 +284,6 @@
    * long as the client bears its silence and a worker may take it.
    */
   #resume(passage: Passage, nowMs: number): void {
-    const { targetMs, gapMs } = passage.route;
-    const { leastMs, targets, gaps } = SILENCE_BORNE;
-    const borneMs = Math.max(leastMs, targets * targetMs, gaps * gapMs);
-    if (nowMs - passage.passedMs >= borneMs) return this.#cut(passage);
     if (nowMs < passage.notBeforeMs) return;
     passage.notBeforeMs = nowMs + RESUME_EVERY_MS;
     if (!this.#budget(passage).reserve()) return;
@@ -431,3 +429,9 @@
     this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
   }
 }
+
+/** How long a client bears the silence of a stream before it gives it up. */
+function silenceBorneMs({ targetMs, gapMs }: RouteEntry): number {
+  const { leastMs, targets, gaps } = SILENCE_BORNE;
+  return Math.max(leastMs, targets * targetMs, gaps * gapMs);
+}
--- a/packages/runtime/src/answers-clients.test.ts
+++ b/packages/runtime/src/answers-clients.test.ts
@@ -101,7 +101,7 @@
     LIMIT,
     async () => {
       trial = await Trial.open(1);
-      trial.client.ask({ id: 'a', path: '/once/x', headers: ['Request-Id: b'] });
+      trial.client.ask({ id: 'a', path: '/once/x', headers: ['Call-Id: b'] });
       const twoIds = await trial.client.next();
       const other = await trial.edge.connect();
       other.ask({ id: 'c', path: '/once/x', headers: ['Host: b.example'] });
@@ -180,8 +180,8 @@
       trial = await Trial.open(1, { graceMs: 1000 });
       trial.client.ask({ id: 'a', path: '/once/x' });
       await trial.next();
-      const waiting = await trial.edge.connect();
       await trial.edge.core.list([]);
+      const waiting = await trial.edge.connect();
       waiting.ask({ id: 'b', path: '/once/x' });
       const stopped = trial.edge.node.stop();
       const answers = [await trial.client.next(), await waiting.next()];
--- a/packages/runtime/src/answers-streams.test.ts
+++ b/packages/runtime/src/answers-streams.test.ts
@@ -69,11 +69,7 @@
         second.event(2);
         second.endStream();
         const answer = await trial.client.next();
-        expect([answer.whole, answer.body, answer.headers.get('response-signature')]).toEqual([
-          true,
-          ONE + TWO,
-          'first',
-        ]);
+        expect([answer.whole, answer.body, answer.headers.get('mark')]).toEqual([true, ONE + TWO, 'first']);
         expect([second.headers.get('last-event-id'), second.worker, trial.runs(id)]).toEqual(['1', 'w1', 2]);
       },
     );
--- a/packages/runtime/src/answers.test.ts
+++ b/packages/runtime/src/answers.test.ts
@@ -34,7 +34,7 @@
     (call) => call.answer({ id: 'another', status: 421 }),
   ],
   ['says without an id that it belongs elsewhere', (call) => call.answer({ id: null, status: 421 })],
-  ['answers well and says that it has not run it', (call) => call.answer({ headers: ['Not-Executed: 1'] })],
+  ['answers well and says that it has not run it', (call) => call.answer({ headers: ['Unrun: 1'] })],
   ['wants to upgrade', (call) => call.write('HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n')],
 ];
 
@@ -46,19 +46,19 @@
 
 function halfChunked(call: WorkerCall, end: (call: WorkerCall) => void): void {
   call.write(
-    `HTTP/1.1 200 OK\r\nRequest-Id: ${call.id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nof\r\n`,
+    `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nof\r\n`,
   );
   setImmediate(() => end(call));
 }
 
 function badChunk(call: WorkerCall): void {
   call.write(
-    `HTTP/1.1 200 OK\r\nRequest-Id: ${call.id}\r\nResponse-Signature: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nof\r\n`,
+    `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nof\r\n`,
   );
 }
 
 function unframed(call: WorkerCall, end: (call: WorkerCall) => void): void {
-  call.write(`HTTP/1.1 200 OK\r\nRequest-Id: ${call.id}\r\nResponse-Signature: s\r\n\r\nhalf of it`);
+  call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\n\r\nhalf of it`);
   setImmediate(() => end(call));
 }
 
@@ -298,11 +298,11 @@
       const id = trial.idFor('w0');
       trial.client.ask({ id, path: '/once/x' });
       const first = await trial.next();
-      const wanted = first.headers.get('target-instance');
+      const wanted = first.headers.get('only');
       first.answer({ status: 421, body: '' });
       const second = await trial.next();
       second.answer();
-      expect([wanted, second.headers.get('target-instance'), (await trial.client.next()).body]).toEqual([
+      expect([wanted, second.headers.get('only'), (await trial.client.next()).body]).toEqual([
         'w0',
         'w1',
         `of ${id}`,
@@ -382,7 +382,7 @@
         const id = trial.idFor('w0');
         trial.client.ask({ id, path: '/once/x' });
         const call = await trial.next();
-        call.write(`HTTP/1.1 ${status} X\r\nRequest-Id: ${id}\r\nResponse-Signature: s\r\n\r\n`);
+        call.write(`HTTP/1.1 ${status} X\r\nCall-Id: ${id}\r\nMark: s\r\n\r\n`);
         const answer = await trial.client.next();
         const next = await trial.after('w0');
         expect([answer.status, answer.headers.has('content-length'), answer.body, next.status]).toEqual([
@@ -403,9 +403,7 @@
       const id = trial.idFor('w0');
       trial.client.ask({ id, path: '/once/x', method: 'HEAD', body: '' });
       const call = await trial.next();
-      call.write(
-        `HTTP/1.1 200 OK\r\nRequest-Id: ${id}\r\nResponse-Signature: s\r\nContent-Length: 5\r\n\r\n`,
-      );
+      call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${id}\r\nMark: s\r\nContent-Length: 5\r\n\r\n`);
       const answer = await trial.client.next();
       const next = await trial.after('w0');
       expect([answer.status, answer.headers.get('content-length'), next.status]).toEqual([200, '5', 200]);
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -19,8 +19,10 @@
 /** The platform asks every second and believes the second miss: so long new connections still come. */
 const STILL_COMING_MS = 3000;
 const GRACE_LEFT_MS = 700;
-/** The last answers of our own and the word to the cores get so long to leave. */
-const LAST_ANSWERS_MS = 50;
+/** The last answers of our own get so long to leave. */
+const LAST_ANSWERS_MS = 300;
+/** So does the word to the cores that this edge goes. */
+const LAST_WORD_MS = 30;
 
 const MONOTONIC: Clock = { nowMs: () => performance.now() };
 const CHANCE: Chance = { next: () => Math.random() };
@@ -121,7 +123,9 @@
     while (this.#front.open > 0 && this.#clock.nowMs() < endMs) await pause(25);
     this.#router.close();
     this.#follower.leave();
-    await pause(LAST_ANSWERS_MS);
+    const lastMs = this.#clock.nowMs() + LAST_ANSWERS_MS;
+    do await pause(LAST_WORD_MS);
+    while (this.#front.open > 0 && this.#clock.nowMs() < lastMs);
     this.#log.info({ counters: this.#counters() }, 'stopped');
     await this.close();
   }
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -16,27 +16,28 @@
 import type { SystemSettings } from '../dialect.js';
 import type { Log } from '../log.js';
 import { Wire } from '../wire.js';
+import { TEST_NAMES } from './stand-in-names.js';
 import { RawClient } from './raw-client.js';
 import type { StandInWorker } from './stand-in-worker.js';
 
 /** The names on the wire that stand-in workers and raw clients use. */
 export const TEST_DIALECT: EdgeDialect = {
   doorWords: {
-    requestId: 'request-id',
-    deadlineMs: 'deadline-ms',
-    model: 'model-name',
-    prefix: 'prompt-prefix',
-    tokens: 'token-usage',
+    requestId: TEST_NAMES.requestId,
+    deadlineMs: 'left-ms',
+    model: 'model',
+    prefix: 'prefix',
+    tokens: 'tokens',
     lastEventId: 'last-event-id',
   },
   wireWords: {
-    requestId: 'request-id',
-    deadlineMs: 'deadline-ms',
+    requestId: TEST_NAMES.requestId,
+    deadlineMs: 'left-ms',
     lastEventId: 'last-event-id',
-    signature: 'response-signature',
-    expectInstance: 'target-instance',
-    notRun: 'not-executed',
-    priority: 'request-priority',
+    signature: TEST_NAMES.signature,
+    expectInstance: 'only',
+    notRun: TEST_NAMES.notRun,
+    priority: 'rank',
   },
   readinessPath: '/ready',
 };
@@ -177,7 +178,15 @@
       { ...shared, name: 'often', prefix: '/often/', kind: 'idempotent' },
       { ...shared, name: 'brief', prefix: '/brief/', kind: 'non_idempotent', timeoutMs: 150 },
       { ...shared, name: 'tell', prefix: '/tell/', kind: 'streaming', resumable: false },
-      { ...shared, name: 'talk', prefix: '/talk/', kind: 'streaming', resumable: true, gapMs: 300 },
+      {
+        ...shared,
+        name: 'talk',
+        prefix: '/talk/',
+        kind: 'streaming',
+        resumable: true,
+        gapMs: 300,
+        timeoutMs: 60_000,
+      },
     ],
     services: [{ name: 'look' }],
     limits: { headerMs: 400, idleMs: 15_000 },
--- a/packages/runtime/src/testing/index.ts
+++ b/packages/runtime/src/testing/index.ts
@@ -3,3 +3,4 @@
 export * from './stand-in-worker.js';
 export * from './trial.js';
 export * from './waiters.js';
+export * from './stand-in-names.js';
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -1,4 +1,5 @@
 import { createConnection, type Socket } from 'node:net';
+import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
 import { Waiters } from './waiters.js';
 
 /** An answer as it came over the wire. */
@@ -32,6 +33,7 @@
  */
 export class RawClient {
   #socket: Socket;
+  #names: StandInNames;
   #rest = '';
   #methods: string[] = [];
   #answers = new Waiters<ClientAnswer>();
@@ -40,18 +42,19 @@
   /** All that came. */
   text = '';
 
-  private constructor(socket: Socket) {
+  private constructor(socket: Socket, names: StandInNames) {
     this.#socket = socket;
+    this.#names = names;
     socket.on('error', () => undefined);
     socket.on('data', (bytes: Buffer) => this.#take(bytes.toString('latin1')));
     socket.on('close', () => this.#close());
   }
 
-  static connect(port: number): Promise<RawClient> {
+  static connect(port: number, names: StandInNames = TEST_NAMES): Promise<RawClient> {
     return new Promise((resolve, reject) => {
       const socket = createConnection({ port, host: '127.0.0.1', noDelay: true });
       socket.once('error', reject);
-      socket.once('connect', () => resolve(new RawClient(socket)));
+      socket.once('connect', () => resolve(new RawClient(socket, names)));
     });
   }
 
@@ -78,7 +81,7 @@
     const lines = [
       `${method} ${path} HTTP/1.1`,
       'Host: a.example',
-      `Request-Id: ${id}`,
+      `${this.#names.requestId}: ${id}`,
       ...headers,
       ...(body === '' ? [] : [`Content-Length: ${body.length}`]),
     ];
--- a/packages/runtime/src/testing/stand-in-worker.ts
+++ b/packages/runtime/src/testing/stand-in-worker.ts
@@ -1,4 +1,5 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
+import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
 import { Waiters } from './waiters.js';
 
 /** What a stand-in worker writes as one answer; everything that is left out is as a sound worker has it. */
@@ -23,8 +24,9 @@
   /** Which of the worker's connections brought it, counted from 0. */
   readonly connection: number;
   #socket: Socket;
+  #names: StandInNames;
 
-  constructor(head: string, body: string, worker: string, connection: number, socket: Socket) {
+  constructor(head: string, body: string, worker: StandInWorker, connection: number, socket: Socket) {
     const [first = '', ...lines] = head.split('\r\n');
     const [method = '', target = ''] = first.split(' ');
     this.method = method;
@@ -36,13 +38,14 @@
       }),
     );
     this.body = body;
-    this.worker = worker;
+    this.worker = worker.name;
+    this.#names = worker.names;
     this.connection = connection;
     this.#socket = socket;
   }
 
   get id(): string {
-    return this.headers.get('request-id') ?? '';
+    return this.headers.get(this.#names.requestId) ?? '';
   }
 
   /** Resolves when the connection is gone. */
@@ -61,7 +64,7 @@
 
   /** The worker says that it has not run the request. */
   decline(answer: WorkerAnswer = {}): void {
-    this.answer({ status: 503, body: '', headers: ['Not-Executed: 1'], ...answer });
+    this.answer({ status: 503, body: '', headers: [`${this.#names.notRun}: 1`], ...answer });
   }
 
   /** The text of one whole answer. */
@@ -103,8 +106,8 @@
     headers: readonly string[],
   ): string {
     const lines = [`HTTP/1.1 ${status} Status`];
-    if (id !== null) lines.push(`Request-Id: ${id ?? this.id}`);
-    if (signature !== null) lines.push(`Response-Signature: ${signature ?? 's'}`);
+    if (id !== null) lines.push(`${this.#names.requestId}: ${id ?? this.id}`);
+    if (signature !== null) lines.push(`${this.#names.signature}: ${signature ?? 's'}`);
     return `${[...lines, ...headers].join('\r\n')}\r\n\r\n`;
   }
 }
@@ -132,20 +135,26 @@
   #sockets: Socket[] = [];
   #calls: Waiters<WorkerCall>;
   readonly name: string;
+  readonly names: StandInNames;
   /** Every whole request, in order of arrival. */
   readonly received: WorkerCall[] = [];
   /** How requests on connections that come, or that are kept, are met from now on. */
   fault: ConnectionFault = 'none';
 
-  private constructor(name: string, calls: Waiters<WorkerCall>) {
+  private constructor(name: string, calls: Waiters<WorkerCall>, names: StandInNames) {
     this.name = name;
+    this.names = names;
     this.#calls = calls;
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
   /** Whole requests are put into `calls`, which workers may share. */
-  static open(name: string, calls: Waiters<WorkerCall>): Promise<StandInWorker> {
-    const worker = new StandInWorker(name, calls);
+  static open(
+    name: string,
+    calls: Waiters<WorkerCall>,
+    names: StandInNames = TEST_NAMES,
+  ): Promise<StandInWorker> {
+    const worker = new StandInWorker(name, calls, names);
     return new Promise((resolve) => {
       worker.#server.listen(0, '127.0.0.1', () => resolve(worker));
     });
@@ -200,13 +209,7 @@
     const length = Number(/\r\ncontent-length: *(\d+)/i.exec(head)?.[1] ?? 0);
     const bodyStart = headEnd + 4;
     if (text.length < bodyStart + length) return text;
-    const call = new WorkerCall(
-      head,
-      text.slice(bodyStart, bodyStart + length),
-      this.name,
-      connection,
-      socket,
-    );
+    const call = new WorkerCall(head, text.slice(bodyStart, bodyStart + length), this, connection, socket);
     this.received.push(call);
     this.#calls.put(call);
     return this.#take(text.slice(bodyStart + length), connection, socket);
