--- a/packages/process-group/src/versions.ts
+++ b/packages/process-group/src/versions.ts
@@ -7,6 +7,9 @@
 /** Versions whose entries are kept for members that lag; others get the whole state. */
 const ENTRIES_KEPT = 256;
 
+/** Payloads of the entries that go in one message; what is left is fetched after it. */
+const FETCHED_BYTES = 1024 * 1024;
+
 /** A node that cannot close a gap for so long starts anew. */
 const GAP_MOST_MS = 2500;
 
@@ -48,17 +51,19 @@
     transport.postTo(from, { case: 'fetch', value });
   }
 
-  /** Sends a member the versions from `first` on: as entries, or as the whole state if those are gone. */
+  /** Sends a member versions from `first` on: as entries, as many as a message takes, or as the whole state if those are gone. */
   onFetch(from: string, first: number): void {
     const { directory, local, transport } = this.#parts;
     const seat = directory.seat(from);
     const held = local.held;
     if (seat === undefined || held === undefined || !local.inView) return;
     const versions: Version[] = [];
-    for (let number = first; number <= held.number; number += 1) {
+    let bytes = 0;
+    for (let number = first; number <= held.number && bytes < FETCHED_BYTES; number += 1) {
       const version = this.#entries.get(number);
       if (version === undefined) return this.sendWhole(seat);
       versions.push(version);
+      bytes += payloadBytes(version);
     }
     transport.parcel(seat, { case: 'chosen', value: create(ChosenSchema, { versions }) });
   }
@@ -125,3 +130,8 @@
     this.#lastEntry = version.entry ?? create(EntrySchema);
   }
 }
+
+function payloadBytes(version: Version): number {
+  const operations = version.entry?.operations ?? [];
+  return operations.reduce((bytes, { payload }) => bytes + payload.length, 0);
+}
