--- /dev/null
+++ b/packages/process-group/dist-try6/agreement-invariants.js
@@ -0,0 +1,96 @@
+import { contentOf, lifeName } from './agreement-messages.js';
+import { later, majority } from './play.js';
+function ofKind(messages, kind) {
+    return messages.filter((message) => message.kind === kind);
+}
+function disksOf(version) {
+    return (version?.state?.voters ?? []).map((voter) => voter.disk);
+}
+/**
+ * What is wrong with a message, given all that were sent before it; undefined
+ * when nothing is.
+ * @example
+ * violation(sent, { kind: 'elected', from: { machine: 'a', life: 1 }, epoch: 2 });
+ */
+export function violation(sent, message) {
+    switch (message.kind) {
+        case 'promise':
+            return brokenPromise(sent, message);
+        case 'accepted':
+            return brokenAcceptance(sent, message);
+        case 'elected':
+            return secondCoordinator(sent, message);
+        case 'chosen':
+            return wronglyChosen(sent, message);
+        default:
+            return undefined;
+    }
+}
+function brokenPromise(sent, message) {
+    const { promise, from, to } = message;
+    if (!promise.granted)
+        return undefined;
+    const rival = ofKind(sent, 'promise').find((other) => other.promise.granted &&
+        other.from.machine === from.machine &&
+        other.promise.epoch === promise.epoch &&
+        other.to.machine !== to.machine);
+    if (rival !== undefined)
+        return `disk ${from.machine} promised epoch ${promise.epoch} to ${rival.to.machine} and to ${to.machine}`;
+    const forgotten = ofKind(sent, 'accepted').find(({ accepted, from: { machine } }) => machine === from.machine &&
+        !accepted.refused &&
+        (promise.accepted === undefined || later(accepted, promise.accepted)));
+    if (forgotten === undefined)
+        return undefined;
+    const { epoch, number } = forgotten.accepted;
+    return `disk ${from.machine} acknowledged version ${epoch}/${number} and promised with an older one`;
+}
+function brokenAcceptance(sent, message) {
+    const { accepted, from, to } = message;
+    if (accepted.refused)
+        return undefined;
+    const newer = ofKind(sent, 'promise').find((other) => other.promise.granted &&
+        other.from.machine === from.machine &&
+        (other.promise.epoch > accepted.epoch ||
+            (other.promise.epoch === accepted.epoch && other.to.machine !== to.machine)));
+    if (newer === undefined)
+        return undefined;
+    return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted in epoch ${accepted.epoch} of ${to.machine}`;
+}
+function secondCoordinator(sent, message) {
+    const other = ofKind(sent, 'elected').find(({ epoch, from }) => epoch === message.epoch && lifeName(from) !== lifeName(message.from));
+    if (other === undefined)
+        return undefined;
+    return `epoch ${message.epoch} has two coordinators, ${lifeName(other.from)} and ${lifeName(message.from)}`;
+}
+function wronglyChosen(sent, message) {
+    const { version } = message;
+    const chosen = ofKind(sent, 'chosen').map((other) => other.version);
+    const same = chosen.filter((other) => other.number === version.number);
+    if (same.some((other) => contentOf(other) !== contentOf(version)))
+        return `two versions are chosen under number ${version.number}`;
+    const newer = chosen.find((other) => other.epoch > version.epoch);
+    if (same.length === 0 && newer !== undefined)
+        return `number ${version.number} is chosen in epoch ${version.epoch} after one of epoch ${newer.epoch}`;
+    const passed = chosen.find((other) => other.epoch < version.epoch && other.number > version.number);
+    if (passed !== undefined)
+        return `number ${version.number} is chosen in epoch ${version.epoch} though ${passed.number} was in epoch ${passed.epoch}`;
+    return wrongVoters(sent, version, chosen);
+}
+function wrongVoters(sent, version, chosen) {
+    const before = chosen.find((other) => other.number === version.number - 1);
+    const old = before === undefined ? disksOf(version) : disksOf(before);
+    const voters = disksOf(version);
+    const added = voters.filter((disk) => !old.includes(disk));
+    const removed = old.filter((disk) => !voters.includes(disk));
+    if (added.length > 1 || removed.length > 1)
+        return `version ${version.number} changes more than one voter`;
+    const synced = new Set(ofKind(sent, 'accepted')
+        .filter(({ accepted }) => !accepted.refused && accepted.epoch === version.epoch && accepted.number === version.number)
+        .map(({ from }) => from.machine));
+    for (const set of [old, voters]) {
+        if (set.filter((disk) => synced.has(disk)).length < majority(set.length))
+            return `version ${version.epoch}/${version.number} is chosen by ${[...synced].join(' ')} of ${set.join(' ')}`;
+    }
+    return undefined;
+}
+//# sourceMappingURL=agreement-invariants.js.map
--- /dev/null
+++ b/packages/process-group/dist-try6/agreement.test.js
@@ -0,0 +1,104 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import fc from 'fast-check';
+import { loadMutant, MUTANTS } from './agreement-mutants.js';
+import { SCOPES, WALKED } from './agreement-scopes.js';
+import { searchAll, StateSpace, walk } from './agreement-search.js';
+import * as production from './index.js';
+/** States that a search of a planted fault may take. */
+const MUTANT_STATES = 400_000;
+const WALKS = 60;
+const WALK_STEPS = 120;
+/** One of all, in the hands of a script. */
+const SCRIPTED = {
+    ...SCOPES.replacementTorn,
+    crashing: ['a', 'b'],
+    refusals: true,
+    budget: { claims: 2, crashes: 1, operations: 1, replacements: 1, losses: 0 },
+};
+/** Carries out the actions that begin with these words, and returns the first violation and what was left to do. */
+function play(scope, script) {
+    const space = new StateSpace(production, scope);
+    let state = space.start;
+    for (const [place, words] of script.entries()) {
+        const action = space.actions(state).find((known) => space.describe(known).startsWith(words));
+        if (action === undefined)
+            return { violation: undefined, left: script.slice(place) };
+        const step = space.step(state, action);
+        if (step.violation !== undefined)
+            return { violation: step.violation, left: script.slice(place + 1) };
+        state = step.state;
+    }
+    return { violation: undefined, left: [] };
+}
+describe('agreement, in every order of events', () => {
+    for (const name of ['rivals', 'repair', 'twoSpares']) {
+        it(`holds in the whole scope "${name}"`, (test) => {
+            const found = searchAll(new StateSpace(production, SCOPES[name]), Infinity);
+            test.diagnostic(`${found.states} states, ${found.steps} steps`);
+            expect(found.violation).toEqual(undefined);
+            expect(found.whole).toEqual(true);
+        });
+    }
+    it('holds in walks at random with losses of disks, refusals and two spares', () => {
+        const space = new StateSpace(production, WALKED);
+        const choices = fc.array(fc.nat(), { minLength: WALK_STEPS, maxLength: WALK_STEPS });
+        fc.assert(fc.property(choices, (path) => walk(space, path).violation === undefined), { numRuns: WALKS, seed: 16 });
+    });
+});
+describe('the model check finds what is taken out', () => {
+    for (const mutant of MUTANTS) {
+        it(mutant.name, async (test) => {
+            const code = await loadMutant(mutant);
+            if (code.isErr)
+                return expect(code.error.detail).toEqual('');
+            const found = searchAll(new StateSpace(code.value, SCOPES[mutant.scope]), MUTANT_STATES);
+            test.diagnostic(`${found.violation ?? 'not found'}: ${found.states} states, way of ${found.trace.length}`);
+            expect(found.violation).not.toEqual(undefined);
+        });
+    }
+});
+describe('agreement', () => {
+    it('does not elect by new voters alone while their change is not known to be chosen', () => {
+        const { violation, left } = play(SCRIPTED, [
+            'a: replace c',
+            'd: takes propose a#1 d',
+            'b: claim',
+            'c: takes claim b#1',
+            'b: takes promise c#1',
+            'c: takes propose b#1 c',
+            'b: takes accepted c#1',
+            'b: operate',
+            'c: takes propose b#1 c version 3/2',
+            'b: takes accepted c#1 b#1 3 2',
+            'a: crash',
+            'a: claim',
+            'd: takes claim a#2 d',
+            'a: takes promise d#1 a#2',
+            'd: takes propose a#2 d',
+        ]);
+        expect(violation).toEqual(undefined);
+        expect(left).toEqual(['d: takes propose a#2 d']);
+    });
+    it('does not coordinate twice in one epoch after a crash before its own promise was synced', () => {
+        const { violation, left } = play({ ...SCRIPTED, slowDisks: true }, [
+            'b: claim',
+            'a: takes claim b#1',
+            'a: sync',
+            'c: takes claim b#1',
+            'c: sync',
+            'b: takes promise a#1 b#1',
+            'b: takes promise c#1 b#1',
+            'b: crash',
+            'b: claim',
+            'a: takes claim b#2',
+            'c: takes claim b#2',
+            'b: takes promise a#1 b#2',
+            'b: takes promise c#1 b#2',
+            'b: sync',
+        ]);
+        expect(violation).toEqual(undefined);
+        expect(left).toEqual([]);
+    });
+});
+//# sourceMappingURL=agreement.test.js.map
--- /dev/null
+++ b/packages/process-group/dist-try6/group-dependencies.js
@@ -0,0 +1,2 @@
+export {};
+//# sourceMappingURL=group-dependencies.js.map
--- /dev/null
+++ b/packages/process-group/dist-try6/group.js
@@ -0,0 +1,153 @@
+/** The façade of the process group: what a node calls, and the order of work in a tick. */
+import { create } from '@bufbuild/protobuf';
+import { ByeSchema } from '@rainrun/messages';
+import { GroupParts } from './group-parts.js';
+/**
+ * A node's place in the process group: membership, views, causal and total
+ * order, leases. Driven from outside by `receive` and `tick`; it owns no
+ * socket, no timer and no file.
+ * @example
+ * const group = new Group(dependencies);
+ * group.tick(); // every 50 ms
+ * group.receive(frame); // for each frame that comes
+ */
+export class Group {
+    #parts;
+    constructor(dependencies) {
+        this.#parts = new GroupParts(dependencies);
+    }
+    get seat() {
+        return this.#parts.local.seat;
+    }
+    /** The newest version that came into force here. */
+    get held() {
+        return this.#parts.local.held;
+    }
+    /** The view this node is a member of, or undefined while it is in none. */
+    get view() {
+        return this.#parts.local.view;
+    }
+    /** True while the view is being changed: casts wait. */
+    get changing() {
+        return this.#parts.casts.stopped;
+    }
+    /** Whether this node is the coordinator. */
+    get leading() {
+        return this.#parts.coordination.coordinator !== undefined;
+    }
+    /** Incarnation of the coordinator that this node follows, if one was heard lately. */
+    get coordinatorIncarnation() {
+        return this.#parts.coordinatorWatch.live()?.incarnation;
+    }
+    /** Newest epoch that this node knows of. */
+    get epoch() {
+        return this.#parts.local.epoch;
+    }
+    /** Casts kept until all members are known to have them. */
+    get unstableCount() {
+        return this.#parts.casts.unstableCount;
+    }
+    get contextBytes() {
+        return this.#parts.casts.contextBytes;
+    }
+    /** Newest version that this node knows to be agreed. */
+    get agreed() {
+        return this.#parts.local.agreed;
+    }
+    /** When this node's right to admit ends; compare with the clock just before each act. */
+    grantEndMs() {
+        return this.#parts.leases.grantEndMs();
+    }
+    /** This node holds all that was agreed before this moment. */
+    informedMs() {
+        return this.grantEndMs() - this.#parts.dependencies.times.grantMs;
+    }
+    /** The version in force at another member when it last answered a heartbeat. */
+    versionAt(incarnation) {
+        return this.#parts.leases.versionAt(incarnation);
+    }
+    granted() {
+        return this.#parts.leases.isGranted();
+    }
+    /** The epoch in which this node may act alone for all, or undefined. Ends before the grant does. */
+    dutyEpoch() {
+        return this.#parts.leases.dutyEpoch();
+    }
+    /** Multicasts a payload causally to the view; held back while the view is changing. */
+    cast(payload) {
+        this.#parts.casts.cast(payload);
+    }
+    /** Submits an operation under its id; the answer comes through the audience, once it is agreed. False: nothing was sent. */
+    submit(operation) {
+        return this.#parts.submissions.submit(operation);
+    }
+    /** Nobody waits for an operation any more: it is not sent again, so that it cannot come to pass long after its caller has asked elsewhere. */
+    withdraw(id) {
+        this.#parts.submissions.withdraw(id);
+    }
+    /** What is known of an operation by its id. */
+    ask(id) {
+        return this.#parts.submissions.ask(id);
+    }
+    /** Whether no further operation of an operator can be remembered now. */
+    get full() {
+        return this.#parts.submissions.full;
+    }
+    /** An operator's word that a name will not come back. Only the coordinator can use it. */
+    forget(name) {
+        const { coordinator } = this.#parts.coordination;
+        coordinator?.forget(name);
+        return coordinator !== undefined;
+    }
+    /** Says goodbye, so that the view need not wait to suspect this node. */
+    leave() {
+        const { local, transport } = this.#parts;
+        local.startLeaving();
+        for (const member of local.others())
+            transport.post(member, { case: 'bye', value: create(ByeSchema) });
+    }
+    /** Does what is due now. The order counts: each step sees what the ones before it changed. */
+    tick() {
+        const { discovery, diskWatch, heartbeats, leases, local, submissions, transport, versions, viewChange } = this.#parts;
+        const nowMs = local.nowMs();
+        this.#noteSleep(nowMs);
+        const isDiskStalled = diskWatch.isStalled(nowMs, local.inView);
+        if (isDiskStalled && local.inView)
+            viewChange.rejoin();
+        heartbeats.tick(nowMs);
+        if (!isDiskStalled)
+            discovery.tick(nowMs);
+        if (!isDiskStalled && !local.leaving)
+            this.#coordinate(nowMs);
+        leases.tick(nowMs);
+        submissions.sendDue();
+        transport.tick(nowMs);
+        versions.tick(nowMs);
+    }
+    /** Takes a frame that came from another node. */
+    receive(frame) {
+        this.#parts.receiver.receive(frame);
+    }
+    /** Sends a frame of news to a member. */
+    postTo(incarnation, body) {
+        this.#parts.transport.postTo(incarnation, body);
+    }
+    /** A process that was away does not hold its own silence against the others. */
+    #noteSleep(nowMs) {
+        const { diskWatch, election, liveness, transport } = this.#parts;
+        const awayMs = liveness.tick(nowMs);
+        if (awayMs <= 0)
+            return;
+        election.claims?.woke(nowMs);
+        transport.slept(awayMs);
+        diskWatch.slept(awayMs);
+    }
+    #coordinate(nowMs) {
+        const { coordination, election } = this.#parts;
+        if (coordination.coordinator !== undefined)
+            coordination.tick(nowMs);
+        else
+            election.tick(nowMs);
+    }
+}
+//# sourceMappingURL=group.js.map
--- /dev/null
+++ b/packages/process-group/dist-try6/test-cluster.js
@@ -0,0 +1,194 @@
+/** A cluster of real groups over a network and disks in memory, in virtual time, for tests. */
+import { create } from '@bufbuild/protobuf';
+import { FRAME_MAX_BYTES, OperationSchema, pack, SPEAKS } from '@rainrun/messages';
+import { Dice } from '@rainrun/common';
+import { Result } from 'true-myth';
+import { Acceptor, readRecords } from './acceptor.js';
+import { Group } from './group.js';
+import { GROUP_TIMES } from './times.js';
+const TICK_MS = 25;
+const LINK_MS = 1;
+/** The times of a core on a platform. */
+const TIMES = {
+    ...GROUP_TIMES,
+    replaceMs: 1500,
+    suspectMs: 900,
+    grantMs: 600,
+    helloMs: 100,
+    graceMs: 100,
+};
+/** The state: the ids of the operations that were applied, in their order. */
+const PLAY = {
+    empty: () => [],
+    encode: (state) => ({ play: new TextEncoder().encode(JSON.stringify(state)), extra: new Uint8Array() }),
+    decode: ({ play }) => Result.ok(JSON.parse(new TextDecoder().decode(play))),
+    plain: (state) => state,
+    apply: (state, { id }) => ({ state: [...state, id], outcome: { kind: 'agreed', detail: '' } }),
+};
+/**
+ * Real groups in virtual time. A node that is started again takes its records
+ * with it, or none, under a new disk id, as after a loss of its disk.
+ * @example
+ * const cluster = new TestCluster(['a', 'b', 'c'], 1);
+ * cluster.found();
+ */
+export class TestCluster {
+    nowMs = 0;
+    nodes = new Map();
+    /** Ids of the operations that were acknowledged. */
+    acknowledged = new Set();
+    cuts = new Set();
+    #seeds;
+    #founders = [];
+    #votersWanted;
+    #dice;
+    #disks = 0;
+    #operations = 0;
+    #inFlight = [];
+    constructor(seeds, faultTolerance, seed = 7) {
+        this.#seeds = seeds;
+        this.#votersWanted = 2 * faultTolerance + 1;
+        this.#dice = new Dice(seed);
+    }
+    /** Starts all machines for the first time and waits for a settled group. */
+    found() {
+        this.#founders = this.#seeds.slice(0, 3);
+        for (const name of this.#seeds)
+            this.start(name);
+        this.#founders = [];
+        this.runUntil(() => this.leader()?.group.held?.voters.length === this.#votersWanted, 20_000);
+        this.run(1000);
+    }
+    start(name, records) {
+        this.#disks += 1;
+        const writes = [];
+        const disk = { ...records };
+        const opening = readRecords(disk, `${name}-${this.#disks}`);
+        const vault = {
+            store: (kind, bytes, done) => {
+                writes.push({
+                    dueMs: this.nowMs + node.syncMs,
+                    sync: () => {
+                        disk[kind] = bytes;
+                        done(Result.ok());
+                    },
+                });
+            },
+        };
+        const fresh = { disk: name, deployment: '', promisedEpoch: 0, promisedTo: '', accepted: undefined };
+        const acceptor = new Acceptor(opening.unwrapOr(fresh), vault, 'test', () => undefined);
+        const group = this.#group(name, acceptor);
+        const node = { name, records: disk, group, writes, syncMs: 1, stalled: false, running: true };
+        if (records?.disk === undefined)
+            acceptor.mark();
+        this.nodes.set(name, node);
+        return node;
+    }
+    node(name) {
+        return this.nodes.get(name);
+    }
+    /** Ends a process; what its disk had synced stays in the returned node's records. */
+    stop(name) {
+        const node = this.node(name);
+        node.running = false;
+        return node;
+    }
+    /** Submits an operation at a node; true if it was sent. */
+    submit(name, payloadBytes = 0) {
+        this.#operations += 1;
+        const id = `o${this.#operations}`;
+        const payload = new Uint8Array(payloadBytes);
+        return this.node(name).group.submit(create(OperationSchema, { id, kind: 'add', payload, brief: true }));
+    }
+    /** Cuts a machine off from all others, or ends that. */
+    cutOff(name, isCut) {
+        for (const other of this.nodes.keys())
+            for (const way of [`${name} ${other}`, `${other} ${name}`]) {
+                if (isCut)
+                    this.cuts.add(way);
+                else
+                    this.cuts.delete(way);
+            }
+    }
+    run(forMs) {
+        const endMs = this.nowMs + forMs;
+        while (this.nowMs < endMs) {
+            this.nowMs += LINK_MS;
+            this.#deliver();
+            for (const node of this.nodes.values())
+                if (node.running)
+                    this.#runNode(node);
+        }
+    }
+    /** Runs until something holds, and says how long that took. */
+    runUntil(holds, mostMs) {
+        const startMs = this.nowMs;
+        while (!holds() && this.nowMs - startMs < mostMs)
+            this.run(TICK_MS);
+        return this.nowMs - startMs;
+    }
+    get running() {
+        return [...this.nodes.values()].filter((node) => node.running);
+    }
+    /** The node that holds the coordinator's lease. */
+    leader() {
+        return this.running.find(({ group }) => group.leading && group.dutyEpoch() !== undefined);
+    }
+    /** Acknowledged operations that a node's state lacks. */
+    lacks(name) {
+        const state = this.node(name).group.held?.play ?? [];
+        return [...this.acknowledged].filter((id) => !state.includes(id));
+    }
+    #runNode(node) {
+        while (!node.stalled && (node.writes[0]?.dueMs ?? Infinity) <= this.nowMs)
+            node.writes.shift()?.sync();
+        if (this.nowMs % TICK_MS === 0)
+            node.group.tick();
+    }
+    /** Puts a frame on its way; the receiver would refuse one that is too large. */
+    #post(from, to, frame) {
+        const mayBeLarge = frame.body.case === 'parcel' || frame.body.case === 'propose';
+        if (!mayBeLarge || pack(frame).length <= FRAME_MAX_BYTES)
+            this.#inFlight.push({ dueMs: this.nowMs + LINK_MS, from, to, frame });
+    }
+    #deliver() {
+        while ((this.#inFlight[0]?.dueMs ?? Infinity) <= this.nowMs) {
+            const next = this.#inFlight.shift();
+            if (next === undefined || this.cuts.has(`${next.from} ${next.to}`))
+                continue;
+            const node = this.nodes.get(next.to);
+            if (node?.running === true)
+                node.group.receive(next.frame);
+        }
+    }
+    #group(name, acceptor) {
+        return new Group({
+            name,
+            address: name,
+            zone: '',
+            deployment: 'test',
+            seeds: this.#seeds,
+            founders: this.#founders,
+            votersWanted: this.#votersWanted,
+            clock: { nowMs: () => this.nowMs },
+            chance: this.#dice,
+            times: TIMES,
+            play: PLAY,
+            acceptor,
+            speaks: SPEAKS,
+            audience: {
+                onVersion: () => undefined,
+                onCast: () => undefined,
+                onAnswer: ({ id, kind }) => {
+                    if (kind === 'agreed')
+                        this.acknowledged.add(id);
+                },
+                onReborn: () => undefined,
+                onFrame: () => undefined,
+                onRefused: () => undefined,
+            },
+            post: (to, frame) => this.#post(name, to, frame),
+        });
+    }
+}
+//# sourceMappingURL=test-cluster.js.map
--- /dev/null
+++ b/packages/process-group/dist-try7/agreement-messages.js
@@ -0,0 +1,54 @@
+/** Messages and events of the agreement's model, and names by which equal ones are known. */
+import { createHash } from 'node:crypto';
+import { toBinary } from '@bufbuild/protobuf';
+import { VersionSchema, } from '@rainrun/messages';
+/** A digest of some bytes. */
+export function digestOf(bytes) {
+    return createHash('sha256').update(bytes).digest('base64').slice(0, 16);
+}
+const CONTENTS = new WeakMap();
+/** A digest of what a version says, whatever the epoch it was proposed in. */
+export function contentOf(version) {
+    const known = CONTENTS.get(version);
+    if (known !== undefined)
+        return known;
+    const content = digestOf(toBinary(VersionSchema, { ...version, epoch: 0 }));
+    CONTENTS.set(version, content);
+    return content;
+}
+/** A name for a version: equal for equal versions of one epoch. */
+export function nameOf(version) {
+    return version === undefined ? 'none' : `${version.epoch}/${version.number}/${contentOf(version)}`;
+}
+/** A life as one word. */
+export function lifeName({ machine, life }) {
+    return `${machine}#${life}`;
+}
+/** The life that a word stands for. */
+export function lifeOf(name) {
+    const [machine = '', life = '0'] = name.split('#');
+    return { machine, life: Number(life) };
+}
+/** The same for equal messages: a message that is sent again is no new one. */
+export function messageName(message) {
+    const from = lifeName(message.from);
+    switch (message.kind) {
+        case 'claim':
+            return `claim ${from} ${message.to} ${message.claim.epoch}`;
+        case 'propose':
+            return `propose ${from} ${message.to} ${nameOf(message.propose.version)}`;
+        case 'promise': {
+            const { epoch, granted, accepted, seenEpoch } = message.promise;
+            return `promise ${from} ${lifeName(message.to)} ${epoch} ${granted} ${seenEpoch} ${nameOf(accepted)}`;
+        }
+        case 'accepted': {
+            const { epoch, number, refused, seenEpoch } = message.accepted;
+            return `accepted ${from} ${lifeName(message.to)} ${epoch} ${number} ${refused} ${seenEpoch}`;
+        }
+        case 'elected':
+            return `elected ${from} ${message.epoch}`;
+        case 'chosen':
+            return `chosen ${from} ${nameOf(message.version)}`;
+    }
+}
+//# sourceMappingURL=agreement-messages.js.map
--- /dev/null
+++ b/packages/process-group/dist-try7/agreement-mutants.js
@@ -0,0 +1,176 @@
+/**
+ * Faults planted into the compiled code of agreement, one at a time, to show
+ * that the model check finds each.
+ */
+import { cp, mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
+import { dirname, join } from 'node:path';
+import { fileURLToPath, pathToFileURL } from 'node:url';
+import { fault } from '@rainrun/common';
+import { Result } from 'true-myth';
+/** What is taken out, one at a time. */
+export const MUTANTS = [
+    {
+        name: 'a promise is synced before it is answered',
+        scope: 'tornVoter',
+        file: 'acceptor.js',
+        from: "this.#store('promise', toBinary(PromiseRecordSchema, record), () => {",
+        to: "reply(this.#promise(epoch, true));\n        this.#store('promise', toBinary(PromiseRecordSchema, record), () => {",
+    },
+    {
+        name: 'a version is synced before it is acknowledged',
+        scope: 'tornVoter',
+        file: 'acceptor.js',
+        from: "this.#store('version', toBinary(VersionSchema, version), () => {",
+        to: "reply(this.#answer(version, false));\n        this.#store('version', toBinary(VersionSchema, version), () => {",
+    },
+    {
+        name: 'versions of older epochs are refused',
+        scope: 'rivals',
+        file: 'acceptor.js',
+        from: 'const stale = epoch < this.#promisedEpoch ||\n            (epoch === this.#promisedEpoch && this.#promisedTo',
+        to: 'const stale = false ||\n            (epoch === this.#promisedEpoch && this.#promisedTo',
+    },
+    {
+        name: 'claims of older epochs are refused',
+        scope: 'rivals',
+        file: 'acceptor.js',
+        from: 'const stale = epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && claimant',
+        to: 'const stale = false || (epoch === this.#promisedEpoch && claimant',
+    },
+    {
+        name: 'an epoch is promised to one claimant',
+        scope: 'replacementTorn',
+        file: 'acceptor.js',
+        from: '(epoch === this.#promisedEpoch && claimant !== this.#promisedTo)',
+        to: 'false',
+    },
+    {
+        name: 'a promise brings the accepted version',
+        scope: 'rivalsAtWork',
+        file: 'acceptor.js',
+        from: 'if (granted && this.#accepted !== undefined)',
+        to: 'if (granted && this.#accepted?.number === 1)',
+    },
+    {
+        name: 'a restarted voter keeps to its promise',
+        scope: 'tornClaimant',
+        file: 'acceptor.js',
+        from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
+        to: 'promisedEpoch: accepted?.epoch ?? 0',
+    },
+    {
+        name: 'a restarted voter keeps to the epoch that it accepted in',
+        scope: 'restart',
+        file: 'acceptor.js',
+        from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
+        to: 'promisedEpoch: promise.epoch',
+    },
+    {
+        name: 'a claim is for an epoch that is new',
+        scope: 'restart',
+        file: 'claims.js',
+        from: 'const epoch = this.#context.epoch() + 1;',
+        to: 'const epoch = this.#context.epoch();',
+    },
+    {
+        name: "a claimant's own promise is synced before it coordinates",
+        scope: 'tornClaimant',
+        file: 'claims.js',
+        from: 'if (best?.state === undefined || !promises.has(disk))',
+        to: 'if (best?.state === undefined)',
+    },
+    {
+        name: 'an election needs a majority',
+        scope: 'rivalsAtWork',
+        file: 'claims.js',
+        from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
+        to: 'if (promises.size === 0)',
+    },
+    {
+        name: 'an election needs a majority of the newest voters',
+        scope: 'replacement',
+        file: 'claims.js',
+        from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
+        to: 'if (!isQuorum(this.#context.voters(), promises))',
+    },
+    {
+        name: 'the newest accepted version is taken over',
+        scope: 'rivalsAtWork',
+        file: 'claims.js',
+        from: '(best === undefined || later(accepted, best))',
+        to: '(best === undefined)',
+    },
+    {
+        name: 'the epoch decides what is newest',
+        scope: 'rivalsAtWork',
+        file: 'play.js',
+        from: 'one.epoch !== other.epoch ? one.epoch > other.epoch : one.number > other.number',
+        to: 'one.number !== other.number ? one.number > other.number : one.epoch > other.epoch',
+    },
+    {
+        name: 'a version needs a majority',
+        scope: 'rivals',
+        file: 'coordinator.js',
+        from: 'if (isQuorum(proposal.held, proposal.acks))',
+        to: 'if (proposal.acks.size > 0)',
+    },
+    {
+        name: 'a change of voters needs a majority of the old ones',
+        scope: 'repair',
+        file: 'coordinator.js',
+        from: 'if (isQuorum(proposal.held, proposal.acks))',
+        to: 'if (isQuorum({ ...proposal.held, votersBefore: [] }, proposal.acks))',
+    },
+    {
+        name: 'a change of voters needs a majority of the new ones',
+        scope: 'replacement',
+        file: 'coordinator.js',
+        from: 'if (isQuorum(proposal.held, proposal.acks))',
+        to: 'if (isQuorum({ voters: proposal.held.votersBefore.length > 0 ? proposal.held.votersBefore : proposal.held.voters, votersBefore: [] }, proposal.acks))',
+    },
+    {
+        name: 'a version remembers the voters that it replaced',
+        scope: 'repair',
+        file: 'play.js',
+        from: 'votersBefore: entry.voters.length > 0 ? held.voters : [],',
+        to: 'votersBefore: [],',
+    },
+    {
+        name: 'one voter is replaced at a time',
+        scope: 'twoSpares',
+        file: 'coordinator.js',
+        from: 'return voters.map((voter) => (voter === lost ? { ...voter, disk: spare.disk, name: spare.name } : voter));',
+        to: 'return voters.map((voter, place) => (place > 0 && spares[place - 1] !== undefined ? { ...voter, disk: spares[place - 1].disk } : voter));',
+    },
+    {
+        name: 'an acknowledgement counts for its own version only',
+        scope: 'rivalsAtWork',
+        file: 'coordinator.js',
+        from: 'if (accepted.epoch !== this.#epoch || accepted.number !== proposal.held.number)',
+        to: 'if (false)',
+    },
+];
+/**
+ * The compiled code with one mechanism taken out.
+ * @example
+ * const code = await loadMutant(MUTANTS[0]);
+ */
+export async function loadMutant(mutant) {
+    const dist = dirname(fileURLToPath(import.meta.url));
+    const folder = await mkdtemp(join(dist, 'mutant-'));
+    try {
+        for (const name of await readdir(dist))
+            if (name.endsWith('.js') && !name.endsWith('.test.js'))
+                await cp(join(dist, name), join(folder, name));
+        const path = join(folder, mutant.file);
+        const text = await readFile(path, 'utf8');
+        if (text.split(mutant.from).length !== 2)
+            return Result.err(fault('not-found', `${mutant.file} has not one "${mutant.from}"`));
+        await writeFile(path, text.replace(mutant.from, () => mutant.to));
+        return Result.ok((await import(pathToFileURL(join(folder, 'index.js')).href)));
+    }
+    finally {
+        await rm(folder, { recursive: true, force: true });
+    }
+}
+//# sourceMappingURL=agreement-mutants.js.map
--- /dev/null
+++ b/packages/process-group/dist-try7/coordination.js
@@ -0,0 +1,129 @@
+/** This node's term as coordinator: beginning, resigning, and what the coordinator is given. */
+import { create } from '@bufbuild/protobuf';
+import { EntrySchema, ProposeSchema, } from '@rainrun/messages';
+import { Coordinator } from './coordinator.js';
+import { fromVersion } from './play.js';
+/**
+ * Holds the coordinator while this node is it, and ends its term when a newer
+ * epoch is heard of or a majority has granted nothing for too long.
+ * @example
+ * coordination.start(3, version); // a majority promised epoch 3
+ * coordination.coordinator?.epoch; // 3
+ */
+export class Coordination {
+    #parts;
+    #coordinator;
+    #unableUntilMs = -Infinity;
+    #grantLostMs;
+    constructor(parts) {
+        this.#parts = parts;
+    }
+    /** The coordinator, while this node is it. */
+    get coordinator() {
+        return this.#coordinator;
+    }
+    /** Whether this node had to resign so lately that it should not be elected again. */
+    isUnable(nowMs) {
+        return nowMs < this.#unableUntilMs;
+    }
+    /** Drives the coordinator; resigns when a majority has granted nothing for too long. */
+    tick(nowMs) {
+        const { dependencies, leases, local } = this.#parts;
+        const { resignMs } = dependencies.times;
+        if (!local.inView || leases.isGranted())
+            this.#grantLostMs = undefined;
+        else
+            this.#grantLostMs ??= nowMs;
+        if (this.#grantLostMs !== undefined && nowMs - this.#grantLostMs > resignMs) {
+            this.#unableUntilMs = nowMs + 2 * resignMs;
+            return this.#resign();
+        }
+        this.#coordinator?.tick(nowMs);
+    }
+    /** A majority promised an epoch: this node coordinates from this version on. */
+    start(epoch, version) {
+        const { coordinatorWatch, dependencies, leases, local } = this.#parts;
+        const base = fromVersion(dependencies.play, version);
+        if (base.isErr)
+            return;
+        local.sawEpoch(epoch);
+        this.#grantLostMs = undefined;
+        leases.startDuty();
+        this.#coordinator = new Coordinator(this.#context(), epoch, base.value, version.entry ?? create(EntrySchema), local.nowMs(), (number) => local.sawAgreed(number));
+        coordinatorWatch.follow(local.incarnation, epoch, false);
+        this.#coordinator.tick(local.nowMs());
+    }
+    /** Ends this node's term if a newer epoch than its own has been heard of. */
+    resignIfBefore(epoch) {
+        if (this.#coordinator !== undefined && epoch > this.#coordinator.epoch)
+            this.#resign();
+    }
+    /** Ends this node's term without more ado: it goes on as a new member. */
+    drop() {
+        this.#coordinator = undefined;
+    }
+    /** Takes an operation that a member, or this node itself, submits. */
+    onSubmit(from, submit) {
+        const { local } = this.#parts;
+        const seat = from === local.incarnation
+            ? local.seat
+            : local.view?.members.find((member) => member.incarnation === from);
+        if (submit.operation !== undefined && seat !== undefined)
+            this.#coordinator?.submit(submit.operation, seat);
+    }
+    /** Hands a proposal of a coordinator to this node's disk, if it votes. */
+    onPropose(from, propose) {
+        const { dependencies, directory, election, local, transport } = this.#parts;
+        const { acceptor } = dependencies;
+        const seat = directory.seat(from);
+        const { version } = propose;
+        if (acceptor === undefined || seat === undefined || version === undefined)
+            return;
+        const isVoter = version.state?.voters.some((voter) => voter.disk === acceptor.disk) ?? false;
+        if (!isVoter && acceptor.accepted === undefined)
+            return;
+        this.resignIfBefore(version.epoch);
+        if (version.epoch >= local.epoch)
+            election.claims?.courted();
+        acceptor.propose(propose, (accepted) => transport.post(seat, { case: 'accepted', value: accepted }));
+    }
+    /** Takes a vote on this coordinator's proposal. */
+    onAccepted(accepted) {
+        if (this.#coordinator !== undefined && accepted.seenEpoch > this.#coordinator.epoch) {
+            this.#parts.local.sawEpoch(accepted.seenEpoch);
+            return this.#resign();
+        }
+        this.#coordinator?.accepted(accepted);
+    }
+    #resign() {
+        this.#coordinator = undefined;
+        this.#parts.election.claims?.resigned();
+        this.#parts.coordinatorWatch.unfollowSelf();
+    }
+    #context() {
+        const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } = this.#parts;
+        const { play, times, acceptor } = dependencies;
+        return {
+            play,
+            times,
+            disk: acceptor?.disk ?? '',
+            votersWanted: dependencies.votersWanted ?? 0,
+            self: () => local.seat,
+            heldNumber: () => local.heldNumber,
+            left: (incarnation) => liveness.hasSaidGoodbye(incarnation),
+            live: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
+            reported: (incarnation) => liveness.isReported(incarnation),
+            joiners: () => discovery.joiners(),
+            voterSeat: (disk) => voters.seat(disk),
+            post: (seat, body) => transport.post(seat, body),
+            parcel: (seat, body) => transport.parcel(seat, body),
+            vote: (version) => {
+                const value = create(ProposeSchema, { disk: acceptor?.disk ?? '', version });
+                acceptor?.propose(value, (accepted) => this.onAccepted(accepted));
+            },
+            flushSelf: (change, staying) => viewChange.flush(local.epoch, change, staying).unstable,
+            deliverSelf: (version) => versions.take(local.incarnation, version),
+        };
+    }
+}
+//# sourceMappingURL=coordination.js.map
--- /dev/null
+++ b/packages/process-group/dist-try8/election.js
@@ -0,0 +1,94 @@
+import { Claims } from './claims.js';
+/**
+ * Decides when a voter that does not coordinate claims the next epoch: when
+ * no coordinator is heard and no voter that comes before it can be reached.
+ * @example
+ * election.tick(nowMs); // while this node does not coordinate
+ */
+export class Election {
+    #parts;
+    #claims;
+    constructor(parts) {
+        this.#parts = parts;
+        const { acceptor } = parts.dependencies;
+        this.#claims = acceptor === undefined ? undefined : new Claims(this.#claimContext(acceptor));
+    }
+    /** Claims to an epoch, own and others'; only on a node with a disk. */
+    get claims() {
+        return this.#claims;
+    }
+    tick(nowMs) {
+        const { coordination, dependencies, founding } = this.#parts;
+        const { acceptor } = dependencies;
+        const claims = this.#claims;
+        if (acceptor === undefined || claims === undefined)
+            return;
+        if (founding.mayFound())
+            return founding.tick();
+        if (claims.pressing)
+            return claims.tick(nowMs);
+        if (!claims.due(nowMs) && !this.#isEveryVoterOutside(acceptor))
+            return;
+        if (coordination.isUnable(nowMs) || acceptor.busy)
+            return;
+        if (!claims.isTaken(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs))
+            claims.begin(nowMs);
+    }
+    /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
+    #isEveryVoterOutside(acceptor) {
+        const { discovery, local, voters } = this.#parts;
+        const known = voters.list();
+        if (local.inView || known.length === 0)
+            return false;
+        const outside = discovery.freshContacts().filter((contact) => !contact.inView);
+        return known.every(({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk));
+    }
+    /**
+     * Whether no voter of lower rank can be reached. Members come first, in the
+     * view's order; a voter that is back under a new incarnation comes after them.
+     * Outside a view nobody waits for a voter with an older version: that one may
+     * know too little of the voters to be elected.
+     */
+    #isNext(disk, nowMs) {
+        const { local, voters } = this.#parts;
+        const disks = voters.list().map((voter) => voter.disk);
+        if (!disks.includes(disk))
+            return false;
+        return local.inView ? this.#isFirstMember(disks, nowMs) : this.#isFirstOutside(disks, disk);
+    }
+    #isFirstMember(disks, nowMs) {
+        const { liveness, local } = this.#parts;
+        const first = local.view?.members.find(({ disk, incarnation }) => incarnation === local.incarnation ||
+            (disks.includes(disk) && liveness.isLive(incarnation, nowMs) && !liveness.isUnable(incarnation)));
+        return first?.incarnation === local.incarnation;
+    }
+    #isFirstOutside(disks, ownDisk) {
+        const { discovery, local } = this.#parts;
+        const contacts = discovery.freshContacts();
+        if (contacts.some((contact) => contact.inView && disks.includes(contact.seat.disk)))
+            return false;
+        const number = Math.max(1, local.newestNumber);
+        const first = disks.find((disk) => disk === ownDisk ||
+            contacts.some((contact) => contact.number >= number && contact.seat.disk === disk));
+        return first === ownDisk;
+    }
+    #claimContext(acceptor) {
+        const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } = this.#parts;
+        const { times, chance } = dependencies;
+        return {
+            acceptor,
+            times,
+            chance,
+            nowMs: () => local.nowMs(),
+            voters: () => voters.sets(),
+            voterSeat: (disk) => voters.seat(disk),
+            seat: (incarnation) => directory.seat(incarnation),
+            post: (seat, body) => transport.post(seat, body),
+            following: () => coordinatorWatch.live()?.incarnation,
+            epoch: () => local.epoch,
+            sawEpoch: (epoch) => local.sawEpoch(epoch),
+            take: (epoch, version) => coordination.start(epoch, version),
+        };
+    }
+}
+//# sourceMappingURL=election.js.map
--- /dev/null
+++ b/packages/process-group/dist-try8/founding.js
@@ -0,0 +1,79 @@
+/** The founding of a group: its first version, made once by the first of the founders. */
+import { create } from '@bufbuild/protobuf';
+import { ClaimSchema, EntrySchema, ViewSchema, VoterSchema } from '@rainrun/messages';
+import { toVersion } from './play.js';
+/**
+ * Founds the group when all founders are there with empty disks and nobody
+ * has heard of a group.
+ * @example
+ * if (founding.mayFound()) founding.tick();
+ */
+export class Founding {
+    #parts;
+    constructor(parts) {
+        this.#parts = parts;
+    }
+    /** Whether this node is a founder whose disk has not accepted anything yet. */
+    mayFound() {
+        const { acceptor } = this.#parts.dependencies;
+        return acceptor !== undefined && this.#founderName() !== undefined && acceptor.accepted === undefined;
+    }
+    /** Founds the group if this is the first of the founders and all the others are there. */
+    tick() {
+        const { coordination, dependencies } = this.#parts;
+        const { acceptor, founders, play } = dependencies;
+        const own = this.#founderName();
+        if (acceptor === undefined || own === undefined || [...founders].sort()[0] !== own)
+            return;
+        const seats = this.#founderSeats(own);
+        if (seats === undefined || acceptor.busy)
+            return;
+        const held = this.#firstVersion(acceptor, seats);
+        const { epoch, view } = held;
+        acceptor.claim(create(ClaimSchema, { epoch, disk: acceptor.disk }), (promise) => {
+            if (!promise.granted || coordination.coordinator !== undefined || !this.mayFound())
+                return;
+            coordination.start(epoch, toVersion(play, held, create(EntrySchema, { view })));
+        });
+    }
+    /** How the founders' list calls this node: by name or by address. */
+    #founderName() {
+        const { founders, name, address } = this.#parts.dependencies;
+        return founders.find((founder) => founder === name || founder === address);
+    }
+    /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
+    #founderSeats(own) {
+        const { dependencies, discovery, local } = this.#parts;
+        const contacts = discovery.freshContacts();
+        if (contacts.some((contact) => contact.inView || contact.number > 0))
+            return undefined;
+        const seats = [local.seat];
+        for (const founder of dependencies.founders) {
+            if (founder === own)
+                continue;
+            const contact = contacts.find(({ seat, founding }) => (seat.name === founder || seat.address === founder) && founding && seat.disk !== '');
+            if (contact === undefined)
+                return undefined;
+            seats.push(contact.seat);
+        }
+        return seats;
+    }
+    #firstVersion(acceptor, seats) {
+        const { deployment, play } = this.#parts.dependencies;
+        const epoch = acceptor.promisedEpoch + 1;
+        return {
+            epoch,
+            number: 1,
+            deployment,
+            view: create(ViewSchema, { epoch, number: 1, members: [...seats] }),
+            before: undefined,
+            voters: seats.map(({ disk, name }) => create(VoterSchema, { disk, name })),
+            votersBefore: [],
+            play: play.empty(),
+            answers: [],
+            level: 1,
+            clockMs: 0,
+        };
+    }
+}
+//# sourceMappingURL=founding.js.map
--- /dev/null
+++ b/packages/process-group/dist-try8/group-parts.d.ts
@@ -0,0 +1,67 @@
+/** The parts of a group, one job each, and the place at which they find one another. */
+import { Casts } from './casts.js';
+import { Coordination } from './coordination.js';
+import { CoordinatorWatch } from './coordinator-watch.js';
+import { Directory } from './directory.js';
+import { Discovery } from './discovery.js';
+import { DiskWatch } from './disk-watch.js';
+import { Election } from './election.js';
+import { Founding } from './founding.js';
+import type { GroupDependencies } from './group-dependencies.js';
+import { Heartbeats } from './heartbeats.js';
+import { Leases } from './leases.js';
+import { Liveness } from './liveness.js';
+import { LocalMember } from './local-member.js';
+import { Receiver } from './receiver.js';
+import { Submissions } from './submissions.js';
+import { Transport } from './transport.js';
+import { Versions } from './versions.js';
+import { ViewChange } from './view-change.js';
+import { Voters } from './voters.js';
+/**
+ * Builds the parts of a group. Each part names those that it uses in its
+ * `...Parts` type and calls them at work, not while it is constructed.
+ * @example
+ * const parts = new GroupParts(dependencies);
+ * parts.receiver.receive(frame);
+ */
+export declare class GroupParts<S> {
+    readonly dependencies: GroupDependencies<S>;
+    /** Identity, state in force, epochs seen. */
+    readonly local: LocalMember<S>;
+    /** Nodes and addresses known. */
+    readonly directory: Directory<S>;
+    /** Frames and ordered parcels to others. */
+    readonly transport: Transport<S>;
+    /** Dispatch of what comes from others. */
+    readonly receiver: Receiver<S>;
+    /** Failure detection. */
+    readonly liveness: Liveness<S>;
+    /** The own disk's health. */
+    readonly diskWatch: DiskWatch;
+    /** Greetings and joiners. */
+    readonly discovery: Discovery<S>;
+    /** Heartbeats and their acknowledgements. */
+    readonly heartbeats: Heartbeats<S>;
+    /** The right to admit and the right to act alone. */
+    readonly leases: Leases<S>;
+    /** Agreed versions and catch-up. */
+    readonly versions: Versions<S>;
+    /** Stop, flush and the next view. */
+    readonly viewChange: ViewChange<S>;
+    /** Causal multicast. */
+    readonly casts: Casts<S>;
+    /** Operations under way. */
+    readonly submissions: Submissions<S>;
+    /** The disks that vote. */
+    readonly voters: Voters<S>;
+    /** The coordinator that this node follows. */
+    readonly coordinatorWatch: CoordinatorWatch<S>;
+    /** This node's own term as coordinator. */
+    readonly coordination: Coordination<S>;
+    /** The first version of a group. */
+    readonly founding: Founding<S>;
+    /** Claims to the next epoch. */
+    readonly election: Election<S>;
+    constructor(dependencies: GroupDependencies<S>);
+}
--- /dev/null
+++ b/packages/process-group/dist-try8/versions.js
@@ -0,0 +1,128 @@
+/** Delivery of agreed versions in their order, and catching up on missed ones. */
+import { create } from '@bufbuild/protobuf';
+import { ChosenSchema, EntrySchema, FetchSchema } from '@rainrun/messages';
+import { advance, bare, fromVersion, rankOf, toVersion } from './play.js';
+/** Versions whose entries are kept for members that lag; others get the whole state. */
+const ENTRIES_KEPT = 256;
+/** Payloads of the entries that go in one message; what is left is fetched after it. */
+const FETCHED_BYTES = 1024 * 1024;
+/** A node that cannot close a gap for so long starts anew. */
+const GAP_MOST_MS = 2500;
+/**
+ * Applies versions one after the other. A gap is fetched from whoever holds
+ * more; a node outside a view starts from a version with the whole state.
+ * @example
+ * versions.take('incarnation-2', version);
+ */
+export class Versions {
+    #parts;
+    #entries = new Map();
+    #lastEntry = create(EntrySchema);
+    #lastFetchMs = -Infinity;
+    #gapSinceMs;
+    constructor(parts) {
+        this.#parts = parts;
+    }
+    /** Starts anew if a gap has stayed open for too long. */
+    tick(nowMs) {
+        if (this.#gapSinceMs !== undefined && nowMs - this.#gapSinceMs > GAP_MOST_MS)
+            this.#parts.viewChange.rejoin();
+    }
+    /** Asks a member for the versions after the one held here. */
+    fetch(from) {
+        const { dependencies, local, transport } = this.#parts;
+        const nowMs = local.nowMs();
+        if (nowMs - this.#lastFetchMs < dependencies.times.resendMs)
+            return;
+        this.#lastFetchMs = nowMs;
+        const value = create(FetchSchema, { from: (local.held?.number ?? 0) + 1 });
+        transport.postTo(from, { case: 'fetch', value });
+    }
+    /** Sends a member versions from `first` on: as entries, as many as a message takes, or as the whole state if those are gone. */
+    onFetch(from, first) {
+        const { directory, local, transport } = this.#parts;
+        const seat = directory.seat(from);
+        const held = local.held;
+        if (seat === undefined || held === undefined || !local.inView)
+            return;
+        const versions = [];
+        let bytes = 0;
+        for (let number = first; number <= held.number && bytes < FETCHED_BYTES; number += 1) {
+            const version = this.#entries.get(number);
+            if (version === undefined)
+                return this.sendWhole(seat);
+            versions.push(version);
+            bytes += payloadBytes(version);
+        }
+        transport.parcel(seat, { case: 'chosen', value: create(ChosenSchema, { versions }) });
+    }
+    /** Sends a member the whole state. */
+    sendWhole(seat) {
+        const { dependencies, local, transport } = this.#parts;
+        if (local.held === undefined)
+            return;
+        const version = toVersion(dependencies.play, local.held, this.#lastEntry);
+        transport.parcel(seat, { case: 'chosen', value: create(ChosenSchema, { versions: [version] }) });
+    }
+    /** Takes a version from a member or from the coordinator in this node. */
+    take(from, version) {
+        const { local } = this.#parts;
+        const held = local.held;
+        local.sawEpoch(version.epoch);
+        if (!local.inView) {
+            if (version.state !== undefined && version.number > (held?.number ?? 0))
+                this.#installWhole(version);
+            return;
+        }
+        if (held === undefined || version.number <= held.number)
+            return;
+        if (version.number > held.number + 1) {
+            this.#gapSinceMs ??= local.nowMs();
+            return this.fetch(from);
+        }
+        this.clearGap();
+        this.#deliver(held, version);
+    }
+    clearGap() {
+        this.#gapSinceMs = undefined;
+    }
+    #installWhole(version) {
+        const { dependencies, heartbeats, local, viewChange } = this.#parts;
+        const read = fromVersion(dependencies.play, version);
+        if (read.isErr || rankOf(read.value.view, local.incarnation) < 0)
+            return;
+        local.hold(read.value);
+        this.#log(version);
+        viewChange.enter(read.value.view);
+        dependencies.audience.onVersion(read.value, undefined);
+        viewChange.open();
+        heartbeats.send(local.nowMs());
+    }
+    #deliver(held, version) {
+        const { casts, dependencies, local, viewChange } = this.#parts;
+        const entry = version.entry ?? create(EntrySchema);
+        const { view } = entry;
+        if (view !== undefined)
+            casts.finish(entry.cut);
+        const next = advance(dependencies.play, held, version.epoch, entry);
+        local.hold(next);
+        this.#log(version);
+        if (view !== undefined && rankOf(view, local.incarnation) < 0)
+            return viewChange.rejoin();
+        if (view !== undefined)
+            viewChange.enter(view);
+        dependencies.audience.onVersion(next, entry);
+        if (view !== undefined)
+            viewChange.open();
+    }
+    #log(version) {
+        this.#entries.set(version.number, bare(version));
+        this.#entries.delete(version.number - ENTRIES_KEPT);
+        this.#lastEntry = version.entry ?? create(EntrySchema);
+    }
+}
+function payloadBytes(version) {
+    const operations = version.entry?.operations ?? [];
+    return operations.reduce((bytes, { payload }) => bytes + payload.length, 0);
+}
+//# sourceMappingURL=versions.js.map
--- /dev/null
+++ b/packages/process-group/dist-try9/agreement-check.d.ts
@@ -0,0 +1,2 @@
+#!/usr/bin/env node
+export {};
--- /dev/null
+++ b/packages/process-group/dist-try9/agreement-check.js
@@ -0,0 +1,45 @@
+#!/usr/bin/env node
+/**
+ * The model check of agreement, as long as wanted:
+ * `node packages/process-group/dist/agreement-check.js [--states N] [--walks N] [--seed N] [--scope NAME]`.
+ * Exit code 1 and the shortest way to a violation, if there is one.
+ */
+import { parseArgs } from 'node:util';
+import fc from 'fast-check';
+import { SCOPES, WALKED } from './agreement-scopes.js';
+import { searchAll, StateSpace, walk } from './agreement-search.js';
+import * as production from './index.js';
+const WALK_STEPS = 200;
+const { values } = parseArgs({
+    options: {
+        states: { type: 'string', default: '1000000' },
+        walks: { type: 'string', default: '1000' },
+        seed: { type: 'string', default: '1' },
+        scope: { type: 'string' },
+    },
+});
+function searchScope(name, scope) {
+    const found = searchAll(new StateSpace(production, scope), Number(values.states));
+    const extent = found.whole ? 'whole' : 'a part';
+    console.log(`${name}: ${extent}, ${found.states} states, ${found.steps} steps`);
+    if (found.violation === undefined)
+        return true;
+    console.log(`${found.violation}\n${found.trace.join('\n')}`);
+    return false;
+}
+function walkAtRandom() {
+    const choices = fc.array(fc.nat(), { minLength: WALK_STEPS, maxLength: WALK_STEPS });
+    const space = new StateSpace(production, WALKED);
+    const result = fc.check(fc.property(choices, (path) => walk(space, path).violation === undefined), { numRuns: Number(values.walks), seed: Number(values.seed) });
+    console.log(`walks: ${result.numRuns}, seed ${values.seed}`);
+    const [path] = result.counterexample ?? [];
+    if (path === undefined)
+        return true;
+    const { violation, trace } = walk(space, path);
+    console.log(`${violation}\n${trace.join('\n')}`);
+    return false;
+}
+const scopes = Object.entries(SCOPES).filter(([name]) => values.scope === undefined || name === values.scope);
+const sound = scopes.map(([name, scope]) => searchScope(name, scope)).every((held) => held);
+process.exitCode = walkAtRandom() && sound ? 0 : 1;
+//# sourceMappingURL=agreement-check.js.map
--- /dev/null
+++ b/packages/process-group/dist-try9/group-election.test.js
@@ -0,0 +1,49 @@
+import { describe, it } from 'node:test';
+import { create, toBinary } from '@bufbuild/protobuf';
+import { DiskRecordSchema, EntrySchema, StateSchema, VersionSchema, ViewSchema, VoterSchema, } from '@rainrun/messages';
+import { expect } from 'earl';
+import { TestCluster } from './test-cluster.js';
+function versionOf(number, voters) {
+    return create(VersionSchema, {
+        epoch: 1,
+        number,
+        entry: create(EntrySchema),
+        state: create(StateSchema, {
+            deployment: 'test',
+            view: create(ViewSchema, { epoch: 1, number: 1 }),
+            voters: voters.map((disk) => create(VoterSchema, { disk, name: disk })),
+            play: new TextEncoder().encode('[]'),
+        }),
+    });
+}
+function diskWith(disk, version) {
+    return {
+        disk: toBinary(DiskRecordSchema, create(DiskRecordSchema, { disk, deployment: 'test' })),
+        version: toBinary(VersionSchema, version),
+    };
+}
+describe('control safety, point 3: an election after losses', () => {
+    it('elects a coordinator though its first voter missed the last change of voters', () => {
+        const before = versionOf(4, ['a', 'b', 'c', 'f', 'g']);
+        const after = versionOf(5, ['a', 'b', 'd', 'f', 'g']);
+        const cluster = new TestCluster(['a', 'b', 'c', 'd', 'f', 'g'], 2);
+        cluster.start('b', diskWith('b', before));
+        cluster.start('d', diskWith('d', after));
+        cluster.start('g', diskWith('g', after));
+        const tookMs = cluster.runUntil(() => cluster.leader() !== undefined, 20_000);
+        expect(tookMs).toSatisfy((ms) => ms < 5000);
+    });
+    it('elects the next voter where the disk of the first one stalls', () => {
+        const cluster = new TestCluster(['a', 'b', 'c', 'd', 'e'], 2);
+        cluster.found();
+        const leader = cluster.leader();
+        const [next] = cluster.running.filter((node) => node !== leader);
+        if (leader !== undefined)
+            leader.running = false;
+        if (next !== undefined)
+            next.stalled = true;
+        const tookMs = cluster.runUntil(() => cluster.leader() !== undefined, 20_000);
+        expect(tookMs).toSatisfy((ms) => ms < 3500);
+    });
+});
+//# sourceMappingURL=group-election.test.js.map
--- /dev/null
+++ b/packages/process-group/dist-try9/membership.test.js
@@ -0,0 +1,242 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { TestCluster } from './test-cluster.js';
+const FIVE = ['a', 'b', 'c', 'd', 'e'];
+const THREE = ['a', 'b', 'c'];
+const RESTART_MS = 200;
+/** The least time that a deployment gives a machine to count as back. */
+const CATCH_UP_MS = 4000;
+const ACK_MS = 4000;
+/** All pairs of some names. */
+function pairsOf(names) {
+    return names.flatMap((one, place) => names.slice(place + 1).map((other) => [one, other]));
+}
+/** Machines lose their disks, and are back soon. */
+function wipe(cluster, names) {
+    for (const name of names)
+        cluster.stop(name);
+    cluster.run(RESTART_MS);
+    for (const name of names)
+        cluster.start(name);
+}
+/** All machines lose power; the disks of some are gone. */
+function losePower(cluster, wiped) {
+    const stopped = cluster.running.map(({ name }) => cluster.stop(name));
+    cluster.run(RESTART_MS);
+    for (const { name, records } of stopped)
+        cluster.start(name, wiped.includes(name) ? undefined : records);
+}
+/** An operation is acknowledged in time, and every node ends with all that were. */
+function expectWhole(cluster, what) {
+    const before = cluster.acknowledged.size;
+    let nextMs = cluster.nowMs;
+    const tookMs = cluster.runUntil(() => {
+        if (cluster.nowMs >= nextMs) {
+            nextMs = cluster.nowMs + 100;
+            cluster.submit(cluster.running[0]?.name ?? '');
+        }
+        return cluster.acknowledged.size > before;
+    }, 20_000);
+    cluster.run(2000);
+    const lacking = cluster.running
+        .filter(({ name }) => cluster.lacks(name).length > 0)
+        .map(({ name }) => name);
+    expect([what, tookMs <= ACK_MS || tookMs, lacking]).toEqual([what, true, []]);
+}
+function founded(names, faultTolerance, seed) {
+    const cluster = new TestCluster(names, faultTolerance, seed);
+    cluster.found();
+    cluster.submit('a');
+    cluster.run(500);
+    return cluster;
+}
+function votersOf(node) {
+    return (node?.group.held?.voters ?? []).map(({ disk }) => disk).sort();
+}
+describe('control safety, point 3: membership', () => {
+    it('bears the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
+        for (const [place, first] of pairsOf(FIVE).entries()) {
+            const second = pairsOf(FIVE)[(place * 7 + 3) % 10];
+            const cluster = founded(FIVE, 2, place);
+            wipe(cluster, first);
+            cluster.run(CATCH_UP_MS);
+            wipe(cluster, second);
+            expectWhole(cluster, `${first.join()} then ${second.join()}`);
+        }
+    });
+    it('bears it on disks that take 100 ms for a write', () => {
+        for (const [place, first] of pairsOf(FIVE).entries()) {
+            const cluster = founded(FIVE, 2, place);
+            for (const node of cluster.running)
+                node.syncMs = 100;
+            wipe(cluster, first);
+            for (const node of cluster.running)
+                node.syncMs = 100;
+            cluster.run(CATCH_UP_MS);
+            wipe(cluster, pairsOf(FIVE)[9 - place] ?? first);
+            expectWhole(cluster, first.join());
+        }
+    });
+    it('bears the loss of a disk, and of any other CatchUpS after its return, of three', () => {
+        for (const first of THREE)
+            for (const second of THREE) {
+                const cluster = founded(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
+                wipe(cluster, [first]);
+                cluster.run(CATCH_UP_MS);
+                wipe(cluster, [second]);
+                expectWhole(cluster, `${first} then ${second}`);
+            }
+    });
+    it('loses nothing with a voter that leaves in order, and another CatchUpS after its successor is in', () => {
+        for (const leaving of THREE)
+            for (const lost of THREE.filter((name) => name !== leaving)) {
+                const cluster = founded(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
+                const third = THREE.find((name) => name !== leaving && name !== lost) ?? '';
+                cluster.node(third).stalled = true;
+                cluster.submit(leaving);
+                cluster.run(300);
+                const { size } = cluster.acknowledged;
+                cluster.node(leaving).group.leave();
+                cluster.node(third).stalled = false;
+                cluster.run(150);
+                cluster.stop(leaving);
+                cluster.start('successor');
+                cluster.run(CATCH_UP_MS);
+                wipe(cluster, [lost]);
+                expect(size).toEqual(2);
+                expectWhole(cluster, `${leaving} leaves, ${lost} is lost`);
+            }
+    });
+    it('goes on where the coordinator dies, and a newcomer is wiped again, at any moment of a replacement', () => {
+        for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
+            const cluster = founded(FIVE, 2, afterMs);
+            const leader = cluster.leader()?.name ?? '';
+            const [lost = ''] = FIVE.filter((name) => name !== leader);
+            wipe(cluster, [lost]);
+            cluster.run(afterMs);
+            const { records } = cluster.stop(leader);
+            cluster.stop(lost);
+            cluster.run(RESTART_MS);
+            cluster.start(lost);
+            cluster.start(leader, records);
+            cluster.run(CATCH_UP_MS);
+            expectWhole(cluster, `after ${afterMs}`);
+            expect([afterMs, votersOf(cluster.leader()).length, new Set(votersOf(cluster.leader())).size]).toEqual([
+                afterMs,
+                5,
+                5,
+            ]);
+        }
+    });
+    it('goes on where all lose power at any moment of a replacement of two', () => {
+        for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
+            const cluster = founded(FIVE, 2, afterMs);
+            wipe(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
+            cluster.submit('c');
+            cluster.run(afterMs);
+            losePower(cluster, []);
+            expectWhole(cluster, `after ${afterMs}`);
+        }
+    });
+    it('goes on where two disks are lost and all others lose power, CatchUpS after a loss of two', () => {
+        for (const [place, first] of pairsOf(FIVE).entries())
+            for (const second of pairsOf(FIVE)) {
+                const cluster = founded(FIVE, 2, place);
+                wipe(cluster, first);
+                cluster.run(CATCH_UP_MS);
+                cluster.submit('a');
+                cluster.run(place);
+                losePower(cluster, second);
+                expectWhole(cluster, `${first.join()} then ${second.join()} and all power`);
+            }
+    });
+    it('takes a machine that comes back under its replaced disk for a member that does not vote', () => {
+        const cluster = founded(THREE, 1, 5);
+        const leader = cluster.leader()?.name ?? '';
+        const [old = ''] = THREE.filter((name) => name !== leader);
+        const { records, group } = cluster.stop(old);
+        cluster.start('spare');
+        cluster.run(CATCH_UP_MS);
+        const replaced = votersOf(cluster.leader());
+        cluster.start(old, records);
+        cluster.run(CATCH_UP_MS);
+        expect(replaced).not.toInclude(group.seat.disk);
+        expect(votersOf(cluster.leader())).toEqual(replaced);
+        expect(cluster.node(old).group.view?.members.length).toEqual(4);
+        expectWhole(cluster, 'back under its old disk');
+    });
+    it('never makes more than one voter of an address whose disk changes', () => {
+        const cluster = founded(THREE, 1, 6);
+        for (let times = 0; times < 4; times += 1) {
+            wipe(cluster, ['b']);
+            cluster.run(CATCH_UP_MS);
+            const voters = votersOf(cluster.leader());
+            expect([voters.length, voters.filter((disk) => disk.startsWith('b')).length]).toEqual([3, 1]);
+        }
+        expectWhole(cluster, 'four disks at one address');
+    });
+});
+describe('control safety, point 4: catching up', () => {
+    it('brings a member that was cut off for 20 s and 400 versions to the newest one', () => {
+        const cluster = founded(FIVE, 2, 4);
+        const leader = cluster.leader()?.name ?? '';
+        const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
+        cluster.cutOff(late, true);
+        for (let count = 0; count < 400; count += 1) {
+            cluster.submit(other, 20_000);
+            cluster.run(50);
+        }
+        cluster.cutOff(late, false);
+        const stale = cluster.lacks(late).length;
+        const tookMs = cluster.runUntil(() => cluster.lacks(late).length === 0, 20_000);
+        expect([cluster.acknowledged.size, stale > 300, tookMs <= CATCH_UP_MS || tookMs]).toEqual([
+            401,
+            true,
+            true,
+        ]);
+    });
+    it('brings a member to the newest version in messages that the wire carries', () => {
+        const cluster = founded(THREE, 1, 4);
+        const leader = cluster.leader()?.name ?? '';
+        const [late = '', other = ''] = THREE.filter((name) => name !== leader);
+        cluster.cutOff(late, true);
+        for (let count = 0; count < 12; count += 1) {
+            cluster.submit(other, 1024 * 1024);
+            cluster.run(60);
+        }
+        cluster.cutOff(late, false);
+        const { incarnation } = cluster.node(late).group.seat;
+        const tookMs = cluster.runUntil(() => cluster.lacks(late).length === 0, 20_000);
+        cluster.run(5000);
+        expect([tookMs <= 1000 || tookMs, cluster.node(late).group.seat.incarnation === incarnation]).toEqual([
+            true,
+            true,
+        ]);
+    });
+    it('neither answers nor coordinates with old state after a restart, while changes go on', () => {
+        for (const name of THREE) {
+            const cluster = founded(THREE, 1, name.charCodeAt(0));
+            const { records } = cluster.stop(name);
+            const other = THREE.find((known) => known !== name) ?? '';
+            cluster.run(3000);
+            for (let count = 0; count < 300; count += 1) {
+                cluster.submit(other);
+                cluster.run(20);
+            }
+            cluster.start(name, records);
+            const { group } = cluster.node(name);
+            for (let step = 0; step < 100; step += 1) {
+                const acknowledged = new Set(cluster.acknowledged);
+                const askedMs = cluster.nowMs;
+                cluster.submit(other);
+                cluster.run(25);
+                if (group.informedMs() < askedMs)
+                    continue;
+                const state = group.held?.play ?? [];
+                expect([...acknowledged].filter((id) => !state.includes(id))).toEqual([]);
+            }
+            expect([group.granted(), cluster.lacks(name)]).toEqual([true, []]);
+        }
+    });
+});
+//# sourceMappingURL=membership.test.js.map
--- /dev/null
+++ b/packages/process-group/dist-try9/voters.js
@@ -0,0 +1,30 @@
+/**
+ * Finds the voters: from the state held in a view, else from the version
+ * that this node's disk accepted last.
+ * @example
+ * voters.seat(voters.list()[0].disk); // the member with that disk, if it is in touch
+ */
+export class Voters {
+    #parts;
+    constructor(parts) {
+        this.#parts = parts;
+    }
+    list() {
+        return this.sets().voters;
+    }
+    /** The voters, and those before them while their change is not known to be chosen. */
+    sets() {
+        const { dependencies, local } = this.#parts;
+        const { held } = local;
+        const accepted = dependencies.acceptor?.accepted?.state ?? { voters: [], votersBefore: [] };
+        return held !== undefined && held.voters.length > 0 && local.inView ? held : accepted;
+    }
+    /** Where the voter with this disk is now, if it is known. */
+    seat(disk) {
+        const { discovery, liveness, local } = this.#parts;
+        const nowMs = local.nowMs();
+        const member = local.view?.members.find((seat) => seat.disk === disk && liveness.isLive(seat.incarnation, nowMs));
+        return member ?? discovery.freshContacts().find((contact) => contact.seat.disk === disk)?.seat;
+    }
+}
+//# sourceMappingURL=voters.js.map
--- /dev/null
+++ b/packages/process-group/src/fencing.test.ts
@@ -0,0 +1,68 @@
+import { describe, it } from 'node:test';
+import { Dice } from '@rainrun/common';
+import { expect } from 'earl';
+import { TestCluster } from './test-cluster.js';
+
+const NAMES = ['a', 'b', 'c'];
+const RUNS = 40;
+const STEP_MS = 25;
+const STEPS = 1200;
+/** A trouble comes once in so many steps. */
+const TROUBLE_EACH = 60;
+
+/** Who held the coordinator's lease in which epoch, and what was wrong with that. */
+class LeaseLog {
+  readonly wrong: string[] = [];
+  readonly holders = new Map<number, string>();
+  #newest = 0;
+
+  note(cluster: TestCluster): void {
+    const now = cluster.running.filter(({ group }) => group.dutyEpoch() !== undefined);
+    if (now.length > 1) this.wrong.push(`${now.length} holders at ${cluster.nowMs}`);
+    for (const { group } of now) this.#noteHolder(group.dutyEpoch() ?? 0, group.seat.incarnation);
+  }
+
+  #noteHolder(epoch: number, incarnation: string): void {
+    const known = this.holders.get(epoch) ?? incarnation;
+    if (known !== incarnation) this.wrong.push(`epoch ${epoch} has two holders`);
+    if (epoch < this.#newest) this.wrong.push(`epoch ${epoch} after ${this.#newest}`);
+    this.holders.set(epoch, incarnation);
+    this.#newest = Math.max(this.#newest, epoch);
+  }
+}
+
+/** Something happens to one machine, the coordinator as often as not; one disk may be lost at a time. */
+function disturb(cluster: TestCluster, dice: Dice): void {
+  for (const name of NAMES) cluster.cutOff(name, false);
+  for (const node of cluster.nodes.values()) node.running = true;
+  const leader = cluster.leader()?.name;
+  const victim = leader !== undefined && dice.next() < 0.6 ? leader : NAMES[Math.floor(dice.next() * 3)];
+  const name = victim ?? 'a';
+  const other = NAMES.find((known) => known !== name) ?? 'b';
+  const kind = dice.next();
+  if (kind < 0.25) cluster.cutOff(name, true);
+  else if (kind < 0.45) cluster.cuts.add(`${name} ${other}`);
+  else if (kind < 0.65) cluster.node(name).running = false;
+  else if (kind < 0.85) cluster.start(name, cluster.stop(name).records);
+  else cluster.start(name);
+}
+
+describe("control safety, fencing: the coordinator's lease", () => {
+  it('has one holder at a time, each epoch one, and rises across cuts, freezes, restarts and wipes', () => {
+    let changes = 0;
+    for (let seed = 1; seed <= RUNS; seed += 1) {
+      const dice = new Dice(seed);
+      const cluster = new TestCluster(NAMES, 1, seed);
+      const log = new LeaseLog();
+      cluster.found();
+      for (let step = 0; step < STEPS; step += 1) {
+        if (step % TROUBLE_EACH === 0) disturb(cluster, dice);
+        cluster.run(STEP_MS);
+        log.note(cluster);
+      }
+      expect([seed, ...log.wrong.slice(0, 3)]).toEqual([seed]);
+      changes += log.holders.size;
+    }
+    expect(changes).toSatisfy((count: number) => count > 3 * RUNS);
+  });
+});
