--- a/packages/process-group/dist-try7/group-dependencies.js
+++ /dev/null
@@ -1,2 +0,0 @@
-export {};
-//# sourceMappingURL=group-dependencies.js.map
--- a/packages/process-group/dist-try9/agreement-check.d.ts
+++ /dev/null
@@ -1,2 +0,0 @@
-#!/usr/bin/env node
-export {};
