--- a/packages/process-group/src/claims.ts
+++ b/packages/process-group/src/claims.ts
@@ -102,7 +102,7 @@
   begin(nowMs: number): void {
     const { acceptor } = this.#context;
     const epoch = this.#context.epoch() + 1;
-    this.#claiming = {
+    const claiming: Claiming = {
       epoch,
       bornMs: nowMs,
       sentMs: -Infinity,
@@ -110,8 +110,9 @@
       supporters: new Set([acceptor.disk]),
       promises: new Map(),
     };
-    this.#press(this.#claiming, nowMs);
-    this.#supported(this.#claiming, acceptor.disk);
+    this.#claiming = claiming;
+    this.#press(claiming, nowMs);
+    this.#supported(claiming, acceptor.disk);
   }
 
   tick(nowMs: number): void {
