--- a/packages/simulator/src/system/configuration.ts
+++ b/packages/simulator/src/system/configuration.ts
@@ -71,6 +71,12 @@
   };
 }
 
+/** A change that adds a route to a service that does not exist. */
+export function sampleInvalidPatch(revision: number, mark: string): Patch {
+  const route = { ...routeOf('invalid', '/invalid/', mark), service: 'nowhere' };
+  return { revision, set: { mark, routes: [route] }, drop: {} };
+}
+
 /** The same configuration with a route to a service that does not exist. */
 export function makeInvalid(document: Document): Record<string, unknown> {
   const [route, ...others] = document['routes'] as Record<string, unknown>[];
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -1,6 +1,6 @@
 /** The mix of orders that operators send during a simulated day. */
 import type { System } from '../system.js';
-import { makeInvalid, sampleDocument, samplePatch, type Document } from './configuration.js';
+import { makeInvalid, sampleDocument, sampleInvalidPatch, samplePatch } from './configuration.js';
 import type { OrderEnd } from './operator-client.js';
 import type { OperatorRequest } from './operator-desk.js';
 import { BOUNDS } from './size.js';
@@ -167,21 +167,24 @@
     time.after(dice.next() * REPEAT_WITHIN_MS, () => this.#system.order(request, true));
   }
 
-  #invalid(belief: Belief): void {
-    const base = belief.revision;
-    const document = this.#invalidDocument(base);
-    const invalid = { kind: 'put', base, document } as const;
-    this.#system.order(invalid, false);
+  #invalid({ revision: base }: Belief): void {
+    this.#marks += 1;
+    this.#system.order(this.#invalidRequest(base, `invalid-${this.#marks}`), false);
   }
 
   /** A route to an unknown service, or a revision that is not above its base. */
-  #invalidDocument(base: number): Document {
-    this.#marks += 1;
-    const mark = `invalid-${this.#marks}`;
+  #invalidRequest(base: number, mark: string): OperatorRequest {
     const { models } = this.#system.size;
-    return this.#roll(3) === 0
-      ? sampleDocument(base, models, mark)
-      : makeInvalid(sampleDocument(this.#nextRevision(base), models, mark));
+    switch (this.#roll(3)) {
+      case 0:
+        return { kind: 'put', base, document: sampleDocument(base, models, mark) };
+      case 1:
+        return { kind: 'patch', base, patch: sampleInvalidPatch(this.#nextRevision(base), mark) };
+      default: {
+        const document = makeInvalid(sampleDocument(this.#nextRevision(base), models, mark));
+        return { kind: 'put', base, document };
+      }
+    }
   }
 
   #read(belief: Belief): void {
