--- a/packages/simulator/src/system/machine.ts
+++ b/packages/simulator/src/system/machine.ts
@@ -1,5 +1,5 @@
 /** Simulated machines and the processes that run on them. */
-import type { CoreReplica, Follower } from '@rainrun/cluster-node';
+import type { CoreReplica, Follower, OperatorService } from '@rainrun/cluster-node';
 import type { SimDisk } from '../world.js';
 
 /** A process between its start and its end. */
@@ -8,6 +8,8 @@
   readonly startedMs: number;
   /** Present on a core. */
   readonly replica: CoreReplica | undefined;
+  /** Answers operators; present on a core. */
+  readonly operators: OperatorService | undefined;
   /** Present on an edge. */
   readonly follower: Follower | undefined;
   frozen: boolean;
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -186,21 +186,16 @@
     time.after(PATIENCE_MS, () => finish(undefined));
     time.after(0.5 + dice.next() * 2, () => {
       const running = core?.running;
-      if (core === undefined || running?.replica === undefined) {
+      const service = running?.operators;
+      if (core === undefined || running === undefined || service === undefined) {
         time.after(1, () => finish(undefined));
         return;
       }
-      const context = {
-        replica: running.replica,
-        nowMs: () => time.nowMs() + running.skewMs,
-        after: (waitMs: number, act: () => void) => time.after(waitMs, () => core.perform(running, act)),
+      const deliver = (reply: OperatorReply): void => {
+        if (dice.next() < this.answerLossRatio) return;
+        time.after(0.5 + dice.next() * 2, () => finish(reply));
       };
-      core.perform(running, () =>
-        answerOperator(context, order.request, (reply) => {
-          if (dice.next() < this.answerLossRatio) return;
-          time.after(0.5 + dice.next() * 2, () => finish(reply));
-        }),
-      );
+      core.perform(running, () => answerOperator(service, order.request, deliver, () => !open));
     });
   }
 
--- a/packages/simulator/src/system/operator-desk.ts
+++ b/packages/simulator/src/system/operator-desk.ts
@@ -1,9 +1,12 @@
-/**
- * How a core answers operators, without sockets: the counterpart of the
- * request handling in `runtime/core-node.ts`, on the production replica.
- */
-import type { CoreReplica } from '@rainrun/cluster-node';
-import { ANSWERS, fault, isFaultKind, type Fault } from '@rainrun/common';
+/** The operators' side of a core, on the production service: calls in, answers out, without sockets. */
+import {
+  coreStatus,
+  OperatorService,
+  type CoreReplica,
+  type OperatorCall,
+  type OperatorReply as ServiceReply,
+} from '@rainrun/cluster-node';
+import type { Clock, Fault } from '@rainrun/common';
 import type { Document, Patch } from './configuration.js';
 
 /** A change of the configuration: whole, or of named items. */
@@ -30,80 +33,56 @@
   readonly location?: string;
 }
 
-/** What the desk is given by its process. */
-export interface DeskContext {
-  readonly replica: CoreReplica;
-  /** The clock of the process. */
-  nowMs(): number;
-  after(waitMs: number, act: () => void): void;
+/** The platform's statuses, where they differ from ours. */
+function statusOf(why: Fault): number | undefined {
+  if (why.kind === 'conflict') return 412;
+  return why.kind === 'bad-spec' ? 400 : undefined;
 }
 
-const ANSWER_WAIT_MS = 900;
-const POLL_MS = 10;
+/**
+ * The service that a core's process runs for operators.
+ * @example
+ * const service = newOperatorService(replica, clock);
+ */
+export function newOperatorService(replica: CoreReplica, clock: Clock): OperatorService {
+  return new OperatorService({
+    replica,
+    clock,
+    format: { writeDocument: (document) => JSON.stringify({ document }), statusOf },
+    status: () => coreStatus(replica),
+  });
+}
 
 /**
- * Answers one request of an operator; `done` is called at most once.
+ * Hands one request of an operator to a core.
  * @example
- * answerOperator(context, { kind: 'read' }, (reply) => send(reply));
+ * answerOperator(service, { kind: 'read' }, (reply) => send(reply), () => false);
  */
 export function answerOperator(
-  context: DeskContext,
+  service: OperatorService,
   request: OperatorRequest,
   done: (reply: OperatorReply) => void,
+  isCallerGone: () => boolean,
 ): void {
-  const { edition } = context.replica.state;
-  switch (request.kind) {
-    case 'put':
-      return submit(context, 'configuration.put', { base: request.base, document: request.document }, done);
-    case 'patch':
-      return submit(context, 'configuration.patch', { base: request.base, patch: request.patch }, done);
-    case 'evacuate':
-      return submit(context, 'zone.evacuate', { zone: request.zone, seen: edition }, done);
-    case 'return':
-      return submit(context, 'zone.return', { zone: request.zone, seen: edition }, done);
-    case 'read':
-      return readCurrent(context, context.nowMs(), done);
-  }
+  service.answer(callOf(request), (reply) => done(readReply(reply)), isCallerGone);
 }
 
-function failure(why: Fault): OperatorReply {
-  const status = why.kind === 'conflict' ? 412 : why.kind === 'bad-spec' ? 400 : ANSWERS[why.kind].status;
-  return { status, kind: why.kind, detail: why.detail };
+function callOf(request: OperatorRequest): OperatorCall {
+  if (request.kind === 'put') return { ...request, document: { ...request.document } };
+  if (request.kind === 'patch') return { ...request, patch: { ...request.patch } };
+  return request;
 }
 
-function submit(
-  context: DeskContext,
-  kind: string,
-  payload: unknown,
-  done: (reply: OperatorReply) => void,
-): void {
-  const { replica } = context;
-  let open = true;
-  const sent = replica.submit(kind, payload, (answer) => {
-    if (!open) return;
-    open = false;
-    if (isFaultKind(answer.kind)) done(failure(fault(answer.kind, answer.detail)));
-    else done({ status: 200, kind: answer.kind, detail: answer.detail });
-  });
-  if (sent.isErr) return done(failure(sent.error));
-  context.after(ANSWER_WAIT_MS, () => {
-    if (!open) return;
-    open = false;
-    replica.forgetAnswer(sent.value);
-    done(failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
-  });
+/** The parts of a body that may stand in an answer. */
+interface ReplyBody {
+  readonly outcome?: string;
+  readonly detail?: string;
+  readonly document?: Document;
+  readonly error?: { readonly kind: string; readonly message: string };
 }
 
-/** Waits until this core holds all that was agreed before the question. */
-function readCurrent(context: DeskContext, askedMs: number, done: (reply: OperatorReply) => void): void {
-  const { replica } = context;
-  if (replica.group.informedMs() >= askedMs) {
-    const { document } = replica.state;
-    if (document === undefined)
-      return done(failure(fault('not-found', 'no configuration has been agreed yet')));
-    return done({ status: 200, kind: 'agreed', detail: '', document });
-  }
-  if (context.nowMs() - askedMs > ANSWER_WAIT_MS)
-    return done(failure(fault('not-admitting', 'this node cannot know the newest; ask again')));
-  context.after(POLL_MS, () => readCurrent(context, askedMs, done));
+function readReply({ status, body }: ServiceReply): OperatorReply {
+  const { outcome, detail, document, error } = JSON.parse(body) as ReplyBody;
+  const reply = { status, kind: error?.kind ?? outcome ?? 'agreed', detail: error?.message ?? detail ?? '' };
+  return document === undefined ? reply : { ...reply, document };
 }
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -7,6 +7,7 @@
 import type { Demand } from './demand.js';
 import type { Machine, Process } from './machine.js';
 import type { Network } from './network.js';
+import { newOperatorService } from './operator-desk.js';
 import type { SystemSize } from './size.js';
 import type { WorkerCalls } from './worker-calls.js';
 import { LIST_LAG_MS, type WorkerPool } from './workers.js';
@@ -120,6 +121,7 @@
     this.#context.disturbed(machine);
     this.#context.note(machine.name, 'stops');
     machine.perform(running, () => {
+      running.operators?.drain();
       running.replica?.group.leave();
       running.follower?.leave();
     });
@@ -156,6 +158,7 @@
       skewMs,
       startedMs: time.nowMs(),
       replica,
+      operators: replica && newOperatorService(replica, { nowMs: () => time.nowMs() + skewMs }),
       follower,
       frozen: false,
       waiting: [],
@@ -241,6 +244,7 @@
       follower.tick();
     }
     if (replica === undefined) return;
+    running.operators?.tick();
     replica.tick();
     this.#noteCoordination(machine, running, replica);
     if (running.leading) this.#readList(machine, running, replica);
