--- a/packages/process-group/src/coordination.ts
+++ b/packages/process-group/src/coordination.ts
@@ -73,6 +73,7 @@
     const { coordinatorWatch, dependencies, leases, local } = this.#parts;
     const base = fromVersion(dependencies.play, version);
     if (base.isErr) return;
+    this.#leaveIfBehind(base.value.number);
     local.sawEpoch(epoch);
     this.#grantLostMs = undefined;
     leases.startDuty();
@@ -88,6 +89,16 @@
     this.#coordinator.tick(local.nowMs());
   }
 
+  /**
+   * A member that lacks more than the version before its base cannot deliver
+   * what it is about to propose, and nobody could send it what is missing: it
+   * goes on outside the view and takes the whole state with the next one.
+   */
+  #leaveIfBehind(baseNumber: number): void {
+    const { local, viewChange } = this.#parts;
+    if (local.inView && (local.held?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
+  }
+
   /** Ends this node's term if a newer epoch than its own has been heard of. */
   resignIfBefore(epoch: number): void {
     if (this.#coordinator !== undefined && epoch > this.#coordinator.epoch) this.#resign();
