--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -194,6 +194,7 @@
         replica: running.replica,
         nowMs: () => time.nowMs() + running.skewMs,
         after: (waitMs: number, act: () => void) => time.after(waitMs, () => core.perform(running, act)),
+        isCallerGone: () => !open,
       };
       core.perform(running, () =>
         answerOperator(context, order.request, (reply) => {
--- a/packages/simulator/src/system/operator-desk.ts
+++ b/packages/simulator/src/system/operator-desk.ts
@@ -1,9 +1,12 @@
-/**
- * How a core answers operators, without sockets: the counterpart of the
- * request handling in `runtime/core-node.ts`, on the production replica.
- */
-import type { CoreReplica } from '@rainrun/cluster-node';
-import { ANSWERS, fault, isFaultKind, type Fault } from '@rainrun/common';
+/** How a core answers operators: the production service on the production replica, in virtual time. */
+import {
+  coreStatus,
+  OperatorService,
+  type CoreReplica,
+  type OperatorCall,
+  type OperatorReply as HttpReply,
+} from '@rainrun/cluster-node';
+import type { Fault } from '@rainrun/common';
 import type { Document, Patch } from './configuration.js';
 
 /** A change of the configuration: whole, or of named items. */
@@ -36,10 +39,18 @@
   /** The clock of the process. */
   nowMs(): number;
   after(waitMs: number, act: () => void): void;
+  /** Whether the caller has closed its connection. */
+  isCallerGone(): boolean;
 }
 
-const ANSWER_WAIT_MS = 900;
-const POLL_MS = 10;
+/** The program's service is driven as often. */
+const TICK_MS = 25;
+
+/** Statuses as the platform has them, and documents in our own terms. */
+const FORMAT = {
+  writeDocument: (document: object) => JSON.stringify(document),
+  statusOf: ({ kind }: Fault) => (kind === 'conflict' ? 412 : kind === 'bad-spec' ? 400 : undefined),
+};
 
 /**
  * Answers one request of an operator; `done` is called at most once.
@@ -51,59 +62,47 @@
   request: OperatorRequest,
   done: (reply: OperatorReply) => void,
 ): void {
-  const { edition } = context.replica.state;
+  const { replica } = context;
+  const service = new OperatorService({
+    replica,
+    clock: { nowMs: () => context.nowMs() },
+    format: FORMAT,
+    status: () => coreStatus(replica),
+  });
+  const pending = new Set([request]);
+  function drive(): void {
+    if (pending.size === 0) return;
+    service.tick();
+    context.after(TICK_MS, drive);
+  }
+  service.answer(
+    callOf(request),
+    (reply) => {
+      pending.clear();
+      done(readReply(request, reply));
+    },
+    () => context.isCallerGone(),
+  );
+  drive();
+}
+
+function callOf(request: OperatorRequest): OperatorCall {
   switch (request.kind) {
     case 'put':
-      return submit(context, 'configuration.put', { base: request.base, document: request.document }, done);
+      return { ...request, document: { ...request.document } };
     case 'patch':
-      return submit(context, 'configuration.patch', { base: request.base, patch: request.patch }, done);
-    case 'evacuate':
-      return submit(context, 'zone.evacuate', { zone: request.zone, seen: edition }, done);
-    case 'return':
-      return submit(context, 'zone.return', { zone: request.zone, seen: edition }, done);
-    case 'read':
-      return readCurrent(context, context.nowMs(), done);
+      return { ...request, patch: { ...request.patch } };
+    default:
+      return request;
   }
 }
 
-function failure(why: Fault): OperatorReply {
-  const status = why.kind === 'conflict' ? 412 : why.kind === 'bad-spec' ? 400 : ANSWERS[why.kind].status;
-  return { status, kind: why.kind, detail: why.detail };
-}
-
-function submit(
-  context: DeskContext,
-  kind: string,
-  payload: unknown,
-  done: (reply: OperatorReply) => void,
-): void {
-  const { replica } = context;
-  let open = true;
-  const sent = replica.submit(kind, payload, (answer) => {
-    if (!open) return;
-    open = false;
-    if (isFaultKind(answer.kind)) done(failure(fault(answer.kind, answer.detail)));
-    else done({ status: 200, kind: answer.kind, detail: answer.detail });
-  });
-  if (sent.isErr) return done(failure(sent.error));
-  context.after(ANSWER_WAIT_MS, () => {
-    if (!open) return;
-    open = false;
-    replica.forgetAnswer(sent.value);
-    done(failure(fault('not-admitting', 'not known to be agreed yet; send it again')));
-  });
-}
-
-/** Waits until this core holds all that was agreed before the question. */
-function readCurrent(context: DeskContext, askedMs: number, done: (reply: OperatorReply) => void): void {
-  const { replica } = context;
-  if (replica.group.informedMs() >= askedMs) {
-    const { document } = replica.state;
-    if (document === undefined)
-      return done(failure(fault('not-found', 'no configuration has been agreed yet')));
-    return done({ status: 200, kind: 'agreed', detail: '', document });
-  }
-  if (context.nowMs() - askedMs > ANSWER_WAIT_MS)
-    return done(failure(fault('not-admitting', 'this node cannot know the newest; ask again')));
-  context.after(POLL_MS, () => readCurrent(context, askedMs, done));
+function readReply(request: OperatorRequest, { status, body }: HttpReply): OperatorReply {
+  const read = JSON.parse(body) as {
+    readonly error?: { readonly kind: string; readonly message: string };
+    readonly detail?: string;
+  };
+  if (read.error !== undefined) return { status, kind: read.error.kind, detail: read.error.message };
+  const reply = { status, kind: 'agreed', detail: read.detail ?? '' };
+  return request.kind === 'read' ? { ...reply, document: read } : reply;
 }
