--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -72,10 +72,15 @@
 
 /** A checked configuration of routes and services. Fields that are not known are kept. */
 export type Configuration = v.InferOutput<typeof ConfigurationSchema>;
+/** A route: which requests it takes, and what service they go to. */
 export type RouteEntry = Configuration['routes'][number];
+/** A service: where its workers come from, and what they run. */
 export type ServiceEntry = Configuration['services'][number];
+/** What the workers of a service hold and how much of it. */
 export type EngineEntry = v.InferOutput<typeof EngineSchema>;
+/** A model that the workers of a service may hold. */
 export type ModelEntry = v.InferOutput<typeof ModelSchema>;
+/** Bounds on what a client may send, and for how long. */
 export type Limits = v.InferOutput<typeof LimitsSchema>;
 
 /** The limits where a configuration names none. */
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -69,6 +69,7 @@
 
 /** A checked spec. */
 export type Spec = v.InferOutput<typeof SpecSchema>;
+/** A research group of a spec. */
 export type SpecGroup = Spec['groups'][number];
 
 /** One thing wrong with a spec, and where. */
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -34,6 +34,7 @@
   readonly restMs: number;
 }
 
+/** The usual set points and bounds. */
 export const PLACE_SETTINGS: PlaceSettings = {
   perSlotPerS: 0.5,
   above: 1.2,
