--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,13 +3,13 @@
 import { fault, Register, Slab, type Fault } from '@rainrun/common';
 import { Assigner, type Need } from './assign.js';
 import { Backlog } from './backlog.js';
-import { RetryBudget } from './budget.js';
 import { Catalogue } from './catalogue.js';
 import { Doubt } from './doubt.js';
 import type { Ask, EndRecord, GatewayDependencies, RosterView } from './dependencies.js';
 import { GroupShares } from './group-shares.js';
 import { demandKey, Measures, type Measured } from './measures.js';
 import { Pace } from './pace.js';
+import { Retries } from './retries.js';
 import { Send, type SendEnd } from './send.js';
 import type { Visit, VisitorPort } from './visit.js';
 
@@ -41,7 +41,7 @@
   #slab = new Slab<Visit>();
   #backlog = new Backlog();
   #assigner: Assigner;
-  #budget = new RetryBudget();
+  #retries: Retries;
   #filters: readonly Filter[];
   #shares: GroupShares;
   #paces: Pace[] = [];
@@ -55,6 +55,7 @@
   constructor(dependencies: GatewayDependencies) {
     super();
     this.#dependencies = dependencies;
+    this.#retries = new Retries(dependencies, (name) => this.#count(name));
     this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
     this.#assigner = new Assigner(dependencies.name, dependencies.zone);
     this.#doubt = new Doubt(dependencies.sender);
@@ -294,7 +295,7 @@
     this.#count('sends');
     const send = new Send(visit, worker, {
       nowMs: () => clock.nowMs(),
-      mayStart: () => this.#mayStart(visit, worker) && this.#pay(visit),
+      mayStart: () => this.#mayStart(visit, worker) && this.#retries.pay(visit),
       over: (end) => {
         this.#flights.delete(send);
         this.#sendOver(visit, worker, end);
@@ -339,25 +340,6 @@
     );
   }
 
-  /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
-  #pay(visit: Visit): boolean {
-    this.#allot();
-    if (visit.retry === 'reserved') {
-      visit.retry = this.#budget.spend() ? 'none' : 'lost';
-      return visit.retry === 'none';
-    }
-    if (!visit.started) this.#budget.first(this.#dependencies.spec()?.retries.ratio ?? 0);
-    visit.started = true;
-    return true;
-  }
-
-  /** The allowance is parted among the edges of the view; outside of it there is none. */
-  #allot(): void {
-    const edges = this.#dependencies.edges().length;
-    const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
-    this.#budget.allot(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
-  }
-
   #sendOver(visit: Visit, worker: RosterView, end: SendEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#shares.ended(visit.group);
@@ -366,7 +348,8 @@
     if (!end.well) this.#measures.failed(worker.name);
     visit.cancel = undefined;
     if (visit.left) return this.#ended(visit, 'visitor-left');
-    if (end.done === undefined && this.#again(visit, end, nowMs)) this.#wait(visit);
+    const mayRetry = end.done === undefined && !this.#draining && this.#retries.mayRetry(visit, end, nowMs);
+    if (mayRetry) this.#wait(visit);
     else if (end.done === undefined) this.#refuse(visit, end.fault);
     else {
       if (end.done === 'served') this.#measureServed(visit, nowMs);
@@ -375,25 +358,6 @@
     this.tick();
   }
 
-  /** Whether a failed send may be followed by another. */
-  #again(visit: Visit, end: SendEnd, nowMs: number): boolean {
-    if (this.#draining || nowMs > visit.deadlineMs || visit.sends >= 4) return false;
-    if (end.sent && !visit.repeatable) return false;
-    if (!end.sent && !end.tried) {
-      visit.sends -= 1;
-      return visit.retry !== 'lost';
-    }
-    this.#allot();
-    if (visit.retry === 'reserved') this.#budget.spend();
-    visit.retry = this.#budget.reserve() ? 'reserved' : 'lost';
-    if (visit.retry === 'lost') {
-      this.#count('retries-refused');
-      return false;
-    }
-    this.#count('retries');
-    return true;
-  }
-
   #visitorLeft(visit: Visit): void {
     if (visit.left) return;
     visit.left = true;
@@ -431,7 +395,7 @@
 
   #ended(visit: Visit, outcome: EndRecord['outcome']): void {
     this.#count(outcome);
-    if (visit.retry === 'reserved') this.#budget.release();
+    this.#retries.release(visit);
     this.emit('ended', {
       id: visit.id,
       group: this.#groups.name(visit.group),
--- /dev/null
+++ b/packages/gateway/src/retries.ts
@@ -0,0 +1,69 @@
+/** Which requests may leave again, within the fleet's retry budget. */
+import { RetryBudget } from './budget.js';
+import type { GatewayDependencies } from './dependencies.js';
+import type { SendEnd } from './send.js';
+import type { Visit } from './visit.js';
+
+/** A request leaves so often at most. */
+const SENDS_MOST = 4;
+
+/**
+ * This edge's retries: first sends earn a part of one, each further send
+ * costs one. A retry is reserved when a send has failed, and spent when the
+ * request leaves again.
+ * @example
+ * if (retries.mayRetry(visit, end, nowMs)) wait(visit);
+ */
+export class Retries {
+  #dependencies: GatewayDependencies;
+  #budget = new RetryBudget();
+  #count: (name: string) => void;
+
+  constructor(dependencies: GatewayDependencies, count: (name: string) => void) {
+    this.#dependencies = dependencies;
+    this.#count = count;
+  }
+
+  /** Whether a failed send may be followed by another. */
+  mayRetry(visit: Visit, end: SendEnd, nowMs: number): boolean {
+    if (nowMs > visit.deadlineMs || visit.sends >= SENDS_MOST) return false;
+    if (end.sent && !visit.repeatable) return false;
+    if (!end.sent && !end.tried) {
+      visit.sends -= 1;
+      return visit.retry !== 'lost';
+    }
+    this.#allot();
+    if (visit.retry === 'reserved') this.#budget.spend();
+    visit.retry = this.#budget.reserve() ? 'reserved' : 'lost';
+    if (visit.retry === 'lost') {
+      this.#count('retries-refused');
+      return false;
+    }
+    this.#count('retries');
+    return true;
+  }
+
+  /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
+  pay(visit: Visit): boolean {
+    this.#allot();
+    if (visit.retry === 'reserved') {
+      visit.retry = this.#budget.spend() ? 'none' : 'lost';
+      return visit.retry === 'none';
+    }
+    if (!visit.started) this.#budget.first(this.#dependencies.spec()?.retries.ratio ?? 0);
+    visit.started = true;
+    return true;
+  }
+
+  /** A request has ended: a retry that it did not use is given back. */
+  release(visit: Visit): void {
+    if (visit.retry === 'reserved') this.#budget.release();
+  }
+
+  /** The allowance is parted among the edges of the view; outside of it there is none. */
+  #allot(): void {
+    const edges = this.#dependencies.edges().length;
+    const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
+    this.#budget.allot(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
+  }
+}
