--- a/packages/cluster-node/src/follower.ts
+++ b/packages/cluster-node/src/follower.ts
@@ -148,11 +148,10 @@
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     const hasty = this.#hasteMs !== undefined && nowMs - this.#hasteMs >= HASTE_MS;
+    const isEager = !this.ready && !this.#isLeaderHeard(nowMs);
     for (const core of this.#followed(nowMs)) {
       const leads = core.address === this.#leader?.address;
-      const leaderHeard = this.#isLeaderHeard(nowMs);
-      const everyMs =
-        !this.ready && !leaderHeard ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
+      const everyMs = isEager ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
       if (nowMs - core.askedMs >= everyMs) this.#follow(core, nowMs, leads);
       else if (hasty && leads) this.#hasten(core);
     }
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -91,7 +91,9 @@
         doing.done();
       }
       this.planner.want('edge', wants(), this.nowMs);
-      this.planner.tick(new Map([['assist', this.#engine]]), this.evacuated, this.nowMs);
+      const engines = new Map([['assist', this.#engine]]);
+      this.planner.plan(engines, this.evacuated, this.nowMs);
+      this.planner.pursue(engines, this.nowMs);
     }
   }
 
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -147,7 +147,8 @@
  * @example
  * const planner = new PlacementPlanner(book, dependencies);
  * planner.want('incarnation-1', wants, nowMs);
- * planner.tick(engines, evacuated, nowMs);
+ * planner.plan(engines, evacuated, nowMs);
+ * planner.pursue(engines, nowMs);
  */
 export class PlacementPlanner {
   #book: WorkerTable;
@@ -176,12 +177,6 @@
     else this.#totals.set(incarnation, wants, nowMs);
   }
 
-  /** Decides anew and sends the orders that are due. */
-  tick(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
-    this.plan(engines, evacuated, nowMs);
-    this.pursue(engines, nowMs);
-  }
-
   /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
   plan(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
     this.#totals.expire(nowMs - WANT_MS);
--- a/packages/process-group/src/disk-watch.ts
+++ b/packages/process-group/src/disk-watch.ts
@@ -25,7 +25,7 @@
    * sooner.
    */
   isStalled(nowMs: number, inView: boolean): boolean {
-    return this.#waitMs(nowMs) > (inView ? this.#times.lagMs : this.#times.suspectMs);
+    return inView ? this.#waitMs(nowMs) > this.#times.lagMs : this.isSlow(nowMs);
   }
 
   /** Whether the disk holds up this node's own promise: then the next voter claims. */
