--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -1,55 +1,61 @@
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
-  NewsBoard,
+  GossipTable,
   ObservationSchema,
   OperationSchema,
-  QuestionSchema,
-  ReplySchema,
+  ForwardedQuerySchema,
+  ForwardedReplySchema,
   WorkerListSchema,
   WorkerStateSchema,
   type Answer,
   type Entry,
   type Frame,
-  type NewsItem,
+  type GossipItem,
   type Observation,
-  type Question,
-  type Reply,
-  type Seat,
+  type ForwardedQuery,
+  type ForwardedReply,
+  type Member,
   type WorkerList,
 } from '@rainrun/messages';
-import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
 import {
-  applyToStage,
-  decodeStage,
-  EMPTY_STAGE,
-  encodeStage,
-  plainStage,
-  type Stage,
+  Group,
+  type GroupDependencies,
+  type GroupState,
+  type Outcome,
+  type StateMachine,
+} from '@rainrun/process-group';
+import {
+  applyToSpecState,
+  decodeSpecState,
+  EMPTY_SPEC_STATE,
+  encodeSpecState,
+  specStateWithoutExtension,
+  type SpecState,
 } from '@rainrun/configuration';
 import { fault, randomId, type Fault } from '@rainrun/common';
 import {
-  Orderer,
-  Placer,
-  PLACE_SETTINGS,
-  type KnownWorker,
-  type ModelDemand,
-  type Order,
-  type OrderReply,
-  type PlaceSettings,
+  SpecOrderSender,
+  SpecPlacer,
+  SPEC_PLACER_SETTINGS,
+  type SpecWorkerState,
+  type SpecModelDemand,
+  type SpecOrder,
+  type SpecOrderReply,
+  type SpecPlacerSettings,
 } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
-import { DemandBook, type GroupPicture } from './demand.js';
-import { Roster, type RosterWorker } from './roster.js';
-
-const STAGE_PLAY: Play<Stage> = {
-  empty: () => EMPTY_STAGE,
-  encode: encodeStage,
-  decode: decodeStage,
-  plain: plainStage,
-  apply(state, operation, level): { state: Stage; outcome: Outcome } {
+import { DemandTable, type GroupStatus } from './demand-table.js';
+import { WorkerDirectory, type DirectoryWorker } from './worker-directory.js';
+
+const SPEC_STATE_MACHINE: StateMachine<SpecState> = {
+  empty: () => EMPTY_SPEC_STATE,
+  encode: encodeSpecState,
+  decode: decodeSpecState,
+  withoutExtension: specStateWithoutExtension,
+  apply(state, operation, level): { state: SpecState; outcome: Outcome } {
     const { id, kind } = operation;
-    return applyToStage(state, { id, kind, payload: new TextDecoder().decode(operation.payload) }, level);
+    return applyToSpecState(state, { id, kind, payload: new TextDecoder().decode(operation.payload) }, level);
   },
 };
 
@@ -66,35 +72,38 @@
 const NEWS_WORKER = 'worker/';
 
 /** What a node of the system is given by its program, or by the simulator. */
-export interface ClusterNodeDependencies extends Omit<GroupDependencies<Stage>, 'play' | 'audience'> {
+export interface ClusterNodeDependencies extends Omit<
+  GroupDependencies<SpecState>,
+  'stateMachine' | 'listener'
+> {
   /** Sends one order to a worker. */
-  order(address: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void;
+  order(address: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
   /** Called when a version has come into force here. */
-  changed(held: Held<Stage>, entry: Entry | undefined): void;
+  onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void;
   /** Called for each cast delivered here. */
-  heard(sender: string, payload: Uint8Array): void;
+  onCast(sender: string, payload: Uint8Array): void;
   /** Called at each change of standing, for the logs. */
-  reborn(incarnation: string): void;
+  onNewIncarnation(incarnation: string): void;
   /** Called when the group says that this node cannot join it. */
-  refused(why: string): void;
+  onJoinRejected(why: string): void;
   /** Set points of placement, where they are not the usual ones. */
-  readonly placing?: PlaceSettings;
+  readonly placing?: SpecPlacerSettings;
   /** Answers a question that an operator asked at another node. */
-  question(kind: string, text: string): Told;
+  answerQuery(kind: string, text: string): QueryResult;
 }
 
 /** A node's answer to a question from another: an HTTP status and a JSON value. */
-export interface Told {
+export interface QueryResult {
   readonly status: number;
   readonly body: unknown;
 }
 
-interface Asked {
+interface PendingQuery {
   readonly to: string;
-  readonly question: Question;
+  readonly question: ForwardedQuery;
   readonly endMs: number;
   sentMs: number;
-  readonly done: (told: Told | undefined) => void;
+  readonly done: (told: QueryResult | undefined) => void;
 }
 
 /**
@@ -107,54 +116,54 @@
  */
 export class ClusterNode {
   #dependencies: ClusterNodeDependencies;
-  #group: Group<Stage>;
-  #news: NewsBoard;
-  #roster = new Roster();
-  #demand = new DemandBook();
-  #placer: Placer;
-  #orderer: Orderer;
+  #group: Group<SpecState>;
+  #news: GossipTable;
+  #roster = new WorkerDirectory();
+  #demand = new DemandTable();
+  #placer: SpecPlacer;
+  #orderer: SpecOrderSender;
   #waiting = new Map<string, (answer: Answer) => void>();
   #newsHeartbeatMs = -Infinity;
   #placeHeartbeatMs = -Infinity;
   #placing: string | undefined;
   #dutySince: { epoch: number; atMs: number } | undefined;
   #tellings = 0;
-  #asked = new Map<string, Asked>();
+  #asked = new Map<string, PendingQuery>();
   #counter = 0;
 
   constructor(dependencies: ClusterNodeDependencies) {
     this.#dependencies = dependencies;
-    this.#placer = new Placer(dependencies.placing ?? PLACE_SETTINGS);
-    this.#news = new NewsBoard(dependencies.chance, (item) => this.#hear(item));
-    this.#orderer = new Orderer({
-      dutyEpoch: () => this.#group.dutyEpoch(),
+    this.#placer = new SpecPlacer(dependencies.placing ?? SPEC_PLACER_SETTINGS);
+    this.#news = new GossipTable(dependencies.chance, (item) => this.#hear(item));
+    this.#orderer = new SpecOrderSender({
+      singletonEpoch: () => this.#group.singletonEpoch(),
       order: (order, done) => this.#order(order, done),
       learned: (worker, known) => this.#learned(worker, known),
     });
-    this.#group = new Group<Stage>({
+    this.#group = new Group<SpecState>({
       ...dependencies,
-      play: STAGE_PLAY,
-      audience: {
+      stateMachine: SPEC_STATE_MACHINE,
+      listener: {
         onVersion: (held, entry) => this.#onVersion(held, entry),
         onCast: (sender, payload) => this.#onCast(sender, payload),
         onAnswer: (answer) => this.#onAnswer(answer),
-        onReborn: (incarnation) => dependencies.reborn(incarnation),
-        onRefused: (why) => dependencies.refused(why),
+        onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
+        onJoinRejected: (why) => dependencies.onJoinRejected(why),
         onFrame: (from, body) => this.#onFrame(from, body),
       },
-      post: (address, frame) => dependencies.post(address, frame),
+      send: (address, frame) => dependencies.send(address, frame),
     });
   }
 
-  get group(): Group<Stage> {
+  get group(): Group<SpecState> {
     return this.#group;
   }
 
-  get stage(): Stage {
-    return this.#group.held?.play ?? EMPTY_STAGE;
+  get state(): SpecState {
+    return this.#group.state?.application ?? EMPTY_SPEC_STATE;
   }
 
-  get groups(): GroupPicture[] {
+  get groups(): GroupStatus[] {
     return this.#demand.groups();
   }
 
@@ -165,8 +174,8 @@
       .map((member) => member.name);
   }
 
-  workers(): RosterWorker[] {
-    return this.#roster.workers(this.stage, this.#group.seat.incarnation, this.#now());
+  workers(): DirectoryWorker[] {
+    return this.#roster.workers(this.state, this.#group.self.incarnation, this.#now());
   }
 
   /** Why a model stands where it does, if this node decided it. */
@@ -176,7 +185,7 @@
 
   /** Takes the platform's list; an older generation than the known one is left aside. */
   learnList(list: WorkerList): void {
-    this.#news.tell(NEWS_LIST, list.generation, 0, toBinary(WorkerListSchema, list));
+    this.#news.publish(NEWS_LIST, list.generation, 0, toBinary(WorkerListSchema, list));
   }
 
   /** Casts what this edge saw. */
@@ -193,7 +202,7 @@
       id,
       kind,
       payload: new TextEncoder().encode(payload),
-      brief: kind === 'place',
+      transient: kind === 'place',
     });
     this.#waiting.set(id, done);
     if (this.#group.submit(operation)) return Result.ok(id);
@@ -205,8 +214,8 @@
    * Asks another member. `done` is called once: with its answer, or with
    * nothing when none came in time.
    */
-  ask(to: string, kind: string, text: string, done: (told: Told | undefined) => void): void {
-    const question = create(QuestionSchema, { id: randomId(this.#dependencies.chance), kind, text });
+  query(to: string, kind: string, text: string, done: (told: QueryResult | undefined) => void): void {
+    const question = create(ForwardedQuerySchema, { id: randomId(this.#dependencies.chance), kind, text });
     this.#asked.set(question.id, { to, question, endMs: this.#now() + ASK_MS, sentMs: -Infinity, done });
     this.#askAgain();
   }
@@ -219,18 +228,18 @@
         asked.done(undefined);
       } else if (nowMs - asked.sentMs >= ASK_AGAIN_MS) {
         asked.sentMs = nowMs;
-        this.#group.postTo(asked.to, { case: 'question', value: asked.question });
+        this.#group.sendTo(asked.to, { case: 'forwardedQuery', value: asked.question });
       }
     }
   }
 
-  #answer(from: string, question: Question): void {
-    const { status, body } = this.#dependencies.question(question.kind, question.text);
-    const value = create(ReplySchema, { id: question.id, status, body: JSON.stringify(body) });
-    this.#group.postTo(from, { case: 'reply', value });
+  #answer(from: string, question: ForwardedQuery): void {
+    const { status, body } = this.#dependencies.answerQuery(question.kind, question.text);
+    const value = create(ForwardedReplySchema, { id: question.id, status, body: JSON.stringify(body) });
+    this.#group.sendTo(from, { case: 'forwardedReply', value });
   }
 
-  #told(reply: Reply): void {
+  #told(reply: ForwardedReply): void {
     const asked = this.#asked.get(reply.id);
     this.#asked.delete(reply.id);
     const body = tryOrElse(
@@ -249,11 +258,11 @@
     this.#group.tick();
     if (nowMs - this.#newsHeartbeatMs >= NEWS_TICK_MS) {
       this.#newsHeartbeatMs = nowMs;
-      const self = this.#group.seat.incarnation;
+      const self = this.#group.self.incarnation;
       const incarnations = (this.#group.view?.members ?? [])
         .map((member) => member.incarnation)
         .filter((incarnation) => incarnation !== self);
-      for (const { to, body } of this.#news.tick(incarnations)) this.#group.postTo(to, body);
+      for (const { to, body } of this.#news.tick(incarnations)) this.#group.sendTo(to, body);
     }
     this.#askAgain();
     this.#place(nowMs);
@@ -264,14 +273,14 @@
   }
 
   #place(nowMs: number): void {
-    const epoch = this.#group.dutyEpoch();
-    const spec = this.stage.spec?.spec;
+    const epoch = this.#group.singletonEpoch();
+    const spec = this.state.spec?.spec;
     if (epoch === undefined || spec === undefined) return;
     const workers = this.workers().filter((worker) => worker.kind === 'model');
-    const staying = workers.filter((worker) => !worker.leaving);
+    const staying = workers.filter((worker) => !worker.draining);
     const demands = this.#demand.models(nowMs);
     const held = this.#heldParts(staying);
-    this.#orderer.tick(spec, this.stage.placement, staying, nowMs, (model, adapter) =>
+    this.#orderer.tick(spec, this.state.placement, staying, nowMs, (model, adapter) =>
       urgencyOf(demands, held, model, adapter),
     );
     if (this.#dutySince?.epoch !== epoch) this.#dutySince = { epoch, atMs: nowMs };
@@ -281,15 +290,15 @@
     this.#placeHeartbeatMs = nowMs;
     const seen = workers.map((worker) => ({
       ...worker,
-      usable: !worker.leaving && !worker.emptied && (this.#orderer.known(worker.name)?.reachable ?? false),
-      holdings: this.stage.placement[worker.name] ?? [],
+      usable: !worker.draining && !worker.evacuated && (this.#orderer.known(worker.name)?.reachable ?? false),
+      holdings: this.state.placement[worker.name] ?? [],
     }));
     const changes: Record<string, unknown> = this.#placer.step(spec, seen, demands, nowMs);
     const listed = new Set(workers.map((worker) => worker.name));
-    for (const name of Object.keys(this.stage.placement)) if (!listed.has(name)) changes[name] = [];
+    for (const name of Object.keys(this.state.placement)) if (!listed.has(name)) changes[name] = [];
     if (Object.keys(changes).length === 0) return;
     this.#counter += 1;
-    const id = `place-${epoch}-${this.#group.seat.incarnation}-${this.#counter}`;
+    const id = `place-${epoch}-${this.#group.self.incarnation}-${this.#counter}`;
     this.#placing = id;
     const sent = this.submit(id, 'place', JSON.stringify({ epoch, workers: changes }), () => {
       this.#placing = undefined;
@@ -298,7 +307,7 @@
   }
 
   /** Models and adapters that some reachable worker holds, as it said itself. */
-  #heldParts(workers: readonly RosterWorker[]): ReadonlySet<string> {
+  #heldParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
     const parts = new Set<string>();
     for (const { name } of workers) {
       const known = this.#orderer.known(name);
@@ -311,32 +320,32 @@
     return parts;
   }
 
-  #order(order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
+  #order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
     const entry = this.workers().find((worker) => worker.name === order.worker);
     if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
     this.#dependencies.order(entry.address, order, done);
   }
 
-  #learned(worker: string, known: KnownWorker): void {
+  #learned(worker: string, known: SpecWorkerState): void {
     this.#tellings += 1;
     const state = create(WorkerStateSchema, {
       worker,
       reachable: known.reachable,
       holdings: known.holdings.map(({ model, adapters }) => ({
-        $typeName: 'rainrun.v1.Holding' as const,
+        $typeName: 'rainrun.v1.LoadedModel' as const,
         model,
         adapters: [...adapters],
-        load: known.loads.get(model) ?? 0,
+        loadNumber: known.loads.get(model) ?? 0,
       })),
     });
     const epoch = this.#group.epoch;
     const item = this.#news.get(NEWS_WORKER + worker);
     const bytes = toBinary(WorkerStateSchema, state);
     if (item !== undefined && item.major === epoch && Buffer.compare(item.value, bytes) === 0) return;
-    this.#news.tell(NEWS_WORKER + worker, epoch, this.#tellings, bytes);
+    this.#news.publish(NEWS_WORKER + worker, epoch, this.#tellings, bytes);
   }
 
-  #hear(item: NewsItem): void {
+  #hear(item: GossipItem): void {
     const nowMs = this.#now();
     if (item.key === NEWS_LIST) {
       const list = tryOrElse(
@@ -353,15 +362,15 @@
     }
   }
 
-  #onVersion(held: Held<Stage>, entry: Entry | undefined): void {
+  #onVersion(held: GroupState<SpecState>, entry: Entry | undefined): void {
     const incarnations = new Set(held.view.members.map((member) => member.incarnation));
     this.#roster.keepOnly(incarnations);
     this.#demand.keepOnly(incarnations);
-    this.#dependencies.changed(held, entry);
+    this.#dependencies.onStateChange(held, entry);
   }
 
-  #onCast(sender: Seat, payload: Uint8Array): void {
-    this.#dependencies.heard(sender.incarnation, payload);
+  #onCast(sender: Member, payload: Uint8Array): void {
+    this.#dependencies.onCast(sender.incarnation, payload);
     const read = tryOrElse(
       () => undefined,
       () => fromBinary(ObservationSchema, payload),
@@ -378,22 +387,22 @@
   }
 
   #onFrame(from: string, body: Frame['body']): void {
-    if (body.case === 'question') this.#answer(from, body.value);
-    else if (body.case === 'reply') this.#told(body.value);
-    else if (body.case === 'news') this.#news.takeNews(body.value);
-    else if (body.case === 'digest') {
-      const mend = this.#news.takeDigest(body.value);
-      if (mend !== undefined) this.#group.postTo(from, { case: 'mend', value: mend });
-    } else if (body.case === 'mend') {
-      const mend = this.#news.takeMend(body.value);
-      if (mend !== undefined) this.#group.postTo(from, { case: 'mend', value: mend });
+    if (body.case === 'forwardedQuery') this.#answer(from, body.value);
+    else if (body.case === 'forwardedReply') this.#told(body.value);
+    else if (body.case === 'gossipUpdate') this.#news.onUpdate(body.value);
+    else if (body.case === 'gossipDigest') {
+      const mend = this.#news.onDigest(body.value);
+      if (mend !== undefined) this.#group.sendTo(from, { case: 'gossipRepair', value: mend });
+    } else if (body.case === 'gossipRepair') {
+      const mend = this.#news.onRepair(body.value);
+      if (mend !== undefined) this.#group.sendTo(from, { case: 'gossipRepair', value: mend });
     }
   }
 }
 
 /** How urgent a load is; another copy is loaded after every first one. */
 function urgencyOf(
-  demands: ReadonlyMap<string, ModelDemand>,
+  demands: ReadonlyMap<string, SpecModelDemand>,
   held: ReadonlySet<string>,
   model: string,
   adapter: string,
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -2,17 +2,23 @@
 import {
   FrameSchema,
   OperationSchema,
-  TellSchema,
-  WIRE,
+  StateUpdateSchema,
+  WIRE_VERSION,
   WorkerRowSchema,
   type Answer,
   type Entry,
-  type Follow,
+  type Subscribe,
   type Frame,
-  type Tell,
+  type StateUpdate,
   type WorkerRow,
 } from '@rainrun/messages';
-import { Group, type GroupDependencies, type Held, type Outcome, type Play } from '@rainrun/process-group';
+import {
+  Group,
+  type GroupDependencies,
+  type GroupState,
+  type Outcome,
+  type StateMachine,
+} from '@rainrun/process-group';
 import {
   applyToDeployment,
   checkConfiguration,
@@ -29,21 +35,21 @@
   type WorkerRecord,
   type ListedWorker,
   type ReportReply,
-  type StockEngine,
-  type StockOrder,
-  type StockReply,
+  type Engine,
+  type WorkerOrder,
+  type WorkerOrderReply,
 } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { PlanPacer } from './plan-pacer.js';
-import { writeToldState, type ToldState } from './told-state.js';
+import { encodeStateUpdate, type EncodedDeployment } from './state-update.js';
 import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
 import { WorkerHealth } from './worker-health.js';
 
-const DEPLOYMENT_PLAY: Play<Deployment> = {
+const DEPLOYMENT_STATE_MACHINE: StateMachine<Deployment> = {
   empty: () => EMPTY_DEPLOYMENT,
-  encode: (state) => ({ play: encodeDeployment(state), extra: new Uint8Array() }),
-  decode: (encoded) => decodeDeployment(encoded.play),
-  plain: (state) => state,
+  encode: (state) => ({ application: encodeDeployment(state), applicationExtension: new Uint8Array() }),
+  decode: (encoded) => decodeDeployment(encoded.application),
+  withoutExtension: (state) => state,
   apply(state, operation): { state: Deployment; outcome: Outcome } {
     return applyToDeployment(state, {
       kind: operation.kind,
@@ -53,17 +59,20 @@
 };
 
 /** What a core is given by its program, or by the simulator. */
-export interface CoreReplicaDependencies extends Omit<GroupDependencies<Deployment>, 'play' | 'audience'> {
+export interface CoreReplicaDependencies extends Omit<
+  GroupDependencies<Deployment>,
+  'stateMachine' | 'listener'
+> {
   /** Sends one order to a worker. */
-  order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void;
+  order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void;
   /** Asks a worker what it holds. */
   report(row: WorkerRecord, done: (reply: ReportReply) => void): void;
   /** Called when another edition came into force here. */
-  changed(state: Deployment): void;
-  reborn(incarnation: string): void;
-  refused(why: string): void;
+  onStateChange(state: Deployment): void;
+  onNewIncarnation(incarnation: string): void;
+  onJoinRejected(why: string): void;
   /** Called for each decision on placement, for the logs. */
-  decided(text: string): void;
+  onPlacementDecision(text: string): void;
 }
 
 /**
@@ -85,24 +94,24 @@
   #subscribers = new Subscribers();
   #pacer = new PlanPacer();
   #waiting = new Map<string, (answer: Answer) => void>();
-  #read: { readonly state: Deployment; readonly engines: ReadonlyMap<string, StockEngine> } | undefined;
-  #told: { readonly state: Deployment; readonly bytes: ToldState } | undefined;
+  #read: { readonly state: Deployment; readonly engines: ReadonlyMap<string, Engine> } | undefined;
+  #told: { readonly state: Deployment; readonly bytes: EncodedDeployment } | undefined;
 
   constructor(dependencies: CoreReplicaDependencies) {
     this.#dependencies = dependencies;
     this.#planner = this.#newPlanner();
     this.#group = new Group<Deployment>({
       ...dependencies,
-      play: DEPLOYMENT_PLAY,
-      audience: {
+      stateMachine: DEPLOYMENT_STATE_MACHINE,
+      listener: {
         onVersion: (held, entry) => this.#onVersion(held, entry),
         onCast: () => undefined,
         onAnswer: (answer) => this.#onAnswer(answer),
-        onReborn: (incarnation) => dependencies.reborn(incarnation),
-        onRefused: (why) => dependencies.refused(why),
+        onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
+        onJoinRejected: (why) => dependencies.onJoinRejected(why),
         onFrame: (_from, body) => this.#onFrame(body),
       },
-      post: (address, frame) => dependencies.post(address, frame),
+      send: (address, frame) => dependencies.send(address, frame),
     });
   }
 
@@ -111,10 +120,10 @@
   }
 
   get state(): Deployment {
-    return this.#group.held?.play ?? EMPTY_DEPLOYMENT;
+    return this.#group.state?.application ?? EMPTY_DEPLOYMENT;
   }
 
-  get book(): WorkerTable {
+  get workerTable(): WorkerTable {
     return this.#book;
   }
 
@@ -122,7 +131,7 @@
     return this.#planner;
   }
 
-  get followers(): number {
+  get subscriberCount(): number {
     return this.#subscribers.size;
   }
 
@@ -135,7 +144,7 @@
     this.#group.tick();
     this.#subscribers.expire(nowMs);
     this.#openTable();
-    if (this.#group.leading) {
+    if (this.#group.isCoordinator) {
       this.#health.judge(this.#book, nowMs);
       this.#placeModels(nowMs);
     }
@@ -144,7 +153,7 @@
 
   /** Takes the platform's whole list. */
   learnList(list: readonly ListedWorker[]): void {
-    if (!this.#group.leading) return;
+    if (!this.#group.isCoordinator) return;
     this.#openTable();
     const nowMs = this.#dependencies.clock.nowMs();
     this.#book.learn(list, nowMs);
@@ -159,7 +168,7 @@
       id,
       kind,
       payload: new TextEncoder().encode(JSON.stringify(payload)),
-      brief: true,
+      transient: true,
     });
     this.#waiting.set(id, done);
     if (this.#group.submit(operation)) return Result.ok(id);
@@ -168,7 +177,7 @@
   }
 
   /** The caller waits for this answer no longer, and may have asked another node. */
-  forgetAnswer(id: string): void {
+  abandon(id: string): void {
     this.#waiting.delete(id);
     this.#group.withdraw(id);
   }
@@ -176,26 +185,26 @@
   #newPlanner(): PlacementPlanner {
     const dependencies = this.#dependencies;
     return new PlacementPlanner(this.#book, {
-      fence: () => this.#group.dutyEpoch(),
+      fence: () => this.#group.singletonEpoch(),
       order: (row, order, done) => dependencies.order(row, order, done),
       report: (row, done) => dependencies.report(row, done),
       nowMs: () => dependencies.clock.nowMs(),
-      decided: (text) => dependencies.decided(text),
+      onDecision: (text) => dependencies.onPlacementDecision(text),
     });
   }
 
   /** A coordinator's table begins anew with each epoch. */
   #openTable(): void {
-    const epoch = this.#group.leading ? this.#group.epoch : -1;
+    const epoch = this.#group.isCoordinator ? this.#group.epoch : -1;
     if (epoch === this.#tableEpoch) return;
     this.#tableEpoch = epoch;
-    this.#table = epoch < 0 ? '' : `${epoch}-${this.#group.seat.incarnation}`;
+    this.#table = epoch < 0 ? '' : `${epoch}-${this.#group.self.incarnation}`;
     this.#book = new WorkerTable();
     this.#planner = this.#newPlanner();
     this.#health = new WorkerHealth();
   }
 
-  #engines(): ReadonlyMap<string, StockEngine> {
+  #engines(): ReadonlyMap<string, Engine> {
     const { state } = this;
     if (this.#read?.state !== state) {
       const checked = state.document === undefined ? undefined : checkConfiguration(state.document);
@@ -212,21 +221,21 @@
       this.#planner.plan(engines, this.state.evacuated, nowMs);
       this.#pacer.planned(nowMs, this.#dependencies.clock.nowMs());
     }
-    this.#planner.pursue(engines, nowMs);
+    this.#planner.sendDueOrders(engines, nowMs);
   }
 
   #onFrame(body: Frame['body']): void {
-    if (body.case === 'follow') this.#onFollow(body.value);
+    if (body.case === 'subscribe') this.#onFollow(body.value);
   }
 
-  #onFollow(follow: Follow): void {
-    const { seat, wants, leaving, partial, outcomes } = follow;
+  #onFollow(follow: Subscribe): void {
+    const { subscriber: seat, demands: wants, leaving, incremental: partial, outcomes } = follow;
     if (seat === undefined) return;
     if (leaving) return this.#subscribers.remove(seat.incarnation);
     const nowMs = this.#dependencies.clock.nowMs();
     const subscriber = this.#subscribers.heard(follow, seat, nowMs);
-    if (this.#group.leading) {
-      this.#planner.want(seat.incarnation, wants, nowMs, partial);
+    if (this.#group.isCoordinator) {
+      this.#planner.updateDemand(seat.incarnation, wants, nowMs, partial);
       this.#health.note(seat.zone, outcomes, nowMs);
       if (wants.some(({ waiting }) => waiting > 0)) this.#placeModels(nowMs);
     }
@@ -236,7 +245,7 @@
 
   /** What this core can tell those who follow it; only the coordinator has a table of workers. */
   #offer(): Offer {
-    const { leading } = this.#group;
+    const { isCoordinator: leading } = this.#group;
     const table = leading && this.#book.number > 0 ? this.#table : '';
     return { edition: this.state.edition, table, row: this.#book.number, leading };
   }
@@ -249,10 +258,10 @@
   /** What is told is taken for known until the follower says otherwise, so that it is told once. */
   #tell(subscriber: Subscriber, nowMs: number): void {
     const offer = this.#offer();
-    const tell = create(TellSchema, {
+    const tell = create(StateUpdateSchema, {
       edition: this.state.edition,
-      granted: this.#group.granted(),
-      followers: this.#subscribers.size,
+      hasLease: this.#group.holdsLease(),
+      edgeCount: this.#subscribers.size,
     });
     this.#addView(tell, subscriber, nowMs);
     if (this.#subscribers.isStateDue(subscriber, offer, nowMs)) {
@@ -262,43 +271,43 @@
     if (offer.table !== '') this.#addRows(tell, subscriber, offer, nowMs);
     subscriber.toldMs = nowMs;
     const frame = create(FrameSchema, {
-      wire: WIRE,
+      wire: WIRE_VERSION,
       deployment: this.#dependencies.deployment,
-      from: this.#group.seat.incarnation,
+      from: this.#group.self.incarnation,
       to: subscriber.seat.incarnation,
     });
-    frame.body = { case: 'tell', value: tell };
-    this.#dependencies.post(subscriber.seat.address, frame);
+    frame.body = { case: 'stateUpdate', value: tell };
+    this.#dependencies.send(subscriber.seat.address, frame);
   }
 
-  #addView(tell: Tell, subscriber: Subscriber, nowMs: number): void {
+  #addView(tell: StateUpdate, subscriber: Subscriber, nowMs: number): void {
     const { view, coordinatorIncarnation } = this.#group;
     const leader = view?.members.find((member) => member.incarnation === coordinatorIncarnation);
-    if (leader !== undefined) tell.leader = leader;
+    if (leader !== undefined) tell.coordinator = leader;
     if (view === undefined || !this.#subscribers.isViewDue(subscriber, view.number, nowMs)) return;
     tell.cores = view.members;
     this.#subscribers.sentView(subscriber, view.number, nowMs);
   }
 
-  #addRows(tell: Tell, subscriber: Subscriber, offer: Offer, nowMs: number): void {
+  #addRows(tell: StateUpdate, subscriber: Subscriber, offer: Offer, nowMs: number): void {
     const whole = subscriber.table !== offer.table;
-    tell.table = offer.table;
-    tell.whole = whole;
-    tell.row = offer.row;
-    tell.base = whole ? 0 : subscriber.row;
-    tell.rows = this.#book.since(tell.base).map((row) => rowOf(row, nowMs));
+    tell.tableId = offer.table;
+    tell.snapshot = whole;
+    tell.tableRow = offer.row;
+    tell.baseRow = whole ? 0 : subscriber.row;
+    tell.rows = this.#book.since(tell.baseRow).map((row) => rowOf(row, nowMs));
     this.#subscribers.sentRows(subscriber, offer, tell.rows.length, nowMs);
   }
 
-  #addState(tell: Tell, { readsDeflated }: Subscriber): void {
+  #addState(tell: StateUpdate, { readsDeflated }: Subscriber): void {
     const { state } = this;
-    if (this.#told?.state !== state) this.#told = { state, bytes: writeToldState(state) };
+    if (this.#told?.state !== state) this.#told = { state, bytes: encodeStateUpdate(state) };
     if (readsDeflated) tell.deflatedState = this.#told.bytes.deflated;
     else tell.state = this.#told.bytes.plain;
   }
 
-  #onVersion(held: Held<Deployment>, _entry: Entry | undefined): void {
-    this.#dependencies.changed(held.play);
+  #onVersion(held: GroupState<Deployment>, _entry: Entry | undefined): void {
+    this.#dependencies.onStateChange(held.application);
     this.#tellChanges(this.#dependencies.clock.nowMs());
   }
 
@@ -310,24 +319,36 @@
 }
 
 function rowOf(row: WorkerRecord, nowMs: number): WorkerRow {
-  const { number, id, service, address, zone, leaving, gone, slots, coldUntilMs, models, limits } = row;
-  return create(WorkerRowSchema, {
+  const {
     number,
     id,
     service,
     address,
     zone,
-    leaving,
+    draining: leaving,
     gone,
     slots,
-    coldMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
-    holdings: [...models].map(([model, adapters]) => ({
-      $typeName: 'rainrun.v1.Holding' as const,
+    coldUntilMs,
+    models,
+    limits,
+  } = row;
+  return create(WorkerRowSchema, {
+    number,
+    id,
+    service,
+    address,
+    zone,
+    draining: leaving,
+    removed: gone,
+    slots,
+    warmUpMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
+    loadedModels: [...models].map(([model, adapters]) => ({
+      $typeName: 'rainrun.v1.LoadedModel' as const,
       model,
       adapters: [...adapters],
-      load: 0,
+      loadNumber: 0,
     })),
-    limits: [...limits].map(([callers, percent]) => ({
+    callerLimits: [...limits].map(([callers, percent]) => ({
       $typeName: 'rainrun.v1.CallerLimit' as const,
       zone: callers,
       percent,
@@ -340,8 +361,8 @@
  * @example
  * enginesOf(undefined).size; // 0
  */
-export function enginesOf(configuration: Configuration | undefined): ReadonlyMap<string, StockEngine> {
-  const engines = new Map<string, StockEngine>();
+export function enginesOf(configuration: Configuration | undefined): ReadonlyMap<string, Engine> {
+  const engines = new Map<string, Engine>();
   for (const { name, engine } of configuration?.services ?? []) {
     if (engine === undefined || engine === null || engine.models.length === 0) continue;
     engines.set(name, {
--- a/packages/cluster-node/src/core-status.ts
+++ b/packages/cluster-node/src/core-status.ts
@@ -1,5 +1,5 @@
 /** How a core sees its group, for people who operate it. */
-import type { Seat } from '@rainrun/messages';
+import type { Member } from '@rainrun/messages';
 import type { CoreReplica } from './core-replica.js';
 
 /** A core in the view. */
@@ -48,25 +48,25 @@
 export function coreStatus(replica: CoreReplica): CoreStatus {
   const { group, state } = replica;
   const seats = group.view?.members ?? [];
-  const voters = group.held?.voters ?? [];
-  const version = group.held?.number ?? 0;
-  function versionOf(seat: Seat | undefined): number | null {
+  const voters = group.state?.voters ?? [];
+  const version = group.state?.number ?? 0;
+  function versionOf(seat: Member | undefined): number | null {
     if (seat === undefined) return null;
-    return seat.incarnation === group.seat.incarnation
+    return seat.incarnation === group.self.incarnation
       ? version
       : (group.versionAt(seat.incarnation) ?? null);
   }
   const newest = Math.max(version, ...seats.map((seat) => versionOf(seat) ?? 0));
   return {
-    node: group.seat.name,
-    zone: group.seat.zone,
+    node: group.self.name,
+    zone: group.self.zone,
     epoch: group.epoch,
     coordinator: seats.find((seat) => seat.incarnation === group.coordinatorIncarnation)?.name ?? null,
     version,
-    agreed: group.agreed,
+    agreed: group.committedVersion,
     revision: state.revision,
     evacuated: state.evacuated,
-    edges: replica.followers,
+    edges: replica.subscriberCount,
     members: seats.map((seat) => {
       const held = versionOf(seat);
       return {
--- a/packages/cluster-node/src/demand.ts
+++ b/packages/cluster-node/src/demand-table.ts
@@ -1,10 +1,10 @@
 import type { GroupMeasure, Observation } from '@rainrun/messages';
-import type { ModelDemand } from '@rainrun/placement';
+import type { SpecModelDemand } from '@rainrun/placement';
 
 const HALF_LIFE_S = 10;
 
 /** What a group measured over the fleet, smoothed. */
-export interface GroupPicture {
+export interface GroupStatus {
   readonly group: string;
   readonly kind: string;
   served: number;
@@ -21,11 +21,11 @@
  * demand.take('incarnation-1', observation, nowMs);
  * demand.models(nowMs).get('gearbox-7b')?.arrivalsPerS;
  */
-export class DemandBook {
+export class DemandTable {
   #models = new Map<string, { perS: number; adapters: Map<string, number>; atMs: number }>();
   #backlogs = new Map<string, Map<string, number>>();
   #groups = new Map<string, Map<string, GroupMeasure>>();
-  #totals = new Map<string, GroupPicture>();
+  #totals = new Map<string, GroupStatus>();
 
   take(sender: string, observation: Observation, nowMs: number): void {
     const backlogs = new Map<string, number>();
@@ -49,8 +49,8 @@
       if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
   }
 
-  models(nowMs: number): Map<string, ModelDemand> {
-    const demands = new Map<string, ModelDemand>();
+  models(nowMs: number): Map<string, SpecModelDemand> {
+    const demands = new Map<string, SpecModelDemand>();
     for (const model of this.#models.keys()) {
       const known = this.#model(model, nowMs);
       if (known.perS < 0.001) continue;
@@ -67,8 +67,8 @@
   }
 
   /** Totals since this node began to listen, with what stands in flight and backlog now. */
-  groups(): GroupPicture[] {
-    const pictures = new Map<string, GroupPicture>();
+  groups(): GroupStatus[] {
+    const pictures = new Map<string, GroupStatus>();
     for (const [key, total] of this.#totals) pictures.set(key, { ...total, inFlight: 0, backlog: 0 });
     for (const measures of this.#groups.values()) {
       for (const [key, measure] of measures) {
@@ -96,7 +96,7 @@
     };
     known.served += measure.served;
     known.refused += measure.refused;
-    known.prompt += measure.prompt;
+    known.prompt += measure.withinTarget;
     if (measure.served > 0)
       known.waitMs += (measure.waitMs - known.waitMs) * Math.min(1, measure.served / 20);
     this.#totals.set(key, known);
--- a/packages/cluster-node/src/follower.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -1,13 +1,13 @@
 import { create } from '@bufbuild/protobuf';
 import {
-  FollowSchema,
+  SubscribeSchema,
   FrameSchema,
-  SeatSchema,
-  WIRE,
+  MemberSchema,
+  WIRE_VERSION,
   type Frame,
-  type Seat,
-  type Tell,
-  type Want,
+  type Member,
+  type StateUpdate,
+  type ModelDemand,
   type WorkerOutcomes,
   type WorkerRow,
 } from '@rainrun/messages';
@@ -17,18 +17,18 @@
   type Configuration,
   type Deployment,
 } from '@rainrun/configuration';
-import { randomId, spread, type Chance, type Clock } from '@rainrun/common';
-import { readToldState } from './told-state.js';
+import { randomId, spread, type RandomSource, type Clock } from '@rainrun/common';
+import { decodeStateUpdate } from './state-update.js';
 
 /** A worker as an edge knows it. */
-export interface KnownWorker {
+export interface WorkerSnapshot {
   readonly id: string;
   readonly service: string;
   readonly address: string;
   readonly zone: string;
-  readonly leaving: boolean;
+  readonly draining: boolean;
   readonly slots: number;
-  readonly coldUntilMs: number;
+  readonly warmUpUntilMs: number;
   /** Adapters by model. */
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
   readonly number: number;
@@ -37,7 +37,7 @@
 }
 
 /** What a follower is given by its program, or by the simulator. */
-export interface FollowerDependencies {
+export interface EdgeReplicaDependencies {
   readonly name: string;
   readonly zone: string;
   readonly address: string;
@@ -45,22 +45,22 @@
   /** Addresses of cores to begin with. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
-  readonly chance: Chance;
-  post(address: string, frame: Frame): void;
+  readonly chance: RandomSource;
+  send(address: string, frame: Frame): void;
   /** What this node asks for now. */
-  wants(): readonly Want[];
+  demands(): readonly ModelDemand[];
   /** How requests to workers ended since the last call. */
   outcomes(): WorkerOutcomes[];
   /** Another edition, or other workers, are known from now on. */
   changed(what: 'state' | 'workers'): void;
 }
 
-/** What a node says to a core beside what it holds. */
-interface Question {
-  readonly wants?: Want[];
+/** What an edge tells a core beside what it holds. */
+interface SubscribeFields {
+  readonly demands?: ModelDemand[];
   readonly outcomes?: WorkerOutcomes[];
   readonly leaving?: boolean;
-  readonly partial?: boolean;
+  readonly incremental?: boolean;
 }
 
 const EVERYONE = 100;
@@ -91,19 +91,19 @@
  * is told what is newer. What it holds never goes back; cut off, it goes on
  * with it.
  * @example
- * const follower = new Follower(dependencies);
+ * const follower = new EdgeReplica(dependencies);
  * follower.tick(); // every 20 ms
  */
-export class Follower {
-  #dependencies: FollowerDependencies;
-  #seat: Seat;
+export class EdgeReplica {
+  #dependencies: EdgeReplicaDependencies;
+  #seat: Member;
   #state: Deployment = EMPTY_DEPLOYMENT;
   #configuration: Configuration | undefined;
   #cores = new Map<string, Core>();
-  #leader: Seat | undefined;
+  #leader: Member | undefined;
   #table = '';
   #row = 0;
-  #workers = new Map<string, KnownWorker>();
+  #workers = new Map<string, WorkerSnapshot>();
   #edges = 1;
   /** Whose count of the edges is taken, and since when. */
   #counted = { table: '', sinceMs: -Infinity };
@@ -112,9 +112,9 @@
   #toldWaiting = new Set<string>();
   #knewMs: number | undefined;
 
-  constructor(dependencies: FollowerDependencies) {
+  constructor(dependencies: EdgeReplicaDependencies) {
     this.#dependencies = dependencies;
-    this.#seat = create(SeatSchema, {
+    this.#seat = create(MemberSchema, {
       name: dependencies.name,
       incarnation: randomId(dependencies.chance),
       address: dependencies.address,
@@ -130,7 +130,7 @@
     return this.#configuration;
   }
 
-  get workers(): ReadonlyMap<string, KnownWorker> {
+  get workers(): ReadonlyMap<string, WorkerSnapshot> {
     return this.#workers;
   }
 
@@ -155,7 +155,7 @@
   }
 
   /** Something is wanted that cannot wait for the next heartbeat. */
-  haste(): void {
+  requestUpdateSoon(): void {
     this.#hasteMs ??= this.#dependencies.clock.nowMs();
   }
 
@@ -178,7 +178,7 @@
   }
 
   receive(frame: Frame): void {
-    if (frame.body.case !== 'tell' || frame.to !== this.#seat.incarnation) return;
+    if (frame.body.case !== 'stateUpdate' || frame.to !== this.#seat.incarnation) return;
     this.#onTell(frame.body.value, frame.from);
   }
 
@@ -223,67 +223,67 @@
 
   #follow(core: Core, nowMs: number, leads: boolean): void {
     core.askedMs = nowMs;
-    const wants = leads ? this.#dependencies.wants() : [];
-    if (leads) this.#toldWaiting = new Set(wants.filter(({ waiting }) => waiting > 0).map(keyOf));
+    const demands = leads ? this.#dependencies.demands() : [];
+    if (leads) this.#toldWaiting = new Set(demands.filter(({ waiting }) => waiting > 0).map(keyOf));
     const outcomes = leads ? this.#dependencies.outcomes() : [];
-    this.#post(core.address, { wants: [...wants], outcomes });
+    this.#post(core.address, { demands: [...demands], outcomes });
   }
 
   /** Between two whole questions the coordinator is told only of what waits, or waited when it was told last. */
   #hasten(leader: Core): void {
-    const wants = this.#dependencies
-      .wants()
+    const demands = this.#dependencies
+      .demands()
       .filter((want) => want.waiting > 0 || this.#toldWaiting.has(keyOf(want)));
-    for (const want of wants) this.#toldWaiting.add(keyOf(want));
-    this.#post(leader.address, { wants, partial: true });
+    for (const demand of demands) this.#toldWaiting.add(keyOf(demand));
+    this.#post(leader.address, { demands, incremental: true });
   }
 
-  #post(address: string, question: Question): void {
-    const value = create(FollowSchema, {
-      seat: this.#seat,
+  #post(address: string, fields: SubscribeFields): void {
+    const value = create(SubscribeSchema, {
+      subscriber: this.#seat,
       edition: this.#state.edition,
-      table: this.#table,
-      row: this.#row,
-      readsDeflated: true,
-      ...question,
+      tableId: this.#table,
+      tableRow: this.#row,
+      acceptsDeflate: true,
+      ...fields,
     });
     const frame = create(FrameSchema, {
-      wire: WIRE,
+      wire: WIRE_VERSION,
       deployment: this.#dependencies.deployment,
       from: this.#seat.incarnation,
       to: '',
     });
-    frame.body = { case: 'follow', value };
-    this.#dependencies.post(address, frame);
+    frame.body = { case: 'subscribe', value };
+    this.#dependencies.send(address, frame);
   }
 
-  #onTell(tell: Tell, from: string): void {
+  #onTell(tell: StateUpdate, from: string): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const seat of tell.cores) this.#core(seat.address).incarnation = seat.incarnation;
     const core = [...this.#cores.values()].find((known) => known.incarnation === from);
     if (core !== undefined) {
       core.heardMs = nowMs;
-      core.granted = tell.granted;
+      core.granted = tell.hasLease;
     }
-    if (tell.granted && tell.leader !== undefined) this.#leader = tell.leader;
+    if (tell.hasLease && tell.coordinator !== undefined) this.#leader = tell.coordinator;
     this.#countEdges(tell, nowMs);
     this.#takeState(tell);
     this.#takeRows(tell, nowMs);
-    if (tell.granted && this.#configuration !== undefined && this.#workers.size > 0) this.#knewMs ??= nowMs;
+    if (tell.hasLease && this.#configuration !== undefined && this.#workers.size > 0) this.#knewMs ??= nowMs;
   }
 
   /** Only the coordinator hears every edge; one that is new to it counts too few at first. */
-  #countEdges(tell: Tell, nowMs: number): void {
+  #countEdges(tell: StateUpdate, nowMs: number): void {
     // A coordinator that has lost its majority may hear no edge, and still be heard.
-    if (!tell.granted || tell.table === '' || epochOf(tell.table) < epochOf(this.#counted.table)) return;
-    if (tell.table !== this.#counted.table) this.#counted = { table: tell.table, sinceMs: nowMs };
+    if (!tell.hasLease || tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#counted.table)) return;
+    if (tell.tableId !== this.#counted.table) this.#counted = { table: tell.tableId, sinceMs: nowMs };
     const least = nowMs - this.#counted.sinceMs < COUNTING_MS ? this.#edges : 1;
-    this.#edges = Math.max(least, tell.followers);
+    this.#edges = Math.max(least, tell.edgeCount);
   }
 
-  #takeState(tell: Tell): void {
+  #takeState(tell: StateUpdate): void {
     if (tell.edition <= this.#state.edition) return;
-    const state = readToldState(tell);
+    const state = decodeStateUpdate(tell);
     if (state === undefined || state.isErr) return;
     this.#state = state.value;
     const checked = state.value.document === undefined ? undefined : checkConfiguration(state.value.document);
@@ -291,31 +291,41 @@
     this.#dependencies.changed('state');
   }
 
-  #takeRows(tell: Tell, nowMs: number): void {
-    if (tell.table === '' || epochOf(tell.table) < epochOf(this.#table)) return;
-    if (tell.whole) this.#workers = new Map();
-    else if (tell.table !== this.#table || tell.row < this.#row || tell.base > this.#row) return;
+  #takeRows(tell: StateUpdate, nowMs: number): void {
+    if (tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#table)) return;
+    if (tell.snapshot) this.#workers = new Map();
+    else if (tell.tableId !== this.#table || tell.tableRow < this.#row || tell.baseRow > this.#row) return;
     for (const row of tell.rows) this.#takeRow(row, nowMs);
-    this.#table = tell.table;
-    this.#row = tell.row;
-    if (tell.whole || tell.rows.length > 0) this.#dependencies.changed('workers');
+    this.#table = tell.tableId;
+    this.#row = tell.tableRow;
+    if (tell.snapshot || tell.rows.length > 0) this.#dependencies.changed('workers');
   }
 
   #takeRow(row: WorkerRow, nowMs: number): void {
-    if (row.gone) {
+    if (row.removed) {
       this.#workers.delete(row.id);
       return;
     }
-    const { id, service, address, zone, leaving, slots, coldMs, number, limits } = row;
-    const models = new Map(row.holdings.map(({ model, adapters }) => [model, new Set(adapters)]));
+    const {
+      id,
+      service,
+      address,
+      zone,
+      draining: leaving,
+      slots,
+      warmUpMs: coldMs,
+      number,
+      callerLimits: limits,
+    } = row;
+    const models = new Map(row.loadedModels.map(({ model, adapters }) => [model, new Set(adapters)]));
     this.#workers.set(id, {
       id,
       service,
       address,
       zone,
-      leaving,
+      draining: leaving,
       slots,
-      coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
+      warmUpUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
       models,
       number,
       sharePercent: limits.find((limit) => limit.zone === this.#seat.zone)?.percent ?? EVERYONE,
@@ -323,7 +333,7 @@
   }
 }
 
-function keyOf({ service, model, adapter }: Want): string {
+function keyOf({ service, model, adapter }: ModelDemand): string {
   return `${service}/${model}/${adapter}`;
 }
 
--- a/packages/cluster-node/src/older-disk.test.ts
+++ b/packages/cluster-node/src/older-disk.test.ts
@@ -7,10 +7,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { describe, it } from 'node:test';
-import { fault, type Chance, type Fault } from '@rainrun/common';
-import { SPEAKS } from '@rainrun/messages';
+import { fault, type RandomSource, type Fault } from '@rainrun/common';
+import { PROTOCOL_LEVELS } from '@rainrun/messages';
 import { Acceptor, GROUP_TIMES, readRecords } from '@rainrun/process-group';
-import { RecordStore, type RecordKind, type Records, type Vault } from '@rainrun/storage';
+import { RecordStore, type RecordKind, type Records, type RecordWriter } from '@rainrun/storage';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { ClusterNode } from './cluster-node.js';
@@ -22,7 +22,7 @@
 const ADDRESS = '127.0.0.1:1';
 
 /** A disk that syncs at once. */
-class PromptVault implements Vault {
+class PromptVault implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
@@ -57,7 +57,7 @@
 class LoneNode {
   #nowMs = 0;
   #seed = 7;
-  #chance: Chance = { next: () => this.#nextChance() };
+  #chance: RandomSource = { next: () => this.#nextChance() };
 
   dependencies(acceptor: Acceptor, deployment: string) {
     return {
@@ -67,16 +67,16 @@
       deployment,
       seeds: [ADDRESS],
       founders: [ADDRESS],
-      votersWanted: 1,
+      desiredVoterCount: 1,
       clock: { nowMs: () => this.#nowMs },
       chance: this.#chance,
       times: GROUP_TIMES,
       acceptor,
-      speaks: SPEAKS,
-      post: () => undefined,
-      reborn: () => undefined,
-      changed: () => undefined,
-      refused: (why: string) => failed(fault('not-admitting', why)),
+      protocolLevels: PROTOCOL_LEVELS,
+      send: () => undefined,
+      onNewIncarnation: () => undefined,
+      onStateChange: () => undefined,
+      onJoinRejected: (why: string) => failed(fault('not-admitting', why)),
     };
   }
 
@@ -98,7 +98,7 @@
       ...lone.dependencies(acceptor, 'system'),
       order: () => undefined,
       report: () => undefined,
-      decided: () => undefined,
+      onPlacementDecision: () => undefined,
     });
     lone.run(replica, START_MS);
     const { edition, revision, evacuated, zones, document } = replica.state;
@@ -123,11 +123,11 @@
     const node = new ClusterNode({
       ...lone.dependencies(acceptor, 'site'),
       order: () => undefined,
-      heard: () => undefined,
-      question: () => ({ status: 404, body: {} }),
+      onCast: () => undefined,
+      answerQuery: () => ({ status: 404, body: {} }),
     });
     lone.run(node, START_MS);
-    const { spec, emptied, touched } = node.stage;
+    const { spec, emptied, touched } = node.state;
     expect(spec?.version).toEqual(1);
     expect(spec?.spec.models.map((model) => model.name)).toEqual(['model-1']);
     expect(emptied).toEqual(['inland']);
@@ -138,6 +138,6 @@
     );
     lone.run(node, ANSWER_MS);
     expect(answers).toEqual(['zone inland emptied']);
-    expect(node.stage.emptied).toEqual(['inland']);
+    expect(node.state.emptied).toEqual(['inland']);
   });
 });
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -51,7 +51,7 @@
   coordinated = true;
   readonly submitted: Submitted[] = [];
   readonly forgotten: string[] = [];
-  readonly group = { informedMs: () => this.heardMs };
+  readonly group = { currentAsOfMs: () => this.heardMs };
 
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
     if (!this.coordinated) return Result.err(fault('unreached', 'no coordinator'));
@@ -60,7 +60,7 @@
     return Result.ok(id);
   }
 
-  forgetAnswer(id: string): void {
+  abandon(id: string): void {
     this.forgotten.push(id);
   }
 
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -10,7 +10,7 @@
   type Deployment,
   type DeploymentOperation,
 } from '@rainrun/configuration';
-import { ANSWERS, fault, isFaultKind, type Clock, type Fault } from '@rainrun/common';
+import { FAULT_RESPONSES, fault, isFaultKind, type Clock, type Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
 import type { CoreStatus } from './core-status.js';
 
@@ -36,9 +36,9 @@
 /** The core's replica, as far as operators reach it. */
 export interface OperatorReplica {
   readonly state: Deployment;
-  readonly group: { informedMs(): number };
+  readonly group: { currentAsOfMs(): number };
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault>;
-  forgetAnswer(id: string): void;
+  abandon(id: string): void;
 }
 
 /** How answers are put for the callers of one platform. */
@@ -160,7 +160,7 @@
     for (const order of this.#orders) {
       if (nowMs - order.bornMs < ANSWER_WAIT_MS) continue;
       this.#orders.delete(order);
-      this.#dependencies.replica.forgetAnswer(order.id);
+      this.#dependencies.replica.abandon(order.id);
       order.done(this.failure(UNANSWERED));
     }
   }
@@ -172,7 +172,7 @@
 
   /** The answer for a fault, with what else there is to tell. */
   failure(why: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
-    const { status, ran } = ANSWERS[why.kind];
+    const { status, ran } = FAULT_RESPONSES[why.kind];
     return {
       status: this.#dependencies.format.statusOf(why) ?? status,
       body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran }, ...more }),
@@ -229,7 +229,7 @@
   #answerReads(): void {
     const { replica, clock } = this.#dependencies;
     if (this.#reads.size === 0) return;
-    const informedMs = replica.group.informedMs();
+    const informedMs = replica.group.currentAsOfMs();
     const nowMs = clock.nowMs();
     for (const read of this.#reads) {
       const informed = informedMs >= read.askedMs;
--- a/packages/cluster-node/src/edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
 import { ObservationSchema } from '@rainrun/messages';
 import { Gateway, type Sender } from '@rainrun/gateway';
-import type { Chance, Clock } from '@rainrun/common';
+import type { RandomSource, Clock } from '@rainrun/common';
 import { Loop, type LoopSettings } from '@rainrun/placement';
 import type { ClusterNode } from './cluster-node.js';
 
@@ -26,7 +26,7 @@
  * edge.gateway.admit(ask, port);
  * edge.observe(); // every OBSERVE_MS
  */
-export class Edge {
+export class SpecEdge {
   #clusterNode: ClusterNode;
   #loopSettings: LoopSettings;
   #loops = new Map<string, Loop>();
@@ -37,7 +37,7 @@
     name: string,
     zone: string,
     clock: Clock,
-    chance: Chance,
+    chance: RandomSource,
     sender: Sender,
     loops: LoopSettings = LOOP_SETTINGS,
   ) {
@@ -49,11 +49,11 @@
       clock,
       chance,
       sender,
-      spec: () => clusterNode.stage.spec?.spec,
+      spec: () => clusterNode.state.spec?.spec,
       workers: () => clusterNode.workers(),
       edges: () => clusterNode.edges,
-      incarnation: () => clusterNode.group.seat.incarnation,
-      granted: () => clusterNode.group.granted(),
+      incarnation: () => clusterNode.group.self.incarnation,
+      granted: () => clusterNode.group.holdsLease(),
       weight: (group) => this.#weight(group),
     });
   }
@@ -63,7 +63,7 @@
     const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
     const known = new Set(measures.map((measure) => measure.group));
-    for (const { name } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
+    for (const { name } of this.#clusterNode.state.spec?.spec.groups ?? []) {
       const now = this.gateway.groupNow(name);
       if (known.has(name) || now.inFlight + now.backlog === 0) continue;
       measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
@@ -82,7 +82,7 @@
         kind,
         served,
         refused,
-        prompt,
+        withinTarget: prompt,
         waitMs: served === 0 ? 0 : Math.round(waitSumMs / served),
         ...this.gateway.groupNow(group),
       })),
@@ -92,13 +92,13 @@
   }
 
   #weight(group: string): number {
-    const share = this.#clusterNode.stage.spec?.spec.groups.find((known) => known.name === group)?.share ?? 1;
+    const share = this.#clusterNode.state.spec?.spec.groups.find((known) => known.name === group)?.share ?? 1;
     return share * (this.#loops.get(group)?.output ?? 1);
   }
 
   #moveLoops(): void {
     const pictures = this.#clusterNode.groups;
-    for (const { name, kinds } of this.#clusterNode.stage.spec?.spec.groups ?? []) {
+    for (const { name, kinds } of this.#clusterNode.state.spec?.spec.groups ?? []) {
       const measured = pictures.filter((picture) => picture.group === name && picture.served > 0);
       if (measured.length === 0) continue;
       const ratios = measured.map(
--- a/packages/cluster-node/src/told-state.ts
+++ b/packages/cluster-node/src/state-update.ts
@@ -3,7 +3,7 @@
  * configuration is mostly repeated field names and an edge's link is slow.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import type { Tell } from '@rainrun/messages';
+import type { StateUpdate } from '@rainrun/messages';
 import { decodeDeployment, encodeForFollowers, type Deployment } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
@@ -13,7 +13,7 @@
 const STATE_MOST_BYTES = 64 * 1024 * 1024;
 
 /** The agreed state in both forms. */
-export interface ToldState {
+export interface EncodedDeployment {
   readonly plain: Uint8Array;
   readonly deflated: Uint8Array;
 }
@@ -21,9 +21,9 @@
 /**
  * The state as edges are told it.
  * @example
- * tell.deflatedState = writeToldState(state).deflated;
+ * tell.deflatedState = encodeStateUpdate(state).deflated;
  */
-export function writeToldState(state: Deployment): ToldState {
+export function encodeStateUpdate(state: Deployment): EncodedDeployment {
   const plain = encodeForFollowers(state);
   return { plain, deflated: deflateRawSync(plain) };
 }
@@ -31,9 +31,9 @@
 /**
  * The state that a message brings; nothing where it brings none, an error where it cannot be read.
  * @example
- * readToldState(create(TellSchema)); // undefined
+ * decodeStateUpdate(create(StateUpdateSchema)); // undefined
  */
-export function readToldState(tell: Tell): Result<Deployment, Fault> | undefined {
+export function decodeStateUpdate(tell: StateUpdate): Result<Deployment, Fault> | undefined {
   if (tell.deflatedState.length === 0)
     return tell.state.length === 0 ? undefined : decodeDeployment(tell.state);
   return tryOrElse(
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -1,26 +1,32 @@
 import { describe, it } from 'node:test';
-import { create } from '@bufbuild/protobuf';
-import { FollowSchema, SeatSchema, TellSchema, WantSchema } from '@rainrun/messages';
+import { create, type MessageInitShape } from '@bufbuild/protobuf';
+import { SubscribeSchema, MemberSchema, StateUpdateSchema, ModelDemandSchema } from '@rainrun/messages';
 import { EMPTY_DEPLOYMENT } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { PlanPacer } from './plan-pacer.js';
 import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
-import { readToldState, writeToldState } from './told-state.js';
+import { decodeStateUpdate, encodeStateUpdate } from './state-update.js';
 
 const NOTHING = { all: false, models: new Set<string>() };
 
 function seatOf(incarnation: string) {
-  return create(SeatSchema, { name: incarnation, incarnation, address: `${incarnation}:1` });
+  return create(MemberSchema, { name: incarnation, incarnation, address: `${incarnation}:1` });
 }
 
-function heard(subscribers: Subscribers, edge: string, nowMs: number, known = {}, model = ''): Subscriber {
-  const wants = model === '' ? [] : [create(WantSchema, { service: 'assist', model })];
-  const follow = create(FollowSchema, {
-    seat: seatOf(edge),
-    table: 't',
-    row: 5,
+function heard(
+  subscribers: Subscribers,
+  edge: string,
+  nowMs: number,
+  known: MessageInitShape<typeof SubscribeSchema> = {},
+  model = '',
+): Subscriber {
+  const wants = model === '' ? [] : [create(ModelDemandSchema, { service: 'assist', model })];
+  const follow = create(SubscribeSchema, {
+    subscriber: seatOf(edge),
+    tableId: 't',
+    tableRow: 5,
     edition: 3,
-    wants,
+    demands: wants,
     ...known,
   });
   return subscribers.heard(follow, seatOf(edge), nowMs);
@@ -88,12 +94,18 @@
 
   it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
     const subscribers = new Subscribers();
-    const one = heard(subscribers, 'a', 1000, { row: 0 });
+    const one = heard(subscribers, 'a', 1000, { tableRow: 0 });
     subscribers.sentRows(one, offer(), 5, 1000);
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1010, { row: 0 }), offer(), 1010)).toEqual(true);
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1010, { tableRow: 0 }), offer(), 1010)).toEqual(
+      true,
+    );
     one.toldMs = 1005;
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1011, { row: 0 }), offer(), 1011)).toEqual(false);
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1100, { row: 0 }), offer(), 1100)).toEqual(true);
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1011, { tableRow: 0 }), offer(), 1011)).toEqual(
+      false,
+    );
+    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1100, { tableRow: 0 }), offer(), 1100)).toEqual(
+      true,
+    );
   });
 
   it('tells nobody unasked from a core that does not coordinate', () => {
@@ -118,12 +130,12 @@
 describe('the state as edges are told it', () => {
   it('comes back the same in both forms, without what operators sent', () => {
     const state = { ...EMPTY_DEPLOYMENT, edition: 4, revision: 9, evacuated: ['north'] };
-    const told = writeToldState(state);
+    const told = encodeStateUpdate(state);
     for (const tell of [
-      create(TellSchema, { state: told.plain }),
-      create(TellSchema, { deflatedState: told.deflated }),
+      create(StateUpdateSchema, { state: told.plain }),
+      create(StateUpdateSchema, { deflatedState: told.deflated }),
     ]) {
-      const read = readToldState(tell);
+      const read = decodeStateUpdate(tell);
       expect(read?.isOk === true ? read.value : undefined).toEqual({
         ...state,
         taken: EMPTY_DEPLOYMENT.taken,
@@ -132,10 +144,10 @@
   });
 
   it('is refused where it is garbled', () => {
-    expect(readToldState(create(TellSchema, { deflatedState: new Uint8Array([1, 2, 3]) }))?.isErr).toEqual(
-      true,
-    );
-    expect(readToldState(create(TellSchema))).toEqual(undefined);
+    expect(
+      decodeStateUpdate(create(StateUpdateSchema, { deflatedState: new Uint8Array([1, 2, 3]) }))?.isErr,
+    ).toEqual(true);
+    expect(decodeStateUpdate(create(StateUpdateSchema))).toEqual(undefined);
   });
 });
 
--- a/packages/cluster-node/src/subscribers.ts
+++ b/packages/cluster-node/src/subscribers.ts
@@ -5,7 +5,7 @@
  * for nobody else; the others are told with what comes next to them. A table that changes sixty times a second
  * costs sixty messages a second times the few edges concerned, instead of times all edges.
  */
-import type { Follow, Seat } from '@rainrun/messages';
+import type { Subscribe, Member } from '@rainrun/messages';
 import type { TableChanges } from '@rainrun/placement';
 
 /** A subscriber that was not heard for so long is forgotten. */
@@ -29,7 +29,7 @@
 
 /** What a core knows of one edge that follows it. */
 export interface Subscriber {
-  readonly seat: Seat;
+  readonly seat: Member;
   heardMs: number;
   readonly readsDeflated: boolean;
   /** The newest state, table and row that it holds, or was sent. */
@@ -75,11 +75,11 @@
   }
 
   /** Takes what an edge says of itself. */
-  heard(follow: Follow, seat: Seat, nowMs: number): Subscriber {
+  heard(follow: Subscribe, seat: Member, nowMs: number): Subscriber {
     const known = this.#byIncarnation.get(seat.incarnation);
     const subscriber: Subscriber = known ?? {
       seat,
-      readsDeflated: follow.readsDeflated,
+      readsDeflated: follow.acceptsDeflate,
       heardMs: nowMs,
       edition: 0,
       table: '',
@@ -96,13 +96,13 @@
     subscriber.heardMs = nowMs;
     if (follow.edition >= subscriber.edition || nowMs - subscriber.stateToldMs > IN_FLIGHT_MS)
       subscriber.edition = follow.edition;
-    const sameTable = follow.table === subscriber.table;
-    if ((sameTable && follow.row >= subscriber.row) || nowMs > subscriber.rowsInFlightMs) {
-      subscriber.table = follow.table;
-      subscriber.row = follow.row;
+    const sameTable = follow.tableId === subscriber.table;
+    if ((sameTable && follow.tableRow >= subscriber.row) || nowMs > subscriber.rowsInFlightMs) {
+      subscriber.table = follow.tableId;
+      subscriber.row = follow.tableRow;
     }
-    const models = follow.wants.map(({ service, model }) => `${service}/${model}`);
-    subscriber.wants = new Set(follow.partial ? [...subscriber.wants, ...models] : models);
+    const models = follow.demands.map(({ service, model }) => `${service}/${model}`);
+    subscriber.wants = new Set(follow.incremental ? [...subscriber.wants, ...models] : models);
     return subscriber;
   }
 
--- a/packages/cluster-node/src/roster.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -1,15 +1,15 @@
 import type { Observation, WorkerList, WorkerState } from '@rainrun/messages';
-import type { HoldingTarget, Spec, Stage } from '@rainrun/configuration';
+import type { HoldingTarget, Spec, SpecState } from '@rainrun/configuration';
 
 /** A worker as this node knows it. */
-export interface RosterWorker {
+export interface DirectoryWorker {
   readonly name: string;
   readonly address: string;
   readonly zone: string;
   readonly kind: string;
   readonly pool: string;
-  readonly leaving: boolean;
-  readonly emptied: boolean;
+  readonly draining: boolean;
+  readonly evacuated: boolean;
   readonly reachable: boolean;
   readonly roomMb: number;
   readonly slots: number;
@@ -34,7 +34,7 @@
  * roster.takeList(list);
  * roster.workers(stage, 'incarnation-1', nowMs); // every listed worker
  */
-export class Roster {
+export class WorkerDirectory {
   #list: WorkerList | undefined;
   #states = new Map<string, WorkerState>();
   #sinceMs = new Map<string, Map<string, number>>();
@@ -53,7 +53,7 @@
     const before = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
     const reset = !(this.#states.get(state.worker)?.reachable ?? false);
     const since = new Map<string, number>();
-    for (const { model, adapters, load } of state.holdings) {
+    for (const { model, adapters, loadNumber: load } of state.holdings) {
       const copy = `${state.worker}/${model}`;
       const anew = reset || load > (this.#loadOf.get(copy) ?? 0);
       this.#loadOf.set(copy, Math.max(load, this.#loadOf.get(copy) ?? 0));
@@ -76,7 +76,7 @@
       if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
   }
 
-  workers(stage: Stage, self: string, nowMs: number): RosterWorker[] {
+  workers(stage: SpecState, self: string, nowMs: number): DirectoryWorker[] {
     const spec = stage.spec?.spec;
     return (this.#list?.workers ?? []).map((entry) => {
       const state = this.#states.get(entry.name);
@@ -87,8 +87,8 @@
         zone: entry.zone,
         kind: entry.kind,
         pool: entry.pool,
-        leaving: entry.leaving,
-        emptied: stage.emptied.includes(entry.zone),
+        draining: entry.draining,
+        evacuated: stage.emptied.includes(entry.zone),
         reachable: entry.kind === 'lookup' || (state?.reachable ?? false),
         roomMb,
         slots,
--- a/packages/cluster-node/src/worker-health.test.ts
+++ b/packages/cluster-node/src/worker-health.test.ts
@@ -21,8 +21,8 @@
       address: `10.0.0.${place}:80`,
       zone: 'north',
       slots: 8,
-      leaving: false,
-      coldMs: 0,
+      draining: false,
+      warmUpMs: 0,
       models: new Map<string, Set<string>>(),
     }));
     this.table.learn(listed, this.nowMs);
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -6,7 +6,7 @@
 import type { WorkerRecord, WorkerTable } from '@rainrun/placement';
 
 /** How requests of one edge to one worker ended. */
-export interface ReportedOutcomes {
+export interface WorkerOutcomeCounts {
   readonly worker: string;
   readonly answered: number;
   readonly failed: number;
@@ -61,7 +61,7 @@
   #judgedMs = -Infinity;
 
   /** Takes what one edge saw since it reported last. */
-  note(zone: string, outcomes: readonly ReportedOutcomes[], nowMs: number): void {
+  note(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
     for (const { worker, answered, failed } of outcomes) {
       const tally = faded(entry(this.#tallies, worker).get(zone), nowMs);
       tally.answered += answered;
--- a/packages/common/src/kinds.ts
+++ b/packages/common/src/errors.ts
@@ -27,14 +27,14 @@
   | 'wire';
 
 /** What a caller is told: status, whether the work may have run, and when to come back. */
-export interface AnswerRow {
+export interface FaultResponse {
   readonly status: number;
   readonly ran: 'no' | 'maybe';
   readonly retryAfterS: number;
 }
 
 /** The one table from kind to answer. `retryAfterS` 0 means that coming back will not help. */
-export const ANSWERS: Readonly<Record<FaultKind, AnswerRow>> = {
+export const FAULT_RESPONSES: Readonly<Record<FaultKind, FaultResponse>> = {
   'bad-request': { status: 400, ran: 'no', retryAfterS: 0 },
   'bad-spec': { status: 422, ran: 'no', retryAfterS: 0 },
   'bad-setting': { status: 400, ran: 'no', retryAfterS: 0 },
@@ -86,5 +86,5 @@
  * isFaultKind('agreed'); // false
  */
 export function isFaultKind(text: string): text is FaultKind {
-  return Object.hasOwn(ANSWERS, text);
+  return Object.hasOwn(FAULT_RESPONSES, text);
 }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,8 +1,8 @@
-export * from './kinds.js';
-export * from './chance.js';
+export * from './errors.js';
+export * from './random.js';
 export * from './hash.js';
 export * from './slab.js';
-export * from './register.js';
+export * from './name-index.js';
 
 /** A clock that never goes back. */
 export interface Clock {
--- a/packages/common/src/register.ts
+++ b/packages/common/src/name-index.ts
@@ -6,7 +6,7 @@
  * register.index('north'); // 0
  * register.name(0); // 'north'
  */
-export class Register {
+export class NameIndex {
   #names: string[] = [];
   #indices = new Map<string, number>();
 
--- a/packages/common/src/chance.ts
+++ b/packages/common/src/random.ts
@@ -1,14 +1,14 @@
 /** A source of numbers in [0, 1). */
-export interface Chance {
+export interface RandomSource {
   next(): number;
 }
 
 /**
  * Seeded chance: the same seed gives the same row of numbers.
  * @example
- * new Dice(7).next() === new Dice(7).next(); // true
+ * new SeededRandom(7).next() === new SeededRandom(7).next(); // true
  */
-export class Dice implements Chance {
+export class SeededRandom implements RandomSource {
   #state: number;
 
   constructor(seed: number) {
@@ -27,9 +27,9 @@
 /**
  * A short random id, as used for incarnations, disk ids and operation ids.
  * @example
- * randomId(new Dice(1)).length; // 12
+ * randomId(new SeededRandom(1)).length; // 12
  */
-export function randomId(chance: Chance): string {
+export function randomId(chance: RandomSource): string {
   let text = '';
   for (let digit = 0; digit < 12; digit += 1) text += Math.floor(chance.next() * 16).toString(16);
   return text;
--- a/packages/configuration/src/taken-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -5,27 +5,27 @@
 import { createHash } from 'node:crypto';
 
 /** A change that was taken: its revision and what it said. */
-export interface TakenChange {
+export interface AcceptedChange {
   readonly revision: number;
   readonly digest: string;
 }
 
 /** The newest changes that were taken, and up to which revision earlier ones are forgotten. */
-export interface TakenChanges {
+export interface AcceptedChanges {
   /** Changes of this revision and below are no longer remembered; 0 while all are. */
   readonly forgottenRevision: number;
   /** In the order of their revisions, which is the order in which they were taken. */
-  readonly changes: readonly TakenChange[];
+  readonly changes: readonly AcceptedChange[];
 }
 
 /** The memory before anything was taken. */
-export const NO_TAKEN_CHANGES: TakenChanges = { forgottenRevision: 0, changes: [] };
+export const NO_ACCEPTED_CHANGES: AcceptedChanges = { forgottenRevision: 0, changes: [] };
 
 /**
  * So many changes are remembered: at most 57 KB in a stored version, and at 20
  * changes a minute over three hours, where a caller gives up within minutes.
  */
-export const TAKEN_CHANGES_KEPT = 4096;
+export const ACCEPTED_CHANGES_MAX = 4096;
 
 /** Base64 characters of a digest: 48 bits, compared only between changes of one revision. */
 export const DIGEST_CHARS = 8;
@@ -45,11 +45,11 @@
 /**
  * The memory with one more change, which has the highest revision so far.
  * @example
- * withTakenChange(NO_TAKEN_CHANGES, { revision: 7, digest }).changes.length; // 1
+ * withAcceptedChange(NO_ACCEPTED_CHANGES, { revision: 7, digest }).changes.length; // 1
  */
-export function withTakenChange(taken: TakenChanges, change: TakenChange): TakenChanges {
+export function withAcceptedChange(taken: AcceptedChanges, change: AcceptedChange): AcceptedChanges {
   const changes = [...taken.changes, change];
-  if (changes.length <= TAKEN_CHANGES_KEPT) return { ...taken, changes };
+  if (changes.length <= ACCEPTED_CHANGES_MAX) return { ...taken, changes };
   const forgotten = changes.shift();
   return { forgottenRevision: forgotten?.revision ?? taken.forgottenRevision, changes };
 }
@@ -57,9 +57,9 @@
 /**
  * The change that was taken under a revision, as far as it is remembered.
  * @example
- * takenUnder(NO_TAKEN_CHANGES, 7); // undefined
+ * acceptedUnder(NO_ACCEPTED_CHANGES, 7); // undefined
  */
-export function takenUnder(taken: TakenChanges, revision: number): TakenChange | undefined {
+export function acceptedUnder(taken: AcceptedChanges, revision: number): AcceptedChange | undefined {
   const known = taken.changes.findLast((change) => change.revision <= revision);
   return known?.revision === revision ? known : undefined;
 }
@@ -68,10 +68,10 @@
  * Whether a change may have been taken and forgotten since. One that builds on
  * its own revision or a later one cannot have been taken.
  * @example
- * mayBeForgottenChange(NO_TAKEN_CHANGES, 7, 5); // false
+ * mayBeEvictedChange(NO_ACCEPTED_CHANGES, 7, 5); // false
  */
-export function mayBeForgottenChange(
-  taken: TakenChanges,
+export function mayBeEvictedChange(
+  taken: AcceptedChanges,
   revision: number,
   base: number | undefined,
 ): boolean {
--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -1,7 +1,13 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { mergePatch, readSpec, ROUTES_MOST, SPEC_MAX_BYTES, specFaultText } from './spec.js';
-import { applyToStage, decodeStage, EMPTY_STAGE, encodeStage, type Stage } from './stage.js';
+import {
+  applyToSpecState,
+  decodeSpecState,
+  EMPTY_SPEC_STATE,
+  encodeSpecState,
+  type SpecState,
+} from './spec-state.js';
 
 function good(): Record<string, unknown> {
   return {
@@ -21,8 +27,8 @@
   return read.isErr ? read.error.map((one) => one.path) : [];
 }
 
-function put(state: Stage, base: number | undefined, text: string): ReturnType<typeof applyToStage> {
-  return applyToStage(state, { id: 'op', kind: 'spec.put', payload: JSON.stringify({ base, text }) }, 2);
+function put(state: SpecState, base: number | undefined, text: string): ReturnType<typeof applyToSpecState> {
+  return applyToSpecState(state, { id: 'op', kind: 'spec.put', payload: JSON.stringify({ base, text }) }, 2);
 }
 
 describe('spec', () => {
@@ -67,7 +73,7 @@
 
 describe('stage', () => {
   it('lets one of two racing operators win, and tells the other what is in force', () => {
-    const first = put(EMPTY_STAGE, 0, JSON.stringify(good()));
+    const first = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
     const second = put(first.state, 0, JSON.stringify({ ...good(), deployment: 'e' }));
     expect([first.outcome.kind, second.outcome.kind, second.outcome.detail]).toEqual([
       'agreed',
@@ -78,17 +84,19 @@
   });
 
   it('changes nothing for a bad spec or an unknown operation', () => {
-    expect(put(EMPTY_STAGE, 0, '{}').state).toEqual(EMPTY_STAGE);
-    expect(applyToStage(EMPTY_STAGE, { id: '1', kind: 'no', payload: '{}' }, 2).outcome.kind).toEqual(
-      'bad-request',
+    expect(put(EMPTY_SPEC_STATE, 0, '{}').state).toEqual(EMPTY_SPEC_STATE);
+    expect(
+      applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'no', payload: '{}' }, 2).outcome.kind,
+    ).toEqual('bad-request');
+    expect(applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'place', payload: 'x' }, 2).state).toEqual(
+      EMPTY_SPEC_STATE,
     );
-    expect(applyToStage(EMPTY_STAGE, { id: '1', kind: 'place', payload: 'x' }, 2).state).toEqual(EMPTY_STAGE);
   });
 
   it('merges a change, and refuses one that breaks the spec', () => {
-    const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
-    function change(patch: unknown): ReturnType<typeof applyToStage> {
-      return applyToStage(
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    function change(patch: unknown): ReturnType<typeof applyToSpecState> {
+      return applyToSpecState(
         state,
         { id: 'c', kind: 'spec.change', payload: JSON.stringify({ base: 1, patch }) },
         2,
@@ -102,14 +110,14 @@
   });
 
   it('lets changes to different entries both hold, and one of two to the same entry win', () => {
-    const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
     function edit(
       from: typeof state,
       seen: number,
       change: unknown,
       level = 2,
-    ): ReturnType<typeof applyToStage> {
-      return applyToStage(
+    ): ReturnType<typeof applyToSpecState> {
+      return applyToSpecState(
         from,
         { id: 'e', kind: 'spec.edit', payload: JSON.stringify({ seen, edit: change }) },
         level,
@@ -155,9 +163,9 @@
   });
 
   it('refuses a merge patch that would replace a list whole, unless it names its base', () => {
-    const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
     function patch(more: object): string {
-      return applyToStage(
+      return applyToSpecState(
         state,
         {
           id: 'c',
@@ -175,22 +183,22 @@
   });
 
   it('empties and restores zones it knows, and forgets an emptied zone that the spec drops', () => {
-    const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
-    const emptied = applyToStage(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const emptied = applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
     expect(emptied.state.emptied).toEqual(['north']);
     expect(
-      applyToStage(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind,
+      applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind,
     ).toEqual('not-found');
     expect(put(emptied.state, 1, JSON.stringify({ ...good(), zones: ['south'] })).state.emptied).toEqual([]);
   });
 
   it('refuses a placement from an epoch that is over', () => {
-    const later = applyToStage(
-      EMPTY_STAGE,
+    const later = applyToSpecState(
+      EMPTY_SPEC_STATE,
       { id: 'p', kind: 'place', payload: '{"epoch":5,"workers":{}}' },
       2,
     );
-    const older = applyToStage(
+    const older = applyToSpecState(
       later.state,
       { id: 'q', kind: 'place', payload: '{"epoch":4,"workers":{"w":[]}}' },
       2,
@@ -199,11 +207,14 @@
   });
 
   it('reads back what it wrote, and nothing else', () => {
-    const { state } = put(EMPTY_STAGE, 0, JSON.stringify(good()));
-    const read = decodeStage(encodeStage(state));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const read = decodeSpecState(encodeSpecState(state));
     expect(read.isOk && read.value).toEqual(state);
     expect(
-      decodeStage({ play: new TextEncoder().encode('{"version":1}'), extra: new Uint8Array() }).isErr,
+      decodeSpecState({
+        application: new TextEncoder().encode('{"version":1}'),
+        applicationExtension: new Uint8Array(),
+      }).isErr,
     ).toEqual(true);
   });
 });
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -84,7 +84,7 @@
 export type Limits = v.InferOutput<typeof LimitsSchema>;
 
 /** The limits where a configuration names none. */
-export const USUAL_LIMITS: Limits = v.parse(LimitsSchema, {});
+export const DEFAULT_LIMITS: Limits = v.parse(LimitsSchema, {});
 
 /** Faults that no entry has by itself: names and places that stand twice, services that are not there. */
 function placeFaults(configuration: Configuration): string[] {
--- a/packages/configuration/src/control-safety.test.ts
+++ b/packages/configuration/src/control-safety.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import {
   applyToDeployment,
   decodeDeployment,
@@ -123,7 +123,7 @@
 
   it('is acknowledged whenever it comes again, and a refused one never is', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const dice = new Dice(seed);
+      const dice = new SeededRandom(seed);
       let state = after(1);
       const taken = new Map<string, Order>();
       const refused = new Map<string, Order>();
@@ -152,7 +152,7 @@
 }
 
 /** A change on the revision in force or one just before it, with few contents, so that some are alike. */
-function anyOrder(dice: Dice, current: number): Order {
+function anyOrder(dice: SeededRandom, current: number): Order {
   const base = Math.max(0, current - Math.floor(dice.next() * 3));
   const revision = current + Math.floor(dice.next() * 4) - 1;
   const timeoutMs = 10 + Math.floor(dice.next() * 4) * 10;
@@ -167,7 +167,7 @@
       };
 }
 
-function someOf(dice: Dice, orders: readonly Order[]): Order[] {
+function someOf(dice: SeededRandom, orders: readonly Order[]): Order[] {
   return Array.from({ length: 3 }, () => orders[Math.floor(dice.next() * orders.length)]).filter(
     (order) => order !== undefined,
   );
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -5,7 +5,7 @@
 import * as v from 'valibot';
 import type { Deployment } from './deployment.js';
 import { documentText } from './document-text.js';
-import { DIGEST_CHARS, NO_TAKEN_CHANGES, type TakenChanges } from './taken-changes.js';
+import { DIGEST_CHARS, NO_ACCEPTED_CHANGES, type AcceptedChanges } from './accepted-changes.js';
 
 /** Revisions beside each other and digests in one text, since there may be thousands. */
 const TakenSchema = v.pipe(
@@ -18,7 +18,7 @@
     ({ revisions, digests }) => digests.length === revisions.length * DIGEST_CHARS,
     'as many digests as revisions',
   ),
-  v.transform(({ forgottenRevision, revisions, digests }): TakenChanges => {
+  v.transform(({ forgottenRevision, revisions, digests }): AcceptedChanges => {
     const changes = revisions.map((revision, place) => ({
       revision,
       digest: digests.slice(place * DIGEST_CHARS, (place + 1) * DIGEST_CHARS),
@@ -30,7 +30,7 @@
 /** As earlier builds wrote it: their digests say nothing of the base, so all counts as forgotten. */
 const EarlierTakenSchema = v.pipe(
   v.array(v.object({ revision: v.number() })),
-  v.transform((taken): TakenChanges => {
+  v.transform((taken): AcceptedChanges => {
     const forgottenRevision = Math.max(0, ...taken.map(({ revision }) => revision));
     return { forgottenRevision, changes: [] };
   }),
@@ -45,7 +45,7 @@
   taken: v.union([TakenSchema, EarlierTakenSchema]),
 });
 
-function write(state: Deployment, taken: TakenChanges): Uint8Array {
+function write(state: Deployment, taken: AcceptedChanges): Uint8Array {
   const { edition, document, revision, evacuated, zones } = state;
   const written = {
     forgottenRevision: taken.forgottenRevision,
@@ -73,7 +73,7 @@
  * decodeDeployment(encodeForFollowers(EMPTY_DEPLOYMENT)).isOk; // true
  */
 export function encodeForFollowers(state: Deployment): Uint8Array {
-  return write(state, NO_TAKEN_CHANGES);
+  return write(state, NO_ACCEPTED_CHANGES);
 }
 
 /**
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -10,12 +10,12 @@
 import { documentText } from './document-text.js';
 import {
   digestOfChange,
-  mayBeForgottenChange,
-  NO_TAKEN_CHANGES,
-  takenUnder,
-  withTakenChange,
-  type TakenChanges,
-} from './taken-changes.js';
+  mayBeEvictedChange,
+  NO_ACCEPTED_CHANGES,
+  acceptedUnder,
+  withAcceptedChange,
+  type AcceptedChanges,
+} from './accepted-changes.js';
 
 /** A configuration as it was sent, in our terms. */
 export type ConfigurationDocument = Readonly<Record<string, unknown>>;
@@ -30,7 +30,7 @@
   readonly evacuated: readonly string[];
   /** In which edition each zone was last evacuated or taken back. */
   readonly zones: Readonly<Record<string, number>>;
-  readonly taken: TakenChanges;
+  readonly taken: AcceptedChanges;
 }
 
 /** The state before anything was agreed. */
@@ -40,7 +40,7 @@
   revision: 0,
   evacuated: [],
   zones: {},
-  taken: NO_TAKEN_CHANGES,
+  taken: NO_ACCEPTED_CHANGES,
 };
 
 /**
@@ -213,10 +213,10 @@
  */
 function takeChange(state: Deployment, change: Change): Applied {
   const { base, revision } = change;
-  const known = takenUnder(state.taken, revision);
+  const known = acceptedUnder(state.taken, revision);
   if (known !== undefined && known.digest === change.digest())
     return agreed(state, `revision ${revision} was taken before`);
-  if (mayBeForgottenChange(state.taken, revision, base)) {
+  if (mayBeEvictedChange(state.taken, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
     return refused(state, fault('operation-unknown', detail));
   }
@@ -228,7 +228,7 @@
     const detail = `revision: found ${revision}, expected one above ${state.revision}`;
     return refused(state, fault('bad-spec', detail));
   }
-  const taken = withTakenChange(state.taken, { revision, digest: change.digest() });
+  const taken = withAcceptedChange(state.taken, { revision, digest: change.digest() });
   return agreed(
     { ...state, edition: state.edition + 1, document: next.value, revision, taken },
     `revision ${revision}`,
@@ -239,7 +239,7 @@
 function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
   const revision = v.safeParse(Revision, document['revision']);
   if (!revision.success) return refused(state, fault('bad-spec', `revision: ${revision.issues[0].message}`));
-  if (mayBeForgottenChange(state.taken, revision.output, base)) {
+  if (mayBeEvictedChange(state.taken, revision.output, base)) {
     const checked = checkedDocument(document);
     if (checked.isErr) return refused(state, checked.error);
   }
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,6 +1,6 @@
 export * from './edit.js';
 export * from './spec.js';
-export * from './stage.js';
+export * from './spec-state.js';
 export * from './configuration.js';
 export * from './deployment.js';
 export * from './deployment-codec.js';
--- a/packages/configuration/src/stage.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -19,16 +19,16 @@
 }
 
 /** One line of the spec's history. */
-export interface HistoryLine {
+export interface HistoryEntry {
   readonly version: number;
   readonly operation: string;
   readonly bytes: number;
 }
 
 /** The agreed state of the application: spec, emptied zones, placement. */
-export interface Stage {
+export interface SpecState {
   readonly spec: SpecRecord | undefined;
-  readonly history: readonly HistoryLine[];
+  readonly history: readonly HistoryEntry[];
   readonly emptied: readonly string[];
   /** The epoch whose placer decided last; an older one is refused. */
   readonly placedBy: number;
@@ -40,7 +40,7 @@
 }
 
 /** The state before anything was agreed. */
-export const EMPTY_STAGE: Stage = {
+export const EMPTY_SPEC_STATE: SpecState = {
   spec: undefined,
   history: [],
   emptied: [],
@@ -74,25 +74,25 @@
 const Extra = v.object({ touched: v.record(v.string(), v.number()), since: v.number() });
 
 /** How an operation on the stage ended. */
-export interface StageOutcome {
+export interface SpecOutcome {
   readonly kind: 'agreed' | FaultKind;
   readonly detail: string;
 }
 
 interface Applied {
-  readonly state: Stage;
-  readonly outcome: StageOutcome;
+  readonly state: SpecState;
+  readonly outcome: SpecOutcome;
 }
 
-function refuse(state: Stage, kind: FaultKind, detail: string): Applied {
+function refuse(state: SpecState, kind: FaultKind, detail: string): Applied {
   return { state, outcome: { kind, detail } };
 }
 
-function agree(state: Stage, detail: string): Applied {
+function agree(state: SpecState, detail: string): Applied {
   return { state, outcome: { kind: 'agreed', detail } };
 }
 
-function adopt(state: Stage, operation: string, base: number | undefined, text: string): Applied {
+function adopt(state: SpecState, operation: string, base: number | undefined, text: string): Applied {
   const current = state.spec?.version ?? 0;
   if (base !== undefined && base !== current)
     return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
@@ -112,7 +112,7 @@
 
 /** Notes what a new text changes, and forgets what is long ago. */
 function touch(
-  state: Stage,
+  state: SpecState,
   text: string,
   version: number,
 ): { touched: Record<string, number>; since: number } {
@@ -128,7 +128,7 @@
 }
 
 function changeSpec(
-  state: Stage,
+  state: SpecState,
   operation: string,
   base: number | undefined,
   patch: Record<string, unknown>,
@@ -154,7 +154,7 @@
  * An edit names what it touches. What others touched since the version that
  * its author had seen makes it a conflict; all else of theirs stays.
  */
-function editSpec(state: Stage, operation: string, call: v.InferOutput<typeof EditCall>): Applied {
+function editSpec(state: SpecState, operation: string, call: v.InferOutput<typeof EditCall>): Applied {
   const current = state.spec?.version ?? 0;
   if (state.spec === undefined) return refuse(state, 'not-found', 'no spec has been agreed yet');
   const { base, seen } = call;
@@ -183,7 +183,7 @@
   return adopt(state, operation, undefined, JSON.stringify(edited.value, undefined, 2));
 }
 
-function setZone(state: Stage, kind: string, zone: string): Applied {
+function setZone(state: SpecState, kind: string, zone: string): Applied {
   if (state.spec === undefined || !state.spec.spec.zones.includes(zone))
     return refuse(state, 'not-found', `no zone "${zone}"`);
   const others = state.emptied.filter((name) => name !== zone);
@@ -191,7 +191,7 @@
   return agree({ ...state, emptied }, `zone ${zone} ${kind === 'zone.empty' ? 'emptied' : 'restored'}`);
 }
 
-function place(state: Stage, epoch: number, workers: Record<string, readonly HoldingTarget[]>): Applied {
+function place(state: SpecState, epoch: number, workers: Record<string, readonly HoldingTarget[]>): Applied {
   if (epoch < state.placedBy) return refuse(state, 'conflict', `epoch ${state.placedBy} places now`);
   const placement = Object.entries({ ...state.placement, ...workers }).filter(
     ([, holdings]) => holdings.length > 0,
@@ -202,23 +202,23 @@
 /**
  * Applies one operation to the stage: a pure function, the same on every node.
  * @example
- * applyToStage(EMPTY_STAGE, { id: '1', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2).outcome.kind; // 'not-found'
+ * applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2).outcome.kind; // 'not-found'
  */
-export function applyToStage(
-  state: Stage,
+export function applyToSpecState(
+  state: SpecState,
   operation: { id: string; kind: string; payload: string },
   level: number,
 ): Applied {
   const applied = applyKind(state, operation, level);
-  return level === 1 ? { ...applied, state: plainStage(applied.state) } : applied;
+  return level === 1 ? { ...applied, state: specStateWithoutExtension(applied.state) } : applied;
 }
 
 /**
  * The stage without what level 1 of the protocol does not carry.
  * @example
- * plainStage(state).touched; // {}
+ * specStateWithoutExtension(state).touched; // {}
  */
-export function plainStage(state: Stage): Stage {
+export function specStateWithoutExtension(state: SpecState): SpecState {
   const since = state.spec?.version ?? 0;
   return state.since === since && Object.keys(state.touched).length === 0
     ? state
@@ -226,7 +226,7 @@
 }
 
 function applyKind(
-  state: Stage,
+  state: SpecState,
   operation: { id: string; kind: string; payload: string },
   level: number,
 ): Applied {
@@ -269,12 +269,20 @@
   }
 }
 
+/** The state as bytes. */
+export interface EncodedSpecState {
+  /** What every level of the protocol can read. */
+  readonly application: Uint8Array;
+  /** What came with later levels. */
+  readonly applicationExtension: Uint8Array;
+}
+
 /**
- * The stage as bytes for disks and joiners: what level 1 can read, and the rest.
+ * The spec state as bytes for disks and joiners: what level 1 can read, and the rest.
  * @example
- * decodeStage(encodeStage(EMPTY_STAGE)).isOk; // true
+ * decodeSpecState(encodeSpecState(EMPTY_SPEC_STATE)).isOk; // true
  */
-export function encodeStage(state: Stage): { play: Uint8Array; extra: Uint8Array } {
+export function encodeSpecState(state: SpecState): EncodedSpecState {
   const stored = {
     version: state.spec?.version ?? 0,
     operation: state.spec?.operation ?? '',
@@ -287,30 +295,32 @@
   const { touched, since } = state;
   const encoder = new TextEncoder();
   return {
-    play: encoder.encode(JSON.stringify(stored)),
-    extra: encoder.encode(JSON.stringify({ touched, since })),
+    application: encoder.encode(JSON.stringify(stored)),
+    applicationExtension: encoder.encode(JSON.stringify({ touched, since })),
   };
 }
 
 /**
  * The stage that bytes stand for, or that they are damaged.
  * @example
- * decodeStage({ play: new Uint8Array([1]), extra: new Uint8Array() }).isErr; // true
+ * decodeSpecState({ application: new Uint8Array([1]), applicationExtension: new Uint8Array() }).isErr; // true
  */
-export function decodeStage(encoded: { play: Uint8Array; extra: Uint8Array }): Result<Stage, Fault> {
-  return readJson(new TextDecoder().decode(encoded.play)).andThen((data) => {
+export function decodeSpecState(encoded: EncodedSpecState): Result<SpecState, Fault> {
+  return readJson(new TextDecoder().decode(encoded.application)).andThen((data) => {
     const stored = v.safeParse(Stored, data);
-    if (!stored.success) return Result.err<Stage, Fault>(fault('damaged', 'the stage cannot be read'));
+    if (!stored.success) return Result.err<SpecState, Fault>(fault('damaged', 'the stage cannot be read'));
     const { version, operation, text, history, emptied, placedBy, placement } = stored.output;
     const extra = v.safeParse(
       Extra,
-      encoded.extra.length === 0 ? undefined : rawOf(new TextDecoder().decode(encoded.extra)),
+      encoded.applicationExtension.length === 0
+        ? undefined
+        : rawOf(new TextDecoder().decode(encoded.applicationExtension)),
     );
     const { touched, since } = extra.success ? extra.output : { touched: {}, since: version };
     const rest = { history, emptied, placedBy, placement, touched, since };
-    if (version === 0) return Result.ok<Stage, Fault>({ spec: undefined, ...rest });
+    if (version === 0) return Result.ok<SpecState, Fault>({ spec: undefined, ...rest });
     return readSpec(text)
-      .map((spec): Stage => ({ spec: { version, operation, text, spec }, ...rest }))
+      .map((spec): SpecState => ({ spec: { version, operation, text, spec }, ...rest }))
       .mapErr((faults) => fault('damaged', specFaultText(faults)));
   });
 }
--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -1,15 +1,15 @@
 import type { Spec } from '@rainrun/configuration';
-import type { Chance, Clock, FaultKind } from '@rainrun/common';
+import type { RandomSource, Clock, FaultKind } from '@rainrun/common';
 import type { Sender } from './sender.js';
 
 /** A worker as the gateway needs to see it. */
-export interface RosterView {
+export interface GatewayWorker {
   readonly name: string;
   readonly address: string;
   readonly zone: string;
   readonly pool: string;
-  readonly leaving: boolean;
-  readonly emptied: boolean;
+  readonly draining: boolean;
+  readonly evacuated: boolean;
   readonly reachable: boolean;
   readonly slots: number;
   readonly holdings: readonly { readonly model: string; readonly adapters: readonly string[] }[];
@@ -22,10 +22,10 @@
   readonly name: string;
   readonly zone: string;
   readonly clock: Clock;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly sender: Sender;
   spec(): Spec | undefined;
-  workers(): readonly RosterView[];
+  workers(): readonly GatewayWorker[];
   /** Names of the edges in the view; none while this node is in no view. */
   edges(): readonly string[];
   /** This node's incarnation in the group. */
@@ -36,7 +36,7 @@
 }
 
 /** What a visitor asked, as read from HTTP. */
-export interface Ask {
+export interface GatewayRequestInit {
   readonly id: string;
   readonly path: string;
   readonly method: 'GET' | 'POST';
--- a/packages/gateway/src/pace.ts
+++ b/packages/gateway/src/drain-rate.ts
@@ -7,11 +7,11 @@
  * visitor should come back: once those who wait now are gone, and spread over
  * as long again, so that a crowd does not return as one.
  * @example
- * const pace = new Pace();
+ * const pace = new DrainRate();
  * pace.sent(nowMs);
  * pace.returnS(40, 0.5, nowMs); // seconds
  */
-export class Pace {
+export class DrainRate {
   #perS = 0;
   #atMs = 0;
 
--- a/packages/gateway/src/visit.ts
+++ b/packages/gateway/src/gateway-request.ts
@@ -1,31 +1,31 @@
 import type { Fault } from '@rainrun/common';
 
 /** The visitor's end of a request. Each answer is given once. */
-export interface VisitorPort {
+export interface GatewayResponseSink {
   /** A whole answer. */
-  answer(status: number, contentType: string, body: Uint8Array): void;
+  respond(status: number, contentType: string, body: Uint8Array): void;
   /** A refusal or failure from the table of kinds. */
-  refuse(fault: Fault): void;
+  reject(fault: Fault): void;
   /** Opens a streamed answer. */
   open(contentType: string): void;
   /** One more piece; false asks to pause until `resume`. */
-  piece(bytes: Uint8Array, resume: () => void): boolean;
+  write(bytes: Uint8Array, resume: () => void): boolean;
   /** Ends a stream that is whole. */
   close(): void;
   /** Ends a stream so that the visitor sees that it was cut. */
-  cut(): void;
+  abort(): void;
 }
 
 /** What a visitor asks for, in dense indices. */
-export interface Visit {
+export interface GatewayRequest {
   readonly id: string;
-  readonly port: VisitorPort;
+  readonly port: GatewayResponseSink;
   readonly group: number;
   readonly kind: number;
   readonly model: number;
   readonly adapter: number;
   readonly prefix: number;
-  readonly repeatable: boolean;
+  readonly idempotent: boolean;
   readonly streamed: boolean;
   readonly path: string;
   readonly method: 'GET' | 'POST';
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -2,14 +2,14 @@
 import { readSpec, type Spec } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { Backlog } from './backlog.js';
-import { RetryBudget } from './budget.js';
+import { RetryBudget } from './retry-budget.js';
 import { Catalogue } from './catalogue.js';
 import { Gateway } from './gateway.js';
-import type { Ask, RosterView } from './dependencies.js';
+import type { GatewayRequestInit, GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sender, Sending, SendRequest } from './sender.js';
-import { Pace } from './pace.js';
+import { DrainRate } from './drain-rate.js';
 import { StreamWatch } from './stream.js';
-import type { VisitorPort } from './visit.js';
+import type { GatewayResponseSink } from './gateway-request.js';
 
 const SPEC_TEXT = JSON.stringify({
   deployment: 'd',
@@ -52,25 +52,25 @@
   }
 }
 
-class Port implements VisitorPort {
+class Port implements GatewayResponseSink {
   readonly seen: string[] = [];
-  answer(status: number, _type: string, body: Uint8Array): void {
+  respond(status: number, _type: string, body: Uint8Array): void {
     this.seen.push(`${status} ${Buffer.from(body).toString()}`);
   }
-  refuse(why: { kind: string }): void {
+  reject(why: { kind: string }): void {
     this.seen.push(why.kind);
   }
   open(): void {
     this.seen.push('open');
   }
-  piece(bytes: Uint8Array): boolean {
+  write(bytes: Uint8Array): boolean {
     this.seen.push(Buffer.from(bytes).toString().trim());
     return true;
   }
   close(): void {
     this.seen.push('close');
   }
-  cut(): void {
+  abort(): void {
     this.seen.push('cut');
   }
 }
@@ -81,7 +81,7 @@
   spec = specOf();
   edges = ['edge'];
   incarnation = 'incarnation-1';
-  workers: RosterView[] = [
+  workers: GatewayWorker[] = [
     this.worker('w1', 'models'),
     this.worker('d1', 'desks'),
     this.worker('d2', 'desks'),
@@ -103,14 +103,14 @@
     weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
   });
 
-  worker(name: string, pool: string): RosterView {
+  worker(name: string, pool: string): GatewayWorker {
     return {
       name,
       address: name,
       zone: 'z1',
       pool,
-      leaving: false,
-      emptied: false,
+      draining: false,
+      evacuated: false,
       reachable: true,
       slots: 2,
       holdings: [{ model: 'm', adapters: [] }],
@@ -130,9 +130,9 @@
     done(!this.cut);
   }
 
-  ask(change: Partial<Ask> = {}): { port: Port; leave: () => void } {
+  ask(change: Partial<GatewayRequestInit> = {}): { port: Port; leave: () => void } {
     const port = new Port();
-    const ask: Ask = {
+    const ask: GatewayRequestInit = {
       id: `id-${this.flown.length}`,
       path: '/chat',
       method: 'POST',
@@ -516,7 +516,7 @@
   });
 
   it('tells who is refused to come back as the backlog drains, and not all at once', () => {
-    const pace = new Pace();
+    const pace = new DrainRate();
     const idle = pace.returnS(0, 0, 0);
     for (let nowMs = 0; nowMs < 60_000; nowMs += 250) pace.sent(nowMs);
     const told = [0, 0.5, 0.99].map((chance) => pace.returnS(40, chance, 60_000));
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,23 +1,23 @@
 import { EventEmitter } from 'eventemitter3';
 import type { Spec, SpecGroup } from '@rainrun/configuration';
-import { fault, Register, Slab, type Fault } from '@rainrun/common';
-import { Assigner, type Need } from './assign.js';
+import { fault, NameIndex, Slab, type Fault } from '@rainrun/common';
+import { Assigner, type Need } from './worker-selection.js';
 import { Backlog } from './backlog.js';
 import { Catalogue } from './catalogue.js';
-import { Doubt } from './doubt.js';
-import type { Ask, EndRecord, GatewayDependencies, RosterView } from './dependencies.js';
+import { UnconfirmedSends } from './unconfirmed-sends.js';
+import type { GatewayRequestInit, EndRecord, GatewayDependencies, GatewayWorker } from './dependencies.js';
 import { GroupShares } from './group-shares.js';
 import { demandKey, Measures, type Measured } from './measures.js';
-import { Pace } from './pace.js';
+import { DrainRate } from './drain-rate.js';
 import { Retries } from './retries.js';
 import { Send, type SendEnd } from './send.js';
-import type { Visit, VisitorPort } from './visit.js';
+import type { GatewayRequest, GatewayResponseSink } from './gateway-request.js';
 
 interface GatewayEvents {
   ended: (record: EndRecord) => void;
 }
 
-type Filter = (visit: Visit) => Fault | undefined;
+type Filter = (visit: GatewayRequest) => Fault | undefined;
 
 const DEADLINE_MS = 120_000;
 const STALL_MS = 15_000;
@@ -34,19 +34,19 @@
  */
 export class Gateway extends EventEmitter<GatewayEvents> {
   #dependencies: GatewayDependencies;
-  #groups = new Register();
-  #kinds = new Register();
-  #models = new Register();
-  #adapters = new Register();
-  #slab = new Slab<Visit>();
+  #groups = new NameIndex();
+  #kinds = new NameIndex();
+  #models = new NameIndex();
+  #adapters = new NameIndex();
+  #slab = new Slab<GatewayRequest>();
   #backlog = new Backlog();
   #assigner: Assigner;
   #retries: Retries;
   #filters: readonly Filter[];
   #shares: GroupShares;
-  #paces: Pace[] = [];
+  #paces: DrainRate[] = [];
   #measures = new Measures();
-  #doubt: Doubt;
+  #doubt: UnconfirmedSends;
   #flights = new Set<Send>();
   #draining = false;
   #catalogued: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
@@ -58,7 +58,7 @@
     this.#retries = new Retries(dependencies, (name) => this.#count(name));
     this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
     this.#assigner = new Assigner(dependencies.name, dependencies.zone);
-    this.#doubt = new Doubt(dependencies.sender);
+    this.#doubt = new UnconfirmedSends(dependencies.sender);
     this.#filters = [(visit) => this.#mayAdmit(visit), (visit) => this.#knows(visit)];
   }
 
@@ -82,7 +82,7 @@
   }
 
   /** Lets a visitor in; the returned function says that the visitor has left. */
-  admit(ask: Ask, port: VisitorPort): () => void {
+  admit(ask: GatewayRequestInit, port: GatewayResponseSink): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
     const visit = this.#visitOf(ask, port, nowMs);
     this.#count('entered');
@@ -101,7 +101,7 @@
   }
 
   /** A request with its names as indices; what the spec does not know stands as the empty name. */
-  #visitOf(ask: Ask, port: VisitorPort, nowMs: number): Visit {
+  #visitOf(ask: GatewayRequestInit, port: GatewayResponseSink, nowMs: number): GatewayRequest {
     const catalogue = this.#catalogue();
     const route = catalogue?.route(ask.path);
     const group = catalogue?.group(ask.group);
@@ -114,7 +114,7 @@
       model: this.#models.index(ask.model),
       adapter: this.#adapters.index(ask.adapter),
       prefix: ask.prefix,
-      repeatable: route?.serve === 'lookup',
+      idempotent: route?.serve === 'lookup',
       streamed: ask.streamed,
       path: ask.path,
       method: ask.method,
@@ -161,7 +161,7 @@
     for (const lane of this.#backlog.order()) {
       for (const { key } of lane) {
         const visit = this.#slab.get(key);
-        if (visit === undefined || visit.repeatable) continue;
+        if (visit === undefined || visit.idempotent) continue;
         const name = this.#demandKey(visit);
         backlogs.set(name, (backlogs.get(name) ?? 0) + 1);
       }
@@ -180,7 +180,7 @@
 
   // Filters.
 
-  #mayAdmit(visit: Visit): Fault | undefined {
+  #mayAdmit(visit: GatewayRequest): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
     if (!this.#dependencies.granted()) return fault('not-admitting', 'this node is cut off from most others');
     if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
@@ -197,7 +197,7 @@
     return this.#catalogued?.catalogue;
   }
 
-  #knows(visit: Visit): Fault | undefined {
+  #knows(visit: GatewayRequest): Fault | undefined {
     const catalogue = this.#catalogue();
     if (visit.pool === '') return fault('not-found', `no route for ${visit.path}`);
     const name = this.#groups.name(visit.group);
@@ -206,7 +206,7 @@
       return fault('unknown-group', 'the group is not in the spec');
     if (this.#kinds.name(visit.kind) === '')
       return fault('bad-request', `group ${name} has no such kind of work`);
-    if (visit.repeatable) return undefined;
+    if (visit.idempotent) return undefined;
     const model = this.#models.name(visit.model);
     if (!catalogue.serves(group, model)) {
       return fault('unknown-model', `group ${name} has no model "${model}"`);
@@ -218,7 +218,7 @@
   }
 
   /** A group may not have more waiting than its share; what can be sent at once does not wait. */
-  #overBacklog(visit: Visit): Fault | undefined {
+  #overBacklog(visit: GatewayRequest): Fault | undefined {
     const most = this.#shares.mostWaiting(visit.group);
     if (this.#backlog.countOf(visit.group) <= most) return undefined;
     return fault(
@@ -229,7 +229,7 @@
 
   // Waiting and sending.
 
-  #wait(visit: Visit): number {
+  #wait(visit: GatewayRequest): number {
     const key = this.#slab.put(visit);
     visit.cancel = () => {
       if (this.#slab.take(key) !== undefined) this.#backlog.remove(key, visit.group);
@@ -253,7 +253,7 @@
       for (const { key, group } of lane) {
         const visit = this.#slab.get(key);
         if (visit === undefined) continue;
-        if (!visit.repeatable && this.#shares.isHeldBack(group)) continue;
+        if (!visit.idempotent && this.#shares.isHeldBack(group)) continue;
         const wanted = this.#need(visit);
         const need = `${visit.pool}/${this.#demandKey(visit)}/${wanted.beyond}`;
         if (nowhere.has(need)) continue;
@@ -272,18 +272,18 @@
     return false;
   }
 
-  #need(visit: Visit): Need {
+  #need(visit: GatewayRequest): Need {
     return {
       pool: visit.pool,
-      model: visit.repeatable ? '' : this.#models.name(visit.model),
-      adapter: visit.repeatable ? '' : this.#adapters.name(visit.adapter),
+      model: visit.idempotent ? '' : this.#models.name(visit.model),
+      adapter: visit.idempotent ? '' : this.#adapters.name(visit.adapter),
       prefix: visit.prefix,
       beyond:
-        !visit.repeatable && this.#shares.hasItsPart(visit.group) && this.#shares.shareOf(visit.group) < 1,
+        !visit.idempotent && this.#shares.hasItsPart(visit.group) && this.#shares.shareOf(visit.group) < 1,
     };
   }
 
-  #send(visit: Visit, worker: RosterView): void {
+  #send(visit: GatewayRequest, worker: GatewayWorker): void {
     const { clock, sender } = this.#dependencies;
     const nowMs = clock.nowMs();
     visit.sends += 1;
@@ -302,7 +302,7 @@
       },
     });
     this.#flights.add(send);
-    const stallMs = visit.repeatable ? LOOKUP_SEND_MS : STALL_MS;
+    const stallMs = visit.idempotent ? LOOKUP_SEND_MS : STALL_MS;
     const sending = sender.send(
       {
         address: worker.address,
@@ -319,7 +319,7 @@
   }
 
   /** The last look before the first byte. */
-  #mayStart(visit: Visit, worker: RosterView): boolean {
+  #mayStart(visit: GatewayRequest, worker: GatewayWorker): boolean {
     if (visit.left || !this.#dependencies.granted() || this.#dependencies.clock.nowMs() > visit.deadlineMs)
       return false;
     return mayServe(this.#dependencies.workers(), worker);
@@ -328,7 +328,7 @@
   /** The workers are looked up once a heartbeat, and only if there is a silent send to judge. */
   #doubtSends(nowMs: number): void {
     const granted = this.#dependencies.granted();
-    let workers: readonly RosterView[] | undefined;
+    let workers: readonly GatewayWorker[] | undefined;
     this.#doubt.tick(
       [...this.#flights],
       (send) => {
@@ -340,7 +340,7 @@
     );
   }
 
-  #sendOver(visit: Visit, worker: RosterView, end: SendEnd): void {
+  #sendOver(visit: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#shares.ended(visit.group);
     this.#assigner.ended(worker.name, end.well, nowMs);
@@ -358,7 +358,7 @@
     this.tick();
   }
 
-  #visitorLeft(visit: Visit): void {
+  #visitorLeft(visit: GatewayRequest): void {
     if (visit.left) return;
     visit.left = true;
     const cancel = visit.cancel;
@@ -370,15 +370,15 @@
 
   // Counting.
 
-  #refuse(visit: Visit, why: Fault): void {
-    visit.port.refuse(this.#withReturn(visit, why));
+  #refuse(visit: GatewayRequest, why: Fault): void {
+    visit.port.reject(this.#withReturn(visit, why));
     this.#measures.refused(this.#groups.name(visit.group), this.#kinds.name(visit.kind));
     visit.trail.push(`${why.kind}: ${why.detail}`);
     this.#ended(visit, why.kind);
   }
 
   /** Who is refused for want of room is told when to come back: as the group's backlog drains. */
-  #withReturn(visit: Visit, why: Fault): Fault {
+  #withReturn(visit: GatewayRequest, why: Fault): Fault {
     if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
     const waiting = this.#backlog.countOf(visit.group);
     const returnS = this.#pace(visit.group).returnS(
@@ -389,11 +389,11 @@
     return { ...why, returnS };
   }
 
-  #pace(group: number): Pace {
-    return (this.#paces[group] ??= new Pace());
+  #pace(group: number): DrainRate {
+    return (this.#paces[group] ??= new DrainRate());
   }
 
-  #ended(visit: Visit, outcome: EndRecord['outcome']): void {
+  #ended(visit: GatewayRequest, outcome: EndRecord['outcome']): void {
     this.#count(outcome);
     this.#retries.release(visit);
     this.emit('ended', {
@@ -420,7 +420,7 @@
     this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
   }
 
-  #measureServed(visit: Visit, nowMs: number): void {
+  #measureServed(visit: GatewayRequest, nowMs: number): void {
     const waitMs = (visit.firstPieceMs ?? nowMs) - visit.arrivedMs;
     this.#measures.served(
       this.#groups.name(visit.group),
@@ -430,13 +430,13 @@
     );
   }
 
-  #demandKey(visit: Visit): string {
+  #demandKey(visit: GatewayRequest): string {
     return demandKey(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
   }
 
-  #noteArrival(visit: Visit, nowMs: number): void {
+  #noteArrival(visit: GatewayRequest, nowMs: number): void {
     this.#shares.asked(visit.group, nowMs);
-    if (!visit.repeatable)
+    if (!visit.idempotent)
       this.#measures.arrived(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
   }
 }
@@ -447,7 +447,7 @@
 }
 
 /** Whether a worker may get work now, as far as this node knows. */
-function mayServe(workers: readonly RosterView[], worker: RosterView): boolean {
+function mayServe(workers: readonly GatewayWorker[], worker: GatewayWorker): boolean {
   const now = workers.find((known) => known.name === worker.name);
-  return now !== undefined && now.address === worker.address && !now.leaving && !now.emptied;
+  return now !== undefined && now.address === worker.address && !now.draining && !now.evacuated;
 }
--- a/packages/gateway/src/group-shares.ts
+++ b/packages/gateway/src/group-shares.ts
@@ -1,5 +1,5 @@
 /** How an edge shares its part of the workers' slots among the research groups. */
-import type { Register } from '@rainrun/common';
+import type { NameIndex } from '@rainrun/common';
 import type { Backlog } from './backlog.js';
 import type { GatewayDependencies } from './dependencies.js';
 
@@ -16,12 +16,12 @@
  */
 export class GroupShares {
   #dependencies: GatewayDependencies;
-  #groups: Register;
+  #groups: NameIndex;
   #backlog: Backlog;
   #inFlight: number[] = [];
   #seenMs: number[] = [];
 
-  constructor(dependencies: GatewayDependencies, groups: Register, backlog: Backlog) {
+  constructor(dependencies: GatewayDependencies, groups: NameIndex, backlog: Backlog) {
     this.#dependencies = dependencies;
     this.#groups = groups;
     this.#backlog = backlog;
@@ -74,7 +74,7 @@
   #slotsHere(): number {
     const slots = this.#dependencies
       .workers()
-      .reduce((sum, worker) => sum + (worker.leaving || worker.emptied ? 0 : worker.slots), 0);
+      .reduce((sum, worker) => sum + (worker.draining || worker.evacuated ? 0 : worker.slots), 0);
     return Math.max(1, slots / Math.max(1, this.#dependencies.edges().length));
   }
 }
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -1,8 +1,8 @@
 /** Which requests may leave again, within the fleet's retry budget. */
-import { RetryBudget } from './budget.js';
+import { RetryBudget } from './retry-budget.js';
 import type { GatewayDependencies } from './dependencies.js';
 import type { SendEnd } from './send.js';
-import type { Visit } from './visit.js';
+import type { GatewayRequest } from './gateway-request.js';
 
 /** A request leaves so often at most. */
 const SENDS_MOST = 4;
@@ -25,9 +25,9 @@
   }
 
   /** Whether a failed send may be followed by another. */
-  mayRetry(visit: Visit, end: SendEnd, nowMs: number): boolean {
+  mayRetry(visit: GatewayRequest, end: SendEnd, nowMs: number): boolean {
     if (nowMs > visit.deadlineMs || visit.sends >= SENDS_MOST) return false;
-    if (end.sent && !visit.repeatable) return false;
+    if (end.sent && !visit.idempotent) return false;
     if (!end.sent && !end.tried) {
       visit.sends -= 1;
       return visit.retry !== 'lost';
@@ -44,7 +44,7 @@
   }
 
   /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
-  pay(visit: Visit): boolean {
+  pay(visit: GatewayRequest): boolean {
     this.#allot();
     if (visit.retry === 'reserved') {
       visit.retry = this.#budget.spend() ? 'none' : 'lost';
@@ -56,7 +56,7 @@
   }
 
   /** A request has ended: a retry that it did not use is given back. */
-  release(visit: Visit): void {
+  release(visit: GatewayRequest): void {
     if (visit.retry === 'reserved') this.#budget.release();
   }
 
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,8 +1,8 @@
 import { fault, type Fault } from '@rainrun/common';
 import { StreamWatch } from './stream.js';
-import type { RosterView } from './dependencies.js';
+import type { GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
-import type { Visit } from './visit.js';
+import type { GatewayRequest } from './gateway-request.js';
 
 const WHOLE_MAX_BYTES = 8 * 1024 * 1024;
 
@@ -33,8 +33,8 @@
  * send.attach(sender.send(request, send));
  */
 export class Send implements SendHandler {
-  #visit: Visit;
-  #worker: RosterView;
+  #visit: GatewayRequest;
+  #worker: GatewayWorker;
   #context: SendContext;
   #sending: Sending | undefined;
   #status = 0;
@@ -47,7 +47,7 @@
   #withheld = false;
   #over = false;
 
-  constructor(visit: Visit, worker: RosterView, context: SendContext) {
+  constructor(visit: GatewayRequest, worker: GatewayWorker, context: SendContext) {
     this.#visit = visit;
     this.#worker = worker;
     this.#context = context;
@@ -58,7 +58,7 @@
     if (this.#over) sending.abort();
   }
 
-  get worker(): RosterView {
+  get worker(): GatewayWorker {
     return this.#worker;
   }
 
@@ -127,7 +127,7 @@
       return this.#fail(
         true,
         fault('no-worker', `${this.#worker.name} took no more`),
-        !this.#visit.repeatable,
+        !this.#visit.idempotent,
       );
     }
     if (this.#status >= 500 || this.#status < 200)
@@ -135,7 +135,7 @@
     if (!isJson(body))
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
     this.#visit.firstPieceMs ??= this.#context.nowMs();
-    this.#visit.port.answer(this.#status, this.#contentType, body);
+    this.#visit.port.respond(this.#status, this.#contentType, body);
     this.#finish({ done: 'served', well: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
@@ -163,7 +163,7 @@
       this.#visit.firstPieceMs ??= this.#context.nowMs();
       port.open(this.#contentType);
     }
-    if (!port.piece(events, () => this.#sending?.resume())) this.#sending?.pause();
+    if (!port.write(events, () => this.#sending?.resume())) this.#sending?.pause();
   }
 
   #endStream(watch: StreamWatch): void {
@@ -183,7 +183,7 @@
   }
 
   #cut(): void {
-    this.#visit.port.cut();
+    this.#visit.port.abort();
     this.#finish({ done: 'cut', well: false, sent: true, tried: true, fault: NO_FAULT });
   }
 
--- a/packages/gateway/src/doubt.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -4,7 +4,7 @@
 const PROBE_GAP_MS = 200;
 const PROBES_FAILED = 2;
 
-interface Doubted {
+interface ProbedWorker {
   failed: number;
   flying: boolean;
   notBeforeMs: number;
@@ -17,12 +17,12 @@
  * connection; where two probes in a row find no way, its silent sends are
  * given up and their connections reset, so that nothing arrives there late.
  * @example
- * const doubt = new Doubt(sender);
+ * const doubt = new UnconfirmedSends(sender);
  * doubt.tick(sends, (send) => isLeaving(send.worker), nowMs);
  */
-export class Doubt {
+export class UnconfirmedSends {
   #sender: Sender;
-  #doubted = new Map<string, Doubted>();
+  #doubted = new Map<string, ProbedWorker>();
 
   constructor(sender: Sender) {
     this.#sender = sender;
@@ -44,7 +44,7 @@
     }
   }
 
-  #probe(address: string, doubted: Doubted, nowMs: number): void {
+  #probe(address: string, doubted: ProbedWorker, nowMs: number): void {
     doubted.flying = true;
     doubted.notBeforeMs = nowMs + PROBE_GAP_MS;
     this.#sender.probe(address, (reached) => {
--- a/packages/gateway/src/assign.ts
+++ b/packages/gateway/src/worker-selection.ts
@@ -1,5 +1,5 @@
 import { hashText } from '@rainrun/common';
-import type { RosterView } from './dependencies.js';
+import type { GatewayWorker } from './dependencies.js';
 
 const PREFIXES_KEPT = 4096;
 const WARM_STEP_MS = 500;
@@ -29,7 +29,7 @@
 
 /** Where a request goes, or why nowhere now. */
 export type Assignment =
-  | { readonly worker: RosterView; readonly why: string }
+  | { readonly worker: GatewayWorker; readonly why: string }
   | { readonly worker: undefined; readonly why: string };
 
 function score(name: string, self: string): number {
@@ -59,8 +59,8 @@
     return this.#standing(worker).inFlight;
   }
 
-  assign(need: Need, workers: readonly RosterView[], edges: readonly string[], nowMs: number): Assignment {
-    let best: RosterView | undefined;
+  assign(need: Need, workers: readonly GatewayWorker[], edges: readonly string[], nowMs: number): Assignment {
+    let best: GatewayWorker | undefined;
     let bestScore = -Infinity;
     let why = 'no worker holds it';
     for (const worker of workers) {
@@ -120,15 +120,15 @@
   }
 
   /** Whether a worker may get this at all, load aside. */
-  #serves(worker: RosterView, need: Need): boolean {
-    if (worker.leaving || worker.emptied || !worker.reachable || worker.pool !== need.pool) return false;
+  #serves(worker: GatewayWorker, need: Need): boolean {
+    if (worker.draining || worker.evacuated || !worker.reachable || worker.pool !== need.pool) return false;
     if (need.model === '') return true;
     const holding = worker.holdings.find((held) => held.model === need.model);
     return holding !== undefined && (need.adapter === '' || holding.adapters.includes(need.adapter));
   }
 
   /** How many this edge may have in flight there: its part of the slots, of few while a copy warms. */
-  #limit(worker: RosterView, need: Need, edges: readonly string[], nowMs: number): number {
+  #limit(worker: GatewayWorker, need: Need, edges: readonly string[], nowMs: number): number {
     const free = worker.slots - worker.othersInFlight;
     const part = Math.ceil(worker.slots / Math.max(1, edges.length));
     const usual = Math.max(part, Math.floor(free / 2));
--- a/packages/messages/src/codec.ts
+++ b/packages/messages/src/codec.ts
@@ -5,16 +5,16 @@
 import { FrameSchema, type Frame } from './gen/rainrun_pb.js';
 
 /** Version of the frames on the wire; nodes of another version are not understood. */
-export const WIRE = 1;
+export const WIRE_VERSION = 1;
 
 /** Levels of the protocol that a program speaks. */
-export interface Speaks {
-  readonly least: number;
-  readonly most: number;
+export interface ProtocolLevels {
+  readonly min: number;
+  readonly max: number;
 }
 
 /** What this build speaks: its own level and the one before, so that neighbours can be rolled out. */
-export const SPEAKS: Speaks = { least: 1, most: 2 };
+export const PROTOCOL_LEVELS: ProtocolLevels = { min: 1, max: 2 };
 
 /** No frame is larger. */
 export const FRAME_MAX_BYTES = 8 * 1024 * 1024;
@@ -24,7 +24,7 @@
  * @example
  * const bytes = pack(create(FrameSchema, { wire: WIRE, deployment: 'd', from: 'a' }));
  */
-export function pack(frame: Frame): Uint8Array {
+export function encodeFrame(frame: Frame): Uint8Array {
   return toBinary(FrameSchema, frame);
 }
 
@@ -33,7 +33,7 @@
  * @example
  * unpack(new Uint8Array([255]), 'd').isErr; // true
  */
-export function unpack(bytes: Uint8Array, deployment: string): Result<Frame, Fault> {
+export function decodeFrame(bytes: Uint8Array, deployment: string): Result<Frame, Fault> {
   if (bytes.length > FRAME_MAX_BYTES) return Result.err(fault('wire', `frame of ${bytes.length} bytes`));
   const read = tryOrElse(
     (thrown) => fault('wire', String(thrown)),
@@ -41,7 +41,8 @@
   );
   if (read.isErr) return read;
   const frame = read.value;
-  if (frame.wire !== WIRE) return Result.err(fault('wire', `wire version ${frame.wire}, expected ${WIRE}`));
+  if (frame.wire !== WIRE_VERSION)
+    return Result.err(fault('wire', `wire version ${frame.wire}, expected ${WIRE_VERSION}`));
   if (frame.deployment !== deployment) {
     return Result.err(fault('foreign', `frame of deployment "${frame.deployment}"`));
   }
--- a/packages/messages/src/news.ts
+++ b/packages/messages/src/gossip.ts
@@ -1,15 +1,15 @@
 import { create } from '@bufbuild/protobuf';
-import { hashText, type Chance } from '@rainrun/common';
+import { hashText, type RandomSource } from '@rainrun/common';
 import {
-  DigestSchema,
-  MendSchema,
-  NewsItemSchema,
-  NewsSchema,
-  type Digest,
+  GossipDigestSchema,
+  GossipRepairSchema,
+  GossipItemSchema,
+  GossipUpdateSchema,
+  type GossipDigest,
   type Frame,
-  type Mend,
-  type News,
-  type NewsItem,
+  type GossipRepair,
+  type GossipUpdate,
+  type GossipItem,
 } from './gen/rainrun_pb.js';
 
 /** Ranges into which the keys are cut for digests. */
@@ -17,7 +17,7 @@
 
 const FANOUT = 3;
 
-function newer(one: NewsItem, other: NewsItem): boolean {
+function newer(one: GossipItem, other: GossipItem): boolean {
   return one.major !== other.major ? one.major > other.major : one.minor > other.minor;
 }
 
@@ -25,26 +25,26 @@
  * News: the newest item for each key, passed on to a few members; gaps are
  * found by digests over ranges of keys and mended from the newer copy.
  * @example
- * const board = new NewsBoard(dice, (item) => learn(item));
+ * const board = new GossipTable(dice, (item) => learn(item));
  * board.tell('leaving/w1', 3, 1, bytes);
  */
-export class NewsBoard {
-  #chance: Chance;
-  #heard: (item: NewsItem) => void;
-  #items = new Map<string, NewsItem>();
-  #fresh: NewsItem[] = [];
+export class GossipTable {
+  #chance: RandomSource;
+  #heard: (item: GossipItem) => void;
+  #items = new Map<string, GossipItem>();
+  #fresh: GossipItem[] = [];
 
-  constructor(chance: Chance, heard: (item: NewsItem) => void) {
+  constructor(chance: RandomSource, heard: (item: GossipItem) => void) {
     this.#chance = chance;
     this.#heard = heard;
   }
 
-  get(key: string): NewsItem | undefined {
+  get(key: string): GossipItem | undefined {
     return this.#items.get(key);
   }
 
-  tell(key: string, major: number, minor: number, value: Uint8Array): void {
-    this.#learn(create(NewsItemSchema, { key, major, minor, value }));
+  publish(key: string, major: number, minor: number, value: Uint8Array): void {
+    this.#learn(create(GossipItemSchema, { key, major, minor, value }));
   }
 
   /** Frames to post this heartbeat: fresh items to a few members, and one digest. */
@@ -52,44 +52,44 @@
     const posts: { to: string; body: Frame['body'] }[] = [];
     if (members.length === 0) return posts;
     if (this.#fresh.length > 0) {
-      const value = create(NewsSchema, { items: this.#fresh });
-      for (const to of this.#few(members)) posts.push({ to, body: { case: 'news', value } });
+      const value = create(GossipUpdateSchema, { items: this.#fresh });
+      for (const to of this.#few(members)) posts.push({ to, body: { case: 'gossipUpdate', value } });
       this.#fresh = [];
     }
     const to = members[Math.floor(this.#chance.next() * members.length)];
-    if (to !== undefined) posts.push({ to, body: { case: 'digest', value: this.#digest() } });
+    if (to !== undefined) posts.push({ to, body: { case: 'gossipDigest', value: this.#digest() } });
     return posts;
   }
 
-  takeNews(news: News): void {
+  onUpdate(news: GossipUpdate): void {
     for (const item of news.items) this.#learn(item);
   }
 
-  takeDigest(digest: Digest): Mend | undefined {
+  onDigest(digest: GossipDigest): GossipRepair | undefined {
     const mine = this.#digest().ranges;
     const ranges: number[] = [];
     for (let range = 0; range < RANGES; range += 1)
       if (mine[range] !== digest.ranges[range]) ranges.push(range);
     if (ranges.length === 0) return undefined;
-    return create(MendSchema, { ranges, items: this.#inRanges(ranges) });
+    return create(GossipRepairSchema, { ranges, items: this.#inRanges(ranges) });
   }
 
-  takeMend(mend: Mend): Mend | undefined {
+  onRepair(mend: GossipRepair): GossipRepair | undefined {
     const mine = this.#inRanges(mend.ranges);
-    const theirs = new Map<string, NewsItem>();
+    const theirs = new Map<string, GossipItem>();
     for (const item of mend.items) {
       theirs.set(item.key, item);
       this.#learn(item);
     }
     if (mend.answered) return undefined;
-    const better: NewsItem[] = [];
+    const better: GossipItem[] = [];
     for (const item of mine) {
       const other = theirs.get(item.key);
       if (other === undefined || newer(item, other)) better.push(item);
     }
     return better.length === 0
       ? undefined
-      : create(MendSchema, { ranges: mend.ranges, items: better, answered: true });
+      : create(GossipRepairSchema, { ranges: mend.ranges, items: better, answered: true });
   }
 
   #few(members: readonly string[]): string[] {
@@ -101,7 +101,7 @@
     return few;
   }
 
-  #learn(item: NewsItem): void {
+  #learn(item: GossipItem): void {
     const known = this.#items.get(item.key);
     if (known !== undefined && !newer(item, known)) return;
     this.#items.set(item.key, item);
@@ -109,7 +109,7 @@
     this.#heard(item);
   }
 
-  #digest(): Digest {
+  #digest(): GossipDigest {
     const ranges = new Array<number>(RANGES).fill(0);
     for (const item of this.#items.values()) {
       const hash = hashText(item.key);
@@ -117,10 +117,10 @@
       const sum = (ranges[range] ?? 0) + hashText(`${item.major}.${item.minor}`, hash);
       ranges[range] = sum >>> 0;
     }
-    return create(DigestSchema, { ranges });
+    return create(GossipDigestSchema, { ranges });
   }
 
-  #inRanges(ranges: readonly number[]): NewsItem[] {
+  #inRanges(ranges: readonly number[]): GossipItem[] {
     const wanted = new Set(ranges);
     return [...this.#items.values()].filter((item) => wanted.has(hashText(item.key) % RANGES));
   }
--- a/packages/messages/src/index.ts
+++ b/packages/messages/src/index.ts
@@ -1,4 +1,4 @@
 export * from './gen/rainrun_pb.js';
 export * from './codec.js';
-export * from './channel.js';
-export * from './news.js';
+export * from './ordered-channel.js';
+export * from './gossip.js';
--- a/packages/messages/src/messages.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -1,20 +1,20 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
-import { Channel } from './channel.js';
-import { pack, unpack, WIRE } from './codec.js';
-import { AnswerSchema, ByeSchema, FrameSchema, type Parcel } from './gen/rainrun_pb.js';
-import { NewsBoard } from './news.js';
+import { OrderedChannel } from './ordered-channel.js';
+import { encodeFrame, decodeFrame, WIRE_VERSION } from './codec.js';
+import { AnswerSchema, GoodbyeSchema, FrameSchema, type SequencedMessage } from './gen/rainrun_pb.js';
+import { GossipTable } from './gossip.js';
 
 describe('channel', () => {
   it('delivers once and in order over a network that loses, doubles and turns round', () => {
-    const dice = new Dice(5);
-    const near = new Channel();
-    const far = new Channel();
+    const dice = new SeededRandom(5);
+    const near = new OrderedChannel();
+    const far = new OrderedChannel();
     const got: string[] = [];
-    let wires: { to: Channel; parcel: Parcel }[] = [];
-    function carry(to: Channel, parcels: Parcel[]): void {
+    let wires: { to: OrderedChannel; parcel: SequencedMessage }[] = [];
+    function carry(to: OrderedChannel, parcels: SequencedMessage[]): void {
       for (const parcel of parcels) {
         const copies = dice.next() < 0.3 ? 0 : dice.next() < 0.2 ? 2 : 1;
         for (let copy = 0; copy < copies; copy += 1) wires.push({ to, parcel: { ...parcel } });
@@ -35,7 +35,7 @@
   });
 
   it('reports its lag, and does not count its own sleep', () => {
-    const channel = new Channel();
+    const channel = new OrderedChannel();
     channel.post({ case: 'answer', value: create(AnswerSchema) });
     channel.tick(0);
     expect(channel.lagMs(3000)).toEqual(3000);
@@ -44,7 +44,7 @@
   });
 
   it('refuses more than its bound', () => {
-    const channel = new Channel();
+    const channel = new OrderedChannel();
     const takes = Array.from({ length: 5000 }, () =>
       channel.post({ case: 'answer', value: create(AnswerSchema) }),
     );
@@ -54,23 +54,23 @@
 
 describe('codec', () => {
   const frame = create(FrameSchema, {
-    wire: WIRE,
+    wire: WIRE_VERSION,
     deployment: 'd',
     from: 'a',
-    body: { case: 'bye', value: create(ByeSchema) },
+    body: { case: 'goodbye', value: create(GoodbyeSchema) },
   });
 
   it('reads back what it packed', () => {
-    const read = unpack(pack(frame), 'd');
+    const read = decodeFrame(encodeFrame(frame), 'd');
     expect(read.isOk && read.value.from).toEqual('a');
   });
 
   it('refuses what is malformed, of another version or of another deployment', () => {
     const kinds = [
-      unpack(new Uint8Array([255, 255, 255]), 'd'),
-      unpack(pack({ ...frame, wire: WIRE + 1 }), 'd'),
-      unpack(pack(create(FrameSchema, { wire: WIRE, deployment: 'd', from: 'a' })), 'd'),
-      unpack(pack(frame), 'other'),
+      decodeFrame(new Uint8Array([255, 255, 255]), 'd'),
+      decodeFrame(encodeFrame({ ...frame, wire: WIRE_VERSION + 1 }), 'd'),
+      decodeFrame(encodeFrame(create(FrameSchema, { wire: WIRE_VERSION, deployment: 'd', from: 'a' })), 'd'),
+      decodeFrame(encodeFrame(frame), 'other'),
     ].map((read) => (read.isErr ? read.error.kind : 'taken'));
     expect(kinds).toEqual(['wire', 'wire', 'wire', 'foreign']);
   });
@@ -78,15 +78,15 @@
 
 describe('news', () => {
   it('mends gaps from the newer copy, whichever side asks', () => {
-    const one = new NewsBoard(new Dice(1), () => undefined);
-    const other = new NewsBoard(new Dice(2), () => undefined);
-    one.tell('a', 1, 5, new Uint8Array([1]));
-    other.tell('a', 2, 0, new Uint8Array([2]));
-    one.tell('b', 1, 0, new Uint8Array([3]));
-    const digest = one.tick(['x']).find((post) => post.body.case === 'digest');
-    const mend = digest?.body.case === 'digest' ? other.takeDigest(digest.body.value) : undefined;
-    const back = mend === undefined ? undefined : one.takeMend(mend);
-    if (back !== undefined) other.takeMend(back);
+    const one = new GossipTable(new SeededRandom(1), () => undefined);
+    const other = new GossipTable(new SeededRandom(2), () => undefined);
+    one.publish('a', 1, 5, new Uint8Array([1]));
+    other.publish('a', 2, 0, new Uint8Array([2]));
+    one.publish('b', 1, 0, new Uint8Array([3]));
+    const digest = one.tick(['x']).find((post) => post.body.case === 'gossipDigest');
+    const mend = digest?.body.case === 'gossipDigest' ? other.onDigest(digest.body.value) : undefined;
+    const back = mend === undefined ? undefined : one.onRepair(mend);
+    if (back !== undefined) other.onRepair(back);
     expect([one.get('a')?.value, other.get('a')?.value, other.get('b')?.value]).toEqual([
       new Uint8Array([2]),
       new Uint8Array([2]),
@@ -95,9 +95,9 @@
   });
 
   it('never takes an older item', () => {
-    const board = new NewsBoard(new Dice(1), () => undefined);
-    board.tell('a', 2, 0, new Uint8Array([2]));
-    board.tell('a', 1, 9, new Uint8Array([1]));
+    const board = new GossipTable(new SeededRandom(1), () => undefined);
+    board.publish('a', 2, 0, new Uint8Array([2]));
+    board.publish('a', 1, 9, new Uint8Array([1]));
     expect(board.get('a')?.value).toEqual(new Uint8Array([2]));
   });
 });
--- a/packages/messages/src/channel.ts
+++ b/packages/messages/src/ordered-channel.ts
@@ -1,8 +1,8 @@
 import { create } from '@bufbuild/protobuf';
-import { ParcelSchema, type Parcel } from './gen/rainrun_pb.js';
+import { SequencedMessageSchema, type SequencedMessage } from './gen/rainrun_pb.js';
 
 /** What one parcel carries. */
-export type Body = Parcel['body'];
+export type SequencedBody = SequencedMessage['body'];
 
 const WINDOW = 64;
 const RESEND_MS = 250;
@@ -16,16 +16,16 @@
  * channel.post({ case: 'submit', value: submit });
  * for (const parcel of channel.tick(nowMs)) transmit(parcel);
  */
-export class Channel {
+export class OrderedChannel {
   #sequence = 0;
-  #backlog: Body[] = [];
-  #flying: { parcel: Parcel; sentMs: number; bornMs: number }[] = [];
+  #backlog: SequencedBody[] = [];
+  #flying: { parcel: SequencedMessage; sentMs: number; bornMs: number }[] = [];
   #received = 0;
-  #early = new Map<number, Body>();
+  #early = new Map<number, SequencedBody>();
   #ackDue = false;
 
   /** Takes a body to send; false when the member lags beyond the bound. */
-  post(body: Body): boolean {
+  post(body: SequencedBody): boolean {
     if (this.#backlog.length >= BACKLOG_MAX) return false;
     this.#backlog.push(body);
     return true;
@@ -43,13 +43,13 @@
   }
 
   /** Takes a parcel in and returns the bodies whose turn has come. */
-  receive(parcel: Parcel): Body[] {
+  receive(parcel: SequencedMessage): SequencedBody[] {
     while ((this.#flying[0]?.parcel.sequence ?? Infinity) <= parcel.ack) this.#flying.shift();
     if (parcel.sequence === 0) return [];
     this.#ackDue = true;
     if (parcel.sequence <= this.#received || parcel.sequence > this.#received + 4 * WINDOW) return [];
     this.#early.set(parcel.sequence, parcel.body);
-    const ready: Body[] = [];
+    const ready: SequencedBody[] = [];
     for (;;) {
       const body = this.#early.get(this.#received + 1);
       if (body === undefined) return ready;
@@ -60,8 +60,8 @@
   }
 
   /** The parcels that are due now: fresh ones, late ones again, or a bare acknowledgement. */
-  tick(nowMs: number): Parcel[] {
-    const due: Parcel[] = [];
+  tick(nowMs: number): SequencedMessage[] {
+    const due: SequencedMessage[] = [];
     for (const flight of this.#flying) {
       if (nowMs - flight.sentMs < RESEND_MS) continue;
       flight.sentMs = nowMs;
@@ -70,13 +70,13 @@
     }
     while (this.#flying.length < WINDOW && this.#backlog.length > 0) {
       this.#sequence += 1;
-      const parcel = create(ParcelSchema, { sequence: this.#sequence, ack: this.#received });
+      const parcel = create(SequencedMessageSchema, { sequence: this.#sequence, ack: this.#received });
       const body = this.#backlog.shift();
       if (body !== undefined) parcel.body = body;
       this.#flying.push({ parcel, sentMs: nowMs, bornMs: nowMs });
       due.push(parcel);
     }
-    if (this.#ackDue && due.length === 0) due.push(create(ParcelSchema, { ack: this.#received }));
+    if (this.#ackDue && due.length === 0) due.push(create(SequencedMessageSchema, { ack: this.#received }));
     this.#ackDue = false;
     return due;
   }
--- a/packages/placement/src/copy-demand.test.ts
+++ b/packages/placement/src/copy-demand.test.ts
@@ -2,12 +2,12 @@
 import { expect } from 'earl';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
 import type { Demand } from './demand-totals.js';
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 
 const STEP_MS = 50;
 const LOAD_MS = 4000;
 
-function engine(loadMs: number): StockEngine {
+function engine(loadMs: number): Engine {
   return {
     service: 'assist',
     slots: 48,
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -1,5 +1,5 @@
 import type { Demand } from './demand-totals.js';
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 import { Loop } from './loop.js';
 import { PLACEMENT_POLICY } from './policy.js';
 
@@ -40,7 +40,7 @@
   #concurrency = new Map<string, Concurrency>();
   #loops = new Map<string, { readonly loop: Loop; atMs: number }>();
 
-  targetOf(engine: StockEngine, model: string, demand: Demand, nowMs: number): CopyTarget {
+  targetOf(engine: Engine, model: string, demand: Demand, nowMs: number): CopyTarget {
     const key = `${engine.service}/${model}`;
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     const concurrency = this.#smooth(key, demand.inFlight + demand.waiting, loadMs, nowMs);
@@ -59,7 +59,7 @@
   }
 
   /** Requests for a model that ran and waited at once, lately. */
-  recent(engine: StockEngine, model: string): number {
+  recent(engine: Engine, model: string): number {
     return this.#concurrency.get(`${engine.service}/${model}`)?.recent ?? 0;
   }
 
--- a/packages/placement/src/demand-totals.test.ts
+++ b/packages/placement/src/demand-totals.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { DemandTotals, type StockWant } from './demand-totals.js';
+import { DemandTotals, type EdgeDemand } from './demand-totals.js';
 
-function want(model: string, change: Partial<StockWant> = {}): StockWant {
+function want(model: string, change: Partial<EdgeDemand> = {}): EdgeDemand {
   return {
     service: 'assist',
     model,
@@ -10,8 +10,8 @@
     waiting: 1,
     inFlight: 2,
     perS: 0.3,
-    pressure: 0.5,
-    patienceMs: 0,
+    waitToTargetRatio: 0.5,
+    meanTargetMs: 0,
     ...change,
   };
 }
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -4,7 +4,7 @@
  */
 
 /** What one edge asks for of a model or of an adapter of it. */
-export interface StockWant {
+export interface EdgeDemand {
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
@@ -14,9 +14,9 @@
   /** Requests a second. */
   readonly perS: number;
   /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
-  readonly pressure: number;
+  readonly waitToTargetRatio: number;
   /** Mean target latency of its requests: they can wait so long without loss. 0 if unknown. */
-  readonly patienceMs: number;
+  readonly meanTargetMs: number;
 }
 
 /** Requests for an adapter. */
@@ -40,7 +40,7 @@
 interface Report {
   atMs: number;
   /** By service, model and adapter. */
-  readonly wants: Map<string, StockWant>;
+  readonly wants: Map<string, EdgeDemand>;
 }
 
 const NOTHING: ReadonlyMap<string, Demand> = new Map();
@@ -63,14 +63,14 @@
   }
 
   /** Takes all that an edge asks for now; it replaces what it asked for before. */
-  set(edge: string, wants: readonly StockWant[], nowMs: number): void {
+  set(edge: string, wants: readonly EdgeDemand[], nowMs: number): void {
     this.#remove(edge);
     this.update(edge, wants, nowMs);
   }
 
   /** Takes what has changed at an edge; what else it asked for stays. */
-  update(edge: string, wants: readonly StockWant[], nowMs: number): void {
-    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, wants: new Map<string, StockWant>() };
+  update(edge: string, wants: readonly EdgeDemand[], nowMs: number): void {
+    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, wants: new Map<string, EdgeDemand>() };
     this.#reports.set(edge, report);
     report.atMs = nowMs;
     for (const want of wants) {
@@ -99,7 +99,7 @@
     for (const want of report.wants.values()) this.#subtract(want);
   }
 
-  #add(want: StockWant): void {
+  #add(want: EdgeDemand): void {
     this.#waiting += want.waiting;
     let models = this.#byService.get(want.service);
     if (models === undefined) {
@@ -112,8 +112,8 @@
       models.set(want.model, demand);
     }
     demand.reports += 1;
-    demand.pressed += want.pressure * want.perS;
-    demand.patient += want.patienceMs * want.perS;
+    demand.pressed += want.waitToTargetRatio * want.perS;
+    demand.patient += want.meanTargetMs * want.perS;
     accumulate(demand, want, 1);
     if (want.adapter === '') return;
     let adapter = demand.adapters.get(want.adapter);
@@ -124,7 +124,7 @@
     accumulate(adapter, want, 1);
   }
 
-  #subtract(want: StockWant): void {
+  #subtract(want: EdgeDemand): void {
     this.#waiting -= want.waiting;
     const models = this.#byService.get(want.service);
     const demand = models?.get(want.model);
@@ -134,15 +134,15 @@
       models?.delete(want.model);
       return;
     }
-    demand.pressed -= want.pressure * want.perS;
-    demand.patient -= want.patienceMs * want.perS;
+    demand.pressed -= want.waitToTargetRatio * want.perS;
+    demand.patient -= want.meanTargetMs * want.perS;
     accumulate(demand, want, -1);
     const adapter = demand.adapters.get(want.adapter);
     if (adapter !== undefined) accumulate(adapter, want, -1);
   }
 }
 
-function accumulate(demand: AdapterDemand, want: StockWant, sign: 1 | -1): void {
+function accumulate(demand: AdapterDemand, want: EdgeDemand, sign: 1 | -1): void {
   demand.waiting += sign * want.waiting;
   demand.inFlight += sign * want.inFlight;
   demand.perS += sign * want.perS;
--- a/packages/placement/src/engine.ts
+++ b/packages/placement/src/engine.ts
@@ -1,7 +1,7 @@
 /** What a configuration says of the workers of a service and of the models that they load. */
 
 /** What a model weighs and how long it takes to load. */
-export interface StockModel {
+export interface EngineModel {
   readonly name: string;
   readonly sizeMb: number;
   readonly loadMs: number;
@@ -9,13 +9,13 @@
 }
 
 /** The engines of one service. */
-export interface StockEngine {
+export interface Engine {
   readonly service: string;
   readonly slots: number;
   readonly roomMb: number;
   readonly adapterPlaces: number;
   readonly loadsPerS: number;
-  readonly models: ReadonlyMap<string, StockModel>;
+  readonly models: ReadonlyMap<string, EngineModel>;
 }
 
 /**
@@ -23,7 +23,7 @@
  * @example
  * loadsAtOnce({ ...engine, loadsPerS: 6, models: new Map([['m', { ...model, loadMs: 600 }]]) }); // 4
  */
-export function loadsAtOnce(engine: StockEngine): number {
+export function loadsAtOnce(engine: Engine): number {
   let shortestMs = Infinity;
   for (const { loadMs } of engine.models.values()) shortestMs = Math.min(shortestMs, loadMs);
   return Number.isFinite(shortestMs) ? Math.max(1, Math.round((engine.loadsPerS * shortestMs) / 1000)) : 1;
--- a/packages/placement/src/holdings.ts
+++ b/packages/placement/src/holdings.ts
@@ -1,5 +1,5 @@
 /** What workers hold, and what it takes up. */
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 
 /** Adapters by model. */
 export type Holdings = ReadonlyMap<string, ReadonlySet<string>>;
@@ -18,7 +18,7 @@
  * @example
  * modelMb(engine, 'model-1', 2); // its weights and two adapters
  */
-export function modelMb(engine: StockEngine, model: string, adapters: number): number {
+export function modelMb(engine: Engine, model: string, adapters: number): number {
   const known = engine.models.get(model);
   return known === undefined ? engine.roomMb : known.sizeMb + adapters * known.adapterMb;
 }
@@ -28,7 +28,7 @@
  * @example
  * usedMb(engine, state.planned) <= engine.roomMb;
  */
-export function usedMb(engine: StockEngine, holdings: Holdings): number {
+export function usedMb(engine: Engine, holdings: Holdings): number {
   let sumMb = 0;
   for (const [model, adapters] of holdings) sumMb += modelMb(engine, model, adapters.size);
   return sumMb;
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,6 +1,6 @@
 export * from './loop.js';
-export * from './orderer.js';
-export * from './placer.js';
+export * from './spec-order-sender.js';
+export * from './spec-placer.js';
 export * from './worker-table.js';
 export * from './engine.js';
 export { copyOf, type Holdings } from './holdings.js';
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,7 +1,7 @@
 import { DiskLoadTime } from './disk-load-time.js';
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 import { copyOf } from './holdings.js';
-import type { ReportReply, StockOrder, StockReply, WorkerReport } from './orders.js';
+import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerReport } from './orders.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 import { WorkerState, type Step } from './worker-state.js';
 
@@ -9,7 +9,7 @@
 export interface OrderDependencies {
   /** The fence under which this node may order now, or undefined; asked just before each order. */
   fence(): number | undefined;
-  order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void;
+  order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void;
   /** Asks a worker what it holds. */
   report(row: WorkerRecord, done: (reply: ReportReply) => void): void;
   nowMs(): number;
@@ -76,7 +76,7 @@
   }
 
   /** A load from a worker's own disk takes this part of one from the store, as far as was seen. */
-  diskPart({ service }: StockEngine): number {
+  diskPart({ service }: Engine): number {
     return this.#diskTime(service).partOfStore;
   }
 
@@ -93,7 +93,7 @@
 
   /** Whether a worker neither takes orders nor says what it holds: nobody can count on what it held. */
   isSilent(row: WorkerRecord): boolean {
-    return !row.sure && this.state(row).asking.unanswered >= SILENT_QUESTIONS;
+    return !row.sure && this.state(row).reportRequest.unanswered >= SILENT_QUESTIONS;
   }
 
   /** Takes a worker's own word on what it holds: from here on it may be ordered. */
@@ -106,9 +106,9 @@
   }
 
   /** Sends what is due to one worker: its next order, or the question what it holds. */
-  pursue(engine: StockEngine, row: WorkerRecord, nowMs: number): void {
+  pursue(engine: Engine, row: WorkerRecord, nowMs: number): void {
     const state = this.state(row);
-    if (row.leaving) return state.clear();
+    if (row.draining) return state.clear();
     if (!row.sure) return this.#reread(row, state);
     const first = state.steps[0];
     if (first === undefined) return;
@@ -116,11 +116,11 @@
     if (first.posted || nowMs < first.notBeforeMs) return;
     const fence = this.#dependencies.fence();
     if (fence === undefined) return;
-    if (!first.begun && !state.bears(engine, first)) return this.#doubt(row, state);
+    if (!first.begun && !state.fits(engine, first)) return this.#doubt(row, state);
     this.#send(engine, row, state, first, fence);
   }
 
-  #send(engine: StockEngine, row: WorkerRecord, state: WorkerState, first: Step, fence: number): void {
+  #send(engine: Engine, row: WorkerRecord, state: WorkerState, first: Step, fence: number): void {
     const { action, model, adapter } = first;
     const { sequence } = state;
     first.posted = true;
@@ -130,7 +130,7 @@
     });
   }
 
-  #replied(engine: StockEngine, row: WorkerRecord, state: WorkerState, step: Step, reply: StockReply): void {
+  #replied(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, reply: WorkerOrderReply): void {
     const nowMs = this.#dependencies.nowMs();
     switch (reply) {
       case 'begun':
@@ -170,7 +170,7 @@
     this.#sendAgain(step, nowMs + AGAIN_MS);
   }
 
-  #begun(engine: StockEngine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
+  #begun(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
     // A worker does one order at a time: the next one is not taken before this is done.
     if (step.action === 'unload') return this.#finish(row, state, step);
     if (step.adapter !== '') {
@@ -184,7 +184,7 @@
     this.#sendAgain(step, nowMs + state.loadMs(engine, step.model, this.diskPart(engine)) + slackMs);
   }
 
-  #observeDisk(engine: StockEngine, step: Step, nowMs: number): void {
+  #observeDisk(engine: Engine, step: Step, nowMs: number): void {
     if (step.action !== 'load' || step.adapter !== '') return;
     this.#diskTime(engine.service).observe(step, engine.models.get(step.model)?.loadMs ?? 0, nowMs);
   }
@@ -233,7 +233,7 @@
   /** Asks a worker that may be ordered what it holds, not too often. */
   #ask(row: WorkerRecord, heard: (report: WorkerReport) => void): void {
     const nowMs = this.#dependencies.nowMs();
-    const { asking } = this.state(row);
+    const { reportRequest: asking } = this.state(row);
     if (asking.open || nowMs < asking.notBeforeMs || this.#dependencies.fence() === undefined) return;
     asking.open = true;
     this.counts.reports += 1;
--- a/packages/placement/src/orders.ts
+++ b/packages/placement/src/orders.ts
@@ -2,7 +2,7 @@
 import type { Holdings } from './holdings.js';
 
 /** An order to a worker. */
-export interface StockOrder {
+export interface WorkerOrder {
   readonly action: 'load' | 'unload';
   readonly model: string;
   /** Empty for the model itself. */
@@ -18,7 +18,7 @@
 }
 
 /** How a worker answered an order. */
-export type StockReply =
+export type WorkerOrderReply =
   /** It is being done. */
   | 'begun'
   /** It was so already. */
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -1,6 +1,6 @@
 import type { CopyTarget } from './copy-demand.js';
 import type { Demand } from './demand-totals.js';
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 import { PLACEMENT_POLICY } from './policy.js';
 import type { WorkerRecord } from './worker-table.js';
 
@@ -11,7 +11,7 @@
 
 /** What one plan of a service decides on. */
 export interface PlacementRound {
-  readonly engine: StockEngine;
+  readonly engine: Engine;
   /** Workers that may be ordered. */
   readonly rows: readonly WorkerRecord[];
   readonly demands: ReadonlyMap<string, Demand>;
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -4,8 +4,13 @@
 import { expect } from 'earl';
 import { Result } from 'true-myth';
 import { Loop } from './loop.js';
-import { Orderer, sizeMb, type Order, type OrderReply } from './orderer.js';
-import { Placer, PLACE_SETTINGS, type ModelDemand, type PlaceWorker } from './placer.js';
+import { SpecOrderSender, sizeMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
+import {
+  SpecPlacer,
+  SPEC_PLACER_SETTINGS,
+  type SpecModelDemand,
+  type SpecPlacerWorker,
+} from './spec-placer.js';
 
 function specOf(models: number, pullsPerMinute = 6000): Spec {
   const read = readSpec(
@@ -59,22 +64,22 @@
   });
 });
 
-function worker(name: string, zone: string, holdings: HoldingTarget[] = []): PlaceWorker {
+function worker(name: string, zone: string, holdings: HoldingTarget[] = []): SpecPlacerWorker {
   return { name, zone, roomMb: 1000, slots: 4, usable: true, holdings };
 }
 
-function demand(arrivalsPerS: number): ModelDemand {
+function demand(arrivalsPerS: number): SpecModelDemand {
   return { arrivalsPerS, backlog: 0, adapters: new Map() };
 }
 
 function settle(
   spec: Spec,
-  workers: PlaceWorker[],
-  demands: Map<string, ModelDemand>,
+  workers: SpecPlacerWorker[],
+  demands: Map<string, SpecModelDemand>,
   steps: number,
   fromMs = 0,
-): { moves: number; workers: PlaceWorker[] } {
-  const placer = new Placer(PLACE_SETTINGS);
+): { moves: number; workers: SpecPlacerWorker[] } {
+  const placer = new SpecPlacer(SPEC_PLACER_SETTINGS);
   let now = workers;
   let moves = 0;
   for (let step = 0; step < steps; step += 1) {
@@ -118,7 +123,7 @@
   });
 
   it('puts what is asked for into a second zone while there is room; what nobody asks for gives way first', () => {
-    function zonesOf(workers: readonly PlaceWorker[], model: string): string[] {
+    function zonesOf(workers: readonly SpecPlacerWorker[], model: string): string[] {
       return workers
         .filter((one) => one.holdings.some((held) => held.model === model))
         .map((one) => one.zone);
@@ -138,7 +143,7 @@
   it('lets models take turns that are asked for alike where there are fewer places, no faster than the store', () => {
     const spec = specOf(8);
     const demands = new Map(spec.models.map(({ name }) => [name, demand(0.05)]));
-    const placer = new Placer(PLACE_SETTINGS);
+    const placer = new SpecPlacer(SPEC_PLACER_SETTINGS);
     let now = [worker('w1', 'z1'), worker('w2', 'z2')];
     const stood = new Set<string>();
     let moves = 0;
@@ -166,12 +171,12 @@
 
 class Yard {
   epoch: number | undefined = 1;
-  readonly orders: Order[] = [];
+  readonly orders: SpecOrder[] = [];
   readonly waiting: (() => void)[] = [];
   holdings: HoldingTarget[] = [];
   fails = false;
-  readonly orderer = new Orderer({
-    dutyEpoch: () => this.epoch,
+  readonly orderer = new SpecOrderSender({
+    singletonEpoch: () => this.epoch,
     order: (order, done) => {
       this.orders.push(order);
       this.waiting.push(() => done(this.#reply(order)));
@@ -179,7 +184,7 @@
     learned: () => undefined,
   });
 
-  #reply(order: Order): Result<OrderReply, Fault> {
+  #reply(order: SpecOrder): Result<SpecOrderReply, Fault> {
     if (this.fails) return Result.err(fault('unreached', 'dark'));
     if (order.action === 'load') this.holdings = [...this.holdings, { model: order.model, adapters: [] }];
     if (order.action === 'unload') this.holdings = this.holdings.filter((held) => held.model !== order.model);
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -1,11 +1,11 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { WorkerTable, type ListedWorker } from './worker-table.js';
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 import { copyOf } from './holdings.js';
-import type { ReportReply, StockOrder, StockReply, WorkerReport } from './orders.js';
+import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerReport } from './orders.js';
 import { PlacementPlanner } from './planner.js';
-import type { StockWant } from './demand-totals.js';
+import type { EdgeDemand } from './demand-totals.js';
 
 const HEARTBEAT_MS = 20;
 const LOAD_MS = 600;
@@ -13,10 +13,10 @@
 interface Sent {
   readonly atMs: number;
   readonly worker: string;
-  readonly order: StockOrder;
+  readonly order: WorkerOrder;
 }
 
-function engineOf(models: number, change: Partial<StockEngine> = {}): StockEngine {
+function engineOf(models: number, change: Partial<Engine> = {}): Engine {
   const names = Array.from({ length: models }, (_, place) => `m${place}`);
   return {
     service: 'assist',
@@ -40,15 +40,24 @@
     address: `${id}:80`,
     zone: 'north',
     slots: 8,
-    leaving: false,
-    coldMs: 0,
+    draining: false,
+    warmUpMs: 0,
     models: new Map(models.map((model) => [model, new Set<string>()])),
     ...change,
   };
 }
 
-function want(model: string, waiting: number, inFlight = 0, adapter = ''): StockWant {
-  return { service: 'assist', model, adapter, waiting, inFlight, perS: 1, pressure: 0, patienceMs: 0 };
+function want(model: string, waiting: number, inFlight = 0, adapter = ''): EdgeDemand {
+  return {
+    service: 'assist',
+    model,
+    adapter,
+    waiting,
+    inFlight,
+    perS: 1,
+    waitToTargetRatio: 0,
+    meanTargetMs: 0,
+  };
 }
 
 /** Workers that take orders as the rules say, one at a time, and a planner that orders them. */
@@ -63,17 +72,17 @@
   /** What is there: adapters by model, by worker. */
   readonly held = new Map<string, Map<string, Set<string>>>();
   /** A reply in place of the worker's own. */
-  reply: ((id: string, order: StockOrder) => StockReply | undefined) | undefined;
+  reply: ((id: string, order: WorkerOrder) => WorkerOrderReply | undefined) | undefined;
   /** Orders that were sent and have not arrived yet. */
-  readonly underWay: { readonly id: string; readonly order: StockOrder }[] = [];
+  readonly underWay: { readonly id: string; readonly order: WorkerOrder }[] = [];
   /** How many orders each worker has taken. */
   readonly sequences = new Map<string, number>();
   /** Workers that do not say what they hold. */
   readonly silent = new Set<string>();
-  engine: StockEngine;
+  engine: Engine;
   #doing = new Map<string, { untilMs: number; done: () => void }>();
 
-  constructor(engine: StockEngine, workers: readonly ListedWorker[]) {
+  constructor(engine: Engine, workers: readonly ListedWorker[]) {
     this.engine = engine;
     this.planner = new PlacementPlanner(this.book, {
       fence: () => this.fence,
@@ -83,32 +92,32 @@
       },
       report: (row, done) => done(this.#reportReply(row.id)),
       nowMs: () => this.nowMs,
-      decided: () => undefined,
+      onDecision: () => undefined,
     });
     this.book.learn(workers, this.nowMs);
     for (const { id, models } of this.book.rows) this.held.set(id, copyOf(models));
     // Each worker is asked what it holds.
-    this.planner.pursue(new Map([['assist', this.engine]]), this.nowMs);
+    this.planner.sendDueOrders(new Map([['assist', this.engine]]), this.nowMs);
   }
 
   /** Heartbeats for a while; `wants` says what is asked for at each heartbeat. */
-  run(forMs: number, wants: () => readonly StockWant[]): void {
+  run(forMs: number, wants: () => readonly EdgeDemand[]): void {
     for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += HEARTBEAT_MS) {
       for (const [id, doing] of this.#doing) {
         if (this.nowMs < doing.untilMs) continue;
         this.#doing.delete(id);
         doing.done();
       }
-      this.planner.want('edge', wants(), this.nowMs);
+      this.planner.updateDemand('edge', wants(), this.nowMs);
       const engines = new Map([['assist', this.engine]]);
       this.planner.plan(engines, this.evacuated, this.nowMs);
-      this.planner.pursue(engines, this.nowMs);
+      this.planner.sendDueOrders(engines, this.nowMs);
     }
   }
 
   /** Decides once, and sends nothing. */
-  planOnly(wants: readonly StockWant[]): void {
-    this.planner.want('edge', wants, this.nowMs);
+  planOnly(wants: readonly EdgeDemand[]): void {
+    this.planner.updateDemand('edge', wants, this.nowMs);
     this.planner.plan(new Map([['assist', this.engine]]), this.evacuated, this.nowMs);
   }
 
@@ -137,7 +146,7 @@
   }
 
   /** An order arrives at a worker. */
-  take(id: string, order: StockOrder): StockReply {
+  take(id: string, order: WorkerOrder): WorkerOrderReply {
     const sequence = this.sequences.get(id) ?? 0;
     if (this.#doing.has(id) || order.sequence !== sequence) return 'busy';
     const reply = this.#do(id, order);
@@ -145,7 +154,7 @@
     return reply;
   }
 
-  #do(id: string, { action, model, adapter }: StockOrder): StockReply {
+  #do(id: string, { action, model, adapter }: WorkerOrder): WorkerOrderReply {
     const models = this.held.get(id);
     if (models === undefined) return 'wrong-worker';
     const adapters = models.get(model);
@@ -174,7 +183,7 @@
 }
 
 /** Requests wait for what stands nowhere and run where it stands. */
-function steady(bench: Bench, models: readonly string[], count: number): () => StockWant[] {
+function steady(bench: Bench, models: readonly string[], count: number): () => EdgeDemand[] {
   return () =>
     models.map((model) => (bench.holders(model).length > 0 ? want(model, 0, count) : want(model, count)));
 }
@@ -199,8 +208,8 @@
   it('lets go what can be loaded again in time, before what was unused longer and cannot wait', () => {
     const bench = new Bench(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
     const busy = { ...want('m2', 0, 1), patienceMs: 100 };
-    bench.run(1000, () => [busy, { ...want('m0', 0, 1), patienceMs: 100 }]);
-    bench.run(1000, () => [busy, { ...want('m1', 0, 1), patienceMs: 5000 }]);
+    bench.run(1000, () => [busy, { ...want('m0', 0, 1), meanTargetMs: 100 }]);
+    bench.run(1000, () => [busy, { ...want('m1', 0, 1), meanTargetMs: 5000 }]);
     bench.run(1000, () => [busy]);
     bench.run(2000, () => [busy, ...steady(bench, ['m5'], 1)()]);
     expect([bench.holders('m0'), bench.holders('m1'), bench.holders('m5')]).toEqual([['w1'], [], ['w1']]);
@@ -209,8 +218,8 @@
   it('loads first what loses the most requests until it is there', () => {
     const bench = new Bench(engineOf(8), [listed('w1')]);
     bench.run(1000, () => [
-      { ...want('m4', 3), patienceMs: 5000 },
-      { ...want('m5', 2), perS: 20, patienceMs: 100 },
+      { ...want('m4', 3), meanTargetMs: 5000 },
+      { ...want('m5', 2), perS: 20, meanTargetMs: 100 },
     ]);
     expect(bench.loads()[0]?.order.model).toEqual('m5');
   });
@@ -231,7 +240,7 @@
 
   it('orders nothing more of a worker that gave no answer until it has said what it holds', () => {
     const bench = new Bench(engineOf(8), [listed('w1', ['m0', 'm1'])]);
-    function wants(): StockWant[] {
+    function wants(): EdgeDemand[] {
       return [want('m0', 0, 1), want('m1', 0, 1), want('m5', 2), want('m6', 1)];
     }
     bench.silent.add('w1');
@@ -279,7 +288,7 @@
     ]);
     bench.evacuated = ['north'];
     bench.book.learn(
-      [listed('w1'), listed('w2', [], { zone: 'east', leaving: true }), listed('w3', [], { zone: 'west' })],
+      [listed('w1'), listed('w2', [], { zone: 'east', draining: true }), listed('w3', [], { zone: 'west' })],
       bench.nowMs,
     );
     bench.run(4000, () => ['m0', 'm1', 'm2', 'm3'].map((model) => want(model, 2)));
@@ -342,7 +351,7 @@
 });
 
 /** Requests for one model after the other, on a worker that has room for three of them. */
-function moving(): () => StockWant[] {
+function moving(): () => EdgeDemand[] {
   let heartbeats = 0;
   return () => {
     heartbeats += 1;
@@ -391,7 +400,7 @@
 
   it('is kept when an order of an earlier coordinator arrives after the worker has reported', () => {
     const bench = new Bench(engineOf(8), [listed('w1', ['m0', 'm1'])]);
-    const late: StockOrder = { action: 'load', model: 'm7', adapter: '', fence: 6, sequence: 0 };
+    const late: WorkerOrder = { action: 'load', model: 'm7', adapter: '', fence: 6, sequence: 0 };
     expect(bench.take('w1', late)).toEqual('begun');
     bench.run(4000, () => [want('m5', 1)]);
     expect([bench.wrong, bench.holders('m7'), bench.holders('m5')]).toEqual([[], ['w1'], ['w1']]);
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,7 +1,7 @@
 import { AdapterPlacement } from './adapter-placement.js';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
-import { DemandTotals, type Demand, type StockWant } from './demand-totals.js';
-import { loadsAtOnce, type StockEngine } from './engine.js';
+import { DemandTotals, type Demand, type EdgeDemand } from './demand-totals.js';
+import { loadsAtOnce, type Engine } from './engine.js';
 import { ModelPlacement, type LoadSource } from './model-placement.js';
 import { OrderSender, type OrderDependencies } from './order-sender.js';
 import type { CopyNeed, PlacementRound } from './placement-round.js';
@@ -17,7 +17,7 @@
 /** What the planner needs of its node. */
 export interface PlannerDependencies extends OrderDependencies {
   /** Called for each decision, for the logs. */
-  decided(text: string): void;
+  onDecision(text: string): void;
 }
 
 /** Copies that are wanted: the most urgent first. */
@@ -68,13 +68,13 @@
   }
 
   /** Takes all that an edge asks for now, or where `partial` what has changed of it. */
-  want(incarnation: string, wants: readonly StockWant[], nowMs: number, partial = false): void {
+  updateDemand(incarnation: string, wants: readonly EdgeDemand[], nowMs: number, partial = false): void {
     if (partial) this.#totals.update(incarnation, wants, nowMs);
     else this.#totals.set(incarnation, wants, nowMs);
   }
 
   /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
-  plan(engines: ReadonlyMap<string, StockEngine>, evacuated: readonly string[], nowMs: number): void {
+  plan(engines: ReadonlyMap<string, Engine>, evacuated: readonly string[], nowMs: number): void {
     this.#totals.expire(nowMs - WANT_MS);
     this.#unserved.expire(nowMs);
     this.#sender.forgetGone();
@@ -87,26 +87,26 @@
   }
 
   /** Sends the orders that are due, in what was decided before. */
-  pursue(engines: ReadonlyMap<string, StockEngine>, nowMs: number): void {
+  sendDueOrders(engines: ReadonlyMap<string, Engine>, nowMs: number): void {
     for (const engine of engines.values())
       for (const row of this.#rowsOf(engine)) this.#sender.pursue(engine, row, nowMs);
   }
 
-  #rowsOf(engine: StockEngine): WorkerRecord[] {
+  #rowsOf(engine: Engine): WorkerRecord[] {
     return [...this.#table.rows].filter((row) => row.service === engine.service && !row.gone);
   }
 
-  #budget(engine: StockEngine, nowMs: number): StoreBudget {
+  #budget(engine: Engine, nowMs: number): StoreBudget {
     const budget = this.#budgets.get(engine.service) ?? new StoreBudget(nowMs);
     this.#budgets.set(engine.service, budget);
     budget.refill(engine, nowMs);
     return budget;
   }
 
-  #begin(engine: StockEngine, evacuated: readonly string[], nowMs: number): PlacementRound {
+  #begin(engine: Engine, evacuated: readonly string[], nowMs: number): PlacementRound {
     const present = this.#rowsOf(engine);
     const fetching = present.filter((row) => this.#sender.state(row).isFetching).length;
-    const staying = present.filter((row) => !row.leaving && !evacuated.includes(row.zone));
+    const staying = present.filter((row) => !row.draining && !evacuated.includes(row.zone));
     const copies = new Map<string, number>();
     for (const row of staying.filter((known) => !this.#sender.isSilent(known)))
       for (const model of this.#coming(row)) copies.set(model, (copies.get(model) ?? 0) + 1);
@@ -123,13 +123,13 @@
     return { engine, rows, demands, targets, fetching, copies, watchedMs, nowMs };
   }
 
-  #watchedMs({ service }: StockEngine, demands: ReadonlyMap<string, Demand>, nowMs: number): number {
+  #watchedMs({ service }: Engine, demands: ReadonlyMap<string, Demand>, nowMs: number): number {
     if (demands.size > 0 && !this.#askedSinceMs.has(service)) this.#askedSinceMs.set(service, nowMs);
     return nowMs - (this.#askedSinceMs.get(service) ?? nowMs);
   }
 
   /** What is asked for of the models that an engine can load. */
-  #demands(engine: StockEngine): Map<string, Demand> {
+  #demands(engine: Engine): Map<string, Demand> {
     const demands = new Map<string, Demand>();
     for (const [model, demand] of this.#totals.of(engine.service))
       if (engine.models.has(model)) demands.set(model, demand);
@@ -215,7 +215,7 @@
   #place(round: PlacementRound, need: CopyNeed, source: LoadSource): boolean {
     const decided = this.#models.place(round, need, source);
     if (decided === undefined) return false;
-    this.#dependencies.decided(decided);
+    this.#dependencies.onDecision(decided);
     return true;
   }
 }
--- a/packages/placement/src/serving.test.ts
+++ b/packages/placement/src/serving.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import type { Dice } from '@rainrun/common';
+import type { SeededRandom } from '@rainrun/common';
 import { Fleet, type FleetShape, type RequestKind } from './testing/fleet.js';
 
 /** Many more models than places, slow loads, a store that allows few of them. */
@@ -20,7 +20,7 @@
 const PLAY_MS = 34_000;
 
 /** The lower numbers are asked for more often. */
-function skewed(dice: Dice, count: number, skew: number): number {
+function skewed(dice: SeededRandom, count: number, skew: number): number {
   let sum = 0;
   for (let place = 1; place <= count; place += 1) sum += place ** -skew;
   let left = dice.next() * sum;
@@ -32,7 +32,7 @@
 }
 
 /** Which models are busy moves on by ten several times a day. */
-function busyModel(dice: Dice, nowMs: number): string {
+function busyModel(dice: SeededRandom, nowMs: number): string {
   const first = Math.floor(nowMs / SHIFT_MS) * 10;
   return `m${(first + skewed(dice, BUSY, 0.9)) % BUSY_FAMILY}`;
 }
--- a/packages/placement/src/orderer.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -4,7 +4,7 @@
 import { TokenBucket } from './token-bucket.js';
 
 /** One order to a worker. The epoch fences it: a worker has seen the highest. */
-export interface Order {
+export interface SpecOrder {
   readonly worker: string;
   readonly epoch: number;
   readonly sequence: number;
@@ -14,14 +14,14 @@
 }
 
 /** What a worker says in reply. */
-export interface OrderReply {
+export interface SpecOrderReply {
   readonly holdings: readonly HoldingTarget[];
   /** True while an earlier load still goes on. */
   readonly busy: boolean;
 }
 
 /** What the orderer knows of a worker from its replies. */
-export interface KnownWorker {
+export interface SpecWorkerState {
   readonly holdings: readonly HoldingTarget[];
   readonly reachable: boolean;
   /** For each model loaded by order: a number that grows with every load, so that warming is seen. */
@@ -29,18 +29,18 @@
 }
 
 /** What the orderer needs from its node. */
-export interface OrderDesk {
+export interface SpecOrderContext {
   /** The epoch this node may act in; asked just before each order. */
-  dutyEpoch(): number | undefined;
-  order(order: Order, done: (reply: Result<OrderReply, Fault>) => void): void;
-  learned(worker: string, known: KnownWorker): void;
+  singletonEpoch(): number | undefined;
+  order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
+  learned(worker: string, known: SpecWorkerState): void;
 }
 
 /** How much a model, or an adapter of it, is asked for; the more, the sooner it is loaded. */
 export type Urgency = (model: string, adapter: string) => number;
 
 interface Bay {
-  known: KnownWorker | undefined;
+  known: SpecWorkerState | undefined;
   epoch: number;
   flying: boolean;
   notBeforeMs: number;
@@ -84,22 +84,22 @@
  * asks a worker what it holds before the first order of an epoch, unloads
  * before it loads, and never lets a worker hold more than its room.
  * @example
- * const orderer = new Orderer(context);
+ * const orderer = new SpecOrderSender(context);
  * orderer.tick(spec, placement, rooms, nowMs);
  */
-export class Orderer {
-  #context: OrderDesk;
+export class SpecOrderSender {
+  #context: SpecOrderContext;
   #bays = new Map<string, Bay>();
   #bucket: PullBucket | undefined;
   #epoch = 0;
   #sequence = 0;
   #loads = 0;
 
-  constructor(context: OrderDesk) {
+  constructor(context: SpecOrderContext) {
     this.#context = context;
   }
 
-  known(worker: string): KnownWorker | undefined {
+  known(worker: string): SpecWorkerState | undefined {
     return this.#bays.get(worker)?.known;
   }
 
@@ -110,7 +110,7 @@
     nowMs: number,
     urgency: Urgency = () => 0,
   ): void {
-    const epoch = this.#context.dutyEpoch();
+    const epoch = this.#context.singletonEpoch();
     if (epoch === undefined) return;
     if (epoch !== this.#epoch) {
       this.#epoch = epoch;
@@ -177,7 +177,7 @@
     this.#sequence += 1;
     bay.flying = true;
     bay.askedMs = nowMs;
-    const order: Order = { worker: name, epoch, sequence: this.#sequence, ...step };
+    const order: SpecOrder = { worker: name, epoch, sequence: this.#sequence, ...step };
     const bucket = this.#bucket;
     this.#context.order(order, (reply) => {
       bay.flying = false;
@@ -191,7 +191,7 @@
     bay: Bay,
     step: Step,
     epoch: number,
-    reply: Result<OrderReply, Fault>,
+    reply: Result<SpecOrderReply, Fault>,
     nowMs: number,
   ): void {
     const loads = new Map(bay.known?.loads);
@@ -216,7 +216,7 @@
 }
 
 interface Step {
-  readonly action: Order['action'];
+  readonly action: SpecOrder['action'];
   readonly model: string;
   readonly adapter: string;
 }
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -3,7 +3,7 @@
 import { Unserved } from './unserved.js';
 
 /** A worker as the placer sees it. */
-export interface PlaceWorker {
+export interface SpecPlacerWorker {
   readonly name: string;
   readonly zone: string;
   readonly roomMb: number;
@@ -14,14 +14,14 @@
 }
 
 /** Smoothed demand for one model, with the adapters asked for. */
-export interface ModelDemand {
+export interface SpecModelDemand {
   arrivalsPerS: number;
   backlog: number;
   readonly adapters: Map<string, number>;
 }
 
 /** Set points of placement. */
-export interface PlaceSettings {
+export interface SpecPlacerSettings {
   /** Demand that one copy of a model should carry, in arrivals a second and slot. */
   readonly perSlotPerS: number;
   /** A copy more only above this multiple of the set point. */
@@ -37,7 +37,7 @@
 }
 
 /** The usual set points and bounds. */
-export const PLACE_SETTINGS: PlaceSettings = {
+export const SPEC_PLACER_SETTINGS: SpecPlacerSettings = {
   perSlotPerS: 0.5,
   above: 1.2,
   below: 0.4,
@@ -52,7 +52,7 @@
 const NONE = new Map<string, number>();
 
 interface Bench {
-  readonly worker: PlaceWorker;
+  readonly worker: SpecPlacerWorker;
   readonly holdings: Map<string, Set<string>>;
   freeMb: number;
   touched: boolean;
@@ -62,7 +62,7 @@
 interface Parts {
   readonly sizes: ReadonlyMap<string, number>;
   readonly adapterMb: ReadonlyMap<string, number>;
-  readonly demands: ReadonlyMap<string, ModelDemand>;
+  readonly demands: ReadonlyMap<string, SpecModelDemand>;
 }
 
 /**
@@ -74,10 +74,10 @@
  * lasts, until it takes the place of one that is asked for alike: where there
  * are more of them than places they take turns, no faster than half the store.
  * @example
- * const changes = new Placer(PLACE_SETTINGS).step(spec, workers, demands, nowMs);
+ * const changes = new SpecPlacer(SPEC_PLACER_SETTINGS).step(spec, workers, demands, nowMs);
  */
-export class Placer {
-  #settings: PlaceSettings;
+export class SpecPlacer {
+  #settings: SpecPlacerSettings;
   #movedMs = new Map<string, number>();
   #reasons = new Map<string, string>();
   /** Models that are asked for and stand nowhere. */
@@ -85,7 +85,7 @@
   /** Places that may change hands now because of how long a model was asked for in vain. */
   #turns: TokenBucket | undefined;
 
-  constructor(settings: PlaceSettings) {
+  constructor(settings: SpecPlacerSettings) {
     this.#settings = settings;
   }
 
@@ -97,8 +97,8 @@
   /** New targets, only for the workers whose target changes. */
   step(
     spec: Spec,
-    workers: readonly PlaceWorker[],
-    demands: ReadonlyMap<string, ModelDemand>,
+    workers: readonly SpecPlacerWorker[],
+    demands: ReadonlyMap<string, SpecModelDemand>,
     nowMs: number,
   ): Record<string, HoldingTarget[]> {
     const sizes = new Map(spec.models.map((model) => [model.name, model.sizeMb]));
@@ -132,10 +132,10 @@
   #wants(
     spec: Spec,
     benches: readonly Bench[],
-    demands: ReadonlyMap<string, ModelDemand>,
+    demands: ReadonlyMap<string, SpecModelDemand>,
     nowMs: number,
-  ): Want[] {
-    const wants: Want[] = [];
+  ): PlacementNeed[] {
+    const wants: PlacementNeed[] = [];
     const turnMs = this.#turnMs(spec, benches, demands, nowMs);
     for (const { name: model } of spec.models) {
       const demand = demands.get(model);
@@ -192,7 +192,7 @@
   #turnMs(
     spec: Spec,
     benches: readonly Bench[],
-    demands: ReadonlyMap<string, ModelDemand>,
+    demands: ReadonlyMap<string, SpecModelDemand>,
     nowMs: number,
   ): number {
     this.#unserved.expire(nowMs);
@@ -208,7 +208,7 @@
     return Math.max(this.#settings.restMs, missing * msPerPull(spec));
   }
 
-  #pressure(demand: ModelDemand | undefined, copies: readonly Bench[]): number {
+  #pressure(demand: SpecModelDemand | undefined, copies: readonly Bench[]): number {
     if (demand === undefined) return 0;
     const slots = copies.reduce(
       (sum, bench) => sum + bench.worker.slots / Math.max(1, bench.holdings.size / 2),
@@ -218,7 +218,7 @@
   }
 
   /** Puts what is wanted where there is room, in a zone that lacks it if there is one. */
-  #fill(want: Want, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
+  #fill(want: PlacementNeed, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
     const needMb = partMb(want, parts);
     const zones = new Set(
       benches.filter((bench) => bench.holdings.has(want.model)).map((bench) => bench.worker.zone),
@@ -251,7 +251,7 @@
   }
 
   /** Takes away the copy that is worth least, if the want is worth much more. */
-  #clear(want: Want, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
+  #clear(want: PlacementNeed, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
     if (want.urgency <= 0) return false;
     const needMb = partMb(want, parts);
     const victims = fitting(want, benches)
@@ -287,7 +287,7 @@
     model: string,
     bench: Bench,
     benches: readonly Bench[],
-    demands: ReadonlyMap<string, ModelDemand>,
+    demands: ReadonlyMap<string, SpecModelDemand>,
   ): number {
     const others = benches.filter(
       (other) => other !== bench && other.worker.usable && other.holdings.has(model),
@@ -296,7 +296,7 @@
   }
 }
 
-interface Want {
+interface PlacementNeed {
   readonly model: string;
   readonly adapter?: string;
   /** Decides who is first. */
@@ -319,7 +319,7 @@
 }
 
 /** Workers on which a want could be met: those with the model for an adapter, those without it for a copy. */
-function fitting(want: Want, benches: readonly Bench[]): Bench[] {
+function fitting(want: PlacementNeed, benches: readonly Bench[]): Bench[] {
   return benches.filter((bench) => {
     const adapters = bench.holdings.get(want.model);
     return (
@@ -329,7 +329,7 @@
   });
 }
 
-function partMb(want: Want, parts: Parts): number {
+function partMb(want: PlacementNeed, parts: Parts): number {
   return (
     (want.adapter === undefined ? parts.sizes.get(want.model) : parts.adapterMb.get(want.adapter)) ?? Infinity
   );
@@ -347,7 +347,7 @@
 }
 
 function openBench(
-  worker: PlaceWorker,
+  worker: SpecPlacerWorker,
   sizes: ReadonlyMap<string, number>,
   adapterMb: ReadonlyMap<string, number>,
 ): Bench {
--- a/packages/placement/src/store-budget.ts
+++ b/packages/placement/src/store-budget.ts
@@ -1,4 +1,4 @@
-import { loadsAtOnce, type StockEngine } from './engine.js';
+import { loadsAtOnce, type Engine } from './engine.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** What a load from the store is for. */
@@ -25,7 +25,7 @@
     this.#bucket = new TokenBucket(nowMs);
   }
 
-  refill(engine: StockEngine, nowMs: number): void {
+  refill(engine: Engine, nowMs: number): void {
     this.#bucket.refill(engine.loadsPerS, loadsAtOnce(engine), nowMs);
   }
 
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -1,8 +1,8 @@
 /** A simulated fleet of workers that a planner orders, with requests that arrive, wait, run and are given up. */
-import { Dice } from '@rainrun/common';
-import type { StockWant } from '../demand-totals.js';
-import type { StockEngine, StockModel } from '../engine.js';
-import type { ReportReply, StockOrder, StockReply } from '../orders.js';
+import { SeededRandom } from '@rainrun/common';
+import type { EdgeDemand } from '../demand-totals.js';
+import type { Engine, EngineModel } from '../engine.js';
+import type { ReportReply, WorkerOrder, WorkerOrderReply } from '../orders.js';
 import { PlacementPlanner } from '../planner.js';
 import { WorkerTable, type WorkerRecord } from '../worker-table.js';
 
@@ -21,7 +21,7 @@
   readonly patienceMs: number;
   readonly runMs: number;
   /** What a request that arrives now is for: a model, and an adapter of it or an empty name. */
-  pick(dice: Dice, nowMs: number): readonly [string, string];
+  pick(dice: SeededRandom, nowMs: number): readonly [string, string];
 }
 
 /** What a fleet is like. */
@@ -61,7 +61,7 @@
 }
 
 interface Doing {
-  readonly order: StockOrder;
+  readonly order: WorkerOrder;
   untilMs: number;
 }
 
@@ -99,8 +99,8 @@
   readonly wrong: string[] = [];
   loadsFromDisk = 0;
   #shape: FleetShape;
-  #engine: StockEngine;
-  #dice: Dice;
+  #engine: Engine;
+  #dice: SeededRandom;
   #table = new WorkerTable();
   #planner: PlacementPlanner;
   #workers = new Map<string, FleetWorker>();
@@ -108,7 +108,7 @@
 
   constructor(seed: number, shape: FleetShape) {
     this.#shape = shape;
-    this.#dice = new Dice(seed);
+    this.#dice = new SeededRandom(seed);
     const names = Array.from({ length: shape.models }, (_, place) => `m${place}`);
     this.#engine = {
       service: SERVICE,
@@ -117,7 +117,7 @@
       adapterPlaces: shape.adapterPlaces,
       loadsPerS: shape.loadsPerS,
       models: new Map(
-        names.map((name): [string, StockModel] => [
+        names.map((name): [string, EngineModel] => [
           name,
           { name, sizeMb: 100, loadMs: shape.loadMs, adapterMb: 1 },
         ]),
@@ -148,10 +148,10 @@
       for (const kind of kinds) this.#arrive(kind);
       this.#endRuns();
       this.#dispatch();
-      this.#planner.want('edge', this.#wants(), this.nowMs);
+      this.#planner.updateDemand('edge', this.#wants(), this.nowMs);
       const engines = new Map([[SERVICE, this.#engine]]);
       this.#planner.plan(engines, [], this.nowMs);
-      this.#planner.pursue(engines, this.nowMs);
+      this.#planner.sendDueOrders(engines, this.nowMs);
     }
   }
 
@@ -192,7 +192,7 @@
       order: (row, order, done) => done(this.#take(row, order)),
       report: (row, done) => done(this.#report(row.id)),
       nowMs: () => this.nowMs,
-      decided: () => undefined,
+      onDecision: () => undefined,
     });
   }
 
@@ -203,8 +203,8 @@
       address: `${id}:80`,
       zone: 'north',
       slots: this.#shape.slots,
-      leaving: false,
-      coldMs: 0,
+      draining: false,
+      warmUpMs: 0,
       models: held,
     }));
     this.#table.learn(list, this.nowMs);
@@ -273,7 +273,7 @@
     }
   }
 
-  #wants(): StockWant[] {
+  #wants(): EdgeDemand[] {
     const wants = new Map<string, { waiting: number; inFlight: number }>();
     function want(model: string, adapter: string): { waiting: number; inFlight: number } {
       const key = `${model}/${adapter}`;
@@ -286,7 +286,15 @@
       for (const { request } of worker.running) want(request.model, request.adapter).inFlight += 1;
     return [...wants].map(([key, counts]) => {
       const [model = '', adapter = ''] = key.split('/');
-      return { service: SERVICE, model, adapter, ...counts, perS: 0.1, pressure: 0, patienceMs: 0 };
+      return {
+        service: SERVICE,
+        model,
+        adapter,
+        ...counts,
+        perS: 0.1,
+        waitToTargetRatio: 0,
+        meanTargetMs: 0,
+      };
     });
   }
 
@@ -296,7 +304,7 @@
     return worker.doing === undefined ? { holdings: worker.held, sequence: worker.sequence } : 'busy';
   }
 
-  #take(row: WorkerRecord, order: StockOrder): StockReply {
+  #take(row: WorkerRecord, order: WorkerOrder): WorkerOrderReply {
     const worker = this.#workers.get(row.id);
     if (worker === undefined) return 'wrong-worker';
     this.#settle(worker);
@@ -310,7 +318,7 @@
     return 'begun';
   }
 
-  #durationMs(worker: FleetWorker, { action, model, adapter }: StockOrder): number {
+  #durationMs(worker: FleetWorker, { action, model, adapter }: WorkerOrder): number {
     if (action === 'unload') return UNLOAD_MS;
     if (adapter !== '') return ADAPTER_MS;
     if (worker.onDisk.has(model)) {
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -1,4 +1,4 @@
-import type { StockEngine } from './engine.js';
+import type { Engine } from './engine.js';
 import { adapterCount, copyOf, usedMb, type Holdings } from './holdings.js';
 import type { WorkerReport } from './orders.js';
 
@@ -48,7 +48,7 @@
 const REFUSED_MOST_MS = 4000;
 
 /** Questions to one worker what it holds. */
-export interface Asking {
+export interface ReportRequest {
   open: boolean;
   notBeforeMs: number;
   /** How many in a row had no answer. */
@@ -73,7 +73,7 @@
   /** Since when it holds a model. */
   readonly sinceMs = new Map<string, number>();
   /** When it was asked what it holds. */
-  readonly asking: Asking = { open: false, notBeforeMs: -Infinity, unanswered: 0 };
+  readonly reportRequest: ReportRequest = { open: false, notBeforeMs: -Infinity, unanswered: 0 };
   /** How many orders it has taken; known once it has reported. */
   sequence = 0;
   /** When it last took an order. */
@@ -154,7 +154,7 @@
   }
 
   /** Whether a load keeps to the room and the adapter places, with the sizes that hold now. */
-  bears(engine: StockEngine, { action, model, adapter }: Step): boolean {
+  fits(engine: Engine, { action, model, adapter }: Step): boolean {
     if (action === 'unload') return true;
     const after = copyOf(this.#holdings);
     if (adapter !== '' && !after.has(model)) return false;
@@ -163,7 +163,7 @@
   }
 
   /** How long a load takes: from the worker's own disk, if it has held the model, a part of the time from the store. */
-  loadMs(engine: StockEngine, model: string, diskPart: number): number {
+  loadMs(engine: Engine, model: string, diskPart: number): number {
     const fromStoreMs = engine.models.get(model)?.loadMs ?? 0;
     return this.onDisk.has(model) ? fromStoreMs * diskPart : fromStoreMs;
   }
@@ -174,7 +174,7 @@
   }
 
   /** In how many milliseconds all steps will be done, as far as can be told. */
-  freeInMs(engine: StockEngine, diskPart: number, nowMs: number): number {
+  freeInMs(engine: Engine, diskPart: number, nowMs: number): number {
     let sumMs = 0;
     for (const { action, model, adapter, begun, notBeforeMs } of this.#steps) {
       if (action === 'unload' || adapter !== '') continue;
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -7,8 +7,8 @@
   readonly address: string;
   readonly zone: string;
   readonly slots: number;
-  readonly leaving: boolean;
-  readonly coldMs: number;
+  readonly draining: boolean;
+  readonly warmUpMs: number;
   /** What it holds by its own word: adapters by model. */
   readonly models: Holdings;
 }
@@ -20,7 +20,7 @@
   address: string;
   readonly zone: string;
   slots: number;
-  leaving: boolean;
+  draining: boolean;
   gone: boolean;
   coldUntilMs: number;
   /** What requests may be sent for: adapters by model. */
@@ -114,7 +114,7 @@
   }
 
   #enter(listed: ListedWorker, nowMs: number): WorkerRecord {
-    const { id, service, address, zone, slots, leaving, coldMs } = listed;
+    const { id, service, address, zone, slots, draining: leaving, warmUpMs: coldMs } = listed;
     const models = copyOf(listed.models);
     const row: WorkerRecord = {
       id,
@@ -122,7 +122,7 @@
       address,
       zone,
       slots,
-      leaving,
+      draining: leaving,
       gone: false,
       coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
       models,
@@ -137,17 +137,17 @@
   }
 
   #update(row: WorkerRecord, listed: ListedWorker, nowMs: number): void {
-    const coldUntilMs = listed.coldMs > 0 ? nowMs + listed.coldMs : -Infinity;
+    const coldUntilMs = listed.warmUpMs > 0 ? nowMs + listed.warmUpMs : -Infinity;
     const cold = coldUntilMs > row.coldUntilMs + COLD_STEP_MS && coldUntilMs > nowMs;
     if (
-      row.leaving === listed.leaving &&
+      row.draining === listed.draining &&
       !row.gone &&
       !cold &&
       row.address === listed.address &&
       row.slots === listed.slots
     )
       return;
-    row.leaving = listed.leaving;
+    row.draining = listed.draining;
     row.gone = false;
     row.address = listed.address;
     row.slots = listed.slots;
--- a/packages/process-group/src/acceptor.ts
+++ b/packages/process-group/src/acceptor.ts
@@ -6,12 +6,12 @@
   PromiseSchema,
   VersionSchema,
   type Accepted,
-  type Claim,
+  type Prepare,
   type Promise as Promised,
   type Propose,
   type Version,
 } from '@rainrun/messages';
-import type { Records, Vault } from '@rainrun/storage';
+import type { Records, RecordWriter } from '@rainrun/storage';
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
@@ -42,7 +42,7 @@
         disk: disk?.disk ?? freshDisk,
         deployment: disk?.deployment ?? '',
         promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0),
-        promisedTo: promise.epoch >= (accepted?.epoch ?? 0) ? promise.claimant : '',
+        promisedTo: promise.epoch >= (accepted?.epoch ?? 0) ? promise.candidate : '',
         accepted,
       };
     },
@@ -62,7 +62,7 @@
  */
 export class Acceptor {
   #disk: string;
-  #vault: Vault;
+  #vault: RecordWriter;
   #failed: (fault: Fault) => void;
   #deployment: string;
   #marked: boolean;
@@ -73,7 +73,7 @@
   #busy = 0;
   #syncs = 0;
 
-  constructor(opening: Opening, vault: Vault, deployment: string, failed: (fault: Fault) => void) {
+  constructor(opening: Opening, vault: RecordWriter, deployment: string, failed: (fault: Fault) => void) {
     this.#disk = opening.disk;
     this.#vault = vault;
     this.#failed = failed;
@@ -121,7 +121,7 @@
     );
   }
 
-  claim(claim: Claim, reply: (promise: Promised) => void): void {
+  prepare(claim: Prepare, reply: (promise: Promised) => void): void {
     const { epoch, disk: claimant } = claim;
     const stale =
       epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && claimant !== this.#promisedTo);
@@ -132,13 +132,13 @@
     }
     this.#promisedEpoch = epoch;
     this.#promisedTo = claimant;
-    const record = create(PromiseRecordSchema, { epoch, claimant });
+    const record = create(PromiseRecordSchema, { epoch, candidate: claimant });
     this.#store('promise', toBinary(PromiseRecordSchema, record), () => {
       reply(this.#promise(epoch, this.#promisedEpoch === epoch));
     });
   }
 
-  propose(propose: Propose, reply: (accepted: Accepted) => void): void {
+  accept(propose: Propose, reply: (accepted: Accepted) => void): void {
     const version = propose.version;
     if (version === undefined) return;
     const { epoch, number } = version;
@@ -168,7 +168,7 @@
       disk: this.#disk,
       epoch,
       number,
-      refused,
+      rejected: refused,
       seenEpoch: this.#promisedEpoch,
     });
   }
--- a/packages/process-group/src/agreement-invariants.ts
+++ b/packages/process-group/src/agreement-invariants.ts
@@ -49,7 +49,7 @@
   const forgotten = ofKind(sent, 'accepted').find(
     ({ accepted, from: { machine } }) =>
       machine === from.machine &&
-      !accepted.refused &&
+      !accepted.rejected &&
       (promise.accepted === undefined || later(accepted, promise.accepted)),
   );
   if (forgotten === undefined) return undefined;
@@ -59,7 +59,7 @@
 
 function brokenAcceptance(sent: readonly Message[], message: Of<'accepted'>): string | undefined {
   const { accepted, from, to } = message;
-  if (accepted.refused) return undefined;
+  if (accepted.rejected) return undefined;
   const newer = ofKind(sent, 'promise').find(
     (other) =>
       other.promise.granted &&
@@ -109,7 +109,7 @@
     ofKind(sent, 'accepted')
       .filter(
         ({ accepted }) =>
-          !accepted.refused && accepted.epoch === version.epoch && accepted.number === version.number,
+          !accepted.rejected && accepted.epoch === version.epoch && accepted.number === version.number,
       )
       .map(({ from }) => from.machine),
   );
--- a/packages/process-group/src/agreement-messages.ts
+++ b/packages/process-group/src/agreement-messages.ts
@@ -4,7 +4,7 @@
 import {
   VersionSchema,
   type Accepted,
-  type Claim,
+  type Prepare,
   type Promise as Promised,
   type Propose,
   type Version,
@@ -18,7 +18,7 @@
 
 /** A message or an event that the invariants look at. */
 export type Message =
-  | { readonly kind: 'claim'; readonly from: Life; readonly to: string; readonly claim: Claim }
+  | { readonly kind: 'claim'; readonly from: Life; readonly to: string; readonly claim: Prepare }
   | { readonly kind: 'propose'; readonly from: Life; readonly to: string; readonly propose: Propose }
   | { readonly kind: 'promise'; readonly from: Life; readonly to: Life; readonly promise: Promised }
   | { readonly kind: 'accepted'; readonly from: Life; readonly to: Life; readonly accepted: Accepted }
@@ -70,7 +70,7 @@
       return `promise ${from} ${lifeName(message.to)} ${epoch} ${granted} ${seenEpoch} ${nameOf(accepted)}`;
     }
     case 'accepted': {
-      const { epoch, number, refused, seenEpoch } = message.accepted;
+      const { epoch, number, rejected: refused, seenEpoch } = message.accepted;
       return `accepted ${from} ${lifeName(message.to)} ${epoch} ${number} ${refused} ${seenEpoch}`;
     }
     case 'elected':
