--- a/packages/process-group/src/agreement-model.ts
+++ b/packages/process-group/src/agreement-model.ts
@@ -1,6 +1,6 @@
 /**
  * The agreement of one machine as a deterministic state machine, for model
- * checking: the production `Acceptor`, `Claims` and `Coordinator` behind inputs
+ * checking: the production `Acceptor`, `Candidacy` and `Coordinator` behind inputs
  * that a search chooses one by one. Views, heartbeats and time are left out: a
  * machine may claim, change voters or lose its memory at any moment.
  */
@@ -8,26 +8,26 @@
 import {
   DiskRecordSchema,
   EntrySchema,
-  FlushSchema,
+  FlushReplySchema,
   OperationSchema,
   PromiseRecordSchema,
   PromiseSchema,
   ProposeSchema,
-  SeatSchema,
+  MemberSchema,
   StateSchema,
   VersionSchema,
   ViewSchema,
   VoterSchema,
   type Accepted,
-  type Claim,
+  type Prepare,
   type Frame,
   type Propose,
-  type Seat,
+  type Member,
   type Version,
   type Voter,
 } from '@rainrun/messages';
 import type { Fault } from '@rainrun/common';
-import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
 import { Result, type Unit } from 'true-myth';
 import {
   digestOf,
@@ -39,15 +39,15 @@
   type Message,
 } from './agreement-messages.js';
 import type { Acceptor, readRecords } from './acceptor.js';
-import type { Claims, ClaimContext } from './claims.js';
+import type { Candidacy, CandidacyContext } from './candidacy.js';
 import type { Coordinator, CoordinatorContext } from './coordinator.js';
-import { disksOf, fromVersion, type Held, type Play, type VoterSets } from './play.js';
+import { disksOf, fromVersion, type GroupState, type StateMachine, type VoterSets } from './play.js';
 import { GROUP_TIMES } from './times.js';
 
 /** The code under check; a mutant brings its own. */
 export interface AgreementCode {
   readonly Acceptor: typeof Acceptor;
-  readonly Claims: typeof Claims;
+  readonly Candidacy: typeof Candidacy;
   readonly Coordinator: typeof Coordinator;
   readonly readRecords: typeof readRecords;
 }
@@ -63,11 +63,14 @@
 const DEPLOYMENT = 'model';
 
 /** The state of the application: the ids of the operations, one after the other. */
-const PLAY: Play<string> = {
+const PLAY: StateMachine<string> = {
   empty: () => '',
-  encode: (state) => ({ play: new TextEncoder().encode(state), extra: new Uint8Array() }),
-  decode: ({ play }) => Result.ok(new TextDecoder().decode(play)),
-  plain: (state) => state,
+  encode: (state) => ({
+    application: new TextEncoder().encode(state),
+    applicationExtension: new Uint8Array(),
+  }),
+  decode: ({ application: play }) => Result.ok(new TextDecoder().decode(play)),
+  withoutExtension: (state) => state,
   apply: (state, operation) => ({
     state: `${state} ${operation.id}`,
     outcome: { kind: 'agreed', detail: '' },
@@ -77,8 +80,8 @@
 /** Lost voters are replaced at once, and the view never changes. */
 const TIMES = { ...GROUP_TIMES, replaceMs: 0, graceMs: Infinity };
 
-function seatOf(machine: string): Seat {
-  return create(SeatSchema, { name: machine, incarnation: machine, address: machine, disk: machine });
+function seatOf(machine: string): Member {
+  return create(MemberSchema, { name: machine, incarnation: machine, address: machine, disk: machine });
 }
 
 function voterOf(machine: string): Voter {
@@ -107,7 +110,7 @@
 /** The records of a disk that took part in the first version. */
 export function firstDisk(machine: string, version: Version, founder: string): Records {
   const disk = create(DiskRecordSchema, { disk: machine, deployment: DEPLOYMENT });
-  const promise = create(PromiseRecordSchema, { epoch: 1, claimant: founder });
+  const promise = create(PromiseRecordSchema, { epoch: 1, candidate: founder });
   return {
     disk: toBinary(DiskRecordSchema, disk),
     promise: toBinary(PromiseRecordSchema, promise),
@@ -128,9 +131,9 @@
   #records: Records;
   #writes: Write[] = [];
   #acceptor: Acceptor;
-  #claims: Claims;
+  #claims: Candidacy;
   #coordinator: Coordinator<string> | undefined;
-  #held: Held<string> | undefined;
+  #held: GroupState<string> | undefined;
   #code: AgreementCode;
   #epochSeen = 0;
   #missing: string | undefined;
@@ -152,7 +155,7 @@
     this.#records = { ...records };
     const opening = code.readRecords(records, from.machine);
     this.broken = opening.isErr ? opening.error.detail : undefined;
-    const vault: Vault = {
+    const vault: RecordWriter = {
       store: (kind, bytes, done) => void this.#writes.push({ kind, bytes, cause: this.#cause, done }),
     };
     const fresh = {
@@ -168,7 +171,7 @@
       DEPLOYMENT,
       () => undefined,
     );
-    this.#claims = new code.Claims(this.#claimContext());
+    this.#claims = new code.Candidacy(this.#claimContext());
   }
 
   /** What a crash leaves. */
@@ -276,7 +279,7 @@
     const id = `${this.from.machine}${this.from.life}-${this.#coordinator?.epoch ?? 0}-${this.#operations}`;
     this.#log.push(`operate ${id}`);
     this.#coordinator?.submit(
-      create(OperationSchema, { id, kind: 'add', brief: true }),
+      create(OperationSchema, { id, kind: 'add', transient: true }),
       seatOf(this.from.machine),
     );
     this.#coordinator?.tick(0);
@@ -314,7 +317,7 @@
   }
 
   #voters(): VoterSets {
-    return this.#held ?? this.#acceptor.accepted?.state ?? { voters: [], votersBefore: [] };
+    return this.#held ?? this.#acceptor.accepted?.state ?? { voters: [], previousVoters: [] };
   }
 
   #onPropose(from: Life, propose: Propose): void {
@@ -323,7 +326,7 @@
     const listed = version.state?.voters.some((voter) => voter.disk === this.from.machine) ?? false;
     if (!listed && this.#acceptor.accepted === undefined) return;
     if (version.epoch > (this.#coordinator?.epoch ?? Infinity)) this.#resign();
-    this.#acceptor.propose(propose, (accepted) =>
+    this.#acceptor.accept(propose, (accepted) =>
       this.#send({ kind: 'accepted', from: this.from, to: from, accepted }),
     );
   }
@@ -366,11 +369,11 @@
     this.#sent.push(message);
   }
 
-  #post(seat: Seat, body: Frame['body']): void {
+  #post(seat: Member, body: Frame['body']): void {
     const { from } = this;
     switch (body.case) {
-      case 'claim':
-        return body.value.asking
+      case 'prepare':
+        return body.value.preVote
           ? this.#support(seat, body.value)
           : this.#send({ kind: 'claim', from, to: seat.incarnation, claim: body.value });
       case 'promise':
@@ -378,10 +381,10 @@
       case 'propose':
         this.#proposing = body.value.version?.number;
         return this.#send({ kind: 'propose', from, to: seat.incarnation, propose: body.value });
-      case 'stop':
+      case 'flushRequest':
         return this.#coordinator?.flushed(
           seat.incarnation,
-          create(FlushSchema, { epoch: body.value.epoch, change: body.value.change }),
+          create(FlushReplySchema, { epoch: body.value.epoch, change: body.value.change }),
         );
       default:
         return;
@@ -389,19 +392,19 @@
   }
 
   /** The question before a claim guards nothing but peace: here everyone supports every claim. */
-  #support(seat: Seat, claim: Claim): void {
+  #support(seat: Member, claim: Prepare): void {
     const { epoch } = claim;
     this.#claims.onPromise({
       $typeName: 'rainrun.v1.Promise',
       epoch,
       disk: seat.disk,
       granted: true,
-      asking: true,
+      preVote: true,
       seenEpoch: 0,
     });
   }
 
-  #claimContext(): ClaimContext {
+  #claimContext(): CandidacyContext {
     const { machine } = this.from;
     return {
       acceptor: this.#acceptor,
@@ -409,41 +412,41 @@
       chance: { next: () => 0 },
       nowMs: () => 0,
       voters: () => this.#voters(),
-      voterSeat: (disk) => seatOf(disk),
-      seat: (incarnation) => create(SeatSchema, { name: machine, incarnation }),
-      post: (seat, body) => this.#post(seat, body),
-      following: () => undefined,
+      memberOfVoter: (disk) => seatOf(disk),
+      member: (incarnation) => create(MemberSchema, { name: machine, incarnation }),
+      send: (seat, body) => this.#post(seat, body),
+      followedCoordinator: () => undefined,
       epoch: () => this.#epoch(),
-      sawEpoch: (epoch) => {
+      learnEpoch: (epoch) => {
         this.#epochSeen = Math.max(this.#epochSeen, epoch);
       },
-      take: (epoch, version) => this.#take(epoch, version),
+      becomeCoordinator: (epoch, version) => this.#take(epoch, version),
     };
   }
 
   #coordinatorContext(): CoordinatorContext<string> {
     const { machine } = this.from;
     return {
-      play: PLAY,
+      stateMachine: PLAY,
       times: TIMES,
       disk: machine,
-      votersWanted: 0,
+      desiredVoterCount: 0,
       self: () => seatOf(machine),
-      heldNumber: () => this.#held?.number ?? 0,
-      left: () => false,
-      live: () => true,
-      reported: () => false,
+      appliedVersion: () => this.#held?.number ?? 0,
+      hasLeft: () => false,
+      isLive: () => true,
+      isReported: () => false,
       joiners: () => [],
-      voterSeat: (disk) => (disk === this.#missing ? undefined : seatOf(disk)),
-      post: (seat, body) => this.#post(seat, body),
-      parcel: (seat, body) => {
+      memberOfVoter: (disk) => (disk === this.#missing ? undefined : seatOf(disk)),
+      send: (seat, body) => this.#post(seat, body),
+      sendOrdered: (seat, body) => {
         if (body.case === 'chosen')
           this.#coordinator?.holds(seat.incarnation, body.value.versions.at(-1)?.number ?? 0);
       },
       vote: (version) => {
         this.#proposing = version.number;
         const value = create(ProposeSchema, { disk: machine, version });
-        this.#acceptor.propose(value, (accepted) => {
+        this.#acceptor.accept(value, (accepted) => {
           this.#send({ kind: 'accepted', from: this.from, to: this.from, accepted });
           this.#onAccepted(accepted, `own ${accepted.epoch} ${accepted.number}`);
         });
--- a/packages/process-group/src/agreement-mutants.ts
+++ b/packages/process-group/src/agreement-mutants.ts
@@ -16,7 +16,7 @@
   readonly name: string;
   /** The scope that shows it. */
   readonly scope: keyof typeof SCOPES;
-  readonly file: 'acceptor.js' | 'claims.js' | 'coordinator.js' | 'play.js';
+  readonly file: 'acceptor.js' | 'candidacy.js' | 'coordinator.js' | 'play.js';
   readonly from: string;
   readonly to: string;
 }
@@ -82,35 +82,35 @@
   {
     name: 'a claim is for an epoch that is new',
     scope: 'restart',
-    file: 'claims.js',
+    file: 'candidacy.js',
     from: 'const epoch = this.#context.epoch() + 1;',
     to: 'const epoch = this.#context.epoch();',
   },
   {
     name: "a claimant's own promise is synced before it coordinates",
     scope: 'tornClaimant',
-    file: 'claims.js',
+    file: 'candidacy.js',
     from: 'if (best?.state === undefined || !promises.has(disk))',
     to: 'if (best?.state === undefined)',
   },
   {
     name: 'an election needs a majority',
     scope: 'rivalsAtWork',
-    file: 'claims.js',
+    file: 'candidacy.js',
     from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
     to: 'if (promises.size === 0)',
   },
   {
     name: 'an election needs a majority of the newest voters',
     scope: 'replacement',
-    file: 'claims.js',
+    file: 'candidacy.js',
     from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
     to: 'if (!isQuorum(this.#context.voters(), promises))',
   },
   {
     name: 'the newest accepted version is taken over',
     scope: 'rivalsAtWork',
-    file: 'claims.js',
+    file: 'candidacy.js',
     from: '(best === undefined || later(accepted, best))',
     to: '(best === undefined)',
   },
@@ -133,21 +133,21 @@
     scope: 'repair',
     file: 'coordinator.js',
     from: 'if (isQuorum(proposal.held, proposal.acks))',
-    to: 'if (isQuorum({ ...proposal.held, votersBefore: [] }, proposal.acks))',
+    to: 'if (isQuorum({ ...proposal.held, previousVoters: [] }, proposal.acks))',
   },
   {
     name: 'a change of voters needs a majority of the new ones',
     scope: 'replacement',
     file: 'coordinator.js',
     from: 'if (isQuorum(proposal.held, proposal.acks))',
-    to: 'if (isQuorum({ voters: proposal.held.votersBefore.length > 0 ? proposal.held.votersBefore : proposal.held.voters, votersBefore: [] }, proposal.acks))',
+    to: 'if (isQuorum({ voters: proposal.held.previousVoters.length > 0 ? proposal.held.previousVoters : proposal.held.voters, previousVoters: [] }, proposal.acks))',
   },
   {
     name: 'a version remembers the voters that it replaced',
     scope: 'repair',
     file: 'play.js',
-    from: 'votersBefore: entry.voters.length > 0 ? held.voters : [],',
-    to: 'votersBefore: [],',
+    from: 'previousVoters: entry.voters.length > 0 ? held.voters : [],',
+    to: 'previousVoters: [],',
   },
   {
     name: 'one voter is replaced at a time',
--- a/packages/process-group/src/agreement-search.ts
+++ b/packages/process-group/src/agreement-search.ts
@@ -388,7 +388,7 @@
 
 function isRefusal(message: Message): boolean {
   if (message.kind === 'promise') return !message.promise.granted;
-  return message.kind === 'accepted' && message.accepted.refused;
+  return message.kind === 'accepted' && message.accepted.rejected;
 }
 
 function readable(message: Message): string {
--- a/packages/process-group/src/claims.ts
+++ b/packages/process-group/src/candidacy.ts
@@ -1,40 +1,40 @@
 import { create } from '@bufbuild/protobuf';
 import {
-  ClaimSchema,
+  PrepareSchema,
   PromiseSchema,
-  type Claim,
+  type Prepare,
   type Frame,
   type Promise as Promised,
-  type Seat,
+  type Member,
   type Version,
 } from '@rainrun/messages';
-import type { Chance } from '@rainrun/common';
+import type { RandomSource } from '@rainrun/common';
 import type { Acceptor } from './acceptor.js';
 import { disksOf, isQuorum, later, type VoterSets } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What claims need of the node that they run in. */
-export interface ClaimContext {
+export interface CandidacyContext {
   readonly acceptor: Acceptor;
   readonly times: GroupTimes;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   nowMs(): number;
   /** The voters of the newest version that this node knows of. */
   voters(): VoterSets;
   /** Where the voter with this disk is now, if it is known. */
-  voterSeat(disk: string): Seat | undefined;
-  seat(incarnation: string): Seat | undefined;
-  post(seat: Seat, body: Frame['body']): void;
+  memberOfVoter(disk: string): Member | undefined;
+  member(incarnation: string): Member | undefined;
+  send(seat: Member, body: Frame['body']): void;
   /** Incarnation of the coordinator that this node follows, if one is heard. */
-  following(): string | undefined;
+  followedCoordinator(): string | undefined;
   /** Newest epoch that this node knows of. */
   epoch(): number;
-  sawEpoch(epoch: number): void;
+  learnEpoch(epoch: number): void;
   /** A majority promised an epoch: this node coordinates from this version on. */
-  take(epoch: number, version: Version): void;
+  becomeCoordinator(epoch: number, version: Version): void;
 }
 
-interface Claiming {
+interface PrepareRound {
   readonly epoch: number;
   readonly bornMs: number;
   sentMs: number;
@@ -49,16 +49,16 @@
  * It asks first whether a majority would grant, so that it unseats nobody who
  * is at work.
  * @example
- * const claims = new Claims(context);
+ * const claims = new Candidacy(context);
  * if (claims.due(nowMs) && !claims.isTaken(undefined, nowMs)) claims.begin(nowMs);
  */
-export class Claims {
-  #context: ClaimContext;
-  #claiming: Claiming | undefined;
+export class Candidacy {
+  #context: CandidacyContext;
+  #claiming: PrepareRound | undefined;
   #afterMs: number;
   #courtedMs = -Infinity;
 
-  constructor(context: ClaimContext) {
+  constructor(context: CandidacyContext) {
     this.#context = context;
     this.#afterMs = context.nowMs() + context.times.suspectMs + context.chance.next() * 300;
   }
@@ -94,7 +94,7 @@
 
   /** Whether a coordinator is at work as far as this node can see; a claim against it is not supported. */
   isTaken(claimant: string | undefined, nowMs: number): boolean {
-    const following = this.#context.following();
+    const following = this.#context.followedCoordinator();
     if (following !== undefined && following !== claimant) return true;
     return nowMs - this.#courtedMs < this.#context.times.suspectMs;
   }
@@ -102,7 +102,7 @@
   begin(nowMs: number): void {
     const { acceptor } = this.#context;
     const epoch = this.#context.epoch() + 1;
-    const claiming: Claiming = {
+    const claiming: PrepareRound = {
       epoch,
       bornMs: nowMs,
       sentMs: -Infinity,
@@ -119,18 +119,18 @@
     if (this.#claiming !== undefined) this.#press(this.#claiming, nowMs);
   }
 
-  #press(claiming: Claiming, nowMs: number): void {
+  #press(claiming: PrepareRound, nowMs: number): void {
     const { acceptor, times } = this.#context;
     if (nowMs - claiming.bornMs > times.suspectMs) return this.#drop(nowMs);
     if (nowMs - claiming.sentMs < times.resendMs) return;
     claiming.sentMs = nowMs;
     const { epoch, asking } = claiming;
-    const value = create(ClaimSchema, { epoch, disk: acceptor.disk, asking });
+    const value = create(PrepareSchema, { epoch, disk: acceptor.disk, preVote: asking });
     for (const disk of disksOf(this.#context.voters())) {
       if (asking ? claiming.supporters.has(disk) : claiming.promises.has(disk)) continue;
-      const seat = this.#context.voterSeat(disk);
-      if (disk === acceptor.disk) acceptor.claim(value, (promise) => this.onPromise(promise));
-      else if (seat !== undefined) this.#context.post(seat, { case: 'claim', value });
+      const seat = this.#context.memberOfVoter(disk);
+      if (disk === acceptor.disk) acceptor.prepare(value, (promise) => this.onPromise(promise));
+      else if (seat !== undefined) this.#context.send(seat, { case: 'prepare', value });
     }
   }
 
@@ -139,32 +139,32 @@
     this.#afterMs = nowMs + 200 + this.#context.chance.next() * 800;
   }
 
-  onClaim(from: string, claim: Claim): void {
+  onClaim(from: string, claim: Prepare): void {
     const { acceptor } = this.#context;
-    const seat = this.#context.seat(from);
+    const seat = this.#context.member(from);
     if (seat === undefined) return;
     const taken = this.isTaken(from, this.#context.nowMs());
-    if (taken || claim.asking) {
+    if (taken || claim.preVote) {
       const granted = !taken && claim.epoch > acceptor.promisedEpoch;
-      const { epoch, asking } = claim;
+      const { epoch, preVote: asking } = claim;
       const value = create(PromiseSchema, {
         epoch,
-        asking,
+        preVote: asking,
         granted,
         disk: acceptor.disk,
         seenEpoch: this.#context.epoch(),
       });
-      return this.#context.post(seat, { case: 'promise', value });
+      return this.#context.send(seat, { case: 'promise', value });
     }
-    acceptor.claim(claim, (promise) => this.#context.post(seat, { case: 'promise', value: promise }));
+    acceptor.prepare(claim, (promise) => this.#context.send(seat, { case: 'promise', value: promise }));
   }
 
   onPromise(promise: Promised): void {
     const claiming = this.#claiming;
-    this.#context.sawEpoch(promise.granted ? 0 : promise.seenEpoch);
+    this.#context.learnEpoch(promise.granted ? 0 : promise.seenEpoch);
     if (claiming === undefined || promise.epoch !== claiming.epoch) return;
     if (!promise.granted) return this.#drop(this.#context.nowMs());
-    if (promise.asking) return this.#supported(claiming, promise.disk);
+    if (promise.preVote) return this.#supported(claiming, promise.disk);
     claiming.promises.set(promise.disk, promise);
     this.#conclude(claiming);
   }
@@ -174,17 +174,17 @@
    * among them: after a crash it would otherwise claim the same epoch again,
    * and coordinate in it a second time.
    */
-  #conclude(claiming: Claiming): void {
+  #conclude(claiming: PrepareRound): void {
     const { promises, epoch } = claiming;
     const { disk } = this.#context.acceptor;
     const best = bestOf(claiming);
     if (best?.state === undefined || !promises.has(disk)) return;
     if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises)) return;
     this.#claiming = undefined;
-    if (best.state.voters.some((voter) => voter.disk === disk)) this.#context.take(epoch, best);
+    if (best.state.voters.some((voter) => voter.disk === disk)) this.#context.becomeCoordinator(epoch, best);
   }
 
-  #supported(claiming: Claiming, disk: string): void {
+  #supported(claiming: PrepareRound, disk: string): void {
     claiming.supporters.add(disk);
     if (!claiming.asking || !isQuorum(this.#context.voters(), claiming.supporters)) return;
     claiming.asking = false;
@@ -194,7 +194,7 @@
 }
 
 /** The newest version that an voter accepted, of those that promised. */
-function bestOf(claiming: Claiming): Version | undefined {
+function bestOf(claiming: PrepareRound): Version | undefined {
   let best: Version | undefined;
   for (const { accepted } of claiming.promises.values()) {
     if (accepted !== undefined && (best === undefined || later(accepted, best))) best = accepted;
--- a/packages/process-group/src/casts.ts
+++ b/packages/process-group/src/casts.ts
@@ -111,6 +111,6 @@
 
   #deliver(view: View, cast: Cast): void {
     const sender = view.members[rankOf(view, cast.sender)];
-    if (sender !== undefined) this.#parts.dependencies.audience.onCast(sender, cast.payload);
+    if (sender !== undefined) this.#parts.dependencies.listener.onCast(sender, cast.payload);
   }
 }
--- a/packages/process-group/src/coordination.ts
+++ b/packages/process-group/src/coordination.ts
@@ -71,10 +71,10 @@
   /** A majority promised an epoch: this node coordinates from this version on. */
   start(epoch: number, version: Version): void {
     const { coordinatorWatch, dependencies, leases, local } = this.#parts;
-    const base = fromVersion(dependencies.play, version);
+    const base = fromVersion(dependencies.stateMachine, version);
     if (base.isErr) return;
     this.#leaveIfBehind(base.value.number);
-    local.sawEpoch(epoch);
+    local.learnEpoch(epoch);
     this.#grantLostMs = undefined;
     leases.startDuty();
     this.#coordinator = new Coordinator(
@@ -83,7 +83,7 @@
       base.value,
       version.entry ?? create(EntrySchema),
       local.nowMs(),
-      (number) => local.sawAgreed(number),
+      (number) => local.learnCommitted(number),
     );
     coordinatorWatch.follow(local.incarnation, epoch, false);
     this.#coordinator.tick(local.nowMs());
@@ -96,7 +96,7 @@
    */
   #leaveIfBehind(baseNumber: number): void {
     const { local, viewChange } = this.#parts;
-    if (local.inView && (local.held?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
+    if (local.inView && (local.state?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
   }
 
   /** Ends this node's term if a newer epoch than its own has been heard of. */
@@ -114,7 +114,7 @@
     const { local } = this.#parts;
     const seat =
       from === local.incarnation
-        ? local.seat
+        ? local.self
         : local.view?.members.find((member) => member.incarnation === from);
     if (submit.operation !== undefined && seat !== undefined)
       this.#coordinator?.submit(submit.operation, seat);
@@ -130,14 +130,14 @@
     const isVoter = version.state?.voters.some((voter) => voter.disk === acceptor.disk) ?? false;
     if (!isVoter && acceptor.accepted === undefined) return;
     this.resignIfBefore(version.epoch);
-    if (version.epoch >= local.epoch) election.claims?.courted();
-    acceptor.propose(propose, (accepted) => transport.post(seat, { case: 'accepted', value: accepted }));
+    if (version.epoch >= local.epoch) election.candidacy?.courted();
+    acceptor.accept(propose, (accepted) => transport.post(seat, { case: 'accepted', value: accepted }));
   }
 
   /** Takes a vote on this coordinator's proposal. */
   onAccepted(accepted: Accepted): void {
     if (this.#coordinator !== undefined && accepted.seenEpoch > this.#coordinator.epoch) {
-      this.#parts.local.sawEpoch(accepted.seenEpoch);
+      this.#parts.local.learnEpoch(accepted.seenEpoch);
       return this.#resign();
     }
     this.#coordinator?.accepted(accepted);
@@ -145,32 +145,32 @@
 
   #resign(): void {
     this.#coordinator = undefined;
-    this.#parts.election.claims?.resigned();
+    this.#parts.election.candidacy?.resigned();
     this.#parts.coordinatorWatch.unfollowSelf();
   }
 
   #context(): CoordinatorContext<S> {
     const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } = this.#parts;
-    const { play, times, acceptor } = dependencies;
+    const { stateMachine: play, times, acceptor } = dependencies;
     return {
-      play,
+      stateMachine: play,
       times,
       disk: acceptor?.disk ?? '',
-      votersWanted: dependencies.votersWanted ?? 0,
-      self: () => local.seat,
-      heldNumber: () => local.heldNumber,
-      left: (incarnation) => liveness.hasSaidGoodbye(incarnation),
-      live: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
-      reported: (incarnation) => liveness.isReported(incarnation),
+      desiredVoterCount: dependencies.desiredVoterCount ?? 0,
+      self: () => local.self,
+      appliedVersion: () => local.appliedVersion,
+      hasLeft: (incarnation) => liveness.hasSaidGoodbye(incarnation),
+      isLive: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
+      isReported: (incarnation) => liveness.isReported(incarnation),
       joiners: () => discovery.joiners(),
-      voterSeat: (disk) => voters.seat(disk),
-      post: (seat, body) => transport.post(seat, body),
-      parcel: (seat, body) => transport.parcel(seat, body),
+      memberOfVoter: (disk) => voters.seat(disk),
+      send: (seat, body) => transport.post(seat, body),
+      sendOrdered: (seat, body) => transport.parcel(seat, body),
       vote: (version) => {
         const value = create(ProposeSchema, { disk: acceptor?.disk ?? '', version });
-        acceptor?.propose(value, (accepted) => this.onAccepted(accepted));
+        acceptor?.accept(value, (accepted) => this.onAccepted(accepted));
       },
-      flushSelf: (change, staying) => viewChange.flush(local.epoch, change, staying).unstable,
+      flushSelf: (change, staying) => viewChange.flush(local.epoch, change, staying).unstableCasts,
       deliverSelf: (version) => versions.take(local.incarnation, version),
     };
   }
--- a/packages/process-group/src/coordinator.ts
+++ b/packages/process-group/src/coordinator.ts
@@ -4,18 +4,18 @@
   VoterSchema,
   EntrySchema,
   ProposeSchema,
-  StopSchema,
+  FlushRequestSchema,
   ViewSchema,
   type Accepted,
   type Answer,
   type Cast,
   type Voter,
   type Entry,
-  type Flush,
+  type FlushReply,
   type Frame,
   type Operation,
-  type Parcel,
-  type Seat,
+  type SequencedMessage,
+  type Member,
   type Version,
   type View,
 } from '@rainrun/messages';
@@ -31,33 +31,33 @@
   rememberedCount,
   REMEMBERED_MOST,
   toVersion,
-  unbridged,
-  type Held,
-  type Play,
+  levelMismatch,
+  type GroupState,
+  type StateMachine,
 } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What the coordinator needs from the node that it runs in. */
 export interface CoordinatorContext<S> {
-  readonly play: Play<S>;
+  readonly stateMachine: StateMachine<S>;
   readonly times: GroupTimes;
   readonly disk: string;
   /** So many voters there should be, as far as there are disks. */
-  readonly votersWanted: number;
-  self(): Seat;
+  readonly desiredVoterCount: number;
+  self(): Member;
   /** Newest version in force in this node. */
-  heldNumber(): number;
-  live(incarnation: string): boolean;
+  appliedVersion(): number;
+  isLive(incarnation: string): boolean;
   /** Whether this incarnation has said goodbye. */
-  left(incarnation: string): boolean;
+  hasLeft(incarnation: string): boolean;
   /** Whether most members say that they cannot reach this incarnation. */
-  reported(incarnation: string): boolean;
+  isReported(incarnation: string): boolean;
   /** Live nodes that ask to join; this node too while it is in no view. */
-  joiners(): readonly Seat[];
+  joiners(): readonly Member[];
   /** Where the voter with this disk is now, if it is known. */
-  voterSeat(disk: string): Seat | undefined;
-  post(seat: Seat, body: Frame['body']): void;
-  parcel(seat: Seat, body: Parcel['body']): void;
+  memberOfVoter(disk: string): Member | undefined;
+  send(seat: Member, body: Frame['body']): void;
+  sendOrdered(seat: Member, body: SequencedMessage['body']): void;
   /** This node's own vote on a proposal. */
   vote(version: Version): void;
   flushSelf(change: number, staying: readonly string[]): readonly Cast[];
@@ -65,7 +65,7 @@
 }
 
 interface Proposal<S> {
-  readonly held: Held<S>;
+  readonly held: GroupState<S>;
   readonly entry: Entry;
   readonly version: Version;
   readonly acks: Set<string>;
@@ -79,8 +79,8 @@
 
 interface Change {
   readonly id: number;
-  readonly staying: readonly Seat[];
-  readonly joiners: readonly Seat[];
+  readonly staying: readonly Member[];
+  readonly joiners: readonly Member[];
   readonly bornMs: number;
   readonly lots: Map<string, readonly Cast[]>;
   sentMs: number;
@@ -102,7 +102,7 @@
 export class Coordinator<S> {
   #context: CoordinatorContext<S>;
   #epoch: number;
-  #held: Held<S>;
+  #held: GroupState<S>;
   #proposal: Proposal<S> | undefined;
   #settling: Settling | undefined;
   #change: Change | undefined;
@@ -112,7 +112,7 @@
   #owed = true;
   #missingSinceMs = new Map<string, number>();
   #backlog: Operation[] = [];
-  #submitters = new Map<string, Seat>();
+  #submitters = new Map<string, Member>();
   /** Members that did not flush in time, and until when they are left out. */
   #slowUntilMs = new Map<string, number>();
   #heldBy = new Map<string, number>();
@@ -127,7 +127,7 @@
   constructor(
     context: CoordinatorContext<S>,
     epoch: number,
-    base: Held<S>,
+    base: GroupState<S>,
     entry: Entry,
     nowMs: number,
     settled: (number: number) => void,
@@ -154,7 +154,7 @@
   }
 
   /** Takes an operation; an id already decided or waiting is not taken twice. */
-  submit(operation: Operation, from: Seat): void {
+  submit(operation: Operation, from: Member): void {
     this.#submitters.set(operation.id, from);
     const answer = this.#held.answers.find((known) => known.id === operation.id);
     if (answer !== undefined && answer.number <= this.#agreed) return this.#answer(answer);
@@ -173,15 +173,15 @@
 
   accepted(accepted: Accepted): void {
     const proposal = this.#proposal;
-    if (proposal === undefined || accepted.refused) return;
+    if (proposal === undefined || accepted.rejected) return;
     if (accepted.epoch !== this.#epoch || accepted.number !== proposal.held.number) return;
     proposal.acks.add(accepted.disk);
     if (isQuorum(proposal.held, proposal.acks)) this.#choose(proposal);
   }
 
-  flushed(incarnation: string, flush: Flush): void {
+  flushed(incarnation: string, flush: FlushReply): void {
     if (flush.epoch !== this.#epoch || flush.change !== this.#change?.id) return;
-    this.#change.lots.set(incarnation, flush.unstable);
+    this.#change.lots.set(incarnation, flush.unstableCasts);
   }
 
   tick(nowMs: number): void {
@@ -198,7 +198,7 @@
 
   /** Whether the newest version changed the view or the voters: the next one says that the change is settled. */
   #mustConclude(): boolean {
-    return this.#held.before !== undefined || this.#held.votersBefore.length > 0;
+    return this.#held.previousView !== undefined || this.#held.previousVoters.length > 0;
   }
 
   /** Operations for the next version: as many as their answers can be remembered. */
@@ -209,9 +209,9 @@
     let bytes = 0;
     for (const operation of this.#backlog) {
       const small = batch.length === 0 || bytes + operation.payload.length <= BATCH_BYTES;
-      const fits = small && batch.length < BATCH && (operation.brief || room > 0);
+      const fits = small && batch.length < BATCH && (operation.transient || room > 0);
       if (fits) bytes += operation.payload.length;
-      if (fits && !operation.brief) room -= 1;
+      if (fits && !operation.transient) room -= 1;
       (fits ? batch : later).push(operation);
     }
     this.#backlog = later;
@@ -222,11 +222,11 @@
     entry.level = levelOf(entry.view?.members ?? this.#held.view.members);
     if (entry.level > 1) entry.elapsedMs = nowMs - this.#clockedMs;
     this.#clockedMs = nowMs;
-    this.#propose(advance(this.#context.play, this.#held, this.#epoch, entry), entry, nowMs);
+    this.#propose(advance(this.#context.stateMachine, this.#held, this.#epoch, entry), entry, nowMs);
   }
 
-  #propose(held: Held<S>, entry: Entry, nowMs: number): void {
-    const version = toVersion(this.#context.play, held, entry);
+  #propose(held: GroupState<S>, entry: Entry, nowMs: number): void {
+    const version = toVersion(this.#context.stateMachine, held, entry);
     this.#proposal = {
       held,
       entry,
@@ -247,8 +247,8 @@
         this.#context.vote(proposal.version);
         continue;
       }
-      const seat = this.#context.voterSeat(disk);
-      if (seat !== undefined) this.#context.post(seat, { case: 'propose', value });
+      const seat = this.#context.memberOfVoter(disk);
+      if (seat !== undefined) this.#context.send(seat, { case: 'propose', value });
     }
   }
 
@@ -256,14 +256,14 @@
     const old = this.#held;
     this.#proposal = undefined;
     this.#held = proposal.held;
-    const before = proposal.held.before === undefined ? [] : [proposal.held.before];
+    const before = proposal.held.previousView === undefined ? [] : [proposal.held.previousView];
     this.#settling = { number: proposal.held.number, views: [...before, proposal.held.view] };
     this.#context.deliverSelf(proposal.version);
     this.#carry(proposal.version, old);
     this.#settle(this.#settling);
   }
 
-  #carry(version: Version, old: Held<S>): void {
+  #carry(version: Version, old: GroupState<S>): void {
     const self = this.#context.self().incarnation;
     const light = create(ChosenSchema, { versions: [bare(version)] });
     const heavy = create(ChosenSchema, { versions: [version] });
@@ -271,12 +271,12 @@
       if (member.incarnation === self) continue;
       const holds = this.#heldBy.get(member.incarnation) ?? 0;
       const follows = holds > 0 && holds >= version.number - 1 && rankOf(old.view, member.incarnation) >= 0;
-      this.#context.parcel(member, { case: 'chosen', value: follows ? light : heavy });
+      this.#context.sendOrdered(member, { case: 'chosen', value: follows ? light : heavy });
     }
   }
 
   #settle(settling: Settling): boolean {
-    this.#heldBy.set(this.#context.self().incarnation, this.#context.heldNumber());
+    this.#heldBy.set(this.#context.self().incarnation, this.#context.appliedVersion());
     const held = settling.views.every((view) =>
       this.#accounted(view, (seat) => (this.#heldBy.get(seat.incarnation) ?? 0) >= settling.number),
     );
@@ -293,16 +293,16 @@
     const seat = this.#submitters.get(answer.id);
     if (seat === undefined) return;
     this.#submitters.delete(answer.id);
-    this.#context.parcel(seat, { case: 'answer', value: answer });
+    this.#context.sendOrdered(seat, { case: 'answer', value: answer });
   }
 
   /** A incarnation that can do nothing any more: it said goodbye, was succeeded under its name, or was forgotten. */
-  #isGone(seat: Seat): boolean {
+  #isGone(seat: Member): boolean {
     if (this.#gone.has(seat.incarnation)) return true;
     const { members } = this.#held.view;
     const inView = rankOf(this.#held.view, seat.incarnation) >= 0;
     const gone =
-      this.#context.left(seat.incarnation) ||
+      this.#context.hasLeft(seat.incarnation) ||
       this.#forgotten.has(seat.name) ||
       (!inView && members.some((member) => member.name === seat.name)) ||
       this.#context
@@ -311,13 +311,13 @@
           (joiner) =>
             joiner.name === seat.name &&
             joiner.incarnation !== seat.incarnation &&
-            (joiner.address === seat.address || !this.#context.live(seat.incarnation)),
+            (joiner.address === seat.address || !this.#context.isLive(seat.incarnation)),
         );
     if (gone) this.#gone.add(seat.incarnation);
     return gone;
   }
 
-  #accounted(view: View, counts: (seat: Seat) => boolean): boolean {
+  #accounted(view: View, counts: (seat: Member) => boolean): boolean {
     if (view.members.length === 0) return true;
     return (
       view.members.filter((seat) => counts(seat) || this.#isGone(seat)).length >=
@@ -325,14 +325,14 @@
     );
   }
 
-  #staying(nowMs: number): Seat[] {
+  #staying(nowMs: number): Member[] {
     const self = this.#context.self().incarnation;
     return this.#held.view.members.filter(
       (seat) =>
         seat.incarnation === self ||
-        (this.#context.live(seat.incarnation) &&
+        (this.#context.isLive(seat.incarnation) &&
           nowMs >= (this.#slowUntilMs.get(seat.incarnation) ?? -Infinity) &&
-          !this.#context.reported(seat.incarnation) &&
+          !this.#context.isReported(seat.incarnation) &&
           !this.#isGone(seat)),
     );
   }
@@ -341,18 +341,18 @@
     const view = this.#held.view;
     const staying = this.#staying(nowMs);
     const names = new Set(staying.map((seat) => seat.name));
-    const joiners: Seat[] = [];
+    const joiners: Member[] = [];
     for (const seat of [...this.#context.joiners()].sort((one, other) => (one.name < other.name ? -1 : 1))) {
       const known =
         names.has(seat.name) || rankOf(view, seat.incarnation) >= 0 || this.#forgotten.has(seat.name);
-      if (!known && unbridged(seat, [...staying, ...joiners]) === undefined) joiners.push(seat);
+      if (!known && levelMismatch(seat, [...staying, ...joiners]) === undefined) joiners.push(seat);
     }
     if (staying.length === view.members.length && joiners.length === 0 && !this.#owed) {
       this.#wantedSinceMs = undefined;
       return false;
     }
     const self = this.#context.self().incarnation;
-    if (rankOf(view, self) >= 0 && this.#context.heldNumber() < this.#held.number) return false;
+    if (rankOf(view, self) >= 0 && this.#context.appliedVersion() < this.#held.number) return false;
     this.#wantedSinceMs ??= nowMs;
     if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
     if (!this.#accounted(view, (seat) => staying.includes(seat))) return false;
@@ -368,7 +368,7 @@
     const self = this.#context.self().incarnation;
     const missing = change.staying.filter((seat) => !change.lots.has(seat.incarnation));
     const lost = change.staying.some(
-      (seat) => seat.incarnation !== self && !this.#context.live(seat.incarnation),
+      (seat) => seat.incarnation !== self && !this.#context.isLive(seat.incarnation),
     );
     if (nowMs - change.bornMs > this.#context.times.flushMs) {
       for (const seat of missing)
@@ -383,7 +383,7 @@
     if (nowMs - change.sentMs < this.#context.times.resendMs) return;
     change.sentMs = nowMs;
     const staying = change.staying.map((seat) => seat.incarnation);
-    const value = create(StopSchema, {
+    const value = create(FlushRequestSchema, {
       epoch: this.#epoch,
       change: change.id,
       view: this.#held.view.number,
@@ -391,7 +391,7 @@
     });
     for (const seat of missing) {
       if (seat.incarnation === self) change.lots.set(self, this.#context.flushSelf(change.id, staying));
-      else this.#context.post(seat, { case: 'stop', value });
+      else this.#context.send(seat, { case: 'flushRequest', value });
     }
     if (change.staying.every((seat) => change.lots.has(seat.incarnation))) this.#install(change, nowMs);
   }
@@ -405,7 +405,7 @@
       number: old.number + 1,
       members: [...change.staying, ...change.joiners],
     });
-    this.#next(create(EntrySchema, { view, cut: cutOf(old, [...change.lots.values()]) }), nowMs);
+    this.#next(create(EntrySchema, { view, flushedCasts: cutOf(old, [...change.lots.values()]) }), nowMs);
   }
 
   /**
@@ -415,7 +415,8 @@
   #replacement(nowMs: number): Voter[] | undefined {
     const { voters, view } = this.#held;
     for (const voter of voters) {
-      const there = voter.disk === this.#context.disk || this.#context.voterSeat(voter.disk) !== undefined;
+      const there =
+        voter.disk === this.#context.disk || this.#context.memberOfVoter(voter.disk) !== undefined;
       if (there) this.#missingSinceMs.delete(voter.disk);
       else if (!this.#missingSinceMs.has(voter.disk)) this.#missingSinceMs.set(voter.disk, nowMs);
     }
@@ -423,7 +424,7 @@
       (seat) =>
         seat.disk !== '' &&
         !voters.some((voter) => voter.disk === seat.disk) &&
-        this.#context.live(seat.incarnation) &&
+        this.#context.isLive(seat.incarnation) &&
         (this.#heldBy.get(seat.incarnation) ?? 0) >= this.#held.number,
     );
     const missing = voters.filter((voter) => this.#missingSinceMs.has(voter.disk));
@@ -434,7 +435,7 @@
         (voter) => nowMs - (this.#missingSinceMs.get(voter.disk) ?? nowMs) >= this.#context.times.replaceMs,
       );
     const spare = spares.find((seat) => seat.name === lost?.name) ?? spares[0];
-    if (lost === undefined && spare !== undefined && voters.length < this.#context.votersWanted) {
+    if (lost === undefined && spare !== undefined && voters.length < this.#context.desiredVoterCount) {
       return [...voters, create(VoterSchema, { disk: spare.disk, name: spare.name })];
     }
     if (lost === undefined || spare === undefined) return undefined;
--- a/packages/process-group/src/directory.ts
+++ b/packages/process-group/src/directory.ts
@@ -1,5 +1,5 @@
 /** Which nodes are known, and where. */
-import type { Seat } from '@rainrun/messages';
+import type { Member } from '@rainrun/messages';
 import type { GroupDependencies } from './group-dependencies.js';
 
 /**
@@ -11,7 +11,7 @@
  */
 export class Directory<S> {
   #ownAddress: string;
-  #seats = new Map<string, Seat>();
+  #seats = new Map<string, Member>();
   #addresses = new Set<string>();
 
   constructor(dependencies: GroupDependencies<S>) {
@@ -25,7 +25,7 @@
     return this.#addresses;
   }
 
-  seat(incarnation: string): Seat | undefined {
+  seat(incarnation: string): Member | undefined {
     return this.#seats.get(incarnation);
   }
 
@@ -35,13 +35,13 @@
   }
 
   /** Remembers a node and its address. */
-  learn(seat: Seat): void {
+  learn(seat: Member): void {
     this.#seats.set(seat.incarnation, seat);
     if (seat.address !== this.#ownAddress) this.#addresses.add(seat.address);
   }
 
   /** Remembers a node that is sent to, but no address to look for it later. */
-  remember(seat: Seat): void {
+  remember(seat: Member): void {
     this.#seats.set(seat.incarnation, seat);
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Remembers where the members of a view were, to find them again from outside. */
-  learnAddresses(members: readonly Seat[]): void {
+  learnAddresses(members: readonly Member[]): void {
     for (const member of members) this.#addresses.add(member.address);
     this.#addresses.delete(this.#ownAddress);
   }
--- a/packages/process-group/src/discovery.ts
+++ b/packages/process-group/src/discovery.ts
@@ -1,13 +1,13 @@
 /** How nodes find each other: greetings, contacts, and what is known of nodes outside the view. */
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
-import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Seat } from '@rainrun/messages';
+import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
-import { rankOf, unbridged } from './play.js';
+import { rankOf, levelMismatch } from './play.js';
 
 /** A node that was lately in touch, as it described itself. */
 export interface Contact {
-  readonly seat: Seat;
+  readonly seat: Member;
   readonly atMs: number;
   readonly inView: boolean;
   /** Newest version that it holds or has accepted. */
@@ -75,13 +75,13 @@
   }
 
   /** Live nodes that ask to join; this node too while it is in no view. */
-  joiners(): Seat[] {
+  joiners(): Member[] {
     const { local } = this.#parts;
     const joiners = this.freshContacts()
       .filter((contact) => !contact.inView)
       .map((contact) => contact.seat);
     const view = local.view;
-    if (view === undefined) return [local.seat, ...joiners];
+    if (view === undefined) return [local.self, ...joiners];
     return joiners.filter((seat) => rankOf(view, seat.incarnation) < 0);
   }
 
@@ -92,13 +92,13 @@
 
   onHello(hello: Hello): void {
     const { directory, liveness, local } = this.#parts;
-    const seat = hello.seat;
+    const seat = hello.sender;
     if (seat === undefined || seat.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(seat);
     const greeting = this.#greetingFor(seat.incarnation);
     if (hello.echo === greeting) {
-      const { number, founding } = hello;
+      const { newestVersion: number, founding } = hello;
       liveness.answered(seat.incarnation, nowMs);
       this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView: false, number, founding });
     }
@@ -108,19 +108,19 @@
 
   onHelloAck(ack: HelloAck): void {
     const { dependencies, directory, liveness, local, viewChange } = this.#parts;
-    const seat = ack.seat;
+    const seat = ack.sender;
     if (seat === undefined || seat.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(seat);
     this.#greetings.set(seat.incarnation, ack.greeting);
     liveness.answered(seat.incarnation, nowMs);
-    const { inView, number, founding } = ack;
-    if (ack.refused !== '' && !local.inView) dependencies.audience.onRefused(ack.refused);
+    const { inView, newestVersion: number, founding } = ack;
+    if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
     this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView, number, founding });
     for (const known of ack.known)
       if (known.incarnation !== local.incarnation) directory.learnAddress(known.address);
     const listed = ack.known.some((known) => known.incarnation === local.incarnation);
-    if (local.inView && inView && !listed && number > local.newestNumber) viewChange.rejoin();
+    if (local.inView && inView && !listed && number > local.newestVersion) viewChange.rejoin();
   }
 
   forget(incarnation: string): void {
@@ -145,11 +145,11 @@
     const { dependencies, directory, founding, local, transport } = this.#parts;
     const greetings = this.#greetingsByAddress();
     for (const address of new Set([...dependencies.seeds, ...directory.addresses])) {
-      if (address === local.seat.address) continue;
+      if (address === local.self.address) continue;
       const value = create(HelloSchema, {
-        seat: local.seat,
+        sender: local.self,
         founding: founding.mayFound(),
-        number: local.newestNumber,
+        newestVersion: local.newestVersion,
         echo: local.inView ? '' : (greetings.get(address) ?? ''),
       });
       transport.postToAddress(address, '', { case: 'hello', value });
@@ -174,7 +174,7 @@
   }
 
   /** Sends the whole state to a member that does not know yet that it is one. */
-  #welcomeMember(seat: Seat, nowMs: number): void {
+  #welcomeMember(seat: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#parts;
     const view = local.view;
     if (view === undefined || rankOf(view, seat.incarnation) < 0) return;
@@ -184,23 +184,23 @@
     versions.sendWhole(seat);
   }
 
-  #answerHello(seat: Seat, greeting: string): void {
+  #answerHello(seat: Member, greeting: string): void {
     const { founding, local, transport } = this.#parts;
     const view = local.view;
     const member = view !== undefined && rankOf(view, seat.incarnation) >= 0;
     const members = view?.members ?? [];
     const contacts = this.freshContacts().map((contact) => contact.seat);
     const value = create(HelloAckSchema, {
-      seat: local.seat,
+      sender: local.self,
       greeting,
       known: [
         ...members.filter((other) => other.incarnation !== seat.incarnation || member),
         ...contacts.filter((other) => other.incarnation !== seat.incarnation),
       ],
       inView: local.inView,
-      number: local.newestNumber,
+      newestVersion: local.newestVersion,
       founding: founding.mayFound(),
-      refused: (view === undefined || member ? undefined : unbridged(seat, view.members)) ?? '',
+      rejection: (view === undefined || member ? undefined : levelMismatch(seat, view.members)) ?? '',
     });
     transport.post(seat, { case: 'helloAck', value });
   }
--- a/packages/process-group/src/election.ts
+++ b/packages/process-group/src/election.ts
@@ -1,6 +1,6 @@
 /** When this node claims the next epoch, and as what it answers the claims of others. */
 import type { Acceptor } from './acceptor.js';
-import { Claims, type ClaimContext } from './claims.js';
+import { Candidacy, type CandidacyContext } from './candidacy.js';
 import type { GroupParts } from './group-parts.js';
 
 type ElectionParts<S> = Pick<
@@ -25,16 +25,16 @@
  */
 export class Election<S> {
   #parts: ElectionParts<S>;
-  #claims: Claims | undefined;
+  #claims: Candidacy | undefined;
 
   constructor(parts: ElectionParts<S>) {
     this.#parts = parts;
     const { acceptor } = parts.dependencies;
-    this.#claims = acceptor === undefined ? undefined : new Claims(this.#claimContext(acceptor));
+    this.#claims = acceptor === undefined ? undefined : new Candidacy(this.#claimContext(acceptor));
   }
 
   /** Claims to an epoch, own and others'; only on a node with a disk. */
-  get claims(): Claims | undefined {
+  get candidacy(): Candidacy | undefined {
     return this.#claims;
   }
 
@@ -88,7 +88,7 @@
     const { discovery, local } = this.#parts;
     const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView && disks.includes(contact.seat.disk))) return false;
-    const number = Math.max(1, local.newestNumber);
+    const number = Math.max(1, local.newestVersion);
     const first = disks.find(
       (disk) =>
         disk === ownDisk ||
@@ -97,7 +97,7 @@
     return first === ownDisk;
   }
 
-  #claimContext(acceptor: Acceptor): ClaimContext {
+  #claimContext(acceptor: Acceptor): CandidacyContext {
     const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } = this.#parts;
     const { times, chance } = dependencies;
     return {
@@ -106,13 +106,13 @@
       chance,
       nowMs: () => local.nowMs(),
       voters: () => voters.sets(),
-      voterSeat: (disk) => voters.seat(disk),
-      seat: (incarnation) => directory.seat(incarnation),
-      post: (seat, body) => transport.post(seat, body),
-      following: () => coordinatorWatch.live()?.incarnation,
+      memberOfVoter: (disk) => voters.seat(disk),
+      member: (incarnation) => directory.seat(incarnation),
+      send: (seat, body) => transport.post(seat, body),
+      followedCoordinator: () => coordinatorWatch.live()?.incarnation,
       epoch: () => local.epoch,
-      sawEpoch: (epoch) => local.sawEpoch(epoch),
-      take: (epoch, version) => coordination.start(epoch, version),
+      learnEpoch: (epoch) => local.learnEpoch(epoch),
+      becomeCoordinator: (epoch, version) => coordination.start(epoch, version),
     };
   }
 }
--- a/packages/process-group/src/fencing.test.ts
+++ b/packages/process-group/src/fencing.test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from 'node:test';
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
 import { TestCluster } from './test-cluster.js';
 
@@ -17,9 +17,9 @@
   #newest = 0;
 
   note(cluster: TestCluster): void {
-    const now = cluster.running.filter(({ group }) => group.dutyEpoch() !== undefined);
+    const now = cluster.running.filter(({ group }) => group.singletonEpoch() !== undefined);
     if (now.length > 1) this.wrong.push(`${now.length} holders at ${cluster.nowMs}`);
-    for (const { group } of now) this.#noteHolder(group.dutyEpoch() ?? 0, group.seat.incarnation);
+    for (const { group } of now) this.#noteHolder(group.singletonEpoch() ?? 0, group.self.incarnation);
   }
 
   #noteHolder(epoch: number, incarnation: string): void {
@@ -32,7 +32,7 @@
 }
 
 /** Something happens to one machine, the coordinator as often as not; one disk may be lost at a time. */
-function disturb(cluster: TestCluster, dice: Dice): void {
+function disturb(cluster: TestCluster, dice: SeededRandom): void {
   for (const name of NAMES) cluster.cutOff(name, false);
   for (const node of cluster.nodes.values()) node.running = true;
   const leader = cluster.leader()?.name;
@@ -51,7 +51,7 @@
   it('has one holder at a time, each epoch one, and rises across cuts, freezes, restarts and wipes', () => {
     let changes = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const dice = new Dice(seed);
+      const dice = new SeededRandom(seed);
       const cluster = new TestCluster(NAMES, 1, seed);
       const log = new LeaseLog();
       cluster.found();
--- a/packages/process-group/src/founding.ts
+++ b/packages/process-group/src/founding.ts
@@ -1,9 +1,9 @@
 /** The founding of a group: its first version, made once by the first of the founders. */
 import { create } from '@bufbuild/protobuf';
-import { ClaimSchema, EntrySchema, ViewSchema, VoterSchema, type Seat } from '@rainrun/messages';
+import { PrepareSchema, EntrySchema, ViewSchema, VoterSchema, type Member } from '@rainrun/messages';
 import type { Acceptor } from './acceptor.js';
 import type { GroupParts } from './group-parts.js';
-import { toVersion, type Held } from './play.js';
+import { toVersion, type GroupState } from './play.js';
 
 type FoundingParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'discovery' | 'local'>;
 
@@ -29,14 +29,14 @@
   /** Founds the group if this is the first of the founders and all the others are there. */
   tick(): void {
     const { coordination, dependencies } = this.#parts;
-    const { acceptor, founders, play } = dependencies;
+    const { acceptor, founders, stateMachine: play } = dependencies;
     const own = this.#founderName();
     if (acceptor === undefined || own === undefined || [...founders].sort()[0] !== own) return;
     const seats = this.#founderSeats(own);
     if (seats === undefined || acceptor.busy) return;
     const held = this.#firstVersion(acceptor, seats);
     const { epoch, view } = held;
-    acceptor.claim(create(ClaimSchema, { epoch, disk: acceptor.disk }), (promise) => {
+    acceptor.prepare(create(PrepareSchema, { epoch, disk: acceptor.disk }), (promise) => {
       if (!promise.granted || coordination.coordinator !== undefined || !this.mayFound()) return;
       coordination.start(epoch, toVersion(play, held, create(EntrySchema, { view })));
     });
@@ -49,11 +49,11 @@
   }
 
   /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
-  #founderSeats(own: string): Seat[] | undefined {
+  #founderSeats(own: string): Member[] | undefined {
     const { dependencies, discovery, local } = this.#parts;
     const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView || contact.number > 0)) return undefined;
-    const seats = [local.seat];
+    const seats = [local.self];
     for (const founder of dependencies.founders) {
       if (founder === own) continue;
       const contact = contacts.find(
@@ -66,18 +66,18 @@
     return seats;
   }
 
-  #firstVersion(acceptor: Acceptor, seats: readonly Seat[]): Held<S> {
-    const { deployment, play } = this.#parts.dependencies;
+  #firstVersion(acceptor: Acceptor, seats: readonly Member[]): GroupState<S> {
+    const { deployment, stateMachine: play } = this.#parts.dependencies;
     const epoch = acceptor.promisedEpoch + 1;
     return {
       epoch,
       number: 1,
       deployment,
       view: create(ViewSchema, { epoch, number: 1, members: [...seats] }),
-      before: undefined,
+      previousView: undefined,
       voters: seats.map(({ disk, name }) => create(VoterSchema, { disk, name })),
-      votersBefore: [],
-      play: play.empty(),
+      previousVoters: [],
+      application: play.empty(),
       answers: [],
       level: 1,
       clockMs: 0,
--- a/packages/process-group/src/group-dependencies.ts
+++ b/packages/process-group/src/group-dependencies.ts
@@ -1,24 +1,24 @@
 /** What a group is given by its node, and what it tells the rest of it. */
-import type { Chance, Clock } from '@rainrun/common';
-import type { Answer, Entry, Frame, Seat, Speaks } from '@rainrun/messages';
+import type { RandomSource, Clock } from '@rainrun/common';
+import type { Answer, Entry, Frame, Member, ProtocolLevels } from '@rainrun/messages';
 import type { Acceptor } from './acceptor.js';
-import type { Held, Play } from './play.js';
+import type { GroupState, StateMachine } from './play.js';
 import type { GroupTimes } from './times.js';
 
 /** What the group tells the rest of its node. */
-export interface Audience<S> {
+export interface GroupListener<S> {
   /** A version has come into force here; `entry` is undefined when the state came as a whole. */
-  onVersion(held: Held<S>, entry: Entry | undefined): void;
+  onVersion(held: GroupState<S>, entry: Entry | undefined): void;
   /** A causal cast of a member is delivered here. */
-  onCast(sender: Seat, payload: Uint8Array): void;
+  onCast(sender: Member, payload: Uint8Array): void;
   /** An operation that this node submitted is agreed or refused. */
   onAnswer(answer: Answer): void;
   /** This node was dropped and goes on as a new member. */
-  onReborn(incarnation: string): void;
+  onNewIncarnation(incarnation: string): void;
   /** A frame that the group does not know: news. */
   onFrame(from: string, body: Frame['body']): void;
   /** This node cannot join the group, and why. */
-  onRefused(why: string): void;
+  onJoinRejected(why: string): void;
 }
 
 /** Where a node stands and what it is given. */
@@ -31,15 +31,15 @@
   /** Names or addresses of the founding cores; empty on a node that never founds. */
   readonly founders: readonly string[];
   /** So many voters there should be, as far as there are disks; the founders alone without it. */
-  readonly votersWanted?: number;
+  readonly desiredVoterCount?: number;
   readonly clock: Clock;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly times: GroupTimes;
-  readonly play: Play<S>;
+  readonly stateMachine: StateMachine<S>;
   readonly acceptor: Acceptor | undefined;
   /** Levels of the protocol that this program speaks. */
-  readonly speaks: Speaks;
-  readonly audience: Audience<S>;
+  readonly protocolLevels: ProtocolLevels;
+  readonly listener: GroupListener<S>;
   /** Sends a frame; it may be lost, late or doubled. */
-  post(address: string, frame: Frame): void;
+  send(address: string, frame: Frame): void;
 }
--- a/packages/process-group/src/group-election.test.ts
+++ b/packages/process-group/src/group-election.test.ts
@@ -22,7 +22,7 @@
       deployment: 'test',
       view: create(ViewSchema, { epoch: 1, number: 1 }),
       voters: voters.map((disk) => create(VoterSchema, { disk, name: disk })),
-      play: new TextEncoder().encode('[]'),
+      application: new TextEncoder().encode('[]'),
     }),
   });
 }
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -1,35 +1,45 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { FRAME_MAX_BYTES, OperationSchema, pack, SPEAKS, type Answer, type Frame } from '@rainrun/messages';
-import { Dice, type Fault } from '@rainrun/common';
-import type { RecordKind, Vault } from '@rainrun/storage';
+import {
+  FRAME_MAX_BYTES,
+  OperationSchema,
+  encodeFrame,
+  PROTOCOL_LEVELS,
+  type Answer,
+  type Frame,
+} from '@rainrun/messages';
+import { SeededRandom, type Fault } from '@rainrun/common';
+import type { RecordKind, RecordWriter } from '@rainrun/storage';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 import { Group } from './group.js';
-import type { Play } from './play.js';
+import type { StateMachine } from './play.js';
 import { GROUP_TIMES } from './times.js';
 
 const NAMES = ['a', 'b', 'c'];
 const TICK_MS = 20;
 
 /** A disk that has synced as soon as it is asked to. */
-class QuickVault implements Vault {
+class QuickVault implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
 }
 
 /** A state that counts the bytes of the operations that were applied. */
-const COUNT: Play<number> = {
+const COUNT: StateMachine<number> = {
   empty: () => 0,
-  encode: (state) => ({ play: new TextEncoder().encode(String(state)), extra: new Uint8Array() }),
-  decode: ({ play }) => Result.ok(Number(new TextDecoder().decode(play))),
+  encode: (state) => ({
+    application: new TextEncoder().encode(String(state)),
+    applicationExtension: new Uint8Array(),
+  }),
+  decode: ({ application: play }) => Result.ok(Number(new TextDecoder().decode(play))),
   apply: (state, { payload }) => ({
     state: state + payload.length,
     outcome: { kind: 'agreed', detail: '' },
   }),
-  plain: (state) => state,
+  withoutExtension: (state) => state,
 };
 
 /** Three cores on a network without delay, in virtual time. */
@@ -42,7 +52,7 @@
   #frames: { to: string; frame: Frame }[] = [];
 
   constructor() {
-    const dice = new Dice(3);
+    const dice = new SeededRandom(3);
     for (const name of NAMES) {
       const opening = readRecords({}, `disk-${name}`);
       if (opening.isErr) continue;
@@ -56,25 +66,25 @@
         clock: { nowMs: () => this.nowMs },
         chance: dice,
         times: GROUP_TIMES,
-        play: COUNT,
+        stateMachine: COUNT,
         acceptor: new Acceptor(opening.value, new QuickVault(), 'd', () => undefined),
-        speaks: SPEAKS,
-        audience: {
+        protocolLevels: PROTOCOL_LEVELS,
+        listener: {
           onVersion: () => undefined,
           onCast: () => undefined,
           onAnswer: (answer) => this.answers.push(answer),
-          onReborn: () => undefined,
+          onNewIncarnation: () => undefined,
           onFrame: () => undefined,
-          onRefused: () => undefined,
+          onJoinRejected: () => undefined,
         },
-        post: (to, frame) => this.#post(name, to, frame),
+        send: (to, frame) => this.#post(name, to, frame),
       });
       this.groups.set(name, group);
     }
   }
 
   get coordinator(): string {
-    return NAMES.find((name) => this.group(name).leading) ?? '';
+    return NAMES.find((name) => this.group(name).isCoordinator) ?? '';
   }
 
   group(name: string): Group<number> {
@@ -93,7 +103,7 @@
   }
 
   #post(from: string, to: string, frame: Frame): void {
-    this.mostBytes = Math.max(this.mostBytes, pack(frame).length);
+    this.mostBytes = Math.max(this.mostBytes, encodeFrame(frame).length);
     if (!this.cuts.has(`${from} ${to}`)) this.#frames.push({ to, frame });
   }
 
@@ -109,12 +119,12 @@
     cluster.run(3000);
     const { coordinator } = cluster;
     const [leaving, cutOff] = NAMES.filter((name) => name !== coordinator) as [string, string];
-    const before = NAMES.map((name) => cluster.group(name).granted());
+    const before = NAMES.map((name) => cluster.group(name).holdsLease());
     cluster.cut(coordinator, cutOff);
     cluster.group(leaving).leave();
     const leftMs = cluster.nowMs;
     cluster.run(150);
-    const informed = [leaving, cutOff].map((name) => cluster.group(name).informedMs() > leftMs);
+    const informed = [leaving, cutOff].map((name) => cluster.group(name).currentAsOfMs() > leftMs);
     expect([before, informed]).toEqual([
       [true, true, true],
       [false, false],
@@ -132,12 +142,12 @@
         id: `o${place}`,
         kind: 'k',
         payload: new Uint8Array(bytes),
-        brief: true,
+        transient: true,
       });
       expect(cluster.group('b').submit(operation)).toEqual(true);
     }
     cluster.run(3000);
     expect([cluster.answers.length, cluster.mostBytes < FRAME_MAX_BYTES]).toEqual([8, true]);
-    expect(NAMES.map((name) => cluster.group(name).held?.play)).toEqual(NAMES.map(() => 8 * bytes));
+    expect(NAMES.map((name) => cluster.group(name).state?.application)).toEqual(NAMES.map(() => 8 * bytes));
   });
 });
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -1,9 +1,16 @@
 /** The façade of the process group: what a node calls, and the order of work in a tick. */
 import { create } from '@bufbuild/protobuf';
-import { ByeSchema, type Answer, type Frame, type Operation, type Seat, type View } from '@rainrun/messages';
+import {
+  GoodbyeSchema,
+  type Answer,
+  type Frame,
+  type Operation,
+  type Member,
+  type View,
+} from '@rainrun/messages';
 import type { GroupDependencies } from './group-dependencies.js';
 import { GroupParts } from './group-parts.js';
-import type { Held } from './play.js';
+import type { GroupState } from './play.js';
 
 /**
  * A node's place in the process group: membership, views, causal and total
@@ -21,13 +28,13 @@
     this.#parts = new GroupParts(dependencies);
   }
 
-  get seat(): Seat {
-    return this.#parts.local.seat;
+  get self(): Member {
+    return this.#parts.local.self;
   }
 
   /** The newest version that came into force here. */
-  get held(): Held<S> | undefined {
-    return this.#parts.local.held;
+  get state(): GroupState<S> | undefined {
+    return this.#parts.local.state;
   }
 
   /** The view this node is a member of, or undefined while it is in none. */
@@ -36,12 +43,12 @@
   }
 
   /** True while the view is being changed: casts wait. */
-  get changing(): boolean {
+  get isViewChanging(): boolean {
     return this.#parts.casts.stopped;
   }
 
   /** Whether this node is the coordinator. */
-  get leading(): boolean {
+  get isCoordinator(): boolean {
     return this.#parts.coordination.coordinator !== undefined;
   }
 
@@ -65,18 +72,18 @@
   }
 
   /** Newest version that this node knows to be agreed. */
-  get agreed(): number {
-    return this.#parts.local.agreed;
+  get committedVersion(): number {
+    return this.#parts.local.committedVersion;
   }
 
   /** When this node's right to admit ends; compare with the clock just before each act. */
-  grantEndMs(): number {
+  leaseEndMs(): number {
     return this.#parts.leases.grantEndMs();
   }
 
   /** This node holds all that was agreed before this moment. */
-  informedMs(): number {
-    return this.grantEndMs() - this.#parts.dependencies.times.grantMs;
+  currentAsOfMs(): number {
+    return this.leaseEndMs() - this.#parts.dependencies.times.grantMs;
   }
 
   /** The version in force at another member when it last answered a heartbeat. */
@@ -84,12 +91,12 @@
     return this.#parts.leases.versionAt(incarnation);
   }
 
-  granted(): boolean {
+  holdsLease(): boolean {
     return this.#parts.leases.isGranted();
   }
 
   /** The epoch in which this node may act alone for all, or undefined. Ends before the grant does. */
-  dutyEpoch(): number | undefined {
+  singletonEpoch(): number | undefined {
     return this.#parts.leases.dutyEpoch();
   }
 
@@ -109,7 +116,7 @@
   }
 
   /** What is known of an operation by its id. */
-  ask(id: string): Answer | undefined {
+  operationResult(id: string): Answer | undefined {
     return this.#parts.submissions.ask(id);
   }
 
@@ -119,7 +126,7 @@
   }
 
   /** An operator's statement that a name will not come back. Only the coordinator can use it. */
-  forget(name: string): boolean {
+  excludeNode(name: string): boolean {
     const { coordinator } = this.#parts.coordination;
     coordinator?.forget(name);
     return coordinator !== undefined;
@@ -129,7 +136,8 @@
   leave(): void {
     const { local, transport } = this.#parts;
     local.startLeaving();
-    for (const member of local.others()) transport.post(member, { case: 'bye', value: create(ByeSchema) });
+    for (const member of local.others())
+      transport.post(member, { case: 'goodbye', value: create(GoodbyeSchema) });
   }
 
   /** Does what is due now. The order counts: each step sees what the ones before it changed. */
@@ -155,7 +163,7 @@
   }
 
   /** Sends a frame of news to a member. */
-  postTo(incarnation: string, body: Frame['body']): void {
+  sendTo(incarnation: string, body: Frame['body']): void {
     this.#parts.transport.postTo(incarnation, body);
   }
 
@@ -164,7 +172,7 @@
     const { diskWatch, election, liveness, transport } = this.#parts;
     const awayMs = liveness.tick(nowMs);
     if (awayMs <= 0) return;
-    election.claims?.woke(nowMs);
+    election.candidacy?.woke(nowMs);
     transport.slept(awayMs);
     diskWatch.slept(awayMs);
   }
--- a/packages/process-group/src/heartbeats.ts
+++ b/packages/process-group/src/heartbeats.ts
@@ -5,11 +5,11 @@
   HeartbeatSchema,
   type Heartbeat,
   type HeartbeatAck,
-  type Seat,
+  type Member,
   type View,
 } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
-import { rankOf, type Held } from './play.js';
+import { rankOf, type GroupState } from './play.js';
 
 /** Heartbeats whose time of sending is remembered for their acknowledgements. */
 const HEARTBEATS_REMEMBERED = 64;
@@ -55,7 +55,7 @@
   /** Sends a heartbeat to every other member. */
   send(nowMs: number): void {
     const { coordination, coordinatorWatch, local } = this.#parts;
-    const held = local.held;
+    const held = local.state;
     if (held === undefined) return;
     this.#lastSentMs = nowMs;
     this.#sequence += 1;
@@ -66,12 +66,12 @@
     this.#post(held, others, heartbeat, nowMs);
     const coordinator = coordination.coordinator;
     if (coordinator !== undefined)
-      coordinatorWatch.follow(local.incarnation, coordinator.epoch, heartbeat.unable);
+      coordinatorWatch.follow(local.incarnation, coordinator.epoch, heartbeat.resigning);
   }
 
   onHeartbeat(from: string, heartbeat: Heartbeat): void {
     const { directory, local, transport, versions, viewChange } = this.#parts;
-    const held = local.held;
+    const held = local.state;
     if (!local.inView || held === undefined) return;
     const seat = directory.seat(from);
     const isMember = rankOf(held.view, from) >= 0;
@@ -84,9 +84,9 @@
       number: held.number,
       epoch: local.epoch,
       dropped: !isMember,
-      duty: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
+      noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
       // The others agree without a member that leaves: it must not vouch for who may miss what they agree.
-      withheld: local.leaving || viewChange.isLeavingOut(from),
+      leaseWithheld: local.leaving || viewChange.isLeavingOut(from),
     });
     transport.post(seat, { case: 'heartbeatAck', value });
   }
@@ -94,7 +94,7 @@
   onHeartbeatAck(from: string, ack: HeartbeatAck): void {
     const { coordination, leases, liveness, local, versions, viewChange } = this.#parts;
     const sentMs = this.#sentMs.get(ack.sequence);
-    const held = local.held;
+    const held = local.state;
     if (!local.inView || held === undefined || sentMs === undefined) return;
     liveness.answered(from, local.nowMs());
     coordination.resignIfBefore(ack.epoch);
@@ -103,13 +103,13 @@
       return;
     }
     if (ack.number > held.number) versions.fetch(from);
-    if (ack.withheld) return;
+    if (ack.leaseWithheld) return;
     leases.onAck(from, sentMs, ack);
     coordination.coordinator?.holds(from, ack.number);
   }
 
   /** The counts of what was delivered go to the gatherer alone, except at level 1, which sends them to all. */
-  #post(held: Held<S>, others: readonly Seat[], heartbeat: Heartbeat, nowMs: number): void {
+  #post(held: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
     const { casts, local, transport } = this.#parts;
     const gatherer = held.level === 1 ? undefined : this.#gatherer(held.view, nowMs);
     const counts = clone(HeartbeatSchema, heartbeat);
@@ -134,7 +134,7 @@
     return first?.incarnation ?? local.incarnation;
   }
 
-  #heartbeat(held: Held<S>, others: readonly Seat[], nowMs: number): Heartbeat {
+  #heartbeat(held: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
     const { coordination, diskWatch, liveness, local } = this.#parts;
     const coordinator = coordination.coordinator;
     const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
@@ -146,21 +146,21 @@
       suspects: others
         .filter((member) => !liveness.isLive(member.incarnation, nowMs))
         .map((member) => member.incarnation),
-      unable: coordination.isUnable(nowMs) || local.leaving || mayNotClaim,
-      agreed: coordinator?.agreed ?? local.agreed,
+      resigning: coordination.isUnable(nowMs) || local.leaving || mayNotClaim,
+      agreed: coordinator?.agreed ?? local.committedVersion,
     });
   }
 
   #learn(from: string, heartbeat: Heartbeat): void {
     const { casts, coordination, coordinatorWatch, liveness, local } = this.#parts;
     if (heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch) {
-      local.sawEpoch(heartbeat.epoch);
-      coordinatorWatch.follow(from, heartbeat.epoch, heartbeat.unable);
-      local.sawAgreed(heartbeat.agreed);
+      local.learnEpoch(heartbeat.epoch);
+      coordinatorWatch.follow(from, heartbeat.epoch, heartbeat.resigning);
+      local.learnCommitted(heartbeat.agreed);
     }
     coordination.resignIfBefore(heartbeat.epoch);
     liveness.learn(from, heartbeat);
-    if (heartbeat.view === local.held?.view.number) casts.learn(from, heartbeat);
+    if (heartbeat.view === local.state?.view.number) casts.learn(from, heartbeat);
     coordination.coordinator?.holds(from, heartbeat.number);
   }
 }
--- a/packages/process-group/src/index.ts
+++ b/packages/process-group/src/index.ts
@@ -1,6 +1,6 @@
 export * from './acceptor.js';
 export * from './causal.js';
-export * from './claims.js';
+export * from './candidacy.js';
 export * from './coordinator.js';
 export * from './grants.js';
 export * from './group-dependencies.js';
--- a/packages/process-group/src/leases.ts
+++ b/packages/process-group/src/leases.ts
@@ -34,8 +34,8 @@
   /** When this node's right to admit ends; compare with the clock just before each act. */
   grantEndMs(): number {
     const { local } = this.#parts;
-    if (!local.inView || local.held === undefined || local.leaving) return -Infinity;
-    return this.#grants.endMs(local.held.view, local.incarnation, local.held.number, local.nowMs());
+    if (!local.inView || local.state === undefined || local.leaving) return -Infinity;
+    return this.#grants.endMs(local.state.view, local.incarnation, local.state.number, local.nowMs());
   }
 
   /** The version that a member held when it last gave its word. */
@@ -59,7 +59,7 @@
   /** Takes the grants in a member's acknowledgement of the heartbeat sent at `sentMs`. */
   onAck(from: string, sentMs: number, ack: HeartbeatAck): void {
     this.#grants.given(from, sentMs, ack.number);
-    if (ack.duty) this.#grants.givenDuty(from, sentMs);
+    if (ack.noNewerCoordinator) this.#grants.givenDuty(from, sentMs);
   }
 
   /** This node coordinates a new epoch: grants for an earlier duty do not count. */
@@ -74,9 +74,9 @@
 
   #hasDuty(nowMs: number): boolean {
     const { coordination, dependencies, local } = this.#parts;
-    if (coordination.coordinator?.ready !== true || !local.inView || local.held === undefined) return false;
+    if (coordination.coordinator?.ready !== true || !local.inView || local.state === undefined) return false;
     if (local.leaving) return false;
     const marginMs = dependencies.times.grantMs * DUTY_MARGIN_FRACTION;
-    return this.#grants.dutyEndMs(local.held.view, local.incarnation, nowMs) - marginMs > nowMs;
+    return this.#grants.dutyEndMs(local.state.view, local.incarnation, nowMs) - marginMs > nowMs;
   }
 }
--- a/packages/process-group/src/liveness.ts
+++ b/packages/process-group/src/liveness.ts
@@ -75,7 +75,7 @@
   /** Takes what a member says of itself and the others. */
   learn(from: string, heartbeat: Heartbeat): void {
     this.#suspectsOf.set(from, heartbeat.suspects);
-    if (heartbeat.unable) this.#unable.add(from);
+    if (heartbeat.resigning) this.#unable.add(from);
     else this.#unable.delete(from);
   }
 
--- a/packages/process-group/src/local-member.ts
+++ b/packages/process-group/src/local-member.ts
@@ -1,9 +1,9 @@
 /** This node's own side of the membership: identity, state in force, epochs seen. */
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
-import { SeatSchema, type Seat, type View } from '@rainrun/messages';
+import { MemberSchema, type Member, type View } from '@rainrun/messages';
 import type { GroupDependencies } from './group-dependencies.js';
-import { reborn, type Held } from './play.js';
+import { withNewIncarnation, type GroupState } from './play.js';
 
 /**
  * This node as a member: who it is, which version it holds, whether it is in
@@ -14,8 +14,8 @@
  */
 export class LocalMember<S> {
   #dependencies: GroupDependencies<S>;
-  #seat: Seat;
-  #held: Held<S> | undefined;
+  #self: Member;
+  #state: GroupState<S> | undefined;
   #inView = false;
   #epochSeen = 0;
   #agreedSeen = 0;
@@ -23,28 +23,28 @@
 
   constructor(dependencies: GroupDependencies<S>) {
     this.#dependencies = dependencies;
-    this.#seat = create(SeatSchema, {
+    this.#self = create(MemberSchema, {
       name: dependencies.name,
       incarnation: randomId(dependencies.chance),
       address: dependencies.address,
       zone: dependencies.zone,
       disk: dependencies.acceptor?.disk ?? '',
-      speaks: dependencies.speaks.most,
-      speaksFrom: dependencies.speaks.least,
+      maxLevel: dependencies.protocolLevels.max,
+      minLevel: dependencies.protocolLevels.min,
     });
   }
 
-  get seat(): Seat {
-    return this.#seat;
+  get self(): Member {
+    return this.#self;
   }
 
   get incarnation(): string {
-    return this.#seat.incarnation;
+    return this.#self.incarnation;
   }
 
   /** The newest version that came into force here, in a view or not. */
-  get held(): Held<S> | undefined {
-    return this.#held;
+  get state(): GroupState<S> | undefined {
+    return this.#state;
   }
 
   get inView(): boolean {
@@ -53,17 +53,17 @@
 
   /** The view this node is a member of, or undefined while it is in none. */
   get view(): View | undefined {
-    return this.#inView ? this.#held?.view : undefined;
+    return this.#inView ? this.#state?.view : undefined;
   }
 
   /** Number of the version in force in this node's view; 0 while it is in none. */
-  get heldNumber(): number {
-    return this.#inView ? (this.#held?.number ?? 0) : 0;
+  get appliedVersion(): number {
+    return this.#inView ? (this.#state?.number ?? 0) : 0;
   }
 
   /** Number of the newest version that this node holds or has accepted on its disk. */
-  get newestNumber(): number {
-    return Math.max(this.#held?.number ?? 0, this.#dependencies.acceptor?.accepted?.number ?? 0);
+  get newestVersion(): number {
+    return Math.max(this.#state?.number ?? 0, this.#dependencies.acceptor?.accepted?.number ?? 0);
   }
 
   /** Newest epoch that this node knows of. */
@@ -72,8 +72,8 @@
   }
 
   /** Newest version that this node knows to be agreed. */
-  get agreed(): number {
-    const number = this.#held?.number ?? 0;
+  get committedVersion(): number {
+    const number = this.#state?.number ?? 0;
     return Math.max(Math.min(this.#agreedSeen, number), number - 1);
   }
 
@@ -87,20 +87,20 @@
   }
 
   /** The other members of the view. */
-  others(): Seat[] {
+  others(): Member[] {
     return (this.view?.members ?? []).filter((member) => member.incarnation !== this.incarnation);
   }
 
-  sawEpoch(epoch: number): void {
+  learnEpoch(epoch: number): void {
     this.#epochSeen = Math.max(this.#epochSeen, epoch);
   }
 
-  sawAgreed(number: number): void {
+  learnCommitted(number: number): void {
     this.#agreedSeen = Math.max(this.#agreedSeen, number);
   }
 
-  hold(held: Held<S>): void {
-    this.#held = held;
+  setState(held: GroupState<S>): void {
+    this.#state = held;
   }
 
   enterView(): void {
@@ -108,8 +108,8 @@
   }
 
   /** Leaves the view and goes on under a new incarnation; the state held is kept. */
-  startAnew(): void {
-    this.#seat = reborn(this.#seat, randomId(this.#dependencies.chance));
+  renewIncarnation(): void {
+    this.#self = withNewIncarnation(this.#self, randomId(this.#dependencies.chance));
     this.#inView = false;
   }
 
--- a/packages/process-group/src/lone-voter.test.ts
+++ b/packages/process-group/src/lone-voter.test.ts
@@ -1,29 +1,29 @@
 /** A group of one voter: what a deployment has that is to bear no loss. */
 import { describe, it } from 'node:test';
 import type { Fault } from '@rainrun/common';
-import { SPEAKS } from '@rainrun/messages';
-import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import { PROTOCOL_LEVELS } from '@rainrun/messages';
+import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 import { Group } from './group.js';
-import type { Play } from './play.js';
+import type { StateMachine } from './play.js';
 import { GROUP_TIMES } from './times.js';
 
 const TICK_MS = 20;
 const SETTLED_MS = 6000;
 const ADDRESS = '127.0.0.1:1';
 
-const NO_STATE: Play<undefined> = {
+const NO_STATE: StateMachine<undefined> = {
   empty: () => undefined,
-  encode: () => ({ play: new Uint8Array(), extra: new Uint8Array() }),
+  encode: () => ({ application: new Uint8Array(), applicationExtension: new Uint8Array() }),
   decode: () => Result.ok(undefined),
   apply: () => ({ state: undefined, outcome: { kind: 'agreed', detail: '' } }),
-  plain: () => undefined,
+  withoutExtension: () => undefined,
 };
 
 /** A disk that syncs at once and outlives its node. */
-class PromptVault implements Vault {
+class PromptVault implements RecordWriter {
   records: Records = {};
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -48,22 +48,22 @@
     deployment: 'site',
     seeds: [ADDRESS],
     founders: [ADDRESS],
-    votersWanted: 1,
+    desiredVoterCount: 1,
     clock: { nowMs: () => nowMs },
     chance: { next: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647 },
     times: GROUP_TIMES,
-    play: NO_STATE,
+    stateMachine: NO_STATE,
     acceptor: new Acceptor(opening, vault, 'site', failed),
-    speaks: SPEAKS,
-    audience: {
+    protocolLevels: PROTOCOL_LEVELS,
+    listener: {
       onVersion: () => undefined,
       onCast: () => undefined,
       onAnswer: () => undefined,
-      onReborn: () => undefined,
+      onNewIncarnation: () => undefined,
       onFrame: () => undefined,
-      onRefused: () => undefined,
+      onJoinRejected: () => undefined,
     },
-    post: () => undefined,
+    send: () => undefined,
   });
   for (; nowMs < SETTLED_MS; nowMs += TICK_MS) group.tick();
   return group;
@@ -73,9 +73,9 @@
   it('coordinates again after its core was restarted', () => {
     const vault = new PromptVault();
     const founded = start(vault);
-    expect([founded.leading, founded.epoch]).toEqual([true, 1]);
+    expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
     const restarted = start(vault);
-    expect([restarted.leading, restarted.epoch]).toEqual([true, 2]);
-    expect(restarted.granted()).toEqual(true);
+    expect([restarted.isCoordinator, restarted.epoch]).toEqual([true, 2]);
+    expect(restarted.holdsLease()).toEqual(true);
   });
 });
--- a/packages/process-group/src/membership.test.ts
+++ b/packages/process-group/src/membership.test.ts
@@ -55,7 +55,7 @@
 }
 
 function votersOf(node: TestNode | undefined): string[] {
-  return (node?.group.held?.voters ?? []).map(({ disk }) => disk).sort();
+  return (node?.group.state?.voters ?? []).map(({ disk }) => disk).sort();
 }
 
 describe('control safety, point 3: membership', () => {
@@ -170,7 +170,7 @@
     const replaced = votersOf(cluster.leader());
     cluster.start(old, records);
     cluster.run(CATCH_UP_MS);
-    expect(replaced).not.toInclude(group.seat.disk);
+    expect(replaced).not.toInclude(group.self.disk);
     expect(votersOf(cluster.leader())).toEqual(replaced);
     expect(cluster.node(old).group.view?.members.length).toEqual(4);
     expectWhole(cluster, 'back under its old disk');
@@ -218,10 +218,10 @@
       cluster.run(60);
     }
     cluster.cutOff(late, false);
-    const { incarnation } = cluster.node(late).group.seat;
+    const { incarnation } = cluster.node(late).group.self;
     const tookMs = cluster.runUntil(() => cluster.lacks(late).length === 0, 20_000);
     cluster.run(5000);
-    expect([tookMs <= 1000 || tookMs, cluster.node(late).group.seat.incarnation === incarnation]).toEqual([
+    expect([tookMs <= 1000 || tookMs, cluster.node(late).group.self.incarnation === incarnation]).toEqual([
       true,
       true,
     ]);
@@ -244,11 +244,11 @@
         const askedMs = cluster.nowMs;
         cluster.submit(other);
         cluster.run(25);
-        if (group.informedMs() < askedMs) continue;
-        const state = group.held?.play ?? [];
+        if (group.currentAsOfMs() < askedMs) continue;
+        const state = group.state?.application ?? [];
         expect([...acknowledged].filter((id) => !state.includes(id))).toEqual([]);
       }
-      expect([group.granted(), cluster.lacks(name)]).toEqual([true, []]);
+      expect([group.holdsLease(), cluster.lacks(name)]).toEqual([true, []]);
     }
   });
 });
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -2,7 +2,7 @@
 import {
   AnswerSchema,
   EntrySchema,
-  SeatSchema,
+  MemberSchema,
   StateSchema,
   VersionSchema,
   ViewSchema,
@@ -10,7 +10,7 @@
   type Voter,
   type Entry,
   type Operation,
-  type Seat,
+  type Member,
   type State,
   type Version,
   type View,
@@ -28,35 +28,35 @@
  * The application's own state as the group sees it: pure functions only, so
  * that every node that applies the same entries holds the same state.
  */
-export interface Play<S> {
+export interface StateMachine<S> {
   empty(): S;
   /** The state in two parts: one that every level can read, and what came with later levels. */
-  encode(state: S): Encoded;
-  decode(encoded: Encoded): Result<S, Fault>;
+  encode(state: S): EncodedState;
+  decode(encoded: EncodedState): Result<S, Fault>;
   /** Applies by the rules of a level of the protocol. */
   apply(state: S, operation: Operation, level: number): { state: S; outcome: Outcome };
   /** The state without what level 1 cannot carry. */
-  plain(state: S): S;
+  withoutExtension(state: S): S;
 }
 
 /** The application's state as bytes. */
-export interface Encoded {
-  readonly play: Uint8Array;
-  readonly extra: Uint8Array;
+export interface EncodedState {
+  readonly application: Uint8Array;
+  readonly applicationExtension: Uint8Array;
 }
 
 /** The agreed state as held in memory, at one version. Never changed in place. */
-export interface Held<S> {
+export interface GroupState<S> {
   readonly epoch: number;
   readonly number: number;
   readonly deployment: string;
   readonly view: View;
   /** The view that this version ended, until the next version says that this is settled. */
-  readonly before: View | undefined;
+  readonly previousView: View | undefined;
   readonly voters: readonly Voter[];
   /** The voters before this version, if it changed them: until it is known to be chosen, elections and votes need a majority of both sets. */
-  readonly votersBefore: readonly Voter[];
-  readonly play: S;
+  readonly previousVoters: readonly Voter[];
+  readonly application: S;
   readonly answers: readonly Answer[];
   /** The level of the protocol by which the newest entry was applied. */
   readonly level: number;
@@ -89,7 +89,7 @@
 /** The voters of a version, and those before it where it changed them. */
 export interface VoterSets {
   readonly voters: readonly Voter[];
-  readonly votersBefore: readonly Voter[];
+  readonly previousVoters: readonly Voter[];
 }
 
 /**
@@ -99,8 +99,8 @@
  * isQuorum(held, new Set(['disk-1', 'disk-2']));
  */
 export function isQuorum(sets: VoterSets, disks: { has(disk: string): boolean }): boolean {
-  const { voters, votersBefore } = sets;
-  return hasMajority(voters, disks) && (votersBefore.length === 0 || hasMajority(votersBefore, disks));
+  const { voters, previousVoters } = sets;
+  return hasMajority(voters, disks) && (previousVoters.length === 0 || hasMajority(previousVoters, disks));
 }
 
 function hasMajority(voters: readonly Voter[], disks: { has(disk: string): boolean }): boolean {
@@ -113,7 +113,7 @@
  * disksOf(held); // Set { 'disk-1', 'disk-2', 'disk-3' }
  */
 export function disksOf(sets: VoterSets): Set<string> {
-  return new Set([...sets.voters, ...sets.votersBefore].map((voter) => voter.disk));
+  return new Set([...sets.voters, ...sets.previousVoters].map((voter) => voter.disk));
 }
 
 /**
@@ -143,15 +143,15 @@
  * rememberedCount(held) >= REMEMBERED_MOST; // true: no room for another operation
  */
 export function rememberedCount(held: { readonly answers: readonly Answer[] }): number {
-  return held.answers.filter((answer) => !answer.brief).length;
+  return held.answers.filter((answer) => !answer.transient).length;
 }
 
 /** What is remembered of earlier operations: level 1 counts, later levels go by the group's clock. */
 function remember(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
   if (level === 1) return answers.slice(-PLAIN_KEPT);
-  const brief = answers.filter((answer) => answer.brief).slice(-BRIEF_KEPT);
+  const brief = answers.filter((answer) => answer.transient).slice(-BRIEF_KEPT);
   const kept = answers.filter((answer) =>
-    answer.brief ? brief.includes(answer) : clockMs - answer.clockMs <= REMEMBERED_MS,
+    answer.transient ? brief.includes(answer) : clockMs - answer.clockMs <= REMEMBERED_MS,
   );
   return kept.length === answers.length ? answers : kept;
 }
@@ -161,10 +161,15 @@
  * @example
  * const next = advance(play, held, 2, create(EntrySchema, { operations: [operation] }));
  */
-export function advance<S>(play: Play<S>, held: Held<S>, epoch: number, entry: Entry): Held<S> {
+export function advance<S>(
+  play: StateMachine<S>,
+  held: GroupState<S>,
+  epoch: number,
+  entry: Entry,
+): GroupState<S> {
   const level = Math.max(1, entry.level);
   const clockMs = level === 1 ? 0 : held.clockMs + entry.elapsedMs;
-  let state = level === 1 ? play.plain(held.play) : held.play;
+  let state = level === 1 ? play.withoutExtension(held.application) : held.application;
   let answers = level === 1 ? held.answers : remember(held.answers, level, clockMs);
   const number = held.number + 1;
   for (const operation of entry.operations) {
@@ -175,7 +180,7 @@
     const answer = create(AnswerSchema, { id: operation.id, kind, detail, number });
     if (level > 1) {
       answer.clockMs = clockMs;
-      answer.brief = operation.brief;
+      answer.transient = operation.transient;
       answer.detail = detail.slice(0, DETAIL_CHARS);
     }
     answers = remember([...answers, answer], level, clockMs);
@@ -185,10 +190,10 @@
     number,
     deployment: held.deployment,
     view: entry.view ?? held.view,
-    before: entry.view === undefined ? undefined : held.view,
+    previousView: entry.view === undefined ? undefined : held.view,
     voters: entry.voters.length > 0 ? entry.voters : held.voters,
-    votersBefore: entry.voters.length > 0 ? held.voters : [],
-    play: state,
+    previousVoters: entry.voters.length > 0 ? held.voters : [],
+    application: state,
     answers,
     level,
     clockMs,
@@ -198,29 +203,29 @@
 /**
  * The level that all of some seats speak.
  * @example
- * levelOf([{ speaks: 2 }, { speaks: 0 }]); // 1
+ * levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]); // 1
  */
-export function levelOf(seats: readonly { readonly speaks: number }[]): number {
-  return Math.min(...seats.map((seat) => Math.max(1, seat.speaks)));
+export function levelOf(seats: readonly { readonly maxLevel: number }[]): number {
+  return Math.min(...seats.map((seat) => Math.max(1, seat.maxLevel)));
 }
 
 /**
  * Why a seat cannot join others, or undefined if there is a level that all speak.
  * @example
- * unbridged({ speaks: 1, speaksFrom: 1 }, [{ speaks: 3, speaksFrom: 2 }]);
+ * levelMismatch({ maxLevel: 1, minLevel: 1 }, [{ maxLevel: 3, minLevel: 2 }]);
  * // 'it speaks levels 1 to 1 of the protocol, the group 2 to 3'
  */
-export function unbridged(seat: Range, others: readonly Range[]): string | undefined {
+export function levelMismatch(seat: LevelRange, others: readonly LevelRange[]): string | undefined {
   if (others.length === 0) return undefined;
-  const least = Math.max(...others.map((other) => Math.max(1, other.speaksFrom)));
+  const least = Math.max(...others.map((other) => Math.max(1, other.minLevel)));
   const most = levelOf(others);
-  if (Math.max(1, seat.speaks) >= least && Math.max(1, seat.speaksFrom) <= most) return undefined;
-  return `it speaks levels ${Math.max(1, seat.speaksFrom)} to ${Math.max(1, seat.speaks)} of the protocol, the group ${least} to ${most}`;
+  if (Math.max(1, seat.maxLevel) >= least && Math.max(1, seat.minLevel) <= most) return undefined;
+  return `it speaks levels ${Math.max(1, seat.minLevel)} to ${Math.max(1, seat.maxLevel)} of the protocol, the group ${least} to ${most}`;
 }
 
-interface Range {
-  readonly speaks: number;
-  readonly speaksFrom: number;
+interface LevelRange {
+  readonly maxLevel: number;
+  readonly minLevel: number;
 }
 
 /**
@@ -228,19 +233,19 @@
  * @example
  * const version = toVersion(play, held, entry);
  */
-export function toVersion<S>(play: Play<S>, held: Held<S>, entry: Entry): Version {
-  const { play: bytes, extra } = play.encode(held.play);
+export function toVersion<S>(play: StateMachine<S>, held: GroupState<S>, entry: Entry): Version {
+  const { application: bytes, applicationExtension: extra } = play.encode(held.application);
   const state = create(StateSchema, {
-    extra,
+    applicationExtension: extra,
     clockMs: held.clockMs,
     deployment: held.deployment,
     view: held.view,
     voters: [...held.voters],
-    votersBefore: [...held.votersBefore],
-    play: bytes,
+    previousVoters: [...held.previousVoters],
+    application: bytes,
     answers: [...held.answers],
   });
-  if (held.before !== undefined) state.before = held.before;
+  if (held.previousView !== undefined) state.previousView = held.previousView;
   return create(VersionSchema, { epoch: held.epoch, number: held.number, entry, state });
 }
 
@@ -249,17 +254,17 @@
  * @example
  * const held = fromVersion(play, version);
  */
-export function fromVersion<S>(play: Play<S>, version: Version): Result<Held<S>, Fault> {
+export function fromVersion<S>(play: StateMachine<S>, version: Version): Result<GroupState<S>, Fault> {
   const state: State = version.state ?? create(StateSchema);
   return play.decode(state).map((own) => ({
     epoch: version.epoch,
     number: version.number,
     deployment: state.deployment,
     view: state.view ?? create(ViewSchema),
-    before: state.before,
+    previousView: state.previousView,
     voters: state.voters,
-    votersBefore: state.votersBefore,
-    play: own,
+    previousVoters: state.previousVoters,
+    application: own,
     answers: state.answers,
     level: Math.max(1, version.entry?.level ?? 0),
     clockMs: state.clockMs,
@@ -282,10 +287,10 @@
 /**
  * A copy of a seat under another incarnation, as a dropped node rejoins.
  * @example
- * reborn(seat, 'incarnation-2').incarnation; // 'incarnation-2'
+ * withNewIncarnation(seat, 'incarnation-2').incarnation; // 'incarnation-2'
  */
-export function reborn(seat: Seat, incarnation: string): Seat {
-  const copy = clone(SeatSchema, seat);
+export function withNewIncarnation(seat: Member, incarnation: string): Member {
+  const copy = clone(MemberSchema, seat);
   copy.incarnation = incarnation;
   return copy;
 }
--- a/packages/process-group/src/process-group.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -1,30 +1,37 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
 import {
-  ClaimSchema,
+  PrepareSchema,
   EntrySchema,
   OperationSchema,
   ProposeSchema,
-  SeatSchema,
+  MemberSchema,
   VersionSchema,
   ViewSchema,
   type Accepted,
   type Cast,
   type Promise as Promised,
 } from '@rainrun/messages';
-import type { RecordKind, Vault } from '@rainrun/storage';
+import type { RecordKind, RecordWriter } from '@rainrun/storage';
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 import { Causal, cutOf } from './causal.js';
 import { Grants } from './grants.js';
-import { advance, levelOf, REMEMBERED_MS, unbridged, type Held, type Play } from './play.js';
+import {
+  advance,
+  levelOf,
+  REMEMBERED_MS,
+  levelMismatch,
+  type GroupState,
+  type StateMachine,
+} from './play.js';
 
 const VIEW = create(ViewSchema, {
   epoch: 1,
   number: 1,
-  members: ['a', 'b', 'c'].map((incarnation) => create(SeatSchema, { incarnation, name: incarnation })),
+  members: ['a', 'b', 'c'].map((incarnation) => create(MemberSchema, { incarnation, name: incarnation })),
 });
 
 function member(incarnation: string): { causal: Causal; heard: string[] } {
@@ -129,7 +136,7 @@
   });
 });
 
-class SlowVault implements Vault {
+class SlowVault implements RecordWriter {
   readonly waiting: (() => void)[] = [];
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     this.waiting.push(() => done(Result.ok()));
@@ -139,7 +146,7 @@
   }
 }
 
-function acceptorOn(vault: Vault): Acceptor {
+function acceptorOn(vault: RecordWriter): Acceptor {
   const opening = readRecords({}, 'disk-1');
   return new Acceptor(
     opening.isOk
@@ -163,8 +170,8 @@
     const vault = new SlowVault();
     const answers: (Promised | Accepted)[] = [];
     const acceptor = acceptorOn(vault);
-    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'leader' }), (promise) => answers.push(promise));
-    acceptor.propose(version(3, 1), (accepted) => answers.push(accepted));
+    acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'leader' }), (promise) => answers.push(promise));
+    acceptor.accept(version(3, 1), (accepted) => answers.push(accepted));
     expect(answers.length).toEqual(0);
     vault.sync();
     expect(answers.length).toEqual(2);
@@ -175,16 +182,16 @@
     const acceptor = acceptorOn(vault);
     const granted: boolean[] = [];
     const refused: boolean[] = [];
-    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'leader' }), (promise) =>
+    acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'leader' }), (promise) =>
       granted.push(promise.granted),
     );
-    acceptor.claim(create(ClaimSchema, { epoch: 3, disk: 'other' }), (promise) =>
+    acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'other' }), (promise) =>
       granted.push(promise.granted),
     );
-    acceptor.claim(create(ClaimSchema, { epoch: 2, disk: 'leader' }), (promise) =>
+    acceptor.prepare(create(PrepareSchema, { epoch: 2, disk: 'leader' }), (promise) =>
       granted.push(promise.granted),
     );
-    acceptor.propose(version(2, 9), (accepted) => refused.push(accepted.refused));
+    acceptor.accept(version(2, 9), (accepted) => refused.push(accepted.rejected));
     vault.sync();
     expect(granted).toEqual([false, false, true]);
     expect(refused).toEqual([true]);
@@ -194,14 +201,14 @@
     const vault = new SlowVault();
     const acceptor = acceptorOn(vault);
     const records: Uint8Array[] = [];
-    const replica: Vault = {
+    const replica: RecordWriter = {
       store: (kind, bytes, done) => {
         if (kind === 'disk') records.push(bytes);
         done(Result.ok());
       },
     };
     const kept = acceptorOn(replica);
-    kept.propose(version(1, 1), () => undefined);
+    kept.accept(version(1, 1), () => undefined);
     const opening = readRecords({ disk: records[0] ?? EMPTY }, 'fresh');
     expect(acceptor.disk).toEqual('disk-1');
     expect(opening.isErr && opening.error.kind).toEqual('damaged');
@@ -209,25 +216,25 @@
 });
 
 describe('agreed operations', () => {
-  const counter: Play<number> = {
+  const counter: StateMachine<number> = {
     empty: () => 0,
-    encode: (state) => ({ play: new Uint8Array([state]), extra: new Uint8Array() }),
-    decode: ({ play }) => Result.ok(play[0] ?? 0),
-    plain: (state) => state,
+    encode: (state) => ({ application: new Uint8Array([state]), applicationExtension: new Uint8Array() }),
+    decode: ({ application: play }) => Result.ok(play[0] ?? 0),
+    withoutExtension: (state) => state,
     apply: (state, operation) =>
       operation.kind === 'add'
         ? { state: state + 1, outcome: { kind: 'agreed', detail: '' } }
         : { state, outcome: fault('bad-request', 'no such kind') },
   };
-  const start: Held<number> = {
+  const start: GroupState<number> = {
     epoch: 1,
     number: 1,
     deployment: 'd',
     view: VIEW,
-    before: undefined,
+    previousView: undefined,
     voters: [],
-    votersBefore: [],
-    play: 0,
+    previousVoters: [],
+    application: 0,
     answers: [],
     level: 1,
     clockMs: 0,
@@ -239,7 +246,7 @@
     );
     const once = advance(counter, start, 1, create(EntrySchema, { operations }));
     const again = advance(counter, once, 1, create(EntrySchema, { operations }));
-    expect([once.play, again.play, again.number]).toEqual([1, 1, 3]);
+    expect([once.application, again.application, again.number]).toEqual([1, 1, 3]);
     expect(again.answers.map((answer) => `${answer.id} ${answer.kind}@${answer.number}`)).toEqual([
       'x agreed@2',
       'y bad-request@2',
@@ -247,7 +254,7 @@
   });
 
   it("are remembered by their ids for ten minutes of the group's clock, placements for less", () => {
-    function add(held: Held<number>, id: string, elapsedMs: number, brief = false): Held<number> {
+    function add(held: GroupState<number>, id: string, elapsedMs: number, brief = false): GroupState<number> {
       return advance(
         counter,
         held,
@@ -255,7 +262,7 @@
         create(EntrySchema, {
           level: 2,
           elapsedMs,
-          operations: [create(OperationSchema, { id, kind: 'add', brief })],
+          operations: [create(OperationSchema, { id, kind: 'add', transient: brief })],
         }),
       );
     }
@@ -263,22 +270,25 @@
     for (let place = 0; place < 600; place += 1) held = add(held, `place-${place}`, 900, true);
     const soon = add(held, 'first', REMEMBERED_MS - 600 * 900);
     const late = add(held, 'first', REMEMBERED_MS - 600 * 900 + 1);
-    expect([held.play, soon.play, late.play, held.answers.length]).toEqual([601, 601, 602, 65]);
+    expect([held.application, soon.application, late.application, held.answers.length]).toEqual([
+      601, 601, 602, 65,
+    ]);
   });
 
   it('follow the rules that all members speak, and no joiner comes in whom they cannot reach', () => {
-    expect([levelOf([{ speaks: 2 }, { speaks: 0 }]), levelOf([{ speaks: 3 }, { speaks: 2 }])]).toEqual([
-      1, 2,
-    ]);
+    expect([
+      levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]),
+      levelOf([{ maxLevel: 3 }, { maxLevel: 2 }]),
+    ]).toEqual([1, 2]);
     const group = [
-      { speaks: 2, speaksFrom: 1 },
-      { speaks: 3, speaksFrom: 2 },
+      { maxLevel: 2, minLevel: 1 },
+      { maxLevel: 3, minLevel: 2 },
     ];
-    expect(unbridged({ speaks: 2, speaksFrom: 1 }, group)).toEqual(undefined);
-    expect(unbridged({ speaks: 0, speaksFrom: 0 }, group)).toEqual(
+    expect(levelMismatch({ maxLevel: 2, minLevel: 1 }, group)).toEqual(undefined);
+    expect(levelMismatch({ maxLevel: 0, minLevel: 0 }, group)).toEqual(
       'it speaks levels 1 to 1 of the protocol, the group 2 to 2',
     );
-    expect(unbridged({ speaks: 4, speaksFrom: 3 }, group)).toEqual(
+    expect(levelMismatch({ maxLevel: 4, minLevel: 3 }, group)).toEqual(
       'it speaks levels 3 to 4 of the protocol, the group 2 to 2',
     );
   });
--- a/packages/process-group/src/receiver.ts
+++ b/packages/process-group/src/receiver.ts
@@ -1,5 +1,5 @@
 /** The entrance for everything that other nodes send. */
-import type { Frame, Parcel } from '@rainrun/messages';
+import type { Frame, SequencedMessage } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
 
 type ReceiverParts<S> = Pick<
@@ -42,7 +42,7 @@
   }
 
   /** Takes a body that arrived in order, or that this node sent to itself. */
-  onBody(from: string, body: Parcel['body']): void {
+  onBody(from: string, body: SequencedMessage['body']): void {
     const { casts, coordination, submissions, versions } = this.#parts;
     switch (body.case) {
       case 'cast':
@@ -67,26 +67,26 @@
         return heartbeats.onHeartbeat(from, body.value);
       case 'heartbeatAck':
         return heartbeats.onHeartbeatAck(from, body.value);
-      case 'claim':
-        return election.claims?.onClaim(from, body.value);
+      case 'prepare':
+        return election.candidacy?.onClaim(from, body.value);
       case 'promise':
-        return election.claims?.onPromise(body.value);
+        return election.candidacy?.onPromise(body.value);
       case 'propose':
         return coordination.onPropose(from, body.value);
       case 'accepted':
         return coordination.onAccepted(body.value);
-      case 'stop':
+      case 'flushRequest':
         return viewChange.onStop(from, body.value);
-      case 'flush':
+      case 'flushReply':
         return coordination.coordinator?.flushed(from, body.value);
-      case 'fetch':
+      case 'fetchVersions':
         return versions.onFetch(from, body.value.from);
-      case 'parcel':
+      case 'sequenced':
         return transport.onParcel(from, body.value);
-      case 'bye':
+      case 'goodbye':
         return liveness.onBye(from);
       default:
-        return dependencies.audience.onFrame(from, body);
+        return dependencies.listener.onFrame(from, body);
     }
   }
 }
--- a/packages/process-group/src/submissions.ts
+++ b/packages/process-group/src/submissions.ts
@@ -33,7 +33,7 @@
 
   /** Whether no further operation of an operator can be remembered now. */
   get full(): boolean {
-    const { held } = this.#parts.local;
+    const { state: held } = this.#parts.local;
     return held !== undefined && rememberedCount(held) >= REMEMBERED_MOST;
   }
 
@@ -54,19 +54,19 @@
   /** The agreed answer to an operation, if it is remembered. */
   ask(id: string): Answer | undefined {
     const { local } = this.#parts;
-    const answer = local.held?.answers.find((known) => known.id === id);
-    return answer !== undefined && answer.number <= local.agreed ? answer : undefined;
+    const answer = local.state?.answers.find((known) => known.id === id);
+    return answer !== undefined && answer.number <= local.committedVersion ? answer : undefined;
   }
 
   onAnswer(answer: Answer): void {
-    if (this.#waiting.delete(answer.id)) this.#parts.dependencies.audience.onAnswer(answer);
+    if (this.#waiting.delete(answer.id)) this.#parts.dependencies.listener.onAnswer(answer);
   }
 
   /** Sends the operations that are due, first ones and repeated ones. */
   sendDue(): void {
     const { coordinatorWatch, directory, local, transport } = this.#parts;
     const coordinator = coordinatorWatch.live()?.incarnation ?? '';
-    const seat = coordinator === local.incarnation ? local.seat : directory.seat(coordinator);
+    const seat = coordinator === local.incarnation ? local.self : directory.seat(coordinator);
     if (seat === undefined) return;
     const nowMs = local.nowMs();
     for (const [id, submission] of this.#waiting) {
--- a/packages/process-group/src/test-cluster.ts
+++ b/packages/process-group/src/test-cluster.ts
@@ -1,23 +1,32 @@
 /** A cluster of real groups over a network and disks in memory, in virtual time, for tests. */
 import { create } from '@bufbuild/protobuf';
-import { FRAME_MAX_BYTES, OperationSchema, pack, SPEAKS, type Frame } from '@rainrun/messages';
-import { Dice } from '@rainrun/common';
-import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import {
+  FRAME_MAX_BYTES,
+  OperationSchema,
+  encodeFrame,
+  PROTOCOL_LEVELS,
+  type Frame,
+} from '@rainrun/messages';
+import { SeededRandom } from '@rainrun/common';
+import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
 import { Result } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 import { Group } from './group.js';
-import type { Play } from './play.js';
+import type { StateMachine } from './play.js';
 import { PLATFORM_TIMES } from './times.js';
 
 const TICK_MS = 25;
 const LINK_MS = 1;
 
 /** The state: the ids of the operations that were applied, in their order. */
-const PLAY: Play<readonly string[]> = {
+const PLAY: StateMachine<readonly string[]> = {
   empty: () => [],
-  encode: (state) => ({ play: new TextEncoder().encode(JSON.stringify(state)), extra: new Uint8Array() }),
-  decode: ({ play }) => Result.ok(JSON.parse(new TextDecoder().decode(play)) as string[]),
-  plain: (state) => state,
+  encode: (state) => ({
+    application: new TextEncoder().encode(JSON.stringify(state)),
+    applicationExtension: new Uint8Array(),
+  }),
+  decode: ({ application: play }) => Result.ok(JSON.parse(new TextDecoder().decode(play)) as string[]),
+  withoutExtension: (state) => state,
   apply: (state, { id }) => ({ state: [...state, id], outcome: { kind: 'agreed', detail: '' } }),
 };
 
@@ -50,7 +59,7 @@
   #seeds: readonly string[];
   #founders: readonly string[] = [];
   #votersWanted: number;
-  #dice: Dice;
+  #dice: SeededRandom;
   #disks = 0;
   #operations = 0;
   #inFlight: { readonly dueMs: number; readonly from: string; readonly to: string; readonly frame: Frame }[] =
@@ -59,7 +68,7 @@
   constructor(seeds: readonly string[], faultTolerance: number, seed = 7) {
     this.#seeds = seeds;
     this.#votersWanted = 2 * faultTolerance + 1;
-    this.#dice = new Dice(seed);
+    this.#dice = new SeededRandom(seed);
   }
 
   /** Starts all machines for the first time and waits for a settled group. */
@@ -67,7 +76,7 @@
     this.#founders = this.#seeds.slice(0, 3);
     for (const name of this.#seeds) this.start(name);
     this.#founders = [];
-    this.runUntil(() => this.leader()?.group.held?.voters.length === this.#votersWanted, 20_000);
+    this.runUntil(() => this.leader()?.group.state?.voters.length === this.#votersWanted, 20_000);
     this.run(1000);
   }
 
@@ -76,7 +85,7 @@
     const writes: TestNode['writes'] = [];
     const disk: Records = { ...records };
     const opening = readRecords(disk, `${name}-${this.#disks}`);
-    const vault: Vault = {
+    const vault: RecordWriter = {
       store: (kind: RecordKind, bytes, done) => {
         writes.push({
           dueMs: this.nowMs + node.syncMs,
@@ -112,7 +121,9 @@
     this.#operations += 1;
     const id = `o${this.#operations}`;
     const payload = new Uint8Array(payloadBytes);
-    return this.node(name).group.submit(create(OperationSchema, { id, kind: 'add', payload, brief: true }));
+    return this.node(name).group.submit(
+      create(OperationSchema, { id, kind: 'add', payload, transient: true }),
+    );
   }
 
   /** Cuts a machine off from all others, or ends that. */
@@ -146,12 +157,12 @@
 
   /** The node that holds the coordinator's lease. */
   leader(): TestNode | undefined {
-    return this.running.find(({ group }) => group.leading && group.dutyEpoch() !== undefined);
+    return this.running.find(({ group }) => group.isCoordinator && group.singletonEpoch() !== undefined);
   }
 
   /** Acknowledged operations that a node's state lacks. */
   lacks(name: string): string[] {
-    const state = this.node(name).group.held?.play ?? [];
+    const state = this.node(name).group.state?.application ?? [];
     return [...this.acknowledged].filter((id) => !state.includes(id));
   }
 
@@ -162,8 +173,8 @@
 
   /** Puts a frame on its way; the receiver would refuse one that is too large. */
   #post(from: string, to: string, frame: Frame): void {
-    const mayBeLarge = frame.body.case === 'parcel' || frame.body.case === 'propose';
-    if (!mayBeLarge || pack(frame).length <= FRAME_MAX_BYTES)
+    const mayBeLarge = frame.body.case === 'sequenced' || frame.body.case === 'propose';
+    if (!mayBeLarge || encodeFrame(frame).length <= FRAME_MAX_BYTES)
       this.#inFlight.push({ dueMs: this.nowMs + LINK_MS, from, to, frame });
   }
 
@@ -184,24 +195,24 @@
       deployment: 'test',
       seeds: this.#seeds,
       founders: this.#founders,
-      votersWanted: this.#votersWanted,
+      desiredVoterCount: this.#votersWanted,
       clock: { nowMs: () => this.nowMs },
       chance: this.#dice,
       times: PLATFORM_TIMES,
-      play: PLAY,
+      stateMachine: PLAY,
       acceptor,
-      speaks: SPEAKS,
-      audience: {
+      protocolLevels: PROTOCOL_LEVELS,
+      listener: {
         onVersion: () => undefined,
         onCast: () => undefined,
         onAnswer: ({ id, kind }) => {
           if (kind === 'agreed') this.acknowledged.add(id);
         },
-        onReborn: () => undefined,
+        onNewIncarnation: () => undefined,
         onFrame: () => undefined,
-        onRefused: () => undefined,
+        onJoinRejected: () => undefined,
       },
-      post: (to, frame) => this.#post(name, to, frame),
+      send: (to, frame) => this.#post(name, to, frame),
     });
   }
 }
--- a/packages/process-group/src/transport.ts
+++ b/packages/process-group/src/transport.ts
@@ -1,6 +1,13 @@
 /** Sending to other members: single frames, and ordered parcels over a channel each. */
 import { create } from '@bufbuild/protobuf';
-import { Channel, FrameSchema, WIRE, type Frame, type Parcel, type Seat } from '@rainrun/messages';
+import {
+  OrderedChannel,
+  FrameSchema,
+  WIRE_VERSION,
+  type Frame,
+  type SequencedMessage,
+  type Member,
+} from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
 
 type TransportParts<S> = Pick<
@@ -12,19 +19,19 @@
  * Sends frames, which may be lost, and bodies in parcels, which arrive once
  * and in order as long as both ends stay in the view.
  * @example
- * transport.post(member, { case: 'bye', value: create(ByeSchema) });
+ * transport.post(member, { case: 'goodbye', value: create(GoodbyeSchema) });
  * transport.parcel(member, { case: 'cast', value: cast });
  */
 export class Transport<S> {
   #parts: TransportParts<S>;
-  #channels = new Map<string, Channel>();
+  #channels = new Map<string, OrderedChannel>();
 
   constructor(parts: TransportParts<S>) {
     this.#parts = parts;
   }
 
   /** Sends one frame to a node. */
-  post(seat: Seat, body: Frame['body']): void {
+  post(seat: Member, body: Frame['body']): void {
     this.postToAddress(seat.address, seat.incarnation, body);
   }
 
@@ -38,17 +45,17 @@
   postToAddress(address: string, incarnation: string, body: Frame['body']): void {
     const { dependencies, local } = this.#parts;
     const frame = create(FrameSchema, {
-      wire: WIRE,
+      wire: WIRE_VERSION,
       deployment: dependencies.deployment,
       from: local.incarnation,
       to: incarnation,
     });
     frame.body = body;
-    dependencies.post(address, frame);
+    dependencies.send(address, frame);
   }
 
   /** Sends a body in order; to this node itself it is delivered at once. */
-  parcel(seat: Seat, body: Parcel['body']): void {
+  parcel(seat: Member, body: SequencedMessage['body']): void {
     const { directory, local, receiver } = this.#parts;
     if (seat.incarnation === local.incarnation) return receiver.onBody(seat.incarnation, body);
     directory.remember(seat);
@@ -57,10 +64,10 @@
     this.#postParcels(seat, channel, local.nowMs());
   }
 
-  onParcel(from: string, parcel: Parcel): void {
+  onParcel(from: string, parcel: SequencedMessage): void {
     const { coordination, directory, local, receiver } = this.#parts;
     const channel = this.#channel(from);
-    coordination.coordinator?.holds(from, parcel.holds);
+    coordination.coordinator?.holds(from, parcel.appliedVersion);
     const bodies = channel.receive(parcel);
     for (const body of bodies) receiver.onBody(from, body);
     const seat = directory.seat(from);
@@ -97,18 +104,18 @@
     this.#channels.clear();
   }
 
-  #channel(incarnation: string): Channel {
+  #channel(incarnation: string): OrderedChannel {
     const known = this.#channels.get(incarnation);
     if (known !== undefined) return known;
-    const channel = new Channel();
+    const channel = new OrderedChannel();
     this.#channels.set(incarnation, channel);
     return channel;
   }
 
-  #postParcels(seat: Seat, channel: Channel, nowMs: number): void {
+  #postParcels(seat: Member, channel: OrderedChannel, nowMs: number): void {
     for (const parcel of channel.tick(nowMs)) {
-      parcel.holds = this.#parts.local.heldNumber;
-      this.post(seat, { case: 'parcel', value: parcel });
+      parcel.appliedVersion = this.#parts.local.appliedVersion;
+      this.post(seat, { case: 'sequenced', value: parcel });
     }
   }
 
--- a/packages/process-group/src/versions.ts
+++ b/packages/process-group/src/versions.ts
@@ -1,8 +1,8 @@
 /** Delivery of agreed versions in their order, and catching up on missed ones. */
 import { create } from '@bufbuild/protobuf';
-import { ChosenSchema, EntrySchema, FetchSchema, type Seat, type Version } from '@rainrun/messages';
+import { ChosenSchema, EntrySchema, FetchVersionsSchema, type Member, type Version } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
-import { advance, bare, fromVersion, rankOf, toVersion, type Held } from './play.js';
+import { advance, bare, fromVersion, rankOf, toVersion, type GroupState } from './play.js';
 
 /** Versions whose entries are kept for members that lag; others get the whole state. */
 const ENTRIES_KEPT = 256;
@@ -47,15 +47,15 @@
     const nowMs = local.nowMs();
     if (nowMs - this.#lastFetchMs < dependencies.times.resendMs) return;
     this.#lastFetchMs = nowMs;
-    const value = create(FetchSchema, { from: (local.held?.number ?? 0) + 1 });
-    transport.postTo(from, { case: 'fetch', value });
+    const value = create(FetchVersionsSchema, { from: (local.state?.number ?? 0) + 1 });
+    transport.postTo(from, { case: 'fetchVersions', value });
   }
 
   /** Sends a member versions from `first` on: as entries, as many as a message takes, or as the whole state if those are gone. */
   onFetch(from: string, first: number): void {
     const { directory, local, transport } = this.#parts;
     const seat = directory.seat(from);
-    const held = local.held;
+    const held = local.state;
     if (seat === undefined || held === undefined || !local.inView) return;
     const versions: Version[] = [];
     let bytes = 0;
@@ -69,18 +69,18 @@
   }
 
   /** Sends a member the whole state. */
-  sendWhole(seat: Seat): void {
+  sendWhole(seat: Member): void {
     const { dependencies, local, transport } = this.#parts;
-    if (local.held === undefined) return;
-    const version = toVersion(dependencies.play, local.held, this.#lastEntry);
+    if (local.state === undefined) return;
+    const version = toVersion(dependencies.stateMachine, local.state, this.#lastEntry);
     transport.parcel(seat, { case: 'chosen', value: create(ChosenSchema, { versions: [version] }) });
   }
 
   /** Takes a version from a member or from the coordinator in this node. */
   take(from: string, version: Version): void {
     const { local } = this.#parts;
-    const held = local.held;
-    local.sawEpoch(version.epoch);
+    const held = local.state;
+    local.learnEpoch(version.epoch);
     if (!local.inView) {
       if (version.state !== undefined && version.number > (held?.number ?? 0)) this.#installWhole(version);
       return;
@@ -100,27 +100,27 @@
 
   #installWhole(version: Version): void {
     const { dependencies, heartbeats, local, viewChange } = this.#parts;
-    const read = fromVersion(dependencies.play, version);
+    const read = fromVersion(dependencies.stateMachine, version);
     if (read.isErr || rankOf(read.value.view, local.incarnation) < 0) return;
-    local.hold(read.value);
+    local.setState(read.value);
     this.#log(version);
     viewChange.enter(read.value.view);
-    dependencies.audience.onVersion(read.value, undefined);
+    dependencies.listener.onVersion(read.value, undefined);
     viewChange.open();
     heartbeats.send(local.nowMs());
   }
 
-  #deliver(held: Held<S>, version: Version): void {
+  #deliver(held: GroupState<S>, version: Version): void {
     const { casts, dependencies, local, viewChange } = this.#parts;
     const entry = version.entry ?? create(EntrySchema);
     const { view } = entry;
-    if (view !== undefined) casts.finish(entry.cut);
-    const next = advance(dependencies.play, held, version.epoch, entry);
-    local.hold(next);
+    if (view !== undefined) casts.finish(entry.flushedCasts);
+    const next = advance(dependencies.stateMachine, held, version.epoch, entry);
+    local.setState(next);
     this.#log(version);
     if (view !== undefined && rankOf(view, local.incarnation) < 0) return viewChange.rejoin();
     if (view !== undefined) viewChange.enter(view);
-    dependencies.audience.onVersion(next, entry);
+    dependencies.listener.onVersion(next, entry);
     if (view !== undefined) viewChange.open();
   }
 
--- a/packages/process-group/src/view-change.ts
+++ b/packages/process-group/src/view-change.ts
@@ -1,6 +1,6 @@
 /** A member's side of a view change: stopping, flushing, entering the next view, starting anew. */
 import { create } from '@bufbuild/protobuf';
-import { FlushSchema, type Flush, type Stop, type View } from '@rainrun/messages';
+import { FlushReplySchema, type FlushReply, type FlushRequest, type View } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
 
 type ViewChangeParts<S> = Pick<
@@ -41,24 +41,24 @@
     return this.#staying !== undefined && !this.#staying.has(incarnation);
   }
 
-  onStop(from: string, stop: Stop): void {
+  onStop(from: string, stop: FlushRequest): void {
     const { directory, local, transport, versions } = this.#parts;
-    const held = local.held;
+    const held = local.state;
     if (!local.inView || held === undefined || stop.epoch < local.epoch || stop.epoch < this.#stopEpoch)
       return;
     if (stop.view > held.view.number) return versions.fetch(from);
     if (stop.view < held.view.number) return;
-    local.sawEpoch(stop.epoch);
+    local.learnEpoch(stop.epoch);
     const seat = directory.seat(from);
     if (seat === undefined) return;
-    transport.post(seat, { case: 'flush', value: this.flush(stop.epoch, stop.change, stop.staying) });
+    transport.post(seat, { case: 'flushReply', value: this.flush(stop.epoch, stop.change, stop.staying) });
   }
 
   /** Stops the casts of this view and hands over those that may be missing elsewhere. */
-  flush(epoch: number, change: number, staying: readonly string[]): Flush {
+  flush(epoch: number, change: number, staying: readonly string[]): FlushReply {
     this.#stopEpoch = epoch;
     this.#staying = new Set(staying);
-    return create(FlushSchema, { epoch, change, unstable: this.#parts.casts.stop() });
+    return create(FlushReplySchema, { epoch, change, unstableCasts: this.#parts.casts.stop() });
   }
 
   /** Makes a view the one in force here; casts begin with `open`. */
@@ -89,19 +89,19 @@
   rejoin(): void {
     const { casts, coordination, coordinatorWatch, dependencies, directory, discovery } = this.#parts;
     const { election, leases, liveness, local, transport, versions } = this.#parts;
-    directory.learnAddresses(local.held?.view.members ?? []);
-    local.startAnew();
+    directory.learnAddresses(local.state?.view.members ?? []);
+    local.renewIncarnation();
     casts.clear();
     this.#staying = undefined;
     versions.clearGap();
     coordination.drop();
-    election.claims?.forget();
+    election.candidacy?.forget();
     coordinatorWatch.clear();
     liveness.clear();
     transport.clear();
     leases.clear();
     discovery.clearGreetings();
-    dependencies.audience.onReborn(local.incarnation);
+    dependencies.listener.onNewIncarnation(local.incarnation);
   }
 
   #forgetOutsiders(incarnations: ReadonlySet<string>, nowMs: number): void {
--- a/packages/process-group/src/voters.ts
+++ b/packages/process-group/src/voters.ts
@@ -1,5 +1,5 @@
 /** The voters of the agreed state: which disks vote, and where they are now. */
-import type { Seat, Voter } from '@rainrun/messages';
+import type { Member, Voter } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
 import type { VoterSets } from './play.js';
 
@@ -25,13 +25,13 @@
   /** The voters, and those before them while their change is not known to be chosen. */
   sets(): VoterSets {
     const { dependencies, local } = this.#parts;
-    const { held } = local;
-    const accepted = dependencies.acceptor?.accepted?.state ?? { voters: [], votersBefore: [] };
+    const { state: held } = local;
+    const accepted = dependencies.acceptor?.accepted?.state ?? { voters: [], previousVoters: [] };
     return held !== undefined && held.voters.length > 0 && local.inView ? held : accepted;
   }
 
   /** Where the voter with this disk is now, if it is known. */
-  seat(disk: string): Seat | undefined {
+  seat(disk: string): Member | undefined {
     const { discovery, liveness, local } = this.#parts;
     const nowMs = local.nowMs();
     const member = local.view?.members.find(
--- a/packages/router/src/run.ts
+++ b/packages/router/src/attempt.ts
@@ -1,9 +1,9 @@
 import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { EventCutter } from './events.js';
-import type { Passage, WorkerView } from './request.js';
+import type { RoutedRequest, WorkerView } from './request.js';
 
 /** The names that stand on the wire between router and workers, lower case where they are compared. */
-export interface WireWords {
+export interface HeaderNames {
   readonly requestId: string;
   readonly deadlineMs: string;
   readonly lastEventId: string;
@@ -14,7 +14,7 @@
 }
 
 /** How a send ended. */
-export interface RunEnd {
+export interface AttemptEnd {
   readonly how:
     /** The client has the worker's answer. */
     | 'served'
@@ -37,7 +37,7 @@
 }
 
 /** What a run needs of its router. */
-export interface RunDesk {
+export interface AttemptContext {
   nowMs(): number;
   mayStart(): boolean;
   /** When this worker was last heard on any connection. */
@@ -50,7 +50,7 @@
   silent(): void;
   /** The first word of an answer came so long after the send. */
   answered(waitMs: number): void;
-  over(end: RunEnd): void;
+  over(end: AttemptEnd): void;
 }
 
 const SILENT_MS = 1000;
@@ -85,11 +85,11 @@
  * const run = new Run(passage, worker, words, context);
  * run.attach(link.send(run.request(nowMs), run));
  */
-export class Run implements LinkHandler {
-  #passage: Passage;
+export class Attempt implements LinkHandler {
+  #passage: RoutedRequest;
   #worker: WorkerView;
-  #words: WireWords;
-  #context: RunDesk;
+  #words: HeaderNames;
+  #context: AttemptContext;
   #send: LinkSend | undefined;
   #status = 0;
   #headers: Header[] = [];
@@ -105,7 +105,7 @@
   #bornMs: number;
   #moveAskedMs = -Infinity;
 
-  constructor(passage: Passage, worker: WorkerView, words: WireWords, context: RunDesk) {
+  constructor(passage: RoutedRequest, worker: WorkerView, words: HeaderNames, context: AttemptContext) {
     this.#passage = passage;
     this.#worker = worker;
     this.#words = words;
@@ -120,7 +120,7 @@
   }
 
   request(nowMs: number): LinkRequest {
-    const { ask, endMs, route, lastEventId } = this.#passage;
+    const { request: ask, endMs, route, lastEventId } = this.#passage;
     const { deadlineMs, expectInstance, priority, lastEventId: lastWord } = this.#words;
     const own = new Set([deadlineMs, expectInstance, priority, lastWord].map((name) => name.toLowerCase()));
     const headers: Header[] = ask.headers.filter(
@@ -150,7 +150,7 @@
   tick(nowMs: number): void {
     if (this.#over) return;
     if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
-    if (!this.#passage.repeatable || !this.#started || this.#paused) return;
+    if (!this.#passage.idempotent || !this.#started || this.#paused) return;
     if (nowMs - this.#lifeMs <= this.#patienceMs(nowMs) || nowMs - this.#moveAskedMs < MOVE_EVERY_MS) return;
     this.#moveAskedMs = nowMs;
     if (!this.#passage.opened || this.#context.mayMove()) this.#abandon('silent for too long');
@@ -184,7 +184,7 @@
     this.#lifeMs = this.#context.nowMs();
     this.#context.heard();
     const echoed = valueOf(headers, this.#words.requestId);
-    if (echoed !== this.#passage.ask.id) return this.#abandon('an answer to another request');
+    if (echoed !== this.#passage.request.id) return this.#abandon('an answer to another request');
     const notRun = valueOf(headers, this.#words.notRun) !== undefined;
     if (notRun && status < 300) return this.#abandon('an answer that says that it was not run');
     if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
@@ -198,7 +198,7 @@
     if (this.#passage.streamed && status < 300 && type.startsWith('text/event-stream'))
       this.#cutter = new EventCutter();
     else if (this.#passage.opened) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (status >= 500 && this.#passage.repeatable && this.#context.mayMove())
+    else if (status >= 500 && this.#passage.idempotent && this.#context.mayMove())
       this.#abandon(`answered ${status}`);
   }
 
@@ -221,7 +221,7 @@
     if (this.#over) return;
     const { port } = this.#passage;
     if (this.#cutter === undefined) {
-      port.answer(this.#status, this.#headers, Buffer.concat(this.#whole));
+      port.respond(this.#status, this.#headers, Buffer.concat(this.#whole));
       return this.#finish({ how: 'served', why: '', workerFailed: this.#status >= 500 });
     }
     if (this.#cutter.restBytes > 0) return this.#abandon('ended within an event');
@@ -260,7 +260,7 @@
     if (!this.#passage.opened) this.#open();
     this.#passage.passedMs = this.#lifeMs;
     if (lastId !== undefined) this.#passage.lastEventId = lastId;
-    if (this.#passage.port.piece(bytes, () => this.#goOn())) return;
+    if (this.#passage.port.write(bytes, () => this.#goOn())) return;
     this.#paused = true;
     this.#send?.pause();
   }
@@ -282,7 +282,7 @@
     this.#finish({ how: 'failed', why: `${this.#worker.id}: ${why}` });
   }
 
-  #finish(end: RunEnd): void {
+  #finish(end: AttemptEnd): void {
     if (this.#over) return;
     this.#over = true;
     this.#context.over(end);
--- a/packages/router/src/balance.ts
+++ b/packages/router/src/balancer.ts
@@ -1,5 +1,5 @@
 import { spread } from '@rainrun/common';
-import type { Passage, WorkerView } from './request.js';
+import type { RoutedRequest, WorkerView } from './request.js';
 
 /** What the balancer knows beyond the workers themselves. */
 export interface BalanceDependencies {
@@ -108,7 +108,7 @@
   /** Takes a place at a cold worker; false when it may have no more in this second. */
   takePlace(worker: WorkerView, perS: number): boolean {
     const nowMs = this.#dependencies.nowMs();
-    if (nowMs >= worker.coldUntilMs || perS <= 0) return true;
+    if (nowMs >= worker.warmUpUntilMs || perS <= 0) return true;
     const standing = this.#standing(worker.id);
     const rate = (perS * COLD_PART) / Math.max(1, this.#dependencies.edges());
     const cold = (standing.cold ??= {
@@ -123,8 +123,8 @@
     return true;
   }
 
-  choose(passage: Passage, workers: Iterable<WorkerView>): WorkerView | NoWorker {
-    const { ask, service, route } = passage;
+  choose(passage: RoutedRequest, workers: Iterable<WorkerView>): WorkerView | NoWorker {
+    const { request: ask, service, route } = passage;
     const nowMs = this.#dependencies.nowMs();
     const evacuated = this.#dependencies.evacuated();
     const mostHere = this.#mostHere(service.connections);
@@ -132,7 +132,7 @@
     const limited: WorkerView[] = [];
     let why: NoWorker = 'none';
     for (const worker of workers) {
-      if (worker.service !== service.name || worker.leaving || evacuated.includes(worker.zone)) continue;
+      if (worker.service !== service.name || worker.draining || evacuated.includes(worker.zone)) continue;
       if (
         route.regions !== undefined &&
         route.regions !== null &&
@@ -184,8 +184,8 @@
       : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#dependencies.edges())));
   }
 
-  #ranked(passage: Passage, able: WorkerView[]): WorkerView[] {
-    const { ask } = passage;
+  #ranked(passage: RoutedRequest, able: WorkerView[]): WorkerView[] {
+    const { request: ask } = passage;
     const loads = new Map(
       able.map((worker) => [
         worker.id,
--- a/packages/router/src/demand.ts
+++ b/packages/router/src/demand-meter.ts
@@ -1,7 +1,7 @@
-import type { Passage } from './request.js';
+import type { RoutedRequest } from './request.js';
 
 /** What a model or an adapter of it is asked for at this edge. */
-export interface Asked {
+export interface EdgeDemand {
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
@@ -9,9 +9,9 @@
   readonly inFlight: number;
   readonly perS: number;
   /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
-  readonly pressure: number;
+  readonly waitToTargetRatio: number;
   /** Mean target latency of its requests: they can wait so long without loss. 0 if unknown. */
-  readonly patienceMs: number;
+  readonly meanTargetMs: number;
 }
 
 const HALF_LIFE_S = 4;
@@ -33,12 +33,12 @@
  * demand.arrived(passage, nowMs);
  * demand.asked(waiting, nowMs);
  */
-export class Demand {
+export class DemandMeter {
   #rates = new Map<string, Rate>();
   #inFlight = new Map<string, number>();
 
-  arrived(passage: Passage, nowMs: number): void {
-    if (passage.ask.model === '') return;
+  arrived(passage: RoutedRequest, nowMs: number): void {
+    if (passage.request.model === '') return;
     const { targetMs } = passage.route;
     const rate = this.#rates.get(passage.key) ?? { perS: 0, pressure: 0, patienceMs: targetMs, atMs: nowMs };
     this.#rates.set(passage.key, rate);
@@ -56,7 +56,7 @@
   }
 
   /** The first word of an answer came so long after the send. */
-  answered(passage: Passage, waitMs: number): void {
+  answered(passage: RoutedRequest, waitMs: number): void {
     const rate = this.#rates.get(passage.key);
     if (rate === undefined || passage.route.targetMs <= 0) return;
     const pressure = waitMs / passage.route.targetMs;
@@ -65,10 +65,10 @@
   }
 
   /** What is asked for now. */
-  asked(waitingPassages: Iterable<Passage>, nowMs: number): Asked[] {
+  asked(waitingPassages: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
     for (const passage of waitingPassages) waiting.set(passage.key, (waiting.get(passage.key) ?? 0) + 1);
-    const asked: Asked[] = [];
+    const asked: EdgeDemand[] = [];
     for (const [key, rate] of this.#rates) {
       fade(rate, nowMs);
       const now = { waiting: waiting.get(key) ?? 0, inFlight: this.#inFlight.get(key) ?? 0 };
@@ -78,7 +78,15 @@
       }
       const [service = '', model = '', adapter = ''] = key.split('/');
       const { perS, pressure, patienceMs } = rate;
-      asked.push({ service, model, adapter, ...now, perS, pressure, patienceMs });
+      asked.push({
+        service,
+        model,
+        adapter,
+        ...now,
+        perS,
+        waitToTargetRatio: pressure,
+        meanTargetMs: patienceMs,
+      });
     }
     return asked;
   }
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -1,18 +1,18 @@
-import type { Ask, ClientPort } from './request.js';
+import type { ClientRequest, ResponseSink } from './request.js';
 
 /** A request that came before any configuration was known. */
 interface EarlyRequest {
-  readonly ask: Ask;
-  readonly port: ClientPort;
+  readonly ask: ClientRequest;
+  readonly port: ResponseSink;
   readonly bornMs: number;
   readonly endMs: number;
   leave: (() => void) | undefined;
 }
 
 /** What becomes of an early request: it is taken with the time that it has left, or refused. */
-export interface EarlyDesk {
-  take(ask: Ask, port: ClientPort): () => void;
-  refuse(port: ClientPort): void;
+export interface EarlyRequestContext {
+  take(ask: ClientRequest, port: ResponseSink): () => void;
+  refuse(port: ResponseSink): void;
 }
 
 const HELD_MS = 1500;
@@ -24,10 +24,10 @@
  * early.release(true, nowMs); // a configuration is known: all of them are taken
  */
 export class EarlyRequests {
-  #desk: EarlyDesk;
+  #desk: EarlyRequestContext;
   #held = new Set<EarlyRequest>();
 
-  constructor(desk: EarlyDesk) {
+  constructor(desk: EarlyRequestContext) {
     this.#desk = desk;
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** The returned function says that the client has left. */
-  hold(ask: Ask, port: ClientPort, nowMs: number): () => void {
+  hold(ask: ClientRequest, port: ResponseSink, nowMs: number): () => void {
     const endMs = nowMs + Math.min(HELD_MS, ask.deadlineMs ?? HELD_MS);
     const early: EarlyRequest = { ask, port, bornMs: nowMs, endMs, leave: undefined };
     this.#held.add(early);
@@ -63,7 +63,7 @@
   }
 }
 
-function withTimeLeft({ ask, bornMs }: EarlyRequest, nowMs: number): Ask {
+function withTimeLeft({ ask, bornMs }: EarlyRequest, nowMs: number): ClientRequest {
   const { deadlineMs } = ask;
   return {
     ...ask,
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,10 +1,10 @@
 import type { RouteEntry, ServiceEntry } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
-import type { NoWorker } from './balance.js';
+import type { NoWorker } from './balancer.js';
 
 /** A whole request, read and taken apart at the door. */
-export interface Ask {
+export interface ClientRequest {
   readonly id: string;
   readonly method: string;
   /** Path and query, unchanged. */
@@ -25,18 +25,18 @@
 }
 
 /** Where the answer goes. */
-export interface ClientPort {
+export interface ResponseSink {
   /** A whole answer. */
-  answer(status: number, headers: readonly Header[], body: Buffer): void;
+  respond(status: number, headers: readonly Header[], body: Buffer): void;
   /** An answer of our own: what went wrong, and when to come back. */
-  refuse(why: Fault): void;
+  reject(why: Fault): void;
   /** Opens an answer that is passed on piece by piece. */
   open(status: number, headers: readonly Header[]): void;
   /** False: the client reads slowly, `drained` will be called. */
-  piece(bytes: Buffer, drained: () => void): boolean;
+  write(bytes: Buffer, drained: () => void): boolean;
   close(): void;
   /** Ends the connection so that the client sees that the answer is not whole. */
-  cut(): void;
+  abort(): void;
 }
 
 /** A worker as the router sees it. */
@@ -45,9 +45,9 @@
   readonly service: string;
   readonly address: string;
   readonly zone: string;
-  readonly leaving: boolean;
+  readonly draining: boolean;
   readonly slots: number;
-  readonly coldUntilMs: number;
+  readonly warmUpUntilMs: number;
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
   /** Grows with each change that was told of it. */
   readonly number: number;
@@ -56,15 +56,15 @@
 }
 
 /** A request on its way through the router. */
-export interface Passage {
-  readonly ask: Ask;
-  readonly port: ClientPort;
+export interface RoutedRequest {
+  readonly request: ClientRequest;
+  readonly port: ResponseSink;
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
   readonly key: string;
-  readonly bornMs: number;
+  readonly arrivedMs: number;
   readonly endMs: number;
-  readonly repeatable: boolean;
+  readonly idempotent: boolean;
   readonly streamed: boolean;
   /** Workers that were sent this request and had it. */
   arrivals: number;
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -1,13 +1,13 @@
 import { describe, it } from 'node:test';
 import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { checkConfiguration, type Configuration } from '@rainrun/configuration';
-import { ANSWERS, type Fault } from '@rainrun/common';
+import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Router } from './router.js';
-import type { Ask, ClientPort, WorkerView } from './request.js';
-import { valueOf, type WireWords } from './run.js';
+import type { ClientRequest, ResponseSink, WorkerView } from './request.js';
+import { valueOf, type HeaderNames } from './attempt.js';
 
-const WORDS: WireWords = {
+const WORDS: HeaderNames = {
   requestId: 'call-id',
   deadlineMs: 'left-ms',
   lastEventId: 'after',
@@ -158,25 +158,25 @@
   }
 }
 
-class Port implements ClientPort {
+class Port implements ResponseSink {
   readonly seen: string[] = [];
   status = 0;
   text = '';
   slow = false;
   drained: (() => void) | undefined;
-  answer(status: number, _headers: readonly Header[], body: Buffer): void {
+  respond(status: number, _headers: readonly Header[], body: Buffer): void {
     this.status = status;
     this.seen.push(`answer ${status} ${body.toString()}`);
   }
-  refuse(why: Fault): void {
-    this.status = ANSWERS[why.kind].status;
+  reject(why: Fault): void {
+    this.status = FAULT_RESPONSES[why.kind].status;
     this.seen.push(`refuse ${this.status}${why.returnS === undefined ? '' : ' again'}`);
   }
   open(status: number, headers: readonly Header[]): void {
     this.status = status;
     this.seen.push(`open ${status} ${valueOf(headers, WORDS.signature) ?? ''}`);
   }
-  piece(bytes: Buffer, drained: () => void): boolean {
+  write(bytes: Buffer, drained: () => void): boolean {
     this.text += bytes.toString();
     this.drained = drained;
     return !this.slow;
@@ -184,7 +184,7 @@
   close(): void {
     this.seen.push('close');
   }
-  cut(): void {
+  abort(): void {
     this.seen.push('cut');
   }
 }
@@ -195,9 +195,9 @@
     service: 'look',
     address: `${id}:80`,
     zone: 'north',
-    leaving: false,
+    draining: false,
     slots: 4,
-    coldUntilMs: -Infinity,
+    warmUpUntilMs: -Infinity,
     models: new Map(),
     number: 1,
     sharePercent: 100,
@@ -227,7 +227,7 @@
       zone: 'north',
       clock: { nowMs: () => this.nowMs },
       link: this.link,
-      words: WORDS,
+      headerNames: WORDS,
       retries,
       configuration: () => configuration,
       evacuated: () => this.evacuated,
@@ -248,11 +248,11 @@
     for (const one of workers) this.workers.set(one.id, one);
   }
 
-  ask(target: string, change: Partial<Ask> = {}): { port: Port; leave: () => void } {
+  ask(target: string, change: Partial<ClientRequest> = {}): { port: Port; leave: () => void } {
     this.#asked += 1;
     const id = change.id ?? `q${this.#asked}`;
     const port = new Port();
-    const ask: Ask = {
+    const ask: ClientRequest = {
       id,
       method: 'POST',
       target,
@@ -432,7 +432,7 @@
     const { port } = bench.ask('/once/x');
     const flown = bench.last();
     bench.nowMs += 500;
-    bench.put(worker(flown.request.address.slice(0, 2), { leaving: true }));
+    bench.put(worker(flown.request.address.slice(0, 2), { draining: true }));
     const started = flown.start();
     flown.handler.failed(false, 'not started');
     bench.last().start();
@@ -758,7 +758,7 @@
 describe('the choice of a worker', () => {
   it('falls on none that leaves, is gone, is evacuated, of another service or of a region that is no home', () => {
     const bench = new Bench([
-      worker('leaves', { leaving: true }),
+      worker('leaves', { draining: true }),
       worker('evacuated', { zone: 'east' }),
       worker('other', { service: 'assist' }),
     ]);
@@ -777,7 +777,7 @@
       const bench = new Bench([worker('w1')]);
       const { port } = bench.ask('/once/x');
       const flown = bench.last();
-      if (change === 'leaves') bench.put(worker('w1', { leaving: true }));
+      if (change === 'leaves') bench.put(worker('w1', { draining: true }));
       if (change === 'gone') bench.workers.delete('w1');
       if (change === 'evacuated') bench.evacuated = ['north'];
       const started = flown.start();
@@ -797,7 +797,7 @@
 
   it('gives a cold worker no more than this edge may send it in a second', () => {
     for (const edges of [1, 4]) {
-      const bench = new Bench([worker('w1', { coldUntilMs: 60_000, slots: 100 })]);
+      const bench = new Bench([worker('w1', { warmUpUntilMs: 60_000, slots: 100 })]);
       bench.edges = edges;
       const atMs: number[] = [];
       for (let heartbeat = 0; heartbeat < 200; heartbeat += 1) {
@@ -837,7 +837,7 @@
             edge.put(
               worker('w1', {
                 slots: 100,
-                coldUntilMs: nowMs + (nowMs === 2000 ? 10_000 : 30_000),
+                warmUpUntilMs: nowMs + (nowMs === 2000 ? 10_000 : 30_000),
                 number: nowMs,
               }),
             );
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,20 +1,20 @@
 import { RetryBudget, type Link } from '@rainrun/gateway';
 import type { Configuration, RouteEntry } from '@rainrun/configuration';
 import { fault, type Clock, type Fault } from '@rainrun/common';
-import { Balancer, type NoWorker } from './balance.js';
-import { Demand, type Asked } from './demand.js';
+import { Balancer, type NoWorker } from './balancer.js';
+import { DemandMeter, type EdgeDemand } from './demand-meter.js';
 import { EarlyRequests } from './early-requests.js';
 import { Outcomes, type WorkerOutcomes } from './outcomes.js';
-import type { Ask, ClientPort, Passage, WorkerView } from './request.js';
+import type { ClientRequest, ResponseSink, RoutedRequest, WorkerView } from './request.js';
 import { RouteTable } from './routes.js';
-import { Run, type RunEnd, type WireWords } from './run.js';
+import { Attempt, type AttemptEnd, type HeaderNames } from './attempt.js';
 
 /** What the router is given by its node. */
 export interface RouterDependencies {
   readonly zone: string;
   readonly clock: Clock;
   readonly link: Link;
-  readonly words: WireWords;
+  readonly headerNames: HeaderNames;
   /** Extra sends: a part of the first ones, and this many more in the fleet, in any window. */
   readonly retries: { readonly ratio: number; readonly extra: number };
   configuration(): Configuration | undefined;
@@ -51,14 +51,14 @@
   #dependencies: RouterDependencies;
   #balancer: Balancer;
   #table: { readonly configuration: Configuration; readonly routes: RouteTable } | undefined;
-  #waiting = new Set<Passage>();
-  #runs = new Set<Run>();
+  #waiting = new Set<RoutedRequest>();
+  #runs = new Set<Attempt>();
   #early = new EarlyRequests({
     take: (ask, port) => this.take(ask, port),
     refuse: (port) => void this.#turnAway(port, UNCONFIGURED),
   });
   #budgets = new Map<string, RetryBudget>();
-  #demand = new Demand();
+  #demand = new DemandMeter();
   #outcomes = new Outcomes();
   #counts = new Map<string, number>();
   /** Ids of requests under way that may not be repeated. */
@@ -90,7 +90,7 @@
   }
 
   /** Takes a request; the returned function says that the client has left. */
-  take(ask: Ask, port: ClientPort): () => void {
+  take(ask: ClientRequest, port: ResponseSink): () => void {
     this.#count('taken');
     if (this.#closed) return this.#turnAway(port, fault('draining', 'this node ends'));
     const configuration = this.#dependencies.configuration();
@@ -107,15 +107,15 @@
     const nowMs = this.#dependencies.clock.nowMs();
     const { service } = target;
     const streamed = target.route.kind === 'streaming';
-    const passage: Passage = {
-      ask,
+    const passage: RoutedRequest = {
+      request: ask,
       port,
       route: target.route,
       service,
       key: `${service.name}/${ask.model}/${ask.adapter}`,
-      bornMs: nowMs,
+      arrivedMs: nowMs,
       endMs: nowMs + Math.min(target.route.timeoutMs, ask.deadlineMs ?? Infinity),
-      repeatable: target.route.kind === 'idempotent' || (streamed && target.route.resumable),
+      idempotent: target.route.kind === 'idempotent' || (streamed && target.route.resumable),
       streamed,
       arrivals: 0,
       sentTo: new Map(),
@@ -133,9 +133,9 @@
     };
     if (this.#waiting.size >= CROWD_MOST)
       return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
-    if (!passage.repeatable && this.#once.has(ask.id))
+    if (!passage.idempotent && this.#once.has(ask.id))
       return this.#turnAway(port, fault('outcome-unknown', 'a request with this id is under way here'));
-    if (!passage.repeatable) this.#once.add(ask.id);
+    if (!passage.idempotent) this.#once.add(ask.id);
     this.#budget(passage).first(this.#dependencies.retries.ratio);
     this.#demand.arrived(passage, nowMs);
     this.#dispatch(passage, nowMs);
@@ -156,7 +156,7 @@
     this.#balancer.keepOnly(this.#dependencies.workers());
     if (this.#early.size > 0) this.#early.release(this.#dependencies.configuration() !== undefined, nowMs);
     const order = [...this.#waiting].sort(
-      (one, other) => one.route.priority - other.route.priority || one.bornMs - other.bornMs,
+      (one, other) => one.route.priority - other.route.priority || one.arrivedMs - other.arrivedMs,
     );
     const nowhere = new Set<string>();
     for (const passage of order) {
@@ -172,7 +172,7 @@
   }
 
   /** What is asked for now, by service, model and adapter. */
-  asked(): Asked[] {
+  asked(): EdgeDemand[] {
     return this.#demand.asked(this.#waiting, this.#dependencies.clock.nowMs());
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** One budget a service: the bound is the service's. */
-  #budget(passage: Passage): RetryBudget {
+  #budget(passage: RoutedRequest): RetryBudget {
     const name = passage.service.name;
     let budget = this.#budgets.get(name);
     if (budget === undefined) {
@@ -196,14 +196,14 @@
     return budget;
   }
 
-  #turnAway(port: ClientPort, why: Fault): () => void {
+  #turnAway(port: ResponseSink, why: Fault): () => void {
     this.#count(`refused ${why.kind}`);
-    port.refuse(why);
+    port.reject(why);
     return () => undefined;
   }
 
   /** Sends a request if a worker may take it now; false: it waits. */
-  #dispatch(passage: Passage, nowMs: number): boolean {
+  #dispatch(passage: RoutedRequest, nowMs: number): boolean {
     const choice = this.#choose(passage);
     if (typeof choice === 'string') {
       this.#wait(passage, choice);
@@ -216,7 +216,7 @@
   }
 
   /** Once a request was sent to as many workers as its route allows, only these are left for it. */
-  #choose(passage: Passage): WorkerView | NoWorker {
+  #choose(passage: RoutedRequest): WorkerView | NoWorker {
     const workers = this.#dependencies.workers();
     if (passage.sentTo.size < passage.route.attempts) return this.#balancer.choose(passage, workers.values());
     const known = [...passage.sentTo.keys()].map((id) => workers.get(id));
@@ -227,7 +227,7 @@
   }
 
   /** Whether a request can leave its worker for another one at once; if so, a part of the budget is set aside. */
-  #mayMove(passage: Passage, worker: WorkerView): boolean {
+  #mayMove(passage: RoutedRequest, worker: WorkerView): boolean {
     if (passage.arrivals < passage.route.attempts && this.#budget(passage).reserve()) {
       passage.avoided.add(worker.id);
       passage.reserved = typeof this.#choose(passage) !== 'string';
@@ -239,7 +239,7 @@
   }
 
   /** The client has a part of this stream, and no worker may take the rest now. */
-  #hold(passage: Passage): void {
+  #hold(passage: RoutedRequest): void {
     passage.avoided.clear();
     passage.unpaid = false;
     passage.cancel = undefined;
@@ -250,7 +250,7 @@
    * A stream of which the client has a part goes on looking for a worker, as
    * long as the client bears its silence and a worker may take it.
    */
-  #resume(passage: Passage, nowMs: number): void {
+  #resume(passage: RoutedRequest, nowMs: number): void {
     if (nowMs < passage.notBeforeMs) return;
     passage.notBeforeMs = nowMs + RESUME_EVERY_MS;
     if (!this.#budget(passage).reserve()) return;
@@ -264,15 +264,15 @@
     if (choice === 'none' && passage.sentTo.size >= passage.route.attempts) this.#cut(passage);
   }
 
-  #cut(passage: Passage): void {
+  #cut(passage: RoutedRequest): void {
     this.#waiting.delete(passage);
     this.#release(passage);
-    this.#once.delete(passage.ask.id);
+    this.#once.delete(passage.request.id);
     this.#count('cut off');
-    passage.port.cut();
+    passage.port.abort();
   }
 
-  #wait(passage: Passage, why: NoWorker): void {
+  #wait(passage: RoutedRequest, why: NoWorker): void {
     const isNews = passage.waitsFor !== why;
     if (!this.#waiting.has(passage)) this.#dependencies.waits();
     this.#waiting.add(passage);
@@ -283,11 +283,11 @@
       passage.avoided.clear();
   }
 
-  #send(passage: Passage, worker: WorkerView, nowMs: number): void {
+  #send(passage: RoutedRequest, worker: WorkerView, nowMs: number): void {
     const { key } = passage;
     this.#balancer.begun(worker);
     this.#demand.sent(key);
-    const run = new Run(passage, worker, this.#dependencies.words, {
+    const run = new Attempt(passage, worker, this.#dependencies.headerNames, {
       nowMs: () => this.#dependencies.clock.nowMs(),
       mayStart: () => this.#mayStart(passage, worker),
       heardMs: () => this.#balancer.heardMs(worker.id),
@@ -307,12 +307,12 @@
   }
 
   /** The last look before the first byte. */
-  #mayStart(passage: Passage, worker: WorkerView): boolean {
+  #mayStart(passage: RoutedRequest, worker: WorkerView): boolean {
     const known = this.#dependencies.workers().get(worker.id);
     if (
       passage.left ||
       known === undefined ||
-      known.leaving ||
+      known.draining ||
       this.#dependencies.evacuated().includes(known.zone)
     )
       return false;
@@ -325,24 +325,25 @@
     return true;
   }
 
-  #over(passage: Passage, worker: WorkerView, end: RunEnd): void {
+  #over(passage: RoutedRequest, worker: WorkerView, end: AttemptEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
     passage.cancel = undefined;
     this.#noteOutcome(worker, end);
     this.#count(end.how);
     if (end.how === 'failed' || end.how === 'cut') passage.ran = true;
-    if (end.how === 'misdirected') this.#balancer.lacks(worker, passage.ask.model, passage.ask.adapter);
+    if (end.how === 'misdirected')
+      this.#balancer.lacks(worker, passage.request.model, passage.request.adapter);
     if (end.how === 'not-run') this.#balancer.full(worker, end.againMs ?? AGAIN_MS);
     if (end.how === 'failed' || end.how === 'unreached') this.#balancer.failed(worker);
     if (passage.left || end.how === 'served' || end.how === 'cut') {
-      this.#once.delete(passage.ask.id);
+      this.#once.delete(passage.request.id);
       return;
     }
     if (nowMs >= passage.endMs || this.#closed) return this.#giveUp(passage);
     if (passage.unpaid) return this.#refuse(passage, end);
     if (end.how === 'not-sent' || end.how === 'unreached')
       return this.#again(passage, worker, end.how === 'unreached', nowMs);
-    const mayRepeat = end.how !== 'failed' || passage.repeatable;
+    const mayRepeat = end.how !== 'failed' || passage.idempotent;
     const mayArrive = passage.arrivals < passage.route.attempts;
     passage.reserved ||= mayRepeat && mayArrive && this.#budget(passage).reserve();
     if (passage.reserved) return this.#again(passage, worker, true, nowMs);
@@ -353,53 +354,53 @@
    * What a worker's answers say of its health: to this edge's balancer, and to all edges through the coordinator.
    * That it declines a request says that it is full, or does not hold the model any more; it says nothing of its health.
    */
-  #noteOutcome(worker: WorkerView, end: RunEnd): void {
+  #noteOutcome(worker: WorkerView, end: AttemptEnd): void {
     const isFailure = end.workerFailed === true || end.how === 'failed' || end.how === 'unreached';
     this.#balancer.ended(worker, end.how === 'served' && !isFailure);
     if (isFailure) this.#outcomes.add(worker.id, false);
     else if (end.how === 'served') this.#outcomes.add(worker.id, true);
   }
 
-  #again(passage: Passage, worker: WorkerView, avoid: boolean, nowMs: number): void {
+  #again(passage: RoutedRequest, worker: WorkerView, avoid: boolean, nowMs: number): void {
     if (avoid) passage.avoided.add(worker.id);
     passage.notBeforeMs = nowMs;
     this.#dispatch(passage, nowMs);
   }
 
   /** A further send that will not be is given back to the budget. */
-  #release(passage: Passage): void {
+  #release(passage: RoutedRequest): void {
     if (passage.reserved) this.#budget(passage).release();
     passage.reserved = false;
   }
 
-  #refuse(passage: Passage, end: RunEnd): void {
+  #refuse(passage: RoutedRequest, end: AttemptEnd): void {
     this.#release(passage);
-    if (passage.opened && passage.repeatable && this.#budget(passage).bearsRetries)
+    if (passage.opened && passage.idempotent && this.#budget(passage).bearsRetries)
       return this.#hold(passage);
     if (passage.opened) return this.#cut(passage);
-    this.#once.delete(passage.ask.id);
-    if (passage.ran) return passage.port.refuse(fault('outcome-unknown', end.why));
+    this.#once.delete(passage.request.id);
+    if (passage.ran) return passage.port.reject(fault('outcome-unknown', end.why));
     this.#count('refused full');
-    passage.port.refuse({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
+    passage.port.reject({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
   }
 
-  #giveUp(passage: Passage): void {
+  #giveUp(passage: RoutedRequest): void {
     this.#waiting.delete(passage);
     this.#release(passage);
     if (passage.left) return;
     this.#count('given up');
     if (passage.opened) return this.#cut(passage);
-    this.#once.delete(passage.ask.id);
-    if (passage.ran) passage.port.refuse(fault('deadline-exceeded', 'the time for it has passed'));
-    else passage.port.refuse({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
+    this.#once.delete(passage.request.id);
+    if (passage.ran) passage.port.reject(fault('deadline-exceeded', 'the time for it has passed'));
+    else passage.port.reject({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
   }
 
-  #left(passage: Passage): void {
+  #left(passage: RoutedRequest): void {
     if (passage.left) return;
     passage.left = true;
     this.#count('client left');
     this.#waiting.delete(passage);
-    this.#once.delete(passage.ask.id);
+    this.#once.delete(passage.request.id);
     passage.cancel?.();
     this.#release(passage);
   }
--- a/packages/runtime/src/visitors.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { Ask, Gateway, VisitorPort } from '@rainrun/gateway';
-import { ANSWERS, fault, hashText, randomId, type Chance, type Fault } from '@rainrun/common';
+import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
+import { FAULT_RESPONSES, fault, hashText, randomId, type RandomSource, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 
@@ -14,7 +14,7 @@
 const PREFIX_CHARS = 256;
 
 /** A request as moleculer-web hands it on, its body read. */
-export type VisitorRequest = IncomingMessage & { body?: unknown; originalUrl?: string };
+export type ChatRequest = IncomingMessage & { body?: unknown; originalUrl?: string };
 
 /**
  * The answer for a fault, by the table of kinds, sent at once.
@@ -22,7 +22,7 @@
  * sendFault(res, fault('over-share', 'too many wait'), 'id-1');
  */
 export function sendFault(res: ServerResponse, why: Fault, id: string): void {
-  const row = ANSWERS[why.kind];
+  const row = FAULT_RESPONSES[why.kind];
   if (res.headersSent) {
     res.destroy();
     return;
@@ -34,7 +34,7 @@
   res.end(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran: row.ran, id } }));
 }
 
-class HttpPort implements VisitorPort {
+class HttpPort implements GatewayResponseSink {
   #res: ServerResponse;
   #id: string;
 
@@ -43,7 +43,7 @@
     this.#id = id;
   }
 
-  answer(status: number, contentType: string, body: Uint8Array): void {
+  respond(status: number, contentType: string, body: Uint8Array): void {
     this.#res.writeHead(status, {
       'content-type': contentType,
       'content-length': body.length,
@@ -52,7 +52,7 @@
     this.#res.end(body);
   }
 
-  refuse(why: Fault): void {
+  reject(why: Fault): void {
     sendFault(this.#res, why, this.#id);
   }
 
@@ -64,7 +64,7 @@
     });
   }
 
-  piece(bytes: Uint8Array, resume: () => void): boolean {
+  write(bytes: Uint8Array, resume: () => void): boolean {
     if (this.#res.write(bytes)) return true;
     this.#res.once('drain', resume);
     return false;
@@ -75,7 +75,7 @@
   }
 
   /** The chunked body is left without its end, so that the visitor sees the cut. */
-  cut(): void {
+  abort(): void {
     this.#res.destroy();
   }
 }
@@ -85,7 +85,7 @@
   return typeof value === 'string' ? value : '';
 }
 
-function readAsk(req: VisitorRequest, id: string): Result<Ask, Fault> {
+function readAsk(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
   const wish = header(req, 'rainrun-deadline-ms');
   const deadlineMs = wish === '' ? undefined : Number(wish);
   if (deadlineMs !== undefined && !Number.isFinite(deadlineMs))
@@ -139,8 +139,8 @@
 export function visit(
   gateway: Gateway,
   edge: string,
-  chance: Chance,
-  req: VisitorRequest,
+  chance: RandomSource,
+  req: ChatRequest,
   res: ServerResponse,
 ): void {
   const id = `${edge}.${randomId(chance)}`;
--- a/packages/runtime/src/front.ts
+++ b/packages/runtime/src/client-server.ts
@@ -1,12 +1,12 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
-import { USUAL_LIMITS, type Limits } from '@rainrun/configuration';
-import { ANSWERS, fault, type Fault } from '@rainrun/common';
+import { DEFAULT_LIMITS, type Limits } from '@rainrun/configuration';
+import { FAULT_RESPONSES, fault, type Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
-import { isHop, type Ask, type ClientPort } from '@rainrun/router';
+import { isHop, type ClientRequest, type ResponseSink } from '@rainrun/router';
 import { ClientConnections } from './client-connections.js';
-import type { DoorWords } from './dialect.js';
-import { splitAddress } from './wire.js';
+import type { ClientHeaderNames } from './dialect.js';
+import { splitAddress } from './peer-transport.js';
 
 const HEADERS_MOST = 128 * 1024;
 /** The answer to what cannot be read, by the code of node's error. */
@@ -17,21 +17,21 @@
 
 /** What the front door needs of its node. */
 export interface FrontDependencies {
-  readonly words: DoorWords;
+  readonly words: ClientHeaderNames;
   limits(): Limits | undefined;
   /** Whether connections are to be closed after their answer. */
   leaving(): boolean;
-  take(ask: Ask, port: ClientPort): () => void;
+  take(ask: ClientRequest, port: ResponseSink): () => void;
 }
 
 /**
  * Where clients come in: reads each request whole within the limits in force
  * and hands it on.
  * @example
- * const front = new FrontDoor(dependencies);
+ * const front = new ClientServer(dependencies);
  * await front.listen('10.0.0.4:8000');
  */
-export class FrontDoor {
+export class ClientServer {
   #dependencies: FrontDependencies;
   #server: Server;
   #connections = new ClientConnections();
@@ -59,7 +59,7 @@
 
   /** Takes over the limits in force. */
   applyLimits(): void {
-    const { headerMs, idleMs } = this.#dependencies.limits() ?? USUAL_LIMITS;
+    const { headerMs, idleMs } = this.#dependencies.limits() ?? DEFAULT_LIMITS;
     this.#server.headersTimeout = headerMs;
     this.#server.requestTimeout = headerMs + 4 * idleMs;
     this.#server.keepAliveTimeout = idleMs;
@@ -103,7 +103,7 @@
       this.#open -= 1;
       this.#connections.closed(req);
     });
-    const limits = this.#dependencies.limits() ?? USUAL_LIMITS;
+    const limits = this.#dependencies.limits() ?? DEFAULT_LIMITS;
     const port = new HttpPort(res, () => this.#dependencies.leaving());
     const headerBytes = req.rawHeaders.reduce(
       (sum, text) => sum + text.length + 2,
@@ -143,7 +143,7 @@
     return (req.headersDistinct[header]?.length ?? 0) > 1;
   }
 
-  #ask(req: IncomingMessage, id: string, body: Buffer): Ask {
+  #ask(req: IncomingMessage, id: string, body: Buffer): ClientRequest {
     const { words } = this.#dependencies;
     const headers: Header[] = [];
     for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
@@ -181,7 +181,7 @@
   return Array.isArray(value) ? value[0] : value;
 }
 
-class HttpPort implements ClientPort {
+class HttpPort implements ResponseSink {
   #res: ServerResponse;
   #leaving: () => boolean;
 
@@ -190,20 +190,20 @@
     this.#leaving = leaving;
   }
 
-  answer(status: number, headers: readonly Header[], body: Buffer): void {
+  respond(status: number, headers: readonly Header[], body: Buffer): void {
     if (this.#res.destroyed) return;
     this.#head(status, this.#bodiless(status) ? headers : withLength(headers, body.length));
     this.#res.end(body);
   }
 
-  refuse(why: Fault): void {
-    this.end(ANSWERS[why.kind].status, why, false);
+  reject(why: Fault): void {
+    this.end(FAULT_RESPONSES[why.kind].status, why, false);
   }
 
   /** An answer of our own. */
   end(status: number, why: Fault, close: boolean): void {
     if (this.#res.destroyed || this.#res.headersSent) return;
-    const { retryAfterS, ran } = ANSWERS[why.kind];
+    const { retryAfterS, ran } = FAULT_RESPONSES[why.kind];
     const body = Buffer.from(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }));
     const headers: Header[] = [
       ['Content-Type', 'application/json'],
@@ -222,7 +222,7 @@
     this.#res.flushHeaders();
   }
 
-  piece(bytes: Buffer, drained: () => void): boolean {
+  write(bytes: Buffer, drained: () => void): boolean {
     if (this.#res.destroyed) return true;
     const more = this.#res.write(bytes);
     if (!more) this.#res.once('drain', drained);
@@ -234,7 +234,7 @@
   }
 
   /** Also where the answer still waits behind another one on its connection. */
-  cut(): void {
+  abort(): void {
     this.#res.destroy();
   }
 
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,18 +1,24 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import { SPEAKS } from '@rainrun/messages';
+import { PROTOCOL_LEVELS } from '@rainrun/messages';
 import { Acceptor, PLATFORM_TIMES, readRecords } from '@rainrun/process-group';
 import { PoolLink, type Header } from '@rainrun/gateway';
 import { CoreReplica, coreStatus, OperatorService } from '@rainrun/cluster-node';
 import { RecordStore } from '@rainrun/storage';
-import { fault, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
-import type { WorkerRecord, ListedWorker, ReportReply, StockOrder, StockReply } from '@rainrun/placement';
+import { fault, randomId, type RandomSource, type Clock, type Fault } from '@rainrun/common';
+import type {
+  WorkerRecord,
+  ListedWorker,
+  ReportReply,
+  WorkerOrder,
+  WorkerOrderReply,
+} from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
 import type { Dialect, SystemSettings } from './dialect.js';
 import type { Log } from './log.js';
 import { WORKER_LINK } from './links.js';
 import { OperatorServer } from './operator-server.js';
-import { splitAddress, Wire } from './wire.js';
+import { splitAddress, PeerTransport } from './peer-transport.js';
 
 const HEARTBEAT_MS = 25;
 /** A core that does not coordinate heartbeats at every second one. */
@@ -23,7 +29,7 @@
 const COUNTERS_MS = 10_000;
 
 const CLOCK: Clock = { nowMs: () => performance.now() };
-const CHANCE: Chance = { next: () => Math.random() };
+const CHANCE: RandomSource = { next: () => Math.random() };
 
 /** The answer of a worker. */
 interface Reply {
@@ -43,7 +49,7 @@
   #settings: SystemSettings;
   #dialect: Dialect;
   #log: Log;
-  #wire: Wire;
+  #wire: PeerTransport;
   #replica: CoreReplica;
   #link = new PoolLink(WORKER_LINK);
   #operators: OperatorService;
@@ -60,7 +66,7 @@
     this.#settings = settings;
     this.#dialect = dialect;
     this.#log = log;
-    this.#wire = new Wire('system', (frame) => this.#replica.receive(frame));
+    this.#wire = new PeerTransport('system', (frame) => this.#replica.receive(frame));
     const seeds = settings.seeds.map((host) => `${host}:${settings.ports[0]}`);
     this.#replica = new CoreReplica({
       name: settings.name,
@@ -69,20 +75,20 @@
       deployment: 'system',
       seeds,
       founders: settings.founding ? seeds : [],
-      votersWanted: 2 * settings.lossesBorne + 1,
+      desiredVoterCount: 2 * settings.lossesBorne + 1,
       clock: CLOCK,
       chance: CHANCE,
       times: PLATFORM_TIMES,
       acceptor,
-      speaks: SPEAKS,
-      post: (address, frame) => this.#wire.post(address, frame),
+      protocolLevels: PROTOCOL_LEVELS,
+      send: (address, frame) => this.#wire.post(address, frame),
       order: (row, order, done) => this.#order(row, order, done),
       report: (row, done) => this.#report(row, done),
-      changed: (state) =>
+      onStateChange: (state) =>
         log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
-      reborn: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
-      refused: (why) => log.error({ why }, 'the group does not let this node in'),
-      decided: (text) => log.debug({}, text),
+      onNewIncarnation: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
+      onJoinRejected: (why) => log.error({ why }, 'the group does not let this node in'),
+      onPlacementDecision: (text) => log.debug({}, text),
     });
     this.#operators = new OperatorService({
       replica: this.#replica,
@@ -135,7 +141,7 @@
   #tick(): void {
     this.#heartbeats += 1;
     this.#operators.tick();
-    const { leading } = this.#replica.group;
+    const { isCoordinator: leading } = this.#replica.group;
     if (!leading && this.#heartbeats % SELDOM !== 0) return;
     this.#replica.tick();
     if (leading !== this.#led) {
@@ -189,14 +195,14 @@
 
   // Orders.
 
-  #order(row: WorkerRecord, order: StockOrder, done: (reply: StockReply) => void): void {
-    const body = this.#dialect.writeOrder(order, this.#replica.group.seat.incarnation);
+  #order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
+    const body = this.#dialect.writeOrder(order, this.#replica.group.self.incarnation);
     this.#call(
       row,
       'POST',
       this.#dialect.orderPath,
       body,
-      () => this.#replica.group.dutyEpoch() === order.fence,
+      () => this.#replica.group.singletonEpoch() === order.fence,
       (reply) => {
         done(reply === undefined ? 'no-answer' : this.#dialect.readOrderReply(reply.status));
         this.#replica.tick();
@@ -237,7 +243,7 @@
     }
     const headers: Header[] = [
       ['host', row.address],
-      [this.#dialect.wireWords.expectInstance, row.id],
+      [this.#dialect.workerHeaderNames.expectInstance, row.id],
     ];
     if (body !== '') headers.push(['content-type', 'application/json']);
     const send = this.#link.send(
@@ -259,14 +265,14 @@
   }
 
   #counters(): Record<string, number> {
-    const { group, planner, followers, book } = this.#replica;
+    const { group, planner, subscriberCount: followers, workerTable: book } = this.#replica;
     const { user, system } = process.cpuUsage();
     return {
-      version: group.held?.number ?? 0,
+      version: group.state?.number ?? 0,
       members: group.view?.members.length ?? 0,
-      voters: group.held?.voters.length ?? 0,
-      leading: group.leading ? 1 : 0,
-      granted: group.granted() ? 1 : 0,
+      voters: group.state?.voters.length ?? 0,
+      leading: group.isCoordinator ? 1 : 0,
+      granted: group.holdsLease() ? 1 : 0,
       followers,
       rows: book.number,
       ...planner.counts,
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -1,7 +1,7 @@
 import type { OperatorCall, OperatorFormat } from '@rainrun/cluster-node';
 import type { Fault } from '@rainrun/common';
-import type { WireWords } from '@rainrun/router';
-import type { ListedWorker, ReportReply, StockOrder, StockReply } from '@rainrun/placement';
+import type { HeaderNames } from '@rainrun/router';
+import type { ListedWorker, ReportReply, WorkerOrder, WorkerOrderReply } from '@rainrun/placement';
 import type { Result } from 'true-myth';
 
 export type { OperatorCall } from '@rainrun/cluster-node';
@@ -32,7 +32,7 @@
 }
 
 /** Names of headers that the door reads, lower case. */
-export interface DoorWords {
+export interface ClientHeaderNames {
   readonly requestId: string;
   readonly deadlineMs: string;
   readonly model: string;
@@ -49,8 +49,8 @@
 
 /** What a platform calls things that an edge meets. */
 export interface EdgeDialect {
-  readonly doorWords: DoorWords;
-  readonly wireWords: WireWords;
+  readonly clientHeaderNames: ClientHeaderNames;
+  readonly workerHeaderNames: HeaderNames;
   readonly readinessPath: string;
 }
 
@@ -67,8 +67,8 @@
   ): Result<OperatorCall, Fault>;
   listPath(next: string | undefined): string;
   readPage(text: string): Result<ListPage, Fault>;
-  writeOrder(order: StockOrder, holder: string): string;
+  writeOrder(order: WorkerOrder, holder: string): string;
   /** What a worker says it holds; one that cannot be read is no answer. */
   readReport(text: string): ReportReply;
-  readOrderReply(status: number): StockReply;
+  readOrderReply(status: number): WorkerOrderReply;
 }
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -1,16 +1,16 @@
 import { createServer, type Server } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 import { create } from '@bufbuild/protobuf';
-import { WantSchema, WorkerOutcomesSchema, type Want } from '@rainrun/messages';
+import { ModelDemandSchema, WorkerOutcomesSchema, type ModelDemand } from '@rainrun/messages';
 import { PoolLink } from '@rainrun/gateway';
-import { Follower } from '@rainrun/cluster-node';
-import type { Chance, Clock } from '@rainrun/common';
+import { EdgeReplica } from '@rainrun/cluster-node';
+import type { RandomSource, Clock } from '@rainrun/common';
 import { Router } from '@rainrun/router';
 import type { EdgeDialect, SystemSettings } from './dialect.js';
-import { FrontDoor } from './front.js';
+import { ClientServer } from './client-server.js';
 import { WORKER_LINK } from './links.js';
 import type { Log } from './log.js';
-import { splitAddress, Wire } from './wire.js';
+import { splitAddress, PeerTransport } from './peer-transport.js';
 
 /** Between two looks at what waits, and at the cores while this edge cannot serve yet. */
 const HEARTBEAT_MS = 50;
@@ -28,7 +28,7 @@
 const LAST_WORD_MS = 30;
 
 const MONOTONIC: Clock = { nowMs: () => performance.now() };
-const CHANCE: Chance = { next: () => Math.random() };
+const CHANCE: RandomSource = { next: () => Math.random() };
 
 /**
  * An edge on a platform: clients come in, requests go out to workers; what it
@@ -41,11 +41,11 @@
   #settings: SystemSettings;
   #clock: Clock;
   #log: Log;
-  #wire: Wire;
-  #follower: Follower;
+  #wire: PeerTransport;
+  #follower: EdgeReplica;
   #link = new PoolLink(WORKER_LINK);
   #router: Router;
-  #front: FrontDoor;
+  #front: ClientServer;
   #readiness: Server;
   #timers: NodeJS.Timeout[] = [];
   #stopping = false;
@@ -59,8 +59,8 @@
     this.#settings = settings;
     this.#clock = clock;
     this.#log = log;
-    this.#wire = new Wire('system', (frame) => this.#follower.receive(frame));
-    this.#follower = new Follower({
+    this.#wire = new PeerTransport('system', (frame) => this.#follower.receive(frame));
+    this.#follower = new EdgeReplica({
       name: settings.name,
       zone: settings.zone,
       address: `${settings.host}:${settings.ports[0] + 1}`,
@@ -68,8 +68,8 @@
       seeds: settings.seeds.map((host) => `${host}:${settings.ports[0]}`),
       clock,
       chance: CHANCE,
-      post: (address, frame) => this.#wire.post(address, frame),
-      wants: () => this.#wants(),
+      send: (address, frame) => this.#wire.post(address, frame),
+      demands: () => this.#wants(),
       outcomes: () => this.#router.takeOutcomes().map((one) => create(WorkerOutcomesSchema, one)),
       changed: (what) => this.#changed(what),
     });
@@ -77,7 +77,7 @@
       zone: settings.zone,
       clock,
       link: this.#link,
-      words: dialect.wireWords,
+      headerNames: dialect.workerHeaderNames,
       retries: settings.retries,
       configuration: () => this.#follower.configuration,
       evacuated: () => this.#follower.state.evacuated,
@@ -88,8 +88,8 @@
       missing: () => this.#hasten(),
       waits: () => this.#beatWithin(HEARTBEAT_MS),
     });
-    this.#front = new FrontDoor({
-      words: dialect.doorWords,
+    this.#front = new ClientServer({
+      words: dialect.clientHeaderNames,
       limits: () => this.#follower.configuration?.limits ?? undefined,
       leaving: () => this.#stopping,
       take: (ask, port) => this.#router.take(ask, port),
@@ -165,7 +165,7 @@
   }
 
   #hasten(): void {
-    this.#follower.haste();
+    this.#follower.requestUpdateSoon();
     this.#haste ??= setTimeout(() => {
       this.#haste = undefined;
       this.#follower.tick();
@@ -196,8 +196,8 @@
     this.#router.tick();
   }
 
-  #wants(): Want[] {
-    return this.#router.asked().map((asked) => create(WantSchema, asked));
+  #wants(): ModelDemand[] {
+    return this.#router.asked().map((asked) => create(ModelDemandSchema, asked));
   }
 
   #counters(): Record<string, number> {
--- a/packages/runtime/src/front.test.ts
+++ b/packages/runtime/src/front.test.ts
@@ -2,11 +2,11 @@
 import { createServer } from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, it } from 'node:test';
-import { USUAL_LIMITS } from '@rainrun/configuration';
+import { DEFAULT_LIMITS } from '@rainrun/configuration';
 import { fault } from '@rainrun/common';
-import type { Ask, ClientPort } from '@rainrun/router';
+import type { ClientRequest, ResponseSink } from '@rainrun/router';
 import { expect } from 'earl';
-import { FrontDoor } from './front.js';
+import { ClientServer } from './client-server.js';
 import { RawClient } from './testing/raw-client.js';
 
 const WORDS = {
@@ -37,16 +37,16 @@
 }
 
 class Bench {
-  readonly taken: { ask: Ask; port: ClientPort }[] = [];
+  readonly taken: { ask: ClientRequest; port: ResponseSink }[] = [];
   left = 0;
   leaving = false;
   /** Called for each request that is taken. */
-  onTake: (ask: Ask, port: ClientPort) => void = (_, port) =>
-    port.answer(200, [['x-mark', 'm']], Buffer.from('well'));
+  onTake: (ask: ClientRequest, port: ResponseSink) => void = (_, port) =>
+    port.respond(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
-  readonly front = new FrontDoor({
+  readonly front = new ClientServer({
     words: WORDS,
-    limits: () => ({ ...USUAL_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
+    limits: () => ({ ...DEFAULT_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
     leaving: () => this.leaving,
     take: (ask, port) => {
       this.taken.push({ ask, port });
@@ -143,7 +143,7 @@
 
   it('says with a promise when to come back', async () => {
     bench = await new Bench().open();
-    bench.onTake = (_, port) => port.refuse({ ...fault('no-worker', 'none is free'), returnS: 0.2 });
+    bench.onTake = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), returnS: 0.2 });
     const answer = await bench.ask({ 'x-id': '1' });
     expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.2']);
   });
@@ -152,8 +152,8 @@
     bench = await new Bench().open();
     bench.onTake = (ask, port) => {
       port.open(200, [['content-type', 'text/event-stream']]);
-      port.piece(Buffer.from('id: 1\n\n'), () => undefined);
-      if (ask.id === 'cut') port.cut();
+      port.write(Buffer.from('id: 1\n\n'), () => undefined);
+      if (ask.id === 'cut') port.abort();
       else port.close();
     };
     const whole = await bench.ask({ 'x-id': 'whole' });
@@ -167,7 +167,7 @@
     bench.onTake = (_, port) => {
       if (bench !== undefined) bench.leaving = true;
       front.close();
-      setImmediate(() => port.answer(200, [], Buffer.from('late')));
+      setImmediate(() => port.respond(200, [], Buffer.from('late')));
     };
     const answer = await bench.ask({ 'x-id': '1' });
     expect([answer.status, answer.body, answer.headers.connection, front.open]).toEqual([
@@ -190,7 +190,7 @@
       const answered = new Promise<void>((resolve) => {
         if (bench !== undefined)
           bench.onTake = (_, port) => {
-            port.answer(200, [], body);
+            port.respond(200, [], body);
             resolve();
           };
       });
--- a/packages/runtime/src/door.ts
+++ b/packages/runtime/src/graceful-http-server.ts
@@ -2,7 +2,7 @@
 import { createServer, type RequestListener, type Server, type ServerResponse } from 'node:http';
 
 /** Limits of the HTTP side, in milliseconds. */
-export interface DoorLimits {
+export interface HttpServerLimits {
   readonly headersTimeout: number;
   readonly requestTimeout: number;
   readonly keepAliveTimeout: number;
@@ -21,14 +21,14 @@
  * door.drain();
  * await door.empty(5000);
  */
-export class Door {
-  #limits: DoorLimits;
+export class GracefulHttpServer {
+  #limits: HttpServerLimits;
   #server: Server | undefined;
   #live = new Set<ServerResponse>();
   #connections = 0;
   #draining = false;
 
-  constructor(limits: DoorLimits) {
+  constructor(limits: HttpServerLimits) {
     this.#limits = limits;
   }
 
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -1,23 +1,23 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { createRequire } from 'node:module';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
-import { SPEAKS, type Entry } from '@rainrun/messages';
-import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/process-group';
+import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords, type GroupState } from '@rainrun/process-group';
 import { UndiciSender, type EndRecord } from '@rainrun/gateway';
-import { Edge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
+import { SpecEdge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
 import { RecordStore } from '@rainrun/storage';
-import type { Stage } from '@rainrun/configuration';
-import { fault, randomId, type Chance, type Clock, type Fault } from '@rainrun/common';
+import type { SpecState } from '@rainrun/configuration';
+import { fault, randomId, type RandomSource, type Clock, type Fault } from '@rainrun/common';
 import { ServiceBroker, type Context, type ServiceSchema } from 'moleculer';
 import { pino, type Logger } from 'pino';
 import { Result, type Unit } from 'true-myth';
-import { Door } from './door.js';
+import { GracefulHttpServer } from './graceful-http-server.js';
 import { Operators, type OperatorReply } from './operators.js';
 import { Recorder } from './recorder.js';
 import { readList, sendOrder } from './platform.js';
 import type { Settings } from './settings.js';
-import { sendFault, visit, type VisitorRequest } from './visitors.js';
-import { Wire } from './wire.js';
+import { sendFault, visit, type ChatRequest } from './chat-completions.js';
+import { PeerTransport } from './peer-transport.js';
 
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
@@ -55,7 +55,7 @@
 } as const;
 
 const CLOCK: Clock = { nowMs: () => performance.now() };
-const CHANCE: Chance = { next: () => Math.random() };
+const CHANCE: RandomSource = { next: () => Math.random() };
 
 /** What kind of node a program runs. */
 export type Role = 'edge' | 'core';
@@ -72,11 +72,15 @@
   #role: Role;
   #log: Logger;
   #broken: (why: Fault) => void;
-  #wire: Wire;
+  #wire: PeerTransport;
   #clusterNode: ClusterNode;
-  #edge: Edge | undefined;
+  #edge: SpecEdge | undefined;
   #sender = new UndiciSender();
-  #door = new Door({ headersTimeout: HEADERS_MS, requestTimeout: 3 * HEADERS_MS, keepAliveTimeout: 65_000 });
+  #door = new GracefulHttpServer({
+    headersTimeout: HEADERS_MS,
+    requestTimeout: 3 * HEADERS_MS,
+    keepAliveTimeout: 65_000,
+  });
   #operators: Operators;
   #broker = new ServiceBroker({ logger: false, transporter: null, skipProcessEventRegistration: true });
   #timers: NodeJS.Timeout[] = [];
@@ -96,7 +100,7 @@
     this.#settings = settings;
     this.#role = role;
     this.#log = log;
-    this.#wire = new Wire(settings.deployment, (frame) => this.#clusterNode.receive(frame));
+    this.#wire = new PeerTransport(settings.deployment, (frame) => this.#clusterNode.receive(frame));
     this.#clusterNode = this.#makeClusterNode(acceptor);
     if (role === 'edge') this.#edge = this.#makeEdge();
     if (role === 'edge' && settings.recordFile !== '') this.#recorder = new Recorder(settings, CLOCK.nowMs());
@@ -156,22 +160,23 @@
       chance: CHANCE,
       times: GROUP_TIMES,
       acceptor,
-      post: (address, frame) => this.#wire.post(address, frame),
+      send: (address, frame) => this.#wire.post(address, frame),
       order: (address, order, done) => {
         void sendOrder(address, order).then(done);
       },
-      changed: (held, entry) => this.#changed(held, entry),
-      heard: () => undefined,
-      speaks: SPEAKS,
-      question: (kind, text) => this.#operators.answer(kind, text),
-      refused: (why) => this.#broken(fault('unbridged', why)),
-      reborn: (incarnation) => this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
+      onStateChange: (held, entry) => this.#changed(held, entry),
+      onCast: () => undefined,
+      protocolLevels: PROTOCOL_LEVELS,
+      answerQuery: (kind, text) => this.#operators.answer(kind, text),
+      onJoinRejected: (why) => this.#broken(fault('unbridged', why)),
+      onNewIncarnation: (incarnation) =>
+        this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
     });
   }
 
-  #makeEdge(): Edge {
+  #makeEdge(): SpecEdge {
     const { name, zone } = this.#settings;
-    const edge = new Edge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
+    const edge = new SpecEdge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
     edge.gateway.on('ended', (record) => this.#remember(record));
     return edge;
   }
@@ -184,7 +189,7 @@
     if (this.#ends.size > EXPLAINED && oldest.done !== true) this.#ends.delete(oldest.value);
   }
 
-  #changed(held: Held<Stage>, entry: Entry | undefined): void {
+  #changed(held: GroupState<SpecState>, entry: Entry | undefined): void {
     if (entry === undefined || entry.view !== undefined) {
       const { epoch, number, members } = held.view;
       this.#log.info(
@@ -246,11 +251,11 @@
       ...this.#wire.counts,
       inFlight: this.#edge?.gateway.inFlight ?? 0,
       backlog: this.#edge?.gateway.backlogCount ?? 0,
-      version: group.held?.number ?? 0,
+      version: group.state?.number ?? 0,
       viewNumber: group.view?.number ?? 0,
       members: group.view?.members.length ?? 0,
-      admitting: group.granted() ? 1 : 0,
-      leading: group.leading ? 1 : 0,
+      admitting: group.holdsLease() ? 1 : 0,
+      leading: group.isCoordinator ? 1 : 0,
       contextBytes: group.contextBytes,
       unstableCasts: group.unstableCount,
       cpuMs: Math.round((user + system) / 1000),
@@ -315,7 +320,7 @@
       host: this.#settings.http.split(':')[0] ?? '',
       port: Number(this.#settings.http.split(':')[1]),
     };
-    function visitor(req: VisitorRequest, res: ServerResponse): void {
+    function visitor(req: ChatRequest, res: ServerResponse): void {
       if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
       else visit(gateway, name, CHANCE, req, res);
     }
--- a/packages/runtime/src/operator-server.test.ts
+++ b/packages/runtime/src/operator-server.test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import { connect } from 'node:net';
 import type { OperatorCall, OperatorReply } from '@rainrun/cluster-node';
-import { ANSWERS, type Fault } from '@rainrun/common';
+import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
 import { request } from 'undici';
@@ -22,7 +22,7 @@
 }
 
 function failure(why: Fault): OperatorReply {
-  return { status: ANSWERS[why.kind].status, body: JSON.stringify(why) };
+  return { status: FAULT_RESPONSES[why.kind].status, body: JSON.stringify(why) };
 }
 
 const SILENT = { info: () => undefined, error: () => undefined } as unknown as Log;
