--- a/packages/runtime/src/operators.ts
+++ b/packages/runtime/src/operators.ts
@@ -1,10 +1,17 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import type { Answer, Seat } from '@rainrun/messages';
+import type { Answer, Member } from '@rainrun/messages';
 import type { EndRecord } from '@rainrun/gateway';
 import type { ClusterNode } from '@rainrun/cluster-node';
 import { REMEMBERED_MOST } from '@rainrun/process-group';
 import { isEdit, readEdit, readSpec } from '@rainrun/configuration';
-import { ANSWERS, isFaultKind, randomId, type Chance, type Clock, type FaultKind } from '@rainrun/common';
+import {
+  FAULT_RESPONSES,
+  isFaultKind,
+  randomId,
+  type RandomSource,
+  type Clock,
+  type FaultKind,
+} from '@rainrun/common';
 
 /** An answer to an operator. */
 export interface OperatorReply {
@@ -20,14 +27,14 @@
 /** What the operators' side needs of a node. */
 export interface OperatorDependencies {
   readonly clusterNode: ClusterNode;
-  readonly chance: Chance;
+  readonly chance: RandomSource;
   readonly clock: Clock;
   counters(): Record<string, number>;
   explain(id: string): Omit<EndRecord, 'body'> | undefined;
 }
 
 function failure(kind: FaultKind, message: string, more: Record<string, unknown> = {}): OperatorReply {
-  const row = ANSWERS[kind];
+  const row = FAULT_RESPONSES[kind];
   return { status: row.status, body: { error: { kind, message, ran: row.ran, ...more } } };
 }
 
@@ -65,7 +72,7 @@
   async #informed(): Promise<boolean> {
     const { group } = this.#dependencies.clusterNode;
     const askedMs = this.#dependencies.clock.nowMs();
-    while (group.informedMs() < askedMs) {
+    while (group.currentAsOfMs() < askedMs) {
       if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > FRESH_WAIT_MS)
         return false;
       await pause(POLL_MS);
@@ -75,22 +82,22 @@
 
   view(): OperatorReply {
     const { group } = this.#dependencies.clusterNode;
-    const held = group.held;
+    const held = group.state;
     return {
       status: 200,
       body: {
-        disk: group.seat.disk,
-        self: { name: group.seat.name, incarnation: group.seat.incarnation, zone: group.seat.zone },
-        admitting: group.granted(),
+        disk: group.self.disk,
+        self: { name: group.self.name, incarnation: group.self.incarnation, zone: group.self.zone },
+        admitting: group.holdsLease(),
         coordinator:
           held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ??
           null,
         epoch: group.epoch,
         number: held?.number ?? 0,
         level: held?.level ?? 0,
-        agreed: group.agreed,
+        agreed: group.committedVersion,
         view: group.view === undefined ? null : { epoch: group.view.epoch, number: group.view.number },
-        members: (group.view?.members ?? []).map(({ name, zone, address, disk, speaks }) => ({
+        members: (group.view?.members ?? []).map(({ name, zone, address, disk, maxLevel: speaks }) => ({
           name,
           zone,
           address,
@@ -103,13 +110,13 @@
   }
 
   spec(): OperatorReply {
-    const record = this.#dependencies.clusterNode.stage.spec;
+    const record = this.#dependencies.clusterNode.state.spec;
     if (record === undefined) return failure('not-found', 'no spec has been agreed yet');
     return { status: 200, body: { version: record.version, operation: record.operation, text: record.text } };
   }
 
   history(): OperatorReply {
-    return { status: 200, body: { history: this.#dependencies.clusterNode.stage.history } };
+    return { status: 200, body: { history: this.#dependencies.clusterNode.state.history } };
   }
 
   check(text: string): OperatorReply {
@@ -123,19 +130,22 @@
     const { group } = this.#dependencies.clusterNode;
     await this.#informed();
     const endMs = this.#dependencies.clock.nowMs() + FRESH_WAIT_MS;
-    while (group.held?.answers.some((answer) => answer.id === id) === true && group.ask(id) === undefined) {
+    while (
+      group.state?.answers.some((answer) => answer.id === id) === true &&
+      group.operationResult(id) === undefined
+    ) {
       if (this.#dependencies.clock.nowMs() > endMs)
         return failure('operation-unknown', 'not known to be agreed yet; ask again', { id });
       await pause(POLL_MS);
     }
-    const answer = group.ask(id);
+    const answer = group.operationResult(id);
     return answer === undefined
       ? failure('not-found', `nothing agreed is known of operation ${id}`, { id })
       : decided(answer);
   }
 
   zones(): OperatorReply {
-    const { stage } = this.#dependencies.clusterNode;
+    const { state: stage } = this.#dependencies.clusterNode;
     const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
       zone,
       emptied: stage.emptied.includes(zone),
@@ -151,14 +161,14 @@
       zone: worker.zone,
       kind: worker.kind,
       pool: worker.pool,
-      status: worker.leaving
+      status: worker.draining
         ? 'leaving'
-        : worker.emptied
+        : worker.evacuated
           ? 'emptied'
           : worker.reachable
             ? 'ready'
             : 'unreached',
-      target: clusterNode.stage.placement[worker.name] ?? [],
+      target: clusterNode.state.placement[worker.name] ?? [],
       holdings: worker.holdings,
     }));
     return { status: 200, body: { workers } };
@@ -167,7 +177,7 @@
   #groups(): OperatorReply {
     const { clusterNode } = this.#dependencies;
     const measured = clusterNode.groups;
-    const groups = (clusterNode.stage.spec?.spec.groups ?? []).flatMap((group) =>
+    const groups = (clusterNode.state.spec?.spec.groups ?? []).flatMap((group) =>
       group.kinds.map((kind) => {
         const picture = measured.find((known) => known.group === group.name && known.kind === kind.name);
         const { served = 0, refused = 0, prompt = 0, waitMs = 0, inFlight = 0, backlog = 0 } = picture ?? {};
@@ -198,14 +208,14 @@
 
   ready(): OperatorReply {
     const admitting =
-      this.#dependencies.clusterNode.group.granted() &&
-      this.#dependencies.clusterNode.stage.spec !== undefined;
+      this.#dependencies.clusterNode.group.holdsLease() &&
+      this.#dependencies.clusterNode.state.spec !== undefined;
     return { status: admitting ? 200 : 503, body: { admitting } };
   }
 
   #explain(id: string): OperatorReply {
     const record = this.#dependencies.explain(id);
-    const { name } = this.#dependencies.clusterNode.group.seat;
+    const { name } = this.#dependencies.clusterNode.group.self;
     return record === undefined
       ? failure('not-found', `${name} does not remember request ${id}`)
       : { status: 200, body: { edge: name, ...record } };
@@ -213,9 +223,9 @@
 
   #explainModel(model: string): OperatorReply {
     const { clusterNode } = this.#dependencies;
-    if (clusterNode.stage.spec?.spec.models.some((known) => known.name === model) !== true)
+    if (clusterNode.state.spec?.spec.models.some((known) => known.name === model) !== true)
       return failure('not-found', `no model "${model}" in the spec`);
-    const copies = Object.entries(clusterNode.stage.placement)
+    const copies = Object.entries(clusterNode.state.placement)
       .filter(([, holdings]) => holdings.some((holding) => holding.model === model))
       .map(([worker]) => worker);
     return {
@@ -224,29 +234,29 @@
         model,
         copies,
         reason: clusterNode.reason(model) ?? 'decided before the present coordinator led',
-        placedBy: clusterNode.stage.placedBy,
+        placedBy: clusterNode.state.placedBy,
       },
     };
   }
 
   #forget(name: string): OperatorReply {
-    if (this.#dependencies.clusterNode.group.forget(name))
+    if (this.#dependencies.clusterNode.group.excludeNode(name))
       return { status: 200, body: { outcome: 'noted', name } };
     return failure(
       'conflict',
-      `${this.#dependencies.clusterNode.group.seat.name} coordinates no more; ask again`,
+      `${this.#dependencies.clusterNode.group.self.name} coordinates no more; ask again`,
     );
   }
 
   #status(): OperatorReply {
     const { group } = this.#dependencies.clusterNode;
     const { inFlight = 0, backlog = 0 } = this.#dependencies.counters();
-    const { name, zone } = group.seat;
+    const { name, zone } = group.self;
     const shared = {
-      admitting: group.granted(),
-      leading: group.leading,
+      admitting: group.holdsLease(),
+      leading: group.isCoordinator,
       epoch: group.epoch,
-      number: group.held?.number ?? 0,
+      number: group.state?.number ?? 0,
     };
     return {
       status: 200,
@@ -255,7 +265,7 @@
         zone,
         ...shared,
         view: group.view?.number ?? 0,
-        level: group.held?.level ?? 0,
+        level: group.state?.level ?? 0,
         inFlight,
         backlog,
       },
@@ -265,7 +275,7 @@
   #counters(): OperatorReply {
     return {
       status: 200,
-      body: { node: this.#dependencies.clusterNode.group.seat.name, ...this.#dependencies.counters() },
+      body: { node: this.#dependencies.clusterNode.group.self.name, ...this.#dependencies.counters() },
     };
   }
 
@@ -293,8 +303,8 @@
 
   #ask(incarnation: string, kind: string, text: string): Promise<OperatorReply | undefined> {
     const { clusterNode } = this.#dependencies;
-    if (incarnation === clusterNode.group.seat.incarnation) return Promise.resolve(this.answer(kind, text));
-    return new Promise((resolve) => clusterNode.ask(incarnation, kind, text, resolve));
+    if (incarnation === clusterNode.group.self.incarnation) return Promise.resolve(this.answer(kind, text));
+    return new Promise((resolve) => clusterNode.query(incarnation, kind, text, resolve));
   }
 
   /** What the coordinator knows; it hears every measure and decides every placement. */
@@ -326,7 +336,7 @@
   /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
   async rows(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
     const members = this.#dependencies.clusterNode.group.view?.members ?? [
-      this.#dependencies.clusterNode.group.seat,
+      this.#dependencies.clusterNode.group.self,
     ];
     const asked = name === '' ? members : members.filter((member) => member.name === name);
     if (asked.length === 0) return failure('not-found', `${name} is not in the view`);
@@ -342,7 +352,7 @@
     return { status: 200, body: { [kind]: rows } };
   }
 
-  #member(name: string): Seat | undefined {
+  #member(name: string): Member | undefined {
     return this.#dependencies.clusterNode.group.view?.members.find((member) => member.name === name);
   }
 
@@ -367,7 +377,7 @@
   /** The version in force now, all that was agreed before the question included. */
   async #newest(): Promise<number> {
     await this.#informed();
-    return this.#dependencies.clusterNode.stage.spec?.version ?? 0;
+    return this.#dependencies.clusterNode.state.spec?.version ?? 0;
   }
 
   /** Submits an operation and waits a while for the agreed answer. */
--- a/packages/runtime/src/wire.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -1,5 +1,5 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
-import { FRAME_MAX_BYTES, pack, unpack, type Frame } from '@rainrun/messages';
+import { FRAME_MAX_BYTES, encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import { fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
@@ -39,7 +39,7 @@
  * const wire = new Wire('vejsargs', (frame) => clusterNode.receive(frame));
  * await wire.listen('127.0.0.1:7001');
  */
-export class Wire {
+export class PeerTransport {
   #deployment: string;
   #host = '';
   #take: (frame: Frame) => void;
@@ -89,7 +89,7 @@
       return;
     }
     line.dueMs ??= performance.now();
-    const bytes = pack(frame);
+    const bytes = encodeFrame(frame);
     const head = Buffer.alloc(4);
     head.writeUInt32BE(bytes.length);
     line.socket.write(Buffer.concat([head, bytes]));
@@ -173,7 +173,7 @@
   }
 
   #frame(bytes: Buffer): void {
-    const frame = unpack(bytes, this.#deployment);
+    const frame = decodeFrame(bytes, this.#deployment);
     if (frame.isOk) {
       this.counts.framesIn += 1;
       this.counts.bytesIn += bytes.length + 4;
--- a/packages/runtime/src/platform.test.ts
+++ b/packages/runtime/src/platform.test.ts
@@ -20,7 +20,7 @@
     list?.isOk === true && [
       list.value.generation,
       list.value.workers[0]?.pool,
-      list.value.workers[0]?.leaving,
+      list.value.workers[0]?.draining,
     ],
   ).toEqual([3, 'models', false]);
   expect(read.map((one) => one.isOk)).toEqual([true, false, false]);
--- a/packages/runtime/src/platform.ts
+++ b/packages/runtime/src/platform.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { WorkerListSchema, type WorkerList } from '@rainrun/messages';
 import { fault, type Fault } from '@rainrun/common';
-import type { Order, OrderReply } from '@rainrun/placement';
+import type { SpecOrder, SpecOrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
 import * as v from 'valibot';
@@ -61,9 +61,10 @@
     return Result.ok(
       create(WorkerListSchema, {
         generation,
-        workers: workers.map((worker) => ({
+        workers: workers.map(({ leaving, ...worker }) => ({
           $typeName: 'rainrun.v1.WorkerEntry' as const,
           ...worker,
+          draining: leaving,
           pool: worker.pool ?? 'models',
         })),
       }),
@@ -78,7 +79,7 @@
  * @example
  * const reply = await sendOrder('127.0.0.1:9101', order);
  */
-export async function sendOrder(address: string, order: Order): Promise<Result<OrderReply, Fault>> {
+export async function sendOrder(address: string, order: SpecOrder): Promise<Result<SpecOrderReply, Fault>> {
   const waitMs = order.action === 'load' ? LOAD_WAIT_MS : INVENTORY_WAIT_MS;
   try {
     const { statusCode, body } = await request(`http://${address}/orders`, {
--- a/packages/runtime/src/runtime.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -3,11 +3,11 @@
 import { createConnection } from 'node:net';
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
-import { ByeSchema, FrameSchema, pack, WIRE, type Frame } from '@rainrun/messages';
+import { GoodbyeSchema, FrameSchema, encodeFrame, WIRE_VERSION, type Frame } from '@rainrun/messages';
 import { expect } from 'earl';
-import { Door } from './door.js';
+import { GracefulHttpServer } from './graceful-http-server.js';
 import { readSettings } from './settings.js';
-import { Wire } from './wire.js';
+import { PeerTransport } from './peer-transport.js';
 
 const GOOD = {
   name: 'edge-1',
@@ -44,16 +44,16 @@
 describe('wire', () => {
   it('counts what is malformed, oversized or foreign, and stays up', async () => {
     const frames: Frame[] = [];
-    const wire = new Wire('d', (frame) => frames.push(frame));
+    const wire = new PeerTransport('d', (frame) => frames.push(frame));
     await wire.listen('127.0.0.1:0');
     const { port } = wire;
     const frame = create(FrameSchema, {
-      wire: WIRE,
+      wire: WIRE_VERSION,
       deployment: 'd',
       from: 'a',
-      body: { case: 'bye', value: create(ByeSchema) },
+      body: { case: 'goodbye', value: create(GoodbyeSchema) },
     });
-    const parts = [new Uint8Array([1, 2, 3]), pack({ ...frame, deployment: 'e' }), pack(frame)];
+    const parts = [new Uint8Array([1, 2, 3]), encodeFrame({ ...frame, deployment: 'e' }), encodeFrame(frame)];
     const bytes = Buffer.concat(
       parts.map((part) => {
         const head = Buffer.alloc(4);
@@ -78,7 +78,7 @@
 });
 
 it('a door that drains answers kept connections with a definite end, and is empty when they are closed', async () => {
-  const door = new Door({ headersTimeout: 5000, requestTimeout: 5000, keepAliveTimeout: 5000 });
+  const door = new GracefulHttpServer({ headersTimeout: 5000, requestTimeout: 5000, keepAliveTimeout: 5000 });
   const server = door.create((_, res) => res.end('well'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -4,25 +4,25 @@
 import { encodeDeployment, EMPTY_DEPLOYMENT } from '@rainrun/configuration';
 import {
   FrameSchema,
-  SeatSchema,
-  TellSchema,
-  WIRE,
+  MemberSchema,
+  StateUpdateSchema,
+  WIRE_VERSION,
   WorkerRowSchema,
-  type Follow,
+  type Subscribe,
   type Frame,
 } from '@rainrun/messages';
 import type { EdgeDialect } from '../dialect.js';
 import { EdgeNode } from '../edge-node.js';
 import type { SystemSettings } from '../dialect.js';
 import type { Log } from '../log.js';
-import { Wire } from '../wire.js';
+import { PeerTransport } from '../peer-transport.js';
 import { TEST_NAMES } from './stand-in-names.js';
 import { RawClient } from './raw-client.js';
 import type { StandInWorker } from './stand-in-worker.js';
 
 /** The names on the wire that stand-in workers and raw clients use. */
 export const TEST_DIALECT: EdgeDialect = {
-  doorWords: {
+  clientHeaderNames: {
     requestId: TEST_NAMES.requestId,
     deadlineMs: 'left-ms',
     model: 'model',
@@ -30,7 +30,7 @@
     tokens: 'tokens',
     lastEventId: 'last-event-id',
   },
-  wireWords: {
+  workerHeaderNames: {
     requestId: TEST_NAMES.requestId,
     deadlineMs: 'left-ms',
     lastEventId: 'last-event-id',
@@ -89,7 +89,7 @@
  * core.list([{ id: 'w1', address: '127.0.0.1:8001' }]);
  */
 export class StandInCore {
-  #wire: Wire;
+  #wire: PeerTransport;
   #address: string;
   #state: Uint8Array;
   #row = 0;
@@ -99,7 +99,7 @@
   private constructor(port: number, document: Readonly<Record<string, unknown>>) {
     this.#address = `127.0.0.1:${port}`;
     this.#state = encodeDeployment({ ...EMPTY_DEPLOYMENT, edition: 1, revision: 1, document });
-    this.#wire = new Wire('system', (frame) => this.#receive(frame));
+    this.#wire = new PeerTransport('system', (frame) => this.#receive(frame));
   }
 
   static async open(port: number, document: Readonly<Record<string, unknown>>): Promise<StandInCore> {
@@ -120,29 +120,33 @@
   }
 
   #receive(frame: Frame): void {
-    if (frame.body.case !== 'follow') return;
+    if (frame.body.case !== 'subscribe') return;
     const follow = frame.body.value;
-    if (follow.row === this.#row && follow.edition === 1) {
+    if (follow.tableRow === this.#row && follow.edition === 1) {
       for (const resolve of this.#knowing) resolve();
       this.#knowing = [];
     }
     this.#tell(follow);
   }
 
-  #tell(follow: Follow): void {
-    const seat = create(SeatSchema, { name: 'core', incarnation: CORE_INCARNATION, address: this.#address });
-    const value = create(TellSchema, {
+  #tell(follow: Subscribe): void {
+    const seat = create(MemberSchema, {
+      name: 'core',
+      incarnation: CORE_INCARNATION,
+      address: this.#address,
+    });
+    const value = create(StateUpdateSchema, {
       edition: 1,
       state: follow.edition === 1 ? new Uint8Array() : this.#state,
-      granted: true,
-      leader: seat,
+      hasLease: true,
+      coordinator: seat,
       cores: [seat],
-      table: TABLE,
-      row: this.#row,
-      whole: follow.row !== this.#row,
-      base: this.#row,
+      tableId: TABLE,
+      tableRow: this.#row,
+      snapshot: follow.tableRow !== this.#row,
+      baseRow: this.#row,
       rows:
-        follow.row === this.#row
+        follow.tableRow === this.#row
           ? []
           : this.#workers.map(({ id, address, leaving }, place) =>
               create(WorkerRowSchema, {
@@ -151,20 +155,20 @@
                 service: 'look',
                 zone: 'north',
                 slots: 8,
-                leaving: leaving ?? false,
+                draining: leaving ?? false,
                 number: this.#row * 100 + place,
               }),
             ),
-      followers: 1,
+      edgeCount: 1,
     });
     const frame = create(FrameSchema, {
-      wire: WIRE,
+      wire: WIRE_VERSION,
       deployment: 'system',
       from: CORE_INCARNATION,
-      to: follow.seat?.incarnation ?? '',
+      to: follow.subscriber?.incarnation ?? '',
     });
-    frame.body = { case: 'tell', value };
-    this.#wire.post(follow.seat?.address ?? '', frame);
+    frame.body = { case: 'stateUpdate', value };
+    this.#wire.post(follow.subscriber?.address ?? '', frame);
   }
 }
 
--- a/packages/simulator/src/lines.ts
+++ b/packages/simulator/src/connections.ts
@@ -1,5 +1,5 @@
 import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gateway';
-import type { Grounds, SimWorker, WorkerLine } from './grounds.js';
+import type { SimulationContext, SimWorker, WorkerLine } from './simulation-context.js';
 
 /** The edge process that a sender belongs to: runs an act there, when it is awake, or never if it has died. */
 export type AtEdge = (act: () => void) => void;
@@ -12,14 +12,14 @@
 
 /** One direction of a connection: in order, late, and held up for as long as it is cut. */
 class Pipe {
-  #grounds: Grounds;
+  #grounds: SimulationContext;
   #isCut: () => boolean;
   /** Whether the machine that sends still has power: what it held up goes with it. */
   #isPowered: () => boolean;
   #acts: (() => void)[] = [];
   #moving = false;
 
-  constructor(grounds: Grounds, isCut: () => boolean, isPowered: () => boolean) {
+  constructor(grounds: SimulationContext, isCut: () => boolean, isPowered: () => boolean) {
     this.#grounds = grounds;
     this.#isCut = isCut;
     this.#isPowered = isPowered;
@@ -53,7 +53,7 @@
 
 /** One request on its connection, as the edge sees it. */
 class SimFlight implements Sending {
-  #grounds: Grounds;
+  #grounds: SimulationContext;
   #request: SendRequest;
   #handler: SendHandler;
   #worker: SimWorker;
@@ -65,7 +65,7 @@
   #line: WorkerLine | undefined;
 
   constructor(
-    grounds: Grounds,
+    grounds: SimulationContext,
     edge: string,
     worker: SimWorker,
     request: SendRequest,
@@ -165,14 +165,14 @@
 
 /** Carries requests from one simulated edge process to the workers, over connections that can be cut. */
 export class SimSender implements Sender {
-  #grounds: Grounds;
+  #grounds: SimulationContext;
   #edge: string;
   #workers: readonly SimWorker[];
   #atEdge: AtEdge;
   #isPowered: () => boolean;
 
   constructor(
-    grounds: Grounds,
+    grounds: SimulationContext,
     edge: string,
     workers: readonly SimWorker[],
     atEdge: AtEdge,
--- a/packages/simulator/src/matinee.ts
+++ b/packages/simulator/src/day-replay.ts
@@ -3,7 +3,7 @@
 import { Site, type SiteLoops } from './site.js';
 
 /** How one call of a day ended in the simulator. */
-export interface MatineeSeen {
+export interface ReplayedRequest {
   readonly call: Call;
   outcome: string;
   firstPieceMs: number;
@@ -11,8 +11,8 @@
 }
 
 /** A day as the simulator served it. */
-export interface Matinee {
-  readonly seen: readonly MatineeSeen[];
+export interface DayReplay {
+  readonly seen: readonly ReplayedRequest[];
   /** Loads and unloads, by the time of the day. */
   readonly orders: readonly { readonly atMs: number; readonly action: string }[];
   readonly prefill: { readonly hits: number; readonly misses: number; readonly savedMs: number };
@@ -31,13 +31,13 @@
  * Plays a day in the simulator, at the size of a deployment and on the
  * production code: the same calls as a fleet of processes would be sent.
  * @example
- * const matinee = playMatinee(SHAPES['vejsargs'], day.calls, { seed: 1 });
+ * const matinee = replayDay(SHAPES['vejsargs'], day.calls, { seed: 1 });
  */
-export function playMatinee(
+export function replayDay(
   shape: Shape,
   calls: readonly Call[],
   options: { seed: number; spec?: object; loops?: SiteLoops },
-): Matinee {
+): DayReplay {
   const { cores, edges, workers, zones, pool } = shape;
   const spec = (options.spec ?? exampleSpec(shape)) as { workers: { slots: number } };
   const site = new Site(
@@ -53,11 +53,11 @@
   const [first] = site.machines;
   if (first !== undefined) site.submit(first, 'spec.put', { base: 0, text: JSON.stringify(spec) });
   const gates = site.machines.filter((machine) => machine.disk === undefined);
-  const seen: MatineeSeen[] = [];
+  const seen: ReplayedRequest[] = [];
   for (const [place, call] of calls.entries()) {
     time.after(OPEN_MS - PUT_MS + call.atMs, () => {
       const edge = gates[place % gates.length]?.running?.edge;
-      const record: MatineeSeen = { call, outcome: 'no-answer', firstPieceMs: Infinity, worker: '' };
+      const record: ReplayedRequest = { call, outcome: 'no-answer', firstPieceMs: Infinity, worker: '' };
       seen.push(record);
       if (edge === undefined) return;
       const { path, group, kind, model, adapter, stream, prefix, chars } = call;
--- a/packages/simulator/src/garble.test.ts
+++ b/packages/simulator/src/garble.test.ts
@@ -1,16 +1,16 @@
 import { it } from 'node:test';
-import { pack, unpack } from '@rainrun/messages';
-import { Dice } from '@rainrun/common';
+import { encodeFrame, decodeFrame } from '@rainrun/messages';
+import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
 import { SITES, trialSpec } from './trial.js';
 import { Site } from './site.js';
 
 it('garbled frames never bring a node down', () => {
   const site = new Site(5, SITES.small, 0);
-  const dice = new Dice(99);
+  const dice = new SeededRandom(99);
   const seen: Uint8Array[] = [];
   site.net.tap = (_, frame) => {
-    if (dice.next() < 0.2) seen.push(pack(frame));
+    if (dice.next() < 0.2) seen.push(encodeFrame(frame));
   };
   for (const machine of site.machines) site.boot(machine);
   site.time.runUntil(4000);
@@ -22,13 +22,13 @@
     const garbled = Uint8Array.from(bytes);
     for (let flips = 0; flips < 1; flips += 1)
       garbled[Math.floor(dice.next() * garbled.length)] = Math.floor(dice.next() * 256);
-    const frame = unpack(garbled, 'park');
+    const frame = decodeFrame(garbled, 'park');
     if (frame.isErr) continue;
     taken += 1;
     for (const machine of [core, edge]) {
       machine?.running?.clusterNode.receive({
         ...frame.value,
-        to: machine.running.clusterNode.group.seat.incarnation,
+        to: machine.running.clusterNode.group.self.incarnation,
       });
       machine?.running?.clusterNode.tick();
     }
--- a/packages/simulator/src/figures.ts
+++ b/packages/simulator/src/metrics.ts
@@ -1,8 +1,8 @@
 import meow from 'meow';
 import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
 import { LOOP_SETTINGS } from '@rainrun/cluster-node';
-import { PLACE_SETTINGS } from '@rainrun/placement';
-import { playMatinee, PREFILL_MS_PER_CHAR, type Matinee, type MatineeSeen } from './matinee.js';
+import { SPEC_PLACER_SETTINGS } from '@rainrun/placement';
+import { replayDay, PREFILL_MS_PER_CHAR, type DayReplay, type ReplayedRequest } from './day-replay.js';
 import type { SiteLoops } from './site.js';
 
 const cli = meow(
@@ -32,7 +32,7 @@
 
 const DAY_S = 40;
 const STILL: SiteLoops = { weights: { ...LOOP_SETTINGS, least: 1, most: 1 } };
-const UNPLACED: SiteLoops = { placement: { ...PLACE_SETTINGS, steps: 0 } };
+const UNPLACED: SiteLoops = { placement: { ...SPEC_PLACER_SETTINGS, steps: 0 } };
 
 function callsOf(text: string): readonly Call[] {
   const day = readDay(text);
@@ -44,12 +44,12 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? NaN;
 }
 
-function report(name: string, matinee: Matinee): void {
+function report(name: string, matinee: DayReplay): void {
   for (const breach of matinee.breaches) console.log(`BREACH ${name}: ${breach}`);
 }
 
 /** Part of a group's calls that were served within the target. */
-function prompt(seen: readonly MatineeSeen[], targetMs: number): string {
+function prompt(seen: readonly ReplayedRequest[], targetMs: number): string {
   const well = seen.filter((one) => one.outcome === 'served' && one.firstPieceMs <= targetMs).length;
   const served = seen.filter((one) => one.outcome === 'served').length;
   return `${((100 * well) / Math.max(1, seen.length)).toFixed(1)} (${((100 * served) / Math.max(1, seen.length)).toFixed(1)})`.padEnd(
@@ -60,7 +60,7 @@
 function fairness(shape: Shape): void {
   const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
   const judged = new Set(day.filter((call) => call.atMs >= 1000 * DAY_S));
-  const alone = playMatinee(shape, day, { seed: 1 });
+  const alone = replayDay(shape, day, { seed: 1 });
   report('alone', alone);
   const groups = [
     ...shape.kinds.map(({ group, targetMs }) => ({ group, targetMs })),
@@ -78,8 +78,8 @@
       atMs: call.atMs + 1000 * DAY_S,
     }));
     const both = [...day, ...flood].sort((one, other) => one.atMs - other.atMs);
-    const beside = playMatinee(shape, both, { seed: 1 });
-    const still = playMatinee(shape, both, { seed: 1, loops: STILL });
+    const beside = replayDay(shape, both, { seed: 1 });
+    const still = replayDay(shape, both, { seed: 1, loops: STILL });
     report(group, beside);
     for (const other of groups) {
       const [a, b, c] = [alone, beside, still].map(({ seen }) =>
@@ -115,7 +115,7 @@
     ['placed', {}],
     ['placement held still', UNPLACED],
   ] as const) {
-    const matinee = playMatinee(shape, calls, { seed: 1, loops, spec: specOf(shape) });
+    const matinee = replayDay(shape, calls, { seed: 1, loops, spec: specOf(shape) });
     report(name, matinee);
     const atMs = 2000 * DAY_S;
     const questions = matinee.seen.filter((one) => one.call.model !== '');
@@ -167,7 +167,7 @@
       chars,
     };
   });
-  const matinee = playMatinee(shape, calls, { seed: 1, spec: specOf(shape) });
+  const matinee = replayDay(shape, calls, { seed: 1, spec: specOf(shape) });
   report('cold', matinee);
   const served = matinee.seen.filter((one) => one.outcome === 'served');
   const models = new Set(served.map((one) => one.call.model));
@@ -185,7 +185,7 @@
 /** The usual day, with its prefixes and with every prompt beginning alike nowhere. */
 function affinity(shape: Shape): void {
   const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
-  const usual = playMatinee(shape, day, { seed: 1 });
+  const usual = replayDay(shape, day, { seed: 1 });
   report('affinity', usual);
   const { hits, misses, savedMs } = usual.prefill;
   const spentMs = day.reduce((sum, call) => sum + call.chars * PREFILL_MS_PER_CHAR, 0);
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -1,23 +1,23 @@
 import { describe, it } from 'node:test';
 import { create } from '@bufbuild/protobuf';
 import { ViewSchema } from '@rainrun/messages';
-import type { Held } from '@rainrun/process-group';
-import { applyToStage, EMPTY_STAGE, type Stage } from '@rainrun/configuration';
+import type { GroupState } from '@rainrun/process-group';
+import { applyToSpecState, EMPTY_SPEC_STATE, type SpecState } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { Oracle } from './oracle.js';
 import { SITES, runTrial, trialSpec } from './trial.js';
 import { renderTimeline } from './timeline.js';
 
-function held(number: number, emptied: string[] = [], view = 1): Held<Stage> {
+function held(number: number, emptied: string[] = [], view = 1): GroupState<SpecState> {
   return {
     epoch: 1,
     number,
     deployment: 'park',
     view: create(ViewSchema, { epoch: 1, number: view, members: [] }),
-    before: undefined,
+    previousView: undefined,
     voters: [],
-    votersBefore: [],
-    play: { ...EMPTY_STAGE, emptied },
+    previousVoters: [],
+    application: { ...EMPTY_SPEC_STATE, emptied },
     answers: [],
     level: 2,
     clockMs: 0,
@@ -72,7 +72,7 @@
 
   it('an agreed change stays, a refused one never shows', () => {
     const oracle = new Oracle();
-    function withMark(number: number, sizeMb: number): Held<Stage> {
+    function withMark(number: number, sizeMb: number): GroupState<SpecState> {
       const version = held(number);
       const text = JSON.stringify({
         ...trialSpec(0),
@@ -80,8 +80,11 @@
       });
       return {
         ...version,
-        play: applyToStage(EMPTY_STAGE, { id: 'p', kind: 'spec.put', payload: JSON.stringify({ text }) }, 2)
-          .state,
+        application: applyToSpecState(
+          EMPTY_SPEC_STATE,
+          { id: 'p', kind: 'spec.put', payload: JSON.stringify({ text }) },
+          2,
+        ).state,
       };
     }
     for (const _ of [7, 8]) oracle.edits('race-1');
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -1,7 +1,7 @@
 import { hashText } from '@rainrun/common';
 import type { Piece } from './visitor.js';
-import { toVersion, type Held, type Play } from '@rainrun/process-group';
-import { EMPTY_STAGE, encodeStage, type Stage } from '@rainrun/configuration';
+import { toVersion, type GroupState, type StateMachine } from '@rainrun/process-group';
+import { EMPTY_SPEC_STATE, encodeSpecState, type SpecState } from '@rainrun/configuration';
 import { EntrySchema, StateSchema } from '@rainrun/messages';
 import { create, toBinary } from '@bufbuild/protobuf';
 
@@ -50,17 +50,17 @@
   whole: boolean;
 }
 
-const NO_PLAY: Play<Stage> = {
-  empty: () => EMPTY_STAGE,
-  encode: encodeStage,
+const NO_PLAY: StateMachine<SpecState> = {
+  empty: () => EMPTY_SPEC_STATE,
+  encode: encodeSpecState,
   decode: () => {
     throw new Error('the oracle decodes nothing');
   },
   apply: (state) => ({ state, outcome: { kind: 'agreed', detail: '' } }),
-  plain: (state) => state,
+  withoutExtension: (state) => state,
 };
 
-function digestOf(held: Held<Stage>): string {
+function digestOf(held: GroupState<SpecState>): string {
   const state = toVersion(NO_PLAY, held, create(EntrySchema)).state ?? create(StateSchema);
   return hashText(Buffer.from(toBinary(StateSchema, state)).toString('latin1')).toString(16);
 }
@@ -107,7 +107,7 @@
   }
 
   /** A version came into force; `whole` when it came by state transfer. */
-  version(incarnation: string, held: Held<Stage>, whole: boolean, atMs: number): void {
+  version(incarnation: string, held: GroupState<SpecState>, whole: boolean, atMs: number): void {
     this.versions += 1;
     const { number } = held;
     const digest = digestOf(held);
@@ -126,7 +126,7 @@
     this.#newest.set(incarnation, number);
     this.#judgeMarks(held, atMs);
     for (const [zone, emptied] of this.#emptiedMs) {
-      if (number > emptied.number && !held.play.emptied.includes(zone)) this.#emptiedMs.delete(zone);
+      if (number > emptied.number && !held.application.emptied.includes(zone)) this.#emptiedMs.delete(zone);
     }
     if (!whole) this.#closeViews(incarnation, held.view.number, atMs);
     this.#judgeEarly(incarnation, held);
@@ -145,8 +145,8 @@
     } else if (number >= (this.#marks.get(name)?.number ?? 0)) this.#marks.set(name, { mark, number });
   }
 
-  #judgeMarks(held: Held<Stage>, atMs: number): void {
-    const adapters = held.play.spec?.spec.adapters ?? [];
+  #judgeMarks(held: GroupState<SpecState>, atMs: number): void {
+    const adapters = held.application.spec?.spec.adapters ?? [];
     for (const { name, sizeMb } of adapters) {
       if (name.startsWith('race-') && this.#refusedMarks.has(sizeMb))
         this.breach('a refused change never shows', `${name} with mark ${sizeMb}`, atMs);
@@ -286,7 +286,7 @@
       this.breach('the store is not asked too often', `${this.#pulls.length} pulls in a minute`, atMs);
   }
 
-  #judgeEarly(incarnation: string, held: Held<Stage>): void {
+  #judgeEarly(incarnation: string, held: GroupState<SpecState>): void {
     const members = new Set(held.view.members.map((member) => member.incarnation));
     for (const { view, other, detail, atMs } of this.#early.get(incarnation) ?? []) {
       if (held.view.number === view || members.has(other)) this.breach('causal order', detail, atMs);
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -21,7 +21,7 @@
   site.submit(first, 'spec.put', { base: 0, text: JSON.stringify(trialSpec(0)) });
   time.runUntil(4000);
   const cores = machines.filter((machine) => machine.disk !== undefined);
-  const leader = cores.find((machine) => machine.running?.clusterNode.group.leading === true) ?? first;
+  const leader = cores.find((machine) => machine.running?.clusterNode.group.isCoordinator === true) ?? first;
   const [other, third] = cores.filter((machine) => machine !== leader) as [Machine, Machine];
   const victim = leading ? leader : other;
   if (third.disk !== undefined) third.disk.stallUntilMs = time.nowMs() + 2000;
@@ -55,7 +55,7 @@
   const wrong = oracle.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
   if (lost === 0) wrong.push('nothing was lost');
   if (site.whole() !== undefined) wrong.push(`not back: ${site.whole() ?? ''}`);
-  const stands = last.running?.clusterNode.stage.emptied.includes('north') === true;
+  const stands = last.running?.clusterNode.state.emptied.includes('north') === true;
   if (told === 'agreed' && !stands) wrong.push('agreed, and gone');
   if (told !== '' && told !== 'agreed' && stands) wrong.push(`${told}, and in force`);
   return wrong.map(
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -1,5 +1,5 @@
-import { SPEAKS, type Speaks } from '@rainrun/messages';
-import type { SimMood, SimWorker } from './grounds.js';
+import { PROTOCOL_LEVELS, type ProtocolLevels } from '@rainrun/messages';
+import type { FaultMode, SimWorker } from './simulation-context.js';
 import type { Site, Machine } from './site.js';
 import type { Cut } from './world.js';
 import { trialSpec } from './trial.js';
@@ -48,10 +48,10 @@
 }
 
 /** Programs of other levels of the protocol, by the word after `boot`. */
-const LEVELS: Readonly<Record<string, Speaks>> = {
-  older: { least: 1, most: 1 },
-  newer: { least: 2, most: 3 },
-  far: { least: 3, most: 4 },
+const LEVELS: Readonly<Record<string, ProtocolLevels>> = {
+  older: { min: 1, max: 1 },
+  newer: { min: 2, max: 3 },
+  far: { min: 3, max: 4 },
 };
 
 class Script {
@@ -66,13 +66,13 @@
     const [verb = '', word = ''] = text.split(' ');
     switch (verb) {
       case 'boot':
-        machine.speaks = LEVELS[word] ?? SPEAKS;
+        machine.speaks = LEVELS[word] ?? PROTOCOL_LEVELS;
         this.#site.boot(machine);
         return undefined;
       case 'add':
         return this.#submitted(
           this.#site.submit(machine, 'spec.edit', {
-            seen: machine.running?.clusterNode.stage.spec?.version ?? 0,
+            seen: machine.running?.clusterNode.state.spec?.version ?? 0,
             edit: { add: { zones: [word] } },
           }),
         );
@@ -142,7 +142,7 @@
         worker.dark = verb === 'dark';
         return undefined;
       case 'answers':
-        worker.mood = word as SimMood;
+        worker.mood = word as FaultMode;
         return undefined;
       case 'unheard':
         this.#cut(name, (_, to) => to === name);
@@ -187,18 +187,18 @@
   const clusterNode = machine.running?.clusterNode;
   if (what === 'down') return clusterNode === undefined ? undefined : 'runs';
   if (clusterNode === undefined) return 'does not run';
-  const { group, stage } = clusterNode;
+  const { group, state: stage } = clusterNode;
   const seen: Record<string, string | number> = {
-    leads: String(group.leading),
-    follows: String(!group.leading),
-    admits: String(group.granted()),
-    refuses: String(!group.granted()),
+    leads: String(group.isCoordinator),
+    follows: String(!group.isCoordinator),
+    admits: String(group.holdsLease()),
+    refuses: String(!group.holdsLease()),
     members: group.view?.members.length ?? 0,
     spec: stage.spec?.version ?? 0,
     emptied: stage.emptied.join('+'),
-    level: group.held?.level ?? 0,
+    level: group.state?.level ?? 0,
     zones: stage.spec?.spec.zones.length ?? 0,
-    voters: (group.held?.voters ?? []).filter((voter) =>
+    voters: (group.state?.voters ?? []).filter((voter) =>
       group.view?.members.some((member) => member.disk === voter.disk),
     ).length,
   };
--- a/packages/simulator/src/grounds.ts
+++ b/packages/simulator/src/simulation-context.ts
@@ -1,6 +1,6 @@
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
-import { fault, type Chance, type Fault } from '@rainrun/common';
-import type { Order, OrderReply } from '@rainrun/placement';
+import { fault, type RandomSource, type Fault } from '@rainrun/common';
+import type { SpecOrder, SpecOrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import type { Oracle } from './oracle.js';
 import type { VirtualTime } from './world.js';
@@ -12,10 +12,10 @@
 const LONG_RATIO = 0.15;
 
 /** What the simulated workers share. */
-export interface Grounds {
+export interface SimulationContext {
   readonly time: VirtualTime;
   readonly oracle: Oracle;
-  readonly dice: Chance;
+  readonly dice: RandomSource;
   spec(): Spec | undefined;
   /** Whether nothing gets through now from one name to another. */
   isCut(from: string, to: string): boolean;
@@ -55,7 +55,7 @@
 }
 
 /** How a worker behaves at its answers. */
-export type SimMood = 'well' | 'early' | 'more' | 'nonsense';
+export type FaultMode = 'well' | 'early' | 'more' | 'nonsense';
 
 interface Work {
   readonly model: string;
@@ -74,12 +74,12 @@
   holdings: HoldingTarget[] = [];
   up = true;
   dark = false;
-  mood: SimMood = 'well';
+  mood: FaultMode = 'well';
   /** How often a prompt's prefix was kept here, and what that saved. */
   readonly prefill = { hits: 0, misses: 0, savedMs: 0 };
   #prefixes = new Set<string>();
   #runs = 0;
-  #grounds: Grounds;
+  #grounds: SimulationContext;
   #loadedMs = new Map<string, number>();
   #busyUntilMs = 0;
   #epoch = 0;
@@ -88,7 +88,13 @@
   #boots = 0;
   #sizesMb = new Map<string, number>();
 
-  constructor(grounds: Grounds, name: string, zone: string, kind: 'model' | 'lookup', slots: number) {
+  constructor(
+    grounds: SimulationContext,
+    name: string,
+    zone: string,
+    kind: 'model' | 'lookup',
+    slots: number,
+  ) {
     this.#grounds = grounds;
     this.name = name;
     this.zone = zone;
@@ -112,7 +118,7 @@
     this.#works.clear();
   }
 
-  order(by: string, order: Order, done: (reply: Result<OrderReply, Fault>) => void): void {
+  order(by: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
     const { time, oracle, dice, isCut } = this.#grounds;
     if (!this.up || this.dark || isCut(by, this.name))
       return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
@@ -274,7 +280,7 @@
     return sumMb;
   }
 
-  #carryOut(order: Order): void {
+  #carryOut(order: SpecOrder): void {
     const { model, adapter } = order;
     const others = this.holdings.filter((holding) => holding.model !== model);
     const held = this.holdings.find((holding) => holding.model === model);
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -1,22 +1,22 @@
 import { create } from '@bufbuild/protobuf';
 import {
-  SPEAKS,
+  PROTOCOL_LEVELS,
   WorkerListSchema,
   type Answer,
   type Entry,
   type Frame,
-  type Speaks,
+  type ProtocolLevels,
   type WorkerList,
 } from '@rainrun/messages';
-import { Acceptor, GROUP_TIMES, readRecords, type Held } from '@rainrun/process-group';
-import type { Ask } from '@rainrun/gateway';
-import { Edge, ClusterNode } from '@rainrun/cluster-node';
-import type { Spec, Stage } from '@rainrun/configuration';
-import { Dice, randomId, type Fault } from '@rainrun/common';
-import type { LoopSettings, Order, OrderReply, PlaceSettings } from '@rainrun/placement';
+import { Acceptor, GROUP_TIMES, readRecords, type GroupState } from '@rainrun/process-group';
+import type { GatewayRequestInit } from '@rainrun/gateway';
+import { SpecEdge, ClusterNode } from '@rainrun/cluster-node';
+import type { Spec, SpecState } from '@rainrun/configuration';
+import { SeededRandom, randomId, type Fault } from '@rainrun/common';
+import type { LoopSettings, SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
 import type { Result } from 'true-myth';
-import { SimWorker, type Grounds, type SimWork, type Wish } from './grounds.js';
-import { SimSender } from './lines.js';
+import { SimWorker, type SimulationContext, type SimWork, type Wish } from './simulation-context.js';
+import { SimSender } from './connections.js';
 import { Oracle } from './oracle.js';
 import { SimVisitor, type Ended } from './visitor.js';
 import { Net, SimDisk, VirtualTime } from './world.js';
@@ -39,7 +39,7 @@
   stopped: boolean;
   /** What came while the process was frozen. */
   waiting: (() => void)[];
-  edge: Edge | undefined;
+  edge: SpecEdge | undefined;
   heartbeats: number;
   leading: boolean;
 }
@@ -53,7 +53,7 @@
   running: Running | undefined;
   boots: number;
   /** Levels of the protocol that its program speaks from the next boot on. */
-  speaks: Speaks;
+  speaks: ProtocolLevels;
 }
 
 /** Size of a simulated site. */
@@ -71,12 +71,12 @@
 /** Loops that are set otherwise than usual, for comparisons. */
 export interface SiteLoops {
   readonly weights?: LoopSettings;
-  readonly placement?: PlaceSettings;
+  readonly placement?: SpecPlacerSettings;
 }
 
 /** A visitor's question, as a day has it. */
 export interface SimCall extends Pick<
-  Ask,
+  GatewayRequestInit,
   'path' | 'group' | 'kind' | 'model' | 'adapter' | 'prefix' | 'streamed'
 > {
   readonly work?: SimWork;
@@ -101,8 +101,8 @@
   #loops: SiteLoops;
   #pool: string;
   #wishes = new Map<string, Wish>();
-  #grounds: Grounds;
-  #dice: Dice;
+  #grounds: SimulationContext;
+  #dice: SeededRandom;
   #list: WorkerList;
   #listGeneration = 1;
   #sequences = new Map<string, number>();
@@ -114,7 +114,7 @@
   constructor(seed: number, size: SiteSize, lossRatio: number, loops: SiteLoops = {}) {
     this.#loops = loops;
     this.#pool = size.pool ?? 'desks';
-    this.#dice = new Dice(seed);
+    this.#dice = new SeededRandom(seed);
     this.net = new Net(this.time, this.#dice, lossRatio);
     this.#grounds = {
       time: this.time,
@@ -138,7 +138,7 @@
         address: `${name}:0`,
         running: undefined,
         boots: 0,
-        speaks: SPEAKS,
+        speaks: PROTOCOL_LEVELS,
       });
     }
     this.seeds = this.machines.slice(0, 3);
@@ -154,7 +154,7 @@
     this.#list = this.#makeList(new Set());
   }
 
-  get dice(): Dice {
+  get dice(): SeededRandom {
     return this.#dice;
   }
 
@@ -246,7 +246,7 @@
 
   /** How many voters have a seat in the view, as the best informed node sees it. */
   votersSeated(): number {
-    const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.held ?? []);
+    const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.state ?? []);
     const held = helds.sort((one, other) => other.number - one.number)[0];
     return (held?.voters ?? []).filter((voter) =>
       held?.view.members.some((member) => member.disk === voter.disk),
@@ -260,7 +260,7 @@
       const group = machine.running?.clusterNode.group;
       if (group === undefined) return `${machine.name} does not run`;
       if (group.view === undefined) return `${machine.name} is in no view`;
-      if (!group.granted()) return `${machine.name} may not admit`;
+      if (!group.holdsLease()) return `${machine.name} may not admit`;
       views.add(group.view.number);
       if (group.view.members.length !== this.machines.length)
         return `${machine.name} sees ${group.view.members.length} members`;
@@ -281,23 +281,28 @@
       chance: this.#dice,
       times: GROUP_TIMES,
       acceptor,
-      post: (to, frame) => {
+      send: (to, frame) => {
         if (machine.running?.clusterNode === clusterNode) this.net.post(name, to, frame);
       },
       order: (to, order, done) => this.#order(machine, clusterNode, to, order, done),
-      changed: (held, entry) => this.#changed(machine, clusterNode, held, entry),
-      speaks: machine.speaks,
+      onStateChange: (held, entry) => this.#changed(machine, clusterNode, held, entry),
+      protocolLevels: machine.speaks,
       ...(this.#loops.placement === undefined ? {} : { placing: this.#loops.placement }),
-      question: (kind, text) => ({ status: 200, body: { kind, text, by: name } }),
-      refused: (why) => this.note(name, `refused: ${why}`),
-      reborn: () => this.note(name, 'dropped, rejoins'),
-      heard: (sender, payload) => this.#heard(clusterNode, sender, payload),
+      answerQuery: (kind, text) => ({ status: 200, body: { kind, text, by: name } }),
+      onJoinRejected: (why) => this.note(name, `refused: ${why}`),
+      onNewIncarnation: () => this.note(name, 'dropped, rejoins'),
+      onCast: (sender, payload) => this.#heard(clusterNode, sender, payload),
     });
     return clusterNode;
   }
 
-  #changed(machine: Machine, clusterNode: ClusterNode, held: Held<Stage>, entry: Entry | undefined): void {
-    const { incarnation } = clusterNode.group.seat;
+  #changed(
+    machine: Machine,
+    clusterNode: ClusterNode,
+    held: GroupState<SpecState>,
+    entry: Entry | undefined,
+  ): void {
+    const { incarnation } = clusterNode.group.self;
     this.oracle.version(incarnation, held, entry === undefined, this.time.nowMs());
     this.oracle.enter(incarnation, held.view.number);
     if (entry === undefined || entry.view !== undefined) {
@@ -326,7 +331,7 @@
     this.time.after(HEARTBEAT_MS * (0.9 + this.#dice.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     running.clusterNode.tick();
-    const { leading, epoch } = running.clusterNode.group;
+    const { isCoordinator: leading, epoch } = running.clusterNode.group;
     if (leading !== running.leading) this.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
     running.leading = leading;
     this.#probe(machine, running);
@@ -343,15 +348,15 @@
 
   #readList(running: Running): void {
     running.clusterNode.learnList(this.#list);
-    const leaving = this.#list.workers.filter((worker) => worker.leaving).map((worker) => worker.name);
+    const leaving = this.#list.workers.filter((worker) => worker.draining).map((worker) => worker.name);
     this.oracle.learnedLeaving(new Set(leaving), this.time.nowMs());
   }
 
   /** Casts a note that no node can read as an observation, for the oracle alone. */
   #castNote(running: Running): void {
     const { group } = running.clusterNode;
-    if (group.view === undefined || group.changing) return;
-    const { incarnation } = group.seat;
+    if (group.view === undefined || group.isViewChanging) return;
+    const { incarnation } = group.self;
     const view = group.view.number;
     const sequence = (this.#sequences.get(`${incarnation}@${view}`) ?? 0) + 1;
     this.#sequences.set(`${incarnation}@${view}`, sequence);
@@ -367,7 +372,7 @@
       context: Record<string, number>;
     };
     this.oracle.cast(
-      clusterNode.group.seat.incarnation,
+      clusterNode.group.self.incarnation,
       note.view,
       sender,
       note.sequence,
@@ -376,7 +381,7 @@
     );
   }
 
-  #edge(machine: Machine, running: Running): Edge {
+  #edge(machine: Machine, running: Running): SpecEdge {
     const clock = { nowMs: () => this.time.nowMs() + running.skewMs };
     const sender = new SimSender(
       this.#grounds,
@@ -385,7 +390,7 @@
       (act) => this.#atNode(machine, running, act),
       () => machine.running === running,
     );
-    return new Edge(
+    return new SpecEdge(
       running.clusterNode,
       machine.name,
       machine.zone,
@@ -397,7 +402,7 @@
   }
 
   /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
-  visit(edge: Edge, lookup: boolean, model: string): void {
+  visit(edge: SpecEdge, lookup: boolean, model: string): void {
     const streamed = !lookup && this.#dice.next() < 0.6;
     const path = lookup ? '/lookup/1' : '/v1/chat/completions';
     const prefix = Math.floor(this.#dice.next() * 8);
@@ -414,7 +419,7 @@
   }
 
   /** A visitor makes a call; the returned function says that it has left. */
-  call(edge: Edge, call: SimCall, ended?: Ended): () => void {
+  call(edge: SpecEdge, call: SimCall, ended?: Ended): () => void {
     const id = randomId(this.#dice);
     const { path, group, kind, model, adapter, prefix, streamed, work } = call;
     const lookup = model === '';
@@ -440,17 +445,17 @@
 
   #probe(machine: Machine, running: Running): void {
     const { group } = running.clusterNode;
-    if (group.granted())
+    if (group.holdsLease())
       this.oracle.admits(
-        `${machine.name}/${group.seat.incarnation}`,
-        group.held?.number ?? 0,
+        `${machine.name}/${group.self.incarnation}`,
+        group.state?.number ?? 0,
         this.time.nowMs(),
       );
     const holders = this.machines.filter(
       (other) =>
         other.running !== undefined &&
         !other.running.frozen &&
-        other.running.clusterNode.group.dutyEpoch() !== undefined,
+        other.running.clusterNode.group.singletonEpoch() !== undefined,
     );
     this.oracle.duty(
       holders.map((other) => other.name),
@@ -464,7 +469,7 @@
   }
 
   #newestSpec(): Spec | undefined {
-    const records = this.machines.flatMap((machine) => machine.running?.clusterNode.stage.spec ?? []);
+    const records = this.machines.flatMap((machine) => machine.running?.clusterNode.state.spec ?? []);
     return records.sort((one, other) => other.version - one.version)[0]?.spec;
   }
 
@@ -478,7 +483,7 @@
         zone: worker.zone,
         kind: worker.kind,
         pool: worker.kind === 'lookup' ? this.#pool : 'models',
-        leaving: leaving.has(worker.name),
+        draining: leaving.has(worker.name),
       })),
     });
   }
@@ -487,8 +492,8 @@
     machine: Machine,
     clusterNode: ClusterNode,
     to: string,
-    order: Order,
-    done: (reply: Result<OrderReply, Fault>) => void,
+    order: SpecOrder,
+    done: (reply: Result<SpecOrderReply, Fault>) => void,
   ): void {
     const worker = this.workers.find((known) => known.name === to);
     const running = machine.running;
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -144,7 +144,7 @@
         const heal = system.cut('off', (from, to) => (from === far.name) !== (to === far.name));
         const replica = far.running?.replica;
         const sent = replica?.submit('zone.evacuate', { zone: 'north' }, () => undefined);
-        system.time.after(900, () => replica?.forgetAnswer(sent?.isOk === true ? sent.value : ''));
+        system.time.after(900, () => replica?.abandon(sent?.isOk === true ? sent.value : ''));
         system.time.runUntil(5950);
         system.zone('north', true, () => system.zone('north', false));
         system.time.runUntil(5000 + cutMs);
@@ -254,7 +254,7 @@
       system.time.runUntil(14_000);
       const early = ends.length;
       const holders = system.cores.filter(
-        (core) => core.running?.replica?.group.dutyEpoch() !== undefined,
+        (core) => core.running?.replica?.group.singletonEpoch() !== undefined,
       ).length;
       const informed = system.edges.filter((edge) => edge.running?.follower?.informed === true).length;
       apart();
@@ -282,7 +282,7 @@
       system.put(5, sampleDocument(8, MODELS, 'without'), (end) => ends.push(end));
       system.time.runUntil(12_000);
       const stale = leader.running?.replica;
-      const alone = stale?.group.granted() === true || stale?.group.dutyEpoch() !== undefined;
+      const alone = stale?.group.holdsLease() === true || stale?.group.singletonEpoch() !== undefined;
       heal();
       system.time.runUntil(20_000);
       return [
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -1,5 +1,5 @@
 /** A whole simulated system on the production code, in one thread and in virtual time. */
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import type { Deployment } from '@rainrun/configuration';
 import { CoreDirectory } from './system/core-directory.js';
 import type { Document } from './system/configuration.js';
@@ -39,7 +39,7 @@
  */
 export class System {
   readonly time = new VirtualTime();
-  readonly dice: Dice;
+  readonly dice: SeededRandom;
   readonly size: SystemSize;
   readonly network: Network;
   readonly workers: WorkerPool;
@@ -59,7 +59,7 @@
 
   constructor(seed: number, size: SystemSize) {
     const { time, cores, edges, expectations } = this;
-    const dice = new Dice(seed);
+    const dice = new SeededRandom(seed);
     const note = (node: string, text: string): void => this.note(node, text);
     const breach = (rule: string, detail: string): void => this.breach(rule, detail);
     this.dice = dice;
@@ -228,7 +228,8 @@
   leader(): Machine | undefined {
     return this.cores.find(
       (core) =>
-        core.running?.replica?.group.leading === true && core.running.replica.group.dutyEpoch() !== undefined,
+        core.running?.replica?.group.isCoordinator === true &&
+        core.running.replica.group.singletonEpoch() !== undefined,
     );
   }
 
--- a/packages/simulator/src/system/core-directory.ts
+++ b/packages/simulator/src/system/core-directory.ts
@@ -1,5 +1,5 @@
 /** The operators' list of cores, which lags. */
-import type { Dice } from '@rainrun/common';
+import type { SeededRandom } from '@rainrun/common';
 import type { VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 import { BOUNDS } from './size.js';
@@ -13,11 +13,11 @@
  */
 export class CoreDirectory {
   #time: VirtualTime;
-  #dice: Dice;
+  #dice: SeededRandom;
   #cores: () => readonly Machine[];
   #samples: { readonly atMs: number; readonly cores: readonly Machine[] }[] = [];
 
-  constructor(time: VirtualTime, dice: Dice, cores: () => readonly Machine[]) {
+  constructor(time: VirtualTime, dice: SeededRandom, cores: () => readonly Machine[]) {
     this.#time = time;
     this.#dice = dice;
     this.#cores = cores;
--- a/packages/simulator/src/system/demand.ts
+++ b/packages/simulator/src/system/demand.ts
@@ -1,7 +1,7 @@
 /** What clients of the edges ask for, and where it can be had. */
 import { create } from '@bufbuild/protobuf';
-import type { Follower } from '@rainrun/cluster-node';
-import { WantSchema, type Want } from '@rainrun/messages';
+import type { EdgeReplica } from '@rainrun/cluster-node';
+import { ModelDemandSchema, type ModelDemand } from '@rainrun/messages';
 import type { Machine } from './machine.js';
 import { SERVICE, type WorkerPool } from './workers.js';
 
@@ -27,10 +27,10 @@
   }
 
   /** What an edge tells the coordinator that it wants. */
-  wantsOf(follower: Follower): Want[] {
+  wantsOf(follower: EdgeReplica): ModelDemand[] {
     return this.needs.map(({ model, adapter, count }) => {
       const known = knows(follower, model, adapter);
-      return create(WantSchema, {
+      return create(ModelDemandSchema, {
         service: SERVICE,
         model,
         adapter,
@@ -42,7 +42,7 @@
   }
 
   /** Whether an edge lacks a worker for something that is asked for. */
-  isUnserved(follower: Follower): boolean {
+  isUnserved(follower: EdgeReplica): boolean {
     return this.needs.some(({ model, adapter }) => !knows(follower, model, adapter));
   }
 
@@ -54,17 +54,17 @@
       const worker = this.#workers.workerAt(known.address);
       const believed = known.models.get(model);
       const held = worker?.id === known.id ? worker.models.get(model) : undefined;
-      if (known.leaving || believed === undefined || held === undefined) continue;
+      if (known.draining || believed === undefined || held === undefined) continue;
       if (adapter === '' || (believed.has(adapter) && held.has(adapter))) return true;
     }
     return false;
   }
 }
 
-function knows(follower: Follower, model: string, adapter: string): boolean {
+function knows(follower: EdgeReplica, model: string, adapter: string): boolean {
   for (const worker of follower.workers.values()) {
     const adapters = worker.models.get(model);
-    if (worker.leaving || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
+    if (worker.draining || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
     if (adapter === '' || adapters.has(adapter)) return true;
   }
   return false;
--- a/packages/simulator/src/system/disk.test.ts
+++ b/packages/simulator/src/system/disk.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
-import { Dice } from '@rainrun/common';
-import { ClaimSchema } from '@rainrun/messages';
+import { SeededRandom } from '@rainrun/common';
+import { PrepareSchema } from '@rainrun/messages';
 import { create } from '@bufbuild/protobuf';
 import { Acceptor, readRecords } from '@rainrun/process-group';
 import { expect } from 'earl';
@@ -17,7 +17,7 @@
 /** Whether a claimant is promised the epoch. */
 function isPromised(disk: SimDisk, time: VirtualTime, claimant: string): boolean {
   let granted = false;
-  openAcceptor(disk).claim(create(ClaimSchema, { epoch: EPOCH, disk: claimant }), (promise) => {
+  openAcceptor(disk).prepare(create(PrepareSchema, { epoch: EPOCH, disk: claimant }), (promise) => {
     granted = promise.granted;
   });
   time.runUntil(time.nowMs() + 1000);
@@ -29,7 +29,7 @@
   disk.tap = (step) => {
     if (step === 'renamed') disk.endProcess();
   };
-  openAcceptor(disk).claim(create(ClaimSchema, { epoch: EPOCH, disk: 'one' }), () => undefined);
+  openAcceptor(disk).prepare(create(PrepareSchema, { epoch: EPOCH, disk: 'one' }), () => undefined);
   time.runUntil(1000);
   disk.tap = undefined;
 }
@@ -38,7 +38,7 @@
   it('gives no epoch to two claimants, also if power is lost after it has promised again', () => {
     const outcomes = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
       const time = new VirtualTime();
-      const disk = new SimDisk(time, new Dice(seed));
+      const disk = new SimDisk(time, new SeededRandom(seed));
       killedWhileStoring(time, disk);
       const first = isPromised(disk, time, 'one');
       disk.losePower();
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -1,5 +1,5 @@
 /** Faults that a simulated day injects: what each does, how long it lasts, and what the system may lose at once. */
-import type { Dice } from '@rainrun/common';
+import type { SeededRandom } from '@rainrun/common';
 import type { System } from '../system.js';
 import type { Cut, SimDisk } from '../world.js';
 import type { Machine } from './machine.js';
@@ -52,7 +52,7 @@
   /** What was injected, for reports. */
   readonly injected: string[] = [];
   #system: System;
-  #dice: Dice;
+  #dice: SeededRandom;
   /** Until when each core counts as lost. */
   #lostUntilMs = new Map<Machine, number>();
   /** Of those, the ones whose disk was lost as well. */
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -1,5 +1,5 @@
 /** The rules that must hold while a simulated system runs, and those at its end. */
-import type { Follower } from '@rainrun/cluster-node';
+import type { EdgeReplica } from '@rainrun/cluster-node';
 import type { Deployment } from '@rainrun/configuration';
 import type { VirtualTime } from '../world.js';
 import { canonicalText, changeIdOf, patchDocument, type Document } from './configuration.js';
@@ -97,7 +97,7 @@
     const nowMs = this.#context.time.nowMs();
     if (!reaching.includes(core)) running.touchMs = nowMs;
     const { state, group } = running.replica;
-    if (group.dutyEpoch() !== undefined)
+    if (group.singletonEpoch() !== undefined)
       this.#checkLack('leads with old state', core, state, nowMs - LEASE_MS);
     if (settled && nowMs - running.touchMs > BOUNDS.contactMs)
       this.#checkLack('core behind', core, state, nowMs - BOUNDS.applyMs);
@@ -121,7 +121,7 @@
     this.#probeDrains(edge, running.follower);
   }
 
-  #probeDrains(edge: Machine, follower: Follower): void {
+  #probeDrains(edge: Machine, follower: EdgeReplica): void {
     const { time, workers } = this.#context;
     for (const worker of follower.workers.values()) {
       const { listFailedMs } = this.#context.workerCalls;
@@ -130,7 +130,7 @@
         this.#disturbedMs + BOUNDS.contactMs,
         listFailedMs,
       );
-      if (!worker.leaving && time.nowMs() - sinceMs > BOUNDS.drainMs)
+      if (!worker.draining && time.nowMs() - sinceMs > BOUNDS.drainMs)
         this.#context.breach('drain', `${edge.name} may still send to ${worker.id}`);
     }
   }
@@ -150,7 +150,7 @@
 
   #probeHolders(): void {
     const holders = this.#context.cores.filter(
-      (core) => core.running?.frozen === false && core.running.replica?.group.dutyEpoch() !== undefined,
+      (core) => core.running?.frozen === false && core.running.replica?.group.singletonEpoch() !== undefined,
     );
     if (holders.length > 1)
       this.#context.breach(
@@ -215,7 +215,7 @@
   checkEnd(): void {
     const { cores, edges, size } = this.#context;
     for (const machine of [...cores, ...edges]) this.#checkMachine(machine);
-    const leads = cores.some((core) => core.running?.replica?.group.dutyEpoch() !== undefined);
+    const leads = cores.some((core) => core.running?.replica?.group.singletonEpoch() !== undefined);
     if (!leads) this.#context.breach('recovers', 'no core has the duty');
     const wanted = Math.min(2 * size.lossesBorne + 1, cores.filter((core) => !core.removed).length);
     const voters = countVoters(cores);
@@ -236,7 +236,7 @@
     const state = stateOf(running);
     if (state !== undefined) this.#checkLack('acknowledged stays', machine, state, Infinity);
     const { replica, follower } = running;
-    if (replica?.group.granted() === false)
+    if (replica?.group.holdsLease() === false)
       breach('recovers', `${machine.name} is not in a group with a majority`);
     if (follower?.ready === false) breach('recovers', `${machine.name} is not ready`);
     if (follower?.informed === false) breach('recovers', `${machine.name} hears no core with a majority`);
@@ -308,5 +308,5 @@
 
 /** How many voters the core with the most knows of. */
 export function countVoters(cores: readonly Machine[]): number {
-  return Math.max(0, ...cores.map((core) => core.running?.replica?.group.held?.voters.length ?? 0));
+  return Math.max(0, ...cores.map((core) => core.running?.replica?.group.state?.voters.length ?? 0));
 }
--- a/packages/simulator/src/system/linearizability.test.ts
+++ b/packages/simulator/src/system/linearizability.test.ts
@@ -1,5 +1,5 @@
 import { describe, it } from 'node:test';
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
 import type { Attempt, ChangeOrder, Outcome, Read, ZoneOrder } from './history.js';
 import { checkLinearizable } from './linearizability.js';
@@ -177,7 +177,7 @@
 
 /** A random correct history: a register is simulated, answers are lost, changes are sent again and race. */
 function randomHistory(seed: number, count: number): { changes: ChangeOrder[]; reads: Read[] } {
-  const dice = new Dice(seed);
+  const dice = new SeededRandom(seed);
   const changes: ChangeOrder[] = [];
   const reads: Read[] = [];
   let current: ChangeOrder | undefined;
--- a/packages/simulator/src/system/machine.ts
+++ b/packages/simulator/src/system/machine.ts
@@ -1,5 +1,5 @@
 /** Simulated machines and the processes that run on them. */
-import type { CoreReplica, Follower, OperatorService } from '@rainrun/cluster-node';
+import type { CoreReplica, EdgeReplica, OperatorService } from '@rainrun/cluster-node';
 import type { SimDisk } from '../world.js';
 
 /** A process between its start and its end. */
@@ -11,7 +11,7 @@
   /** Answers operators; present on a core. */
   readonly operators: OperatorService | undefined;
   /** Present on an edge. */
-  readonly follower: Follower | undefined;
+  readonly follower: EdgeReplica | undefined;
   frozen: boolean;
   /** What arrived while the process was frozen. */
   waiting: (() => void)[];
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -1,6 +1,6 @@
 /** The network between the machines: each direction keeps its order, as TCP does. */
-import { pack, unpack, type Frame } from '@rainrun/messages';
-import type { Dice } from '@rainrun/common';
+import { encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
+import type { SeededRandom } from '@rainrun/common';
 import type { Cut, VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 
@@ -20,12 +20,12 @@
   /** Share of frames that are lost. */
   lossRatio = 0.002;
   #time: VirtualTime;
-  #dice: Dice;
+  #dice: SeededRandom;
   #machines: () => readonly Machine[];
   #cuts = new Set<Cut>();
   #arrivals = new Map<string, number>();
 
-  constructor(time: VirtualTime, dice: Dice, machines: () => readonly Machine[]) {
+  constructor(time: VirtualTime, dice: SeededRandom, machines: () => readonly Machine[]) {
     this.#time = time;
     this.#dice = dice;
     this.#machines = machines;
@@ -54,7 +54,7 @@
   post(sender: Machine, address: string, frame: Frame): void {
     const target = this.#machines().find((known) => known.address === address);
     if (sender.running === undefined || target === undefined) return;
-    const bytes = pack(frame);
+    const bytes = encodeFrame(frame);
     if (this.#dice.next() < this.lossRatio) return;
     const nowMs = this.#time.nowMs();
     const direction = `${sender.name} ${address}`;
@@ -68,7 +68,7 @@
   #arrive(sender: Machine, target: Machine, bytes: Uint8Array): void {
     const { running } = target;
     if (running === undefined || this.isCut(sender.name, target.name)) return;
-    const frame = unpack(bytes, 'system');
+    const frame = decodeFrame(bytes, 'system');
     if (frame.isErr || running.waiting.length > WAITING_MOST) return;
     target.perform(running, () => (running.replica ?? running.follower)?.receive(frame.value));
   }
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -3,7 +3,7 @@
  * another core after a failure, a 5xx or silence, and the same order until its
  * answer is clear. Everything is recorded for the checkers.
  */
-import type { Dice } from '@rainrun/common';
+import type { SeededRandom } from '@rainrun/common';
 import type { VirtualTime } from '../world.js';
 import { changeIdOf, type Document } from './configuration.js';
 import type { CoreDirectory } from './core-directory.js';
@@ -38,7 +38,7 @@
 /** What the client needs of the system around it. */
 export interface OperatorContext {
   readonly time: VirtualTime;
-  readonly dice: Dice;
+  readonly dice: SeededRandom;
   readonly directory: CoreDirectory;
   machineAt(address: string): Machine | undefined;
   note(node: string, text: string): void;
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -1,7 +1,7 @@
 /** Starts, drives and ends the processes of a simulated system, on the production code. */
-import { CoreReplica, Follower } from '@rainrun/cluster-node';
-import { randomId, type Dice } from '@rainrun/common';
-import { SPEAKS } from '@rainrun/messages';
+import { CoreReplica, EdgeReplica } from '@rainrun/cluster-node';
+import { randomId, type SeededRandom } from '@rainrun/common';
+import { PROTOCOL_LEVELS } from '@rainrun/messages';
 import { Acceptor, PLATFORM_TIMES, readRecords } from '@rainrun/process-group';
 import type { VirtualTime } from '../world.js';
 import type { Demand } from './demand.js';
@@ -23,7 +23,7 @@
 /** What processes need of the system around them. */
 export interface ProcessContext {
   readonly time: VirtualTime;
-  readonly dice: Dice;
+  readonly dice: SeededRandom;
   readonly size: SystemSize;
   readonly network: Network;
   readonly workers: WorkerPool;
@@ -142,7 +142,7 @@
     machine: Machine,
     skewMs: number,
     replica: CoreReplica | undefined,
-    follower: Follower | undefined,
+    follower: EdgeReplica | undefined,
   ): void {
     const { time, dice } = this.#context;
     const running: Process = {
@@ -184,27 +184,27 @@
       deployment: 'system',
       seeds: founding ? this.#founders : this.#seeds(),
       founders: founding ? this.#founders : [],
-      votersWanted: 2 * size.lossesBorne + 1,
+      desiredVoterCount: 2 * size.lossesBorne + 1,
       clock: { nowMs: () => time.nowMs() + skewMs },
       chance: dice,
       times: PLATFORM_TIMES,
       acceptor,
-      speaks: SPEAKS,
-      post: (to, frame) => network.post(machine, to, frame),
+      protocolLevels: PROTOCOL_LEVELS,
+      send: (to, frame) => network.post(machine, to, frame),
       order: (row, order, done) => calls.order(machine, replica, row, order, done),
       report: (row, done) => calls.report(machine, row, done),
-      changed: () => undefined,
-      reborn: () => this.#context.note(name, 'dropped, rejoins'),
-      refused: (why) => this.#context.note(name, `refused: ${why}`),
-      decided: (text) => this.#context.note(name, text),
+      onStateChange: () => undefined,
+      onNewIncarnation: () => this.#context.note(name, 'dropped, rejoins'),
+      onJoinRejected: (why) => this.#context.note(name, `refused: ${why}`),
+      onPlacementDecision: (text) => this.#context.note(name, text),
     });
     return replica;
   }
 
-  #follower(machine: Machine, skewMs: number): Follower {
+  #follower(machine: Machine, skewMs: number): EdgeReplica {
     const { time, dice, network, demand } = this.#context;
     const { name, zone, address } = machine;
-    const follower: Follower = new Follower({
+    const follower: EdgeReplica = new EdgeReplica({
       name,
       zone,
       address,
@@ -212,9 +212,9 @@
       seeds: this.#seeds(),
       clock: { nowMs: () => time.nowMs() + skewMs },
       chance: dice,
-      post: (to, frame) => network.post(machine, to, frame),
+      send: (to, frame) => network.post(machine, to, frame),
       outcomes: () => [],
-      wants: () => demand.wantsOf(follower),
+      demands: () => demand.wantsOf(follower),
       changed: (what) => {
         if (what === 'state')
           this.#context.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
@@ -231,7 +231,7 @@
     time.after(everyMs * (0.9 + dice.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     if (follower !== undefined) {
-      if (demand.isUnserved(follower)) follower.haste();
+      if (demand.isUnserved(follower)) follower.requestUpdateSoon();
       follower.tick();
     }
     if (replica === undefined) return;
@@ -242,7 +242,7 @@
   }
 
   #noteCoordination(machine: Machine, running: Process, replica: CoreReplica): void {
-    const { leading, epoch } = replica.group;
+    const { isCoordinator: leading, epoch } = replica.group;
     if (leading === running.leading) return;
     this.#context.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
     running.leading = leading;
--- a/packages/simulator/src/system/worker-calls.ts
+++ b/packages/simulator/src/system/worker-calls.ts
@@ -1,7 +1,7 @@
 /** Calls of cores to workers: orders and reports. */
 import type { CoreReplica } from '@rainrun/cluster-node';
-import type { Dice } from '@rainrun/common';
-import type { ReportReply, StockOrder, StockReply, WorkerRecord } from '@rainrun/placement';
+import type { SeededRandom } from '@rainrun/common';
+import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerRecord } from '@rainrun/placement';
 import type { VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 import type { Network } from './network.js';
@@ -36,11 +36,11 @@
   faults: CallFaults = SOUND_CALLS;
   #listFailedMs = -Infinity;
   #time: VirtualTime;
-  #dice: Dice;
+  #dice: SeededRandom;
   #network: Network;
   #workers: WorkerPool;
 
-  constructor(time: VirtualTime, dice: Dice, network: Network, workers: WorkerPool) {
+  constructor(time: VirtualTime, dice: SeededRandom, network: Network, workers: WorkerPool) {
     this.#time = time;
     this.#dice = dice;
     this.#network = network;
@@ -52,13 +52,13 @@
     core: Machine,
     replica: CoreReplica,
     row: WorkerRecord,
-    order: StockOrder,
-    done: (reply: StockReply) => void,
+    order: WorkerOrder,
+    done: (reply: WorkerOrderReply) => void,
   ): void {
     const running = core.running;
     if (running?.replica !== replica) return;
     let replied = false;
-    const finish = (reply: StockReply, waitMs: number): void => {
+    const finish = (reply: WorkerOrderReply, waitMs: number): void => {
       this.#time.after(waitMs, () =>
         core.perform(running, () => {
           if (replied) return;
@@ -71,8 +71,8 @@
     finish('no-answer', CALL_WAIT_MS);
     this.#time.after(0.2 + this.#dice.next() * 2, () =>
       core.perform(running, () => {
-        if (replied || replica.group.dutyEpoch() !== order.fence) return finish('no-answer', 0);
-        const holder = replica.group.seat.incarnation;
+        if (replied || replica.group.singletonEpoch() !== order.fence) return finish('no-answer', 0);
+        const holder = replica.group.self.incarnation;
         this.#workers.sent(holder, order.fence);
         this.#time.after(this.#travelMs(), () => {
           const reply = this.#arrive(core, row, holder, order);
@@ -117,7 +117,12 @@
   }
 
   /** An order arrives at a worker; undefined: its sender gets no answer. */
-  #arrive(core: Machine, row: WorkerRecord, holder: string, order: StockOrder): StockReply | undefined {
+  #arrive(
+    core: Machine,
+    row: WorkerRecord,
+    holder: string,
+    order: WorkerOrder,
+  ): WorkerOrderReply | undefined {
     const worker = this.#workers.workerAt(row.address);
     if (worker === undefined || this.#network.isCut(core.name, row.address)) return undefined;
     if (this.#strikes(this.faults.refused)) return 'refused';
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -1,10 +1,10 @@
-import { randomId, type Dice } from '@rainrun/common';
+import { randomId, type SeededRandom } from '@rainrun/common';
 import {
   copyOf,
   type ListedWorker,
   type ReportReply,
-  type StockOrder,
-  type StockReply,
+  type WorkerOrder,
+  type WorkerOrderReply,
 } from '@rainrun/placement';
 import type { VirtualTime } from '../world.js';
 
@@ -108,7 +108,7 @@
   }
 
   /** An order arrives; undefined: no answer is ever given. */
-  order(id: string, holder: string, order: StockOrder): StockReply | undefined {
+  order(id: string, holder: string, order: WorkerOrder): WorkerOrderReply | undefined {
     const nowMs = this.#pool.time.nowMs();
     if (this.dark || this.away) return undefined;
     if (id !== this.id) return 'wrong-worker';
@@ -154,7 +154,7 @@
     if (this.#taken.length > 64) this.#taken.shift();
   }
 
-  #load({ model, adapter }: StockOrder, nowMs: number): StockReply {
+  #load({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
     const adapters = this.models.get(model);
     if (adapter !== '') {
       if (adapters === undefined) return 'refused';
@@ -179,7 +179,7 @@
     return 'begun';
   }
 
-  #unload({ model, adapter }: StockOrder, nowMs: number): StockReply {
+  #unload({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
     const adapters = this.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return 'held';
     this.#begin(nowMs, this.#pool.dice.next() * 200, () => {
@@ -223,7 +223,7 @@
 /** The platform's workers and its list of them, which lags. */
 export class WorkerPool {
   readonly time: VirtualTime;
-  readonly dice: Dice;
+  readonly dice: SeededRandom;
   readonly members: SimulatedWorker[] = [];
   readonly breach: Note;
   /** When each load from the store began, and whether it counts. */
@@ -237,7 +237,13 @@
   #leavingMs = new Map<string, number>();
   #evacuatedMs = new Map<string, number>();
 
-  constructor(time: VirtualTime, dice: Dice, breach: Note, workers: number, zones: readonly string[]) {
+  constructor(
+    time: VirtualTime,
+    dice: SeededRandom,
+    breach: Note,
+    workers: number,
+    zones: readonly string[],
+  ) {
     this.time = time;
     this.dice = dice;
     this.breach = breach;
@@ -347,8 +353,8 @@
         address,
         zone,
         slots: ENGINE.slots,
-        leaving,
-        coldMs: 0,
+        draining: leaving,
+        warmUpMs: 0,
         models: copyOf(models),
       }));
     const busy = new Set(this.members.filter((worker) => worker.busy).map((worker) => worker.id));
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -22,7 +22,15 @@
   readonly timeline: string;
 }
 
-const STEPS = ['propose', 'accepted', 'stop', 'flush', 'parcel', 'claim', 'promise'] as const;
+const STEPS = [
+  'propose',
+  'accepted',
+  'flushRequest',
+  'flushReply',
+  'sequenced',
+  'prepare',
+  'promise',
+] as const;
 const START_MS = 8000;
 const FAULTS_END_MS = 38_000;
 const RECOVER_MS = 12_000;
@@ -180,7 +188,7 @@
     if (time.nowMs() > FAULTS_END_MS) return;
     this.#turn += 1;
     const machine = this.#any();
-    const spec = machine.running?.clusterNode.stage.spec;
+    const spec = machine.running?.clusterNode.state.spec;
     const kind = this.#upTo(5);
     if (kind < 1.6) {
       const text = JSON.stringify({
@@ -213,7 +221,7 @@
     const mark = verb === 'remove' ? undefined : this.#marks;
     const entry = { name, model: 'model-0', sizeMb: mark };
     const edit = { [verb]: { adapters: [verb === 'remove' ? name : entry] } };
-    const seen = machine.running?.clusterNode.stage.spec?.version ?? 0;
+    const seen = machine.running?.clusterNode.state.spec?.version ?? 0;
     oracle.edits(name);
     const id = this.#site.submit(machine, 'spec.edit', { seen, edit }, (answer) =>
       oracle.edited(name, mark, answer.kind, answer.number),
@@ -296,7 +304,9 @@
   }
 
   #killCoordinator(): void {
-    const leader = this.#site.machines.find((machine) => machine.running?.clusterNode.group.leading === true);
+    const leader = this.#site.machines.find(
+      (machine) => machine.running?.clusterNode.group.isCoordinator === true,
+    );
     if (leader !== undefined) this.#killFor(leader, this.#upTo(4000));
   }
 
@@ -433,11 +443,11 @@
     const other = this.#pick(this.#cores()).name;
     this.#fault(`kill the coordinator at its next ${step}`);
     net.tap = (from, frame) => {
-      const leader = machines.find((machine) => machine.running?.clusterNode.group.leading === true);
+      const leader = machines.find((machine) => machine.running?.clusterNode.group.isCoordinator === true);
       if (
         leader === undefined ||
         frame.body.case !== step ||
-        (from !== leader.name && step !== 'flush' && step !== 'accepted')
+        (from !== leader.name && step !== 'flushReply' && step !== 'accepted')
       )
         return;
       net.tap = undefined;
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -1,5 +1,5 @@
-import type { VisitorPort } from '@rainrun/gateway';
-import { ANSWERS, type Fault } from '@rainrun/common';
+import type { GatewayResponseSink } from '@rainrun/gateway';
+import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import type { Oracle } from './oracle.js';
 
 /** One piece of a simulated answer: whose it is, of which run, which of how many. */
@@ -19,7 +19,7 @@
  * @example
  * edge.gateway.admit(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
  */
-export class SimVisitor implements VisitorPort {
+export class SimVisitor implements GatewayResponseSink {
   #oracle: Oracle;
   #id: string;
   #nowMs: () => number;
@@ -34,15 +34,15 @@
     this.#nowMs = nowMs;
   }
 
-  answer(_status: number, _contentType: string, body: Uint8Array): void {
+  respond(_status: number, _contentType: string, body: Uint8Array): void {
     const pieces = JSON.parse(Buffer.from(body).toString()) as Piece[];
     for (const piece of pieces) this.#take(piece);
     this.#oracle.whole(this.#id, this.#nowMs());
     this.#ended('served', this.#nowMs(), this.#worker);
   }
 
-  refuse(why: Fault): void {
-    if (ANSWERS[why.kind].ran === 'no') this.#oracle.toldRefused(this.#id, why.kind, this.#nowMs());
+  reject(why: Fault): void {
+    if (FAULT_RESPONSES[why.kind].ran === 'no') this.#oracle.toldRefused(this.#id, why.kind, this.#nowMs());
     else this.#oracle.unknown += 1;
     this.#ended(why.kind, this.#nowMs(), '');
   }
@@ -51,7 +51,7 @@
     return;
   }
 
-  piece(bytes: Uint8Array): boolean {
+  write(bytes: Uint8Array): boolean {
     this.#firstMs ??= this.#nowMs();
     for (const event of Buffer.from(bytes).toString().split('\n\n')) {
       if (event === '' || event === 'data: [DONE]') continue;
@@ -70,7 +70,7 @@
     this.#oracle.piece(this.#id, piece, this.#nowMs());
   }
 
-  cut(): void {
+  abort(): void {
     this.#oracle.cuts += 1;
     this.#ended('cut', this.#firstMs, this.#worker);
   }
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -1,6 +1,6 @@
-import { pack, unpack, type Frame } from '@rainrun/messages';
-import type { RecordKind, Records, Vault } from '@rainrun/storage';
-import { fault, type Chance, type Fault } from '@rainrun/common';
+import { encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
+import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
+import { fault, type RandomSource, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
 interface Due {
@@ -85,7 +85,7 @@
  */
 export class Net {
   #time: VirtualTime;
-  #chance: Chance;
+  #chance: RandomSource;
   #lossRatio: number;
   #ports = new Map<string, { name: string; take: (frame: Frame) => void }>();
   #cuts = new Set<Cut>();
@@ -94,7 +94,7 @@
   frames = 0;
   bytes = 0;
 
-  constructor(time: VirtualTime, chance: Chance, lossRatio: number) {
+  constructor(time: VirtualTime, chance: RandomSource, lossRatio: number) {
     this.#time = time;
     this.#chance = chance;
     this.#lossRatio = lossRatio;
@@ -123,7 +123,7 @@
   }
 
   post(from: string, address: string, frame: Frame): void {
-    const bytes = pack(frame);
+    const bytes = encodeFrame(frame);
     this.frames += 1;
     this.tap?.(from, frame);
     this.bytes += bytes.length;
@@ -140,7 +140,7 @@
     const port = this.#ports.get(address);
     if (port === undefined) return;
     if (this.isCut(from, port.name)) return;
-    const frame = unpack(bytes, deployment);
+    const frame = decodeFrame(bytes, deployment);
     if (frame.isOk) port.take(frame.value);
   }
 }
@@ -156,9 +156,9 @@
  * const disk = new SimDisk(time, dice);
  * disk.store('promise', bytes, (result) => reply(result));
  */
-export class SimDisk implements Vault {
+export class SimDisk implements RecordWriter {
   #time: VirtualTime;
-  #chance: Chance;
+  #chance: RandomSource;
   #records: Records = {};
   /** What a loss of power may leave of a kind that was renamed and whose folder was not synced. */
   #unsynced = new Map<RecordKind, Uint8Array | undefined>();
@@ -172,7 +172,7 @@
   /** Called at each step of each write. */
   tap: ((step: DiskStep, kind: RecordKind) => void) | undefined;
 
-  constructor(time: VirtualTime, chance: Chance) {
+  constructor(time: VirtualTime, chance: RandomSource) {
     this.#time = time;
     this.#chance = chance;
   }
--- a/packages/storage/src/index.ts
+++ b/packages/storage/src/index.ts
@@ -8,7 +8,7 @@
 export type RecordKind = 'disk' | 'promise' | 'version';
 
 /** Where agreed state is kept; the simulator has one of its own. */
-export interface Vault {
+export interface RecordWriter {
   /** Stores one version of a record; `done` comes only after it is synced, in the order of the calls. */
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void;
 }
@@ -80,7 +80,7 @@
  * const opened = await RecordStore.open('/var/lib/rainrun');
  * if (opened.isOk) opened.value.recordStore.store('promise', bytes, (result) => reply(result));
  */
-export class RecordStore implements Vault {
+export class RecordStore implements RecordWriter {
   #folder: string;
   #numbers: Map<RecordKind, number[]>;
   #tail: Promise<void> = Promise.resolve();
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,4 +1,4 @@
-import { Dice } from '@rainrun/common';
+import { SeededRandom } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
 interface KindShape {
@@ -197,7 +197,7 @@
  * exampleSpec(SHAPES['vejsargs']);
  */
 export function exampleSpec(shape: Shape): Record<string, unknown> {
-  const dice = new Dice(shape.models);
+  const dice = new SeededRandom(shape.models);
   const models = Array.from({ length: shape.models }, (_, place) => ({
     name: `${shape.modelWord}-${place + 1}`,
     sizeMb: 4000 + Math.floor(dice.next() * 12) * 1000,
@@ -235,7 +235,7 @@
   };
 }
 
-function rare(dice: Dice, count: number): number {
+function rare(dice: SeededRandom, count: number): number {
   return Math.min(count - 1, Math.floor(count * dice.next() ** 2.5));
 }
 
@@ -245,7 +245,7 @@
  * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
 export function makeDay(shape: Shape, seconds: number, seed: number): string {
-  const dice = new Dice(seed);
+  const dice = new SeededRandom(seed);
   const spec = exampleSpec(shape) as { adapters: { name: string; model: string }[] };
   const calls: Call[] = [];
   for (const kind of shape.kinds) {
@@ -299,6 +299,6 @@
   return makeDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
 }
 
-function gapMs(dice: Dice, perS: number): number {
+function gapMs(dice: SeededRandom, perS: number): number {
   return (-Math.log(1 - dice.next()) / perS) * 1000;
 }
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -4,11 +4,11 @@
 import { tmpdir } from 'node:os';
 import { join, resolve } from 'node:path';
 import meow from 'meow';
-import { compare, LoadGenerator, type CrowdReport } from '@rainrun/load-generator';
+import { compare, LoadGenerator, type LoadReport } from '@rainrun/load-generator';
 import type { Report } from '@rainrun/stand-in-workers';
 import { tryEverywhere } from './everywhere.js';
 import { Fleet } from './fleet.js';
-import { tryManners } from './manners.js';
+import { tryManners } from './bad-requests.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
 import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
@@ -64,7 +64,7 @@
   return false;
 }
 
-function show(report: CrowdReport, workers: Report, breaches: readonly string[]): void {
+function show(report: LoadReport, workers: Report, breaches: readonly string[]): void {
   console.log('outcomes', JSON.stringify(report.outcomes));
   console.table(report.byKind);
   console.log('workers', JSON.stringify(workers.counts));
@@ -135,7 +135,7 @@
   shape: Shape,
   dayText: string,
   speed: number,
-  after: (report: CrowdReport) => Promise<string[]> = () => Promise.resolve([]),
+  after: (report: LoadReport) => Promise<string[]> = () => Promise.resolve([]),
 ): Promise<number> {
   const beganMs = performance.now();
   const closed = await open(fleet, shape);
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -1,5 +1,5 @@
 import { setTimeout as pause } from 'node:timers/promises';
-import type { LoadGenerator, CrowdReport, Seen } from '@rainrun/load-generator';
+import type { LoadGenerator, LoadReport, Seen } from '@rainrun/load-generator';
 import type { Fleet, FleetNode } from './fleet.js';
 import type { LinkCut, Relay } from './relay.js';
 
@@ -209,7 +209,7 @@
   }
 
   /** Answers lost although the stop was planned. */
-  lostInPlannedStops(report: CrowdReport): string[] {
+  lostInPlannedStops(report: LoadReport): string[] {
     const lost: string[] = [];
     for (const seen of report.seen) {
       if (seen.outcome !== 'cut' && seen.outcome !== 'no-answer') continue;
--- a/tools/load-generator/src/load-generator.ts
+++ b/tools/load-generator/src/load-generator.ts
@@ -16,7 +16,7 @@
 }
 
 /** What all clients saw in sum. */
-export interface CrowdReport {
+export interface LoadReport {
   readonly breaches: string[];
   readonly outcomes: Record<string, number>;
   readonly byKind: Record<string, KindReport>;
@@ -74,7 +74,7 @@
   }
 
   /** Plays calls at a speed; resolves when the last answer is in. */
-  async play(calls: readonly Call[], speed: number): Promise<CrowdReport> {
+  async play(calls: readonly Call[], speed: number): Promise<LoadReport> {
     const beganMs = performance.now();
     const running: Promise<void>[] = [];
     for (const [place, call] of calls.entries()) {
@@ -141,7 +141,7 @@
     });
   }
 
-  #report(): CrowdReport {
+  #report(): LoadReport {
     const outcomes: Record<string, number> = {};
     const byKind: Record<string, KindReport> = {};
     const times = new Map<string, number[]>();
--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -1,6 +1,11 @@
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 import type { Call } from '@rainrun/workloads';
-import { Placer, PLACE_SETTINGS, type ModelDemand, type PlaceWorker } from '@rainrun/placement';
+import {
+  SpecPlacer,
+  SPEC_PLACER_SETTINGS,
+  type SpecModelDemand,
+  type SpecPlacerWorker,
+} from '@rainrun/placement';
 
 /** A worker of the platform's list, as far as a survey needs it. */
 export interface ListedWorker {
@@ -38,9 +43,9 @@
 
 type Placement = ReadonlyMap<string, readonly HoldingTarget[]>;
 
-function demandOf(calls: readonly Call[]): Map<string, ModelDemand> {
+function demandOf(calls: readonly Call[]): Map<string, SpecModelDemand> {
   const seconds = Math.max(1, (calls.at(-1)?.atMs ?? 0) / 1000);
-  const demands = new Map<string, ModelDemand>();
+  const demands = new Map<string, SpecModelDemand>();
   for (const { model, adapter } of calls) {
     if (model === '') continue;
     const demand = demands.get(model) ?? { arrivalsPerS: 0, backlog: 0, adapters: new Map<string, number>() };
@@ -54,10 +59,10 @@
 /** Steps of the placer itself until it rests. */
 function settle(
   spec: Spec,
-  workers: readonly PlaceWorker[],
-  demands: ReadonlyMap<string, ModelDemand>,
+  workers: readonly SpecPlacerWorker[],
+  demands: ReadonlyMap<string, SpecModelDemand>,
 ): Placement {
-  const placer = new Placer(PLACE_SETTINGS);
+  const placer = new SpecPlacer(SPEC_PLACER_SETTINGS);
   const placement = new Map<string, readonly HoldingTarget[]>(
     workers.map((worker) => [worker.name, worker.holdings]),
   );
@@ -81,7 +86,7 @@
 }
 
 /** Names of what is asked for: models, and adapters as `model/adapter`. */
-function askedParts(demands: ReadonlyMap<string, ModelDemand>): string[] {
+function askedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
   return [...demands].flatMap(([model, { adapters }]) => [
     model,
     ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
@@ -95,7 +100,7 @@
   ]);
 }
 
-function emptyWorkers(spec: Spec, listed: readonly ListedWorker[]): PlaceWorker[] {
+function emptyWorkers(spec: Spec, listed: readonly ListedWorker[]): SpecPlacerWorker[] {
   return listed
     .filter((worker) => worker.kind === 'model')
     .map(({ name, zone }) => {
@@ -115,8 +120,8 @@
 /** What holds for every finding of one survey. */
 interface SurveyBase {
   readonly spec: Spec;
-  readonly workers: readonly PlaceWorker[];
-  readonly demands: ReadonlyMap<string, ModelDemand>;
+  readonly workers: readonly SpecPlacerWorker[];
+  readonly demands: ReadonlyMap<string, SpecModelDemand>;
   /** Known parts that are asked for. */
   readonly wanted: readonly string[];
   readonly coreZones: readonly string[];
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -4,7 +4,7 @@
 import { request } from 'undici';
 import { LoadGenerator, type Seen } from '@rainrun/load-generator';
 import { readSpec, specFaultText } from '@rainrun/configuration';
-import { playMatinee } from '@rainrun/simulator';
+import { replayDay } from '@rainrun/simulator';
 import { readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
 import { differences, type Replayed } from './compare.js';
 
@@ -85,7 +85,7 @@
     if (spec.isErr) usage(`${cli.flags.spec}: ${specFaultText(spec.error)}`);
     options = { ...options, spec: spec.value };
   }
-  const { seen, breaches } = playMatinee(shape, calls, options);
+  const { seen, breaches } = replayDay(shape, calls, options);
   const replayed = seen.map(({ call, outcome, firstPieceMs, worker }): Replayed => ({
     seen: { call, outcome, firstPieceMs, id: '', ran: 'maybe', wholeMs: 0, beganMs: call.atMs, edge: '' },
     worker: worker === '' ? undefined : worker,
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -1,6 +1,6 @@
 import type { Dialect, ListPage, OperatorCall, SystemSettings } from '@rainrun/runtime/system';
 import { fault, type Fault } from '@rainrun/common';
-import type { Holdings, ReportReply, StockOrder, StockReply } from '@rainrun/placement';
+import type { Holdings, ReportReply, WorkerOrder, WorkerOrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
@@ -70,7 +70,12 @@
     if (!parsed.success) return Result.err<ListPage, Fault>(fault('wire', parsed.issues[0].message));
     return Result.ok<ListPage, Fault>({
       next: undefined,
-      workers: parsed.output.workers.map((entry) => ({ ...entry, models: holdingsOf(entry.models) })),
+      workers: parsed.output.workers.map(({ leaving, coldMs, ...entry }) => ({
+        ...entry,
+        draining: leaving,
+        warmUpMs: coldMs,
+        models: holdingsOf(entry.models),
+      })),
     });
   });
 }
@@ -91,7 +96,7 @@
   });
 }
 
-function readOrderReply(status: number): StockReply {
+function readOrderReply(status: number): WorkerOrderReply {
   if (status === 200) return 'held';
   if (status === 202) return 'begun';
   return status === 409 ? 'busy' : 'refused';
@@ -99,7 +104,7 @@
 
 /** The words of the stand-in: the project's own, as no platform is met here. */
 export const DIALECT: Dialect = {
-  doorWords: {
+  clientHeaderNames: {
     requestId: 'x-request',
     deadlineMs: 'x-deadline',
     model: 'x-model',
@@ -107,7 +112,7 @@
     tokens: 'x-tokens',
     lastEventId: 'last-event-id',
   },
-  wireWords: {
+  workerHeaderNames: {
     requestId: 'x-request',
     deadlineMs: 'x-deadline',
     lastEventId: 'last-event-id',
@@ -129,6 +134,6 @@
   listPath: () => PATHS.list,
   readPage,
   readReport,
-  writeOrder: (order: StockOrder, holder: string) => JSON.stringify({ ...order, holder }),
+  writeOrder: (order: WorkerOrder, holder: string) => JSON.stringify({ ...order, holder }),
   readOrderReply,
 };
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -1,4 +1,4 @@
-import { Balancer, type Passage } from '@rainrun/router';
+import { Balancer, type RoutedRequest } from '@rainrun/router';
 import { HollowEdge, Notes, type Held } from './hollow.js';
 import { answerParent, sharedMs } from './ipc.js';
 import { adapterName, heldModels, modelName, regionOf, SERVICE, type Size } from './site.js';
@@ -100,7 +100,7 @@
       service: { name: SERVICE, connections: 640, warmupPerS: 0 },
       route: {},
       avoided: new Set(),
-    } as unknown as Passage;
+    } as unknown as RoutedRequest;
     balancer.choose(passage, workers.values());
   }
   const { user, system } = process.cpuUsage(began);
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -1,7 +1,7 @@
 import { create } from '@bufbuild/protobuf';
-import { WantSchema, type Frame, type Want, type WorkerRow } from '@rainrun/messages';
-import { Follower } from '@rainrun/cluster-node';
-import { Wire } from '@rainrun/runtime';
+import { ModelDemandSchema, type Frame, type ModelDemand, type WorkerRow } from '@rainrun/messages';
+import { EdgeReplica } from '@rainrun/cluster-node';
+import { PeerTransport } from '@rainrun/runtime';
 import { sharedMs } from './ipc.js';
 import { adapterName, heldModels, modelName, SERVICE, SLOTS, zoneOf, type Size } from './site.js';
 
@@ -78,7 +78,7 @@
 
 /** A wire that listens already, and who takes its frames: known only once the port is. */
 interface Door {
-  readonly wire: Wire;
+  readonly wire: PeerTransport;
   take: (frame: Frame) => void;
 }
 
@@ -93,8 +93,8 @@
  * own, that says what an edge with so many models in use would say.
  */
 export class HollowEdge {
-  #wire: Wire;
-  #follower: Follower;
+  #wire: PeerTransport;
+  #follower: EdgeReplica;
   #notes: () => Notes;
   #leader = '';
   #leaderIncarnation = '';
@@ -105,7 +105,7 @@
   #revision = 0;
   #bytesIn = 0;
   #joinedMs: number | undefined;
-  #usual: Want[];
+  #usual: ModelDemand[];
   #asks: Ask[] = [];
   #cut = false;
   /** Whether it keeps the rows that it is told; otherwise one stands for all. */
@@ -125,7 +125,7 @@
     this.#whole = whole;
     this.#notes = notes;
     this.#usual = usualWants(place, size);
-    this.#follower = new Follower({
+    this.#follower = new EdgeReplica({
       name: `hollow-${place}`,
       zone: zoneOf(place),
       address: `${host}:${door.wire.port}`,
@@ -133,9 +133,9 @@
       seeds,
       clock: { nowMs: () => performance.now() },
       chance: { next: () => Math.random() },
-      post: (address, frame) => this.#post(address, frame),
+      send: (address, frame) => this.#post(address, frame),
       outcomes: () => [],
-      wants: () => this.#wants(),
+      demands: () => this.#wants(),
       changed: (what) => this.#changed(what, bornMs),
     });
     door.take = (frame) => this.#take(frame);
@@ -150,12 +150,15 @@
     whole: boolean,
     notes: () => Notes,
   ): Promise<HollowEdge> {
-    const door: Door = { wire: new Wire('system', (frame) => door.take(frame)), take: () => undefined };
+    const door: Door = {
+      wire: new PeerTransport('system', (frame) => door.take(frame)),
+      take: () => undefined,
+    };
     await door.wire.listen(`${host}:0`);
     return new HollowEdge(place, size, host, seeds, whole, door, notes);
   }
 
-  get follower(): Follower {
+  get follower(): EdgeReplica {
     return this.#follower;
   }
 
@@ -178,7 +181,7 @@
 
   ask(model: string, adapter: string): void {
     this.#asks.push({ model, adapter, sinceMs: sharedMs() });
-    this.#follower.haste();
+    this.#follower.requestUpdateSoon();
     setTimeout(() => this.#follower.tick(), HASTE_MS);
   }
 
@@ -200,13 +203,13 @@
     setTimeout(() => this.#wire.close(), 50);
   }
 
-  #wants(): Want[] {
+  #wants(): ModelDemand[] {
     const nowMs = sharedMs();
     this.#asks = this.#asks.filter((ask) => nowMs - ask.sinceMs < WANT_AGAIN_MS);
     return [
       ...this.#usual,
       ...this.#asks.map(({ model, adapter }) =>
-        create(WantSchema, { service: SERVICE, model, adapter, waiting: 1, perS: 0.2 }),
+        create(ModelDemandSchema, { service: SERVICE, model, adapter, waiting: 1, perS: 0.2 }),
       ),
     ];
   }
@@ -228,13 +231,17 @@
   #take(frame: Frame): void {
     const bytes = this.#wire.counts.bytesIn - this.#bytesIn;
     this.#bytesIn = this.#wire.counts.bytesIn;
-    if (this.#cut || frame.body.case !== 'tell') return;
+    if (this.#cut || frame.body.case !== 'stateUpdate') return;
     const tell = frame.body.value;
     const notes = this.#notes();
-    if (tell.granted && tell.leader !== undefined && tell.leader.incarnation !== this.#leaderIncarnation) {
-      this.#leaderIncarnation = tell.leader.incarnation;
-      this.#leader = tell.leader.address;
-      notes.note(notes.leaders, tell.leader.incarnation);
+    if (
+      tell.hasLease &&
+      tell.coordinator !== undefined &&
+      tell.coordinator.incarnation !== this.#leaderIncarnation
+    ) {
+      this.#leaderIncarnation = tell.coordinator.incarnation;
+      this.#leader = tell.coordinator.address;
+      notes.note(notes.leaders, tell.coordinator.incarnation);
     }
     const traffic = this.#traffic(frame.from === this.#leaderIncarnation);
     traffic.tells += 1;
@@ -244,7 +251,7 @@
       traffic.states += 1;
       traffic.stateBytes += stateBytes;
     }
-    if (tell.whole) {
+    if (tell.snapshot) {
       traffic.wholes += 1;
       traffic.wholeBytes += bytes - stateBytes;
     } else if (tell.rows.length > 0) {
@@ -252,13 +259,13 @@
       traffic.rows += tell.rows.length;
       traffic.changeBytes += bytes - tell.state.length;
     }
-    if (tell.table !== '') {
-      if (tell.table !== this.#table) {
-        this.#table = tell.table;
+    if (tell.tableId !== '') {
+      if (tell.tableId !== this.#table) {
+        this.#table = tell.tableId;
         this.#gone = 0;
-        notes.note(notes.tables, tell.table);
+        notes.note(notes.tables, tell.tableId);
       }
-      this.#row = tell.row;
+      this.#row = tell.tableRow;
     }
     const { rows } = tell;
     if (!this.#whole) tell.rows = rows.slice(0, 1);
@@ -268,7 +275,7 @@
 
   #noteRows(rows: readonly WorkerRow[]): void {
     const notes = this.#notes();
-    const gone = rows.filter((row) => row.gone).length;
+    const gone = rows.filter((row) => row.removed).length;
     if (gone > 0) {
       this.#gone += gone;
       notes.note(notes.gone, this.#gone);
@@ -277,7 +284,7 @@
     const nowMs = sharedMs();
     this.#asks = this.#asks.filter(({ model, adapter, sinceMs }) => {
       const held = rows.some((row) =>
-        row.holdings.some(
+        row.loadedModels.some(
           (holding) => holding.model === model && (adapter === '' || holding.adapters.includes(adapter)),
         ),
       );
@@ -309,14 +316,14 @@
 const IN_USE = 0.1;
 
 /** What an edge asks for all the time: models and adapters that stand already, so much under way that the workers bear it. */
-function usualWants(place: number, size: Size): Want[] {
+function usualWants(place: number, size: Size): ModelDemand[] {
   const held = heldModels(size);
   const part = Math.min(1, (IN_USE * SLOTS * size.rows) / (size.nodes * Math.max(1, size.asked)));
   return Array.from({ length: size.asked }, (_, nth) => {
     const model = (place * 7 + nth) % held;
     const turn = place * size.asked + nth;
     const inFlight = Math.floor((turn + 1) * part) - Math.floor(turn * part);
-    return create(WantSchema, {
+    return create(ModelDemandSchema, {
       service: SERVICE,
       model: modelName(model),
       adapter: adapterName(model),
