--- /dev/null
+++ b/packages/compatibility/src/golden-files.ts
@@ -0,0 +1,40 @@
+/** Access to the golden fixtures in the folder `fixtures` of this package. */
+import { mkdir, readFile, writeFile } from 'node:fs/promises';
+import { dirname } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { format, resolveConfig } from 'prettier';
+
+const FIXTURES = new URL('../fixtures/', import.meta.url);
+
+/** The path of a fixture. */
+export function fixturePath(name: string): string {
+  return fileURLToPath(new URL(name, FIXTURES));
+}
+
+/** Reads a fixture that is a text. */
+export function readGoldenText(name: string): Promise<string> {
+  return readFile(fixturePath(name), 'utf8');
+}
+
+/** Reads a fixture that is a JSON value. */
+export async function readGolden(name: string): Promise<unknown> {
+  return JSON.parse(await readGoldenText(name)) as unknown;
+}
+
+/** Writes a text as a fixture. */
+export async function writeGoldenText(name: string, text: string): Promise<void> {
+  const path = fixturePath(name);
+  await mkdir(dirname(path), { recursive: true });
+  await writeFile(path, text);
+}
+
+/** Writes a value as a fixture, formatted like every JSON file of the repository. */
+export async function writeGolden(name: string, value: unknown): Promise<void> {
+  const options = await resolveConfig(fixturePath(name));
+  await writeGoldenText(name, await format(JSON.stringify(value), { ...options, parser: 'json' }));
+}
+
+/** A value as it comes back from a JSON file, to compare it with a golden. */
+export function asJson(value: unknown): unknown {
+  return JSON.parse(JSON.stringify(value)) as unknown;
+}
--- /dev/null
+++ b/packages/compatibility/src/write-fixtures.ts
@@ -0,0 +1,26 @@
+/**
+ * Writes the golden fixtures anew: `npm run fixtures -w @rainrun/compatibility -- wire`.
+ * The fixtures prove that a later build reads and writes what an earlier one
+ * did, so this is run only when a format is added to on purpose; then the
+ * difference of the fixtures is part of the review. No test and no build runs it.
+ */
+import { messageSamples } from './message-samples.js';
+import { writeGolden } from './golden-files.js';
+import { schemaShape } from './wire-schema.js';
+
+async function writeWire(): Promise<void> {
+  await writeGolden('wire/schema.json', schemaShape());
+  await writeGolden('wire/messages.json', messageSamples());
+}
+
+const WRITERS: Readonly<Record<string, () => Promise<void>>> = {
+  wire: writeWire,
+};
+
+const asked = process.argv.slice(2);
+const known = Object.keys(WRITERS).join(', ');
+if (asked.length === 0 || asked.some((name) => WRITERS[name] === undefined)) {
+  console.error(`usage: write-fixtures NAME...; fixtures: ${known}`);
+  process.exit(2);
+}
+for (const name of asked) await WRITERS[name]?.();
