--- /dev/null
+++ b/packages/compatibility/src/core-replica-script.ts
@@ -0,0 +1,124 @@
+/** What happens to the cores of a deployment whose data folders are fixtures. */
+import { CoreReplica, coreStatus } from '@rainrun/cluster-node';
+import { FOUNDERS, ScriptedGroup, SEEDS, type CommonDependencies } from './scripted-group.js';
+
+const FOUNDING_MS = 6000;
+const ANSWER_MS = 1000;
+const REPLACING_MS = 60_000;
+
+const ROUTE = {
+  name: 'answers',
+  host: 'answers.example',
+  prefix: '/',
+  kind: 'streaming',
+  service: 'answers',
+  timeoutMs: 5000,
+};
+const DOCUMENT = {
+  revision: 3,
+  routes: [ROUTE],
+  services: [{ name: 'answers', engine: { slots: 4, models: [{ name: 'model-1', sizeMb: 500 }] } }],
+  limits: { idleMs: 9000 },
+  note: { kept: true, text: 'ünïcode' },
+};
+
+/** The operations, in this order; each takes effect or is refused. */
+const OPERATIONS: readonly (readonly [kind: string, payload: object])[] = [
+  ['configuration.put', { base: 0, document: DOCUMENT }],
+  [
+    'configuration.patch',
+    { base: 3, patch: { revision: 5, set: { routes: [{ ...ROUTE, name: 'more', prefix: '/more' }] } } },
+  ],
+  ['configuration.put', { base: 3, document: { ...DOCUMENT, revision: 6 } }],
+  ['configuration.patch', { base: 5, patch: { revision: 8, drop: { routes: ['answers'] } } }],
+  ['zone.evacuate', { zone: 'north' }],
+  ['zone.evacuate', { zone: 'inland' }],
+  ['zone.return', { zone: 'inland', seen: 5 }],
+];
+
+type CoreGroup = ScriptedGroup<CoreReplica>;
+
+/** A group of cores that has no member yet. */
+export function newCoreGroup(seed: number): CoreGroup {
+  return new ScriptedGroup('system', seed, makeCore);
+}
+
+function makeCore(common: CommonDependencies): CoreReplica {
+  return new CoreReplica({
+    ...common,
+    order: () => undefined,
+    report: () => undefined,
+    changed: () => undefined,
+    reborn: () => undefined,
+    refused: (why) => {
+      throw new Error(why);
+    },
+    decided: () => undefined,
+  });
+}
+
+/** Three cores that founded a deployment and took operations. */
+export function settledCores(): CoreGroup {
+  const group = newCoreGroup(SEEDS.first);
+  for (const name of FOUNDERS) group.add(name, {});
+  group.run(FOUNDING_MS);
+  for (const [kind, payload] of OPERATIONS) submit(group, kind, payload);
+  return group;
+}
+
+/** The same, once a lost core is just being replaced as a voter by a new one. */
+export function coresReplacingVoter(): CoreGroup {
+  const group = settledCores();
+  group.kill('core-3');
+  group.add('core-4', {});
+  group.runUntil(
+    () => group.cores.every(({ acceptor }) => (acceptor.accepted?.state?.votersBefore ?? []).length > 0),
+    REPLACING_MS,
+  );
+  return group;
+}
+
+/** Submits an operation at the coordinator and gives its answer. */
+function submit(group: CoreGroup, kind: string, payload: object): string {
+  let outcome = '';
+  group.leader.submit(kind, payload, (answer) => {
+    outcome = `${answer.kind}: ${answer.detail}`;
+  });
+  group.runUntil(() => outcome !== '', ANSWER_MS);
+  group.run(ANSWER_MS);
+  return outcome;
+}
+
+/** Operations that show what is remembered: one that was taken before, one that is late, a new one. */
+const LATER_OPERATIONS: readonly (readonly [kind: string, payload: object])[] = [
+  ['configuration.patch', { base: 5, patch: { revision: 8, drop: { routes: ['answers'] } } }],
+  ['zone.return', { zone: 'inland', seen: 4 }],
+  ['zone.evacuate', { zone: 'inland', seen: 4 }],
+  ['zone.return', { zone: 'north', seen: 6 }],
+];
+
+/** What cores know that were started again, and how they go on from it. */
+export function stateOfCores(group: CoreGroup): unknown {
+  group.run(FOUNDING_MS);
+  const { state, group: agreed } = group.leader;
+  return {
+    status: coreStatus(group.leader),
+    deployment: [state.edition, state.revision, state.evacuated, state.zones, state.document],
+    taken: [
+      state.taken.forgottenRevision,
+      state.taken.changes.map(({ revision, digest }) => [revision, digest]),
+    ],
+    answers: (agreed.held?.answers ?? []).map(({ id, kind, detail, number, clockMs, brief }) => [
+      id,
+      kind,
+      detail,
+      number,
+      clockMs,
+      brief,
+    ]),
+    clockMs: agreed.held?.clockMs,
+    level: agreed.held?.level,
+    later: LATER_OPERATIONS.map(([kind, payload]) => submit(group, kind, payload)),
+    evacuated: group.leader.state.evacuated,
+  };
+}
--- /dev/null
+++ b/packages/compatibility/src/data-folder.test.ts
@@ -0,0 +1,27 @@
+/**
+ * Data folders of an earlier build still open, say the same and are written the
+ * same: the fixtures were written by the build of commit ff944b4.
+ */
+import { readdir } from 'node:fs/promises';
+import { join } from 'node:path';
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { DATA_FOLDER_FIXTURES, folderOf } from './data-folder-fixtures.js';
+import { contentOf } from './data-folders.js';
+import { readGolden } from './golden-files.js';
+
+for (const { name, story, read, write } of DATA_FOLDER_FIXTURES)
+  describe(`given the data folders of ${story}`, () => {
+    it('when cores start on copies of them, then they read the same, agree on the same state and go on from it', async () => {
+      expect(await read()).toEqual(await readGolden(`data-folders/${name}.json`));
+    });
+
+    it('when the same happens to cores of this build, then they write the same files byte for byte', async () => {
+      const folder = folderOf(name);
+      const cores = (await readdir(folder)).sort();
+      const files = await Promise.all(
+        cores.map(async (core) => [core, await contentOf(join(folder, core))] as const),
+      );
+      expect(await write()).toEqual(Object.fromEntries(files));
+    });
+  });
--- a/packages/compatibility/src/golden-files.ts
+++ b/packages/compatibility/src/golden-files.ts
@@ -21,17 +21,17 @@
   return JSON.parse(await readGoldenText(name)) as unknown;
 }
 
-/** Writes a text as a fixture. */
-export async function writeGoldenText(name: string, text: string): Promise<void> {
+/** Writes bytes, or a text, as a fixture. */
+export async function writeGoldenBytes(name: string, content: Uint8Array | string): Promise<void> {
   const path = fixturePath(name);
   await mkdir(dirname(path), { recursive: true });
-  await writeFile(path, text);
+  await writeFile(path, content);
 }
 
 /** Writes a value as a fixture, formatted like every JSON file of the repository. */
 export async function writeGolden(name: string, value: unknown): Promise<void> {
   const options = await resolveConfig(fixturePath(name));
-  await writeGoldenText(name, await format(JSON.stringify(value), { ...options, parser: 'json' }));
+  await writeGoldenBytes(name, await format(JSON.stringify(value), { ...options, parser: 'json' }));
 }
 
 /** A value as it comes back from a JSON file, to compare it with a golden. */
--- /dev/null
+++ b/packages/compatibility/src/scripted-group.ts
@@ -0,0 +1,186 @@
+/**
+ * A group of cores in one process, with time, chance, network and disks that
+ * are the same in every run: what they write is the same byte for byte as long
+ * as neither the formats nor the behaviour change.
+ */
+import type { Chance, Clock, Fault } from '@rainrun/common';
+import { pack, SPEAKS, unpack, type Frame } from '@rainrun/messages';
+import { Acceptor, GROUP_TIMES, readRecords } from '@rainrun/process-group';
+import type { RecordKind, Records, Vault } from '@rainrun/storage';
+import { Result, type Unit } from 'true-myth';
+
+const TICK_MS = 20;
+const VOTERS_WANTED = 3;
+const MODULUS = 2_147_483_647;
+const MULTIPLIER = 16_807;
+
+/** The names of the cores that found a group. */
+export const FOUNDERS = ['core-1', 'core-2', 'core-3'] as const;
+
+/** Where the cores stand. */
+const ZONES: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
+const OTHER_ZONE = 'north';
+
+/** The chance of the first run of a group, and of a run after all its cores were stopped. */
+export const SEEDS = { first: 7, again: 8 } as const;
+
+/** One record that a core wrote. */
+export interface WrittenRecord {
+  readonly kind: RecordKind;
+  readonly bytes: Uint8Array;
+}
+
+/** A disk in memory that syncs at once and remembers every write in its order. */
+class MemoryVault implements Vault {
+  readonly written: WrittenRecord[] = [];
+
+  store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
+    this.written.push({ kind, bytes });
+    done(Result.ok());
+  }
+}
+
+/** Chance by the generator of Park and Miller. */
+class ScriptedChance implements Chance {
+  #state: number;
+
+  constructor(seed: number) {
+    this.#state = seed;
+  }
+
+  next(): number {
+    this.#state = (this.#state * MULTIPLIER) % MODULUS;
+    return this.#state / MODULUS;
+  }
+}
+
+/** What the script needs of a node. */
+export interface ScriptedNode {
+  readonly group: { readonly leading: boolean; granted(): boolean };
+  receive(frame: Frame): void;
+  tick(): void;
+}
+
+/** What every node of the group is given alike. */
+export interface CommonDependencies {
+  readonly name: string;
+  readonly address: string;
+  readonly zone: string;
+  readonly deployment: string;
+  readonly seeds: readonly string[];
+  readonly founders: readonly string[];
+  readonly votersWanted: number;
+  readonly clock: Clock;
+  readonly chance: Chance;
+  readonly times: typeof GROUP_TIMES;
+  readonly acceptor: Acceptor;
+  readonly speaks: typeof SPEAKS;
+  post(address: string, frame: Frame): void;
+}
+
+/** One core of the group, with its disk. */
+export interface ScriptedCore<N> {
+  readonly name: string;
+  readonly node: N;
+  readonly acceptor: Acceptor;
+  /** What it wrote so far, in this order. */
+  readonly written: readonly WrittenRecord[];
+}
+
+/** Ends a run on what must not happen in it. */
+export function fail(why: Fault): never {
+  throw new Error(`${why.kind}: ${why.detail}`);
+}
+
+/**
+ * The group: nodes are added, time is run, frames go through their binary form.
+ * @example
+ * const group = new ScriptedGroup('system', SEEDS.first, (common) => new CoreReplica({ ...common, ...rest }));
+ * group.add('core-1', {});
+ * group.run(5000);
+ */
+export class ScriptedGroup<N extends ScriptedNode> {
+  #deployment: string;
+  #makeNode: (common: CommonDependencies) => N;
+  #nowMs = 0;
+  #chance: Chance;
+  #cores = new Map<string, ScriptedCore<N>>();
+  #inFlight: { readonly address: string; readonly bytes: Uint8Array }[] = [];
+
+  constructor(deployment: string, seed: number, makeNode: (common: CommonDependencies) => N) {
+    this.#chance = new ScriptedChance(seed);
+    this.#deployment = deployment;
+    this.#makeNode = makeNode;
+  }
+
+  /** The cores that run, by the order in which they were added. */
+  get cores(): ScriptedCore<N>[] {
+    return [...this.#cores.values()];
+  }
+
+  /** The core that coordinates and reaches a majority. */
+  get leader(): N {
+    const found = this.cores.find(({ node }) => node.group.leading && node.group.granted());
+    if (found === undefined) throw new Error('no core coordinates');
+    return found.node;
+  }
+
+  /** Starts a core on a disk with these records. */
+  add(name: string, records: Records): void {
+    const vault = new MemoryVault();
+    const opening = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
+    const acceptor = new Acceptor(opening, vault, this.#deployment, fail);
+    if (records.disk === undefined) acceptor.mark();
+    const node = this.#makeNode({
+      name,
+      address: addressOf(name),
+      zone: ZONES[name] ?? OTHER_ZONE,
+      deployment: this.#deployment,
+      seeds: FOUNDERS.map(addressOf),
+      founders: FOUNDERS,
+      votersWanted: VOTERS_WANTED,
+      clock: { nowMs: () => this.#nowMs },
+      chance: this.#chance,
+      times: GROUP_TIMES,
+      acceptor,
+      speaks: SPEAKS,
+      post: (address, frame) => void this.#inFlight.push({ address, bytes: pack(frame) }),
+    });
+    this.#cores.set(addressOf(name), { name, node, acceptor, written: vault.written });
+  }
+
+  /** Ends a core without a word. */
+  kill(name: string): void {
+    this.#cores.delete(addressOf(name));
+  }
+
+  /** Runs for this time. */
+  run(forMs: number): void {
+    for (const endMs = this.#nowMs + forMs; this.#nowMs < endMs;) this.#step();
+  }
+
+  /** Runs until something is so, and fails where that takes too long. */
+  runUntil(isSo: () => boolean, atMostMs: number): void {
+    const endMs = this.#nowMs + atMostMs;
+    while (!isSo()) {
+      if (this.#nowMs >= endMs) throw new Error(`not so after ${atMostMs} ms`);
+      this.#step();
+    }
+  }
+
+  #step(): void {
+    this.#nowMs += TICK_MS;
+    const arriving = this.#inFlight;
+    this.#inFlight = [];
+    for (const { address, bytes } of arriving) {
+      const read = unpack(bytes, this.#deployment);
+      if (read.isErr) fail(read.error);
+      else this.#cores.get(address)?.node.receive(read.value);
+    }
+    for (const { node } of this.#cores.values()) node.tick();
+  }
+}
+
+function addressOf(name: string): string {
+  return `10.0.0.${name.slice(name.lastIndexOf('-') + 1)}:7600`;
+}
--- a/packages/compatibility/src/write-fixtures.ts
+++ b/packages/compatibility/src/write-fixtures.ts
@@ -4,8 +4,11 @@
  * did, so this is run only when a format is added to on purpose; then the
  * difference of the fixtures is part of the review. No test and no build runs it.
  */
+import { rm } from 'node:fs/promises';
+import { join } from 'node:path';
+import { DATA_FOLDER_FIXTURES, folderOf } from './data-folder-fixtures.js';
 import { messageSamples } from './message-samples.js';
-import { writeGolden } from './golden-files.js';
+import { writeGolden, writeGoldenBytes } from './golden-files.js';
 import { schemaShape } from './wire-schema.js';
 
 async function writeWire(): Promise<void> {
@@ -13,8 +16,19 @@
   await writeGolden('wire/messages.json', messageSamples());
 }
 
+async function writeDataFolders(): Promise<void> {
+  for (const { name, read, write } of DATA_FOLDER_FIXTURES) {
+    await rm(folderOf(name), { recursive: true, force: true });
+    for (const [core, files] of Object.entries(await write()))
+      for (const [file, base64] of Object.entries(files))
+        await writeGoldenBytes(join('data-folders', name, core, file), Buffer.from(base64, 'base64'));
+    await writeGolden(`data-folders/${name}.json`, await read());
+  }
+}
+
 const WRITERS: Readonly<Record<string, () => Promise<void>>> = {
   wire: writeWire,
+  'data-folders': writeDataFolders,
 };
 
 const asked = process.argv.slice(2);
