--- /dev/null
+++ b/packages/compatibility/src/http-samples.ts
@@ -0,0 +1,369 @@
+/** What goes over HTTP: names of headers and paths, bodies, and the answers to faults. */
+import { IncomingMessage, ServerResponse } from 'node:http';
+import { Socket } from 'node:net';
+import { OperatorService, type CoreStatus, type OperatorReply } from '@rainrun/cluster-node';
+import { EMPTY_DEPLOYMENT } from '@rainrun/configuration';
+import { ANSWERS, fault, isFaultKind, type Chance, type FaultKind } from '@rainrun/common';
+import type { Ask, Gateway, VisitorPort } from '@rainrun/gateway';
+import { DIALECT } from '@rainrun/platform/dist/dialect.js';
+import { HEADERS, PATHS } from '@rainrun/platform/dist/names.js';
+import type { StockReply } from '@rainrun/placement';
+import { visit } from '@rainrun/runtime';
+import { Result } from 'true-myth';
+
+/** In the order of their names: the order of the table is not public. */
+const KINDS = Object.keys(ANSWERS).filter(isFaultKind).sort();
+
+/** Every kind of fault, with its status, whether the work may have run, and when to come back. */
+export function faultAnswers(): unknown {
+  return KINDS.map((kind) => {
+    const { status, ran, retryAfterS } = ANSWERS[kind];
+    const onPlatform = DIALECT.statusOf(fault(kind, 'detail')) ?? status;
+    return [kind, status, ran, retryAfterS, onPlatform];
+  });
+}
+
+/** Headers and paths that a platform knows; the words on the left are this test's own. */
+export function platformNames(): unknown {
+  const { doorWords, wireWords } = DIALECT;
+  return {
+    client: [
+      doorWords.requestId,
+      doorWords.deadlineMs,
+      doorWords.model,
+      doorWords.prefix,
+      doorWords.tokens,
+      doorWords.lastEventId,
+    ],
+    worker: [
+      wireWords.requestId,
+      wireWords.deadlineMs,
+      wireWords.lastEventId,
+      wireWords.signature,
+      wireWords.expectInstance,
+      wireWords.notRun,
+      wireWords.priority,
+    ],
+    paths: [DIALECT.readinessPath, DIALECT.orderPath, DIALECT.reportPath, DIALECT.listPath(undefined)],
+    nextPage: DIALECT.listPath('a b/c'),
+    allHeaders: Object.values(HEADERS),
+    allPaths: Object.values(PATHS),
+  };
+}
+
+const THEIR_ROUTE = {
+  Name: 'answers',
+  Hostname: 'answers.example',
+  PathPrefix: '/v1/',
+  Type: 'streaming',
+  TimeoutMs: 5001,
+  TargetLatencyMs: 802,
+  TargetGapMs: 43,
+  Priority: 4,
+  Backend: 'one',
+  TrafficSplit: [
+    { Backend: 'one', Weight: 3 },
+    { Backend: 'two', Weight: 1 },
+  ],
+  MaxAttempts: 2,
+  SessionAffinity: true,
+  Resumable: true,
+  AllowedRegions: ['west'],
+  RatePerS: 17,
+};
+
+const THEIR_BACKEND = {
+  Name: 'one',
+  HealthCheck: '/healthy',
+  MaxConnections: 12,
+  Protocol: 'http1',
+  Tls: false,
+  WarmupS: 13,
+  WarmupPerS: 14,
+  Runtime: {
+    Capacity: 5,
+    KvCapacityTokens: 1600,
+    KvTokenBytes: 17,
+    NetworkMbps: 1800,
+    Stride: 19,
+    Models: [{ Name: 'model-1', WeightsMb: 500, LoadTimeS: 21, Adapters: 22, AdapterSizeMb: 23 }],
+    WeightsMb: 2400,
+    AdapterCapacity: 25,
+    LoadPerS: 26,
+  },
+};
+
+/** A configuration with every name that there is, in the platform's terms. */
+const THEIR_DOCUMENT = {
+  Revision: 7,
+  Routes: [THEIR_ROUTE],
+  Backends: [THEIR_BACKEND, { Name: 'two' }],
+  Limits: { MaxHeaderBytes: 8001, MaxBodyBytes: 9002, HeaderTimeoutMs: 3003, IdleTimeoutMs: 4004 },
+  NotKnown: { Kept: true },
+};
+
+const THEIR_PATCH = {
+  Revision: 8,
+  Upsert: { Routes: [THEIR_ROUTE], Backends: [THEIR_BACKEND], Limits: THEIR_DOCUMENT.Limits },
+  Remove: { Routes: ['old'], Backends: ['older'] },
+};
+
+type Call = readonly [method: string, path: string, headers: Record<string, string>, body: string];
+
+const CALLS: readonly Call[] = [
+  ['GET', '/rainrun/configuration', {}, ''],
+  ['PUT', '/rainrun/configuration', { 'if-match': '6' }, JSON.stringify(THEIR_DOCUMENT)],
+  ['PUT', '/rainrun/configuration', {}, JSON.stringify(THEIR_DOCUMENT)],
+  ['PATCH', '/rainrun/configuration', { 'if-match': '"7"' }, JSON.stringify(THEIR_PATCH)],
+  ['PUT', '/rainrun/configuration', { 'if-match': 'x' }, '{}'],
+  ['PUT', '/rainrun/configuration', {}, '[]'],
+  ['PUT', '/rainrun/configuration', {}, '{'],
+  ['PUT', '/rainrun/configuration', {}, '{"Revision":1}'],
+  ['DELETE', '/rainrun/configuration', {}, ''],
+  ['GET', '/rainrun/v1/view', {}, ''],
+  ['POST', '/rainrun/evacuations/west%20coast', {}, ''],
+  ['DELETE', '/rainrun/evacuations/west', {}, ''],
+  ['POST', '/rainrun/evacuations/%', {}, ''],
+  ['GET', '/elsewhere', {}, ''],
+];
+
+const STATUS: CoreStatus = {
+  node: 'core-1',
+  zone: 'coast',
+  epoch: 3,
+  coordinator: 'core-1',
+  version: 21,
+  agreed: 20,
+  revision: 7,
+  evacuated: ['west'],
+  edges: 2,
+  members: [{ name: 'core-1', zone: 'coast', address: '10.0.0.1:7600', voter: true, version: 21, behind: 0 }],
+  voters: [{ name: 'core-1', disk: 'disk-1', member: true, version: 21 }],
+};
+
+/** A core that holds a configuration, and takes operations without carrying them out. */
+class RecordingCore {
+  readonly submitted: unknown[] = [];
+  #nowMs = 0;
+  #service: OperatorService;
+
+  constructor(document: Record<string, unknown>) {
+    this.#service = new OperatorService({
+      replica: {
+        state: { ...EMPTY_DEPLOYMENT, edition: 4, revision: 7, document },
+        group: { informedMs: () => this.#nowMs },
+        submit: (kind, payload) => {
+          this.submitted.push([kind, payload]);
+          return Result.ok('id');
+        },
+        forgetAnswer: () => undefined,
+      },
+      clock: { nowMs: () => this.#nowMs },
+      format: DIALECT,
+      status: () => STATUS,
+    });
+  }
+
+  /** The status of the answer to a call and its body. */
+  answer([method, path, headers, body]: Call): unknown {
+    const call = DIALECT.readCall(method, path, headers, body);
+    let reply: OperatorReply | undefined;
+    if (call.isErr) reply = this.#service.failure(call.error);
+    else this.#service.answer(call.value, (given) => (reply = given));
+    this.#run();
+    return reply === undefined ? 'none' : [reply.status, withoutEngineText(reply.body)];
+  }
+
+  /** Lets orders that are held up for a while be submitted, and then be given up. */
+  #run(): void {
+    for (let place = 0; place < 10; place += 1) {
+      this.#nowMs += 100;
+      this.#service.tick();
+    }
+  }
+}
+
+/** A body without what the JavaScript engine says of a JSON text that it cannot read. */
+function withoutEngineText(body: string): string {
+  return body.replace(/SyntaxError: [^"]*/, 'SyntaxError');
+}
+
+/** What calls of operators come to: the operation that is submitted, and the answer. */
+export function operatorCalls(): unknown {
+  const document = documentOf(CALLS[1]);
+  return CALLS.map((call) => {
+    const core = new RecordingCore(document);
+    const answered = core.answer(call);
+    return { call, submitted: core.submitted, answered };
+  });
+}
+
+/** The document in the terms of agreed state that a call puts in force. */
+function documentOf(call: Call | undefined): Record<string, unknown> {
+  if (call === undefined) throw new Error('no call puts a document');
+  const core = new RecordingCore({});
+  core.answer(call);
+  const [, payload] = core.submitted[0] as [string, { document: Record<string, unknown> }];
+  return payload.document;
+}
+
+const PAGE = {
+  Instances: [
+    {
+      InstanceId: 'i-1',
+      Backend: 'one',
+      Address: '10.0.1.1:9000',
+      Zone: 'west',
+      Capacity: 4,
+      LifecycleState: 'ready',
+      WarmupLeftMs: 1200,
+      RemainingMs: null,
+      Models: [{ Name: 'model-1', Adapters: ['adapter-1'] }],
+    },
+    { InstanceId: 'i-2', Backend: 'one', Address: '10.0.1.2:9000', RemainingMs: 900 },
+    { InstanceId: 'i-3', Backend: 'two', Address: '10.0.1.3:9000', LifecycleState: 'terminating' },
+  ],
+  NextPageToken: 'next',
+};
+
+/** What the replies of workers mean; the words on the left are internal. */
+const REPLY_MEANINGS: Readonly<Record<StockReply, string>> = {
+  begun: 'it is being done',
+  held: 'it was so already',
+  busy: 'another order is being done, or the sequence differs',
+  fenced: 'a higher fencing token was seen',
+  'wrong-worker': 'the worker at this address is another one, or lacks what the order builds on',
+  refused: 'not taken',
+  'no-answer': 'it may have been taken',
+};
+
+/** What goes between a core and a platform, and between a core and a worker. */
+export function platformBodies(): unknown {
+  const page = DIALECT.readPage(JSON.stringify(PAGE));
+  const order = { action: 'load', model: 'model-1', adapter: '', fence: 3, sequence: 5 } as const;
+  return {
+    page: page.isOk
+      ? [page.value.next, page.value.workers.map(workerValues)]
+      : [page.error.kind, page.error.detail],
+    orders: [order, { ...order, adapter: 'adapter-1' }, { ...order, action: 'unload' as const }].map((one) =>
+      DIALECT.writeOrder(one, 'holder'),
+    ),
+    replies: [200, 202, 400, 409, 412, 421, 500].map((status) => [
+      status,
+      REPLY_MEANINGS[DIALECT.readOrderReply(status)],
+    ]),
+    reports: [
+      '{"Models":[{"Name":"model-1","Adapters":["adapter-1"]},{"Name":"model-2"}],"Sequence":4}',
+      '{"Models":null,"Utilization":true,"Sequence":4}',
+      '{"Models":[]}',
+    ].map(reportValues),
+  };
+}
+
+type Listed =
+  ReturnType<typeof DIALECT.readPage> extends Result<{ workers: readonly (infer W)[] }, unknown> ? W : never;
+
+function workerValues({ id, service, address, zone, slots, leaving, coldMs, models }: Listed): unknown {
+  return [id, service, address, zone, slots, leaving, coldMs, holdingValues(models)];
+}
+
+function holdingValues(models: ReadonlyMap<string, ReadonlySet<string>>): unknown {
+  return [...models].map(([model, adapters]) => [model, [...adapters]]);
+}
+
+function reportValues(text: string): unknown {
+  const report = DIALECT.readReport(text);
+  return typeof report === 'string'
+    ? REPLY_MEANINGS[report]
+    : [holdingValues(report.holdings), report.sequence];
+}
+
+/** An answer as it was written to a client. */
+class RecordedResponse extends ServerResponse {
+  readonly record: unknown[] = [];
+
+  override writeHead(status: number, ...rest: unknown[]): this {
+    this.record.push(
+      status,
+      rest.find((part) => typeof part === 'object'),
+    );
+    return this;
+  }
+
+  override end(...rest: unknown[]): this {
+    this.record.push(rest[0] instanceof Uint8Array ? Buffer.from(rest[0]).toString() : rest[0]);
+    return this;
+  }
+}
+
+/** Chance that always gives the same, so that ids do. */
+const NO_CHANCE: Chance = { next: () => 0.5 };
+
+const CHAT = {
+  model: 'model-1',
+  adapter: 'adapter-1',
+  stream: true,
+  messages: [{ role: 'user', content: 'Hi' }],
+};
+
+function requestOf(method: string, headers: Record<string, string>, body: unknown) {
+  const request = new IncomingMessage(new Socket());
+  Object.assign(request, { method, url: '/v1/chat?x=1', body: Buffer.from(JSON.stringify(body)) });
+  request.headers = headers;
+  return request;
+}
+
+/** Sends a request of a visitor to a gateway that lets `serve` answer it. */
+function visited(request: IncomingMessage, serve: (ask: Ask, port: VisitorPort) => void): unknown {
+  const response = new RecordedResponse(request);
+  const gateway = {
+    admit: (ask: Ask, port: VisitorPort) => {
+      serve(ask, port);
+      return () => undefined;
+    },
+  };
+  visit(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
+  return response.record;
+}
+
+/** What visitors send to an edge of a site, and what they are answered. */
+export function visitorExchanges(): unknown {
+  const headers = { 'rainrun-group': 'group-1', 'rainrun-kind': 'short', 'rainrun-deadline-ms': '1500' };
+  const asked: unknown[] = [];
+  function note({
+    id,
+    path,
+    method,
+    group,
+    kind,
+    model,
+    adapter,
+    prefix,
+    streamed,
+    body,
+    deadlineMs,
+  }: Ask): void {
+    asked.push([id, path, method, group, kind, model, adapter, prefix, streamed, body?.length, deadlineMs]);
+  }
+  visited(requestOf('POST', headers, CHAT), note);
+  visited(requestOf('GET', headers, {}), note);
+  visited(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), note);
+  return {
+    asked,
+    answered: visited(requestOf('GET', {}, {}), (_ask, port) =>
+      port.answer(200, 'text/plain', Buffer.from('well')),
+    ),
+    streamed: visited(requestOf('GET', {}, {}), (_ask, port) => port.open('text/event-stream')),
+    refused: KINDS.map((kind: FaultKind) =>
+      visited(requestOf('GET', {}, {}), (_ask, port) => port.refuse(fault(kind, 'why'))),
+    ),
+    refusedForAWhile: visited(requestOf('GET', {}, {}), (_ask, port) =>
+      port.refuse({ ...fault('over-share', 'why'), returnS: 7 }),
+    ),
+    malformed: [
+      requestOf('GET', { 'rainrun-deadline-ms': 'soon' }, {}),
+      requestOf('DELETE', {}, {}),
+      requestOf('POST', {}, { model: '', messages: [] }),
+    ].map((request) => visited(request, () => undefined)),
+  };
+}
