--- /dev/null
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -0,0 +1,388 @@
+/** The counters of both data planes: what each way for a request to end is counted as. */
+import { checkConfiguration, readSpec, type Configuration, type Spec } from '@rainrun/configuration';
+import type { Fault } from '@rainrun/common';
+import { Gateway, type Link, type LinkHandler, type LinkRequest, type SendHandler } from '@rainrun/gateway';
+import { DIALECT } from '@rainrun/platform/dist/dialect.js';
+import { Router } from '@rainrun/router';
+import { fail } from './scripted-group.js';
+
+const WORKER = 'w-1';
+const REQUEST_ID = 'request-1';
+const START_MS = 1000;
+const LATER_MS = 10_000;
+
+const NOTHING = {
+  abort: () => undefined,
+  pause: () => undefined,
+  resume: () => undefined,
+};
+
+const SHARED_ROUTE = { host: 'a.example', service: 'look', timeoutMs: 2000, targetMs: 300 };
+const DOCUMENT = {
+  revision: 1,
+  routes: [
+    { ...SHARED_ROUTE, name: 'once', prefix: '/once', kind: 'non_idempotent' },
+    { ...SHARED_ROUTE, name: 'often', prefix: '/often', kind: 'idempotent', attempts: 2 },
+    { ...SHARED_ROUTE, name: 'tell', prefix: '/tell', kind: 'streaming', priority: 3 },
+  ],
+  services: [{ name: 'look' }],
+};
+
+function configuration(): Configuration {
+  return checkConfiguration(DOCUMENT).unwrapOrElse(fail);
+}
+
+/** A link that leaves it to the script how each send goes on. */
+class ScriptedLink implements Link {
+  readonly sent: { readonly request: LinkRequest; readonly handler: LinkHandler }[] = [];
+
+  send(request: LinkRequest, handler: LinkHandler) {
+    this.sent.push({ request, handler });
+    return NOTHING;
+  }
+
+  /** The newest send. */
+  get handler(): LinkHandler {
+    const last = this.sent.at(-1);
+    if (last === undefined) throw new Error('nothing was sent');
+    return last.handler;
+  }
+}
+
+/** A router with one worker, and one client. */
+class RouterBench {
+  nowMs = START_MS;
+  leaving = false;
+  isWorkerListed = true;
+  readonly refusals: Fault[] = [];
+  readonly link = new ScriptedLink();
+  readonly router: Router;
+  #configuration = configuration();
+
+  constructor() {
+    this.router = new Router({
+      zone: 'coast',
+      clock: { nowMs: () => this.nowMs },
+      link: this.link,
+      words: DIALECT.wireWords,
+      retries: { ratio: 1, extra: 20 },
+      configuration: () => this.#configuration,
+      evacuated: () => [],
+      workers: () => (this.isWorkerListed ? new Map([[WORKER, this.#worker()]]) : new Map()),
+      edges: () => 1,
+      incarnation: () => 'incarnation-1',
+      region: () => 'west',
+      missing: () => undefined,
+      waits: () => undefined,
+    });
+  }
+
+  /** Asks; what is returned says that the client has left. */
+  ask(target: string): () => void {
+    return this.router.take(
+      {
+        id: REQUEST_ID,
+        method: 'POST',
+        target,
+        host: 'a.example',
+        headers: [
+          ['Host', 'a.example'],
+          [DIALECT.wireWords.requestId, REQUEST_ID],
+          ['X-Kept', 'yes'],
+          ['Connection', 'close'],
+        ],
+        body: Buffer.from('{}'),
+        deadlineMs: 1500,
+        model: '',
+        adapter: '',
+        prefix: [],
+        promptTokens: 0,
+        lastEventId: '7',
+      },
+      {
+        answer: () => undefined,
+        refuse: (why) => void this.refusals.push(why),
+        open: () => undefined,
+        piece: () => true,
+        close: () => undefined,
+        cut: () => undefined,
+      },
+    );
+  }
+
+  /** The worker's answer begins. */
+  head(status: number, ...headers: readonly (readonly [string, string])[]): void {
+    const { requestId, signature } = DIALECT.wireWords;
+    this.link.handler.mayStart();
+    this.link.handler.head(status, [[requestId, REQUEST_ID], [signature, 's'], ...headers]);
+  }
+
+  #worker() {
+    return {
+      id: WORKER,
+      service: 'look',
+      address: '10.0.1.1:9000',
+      zone: 'coast',
+      leaving: this.leaving,
+      slots: 4,
+      coldUntilMs: -Infinity,
+      models: new Map<string, ReadonlySet<string>>(),
+      number: 1,
+      sharePercent: 100,
+    };
+  }
+}
+
+type RouterCase = (bench: RouterBench) => void;
+
+const ROUTER_CASES: Readonly<Record<string, RouterCase>> = {
+  'no route': (bench) => {
+    bench.ask('/none');
+  },
+  'after the end': (bench) => {
+    bench.router.close();
+    bench.ask('/once');
+  },
+  answered: (bench) => {
+    bench.ask('/once');
+    bench.head(200);
+    bench.link.handler.end();
+  },
+  'declined by another worker': (bench) => {
+    bench.ask('/once');
+    bench.head(421);
+  },
+  'declined as not run': (bench) => {
+    bench.ask('/once');
+    bench.head(503, [DIALECT.wireWords.notRun, '1']);
+  },
+  'worker gone before the first byte': (bench) => {
+    bench.ask('/once');
+    bench.leaving = true;
+    bench.link.handler.mayStart();
+    bench.link.handler.failed(false, 'withheld');
+  },
+  'worker not reached': (bench) => {
+    bench.ask('/once');
+    bench.link.handler.mayStart();
+    bench.link.handler.failed(false, 'refused');
+  },
+  'worker failed': (bench) => {
+    bench.ask('/once');
+    bench.link.handler.mayStart();
+    bench.link.handler.failed(true, 'reset');
+  },
+  'stream broken': (bench) => {
+    bench.ask('/tell');
+    bench.head(200, ['content-type', 'text/event-stream']);
+    bench.link.handler.chunk(Buffer.from('data: 1\n\n'));
+    bench.link.handler.failed(true, 'reset');
+  },
+  'client left during a send': (bench) => {
+    const leave = bench.ask('/once');
+    bench.link.handler.mayStart();
+    leave();
+  },
+  'client left while waiting': (bench) => {
+    bench.isWorkerListed = false;
+    bench.ask('/once')();
+  },
+  'no worker in time': (bench) => {
+    bench.isWorkerListed = false;
+    bench.ask('/once');
+    bench.nowMs += LATER_MS;
+    bench.router.tick();
+  },
+};
+
+/** Counters of the router and refusals to the client for each way to end, and what a worker is sent. */
+export function routerCounters(): unknown {
+  return Object.entries(ROUTER_CASES).map(([name, play]) => {
+    const bench = new RouterBench();
+    play(bench);
+    return {
+      case: name,
+      counters: bench.router.counts,
+      refusals: bench.refusals.map(({ kind, detail, returnS }) => [kind, detail, returnS]),
+      sent: bench.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
+    };
+  });
+}
+
+const SPEC = {
+  deployment: 'site',
+  zones: ['coast'],
+  store: { pullsPerMinute: 60, concurrentPulls: 2 },
+  workers: { roomMb: 1000, slots: 4 },
+  models: [{ name: 'model-1', sizeMb: 400 }],
+  adapters: [],
+  groups: [
+    { name: 'group-1', share: 1, kinds: [{ name: 'short', targetMs: 100, patienceMs: 1000 }], models: ['*'] },
+  ],
+  routes: [{ path: '/chat', serve: 'chat' }],
+};
+
+/** The spec with this budget for retries. */
+function specWith(ratio: number): Spec {
+  const read = readSpec(JSON.stringify({ ...SPEC, retries: { ratio, allowance: 10 } }));
+  if (read.isErr) throw new Error(JSON.stringify(read.error));
+  return read.value;
+}
+
+/** A gateway with one worker, and one visitor. */
+class GatewayBench {
+  nowMs = START_MS;
+  granted = true;
+  isWorkerListed = true;
+  readonly refusals: Fault[] = [];
+  readonly sent: { readonly request: unknown; readonly handler: SendHandler }[] = [];
+  readonly gateway: Gateway;
+  #spec = specWith(1);
+
+  constructor() {
+    this.gateway = new Gateway({
+      name: 'edge-1',
+      zone: 'coast',
+      clock: { nowMs: () => this.nowMs },
+      chance: { next: () => 0.5 },
+      sender: {
+        send: ({ method, path, headers }, handler) => {
+          this.sent.push({ request: [method, path, headers], handler });
+          return NOTHING;
+        },
+        probe: (_address, done) => done(true),
+      },
+      spec: () => this.#spec,
+      workers: () => (this.isWorkerListed ? [this.#worker()] : []),
+      edges: () => ['edge-1'],
+      incarnation: () => 'incarnation-1',
+      granted: () => this.granted,
+      weight: () => 1,
+    });
+  }
+
+  forbidRetries(): void {
+    this.#spec = specWith(0);
+  }
+
+  get handler(): SendHandler {
+    const last = this.sent.at(-1);
+    if (last === undefined) throw new Error('nothing was sent');
+    return last.handler;
+  }
+
+  /** Asks; what is returned says that the visitor has left. */
+  ask(change: { path?: string; group?: string; model?: string } = {}): () => void {
+    return this.gateway.admit(
+      {
+        id: 'edge-1.request',
+        path: '/chat',
+        method: 'POST',
+        group: 'group-1',
+        kind: 'short',
+        model: 'model-1',
+        adapter: '',
+        prefix: 0,
+        streamed: false,
+        body: new Uint8Array([1]),
+        deadlineMs: undefined,
+        ...change,
+      },
+      {
+        answer: () => undefined,
+        refuse: (why) => void this.refusals.push(why),
+        open: () => undefined,
+        piece: () => true,
+        close: () => undefined,
+        cut: () => undefined,
+      },
+    );
+  }
+
+  #worker() {
+    return {
+      name: WORKER,
+      address: '10.0.1.1:9000',
+      zone: 'coast',
+      pool: 'models',
+      leaving: false,
+      emptied: false,
+      reachable: true,
+      slots: 2,
+      holdings: [{ model: 'model-1', adapters: [] }],
+      sinceMs: new Map([['model-1', -LATER_MS]]),
+      othersInFlight: 0,
+    };
+  }
+}
+
+type GatewayCase = (bench: GatewayBench) => void;
+
+const GATEWAY_CASES: Readonly<Record<string, GatewayCase>> = {
+  answered: (bench) => {
+    bench.ask();
+    bench.handler.mayStart();
+    bench.handler.start(200, 'application/json');
+    bench.handler.chunk(Buffer.from('{}'));
+    bench.handler.end();
+  },
+  'worker not reached, sent again': (bench) => {
+    bench.ask();
+    bench.handler.mayStart();
+    bench.handler.failed(false, 'refused');
+    bench.nowMs += 100;
+    bench.gateway.tick();
+  },
+  'worker not reached, and no retry left': (bench) => {
+    bench.forbidRetries();
+    bench.ask();
+    bench.handler.mayStart();
+    bench.handler.failed(false, 'refused');
+  },
+  'worker failed': (bench) => {
+    bench.ask();
+    bench.handler.mayStart();
+    bench.handler.failed(true, 'reset');
+  },
+  'path unknown': (bench) => {
+    bench.ask({ path: '/none' });
+  },
+  'group unknown': (bench) => {
+    bench.ask({ group: 'nobody' });
+  },
+  'model unknown': (bench) => {
+    bench.ask({ model: 'none' });
+  },
+  'node may not admit': (bench) => {
+    bench.granted = false;
+    bench.ask();
+  },
+  'node drains': (bench) => {
+    bench.gateway.drain();
+    bench.ask();
+  },
+  'visitor left': (bench) => {
+    bench.isWorkerListed = false;
+    bench.ask()();
+  },
+  'no worker in time': (bench) => {
+    bench.isWorkerListed = false;
+    bench.ask();
+    bench.nowMs += LATER_MS;
+    bench.gateway.tick();
+  },
+};
+
+/** Counters of the gateway and refusals to the visitor for each way to end, and what a worker is sent. */
+export function gatewayCounters(): unknown {
+  return Object.entries(GATEWAY_CASES).map(([name, play]) => {
+    const bench = new GatewayBench();
+    play(bench);
+    return {
+      case: name,
+      counters: bench.gateway.counts,
+      refusals: bench.refusals.map(({ kind, detail, returnS }) => [kind, detail, returnS]),
+      sent: bench.sent.map(({ request }) => request),
+    };
+  });
+}
--- /dev/null
+++ b/packages/compatibility/src/node-samples.ts
@@ -0,0 +1,202 @@
+/** Real nodes: the names of their metrics and counters, and the forms of their answers to operators. */
+import { writeFile } from 'node:fs/promises';
+import { join } from 'node:path';
+import { setTimeout as pause } from 'node:timers/promises';
+import type { Fault } from '@rainrun/common';
+import { DIALECT } from '@rainrun/platform/dist/dialect.js';
+import { CoreNode, EdgeNode, Node, readSettings, type Log, type Role } from '@rainrun/runtime';
+import type { SystemSettings } from '@rainrun/runtime/system';
+import { inNewFolder } from './data-folders.js';
+import { fail } from './scripted-group.js';
+
+/** Addresses of this process alone, so that several test runs may go at once. */
+const NETWORK = `127.${(process.pid >> 8) % 256}.${process.pid % 256}`;
+const CORE = { bind: `${NETWORK}.1:17701`, http: `${NETWORK}.1:18701` } as const;
+const EDGE = { bind: `${NETWORK}.2:17701`, http: `${NETWORK}.2:18701` } as const;
+const PATIENCE_MS = 30_000;
+const POLL_MS = 50;
+const WELL = 200;
+
+const SPEC = {
+  deployment: 'site',
+  zones: ['coast', 'inland'],
+  store: { pullsPerMinute: 60, concurrentPulls: 2 },
+  workers: { roomMb: 1000, slots: 4 },
+  models: [{ name: 'model-1', sizeMb: 500 }],
+  adapters: [],
+  groups: [
+    { name: 'group-1', share: 1, kinds: [{ name: 'short', targetMs: 800, patienceMs: 5000 }], models: ['*'] },
+  ],
+  routes: [{ path: '/v1/chat', serve: 'chat' }],
+};
+
+const WORKERS = {
+  generation: 1,
+  workers: [{ name: 'lookup-1', address: `${NETWORK}.9:9000`, zone: 'coast', kind: 'lookup', pool: 'desks' }],
+};
+
+interface Answer {
+  readonly status: number;
+  readonly type: string | null;
+  readonly text: string;
+}
+
+async function call(http: string, method: string, path: string, body?: object): Promise<Answer> {
+  const reply = await fetch(`http://${http}/rainrun/v1/${path}`, {
+    method,
+    headers: body === undefined ? {} : { 'content-type': 'application/json' },
+    body: body === undefined ? null : JSON.stringify(body),
+  });
+  return { status: reply.status, type: reply.headers.get('content-type'), text: await reply.text() };
+}
+
+/** Calls again until it answers well and with this word in its text. */
+async function until(http: string, path: string, word = ''): Promise<void> {
+  const endMs = performance.now() + PATIENCE_MS;
+  for (;;) {
+    const answer = await call(http, 'GET', path);
+    if (answer.status === WELL && answer.text.includes(word)) return;
+    if (performance.now() > endMs) throw new Error(`${path} answers ${answer.status}: ${answer.text}`);
+    await pause(POLL_MS);
+  }
+}
+
+async function start(role: Role, flags: Readonly<Record<string, unknown>>): Promise<Node> {
+  const settings = readSettings(
+    { deployment: 'site', zone: 'coast', seeds: CORE.bind, logLevel: 'silent', drainMs: '0', ...flags },
+    role,
+  );
+  if (settings.isErr) throw new Error(settings.error.map(({ detail }) => detail).join('\n'));
+  const started = await Node.start(settings.value, role, fail);
+  return started.unwrapOrElse(fail);
+}
+
+/** Does something with a core and an edge of a site, the core's spec agreed. */
+async function withSite<T>(act: () => Promise<T>): Promise<T> {
+  return inNewFolder(async (folder) => {
+    const platform = join(folder, 'workers.json');
+    await writeFile(platform, JSON.stringify(WORKERS));
+    const data = join(folder, 'data');
+    const core = await start('core', { ...CORE, name: 'core-1', founders: 'core-1', folder: data, platform });
+    const edge = await start('edge', { ...EDGE, name: 'edge-1' });
+    try {
+      await until(CORE.http, 'status?node=edge-1', '"view"');
+      await call(CORE.http, 'PUT', 'spec', { text: JSON.stringify(SPEC), base: 0, id: 'op-1' });
+      await until(CORE.http, 'ready');
+      await until(EDGE.http, 'ready');
+      await until(CORE.http, 'workers', 'lookup-1');
+      return await act();
+    } finally {
+      await edge.stop();
+      await core.stop();
+    }
+  });
+}
+
+/** The names and labels of a text of metrics, in their order. */
+function metricNames({ status, type, text }: Answer): unknown {
+  const names = text.split('\n').map((line) => line.replace(/ -?[0-9.e+-]+$/, ''));
+  return { status, type, names };
+}
+
+/** The form of a JSON value: keys, and types in place of values. */
+function formOf(value: unknown): unknown {
+  if (Array.isArray(value)) return value.length === 0 ? [] : [formOf(value[0])];
+  if (typeof value !== 'object' || value === null) return value === null ? null : typeof value;
+  return Object.fromEntries(Object.entries(value).map(([key, inside]) => [key, formOf(inside)]));
+}
+
+const QUESTIONS: readonly (readonly [method: string, path: string, body?: object])[] = [
+  ['GET', 'view'],
+  ['GET', 'spec'],
+  ['POST', 'spec/check', { text: JSON.stringify(SPEC) }],
+  ['POST', 'spec/check', { text: '{}' }],
+  ['GET', 'spec/history'],
+  ['PUT', 'spec', { text: '{}', base: 1, id: 'op-2' }],
+  ['PATCH', 'spec', { patch: { store: { pullsPerMinute: 30, concurrentPulls: 2 } }, base: 1, id: 'op-3' }],
+  ['PATCH', 'spec', { patch: { add: { zones: ['north'] } }, id: 'op-4' }],
+  ['PATCH', 'spec', { patch: { add: { zones: 'north' } } }],
+  ['GET', 'operations/op-1'],
+  ['GET', 'operations/none'],
+  ['GET', 'zones'],
+  ['POST', 'zones/inland/empty', { id: 'op-5' }],
+  ['POST', 'zones/inland/restore', { id: 'op-6' }],
+  ['POST', 'zones/nowhere/empty', { id: 'op-7' }],
+  ['GET', 'workers'],
+  ['GET', 'groups'],
+  ['GET', 'counters'],
+  ['GET', 'counters?node=nobody'],
+  ['GET', 'status'],
+  ['GET', 'ready'],
+  ['GET', 'explain/requests/edge-1.none'],
+  ['GET', 'explain/requests/none'],
+  ['GET', 'explain/models/model-1'],
+  ['GET', 'explain/models/none'],
+  ['POST', 'forget/core-9'],
+  ['GET', 'nothing'],
+];
+
+/** The names of the metrics of a core and of an edge, and the form of every answer to an operator. */
+export function siteNames(): Promise<unknown> {
+  return withSite(async () => {
+    const metrics = {
+      core: metricNames(await call(CORE.http, 'GET', 'metrics')),
+      edge: metricNames(await call(EDGE.http, 'GET', 'metrics')),
+    };
+    const answers: unknown[] = [];
+    for (const [method, path, body] of QUESTIONS) {
+      const { status, type, text } = await call(CORE.http, method, path, body);
+      answers.push([method, path, status, type, formOf(JSON.parse(text))]);
+    }
+    return { metrics, answers };
+  });
+}
+
+/** A log that keeps the names of the counters that are written to it. */
+class CounterLog implements Log {
+  names: readonly string[] = [];
+
+  debug(): void {
+    return;
+  }
+
+  info(data: object): void {
+    const { counters } = data as { counters?: Readonly<Record<string, number>> };
+    if (counters !== undefined) this.names = Object.keys(counters);
+  }
+
+  warn(): void {
+    return;
+  }
+
+  error(): void {
+    return;
+  }
+}
+
+function settingsOf(folder: string): SystemSettings {
+  return DIALECT.readSettings(
+    `NodeName = "node-1"
+IpAddress = "${NETWORK}.3"
+Zone = "coast"
+InternalPortRange = [17701, 17703]
+SeedNodes = ["${NETWORK}.3:18701"]
+DataPath = "${folder}"
+[Bounds]
+GraceS = 0
+`,
+  ).unwrapOrElse((faults: Fault[]) => fail(faults[0] as Fault));
+}
+
+/** The names of the counters that a core and an edge on a platform log when they stop. */
+export function platformCounterNames(): Promise<unknown> {
+  return inNewFolder(async (folder) => {
+    const settings = settingsOf(folder);
+    const [coreLog, edgeLog] = [new CounterLog(), new CounterLog()];
+    const core = (await CoreNode.open(settings, DIALECT, coreLog, fail)).unwrapOrElse(fail);
+    await core.stop();
+    const edge = new EdgeNode(settings, DIALECT, edgeLog);
+    await edge.stop();
+    return { core: coreLog.names, edge: edgeLog.names };
+  });
+}
--- a/packages/compatibility/src/public-name-fixtures.ts
+++ b/packages/compatibility/src/public-name-fixtures.ts
@@ -1,4 +1,5 @@
 /** The fixtures of names and forms that are public: what produces each from today's code. */
+import { gatewayCounters, routerCounters } from './data-plane-counters.js';
 import {
   faultAnswers,
   operatorCalls,
@@ -6,6 +7,7 @@
   platformNames,
   visitorExchanges,
 } from './http-samples.js';
+import { platformCounterNames, siteNames } from './node-samples.js';
 import { platformSettings, programSettings } from './settings-samples.js';
 
 /** One fixture, with the words of its test. */
@@ -60,4 +62,28 @@
     then: 'they are read and answered',
     produce: visitorExchanges,
   },
+  {
+    name: 'metrics/router.json',
+    given: 'every way for a request to end at an edge of a platform',
+    then: 'it is counted, refused and sent to workers',
+    produce: routerCounters,
+  },
+  {
+    name: 'metrics/gateway.json',
+    given: 'every way for a request to end at an edge of a site',
+    then: 'it is counted, refused and sent to workers',
+    produce: gatewayCounters,
+  },
+  {
+    name: 'metrics/site.json',
+    given: 'a core and an edge of a site that run',
+    then: 'their metrics have the same names, and their answers to operators the same form,',
+    produce: siteNames,
+  },
+  {
+    name: 'metrics/platform.json',
+    given: 'a core and an edge on a platform that stop',
+    then: 'the counters that they log are called',
+    produce: platformCounterNames,
+  },
 ];
