--- /dev/null
+++ b/packages/compatibility/src/command-line-samples.ts
@@ -0,0 +1,322 @@
+/** What the programs say at the command line, and what `rainrun` sends to a node. */
+import { spawn } from 'node:child_process';
+import { once } from 'node:events';
+import { writeFile } from 'node:fs/promises';
+import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
+import type { AddressInfo } from 'node:net';
+import { join } from 'node:path';
+import { fileURLToPath } from 'node:url';
+import { inNewFolder } from './data-folders.js';
+
+const RAINRUN = programPath('@rainrun/rainrun/dist/main.js');
+const CORE = programPath('@rainrun/core/dist/main.js');
+const EDGE = programPath('@rainrun/edge/dist/main.js');
+const PLATFORM_CORE = programPath('@rainrun/platform/dist/core.js');
+const PLATFORM_EDGE = programPath('@rainrun/platform/dist/edge.js');
+
+/** Files that commands name; each stands in a folder of its own in every run. */
+const FILES: Readonly<Record<string, string>> = {
+  'spec.json': '{"deployment":"site"}',
+  'edit.json': '{"add":{"zones":["north"]}}',
+  'not-json.txt': '{',
+};
+
+/** So many commands run at once. */
+const LANES = 4;
+
+const NO_FILE = '/no/such/file';
+const NOBODY = '127.0.0.1:1';
+
+type Body = Readonly<Record<string, unknown>>;
+
+/** One command, and what the node answers. */
+interface Command {
+  readonly words: readonly string[];
+  readonly status?: number;
+  readonly body?: Body;
+}
+
+const OPERATION: Body = { id: 'op-1', outcome: 'agreed', detail: 'version 2', number: 7 };
+
+const VIEW: Body = {
+  disk: 'disk-1',
+  self: { name: 'core-1', incarnation: 'a1b2', zone: 'coast' },
+  admitting: true,
+  coordinator: 'core-1',
+  epoch: 3,
+  number: 12,
+  level: 2,
+  agreed: 12,
+  view: { epoch: 3, number: 4 },
+  members: [
+    { name: 'core-1', zone: 'coast', address: '10.0.0.1:7001', core: true, speaks: 2 },
+    { name: 'edge-long-name', zone: 'inland', address: '10.0.0.2:7001', core: false, speaks: 1 },
+  ],
+  voters: [{ name: 'core-1', disk: 'disk-1' }],
+};
+
+const WORKERS: Body = {
+  workers: [
+    {
+      name: 'worker-1',
+      address: '10.0.1.1:9000',
+      zone: 'coast',
+      kind: 'model',
+      pool: 'models',
+      status: 'ready',
+      target: [
+        { model: 'model-1', adapters: ['adapter-1', 'adapter-2'] },
+        { model: 'model-2', adapters: [] },
+      ],
+      holdings: [],
+    },
+  ],
+};
+
+const GROUPS: Body = {
+  groups: [
+    { group: 'group-1', kind: 'short', share: 1, targetMs: 800, measuredMs: 120, prompt: 0.9912, served: 9 },
+    { group: 'group-2', kind: 'long', share: 2.5, targetMs: 9000, measuredMs: 0, prompt: null, served: 0 },
+  ],
+};
+
+const NOT_FOUND: Body = {
+  error: { kind: 'not-found', message: 'nothing agreed is known of operation op-9', ran: 'no', id: 'op-9' },
+};
+const BAD_SPEC: Body = {
+  error: {
+    kind: 'bad-spec',
+    message: 'the spec has faults',
+    ran: 'no',
+    faults: [
+      { path: 'zones', message: 'missing' },
+      { path: 'models.0.sizeMb', message: 'too large' },
+    ],
+  },
+};
+const UNKNOWN: Body = {
+  error: { kind: 'operation-unknown', message: 'not known to be agreed yet', ran: 'maybe', id: 'op-1' },
+};
+const LAST_KNOWN: Body = {
+  error: { kind: 'not-admitting', message: 'ask another node', ran: 'no' },
+  lastKnown: { node: 'core-1', epoch: 3, evacuated: [], voters: [{ name: 'core-2', version: 41 }] },
+};
+
+/** Every verb, with every option, and every kind of answer. */
+const COMMANDS: readonly Command[] = [
+  { words: ['view'], body: VIEW },
+  { words: ['view', '--json'], body: VIEW },
+  { words: ['view'], body: { ...VIEW, stale: true } },
+  { words: ['view'], status: 503, body: LAST_KNOWN },
+  { words: ['spec', 'get'], body: { version: 2, operation: 'op-1', text: '{\n  "deployment": "site"\n}' } },
+  { words: ['spec', 'get'], status: 404, body: NOT_FOUND },
+  { words: ['spec', 'check', 'spec.json'], body: { ok: true } },
+  { words: ['spec', 'check', 'spec.json'], status: 422, body: BAD_SPEC },
+  { words: ['spec', 'check', 'spec.json', '--json'], status: 422, body: BAD_SPEC },
+  { words: ['spec', 'apply', 'spec.json'], body: OPERATION },
+  { words: ['spec', 'apply', 'spec.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
+  { words: ['spec', 'apply', 'spec.json'], status: 504, body: UNKNOWN },
+  { words: ['spec', 'change', 'edit.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
+  { words: ['spec', 'change', 'not-json.txt'] },
+  {
+    words: ['spec', 'history'],
+    body: {
+      history: [
+        { version: 1, operation: 'op-1', bytes: 434 },
+        { version: 2, operation: 'op-22', bytes: 9 },
+      ],
+    },
+  },
+  {
+    words: ['zones'],
+    body: {
+      zones: [
+        { zone: 'coast', emptied: false },
+        { zone: 'inland', emptied: true },
+      ],
+    },
+  },
+  { words: ['zones'], body: { zones: [] } },
+  { words: ['zones', 'empty', 'a zone/b', '--id', 'op-1'], body: OPERATION },
+  { words: ['zones', 'restore', 'inland'], body: OPERATION },
+  { words: ['workers'], body: WORKERS },
+  { words: ['groups'], body: GROUPS },
+  {
+    words: ['status'],
+    body: {
+      status: [
+        { node: 'core-1', admitting: true, epoch: 3 },
+        { node: 'core-2', error: 'did not answer' },
+      ],
+    },
+  },
+  { words: ['status', 'core 1'], body: { status: [{ node: 'core 1', admitting: true, epoch: 3 }] } },
+  { words: ['counters'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
+  { words: ['counters', 'core-1'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
+  { words: ['operation', 'op/1'], body: OPERATION },
+  { words: ['operation', 'op-9'], status: 404, body: NOT_FOUND },
+  {
+    words: ['explain', 'request', 'edge-1.ab'],
+    body: {
+      edge: 'edge-1',
+      id: 'edge-1.ab',
+      outcome: 'served',
+      sends: 1,
+      trail: ['sent to worker-1', 'answered'],
+    },
+  },
+  {
+    words: ['explain', 'model', 'model-1'],
+    body: { model: 'model-1', copies: ['worker-1', 'worker-2'], reason: 'asked for', placedBy: 3 },
+  },
+  { words: ['forget', 'core-9'], body: { outcome: 'noted', name: 'core-9' } },
+  { words: ['forget', 'core-9', '--node', NOBODY] },
+  { words: ['view', '--node', NOBODY] },
+  { words: [] },
+  { words: ['--help'] },
+  { words: ['--version'] },
+  { words: ['dance'] },
+  { words: ['view', '--colour'] },
+  { words: ['spec'] },
+  { words: ['spec', 'dance'] },
+  { words: ['spec', 'check'] },
+  { words: ['spec', 'check', NO_FILE] },
+  { words: ['zones', 'dance'] },
+  { words: ['zones', 'empty'] },
+  { words: ['operation'] },
+  { words: ['explain'] },
+  { words: ['explain', 'model'] },
+  { words: ['forget'] },
+];
+
+/** The daemons, as far as they end by themselves. */
+const DAEMONS: readonly (readonly [program: string, path: string, words: readonly string[]])[] = [
+  ['core', CORE, ['--help']],
+  ['core', CORE, []],
+  ['core', CORE, ['--check', '--settings', NO_FILE]],
+  ['edge', EDGE, ['--help']],
+  ['edge', EDGE, ['--colour', 'red']],
+  [
+    'edge',
+    EDGE,
+    [
+      ...[
+        '--check',
+        '--name',
+        'edge-1',
+        '--deployment',
+        'site',
+        '--zone',
+        'coast',
+        '--bind',
+        '127.0.0.1:7001',
+      ],
+      ...['--http', '127.0.0.1:8001', '--seeds', '127.0.0.1:7002'],
+    ],
+  ],
+  ['core on a platform', PLATFORM_CORE, []],
+  ['edge on a platform', PLATFORM_EDGE, []],
+];
+
+/** How a program ended. */
+interface Ending {
+  readonly exit: number | null;
+  readonly out: readonly string[];
+  readonly err: readonly string[];
+}
+
+/** Answers each call as the script says, and notes it. */
+class ScriptedOperatorEndpoint {
+  readonly calls: unknown[] = [];
+  #next: Command = { words: [] };
+  #server: Server = createServer((request, response) => void this.#answer(request, response));
+
+  async listen(): Promise<string> {
+    this.#server.listen(0, '127.0.0.1');
+    await once(this.#server, 'listening');
+    return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
+  }
+
+  expect(command: Command): void {
+    this.#next = command;
+    this.calls.length = 0;
+  }
+
+  close(): void {
+    this.#server.close();
+    this.#server.closeAllConnections();
+  }
+
+  async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
+    let text = '';
+    for await (const part of request) text += String(part);
+    this.calls.push([request.method, request.url, request.headers['content-type'], text]);
+    response.writeHead(this.#next.status ?? 200).end(JSON.stringify(this.#next.body ?? {}));
+  }
+}
+
+function programPath(specifier: string): string {
+  return fileURLToPath(import.meta.resolve(specifier));
+}
+
+async function run(
+  path: string,
+  words: readonly string[],
+  folder: string,
+  environment: Readonly<Record<string, string>>,
+): Promise<Ending> {
+  const child = spawn(process.execPath, [path, ...words], {
+    cwd: folder,
+    env: environment,
+    stdio: ['ignore', 'pipe', 'pipe'],
+  });
+  let [out, err] = ['', ''];
+  child.stdout.on('data', (part: Buffer) => (out += part.toString()));
+  child.stderr.on('data', (part: Buffer) => (err += part.toString()));
+  const [exit] = (await once(child, 'close')) as [number | null];
+  return { exit, out: linesOf(out), err: linesOf(err) };
+}
+
+/** What the JavaScript engine says of a JSON text that it cannot read is not ours. */
+function linesOf(text: string): string[] {
+  return text.replace(/SyntaxError: [^;]*/, 'SyntaxError').split('\n');
+}
+
+/** Runs these commands one after the other against a node of their own. */
+async function runAgainstEndpoint(commands: readonly Command[], folder: string): Promise<unknown[]> {
+  const endpoint = new ScriptedOperatorEndpoint();
+  const environment = { RAINRUN_NODE: await endpoint.listen() };
+  const endings: unknown[] = [];
+  try {
+    for (const command of commands) {
+      endpoint.expect(command);
+      const ending = await run(RAINRUN, command.words, folder, environment);
+      endings.push({ command: command.words, sent: [...endpoint.calls], ...ending });
+    }
+  } finally {
+    endpoint.close();
+  }
+  return endings;
+}
+
+/** For every verb of `rainrun`: what it sends, prints and exits with. */
+export function rainrunCommands(): Promise<unknown> {
+  return inNewFolder(async (folder) => {
+    for (const [name, text] of Object.entries(FILES)) await writeFile(join(folder, name), text);
+    const perLane = Math.ceil(COMMANDS.length / LANES);
+    const lanes = Array.from({ length: LANES }, (_, lane) =>
+      runAgainstEndpoint(COMMANDS.slice(lane * perLane, (lane + 1) * perLane), folder),
+    );
+    return (await Promise.all(lanes)).flat();
+  });
+}
+
+/** What the daemons print and exit with where they do not start. */
+export function daemonCommands(): Promise<unknown> {
+  return inNewFolder(async (folder) => {
+    const endings: unknown[] = [];
+    for (const [program, path, words] of DAEMONS)
+      endings.push({ program, words, ...(await run(path, words, folder, { RAINRUN_CONFIG: NO_FILE })) });
+    return endings;
+  });
+}
--- a/packages/compatibility/src/public-name-fixtures.ts
+++ b/packages/compatibility/src/public-name-fixtures.ts
@@ -1,4 +1,5 @@
 /** The fixtures of names and forms that are public: what produces each from today's code. */
+import { daemonCommands, rainrunCommands } from './command-line-samples.js';
 import { gatewayCounters, routerCounters } from './data-plane-counters.js';
 import {
   faultAnswers,
@@ -18,7 +19,7 @@
   produce(): unknown;
 }
 
-/** Every fixture of public names. */
+/** Settings, metrics, and what goes over HTTP. */
 export const PUBLIC_NAME_FIXTURES: readonly PublicNameFixture[] = [
   {
     name: 'settings/program.json',
@@ -87,3 +88,19 @@
     produce: platformCounterNames,
   },
 ];
+
+/** What programs say at the command line; each command is a process of its own, so these take longer. */
+export const COMMAND_LINE_FIXTURES: readonly PublicNameFixture[] = [
+  {
+    name: 'command-line/rainrun.json',
+    given: 'every command of rainrun with every option, and every kind of answer of a node',
+    then: 'what is sent, printed and exited with is',
+    produce: rainrunCommands,
+  },
+  {
+    name: 'command-line/daemons.json',
+    given: 'daemons that do not start',
+    then: 'what they print and exit with is',
+    produce: daemonCommands,
+  },
+];
--- a/packages/compatibility/src/write-fixtures.ts
+++ b/packages/compatibility/src/write-fixtures.ts
@@ -9,7 +9,11 @@
 import { DATA_FOLDER_FIXTURES, folderOf } from './data-folder-fixtures.js';
 import { messageSamples } from './message-samples.js';
 import { writeGolden, writeGoldenBytes } from './golden-files.js';
-import { PUBLIC_NAME_FIXTURES } from './public-name-fixtures.js';
+import {
+  COMMAND_LINE_FIXTURES,
+  PUBLIC_NAME_FIXTURES,
+  type PublicNameFixture,
+} from './public-name-fixtures.js';
 import { schemaShape } from './wire-schema.js';
 
 async function writeWire(): Promise<void> {
@@ -27,14 +31,15 @@
   }
 }
 
-async function writePublicNames(): Promise<void> {
-  for (const { name, produce } of PUBLIC_NAME_FIXTURES) await writeGolden(name, await produce());
+async function writeEach(fixtures: readonly PublicNameFixture[]): Promise<void> {
+  for (const { name, produce } of fixtures) await writeGolden(name, await produce());
 }
 
 const WRITERS: Readonly<Record<string, () => Promise<void>>> = {
   wire: writeWire,
   'data-folders': writeDataFolders,
-  'public-names': writePublicNames,
+  'public-names': () => writeEach(PUBLIC_NAME_FIXTURES),
+  'command-line': () => writeEach(COMMAND_LINE_FIXTURES),
 };
 
 const asked = process.argv.slice(2);
