--- a/packages/compatibility/src/cluster-node-script.ts
+++ b/packages/compatibility/src/cluster-node-script.ts
@@ -66,7 +66,6 @@
   return create(WorkerListSchema, {
     generation: 1,
     workers: ['worker-1', 'worker-2'].map((name, place) => ({
-      $typeName: 'rainrun.v1.WorkerEntry' as const,
       name,
       address: `10.0.1.${place + 1}:9000`,
       zone: 'coast',
