--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -2,7 +2,7 @@
 import { checkConfiguration, readSpec, type Configuration, type Spec } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import { Gateway, type Link, type LinkHandler, type LinkRequest, type SendHandler } from '@rainrun/gateway';
-import { DIALECT } from '@rainrun/platform/dist/dialect.js';
+import { DIALECT } from '@rainrun/platform/dialect';
 import { Router } from '@rainrun/router';
 import { fail } from './scripted-group.js';
 
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -5,8 +5,8 @@
 import { EMPTY_DEPLOYMENT } from '@rainrun/configuration';
 import { ANSWERS, fault, isFaultKind, type Chance, type FaultKind } from '@rainrun/common';
 import type { Ask, Gateway, VisitorPort } from '@rainrun/gateway';
-import { DIALECT } from '@rainrun/platform/dist/dialect.js';
-import { HEADERS, PATHS } from '@rainrun/platform/dist/names.js';
+import { DIALECT } from '@rainrun/platform/dialect';
+import { HEADERS, PATHS } from '@rainrun/platform/names';
 import type { StockReply } from '@rainrun/placement';
 import { visit } from '@rainrun/runtime';
 import { Result } from 'true-myth';
--- a/packages/compatibility/src/node-samples.ts
+++ b/packages/compatibility/src/node-samples.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Fault } from '@rainrun/common';
-import { DIALECT } from '@rainrun/platform/dist/dialect.js';
+import { DIALECT } from '@rainrun/platform/dialect';
 import { CoreNode, EdgeNode, Node, readSettings, type Log, type Role } from '@rainrun/runtime';
 import type { SystemSettings } from '@rainrun/runtime/system';
 import { inNewFolder } from './data-folders.js';
--- a/packages/compatibility/src/settings-samples.ts
+++ b/packages/compatibility/src/settings-samples.ts
@@ -2,7 +2,7 @@
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import type { Fault } from '@rainrun/common';
-import { readSettings as readPlatformSettings } from '@rainrun/platform/dist/settings.js';
+import { readSettings as readPlatformSettings } from '@rainrun/platform/settings';
 import { readSettings } from '@rainrun/runtime';
 import type { Result } from 'true-myth';
 import { inNewFolder } from './data-folders.js';
