--- /dev/null
+++ b/packages/compatibility/src/http-samples.ts
@@ -0,0 +1,112 @@
+/** What goes over HTTP: names of headers and paths, bodies, and the answers to faults. */
+import { IncomingMessage, ServerResponse } from 'node:http';
+import { Socket } from 'node:net';
+import { FAULT_RESPONSES, fault, isFaultKind, type RandomSource, type FaultKind } from '@rainrun/common';
+import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
+import { DIALECT } from '@rainrun/platform/dialect';
+import { visit } from '@rainrun/runtime';
+
+/** In the order of their names: the order of the table is not public. */
+const KINDS = Object.keys(FAULT_RESPONSES).filter(isFaultKind).sort();
+
+/** Every kind of fault, with its status, whether the work may have run, and when to come back. */
+export function faultAnswers(): unknown {
+  return KINDS.map((kind) => {
+    const { status, ran, retryAfterS } = FAULT_RESPONSES[kind];
+    const onPlatform = DIALECT.statusOf(fault(kind, 'detail')) ?? status;
+    return [kind, status, ran, retryAfterS, onPlatform];
+  });
+}
+
+/** An answer as it was written to a client. */
+class RecordedResponse extends ServerResponse {
+  readonly record: unknown[] = [];
+
+  override writeHead(status: number, ...rest: unknown[]): this {
+    this.record.push(
+      status,
+      rest.find((part) => typeof part === 'object'),
+    );
+    return this;
+  }
+
+  override end(...rest: unknown[]): this {
+    this.record.push(rest[0] instanceof Uint8Array ? Buffer.from(rest[0]).toString() : rest[0]);
+    return this;
+  }
+}
+
+/** Chance that always gives the same, so that ids do. */
+const NO_CHANCE: RandomSource = { next: () => 0.5 };
+
+const CHAT = {
+  model: 'model-1',
+  adapter: 'adapter-1',
+  stream: true,
+  messages: [{ role: 'user', content: 'Hi' }],
+};
+
+function requestOf(method: string, headers: Record<string, string>, body: unknown) {
+  const request = new IncomingMessage(new Socket());
+  Object.assign(request, { method, url: '/v1/chat?x=1', body: Buffer.from(JSON.stringify(body)) });
+  request.headers = headers;
+  return request;
+}
+
+/** Sends a request of a visitor to a gateway that lets `serve` answer it. */
+function visited(
+  request: IncomingMessage,
+  serve: (ask: GatewayRequestInit, port: GatewayResponseSink) => void,
+): unknown {
+  const response = new RecordedResponse(request);
+  const gateway = {
+    admit: (ask: GatewayRequestInit, port: GatewayResponseSink) => {
+      serve(ask, port);
+      return () => undefined;
+    },
+  };
+  visit(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
+  return response.record;
+}
+
+/** What visitors send to an edge of a site, and what they are answered. */
+export function visitorExchanges(): unknown {
+  const headers = { 'rainrun-group': 'group-1', 'rainrun-kind': 'short', 'rainrun-deadline-ms': '1500' };
+  const asked: unknown[] = [];
+  function note({
+    id,
+    path,
+    method,
+    group,
+    kind,
+    model,
+    adapter,
+    prefix,
+    streamed,
+    body,
+    deadlineMs,
+  }: GatewayRequestInit): void {
+    asked.push([id, path, method, group, kind, model, adapter, prefix, streamed, body?.length, deadlineMs]);
+  }
+  visited(requestOf('POST', headers, CHAT), note);
+  visited(requestOf('GET', headers, {}), note);
+  visited(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), note);
+  return {
+    asked,
+    answered: visited(requestOf('GET', {}, {}), (_ask, port) =>
+      port.respond(200, 'text/plain', Buffer.from('well')),
+    ),
+    streamed: visited(requestOf('GET', {}, {}), (_ask, port) => port.open('text/event-stream')),
+    refused: KINDS.map((kind: FaultKind) =>
+      visited(requestOf('GET', {}, {}), (_ask, port) => port.reject(fault(kind, 'why'))),
+    ),
+    refusedForAWhile: visited(requestOf('GET', {}, {}), (_ask, port) =>
+      port.reject({ ...fault('over-share', 'why'), returnS: 7 }),
+    ),
+    malformed: [
+      requestOf('GET', { 'rainrun-deadline-ms': 'soon' }, {}),
+      requestOf('DELETE', {}, {}),
+      requestOf('POST', {}, { model: '', messages: [] }),
+    ].map((request) => visited(request, () => undefined)),
+  };
+}
