--- a/packages/process-group/src/acceptor.ts
+++ b/packages/process-group/src/acceptor.ts
@@ -15,10 +15,10 @@
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
-import { later } from './play.js';
+import { isLater } from './play.js';
 
-/** What an voter's disk says when the node opens it. */
-export interface Opening {
+/** What a voter's disk holds when the node opens it. */
+export interface OpenedDisk {
   readonly disk: string;
   readonly deployment: string;
   readonly promisedEpoch: number;
@@ -27,11 +27,11 @@
 }
 
 /**
- * Reads the records of a disk. A disk that once held agreed state and lost it is refused.
+ * Reads the records of a disk. A disk that has lost the agreed state it once held is rejected (`damaged`).
  * @example
- * const opening = readRecords({}, 'fresh-id'); // an empty disk with a new id
+ * const opened = readRecords({}, 'fresh-id'); // an empty disk with a new id
  */
-export function readRecords(records: Records, freshDisk: string): Result<Opening, Fault> {
+export function readRecords(records: Records, newDisk: string): Result<OpenedDisk, Fault> {
   return tryOrElse(
     (thrown) => fault('damaged', String(thrown)),
     () => {
@@ -39,49 +39,54 @@
       const promise = fromBinary(PromiseRecordSchema, records.promise ?? new Uint8Array());
       const accepted = records.version === undefined ? undefined : fromBinary(VersionSchema, records.version);
       return {
-        disk: disk?.disk ?? freshDisk,
+        disk: disk?.disk ?? newDisk,
         deployment: disk?.deployment ?? '',
         promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0),
         promisedTo: promise.epoch >= (accepted?.epoch ?? 0) ? promise.candidate : '',
         accepted,
       };
     },
-  ).andThen((opening) =>
-    opening.deployment !== '' && opening.accepted === undefined
-      ? Result.err(fault('damaged', `disk ${opening.disk} of ${opening.deployment} has lost its version`))
-      : Result.ok(opening),
+  ).andThen((opened) =>
+    opened.deployment !== '' && opened.accepted === undefined
+      ? Result.err(fault('damaged', `disk ${opened.disk} of ${opened.deployment} has lost its version`))
+      : Result.ok(opened),
   );
 }
 
 /**
- * The voter's vote. It promises each epoch to one claimant and accepts
+ * The acceptor of a voter (as in Paxos). It promises each epoch to one candidate and accepts
  * versions of its promised epoch; both count only once they are synced.
  * @example
- * const acceptor = new Acceptor(opening, vault, 'vejsargs', (fault) => stopNode(fault));
- * acceptor.claim(claim, (promise) => reply(promise));
+ * const acceptor = new Acceptor(opened, writer, 'vejsargs', (fault) => stopNode(fault));
+ * acceptor.prepare(prepare, (promise) => reply(promise));
  */
 export class Acceptor {
   #disk: string;
-  #vault: RecordWriter;
-  #failed: (fault: Fault) => void;
+  #writer: RecordWriter;
+  #onFailure: (fault: Fault) => void;
   #deployment: string;
-  #marked: boolean;
+  #hasDeploymentRecord: boolean;
   #promisedEpoch: number;
   #promisedTo: string;
   #accepted: Version | undefined;
   #storing: { epoch: number; number: number } | undefined;
-  #busy = 0;
+  #pendingWrites = 0;
   #syncs = 0;
 
-  constructor(opening: Opening, vault: RecordWriter, deployment: string, failed: (fault: Fault) => void) {
-    this.#disk = opening.disk;
-    this.#vault = vault;
-    this.#failed = failed;
+  constructor(
+    opened: OpenedDisk,
+    writer: RecordWriter,
+    deployment: string,
+    onFailure: (fault: Fault) => void,
+  ) {
+    this.#disk = opened.disk;
+    this.#writer = writer;
+    this.#onFailure = onFailure;
     this.#deployment = deployment;
-    this.#marked = opening.deployment !== '';
-    this.#promisedEpoch = opening.promisedEpoch;
-    this.#promisedTo = opening.promisedTo;
-    this.#accepted = opening.accepted;
+    this.#hasDeploymentRecord = opened.deployment !== '';
+    this.#promisedEpoch = opened.promisedEpoch;
+    this.#promisedTo = opened.promisedTo;
+    this.#accepted = opened.accepted;
   }
 
   get disk(): string {
@@ -98,7 +103,7 @@
 
   /** True while a write has been asked for and not yet synced. */
   get busy(): boolean {
-    return this.#busy > 0;
+    return this.#pendingWrites > 0;
   }
 
   /** Writes synced so far. */
@@ -107,32 +112,32 @@
   }
 
   /** Writes the disk's own record, before anything else is written. */
-  mark(): void {
+  writeDiskRecord(): void {
     this.#store(
       'disk',
       toBinary(
         DiskRecordSchema,
         create(DiskRecordSchema, {
           disk: this.#disk,
-          deployment: this.#marked ? this.#deployment : '',
+          deployment: this.#hasDeploymentRecord ? this.#deployment : '',
         }),
       ),
       () => undefined,
     );
   }
 
-  prepare(claim: Prepare, reply: (promise: Promised) => void): void {
-    const { epoch, disk: claimant } = claim;
+  prepare(prepare: Prepare, reply: (promise: Promised) => void): void {
+    const { epoch, disk: candidate } = prepare;
     const stale =
-      epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && claimant !== this.#promisedTo);
+      epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && candidate !== this.#promisedTo);
     if (stale) return reply(this.#promise(epoch, false));
     if (epoch === this.#promisedEpoch) {
       if (!this.busy) reply(this.#promise(epoch, true));
       return;
     }
     this.#promisedEpoch = epoch;
-    this.#promisedTo = claimant;
-    const record = create(PromiseRecordSchema, { epoch, candidate: claimant });
+    this.#promisedTo = candidate;
+    const record = create(PromiseRecordSchema, { epoch, candidate });
     this.#store('promise', toBinary(PromiseRecordSchema, record), () => {
       reply(this.#promise(epoch, this.#promisedEpoch === epoch));
     });
@@ -145,30 +150,31 @@
     const stale =
       epoch < this.#promisedEpoch ||
       (epoch === this.#promisedEpoch && this.#promisedTo !== '' && this.#promisedTo !== propose.disk);
-    if (stale) return reply(this.#answer(version, true));
-    const mine = this.#accepted;
-    if (mine?.epoch === epoch && mine.number >= number) return reply(this.#answer(version, false));
+    if (stale) return reply(this.#acceptedReply(version, true));
+    const accepted = this.#accepted;
+    if (accepted?.epoch === epoch && accepted.number >= number)
+      return reply(this.#acceptedReply(version, false));
     if (this.#storing?.epoch === epoch && this.#storing.number >= number) return;
     this.#promisedEpoch = epoch;
     this.#promisedTo = propose.disk;
     this.#storing = { epoch, number };
     this.#store('version', toBinary(VersionSchema, version), () => {
-      if (this.#accepted === undefined || later(version, this.#accepted)) this.#accepted = version;
-      if (!this.#marked) {
-        this.#marked = true;
-        this.mark();
+      if (this.#accepted === undefined || isLater(version, this.#accepted)) this.#accepted = version;
+      if (!this.#hasDeploymentRecord) {
+        this.#hasDeploymentRecord = true;
+        this.writeDiskRecord();
       }
-      reply(this.#answer(version, false));
+      reply(this.#acceptedReply(version, false));
     });
   }
 
-  #answer(version: Version, refused: boolean): Accepted {
+  #acceptedReply(version: Version, rejected: boolean): Accepted {
     const { epoch, number } = version;
     return create(AcceptedSchema, {
       disk: this.#disk,
       epoch,
       number,
-      rejected: refused,
+      rejected,
       seenEpoch: this.#promisedEpoch,
     });
   }
@@ -185,12 +191,12 @@
   }
 
   #store(kind: 'disk' | 'promise' | 'version', bytes: Uint8Array, done: () => void): void {
-    this.#busy += 1;
-    this.#vault.store(kind, bytes, (result) => {
-      this.#busy -= 1;
+    this.#pendingWrites += 1;
+    this.#writer.store(kind, bytes, (result) => {
+      this.#pendingWrites -= 1;
       this.#syncs += 1;
       if (result.isOk) done();
-      else this.#failed(result.error);
+      else this.#onFailure(result.error);
     });
   }
 }
--- a/packages/process-group/src/agreement-check.ts
+++ b/packages/process-group/src/agreement-check.ts
@@ -6,8 +6,8 @@
  */
 import { parseArgs } from 'node:util';
 import fc from 'fast-check';
-import { SCOPES, WALKED } from './agreement-scopes.js';
-import { searchAll, StateSpace, walk, type Scope } from './agreement-search.js';
+import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
+import { searchAll, StateSpace, walk } from './agreement-search.js';
 import * as production from './index.js';
 
 const WALK_STEPS = 200;
@@ -23,7 +23,7 @@
 
 function searchScope(name: string, scope: Scope): boolean {
   const found = searchAll(new StateSpace(production, scope), Number(values.states));
-  const extent = found.whole ? 'whole' : 'a part';
+  const extent = found.complete ? 'complete' : 'a part';
   console.log(`${name}: ${extent}, ${found.states} states, ${found.steps} steps`);
   if (found.violation === undefined) return true;
   console.log(`${found.violation}\n${found.trace.join('\n')}`);
@@ -48,5 +48,5 @@
 const scopes = Object.entries<Scope>(SCOPES).filter(
   ([name]) => values.scope === undefined || name === values.scope,
 );
-const sound = scopes.map(([name, scope]) => searchScope(name, scope)).every((held) => held);
+const sound = scopes.map(([name, scope]) => searchScope(name, scope)).every((isSound) => isSound);
 process.exitCode = walkAtRandom() && sound ? 0 : 1;
--- a/packages/process-group/src/agreement-invariants.ts
+++ b/packages/process-group/src/agreement-invariants.ts
@@ -1,7 +1,7 @@
 /** The invariants of agreement, checked on messages and events alone. */
 import type { Version } from '@rainrun/messages';
-import { contentOf, lifeName, type Message } from './agreement-messages.js';
-import { later, majority } from './play.js';
+import { contentOf, incarnationName, type Message } from './agreement-messages.js';
+import { isLater, majority } from './play.js';
 
 type Of<K extends Message['kind']> = Extract<Message, { kind: K }>;
 
@@ -17,7 +17,7 @@
  * What is wrong with a message, given all that were sent before it; undefined
  * when nothing is.
  * @example
- * violation(sent, { kind: 'elected', from: { machine: 'a', life: 1 }, epoch: 2 });
+ * violation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
  */
 export function violation(sent: readonly Message[], message: Message): string | undefined {
   switch (message.kind) {
@@ -50,7 +50,7 @@
     ({ accepted, from: { machine } }) =>
       machine === from.machine &&
       !accepted.rejected &&
-      (promise.accepted === undefined || later(accepted, promise.accepted)),
+      (promise.accepted === undefined || isLater(accepted, promise.accepted)),
   );
   if (forgotten === undefined) return undefined;
   const { epoch, number } = forgotten.accepted;
@@ -73,10 +73,10 @@
 
 function secondCoordinator(sent: readonly Message[], message: Of<'elected'>): string | undefined {
   const other = ofKind(sent, 'elected').find(
-    ({ epoch, from }) => epoch === message.epoch && lifeName(from) !== lifeName(message.from),
+    ({ epoch, from }) => epoch === message.epoch && incarnationName(from) !== incarnationName(message.from),
   );
   if (other === undefined) return undefined;
-  return `epoch ${message.epoch} has two coordinators, ${lifeName(other.from)} and ${lifeName(message.from)}`;
+  return `epoch ${message.epoch} has two coordinators, ${incarnationName(other.from)} and ${incarnationName(message.from)}`;
 }
 
 function wronglyChosen(sent: readonly Message[], message: Of<'chosen'>): string | undefined {
--- a/packages/process-group/src/agreement-messages.ts
+++ b/packages/process-group/src/agreement-messages.ts
@@ -10,20 +10,30 @@
   type Version,
 } from '@rainrun/messages';
 
-/** One life of a machine: from its start to its crash. */
-export interface Life {
+/** One incarnation of a machine: from its start to its crash. */
+export interface Incarnation {
   readonly machine: string;
-  readonly life: number;
+  readonly incarnation: number;
 }
 
 /** A message or an event that the invariants look at. */
 export type Message =
-  | { readonly kind: 'claim'; readonly from: Life; readonly to: string; readonly claim: Prepare }
-  | { readonly kind: 'propose'; readonly from: Life; readonly to: string; readonly propose: Propose }
-  | { readonly kind: 'promise'; readonly from: Life; readonly to: Life; readonly promise: Promised }
-  | { readonly kind: 'accepted'; readonly from: Life; readonly to: Life; readonly accepted: Accepted }
-  | { readonly kind: 'elected'; readonly from: Life; readonly epoch: number }
-  | { readonly kind: 'chosen'; readonly from: Life; readonly version: Version };
+  | { readonly kind: 'prepare'; readonly from: Incarnation; readonly to: string; readonly prepare: Prepare }
+  | { readonly kind: 'propose'; readonly from: Incarnation; readonly to: string; readonly propose: Propose }
+  | {
+      readonly kind: 'promise';
+      readonly from: Incarnation;
+      readonly to: Incarnation;
+      readonly promise: Promised;
+    }
+  | {
+      readonly kind: 'accepted';
+      readonly from: Incarnation;
+      readonly to: Incarnation;
+      readonly accepted: Accepted;
+    }
+  | { readonly kind: 'elected'; readonly from: Incarnation; readonly epoch: number }
+  | { readonly kind: 'chosen'; readonly from: Incarnation; readonly version: Version };
 
 /** A digest of some bytes. */
 export function digestOf(bytes: Uint8Array): string {
@@ -46,32 +56,32 @@
   return version === undefined ? 'none' : `${version.epoch}/${version.number}/${contentOf(version)}`;
 }
 
-/** A life as one word. */
-export function lifeName({ machine, life }: Life): string {
-  return `${machine}#${life}`;
+/** An incarnation as one word. */
+export function incarnationName({ machine, incarnation }: Incarnation): string {
+  return `${machine}#${incarnation}`;
 }
 
-/** The life that a word stands for. */
-export function lifeOf(name: string): Life {
-  const [machine = '', life = '0'] = name.split('#');
-  return { machine, life: Number(life) };
+/** The incarnation that a word stands for. */
+export function parseIncarnation(name: string): Incarnation {
+  const [machine = '', incarnation = '0'] = name.split('#');
+  return { machine, incarnation: Number(incarnation) };
 }
 
 /** The same for equal messages: a message that is sent again is no new one. */
 export function messageName(message: Message): string {
-  const from = lifeName(message.from);
+  const from = incarnationName(message.from);
   switch (message.kind) {
-    case 'claim':
-      return `claim ${from} ${message.to} ${message.claim.epoch}`;
+    case 'prepare':
+      return `prepare ${from} ${message.to} ${message.prepare.epoch}`;
     case 'propose':
       return `propose ${from} ${message.to} ${nameOf(message.propose.version)}`;
     case 'promise': {
       const { epoch, granted, accepted, seenEpoch } = message.promise;
-      return `promise ${from} ${lifeName(message.to)} ${epoch} ${granted} ${seenEpoch} ${nameOf(accepted)}`;
+      return `promise ${from} ${incarnationName(message.to)} ${epoch} ${granted} ${seenEpoch} ${nameOf(accepted)}`;
     }
     case 'accepted': {
-      const { epoch, number, rejected: refused, seenEpoch } = message.accepted;
-      return `accepted ${from} ${lifeName(message.to)} ${epoch} ${number} ${refused} ${seenEpoch}`;
+      const { epoch, number, rejected, seenEpoch } = message.accepted;
+      return `accepted ${from} ${incarnationName(message.to)} ${epoch} ${number} ${rejected} ${seenEpoch}`;
     }
     case 'elected':
       return `elected ${from} ${message.epoch}`;
--- a/packages/process-group/src/agreement-model.ts
+++ b/packages/process-group/src/agreement-model.ts
@@ -2,11 +2,10 @@
  * The agreement of one machine as a deterministic state machine, for model
  * checking: the production `Acceptor`, `Candidacy` and `Coordinator` behind inputs
  * that a search chooses one by one. Views, heartbeats and time are left out: a
- * machine may claim, change voters or lose its memory at any moment.
+ * machine may prepare, change voters or lose its memory at any moment.
  */
-import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
+import { create, fromBinary } from '@bufbuild/protobuf';
 import {
-  DiskRecordSchema,
   EntrySchema,
   FlushReplySchema,
   OperationSchema,
@@ -14,34 +13,30 @@
   PromiseSchema,
   ProposeSchema,
   MemberSchema,
-  StateSchema,
-  VersionSchema,
-  ViewSchema,
-  VoterSchema,
   type Accepted,
   type Prepare,
   type Frame,
   type Propose,
   type Member,
   type Version,
-  type Voter,
 } from '@rainrun/messages';
 import type { Fault } from '@rainrun/common';
 import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
 import { Result, type Unit } from 'true-myth';
 import {
   digestOf,
-  lifeName,
-  lifeOf,
+  incarnationName,
+  parseIncarnation,
   messageName,
   nameOf,
-  type Life,
+  type Incarnation,
   type Message,
 } from './agreement-messages.js';
 import type { Acceptor, readRecords } from './acceptor.js';
 import type { Candidacy, CandidacyContext } from './candidacy.js';
 import type { Coordinator, CoordinatorContext } from './coordinator.js';
 import { disksOf, fromVersion, type GroupState, type StateMachine, type VoterSets } from './play.js';
+import { DEPLOYMENT, memberOf } from './agreement-initial-state.js';
 import { GROUP_TIMES } from './times.js';
 
 /** The code under check; a mutant brings its own. */
@@ -54,22 +49,20 @@
 
 /** What the search may do to one machine. */
 export type Input =
-  | { readonly kind: 'claim' }
+  | { readonly kind: 'prepare' }
   | { readonly kind: 'sync' }
   | { readonly kind: 'operate' }
   | { readonly kind: 'replace'; readonly disk: string }
   | { readonly kind: 'deliver'; readonly message: Message };
 
-const DEPLOYMENT = 'model';
-
 /** The state of the application: the ids of the operations, one after the other. */
-const PLAY: StateMachine<string> = {
+const STATE_MACHINE: StateMachine<string> = {
   empty: () => '',
   encode: (state) => ({
     application: new TextEncoder().encode(state),
     applicationExtension: new Uint8Array(),
   }),
-  decode: ({ application: play }) => Result.ok(new TextDecoder().decode(play)),
+  decode: ({ application: bytes }) => Result.ok(new TextDecoder().decode(bytes)),
   withoutExtension: (state) => state,
   apply: (state, operation) => ({
     state: `${state} ${operation.id}`,
@@ -78,45 +71,7 @@
 };
 
 /** Lost voters are replaced at once, and the view never changes. */
-const TIMES = { ...GROUP_TIMES, replaceMs: 0, graceMs: Infinity };
-
-function seatOf(machine: string): Member {
-  return create(MemberSchema, { name: machine, incarnation: machine, address: machine, disk: machine });
-}
-
-function voterOf(machine: string): Voter {
-  return create(VoterSchema, { name: machine, disk: machine });
-}
-
-/** The first version of the history: agreed by the first voters before the search begins. */
-export function firstVersion(machines: readonly string[], voters: readonly string[]): Version {
-  return create(VersionSchema, {
-    epoch: 1,
-    number: 1,
-    entry: create(EntrySchema),
-    state: create(StateSchema, {
-      deployment: DEPLOYMENT,
-      view: create(ViewSchema, { epoch: 1, number: 1, members: machines.map(seatOf) }),
-      voters: voters.map(voterOf),
-    }),
-  });
-}
-
-/** The records of a disk that is empty but for its id. */
-export function emptyDisk(machine: string): Records {
-  return { disk: toBinary(DiskRecordSchema, create(DiskRecordSchema, { disk: machine })) };
-}
-
-/** The records of a disk that took part in the first version. */
-export function firstDisk(machine: string, version: Version, founder: string): Records {
-  const disk = create(DiskRecordSchema, { disk: machine, deployment: DEPLOYMENT });
-  const promise = create(PromiseRecordSchema, { epoch: 1, candidate: founder });
-  return {
-    disk: toBinary(DiskRecordSchema, disk),
-    promise: toBinary(PromiseRecordSchema, promise),
-    version: toBinary(VersionSchema, version),
-  };
-}
+const TIMES = { ...GROUP_TIMES, voterReplacementMs: 0, graceMs: Infinity };
 
 interface Write {
   readonly kind: RecordKind;
@@ -125,37 +80,37 @@
   readonly done: (result: Result<Unit, Fault>) => void;
 }
 
-/** One life of a machine that votes and may coordinate. */
+/** One incarnation of a machine that votes and may coordinate. */
 export class ModelMachine {
-  readonly from: Life;
+  readonly from: Incarnation;
   #records: Records;
   #writes: Write[] = [];
   #acceptor: Acceptor;
-  #claims: Candidacy;
+  #candidacy: Candidacy;
   #coordinator: Coordinator<string> | undefined;
-  #held: GroupState<string> | undefined;
+  #state: GroupState<string> | undefined;
   #code: AgreementCode;
   #epochSeen = 0;
   #missing: string | undefined;
   /** Number that the coordinator proposes and has not seen chosen. */
   #proposing: number | undefined;
   #operations = 0;
-  /** Inputs that shaped the claim or the coordinator of now. */
+  /** Inputs that shaped the prepare or the coordinator of now. */
   #log: string[] = [];
-  /** A claim is answered once in a life. */
-  #claimsHeard = new Set<string>();
+  /** A prepare is answered once in an incarnation. */
+  #preparesReceived = new Set<string>();
   #cause = '';
   #sent: Message[] = [];
   /** Why the disk's records were refused. */
   readonly broken: string | undefined;
 
-  constructor(code: AgreementCode, from: Life, records: Records) {
+  constructor(code: AgreementCode, from: Incarnation, records: Records) {
     this.#code = code;
     this.from = from;
     this.#records = { ...records };
     const opening = code.readRecords(records, from.machine);
     this.broken = opening.isErr ? opening.error.detail : undefined;
-    const vault: RecordWriter = {
+    const writer: RecordWriter = {
       store: (kind, bytes, done) => void this.#writes.push({ kind, bytes, cause: this.#cause, done }),
     };
     const fresh = {
@@ -167,11 +122,11 @@
     };
     this.#acceptor = new code.Acceptor(
       opening.isOk ? opening.value : fresh,
-      vault,
+      writer,
       DEPLOYMENT,
       () => undefined,
     );
-    this.#claims = new code.Candidacy(this.#claimContext());
+    this.#candidacy = new code.Candidacy(this.#candidacyContext());
   }
 
   /** What a crash leaves. */
@@ -179,12 +134,12 @@
     return { ...this.#records };
   }
 
-  get writesWait(): boolean {
+  get hasPendingWrites(): boolean {
     return this.#writes.length > 0;
   }
 
-  /** Whether this machine is among the voters that it knows of, and would claim if it heard of no coordinator. */
-  get mayClaim(): boolean {
+  /** Whether this machine is among the voters that it knows of, and would prepare if it heard of no coordinator. */
+  get mayPrepare(): boolean {
     const listed = this.#voters().voters.some((voter) => voter.disk === this.from.machine);
     return listed && this.#coordinator === undefined && !this.#acceptor.busy;
   }
@@ -194,29 +149,29 @@
     return this.#coordinator?.ready === true && this.#proposing === undefined;
   }
 
-  /** Messages that are not taken again: claims in this life, replies since this machine claimed. */
-  get heardMessages(): ReadonlySet<string> {
-    return new Set([...this.#log, ...this.#claimsHeard]);
+  /** Messages that are not taken again: prepares in this incarnation, replies since this machine prepared. */
+  get receivedMessages(): ReadonlySet<string> {
+    return new Set([...this.#log, ...this.#preparesReceived]);
   }
 
   /** Equal for machines that behave alike from now on. */
   fingerprint(): string {
-    const { machine, life } = this.from;
+    const { machine, incarnation } = this.from;
     const records = (['disk', 'promise', 'version'] as const).map((kind) => this.#nameOfRecord(kind));
     const writes = this.#writes.map(({ kind, bytes, cause }) => [kind, digestOf(bytes), cause]);
     const { promisedEpoch, accepted } = this.#acceptor;
     return JSON.stringify([
       machine,
-      life,
+      incarnation,
       records,
       writes,
       promisedEpoch,
       nameOf(accepted),
       this.#epochSeen,
-      this.#held?.number ?? 0,
-      this.#held?.epoch ?? 0,
+      this.#state?.number ?? 0,
+      this.#state?.epoch ?? 0,
       this.#log,
-      [...this.#claimsHeard].sort(),
+      [...this.#preparesReceived].sort(),
     ]);
   }
 
@@ -230,8 +185,8 @@
     this.#sent = [];
     this.#cause = input.kind === 'deliver' ? messageName(input.message) : input.kind;
     switch (input.kind) {
-      case 'claim':
-        this.#claim();
+      case 'prepare':
+        this.#prepare();
         break;
       case 'sync':
         this.#sync();
@@ -246,14 +201,14 @@
         this.#deliver(input.message);
         break;
     }
-    if (!this.#claims.pressing && this.#coordinator === undefined) this.#log = [];
+    if (!this.#candidacy.isUnderWay && this.#coordinator === undefined) this.#log = [];
     return this.#sent;
   }
 
-  #claim(): void {
-    this.#claims.forget();
-    this.#log = [`claim ${this.#epoch()} ${[...disksOf(this.#voters())].join()}`];
-    this.#claims.begin(0);
+  #prepare(): void {
+    this.#candidacy.abandon();
+    this.#log = [`prepare ${this.#epoch()} ${[...disksOf(this.#voters())].join()}`];
+    this.#candidacy.begin(0);
   }
 
   #sync(): void {
@@ -261,7 +216,7 @@
     if (write === undefined) return;
     this.#records[write.kind] = write.bytes;
     this.#cause = write.cause;
-    if (write.kind === 'promise' && write.cause === 'claim') this.#notePromiseToSelf(write.bytes);
+    if (write.kind === 'promise' && write.cause === 'prepare') this.#notePromiseToSelf(write.bytes);
     write.done(Result.ok());
   }
 
@@ -276,11 +231,11 @@
 
   #operate(): void {
     this.#operations += 1;
-    const id = `${this.from.machine}${this.from.life}-${this.#coordinator?.epoch ?? 0}-${this.#operations}`;
+    const id = `${this.from.machine}${this.from.incarnation}-${this.#coordinator?.epoch ?? 0}-${this.#operations}`;
     this.#log.push(`operate ${id}`);
     this.#coordinator?.submit(
       create(OperationSchema, { id, kind: 'add', transient: true }),
-      seatOf(this.from.machine),
+      memberOf(this.from.machine),
     );
     this.#coordinator?.tick(0);
   }
@@ -295,12 +250,12 @@
 
   #deliver(message: Message): void {
     switch (message.kind) {
-      case 'claim':
-        this.#claimsHeard.add(messageName(message));
-        return this.#claims.onClaim(lifeName(message.from), message.claim);
+      case 'prepare':
+        this.#preparesReceived.add(messageName(message));
+        return this.#candidacy.onPrepare(incarnationName(message.from), message.prepare);
       case 'promise':
         this.#log.push(messageName(message));
-        return this.#claims.onPromise(message.promise);
+        return this.#candidacy.onPromise(message.promise);
       case 'propose':
         return this.#onPropose(message.from, message.propose);
       case 'accepted':
@@ -317,10 +272,10 @@
   }
 
   #voters(): VoterSets {
-    return this.#held ?? this.#acceptor.accepted?.state ?? { voters: [], previousVoters: [] };
+    return this.#state ?? this.#acceptor.accepted?.state ?? { voters: [], previousVoters: [] };
   }
 
-  #onPropose(from: Life, propose: Propose): void {
+  #onPropose(from: Incarnation, propose: Propose): void {
     const { version } = propose;
     if (version === undefined) return;
     const listed = version.state?.voters.some((voter) => voter.disk === this.from.machine) ?? false;
@@ -339,7 +294,7 @@
       return this.#resign();
     }
     if (accepted.epoch === coordinator.epoch && accepted.number === this.#proposing) this.#log.push(name);
-    coordinator.accepted(accepted);
+    coordinator.onAccepted(accepted);
     this.#coordinator?.tick(0);
   }
 
@@ -348,8 +303,8 @@
     this.#proposing = undefined;
   }
 
-  #take(epoch: number, version: Version): void {
-    const base = fromVersion(PLAY, version);
+  #becomeCoordinator(epoch: number, version: Version): void {
+    const base = fromVersion(STATE_MACHINE, version);
     if (base.isErr) return;
     this.#epochSeen = Math.max(this.#epochSeen, epoch);
     this.#send({ kind: 'elected', from: this.from, epoch });
@@ -369,21 +324,26 @@
     this.#sent.push(message);
   }
 
-  #post(seat: Member, body: Frame['body']): void {
+  #route(member: Member, body: Frame['body']): void {
     const { from } = this;
     switch (body.case) {
       case 'prepare':
         return body.value.preVote
-          ? this.#support(seat, body.value)
-          : this.#send({ kind: 'claim', from, to: seat.incarnation, claim: body.value });
+          ? this.#support(member, body.value)
+          : this.#send({ kind: 'prepare', from, to: member.incarnation, prepare: body.value });
       case 'promise':
-        return this.#send({ kind: 'promise', from, to: lifeOf(seat.incarnation), promise: body.value });
+        return this.#send({
+          kind: 'promise',
+          from,
+          to: parseIncarnation(member.incarnation),
+          promise: body.value,
+        });
       case 'propose':
         this.#proposing = body.value.version?.number;
-        return this.#send({ kind: 'propose', from, to: seat.incarnation, propose: body.value });
+        return this.#send({ kind: 'propose', from, to: member.incarnation, propose: body.value });
       case 'flushRequest':
-        return this.#coordinator?.flushed(
-          seat.incarnation,
+        return this.#coordinator?.onFlushReply(
+          member.incarnation,
           create(FlushReplySchema, { epoch: body.value.epoch, change: body.value.change }),
         );
       default:
@@ -391,57 +351,57 @@
     }
   }
 
-  /** The question before a claim guards nothing but peace: here everyone supports every claim. */
-  #support(seat: Member, claim: Prepare): void {
-    const { epoch } = claim;
-    this.#claims.onPromise({
+  /** The question before a prepare guards nothing but peace: here everyone supports every prepare. */
+  #support(member: Member, prepare: Prepare): void {
+    const { epoch } = prepare;
+    this.#candidacy.onPromise({
       $typeName: 'rainrun.v1.Promise',
       epoch,
-      disk: seat.disk,
+      disk: member.disk,
       granted: true,
       preVote: true,
       seenEpoch: 0,
     });
   }
 
-  #claimContext(): CandidacyContext {
+  #candidacyContext(): CandidacyContext {
     const { machine } = this.from;
     return {
       acceptor: this.#acceptor,
       times: TIMES,
-      chance: { next: () => 0 },
+      random: { next: () => 0 },
       nowMs: () => 0,
       voters: () => this.#voters(),
-      memberOfVoter: (disk) => seatOf(disk),
+      memberOfVoter: (disk) => memberOf(disk),
       member: (incarnation) => create(MemberSchema, { name: machine, incarnation }),
-      send: (seat, body) => this.#post(seat, body),
+      send: (member, body) => this.#route(member, body),
       followedCoordinator: () => undefined,
       epoch: () => this.#epoch(),
       learnEpoch: (epoch) => {
         this.#epochSeen = Math.max(this.#epochSeen, epoch);
       },
-      becomeCoordinator: (epoch, version) => this.#take(epoch, version),
+      becomeCoordinator: (epoch, version) => this.#becomeCoordinator(epoch, version),
     };
   }
 
   #coordinatorContext(): CoordinatorContext<string> {
     const { machine } = this.from;
     return {
-      stateMachine: PLAY,
+      stateMachine: STATE_MACHINE,
       times: TIMES,
       disk: machine,
       desiredVoterCount: 0,
-      self: () => seatOf(machine),
-      appliedVersion: () => this.#held?.number ?? 0,
+      self: () => memberOf(machine),
+      appliedVersion: () => this.#state?.number ?? 0,
       hasLeft: () => false,
       isLive: () => true,
       isReported: () => false,
       joiners: () => [],
-      memberOfVoter: (disk) => (disk === this.#missing ? undefined : seatOf(disk)),
-      send: (seat, body) => this.#post(seat, body),
-      sendOrdered: (seat, body) => {
+      memberOfVoter: (disk) => (disk === this.#missing ? undefined : memberOf(disk)),
+      send: (member, body) => this.#route(member, body),
+      sendOrdered: (member, body) => {
         if (body.case === 'chosen')
-          this.#coordinator?.holds(seat.incarnation, body.value.versions.at(-1)?.number ?? 0);
+          this.#coordinator?.learnApplied(member.incarnation, body.value.versions.at(-1)?.number ?? 0);
       },
       vote: (version) => {
         this.#proposing = version.number;
@@ -454,8 +414,8 @@
       flushSelf: () => [],
       deliverSelf: (version) => {
         this.#proposing = undefined;
-        const held = fromVersion(PLAY, version);
-        if (held.isOk) this.#held = held.value;
+        const state = fromVersion(STATE_MACHINE, version);
+        if (state.isOk) this.#state = state.value;
         this.#send({ kind: 'chosen', from: this.from, version });
       },
     };
--- a/packages/process-group/src/agreement-scopes.ts
+++ b/packages/process-group/src/agreement-scopes.ts
@@ -1,76 +1,111 @@
 /** What the model check goes through: small scopes to their end, larger ones as far as states allow. */
-import type { Budget, Scope } from './agreement-search.js';
+
+/** How often each kind of fault and of work may come. */
+export interface Budget {
+  readonly prepares: number;
+  readonly crashes: number;
+  readonly operations: number;
+  readonly replacements: number;
+  /** Machines that may go for good with their disks, one after the other's replacement. */
+  readonly losses: number;
+}
+
+/** What is searched. */
+export interface Scope {
+  readonly voters: readonly string[];
+  readonly spares: readonly string[];
+  /** The machine that coordinates when the search begins. */
+  readonly coordinator: string;
+  readonly budget: Budget;
+  /** Machines that may become candidates. */
+  readonly candidates: readonly string[];
+  /** Machines that may crash and start again. */
+  readonly crashing: readonly string[];
+  /** Machines that go with their disks right after the first election. */
+  readonly lost: readonly string[];
+  /** Disks that a coordinator may take for lost, and replace. */
+  readonly replaceable: readonly string[];
+  /** Whether other things may happen between a write and its sync. */
+  readonly slowDisks: boolean;
+  /** Whether rejections are sent: they end prepares and terms, and report newer epochs. */
+  readonly rejections: boolean;
+}
 
 function budget(part: Partial<Budget>): Budget {
-  return { claims: 0, crashes: 0, operations: 0, replacements: 0, losses: 0, ...part };
+  return { prepares: 0, crashes: 0, operations: 0, replacements: 0, losses: 0, ...part };
 }
 
 const THREE_VOTERS: Scope = {
   voters: ['a', 'b', 'c'],
   spares: ['d'],
   coordinator: 'a',
-  claimants: ['a', 'b'],
+  candidates: ['a', 'b'],
   crashing: ['a', 'b', 'c', 'd'],
   lost: [],
   replaceable: ['c'],
   slowDisks: false,
-  refusals: false,
+  rejections: false,
   budget: budget({}),
 };
 
 /** Three voters, `a` coordinates, `d` may replace `c`. */
 export const SCOPES = {
   /** Two rivals for the newest epoch while the coordinator is at work. */
-  rivals: { ...THREE_VOTERS, budget: budget({ claims: 2 }) },
+  rivals: { ...THREE_VOTERS, budget: budget({ prepares: 2 }) },
   /** The same with an operation that either may get chosen. */
-  rivalsAtWork: { ...THREE_VOTERS, budget: budget({ claims: 2, operations: 1 }) },
-  /** A claim and an operation, and a crash of any machine anywhere in them. */
-  restart: { ...THREE_VOTERS, budget: budget({ claims: 1, crashes: 1, operations: 1 }) },
+  rivalsAtWork: { ...THREE_VOTERS, budget: budget({ prepares: 2, operations: 1 }) },
+  /** A prepare and an operation, and a crash of any machine anywhere in them. */
+  restart: { ...THREE_VOTERS, budget: budget({ prepares: 1, crashes: 1, operations: 1 }) },
   /** The same where a voter crashes between its writes and their syncs. */
   tornVoter: {
     ...THREE_VOTERS,
-    claimants: ['b'],
+    candidates: ['b'],
     crashing: ['c'],
     slowDisks: true,
-    budget: budget({ claims: 1, crashes: 1, operations: 1 }),
+    budget: budget({ prepares: 1, crashes: 1, operations: 1 }),
   },
-  /** A voter that crashes between its writes and their syncs, among rival claims. */
+  /** A voter that crashes between its writes and their syncs, among rival prepares. */
   tornVoterOfRivals: {
     ...THREE_VOTERS,
     crashing: ['c'],
     slowDisks: true,
-    budget: budget({ claims: 2, crashes: 1 }),
+    budget: budget({ prepares: 2, crashes: 1 }),
   },
-  /** A claimant that crashes between its writes and their syncs and claims again. */
-  tornClaimant: {
+  /** A candidate that crashes between its writes and their syncs and prepares again. */
+  tornCandidate: {
     ...THREE_VOTERS,
-    claimants: ['b'],
+    candidates: ['b'],
     crashing: ['b'],
     slowDisks: true,
-    budget: budget({ claims: 2, crashes: 1 }),
+    budget: budget({ prepares: 2, crashes: 1 }),
+  },
+  /** A lost voter is replaced while another prepares. */
+  repair: {
+    ...THREE_VOTERS,
+    lost: ['c'],
+    candidates: ['b'],
+    budget: budget({ prepares: 1, replacements: 1 }),
   },
-  /** A lost voter is replaced while another claims. */
-  repair: { ...THREE_VOTERS, lost: ['c'], claimants: ['b'], budget: budget({ claims: 1, replacements: 1 }) },
-  /** The same while the voter that is replaced lives on. */
-  replacement: { ...THREE_VOTERS, claimants: ['b'], budget: budget({ claims: 1, replacements: 1 }) },
-  /** The coordinator that replaces a voter crashes, another is elected, and the first claims again. */
+  /** The same while the voter that is replaced stays up. */
+  replacement: { ...THREE_VOTERS, candidates: ['b'], budget: budget({ prepares: 1, replacements: 1 }) },
+  /** The coordinator that replaces a voter crashes, another is elected, and the first prepares again. */
   replacementTorn: {
     ...THREE_VOTERS,
     crashing: ['a'],
-    budget: budget({ claims: 2, crashes: 1, replacements: 1 }),
+    budget: budget({ prepares: 2, crashes: 1, replacements: 1 }),
   },
   /** Two machines may replace one. */
-  twoSpares: { ...THREE_VOTERS, spares: ['d', 'e'], claimants: [], budget: budget({ replacements: 1 }) },
+  twoSpares: { ...THREE_VOTERS, spares: ['d', 'e'], candidates: [], budget: budget({ replacements: 1 }) },
 } as const satisfies Record<string, Scope>;
 
 /** Of everything some, with a second spare: for walks at random. */
 export const WALKED: Scope = {
   ...THREE_VOTERS,
   spares: ['d', 'e'],
-  claimants: ['a', 'b', 'c', 'd', 'e'],
+  candidates: ['a', 'b', 'c', 'd', 'e'],
   crashing: ['a', 'b', 'c', 'd', 'e'],
   replaceable: ['a', 'b', 'c', 'd'],
   slowDisks: true,
-  refusals: true,
-  budget: { claims: 5, crashes: 3, operations: 3, replacements: 2, losses: 1 },
+  rejections: true,
+  budget: { prepares: 5, crashes: 3, operations: 3, replacements: 2, losses: 1 },
 };
--- a/packages/process-group/src/agreement-search.ts
+++ b/packages/process-group/src/agreement-search.ts
@@ -6,47 +6,11 @@
  * numbered states.
  */
 import type { Records } from '@rainrun/storage';
+import type { Budget, Scope } from './agreement-scopes.js';
 import { violation } from './agreement-invariants.js';
 import { messageName, type Message } from './agreement-messages.js';
-import {
-  emptyDisk,
-  firstDisk,
-  firstVersion,
-  ModelMachine,
-  type AgreementCode,
-  type Input,
-} from './agreement-model.js';
-
-/** How often each kind of trouble and of work may come. */
-export interface Budget {
-  readonly claims: number;
-  readonly crashes: number;
-  readonly operations: number;
-  readonly replacements: number;
-  /** Machines that may go for good with their disks, one after the other's replacement. */
-  readonly losses: number;
-}
-
-/** What is searched. */
-export interface Scope {
-  readonly voters: readonly string[];
-  readonly spares: readonly string[];
-  /** The machine that coordinates when the search begins. */
-  readonly coordinator: string;
-  readonly budget: Budget;
-  /** Machines that may claim. */
-  readonly claimants: readonly string[];
-  /** Machines that may crash and start again. */
-  readonly crashing: readonly string[];
-  /** Machines that go with their disks right after the first election. */
-  readonly lost: readonly string[];
-  /** Disks that a coordinator may take for lost, and replace. */
-  readonly replaceable: readonly string[];
-  /** Whether other things may happen between a write and its sync. */
-  readonly slowDisks: boolean;
-  /** Whether refusals are sent: they end claims and terms, and tell of newer epochs. */
-  readonly refusals: boolean;
-}
+import { emptyDisk, firstDisk, firstVersion } from './agreement-initial-state.js';
+import { ModelMachine, type AgreementCode, type Input } from './agreement-model.js';
 
 /** One thing that happens to one machine; a delivery goes by the number of its message. */
 export interface Action {
@@ -77,11 +41,11 @@
 
 interface MachineState {
   readonly name: string;
-  readonly boot: { readonly life: number; readonly records: Records };
+  readonly boot: { readonly incarnation: number; readonly records: Records };
   readonly inputs: readonly Input[];
   readonly records: Records;
-  readonly writesWait: boolean;
-  readonly mayClaim: boolean;
+  readonly hasPendingWrites: boolean;
+  readonly mayPrepare: boolean;
   readonly idleCoordinator: boolean;
   /** Names of the messages that are not taken again. */
   readonly heard: ReadonlySet<string>;
@@ -157,8 +121,8 @@
 
   /** Equal for equal states. */
   key(state: State): string {
-    const { claims, crashes, operations, replacements, losses } = state.budget;
-    return `${state.machines.join()} ${state.sent.join()} ${claims} ${crashes} ${operations} ${replacements} ${losses}`;
+    const { prepares, crashes, operations, replacements, losses } = state.budget;
+    return `${state.machines.join()} ${state.sent.join()} ${prepares} ${crashes} ${operations} ${replacements} ${losses}`;
   }
 
   // The beginning.
@@ -172,7 +136,7 @@
       ...spares.map((name) => this.#boot(name, 1, emptyDisk(name))),
     ];
     const machine = voters.indexOf(coordinator);
-    let state = this.#apply({ machines, sent: [], budget }, machine, { kind: 'claim' }).state;
+    let state = this.#apply({ machines, sent: [], budget }, machine, { kind: 'prepare' }).state;
     for (;;) {
       const next = this.#progress(state);
       if (next === undefined) return this.#settled(state, budget);
@@ -199,10 +163,10 @@
     return undefined;
   }
 
-  #boot(name: string, life: number, records: Records): number {
+  #boot(name: string, incarnation: number, records: Records): number {
     return this.#intern(
-      new ModelMachine(this.#code, { machine: name, life }, records),
-      { life, records },
+      new ModelMachine(this.#code, { machine: name, incarnation }, records),
+      { incarnation, records },
       [],
     );
   }
@@ -212,17 +176,17 @@
     const known = this.#stateNumbers.get(fingerprint);
     if (known !== undefined) return known;
     const number = this.#states.length;
-    const { records, writesWait, mayClaim, idleCoordinator, heardMessages } = machine;
+    const { records, hasPendingWrites, mayPrepare, idleCoordinator, receivedMessages } = machine;
     this.#stateNumbers.set(fingerprint, number);
     this.#states.push({
       name: machine.from.machine,
       boot,
       inputs,
       records,
-      writesWait,
-      mayClaim,
+      hasPendingWrites,
+      mayPrepare,
       idleCoordinator,
-      heard: heardMessages,
+      heard: receivedMessages,
       live: machine,
     });
     return number;
@@ -232,9 +196,9 @@
 
   #addOwnActions(actions: Action[], state: State, machine: number, known: MachineState): void {
     const { budget } = state;
-    if (known.writesWait) actions.push({ machine, what: { kind: 'sync' } });
-    if (budget.claims > 0 && known.mayClaim && this.#scope.claimants.includes(known.name))
-      actions.push({ machine, what: { kind: 'claim' } });
+    if (known.hasPendingWrites) actions.push({ machine, what: { kind: 'sync' } });
+    if (budget.prepares > 0 && known.mayPrepare && this.#scope.candidates.includes(known.name))
+      actions.push({ machine, what: { kind: 'prepare' } });
     if (budget.crashes > 0 && this.#scope.crashing.includes(known.name))
       actions.push({ machine, what: { kind: 'crash' } });
     if (budget.operations > 0 && known.idleCoordinator) actions.push({ machine, what: { kind: 'operate' } });
@@ -266,12 +230,16 @@
 
   #isFor(message: Message, { name, boot }: MachineState): boolean {
     switch (message.kind) {
-      case 'claim':
+      case 'prepare':
       case 'propose':
         return message.to === name;
       case 'promise':
       case 'accepted':
-        return message.to.machine === name && message.to.life === boot.life && message.from.machine !== name;
+        return (
+          message.to.machine === name &&
+          message.to.incarnation === boot.incarnation &&
+          message.from.machine !== name
+        );
       default:
         return false;
     }
@@ -282,7 +250,7 @@
   #apply(state: State, machine: number, what: OwnAction): Step {
     const from = state.machines[machine] ?? GONE;
     let { next, sent } = this.#transition(from, what);
-    while (!this.#scope.slowDisks && this.#states[next]?.writesWait === true) {
+    while (!this.#scope.slowDisks && this.#states[next]?.hasPendingWrites === true) {
       const synced = this.#transition(next, { kind: 'sync' });
       next = synced.next;
       sent = [...sent, ...synced.sent];
@@ -325,7 +293,7 @@
     const machine = this.#machineIn(this.#states[from] as MachineState);
     const sent = machine
       .apply(input)
-      .filter((message) => this.#scope.refusals || !isRefusal(message))
+      .filter((message) => this.#scope.rejections || !isRejection(message))
       .map((message) => this.#internMessage(message));
     const transition = { next: this.#intern(machine, boot, [...inputs, input]), sent };
     this.#transitions.set(key, transition);
@@ -336,7 +304,11 @@
     const { live, name, boot, inputs } = state;
     state.live = undefined;
     if (live !== undefined) return live;
-    const machine = new ModelMachine(this.#code, { machine: name, life: boot.life }, boot.records);
+    const machine = new ModelMachine(
+      this.#code,
+      { machine: name, incarnation: boot.incarnation },
+      boot.records,
+    );
     for (const earlier of inputs) machine.apply(earlier);
     return machine;
   }
@@ -353,7 +325,7 @@
 
   #crash(state: State, machine: number): State {
     const { boot, records } = this.#states[state.machines[machine] ?? GONE] as MachineState;
-    const next = this.#boot(this.#names[machine] ?? '', boot.life + 1, records);
+    const next = this.#boot(this.#names[machine] ?? '', boot.incarnation + 1, records);
     const budget = { ...state.budget, crashes: state.budget.crashes - 1 };
     return { ...state, budget, machines: withState(state.machines, machine, next) };
   }
@@ -370,8 +342,8 @@
 
 function spent(budget: Budget, input: OwnAction): Budget {
   switch (input.kind) {
-    case 'claim':
-      return { ...budget, claims: budget.claims - 1 };
+    case 'prepare':
+      return { ...budget, prepares: budget.prepares - 1 };
     case 'operate':
       return { ...budget, operations: budget.operations - 1 };
     case 'replace':
@@ -386,7 +358,7 @@
   return what.kind === 'replace' ? `replace ${what.disk}` : what.kind;
 }
 
-function isRefusal(message: Message): boolean {
+function isRejection(message: Message): boolean {
   if (message.kind === 'promise') return !message.promise.granted;
   return message.kind === 'accepted' && message.accepted.rejected;
 }
@@ -443,11 +415,11 @@
 }
 
 /** What an exhaustive search found. */
-export interface Found {
+export interface SearchResult {
   readonly states: number;
   readonly steps: number;
   /** Whether every state of the scope was seen. */
-  readonly whole: boolean;
+  readonly complete: boolean;
   readonly violation: string | undefined;
   /** The shortest way to the violation. */
   readonly trace: readonly string[];
@@ -465,7 +437,7 @@
  * @example
  * const found = searchAll(new StateSpace(code, scope), 100_000);
  */
-export function searchAll(space: StateSpace, statesMost: number): Found {
+export function searchAll(space: StateSpace, maxStates: number): SearchResult {
   const waiting: (State | undefined)[] = [space.start];
   const seen = new Set([space.key(space.start)]);
   const ways: Way[] = [{ before: -1, action: undefined }];
@@ -478,19 +450,19 @@
       const step = space.step(state, action);
       if (step.violation !== undefined) {
         const trace = wayTo(ways, place, action).map((taken) => space.describe(taken));
-        return { states: seen.size, steps, whole: false, violation: step.violation, trace };
+        return { states: seen.size, steps, complete: false, violation: step.violation, trace };
       }
       if (step.state === state) continue;
       const key = space.key(step.state);
       if (seen.has(key)) continue;
-      if (seen.size >= statesMost)
-        return { states: seen.size, steps, whole: false, violation: undefined, trace: [] };
+      if (seen.size >= maxStates)
+        return { states: seen.size, steps, complete: false, violation: undefined, trace: [] };
       seen.add(key);
       waiting.push(step.state);
       ways.push({ before: place, action });
     }
   }
-  return { states: seen.size, steps, whole: true, violation: undefined, trace: [] };
+  return { states: seen.size, steps, complete: true, violation: undefined, trace: [] };
 }
 
 function wayTo(ways: readonly Way[], place: number, last: Action): Action[] {
--- a/packages/process-group/src/agreement.test.ts
+++ b/packages/process-group/src/agreement.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'earl';
 import fc from 'fast-check';
 import { loadMutant, MUTANTS } from './agreement-mutants.js';
-import { SCOPES, WALKED } from './agreement-scopes.js';
-import { searchAll, StateSpace, walk, type Scope } from './agreement-search.js';
+import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
+import { searchAll, StateSpace, walk } from './agreement-search.js';
 import * as production from './index.js';
 
 /** States that a search of a planted fault may take. */
@@ -15,12 +15,15 @@
 const SCRIPTED: Scope = {
   ...SCOPES.replacementTorn,
   crashing: ['a', 'b'],
-  refusals: true,
-  budget: { claims: 2, crashes: 1, operations: 1, replacements: 1, losses: 0 },
+  rejections: true,
+  budget: { prepares: 2, crashes: 1, operations: 1, replacements: 1, losses: 0 },
 };
 
 /** Carries out the actions that begin with these words, and returns the first violation and what was left to do. */
-function play(scope: Scope, script: readonly string[]): { violation: string | undefined; left: string[] } {
+function runScript(
+  scope: Scope,
+  script: readonly string[],
+): { violation: string | undefined; left: string[] } {
   const space = new StateSpace(production, scope);
   let state = space.start;
   for (const [place, words] of script.entries()) {
@@ -35,15 +38,15 @@
 
 describe('agreement, in every order of events', () => {
   for (const name of ['rivals', 'repair', 'twoSpares'] as const) {
-    it(`holds in the whole scope "${name}"`, (test) => {
+    it(`holds in the complete scope "${name}"`, (test) => {
       const found = searchAll(new StateSpace(production, SCOPES[name]), Infinity);
       test.diagnostic(`${found.states} states, ${found.steps} steps`);
       expect(found.violation).toEqual(undefined);
-      expect(found.whole).toEqual(true);
+      expect(found.complete).toEqual(true);
     });
   }
 
-  it('holds in walks at random with losses of disks, refusals and two spares', () => {
+  it('holds in walks at random with losses of disks, rejections and two spares', () => {
     const space = new StateSpace(production, WALKED);
     const choices = fc.array(fc.nat(), { minLength: WALK_STEPS, maxLength: WALK_STEPS });
     fc.assert(
@@ -69,11 +72,11 @@
 
 describe('agreement', () => {
   it('does not elect by new voters alone while their change is not known to be chosen', () => {
-    const { violation, left } = play(SCRIPTED, [
+    const { violation, left } = runScript(SCRIPTED, [
       'a: replace c',
       'd: takes propose a#1 d',
-      'b: claim',
-      'c: takes claim b#1',
+      'b: prepare',
+      'c: takes prepare b#1',
       'b: takes promise c#1',
       'c: takes propose b#1 c',
       'b: takes accepted c#1',
@@ -81,8 +84,8 @@
       'c: takes propose b#1 c version 3/2',
       'b: takes accepted c#1 b#1 3 2',
       'a: crash',
-      'a: claim',
-      'd: takes claim a#2 d',
+      'a: prepare',
+      'd: takes prepare a#2 d',
       'a: takes promise d#1 a#2',
       'd: takes propose a#2 d',
     ]);
@@ -91,18 +94,18 @@
   });
 
   it('does not coordinate twice in one epoch after a crash before its own promise was synced', () => {
-    const { violation, left } = play({ ...SCRIPTED, slowDisks: true }, [
-      'b: claim',
-      'a: takes claim b#1',
+    const { violation, left } = runScript({ ...SCRIPTED, slowDisks: true }, [
+      'b: prepare',
+      'a: takes prepare b#1',
       'a: sync',
-      'c: takes claim b#1',
+      'c: takes prepare b#1',
       'c: sync',
       'b: takes promise a#1 b#1',
       'b: takes promise c#1 b#1',
       'b: crash',
-      'b: claim',
-      'a: takes claim b#2',
-      'c: takes claim b#2',
+      'b: prepare',
+      'a: takes prepare b#2',
+      'c: takes prepare b#2',
       'b: takes promise a#1 b#2',
       'b: takes promise c#1 b#2',
       'b: sync',
--- a/packages/process-group/src/casts.ts
+++ b/packages/process-group/src/casts.ts
@@ -1,14 +1,14 @@
 /** Causal multicast across views: what waits for a view, and the causal order within one. */
 import type { Cast, Heartbeat, View } from '@rainrun/messages';
-import { Causal } from './causal.js';
+import { CausalOrder } from './causal.js';
 import type { GroupParts } from './group-parts.js';
 import { rankOf } from './play.js';
 
 /** Payloads kept while this node cannot cast; the oldest goes first. */
-const BACKLOG_MOST = 64;
+const BACKLOG_MAX = 64;
 
 /** Casts kept that came before their view; the oldest goes first. */
-const EARLY_CASTS_MOST = 4096;
+const EARLY_CASTS_MAX = 4096;
 
 type CastParts<S> = Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>;
 
@@ -20,7 +20,7 @@
  */
 export class Casts<S> {
   #parts: CastParts<S>;
-  #causal: Causal | undefined;
+  #causal: CausalOrder | undefined;
   #backlog: Uint8Array[] = [];
   #early: Cast[] = [];
 
@@ -35,7 +35,7 @@
 
   /** Casts kept until all members are known to have them. */
   get unstableCount(): number {
-    return this.#causal?.keptCount ?? 0;
+    return this.#causal?.unstableCount ?? 0;
   }
 
   get contextBytes(): number {
@@ -47,18 +47,18 @@
     const { local, transport } = this.#parts;
     if (!local.inView || this.#causal === undefined || this.#causal.stopped) {
       this.#backlog.push(payload);
-      if (this.#backlog.length > BACKLOG_MOST) this.#backlog.shift();
+      if (this.#backlog.length > BACKLOG_MAX) this.#backlog.shift();
       return;
     }
     const cast = this.#causal.send(payload);
-    for (const member of local.others()) transport.parcel(member, { case: 'cast', value: cast });
+    for (const member of local.others()) transport.sendOrdered(member, { case: 'cast', value: cast });
   }
 
   receive(cast: Cast): void {
     const viewNumber = this.#parts.local.view?.number ?? 0;
     if (cast.view > viewNumber) {
       this.#early.push(cast);
-      if (this.#early.length > EARLY_CASTS_MOST) this.#early.shift();
+      if (this.#early.length > EARLY_CASTS_MAX) this.#early.shift();
       return;
     }
     this.#causal?.receive(cast);
@@ -86,13 +86,13 @@
   }
 
   /** Delivers what was agreed to end this view. */
-  finish(cut: readonly Cast[]): void {
-    this.#causal?.finish(cut);
+  finish(flushedCasts: readonly Cast[]): void {
+    this.#causal?.finish(flushedCasts);
   }
 
   /** Starts the causal order of a new view. */
   enter(view: View): void {
-    this.#causal = new Causal(view, this.#parts.local.incarnation, (cast) => this.#deliver(view, cast));
+    this.#causal = new CausalOrder(view, this.#parts.local.incarnation, (cast) => this.#deliver(view, cast));
   }
 
   /** Takes the casts and payloads that waited for the view. */
--- a/packages/process-group/src/causal.ts
+++ b/packages/process-group/src/causal.ts
@@ -2,28 +2,28 @@
 import { CastSchema, type Cast, type View } from '@rainrun/messages';
 import { rankOf } from './play.js';
 
-interface HeldCast {
+interface BufferedCast {
   readonly rank: number;
   readonly context: readonly number[];
   readonly cast: Cast;
 }
 
 /**
- * Causal multicast within one view. A cast is held back until its causal
+ * Causal multicast within one view. A cast is buffered back until its causal
  * predecessors have been delivered; it is kept until it is known to be
  * delivered everywhere, so that a flush can hand it on.
  * @example
  * const causal = new Causal(view, 'incarnation-1', (sender, payload) => observe(sender, payload));
  * const cast = causal.send(payload);
  */
-export class Causal {
+export class CausalOrder {
   #view: View;
   #rank: number;
   #incarnation: string;
   #deliver: (cast: Cast) => void;
   #delivered: number[];
-  #waiting: HeldCast[] = [];
-  #kept = new Map<string, HeldCast>();
+  #waiting: BufferedCast[] = [];
+  #unstable = new Map<string, BufferedCast>();
   #recordSent: number[];
   #records: number[][];
   #stableAt: number[][];
@@ -55,8 +55,8 @@
     return this.#contextBytes;
   }
 
-  get keptCount(): number {
-    return this.#kept.size;
+  get unstableCount(): number {
+    return this.#unstable.size;
   }
 
   /** Delivers a payload here at once and returns the cast for the others. */
@@ -92,7 +92,7 @@
     });
     record[rank] = cast.sequence;
     this.#waiting.push({ rank, context: [...record], cast });
-    if (this.#stopped) this.#keep(this.#waiting[this.#waiting.length - 1]);
+    if (this.#stopped) this.#retain(this.#waiting[this.#waiting.length - 1]);
     else this.#drain();
   }
 
@@ -106,33 +106,33 @@
     );
   }
 
-  /** Learns from the gatherer what all members have delivered, and lets go of it. */
+  /** Learns from the collector what all members have delivered, and drops it. */
   learnStable(stable: readonly number[]): void {
     if (stable.length !== this.#delivered.length) return;
-    for (const [key, held] of this.#kept)
-      if (held.cast.sequence <= (stable[held.rank] ?? 0)) this.#kept.delete(key);
+    for (const [key, buffered] of this.#unstable)
+      if (buffered.cast.sequence <= (stable[buffered.rank] ?? 0)) this.#unstable.delete(key);
   }
 
-  /** Learns what a member has delivered, and lets go of what all have. */
+  /** Learns what a member has delivered, and drops what all have. */
   learnDelivered(incarnation: string, delivered: readonly number[]): void {
     const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
     this.#stableAt[rank] = [...delivered];
-    for (const [key, held] of this.#kept) {
-      if (this.#isStable(held)) this.#kept.delete(key);
+    for (const [key, buffered] of this.#unstable) {
+      if (this.#isStable(buffered)) this.#unstable.delete(key);
     }
   }
 
-  /** Ends delivery in this view and returns every cast that may be missing elsewhere, with whole context. */
+  /** Ends delivery in this view and returns every cast that may be missing elsewhere, with its complete context. */
   stop(): Cast[] {
     this.#stopped = true;
-    for (const held of this.#waiting) this.#keep(held);
-    return [...this.#kept.values()].map((held) => whole(held));
+    for (const buffered of this.#waiting) this.#retain(buffered);
+    return [...this.#unstable.values()].map((buffered) => withFullContext(buffered));
   }
 
   /** Delivers what was agreed to end this view, in the agreed order, and nothing else. */
-  finish(cut: readonly Cast[]): void {
-    for (const cast of cut) {
+  finish(flushedCasts: readonly Cast[]): void {
+    for (const cast of flushedCasts) {
       const rank = rankOf(this.#view, cast.sender);
       if (rank < 0 || cast.sequence <= (this.#delivered[rank] ?? 0)) continue;
       this.#delivered[rank] = cast.sequence;
@@ -140,30 +140,30 @@
     }
   }
 
-  #isStable(held: HeldCast): boolean {
+  #isStable(buffered: BufferedCast): boolean {
     return this.#stableAt.every((vector, rank) => {
-      const count = rank === this.#rank ? this.#delivered[held.rank] : vector[held.rank];
-      return (count ?? 0) >= held.cast.sequence;
+      const count = rank === this.#rank ? this.#delivered[buffered.rank] : vector[buffered.rank];
+      return (count ?? 0) >= buffered.cast.sequence;
     });
   }
 
-  #keep(held: HeldCast | undefined): void {
-    if (held !== undefined) this.#kept.set(`${held.rank}:${held.cast.sequence}`, held);
+  #retain(buffered: BufferedCast | undefined): void {
+    if (buffered !== undefined) this.#unstable.set(`${buffered.rank}:${buffered.cast.sequence}`, buffered);
   }
 
-  #accept(held: HeldCast): void {
-    this.#delivered[held.rank] = held.cast.sequence;
-    this.#keep(held);
-    this.#deliver(held.cast);
+  #accept(buffered: BufferedCast): void {
+    this.#delivered[buffered.rank] = buffered.cast.sequence;
+    this.#retain(buffered);
+    this.#deliver(buffered.cast);
   }
 
   #drain(): void {
     for (let moved = true; moved;) {
       moved = false;
-      for (const held of this.#waiting) {
-        if (!ready(held, this.#delivered)) continue;
-        this.#waiting.splice(this.#waiting.indexOf(held), 1);
-        this.#accept(held);
+      for (const buffered of this.#waiting) {
+        if (!isDeliverable(buffered, this.#delivered)) continue;
+        this.#waiting.splice(this.#waiting.indexOf(buffered), 1);
+        this.#accept(buffered);
         moved = true;
         break;
       }
@@ -171,36 +171,37 @@
   }
 }
 
-function ready(
-  held: { rank: number; context: readonly number[]; cast: Cast },
+function isDeliverable(
+  buffered: { rank: number; context: readonly number[]; cast: Cast },
   delivered: readonly number[],
 ): boolean {
-  if (held.cast.sequence !== (delivered[held.rank] ?? 0) + 1) return false;
-  return held.context.every((count, rank) => rank === held.rank || count <= (delivered[rank] ?? 0));
+  if (buffered.cast.sequence !== (delivered[buffered.rank] ?? 0) + 1) return false;
+  return buffered.context.every((count, rank) => rank === buffered.rank || count <= (delivered[rank] ?? 0));
 }
 
-function whole(held: HeldCast): Cast {
-  const { sender, view, sequence, payload } = held.cast;
+function withFullContext(buffered: BufferedCast): Cast {
+  const { sender, view, sequence, payload } = buffered.cast;
   return create(CastSchema, {
     sender,
     view,
     sequence,
     payload,
-    contextRank: held.context.map((_, rank) => rank),
-    contextCount: [...held.context],
+    contextRank: buffered.context.map((_, rank) => rank),
+    contextCount: [...buffered.context],
   });
 }
 
 /**
- * The union of what the staying members hold, in one causal order: what ends
- * the old view at every one of them. A cast whose predecessor nobody has any
- * more comes last: its sender left with it.
+ * The union of the unstable casts of the members that stay, in one causal order:
+ * every one of them delivers these casts to end the old view (the flush of
+ * Birman's virtual synchrony). A cast whose predecessor no member has any more
+ * comes last: its sender left with it.
  * @example
- * const cut = cutOf(view, flushes.map((flush) => flush.unstable));
+ * const flushedCasts = flushedCastsOf(view, replies.map((reply) => reply.unstableCasts));
  */
-export function cutOf(view: View, lots: readonly (readonly Cast[])[]): Cast[] {
-  const known = new Map<string, HeldCast>();
-  for (const cast of lots.flat()) {
+export function flushedCastsOf(view: View, castsByMember: readonly (readonly Cast[])[]): Cast[] {
+  const known = new Map<string, BufferedCast>();
+  for (const cast of castsByMember.flat()) {
     const rank = rankOf(view, cast.sender);
     if (rank < 0 || cast.view !== view.number) continue;
     known.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
@@ -208,14 +209,16 @@
   const left = [...known.values()].sort(
     (one, other) => one.rank - other.rank || one.cast.sequence - other.cast.sequence,
   );
-  const cut: Cast[] = [];
+  const flushedCasts: Cast[] = [];
   while (left.length > 0) {
-    const next = left.findIndex((held) => left.every((other) => other === held || !precedes(other, held)));
-    cut.push(...left.splice(Math.max(next, 0), 1).map((held) => held.cast));
+    const next = left.findIndex((buffered) =>
+      left.every((other) => other === buffered || !precedes(other, buffered)),
+    );
+    flushedCasts.push(...left.splice(Math.max(next, 0), 1).map((buffered) => buffered.cast));
   }
-  return cut;
+  return flushedCasts;
 }
 
-function precedes(one: HeldCast, other: HeldCast): boolean {
+function precedes(one: BufferedCast, other: BufferedCast): boolean {
   return one.cast.sequence <= (other.context[one.rank] ?? 0) && one !== other;
 }
--- a/packages/process-group/src/coordination.ts
+++ b/packages/process-group/src/coordination.ts
@@ -30,7 +30,7 @@
 
 /**
  * Holds the coordinator while this node is it, and ends its term when a newer
- * epoch is heard of or a majority has granted nothing for too long.
+ * epoch is heard of or a majority has not renewed its lease for too long.
  * @example
  * coordination.start(3, version); // a majority promised epoch 3
  * coordination.coordinator?.epoch; // 3
@@ -38,8 +38,8 @@
 export class Coordination<S> {
   #parts: CoordinationParts<S>;
   #coordinator: Coordinator<S> | undefined;
-  #unableUntilMs = -Infinity;
-  #grantLostMs: number | undefined;
+  #ineligibleUntilMs = -Infinity;
+  #leaseLostMs: number | undefined;
 
   constructor(parts: CoordinationParts<S>) {
     this.#parts = parts;
@@ -51,18 +51,18 @@
   }
 
   /** Whether this node had to resign so lately that it should not be elected again. */
-  isUnable(nowMs: number): boolean {
-    return nowMs < this.#unableUntilMs;
+  isIneligible(nowMs: number): boolean {
+    return nowMs < this.#ineligibleUntilMs;
   }
 
-  /** Drives the coordinator; resigns when a majority has granted nothing for too long. */
+  /** Drives the coordinator; resigns when a majority has not renewed its lease for too long. */
   tick(nowMs: number): void {
     const { dependencies, leases, local } = this.#parts;
     const { resignMs } = dependencies.times;
-    if (!local.inView || leases.isGranted()) this.#grantLostMs = undefined;
-    else this.#grantLostMs ??= nowMs;
-    if (this.#grantLostMs !== undefined && nowMs - this.#grantLostMs > resignMs) {
-      this.#unableUntilMs = nowMs + 2 * resignMs;
+    if (!local.inView || leases.isHeld()) this.#leaseLostMs = undefined;
+    else this.#leaseLostMs ??= nowMs;
+    if (this.#leaseLostMs !== undefined && nowMs - this.#leaseLostMs > resignMs) {
+      this.#ineligibleUntilMs = nowMs + 2 * resignMs;
       return this.#resign();
     }
     this.#coordinator?.tick(nowMs);
@@ -75,8 +75,8 @@
     if (base.isErr) return;
     this.#leaveIfBehind(base.value.number);
     local.learnEpoch(epoch);
-    this.#grantLostMs = undefined;
-    leases.startDuty();
+    this.#leaseLostMs = undefined;
+    leases.restartSingleton();
     this.#coordinator = new Coordinator(
       this.#context(),
       epoch,
@@ -92,7 +92,7 @@
   /**
    * A member that lacks more than the version before its base cannot deliver
    * what it is about to propose, and nobody could send it what is missing: it
-   * goes on outside the view and takes the whole state with the next one.
+   * goes on outside the view and takes a snapshot with the next one.
    */
   #leaveIfBehind(baseNumber: number): void {
     const { local, viewChange } = this.#parts;
@@ -112,26 +112,26 @@
   /** Takes an operation that a member, or this node itself, submits. */
   onSubmit(from: string, submit: Submit): void {
     const { local } = this.#parts;
-    const seat =
+    const member =
       from === local.incarnation
         ? local.self
-        : local.view?.members.find((member) => member.incarnation === from);
-    if (submit.operation !== undefined && seat !== undefined)
-      this.#coordinator?.submit(submit.operation, seat);
+        : local.view?.members.find((known) => known.incarnation === from);
+    if (submit.operation !== undefined && member !== undefined)
+      this.#coordinator?.submit(submit.operation, member);
   }
 
   /** Hands a proposal of a coordinator to this node's disk, if it votes. */
   onPropose(from: string, propose: Propose): void {
     const { dependencies, directory, election, local, transport } = this.#parts;
     const { acceptor } = dependencies;
-    const seat = directory.seat(from);
+    const member = directory.member(from);
     const { version } = propose;
-    if (acceptor === undefined || seat === undefined || version === undefined) return;
+    if (acceptor === undefined || member === undefined || version === undefined) return;
     const isVoter = version.state?.voters.some((voter) => voter.disk === acceptor.disk) ?? false;
     if (!isVoter && acceptor.accepted === undefined) return;
     this.resignIfBefore(version.epoch);
-    if (version.epoch >= local.epoch) election.candidacy?.courted();
-    acceptor.accept(propose, (accepted) => transport.post(seat, { case: 'accepted', value: accepted }));
+    if (version.epoch >= local.epoch) election.candidacy?.noteProposal();
+    acceptor.accept(propose, (accepted) => transport.send(member, { case: 'accepted', value: accepted }));
   }
 
   /** Takes a vote on this coordinator's proposal. */
@@ -140,20 +140,20 @@
       this.#parts.local.learnEpoch(accepted.seenEpoch);
       return this.#resign();
     }
-    this.#coordinator?.accepted(accepted);
+    this.#coordinator?.onAccepted(accepted);
   }
 
   #resign(): void {
     this.#coordinator = undefined;
-    this.#parts.election.candidacy?.resigned();
+    this.#parts.election.candidacy?.onResigned();
     this.#parts.coordinatorWatch.unfollowSelf();
   }
 
   #context(): CoordinatorContext<S> {
     const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } = this.#parts;
-    const { stateMachine: play, times, acceptor } = dependencies;
+    const { stateMachine, times, acceptor } = dependencies;
     return {
-      stateMachine: play,
+      stateMachine,
       times,
       disk: acceptor?.disk ?? '',
       desiredVoterCount: dependencies.desiredVoterCount ?? 0,
@@ -163,15 +163,15 @@
       isLive: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
       isReported: (incarnation) => liveness.isReported(incarnation),
       joiners: () => discovery.joiners(),
-      memberOfVoter: (disk) => voters.seat(disk),
-      send: (seat, body) => transport.post(seat, body),
-      sendOrdered: (seat, body) => transport.parcel(seat, body),
+      memberOfVoter: (disk) => voters.memberOf(disk),
+      send: (member, body) => transport.send(member, body),
+      sendOrdered: (member, body) => transport.sendOrdered(member, body),
       vote: (version) => {
         const value = create(ProposeSchema, { disk: acceptor?.disk ?? '', version });
         acceptor?.accept(value, (accepted) => this.onAccepted(accepted));
       },
       flushSelf: (change, staying) => viewChange.flush(local.epoch, change, staying).unstableCasts,
-      deliverSelf: (version) => versions.take(local.incarnation, version),
+      deliverSelf: (version) => versions.receive(local.incarnation, version),
     };
   }
 }
--- a/packages/process-group/src/coordinator-watch.ts
+++ b/packages/process-group/src/coordinator-watch.ts
@@ -7,7 +7,7 @@
   readonly epoch: number;
   readonly atMs: number;
   /** It says itself that it cannot coordinate now. */
-  readonly unable: boolean;
+  readonly resigning: boolean;
 }
 
 type CoordinatorWatchParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'liveness' | 'local'>;
@@ -26,8 +26,8 @@
     this.#parts = parts;
   }
 
-  follow(incarnation: string, epoch: number, unable: boolean): void {
-    this.#followed = { incarnation, epoch, atMs: this.#parts.local.nowMs(), unable };
+  follow(incarnation: string, epoch: number, resigning: boolean): void {
+    this.#followed = { incarnation, epoch, atMs: this.#parts.local.nowMs(), resigning: resigning };
   }
 
   /** Ceases to follow this node itself: it has resigned. */
@@ -43,7 +43,7 @@
   live(): FollowedCoordinator | undefined {
     const { coordination, dependencies, liveness, local } = this.#parts;
     const followed = this.#followed;
-    if (followed === undefined || followed.unable || followed.epoch < local.epoch) return undefined;
+    if (followed === undefined || followed.resigning || followed.epoch < local.epoch) return undefined;
     const nowMs = local.nowMs();
     if (nowMs - followed.atMs > dependencies.times.suspectMs) return undefined;
     if (followed.incarnation === local.incarnation)
--- a/packages/process-group/src/directory.ts
+++ b/packages/process-group/src/directory.ts
@@ -6,12 +6,12 @@
  * The nodes that this one has heard of: by incarnation as long as they
  * matter, and every address at which a node may be found again.
  * @example
- * directory.learn(hello.seat);
- * directory.seat('incarnation-2')?.address;
+ * directory.learn(hello.sender);
+ * directory.member('incarnation-2')?.address;
  */
 export class Directory<S> {
   #ownAddress: string;
-  #seats = new Map<string, Member>();
+  #members = new Map<string, Member>();
   #addresses = new Set<string>();
 
   constructor(dependencies: GroupDependencies<S>) {
@@ -25,24 +25,24 @@
     return this.#addresses;
   }
 
-  seat(incarnation: string): Member | undefined {
-    return this.#seats.get(incarnation);
+  member(incarnation: string): Member | undefined {
+    return this.#members.get(incarnation);
   }
 
-  /** Incarnations known; entries may be forgotten while this is read. */
+  /** Incarnations known; entries may be removed while this is read. */
   incarnations(): IterableIterator<string> {
-    return this.#seats.keys();
+    return this.#members.keys();
   }
 
   /** Remembers a node and its address. */
-  learn(seat: Member): void {
-    this.#seats.set(seat.incarnation, seat);
-    if (seat.address !== this.#ownAddress) this.#addresses.add(seat.address);
+  learn(member: Member): void {
+    this.#members.set(member.incarnation, member);
+    if (member.address !== this.#ownAddress) this.#addresses.add(member.address);
   }
 
   /** Remembers a node that is sent to, but no address to look for it later. */
-  remember(seat: Member): void {
-    this.#seats.set(seat.incarnation, seat);
+  learnMember(member: Member): void {
+    this.#members.set(member.incarnation, member);
   }
 
   learnAddress(address: string): void {
@@ -55,7 +55,7 @@
     this.#addresses.delete(this.#ownAddress);
   }
 
-  forget(incarnation: string): void {
-    this.#seats.delete(incarnation);
+  remove(incarnation: string): void {
+    this.#members.delete(incarnation);
   }
 }
--- a/packages/process-group/src/discovery.ts
+++ b/packages/process-group/src/discovery.ts
@@ -7,20 +7,20 @@
 
 /** A node that was lately in touch, as it described itself. */
 export interface Contact {
-  readonly seat: Member;
+  readonly member: Member;
   readonly atMs: number;
   readonly inView: boolean;
   /** Newest version that it holds or has accepted. */
-  readonly number: number;
+  readonly newestVersion: number;
   /** Whether it is a founder with an empty disk. */
   readonly founding: boolean;
 }
 
 /** A contact counts for so long. */
-const CONTACT_MS = 1200;
+const CONTACT_FRESH_MS = 1200;
 
 /** Contacts older than so many times `CONTACT_MS` are dropped. */
-const CONTACT_KEPT_FACTOR = 10;
+const CONTACT_RETENTION_FACTOR = 10;
 
 type DiscoveryParts<S> = Pick<
   GroupParts<S>,
@@ -48,9 +48,9 @@
   #parts: DiscoveryParts<S>;
   #contacts = new Map<string, Contact>();
   /** What others gave us to echo, by incarnation. */
-  #greetings = new Map<string, string>();
+  #receivedGreetings = new Map<string, string>();
   /** What we gave others to echo, by incarnation. */
-  #greeted = new Map<string, string>();
+  #sentGreetings = new Map<string, string>();
   #welcomedMs = new Map<string, number>();
   #lastHelloMs = -Infinity;
 
@@ -63,7 +63,7 @@
     const { dependencies, leases, local } = this.#parts;
     if (nowMs - this.#lastHelloMs < dependencies.times.helloMs) return;
     this.#lastHelloMs = nowMs;
-    if (local.leaving || (local.inView && leases.isGranted())) return;
+    if (local.leaving || (local.inView && leases.isHeld())) return;
     this.#dropOldContacts(nowMs);
     this.#sendHellos();
   }
@@ -79,65 +79,72 @@
     const { local } = this.#parts;
     const joiners = this.freshContacts()
       .filter((contact) => !contact.inView)
-      .map((contact) => contact.seat);
+      .map((contact) => contact.member);
     const view = local.view;
     if (view === undefined) return [local.self, ...joiners];
-    return joiners.filter((seat) => rankOf(view, seat.incarnation) < 0);
+    return joiners.filter((member) => rankOf(view, member.incarnation) < 0);
   }
 
-  isInTouch(incarnation: string, nowMs: number): boolean {
+  hasFreshContact(incarnation: string, nowMs: number): boolean {
     const contact = this.#contacts.get(incarnation);
     return contact !== undefined && isFresh(contact, nowMs);
   }
 
   onHello(hello: Hello): void {
     const { directory, liveness, local } = this.#parts;
-    const seat = hello.sender;
-    if (seat === undefined || seat.incarnation === local.incarnation) return;
+    const member = hello.sender;
+    if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
-    directory.learn(seat);
-    const greeting = this.#greetingFor(seat.incarnation);
+    directory.learn(member);
+    const greeting = this.#greetingFor(member.incarnation);
     if (hello.echo === greeting) {
       const { newestVersion: number, founding } = hello;
-      liveness.answered(seat.incarnation, nowMs);
-      this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView: false, number, founding });
+      liveness.answered(member.incarnation, nowMs);
+      this.#contacts.set(member.incarnation, {
+        member,
+        atMs: nowMs,
+        inView: false,
+        newestVersion: number,
+        founding,
+      });
     }
-    if (hello.echo !== '') this.#welcomeMember(seat, nowMs);
-    this.#answerHello(seat, greeting);
+    if (hello.echo !== '') this.#welcomeMember(member, nowMs);
+    this.#answerHello(member, greeting);
   }
 
   onHelloAck(ack: HelloAck): void {
     const { dependencies, directory, liveness, local, viewChange } = this.#parts;
-    const seat = ack.sender;
-    if (seat === undefined || seat.incarnation === local.incarnation) return;
+    const member = ack.sender;
+    if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
-    directory.learn(seat);
-    this.#greetings.set(seat.incarnation, ack.greeting);
-    liveness.answered(seat.incarnation, nowMs);
+    directory.learn(member);
+    this.#receivedGreetings.set(member.incarnation, ack.greeting);
+    liveness.answered(member.incarnation, nowMs);
     const { inView, newestVersion: number, founding } = ack;
     if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
-    this.#contacts.set(seat.incarnation, { seat, atMs: nowMs, inView, number, founding });
+    this.#contacts.set(member.incarnation, { member, atMs: nowMs, inView, newestVersion: number, founding });
     for (const known of ack.known)
       if (known.incarnation !== local.incarnation) directory.learnAddress(known.address);
     const listed = ack.known.some((known) => known.incarnation === local.incarnation);
     if (local.inView && inView && !listed && number > local.newestVersion) viewChange.rejoin();
   }
 
-  forget(incarnation: string): void {
+  remove(incarnation: string): void {
     this.#contacts.delete(incarnation);
-    this.#greeted.delete(incarnation);
+    this.#sentGreetings.delete(incarnation);
     this.#welcomedMs.delete(incarnation);
-    this.#greetings.delete(incarnation);
+    this.#receivedGreetings.delete(incarnation);
   }
 
   /** This node goes on under another incarnation: greetings to the old one do not count. */
   clearGreetings(): void {
-    this.#greetings.clear();
+    this.#receivedGreetings.clear();
   }
 
   #dropOldContacts(nowMs: number): void {
     for (const [incarnation, contact] of this.#contacts) {
-      if (nowMs - contact.atMs > CONTACT_KEPT_FACTOR * CONTACT_MS) this.#contacts.delete(incarnation);
+      if (nowMs - contact.atMs > CONTACT_RETENTION_FACTOR * CONTACT_FRESH_MS)
+        this.#contacts.delete(incarnation);
     }
   }
 
@@ -152,60 +159,60 @@
         newestVersion: local.newestVersion,
         echo: local.inView ? '' : (greetings.get(address) ?? ''),
       });
-      transport.postToAddress(address, '', { case: 'hello', value });
+      transport.sendToAddress(address, '', { case: 'hello', value });
     }
   }
 
   #greetingsByAddress(): Map<string, string> {
     const greetings = new Map<string, string>();
-    for (const [incarnation, greeting] of this.#greetings) {
-      const address = this.#parts.directory.seat(incarnation)?.address;
+    for (const [incarnation, greeting] of this.#receivedGreetings) {
+      const address = this.#parts.directory.member(incarnation)?.address;
       if (address !== undefined) greetings.set(address, greeting);
     }
     return greetings;
   }
 
   #greetingFor(incarnation: string): string {
-    const known = this.#greeted.get(incarnation);
+    const known = this.#sentGreetings.get(incarnation);
     if (known !== undefined) return known;
     const greeting = randomId(this.#parts.dependencies.chance);
-    this.#greeted.set(incarnation, greeting);
+    this.#sentGreetings.set(incarnation, greeting);
     return greeting;
   }
 
-  /** Sends the whole state to a member that does not know yet that it is one. */
-  #welcomeMember(seat: Member, nowMs: number): void {
+  /** Sends a snapshot to a member that does not know yet that it is one. */
+  #welcomeMember(member: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#parts;
     const view = local.view;
-    if (view === undefined || rankOf(view, seat.incarnation) < 0) return;
-    const sinceMs = nowMs - (this.#welcomedMs.get(seat.incarnation) ?? -Infinity);
+    if (view === undefined || rankOf(view, member.incarnation) < 0) return;
+    const sinceMs = nowMs - (this.#welcomedMs.get(member.incarnation) ?? -Infinity);
     if (sinceMs <= 2 * dependencies.times.helloMs) return;
-    this.#welcomedMs.set(seat.incarnation, nowMs);
-    versions.sendWhole(seat);
+    this.#welcomedMs.set(member.incarnation, nowMs);
+    versions.sendSnapshot(member);
   }
 
-  #answerHello(seat: Member, greeting: string): void {
+  #answerHello(member: Member, greeting: string): void {
     const { founding, local, transport } = this.#parts;
     const view = local.view;
-    const member = view !== undefined && rankOf(view, seat.incarnation) >= 0;
+    const isMember = view !== undefined && rankOf(view, member.incarnation) >= 0;
     const members = view?.members ?? [];
-    const contacts = this.freshContacts().map((contact) => contact.seat);
+    const contacts = this.freshContacts().map((contact) => contact.member);
     const value = create(HelloAckSchema, {
       sender: local.self,
       greeting,
       known: [
-        ...members.filter((other) => other.incarnation !== seat.incarnation || member),
-        ...contacts.filter((other) => other.incarnation !== seat.incarnation),
+        ...members.filter((other) => other.incarnation !== member.incarnation || isMember),
+        ...contacts.filter((other) => other.incarnation !== member.incarnation),
       ],
       inView: local.inView,
       newestVersion: local.newestVersion,
       founding: founding.mayFound(),
-      rejection: (view === undefined || member ? undefined : levelMismatch(seat, view.members)) ?? '',
+      rejection: (view === undefined || isMember ? undefined : levelMismatch(member, view.members)) ?? '',
     });
-    transport.post(seat, { case: 'helloAck', value });
+    transport.send(member, { case: 'helloAck', value });
   }
 }
 
 function isFresh(contact: Contact, nowMs: number): boolean {
-  return nowMs - contact.atMs < CONTACT_MS;
+  return nowMs - contact.atMs < CONTACT_FRESH_MS;
 }
--- a/packages/process-group/src/disk-watch.ts
+++ b/packages/process-group/src/disk-watch.ts
@@ -21,14 +21,14 @@
 
   /**
    * Whether this node has to be without its disk for now: a member leaves the
-   * view then. Outside a view, where others may wait for its claim, it is silent
+   * view then. Outside a view, where others may wait for its candidacy, it is silent
    * sooner.
    */
   isStalled(nowMs: number, inView: boolean): boolean {
-    return inView ? this.#waitMs(nowMs) > this.#times.lagMs : this.isSlow(nowMs);
+    return inView ? this.#waitMs(nowMs) > this.#times.maxLagMs : this.isSlow(nowMs);
   }
 
-  /** Whether the disk holds up this node's own promise: then the next voter claims. */
+  /** Whether the disk holds up this node's own promise: then the next voter becomes the candidate. */
   isSlow(nowMs: number): boolean {
     return this.#waitMs(nowMs) > this.#times.suspectMs;
   }
@@ -43,8 +43,8 @@
     return nowMs - this.#lastSync.sinceMs;
   }
 
-  /** This process was away: the disk is not to blame for that time. */
-  slept(awayMs: number): void {
+  /** This process was suspended: that time does not count against the disk. */
+  onSleep(awayMs: number): void {
     if (this.#lastSync !== undefined) this.#lastSync.sinceMs += awayMs;
   }
 }
--- a/packages/process-group/src/election.ts
+++ b/packages/process-group/src/election.ts
@@ -1,4 +1,4 @@
-/** When this node claims the next epoch, and as what it answers the claims of others. */
+/** Decides when this node becomes a candidate for the next epoch. */
 import type { Acceptor } from './acceptor.js';
 import { Candidacy, type CandidacyContext } from './candidacy.js';
 import type { GroupParts } from './group-parts.js';
@@ -18,36 +18,37 @@
 >;
 
 /**
- * Decides when a voter that does not coordinate claims the next epoch: when
+ * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when
  * no coordinator is heard and no voter that comes before it can be reached.
  * @example
  * election.tick(nowMs); // while this node does not coordinate
  */
 export class Election<S> {
   #parts: ElectionParts<S>;
-  #claims: Candidacy | undefined;
+  #candidacy: Candidacy | undefined;
 
   constructor(parts: ElectionParts<S>) {
     this.#parts = parts;
     const { acceptor } = parts.dependencies;
-    this.#claims = acceptor === undefined ? undefined : new Candidacy(this.#claimContext(acceptor));
+    this.#candidacy = acceptor === undefined ? undefined : new Candidacy(this.#candidacyContext(acceptor));
   }
 
-  /** Claims to an epoch, own and others'; only on a node with a disk. */
+  /** This node's candidacy and its answers to other candidates; only on a node with a disk. */
   get candidacy(): Candidacy | undefined {
-    return this.#claims;
+    return this.#candidacy;
   }
 
   tick(nowMs: number): void {
     const { coordination, dependencies, founding } = this.#parts;
     const { acceptor } = dependencies;
-    const claims = this.#claims;
-    if (acceptor === undefined || claims === undefined) return;
+    const candidacy = this.#candidacy;
+    if (acceptor === undefined || candidacy === undefined) return;
     if (founding.mayFound()) return founding.tick();
-    if (claims.pressing) return claims.tick(nowMs);
-    if (!claims.due(nowMs) && !this.#isEveryVoterOutside(acceptor)) return;
-    if (coordination.isUnable(nowMs) || acceptor.busy) return;
-    if (!claims.isTaken(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs)) claims.begin(nowMs);
+    if (candidacy.isUnderWay) return candidacy.tick(nowMs);
+    if (!candidacy.isDue(nowMs) && !this.#isEveryVoterOutside(acceptor)) return;
+    if (coordination.isIneligible(nowMs) || acceptor.busy) return;
+    if (!candidacy.isCoordinated(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs))
+      candidacy.begin(nowMs);
   }
 
   /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
@@ -57,7 +58,7 @@
     if (local.inView || known.length === 0) return false;
     const outside = discovery.freshContacts().filter((contact) => !contact.inView);
     return known.every(
-      ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.seat.disk === disk),
+      ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.member.disk === disk),
     );
   }
 
@@ -79,7 +80,7 @@
     const first = local.view?.members.find(
       ({ disk, incarnation }) =>
         incarnation === local.incarnation ||
-        (disks.includes(disk) && liveness.isLive(incarnation, nowMs) && !liveness.isUnable(incarnation)),
+        (disks.includes(disk) && liveness.isLive(incarnation, nowMs) && !liveness.isResigning(incarnation)),
     );
     return first?.incarnation === local.incarnation;
   }
@@ -87,28 +88,28 @@
   #isFirstOutside(disks: readonly string[], ownDisk: string): boolean {
     const { discovery, local } = this.#parts;
     const contacts = discovery.freshContacts();
-    if (contacts.some((contact) => contact.inView && disks.includes(contact.seat.disk))) return false;
+    if (contacts.some((contact) => contact.inView && disks.includes(contact.member.disk))) return false;
     const number = Math.max(1, local.newestVersion);
     const first = disks.find(
       (disk) =>
         disk === ownDisk ||
-        contacts.some((contact) => contact.number >= number && contact.seat.disk === disk),
+        contacts.some((contact) => contact.newestVersion >= number && contact.member.disk === disk),
     );
     return first === ownDisk;
   }
 
-  #claimContext(acceptor: Acceptor): CandidacyContext {
+  #candidacyContext(acceptor: Acceptor): CandidacyContext {
     const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } = this.#parts;
-    const { times, chance } = dependencies;
+    const { times, chance: random } = dependencies;
     return {
       acceptor,
       times,
-      chance,
+      random,
       nowMs: () => local.nowMs(),
       voters: () => voters.sets(),
-      memberOfVoter: (disk) => voters.seat(disk),
-      member: (incarnation) => directory.seat(incarnation),
-      send: (seat, body) => transport.post(seat, body),
+      memberOfVoter: (disk) => voters.memberOf(disk),
+      member: (incarnation) => directory.member(incarnation),
+      send: (member, body) => transport.send(member, body),
       followedCoordinator: () => coordinatorWatch.live()?.incarnation,
       epoch: () => local.epoch,
       learnEpoch: (epoch) => local.learnEpoch(epoch),
--- a/packages/process-group/src/fencing.test.ts
+++ b/packages/process-group/src/fencing.test.ts
@@ -32,16 +32,16 @@
 }
 
 /** Something happens to one machine, the coordinator as often as not; one disk may be lost at a time. */
-function disturb(cluster: TestCluster, dice: SeededRandom): void {
-  for (const name of NAMES) cluster.cutOff(name, false);
+function disturb(cluster: TestCluster, random: SeededRandom): void {
+  for (const name of NAMES) cluster.setIsolated(name, false);
   for (const node of cluster.nodes.values()) node.running = true;
   const leader = cluster.leader()?.name;
-  const victim = leader !== undefined && dice.next() < 0.6 ? leader : NAMES[Math.floor(dice.next() * 3)];
+  const victim = leader !== undefined && random.next() < 0.6 ? leader : NAMES[Math.floor(random.next() * 3)];
   const name = victim ?? 'a';
   const other = NAMES.find((known) => known !== name) ?? 'b';
-  const kind = dice.next();
-  if (kind < 0.25) cluster.cutOff(name, true);
-  else if (kind < 0.45) cluster.cuts.add(`${name} ${other}`);
+  const kind = random.next();
+  if (kind < 0.25) cluster.setIsolated(name, true);
+  else if (kind < 0.45) cluster.severedLinks.add(`${name} ${other}`);
   else if (kind < 0.65) cluster.node(name).running = false;
   else if (kind < 0.85) cluster.start(name, cluster.stop(name).records);
   else cluster.start(name);
@@ -51,12 +51,12 @@
   it('has one holder at a time, each epoch one, and rises across cuts, freezes, restarts and wipes', () => {
     let changes = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const dice = new SeededRandom(seed);
+      const random = new SeededRandom(seed);
       const cluster = new TestCluster(NAMES, 1, seed);
       const log = new LeaseLog();
       cluster.found();
       for (let step = 0; step < STEPS; step += 1) {
-        if (step % TROUBLE_EACH === 0) disturb(cluster, dice);
+        if (step % TROUBLE_EACH === 0) disturb(cluster, random);
         cluster.run(STEP_MS);
         log.note(cluster);
       }
--- a/packages/process-group/src/founding.ts
+++ b/packages/process-group/src/founding.ts
@@ -29,16 +29,16 @@
   /** Founds the group if this is the first of the founders and all the others are there. */
   tick(): void {
     const { coordination, dependencies } = this.#parts;
-    const { acceptor, founders, stateMachine: play } = dependencies;
+    const { acceptor, founders, stateMachine } = dependencies;
     const own = this.#founderName();
     if (acceptor === undefined || own === undefined || [...founders].sort()[0] !== own) return;
-    const seats = this.#founderSeats(own);
-    if (seats === undefined || acceptor.busy) return;
-    const held = this.#firstVersion(acceptor, seats);
-    const { epoch, view } = held;
+    const members = this.#founderMembers(own);
+    if (members === undefined || acceptor.busy) return;
+    const state = this.#firstVersion(acceptor, members);
+    const { epoch, view } = state;
     acceptor.prepare(create(PrepareSchema, { epoch, disk: acceptor.disk }), (promise) => {
       if (!promise.granted || coordination.coordinator !== undefined || !this.mayFound()) return;
-      coordination.start(epoch, toVersion(play, held, create(EntrySchema, { view })));
+      coordination.start(epoch, toVersion(stateMachine, state, create(EntrySchema, { view })));
     });
   }
 
@@ -49,35 +49,35 @@
   }
 
   /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
-  #founderSeats(own: string): Member[] | undefined {
+  #founderMembers(own: string): Member[] | undefined {
     const { dependencies, discovery, local } = this.#parts;
     const contacts = discovery.freshContacts();
-    if (contacts.some((contact) => contact.inView || contact.number > 0)) return undefined;
-    const seats = [local.self];
+    if (contacts.some((contact) => contact.inView || contact.newestVersion > 0)) return undefined;
+    const members = [local.self];
     for (const founder of dependencies.founders) {
       if (founder === own) continue;
       const contact = contacts.find(
-        ({ seat, founding }) =>
-          (seat.name === founder || seat.address === founder) && founding && seat.disk !== '',
+        ({ member, founding }) =>
+          (member.name === founder || member.address === founder) && founding && member.disk !== '',
       );
       if (contact === undefined) return undefined;
-      seats.push(contact.seat);
+      members.push(contact.member);
     }
-    return seats;
+    return members;
   }
 
-  #firstVersion(acceptor: Acceptor, seats: readonly Member[]): GroupState<S> {
-    const { deployment, stateMachine: play } = this.#parts.dependencies;
+  #firstVersion(acceptor: Acceptor, members: readonly Member[]): GroupState<S> {
+    const { deployment, stateMachine } = this.#parts.dependencies;
     const epoch = acceptor.promisedEpoch + 1;
     return {
       epoch,
       number: 1,
       deployment,
-      view: create(ViewSchema, { epoch, number: 1, members: [...seats] }),
+      view: create(ViewSchema, { epoch, number: 1, members: [...members] }),
       previousView: undefined,
-      voters: seats.map(({ disk, name }) => create(VoterSchema, { disk, name })),
+      voters: members.map(({ disk, name }) => create(VoterSchema, { disk, name })),
       previousVoters: [],
-      application: play.empty(),
+      application: stateMachine.empty(),
       answers: [],
       level: 1,
       clockMs: 0,
--- a/packages/process-group/src/grants.ts
+++ b/packages/process-group/src/grants.ts
@@ -1,71 +1,78 @@
 import type { View } from '@rainrun/messages';
 import { majority } from './play.js';
 
-interface Word {
+interface LeaseAcknowledgement {
   readonly sentMs: number;
   readonly number: number;
 }
 
 /**
- * What the other members granted. A word counts from the moment its heartbeat was
- * sent, and only once this node holds all that the granter held: so a grant
- * brings what was missed.
+ * The acknowledgements by which the other members renew this node's leases. One
+ * counts from the moment its heartbeat was sent, and only once this node has
+ * applied every version that the acknowledging member had applied: so a lease
+ * implies that nothing committed was missed.
  * @example
- * const grants = new Grants(1000);
- * grants.given('incarnation-2', sentMs, 7);
- * grants.endMs(view, 'incarnation-1', 7, nowMs) > nowMs; // true while a majority gave its word
+ * const acknowledgements = new LeaseAcknowledgements(1000);
+ * acknowledgements.acknowledge('incarnation-2', sentMs, 7);
+ * acknowledgements.leaseEndMs(view, 'incarnation-1', 7, nowMs) > nowMs; // true while a majority renews it
  */
-export class Grants {
-  #grantMs: number;
-  #words = new Map<string, Word>();
-  #duties = new Map<string, number>();
+export class LeaseAcknowledgements {
+  #leaseMs: number;
+  #acknowledgements = new Map<string, LeaseAcknowledgement>();
+  #singletonSentMs = new Map<string, number>();
 
-  constructor(grantMs: number) {
-    this.#grantMs = grantMs;
+  constructor(leaseMs: number) {
+    this.#leaseMs = leaseMs;
   }
 
-  given(incarnation: string, sentMs: number, number: number): void {
-    const known = this.#words.get(incarnation);
-    if (known === undefined || sentMs >= known.sentMs) this.#words.set(incarnation, { sentMs, number });
+  acknowledge(incarnation: string, sentMs: number, number: number): void {
+    const known = this.#acknowledgements.get(incarnation);
+    if (known === undefined || sentMs >= known.sentMs)
+      this.#acknowledgements.set(incarnation, { sentMs, number });
   }
 
-  /** The version that a member held when it last gave its word. */
+  /** The version that a member had applied when it last acknowledged a heartbeat. */
   versionAt(incarnation: string): number | undefined {
-    return this.#words.get(incarnation)?.number;
+    return this.#acknowledgements.get(incarnation)?.number;
   }
 
-  givenDuty(incarnation: string, sentMs: number): void {
-    this.#duties.set(incarnation, Math.max(sentMs, this.#duties.get(incarnation) ?? -Infinity));
+  acknowledgeSingleton(incarnation: string, sentMs: number): void {
+    this.#singletonSentMs.set(
+      incarnation,
+      Math.max(sentMs, this.#singletonSentMs.get(incarnation) ?? -Infinity),
+    );
   }
 
-  /** Forgets the words for an earlier duty. */
-  clearDuties(): void {
-    this.#duties.clear();
+  /** Drops the acknowledgements for an earlier epoch's singleton lease. */
+  clearSingleton(): void {
+    this.#singletonSentMs.clear();
   }
 
   clear(): void {
-    this.#words.clear();
-    this.#duties.clear();
+    this.#acknowledgements.clear();
+    this.#singletonSentMs.clear();
   }
 
-  /** When the right to admit ends. */
-  endMs(view: View, self: string, number: number, nowMs: number): number {
+  /** When the lease to admit ends. */
+  leaseEndMs(view: View, self: string, number: number, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) => {
       if (incarnation === self) return nowMs;
-      const word = this.#words.get(incarnation);
-      return word === undefined || word.number > number ? -Infinity : word.sentMs;
+      const acknowledgement = this.#acknowledgements.get(incarnation);
+      return acknowledgement === undefined || acknowledgement.number > number
+        ? -Infinity
+        : acknowledgement.sentMs;
     });
   }
 
-  /** When the right to a duty ends. */
-  dutyEndMs(view: View, self: string, nowMs: number): number {
+  /** When the singleton lease ends. */
+  singletonLeaseEndMs(view: View, self: string, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) =>
-      incarnation === self ? nowMs : (this.#duties.get(incarnation) ?? -Infinity),
+      incarnation === self ? nowMs : (this.#singletonSentMs.get(incarnation) ?? -Infinity),
     );
   }
 
   #majorityEndMs(view: View, sentMs: (incarnation: string) => number): number {
     const sent = view.members.map((member) => sentMs(member.incarnation)).sort((one, other) => other - one);
-    return (sent[majority(sent.length) - 1] ?? -Infinity) + this.#grantMs;
+    return (sent[majority(sent.length) - 1] ?? -Infinity) + this.#leaseMs;
   }
 }
--- a/packages/process-group/src/group-dependencies.ts
+++ b/packages/process-group/src/group-dependencies.ts
@@ -1,21 +1,21 @@
-/** What a group is given by its node, and what it tells the rest of it. */
+/** What a group is given by its node, and how it notifies the rest of the node. */
 import type { RandomSource, Clock } from '@rainrun/common';
 import type { Answer, Entry, Frame, Member, ProtocolLevels } from '@rainrun/messages';
 import type { Acceptor } from './acceptor.js';
 import type { GroupState, StateMachine } from './play.js';
 import type { GroupTimes } from './times.js';
 
-/** What the group tells the rest of its node. */
+/** Callbacks by which the group notifies the rest of its node. */
 export interface GroupListener<S> {
-  /** A version has come into force here; `entry` is undefined when the state came as a whole. */
-  onVersion(held: GroupState<S>, entry: Entry | undefined): void;
+  /** A version has come into force here; `entry` is undefined when the state came as a snapshot. */
+  onVersion(state: GroupState<S>, entry: Entry | undefined): void;
   /** A causal cast of a member is delivered here. */
   onCast(sender: Member, payload: Uint8Array): void;
-  /** An operation that this node submitted is agreed or refused. */
+  /** An operation that this node submitted is committed or rejected. */
   onAnswer(answer: Answer): void;
-  /** This node was dropped and goes on as a new member. */
+  /** This node was removed from the view and goes on under a new incarnation. */
   onNewIncarnation(incarnation: string): void;
-  /** A frame that the group does not know: news. */
+  /** A frame that is not the group's own, such as gossip. */
   onFrame(from: string, body: Frame['body']): void;
   /** This node cannot join the group, and why. */
   onJoinRejected(why: string): void;
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -34,7 +34,7 @@
     application: new TextEncoder().encode(String(state)),
     applicationExtension: new Uint8Array(),
   }),
-  decode: ({ application: play }) => Result.ok(Number(new TextDecoder().decode(play))),
+  decode: ({ application: bytes }) => Result.ok(Number(new TextDecoder().decode(bytes))),
   apply: (state, { payload }) => ({
     state: state + payload.length,
     outcome: { kind: 'agreed', detail: '' },
@@ -52,7 +52,7 @@
   #frames: { to: string; frame: Frame }[] = [];
 
   constructor() {
-    const dice = new SeededRandom(3);
+    const random = new SeededRandom(3);
     for (const name of NAMES) {
       const opening = readRecords({}, `disk-${name}`);
       if (opening.isErr) continue;
@@ -64,7 +64,7 @@
         seeds: NAMES,
         founders: NAMES,
         clock: { nowMs: () => this.nowMs },
-        chance: dice,
+        chance: random,
         times: GROUP_TIMES,
         stateMachine: COUNT,
         acceptor: new Acceptor(opening.value, new QuickVault(), 'd', () => undefined),
--- a/packages/process-group/src/group-parts.ts
+++ b/packages/process-group/src/group-parts.ts
@@ -32,7 +32,7 @@
   readonly local: LocalMember<S>;
   /** Nodes and addresses known. */
   readonly directory: Directory<S>;
-  /** Frames and ordered parcels to others. */
+  /** Frames and ordered messages to others. */
   readonly transport: Transport<S>;
   /** Dispatch of what comes from others. */
   readonly receiver: Receiver<S>;
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -78,12 +78,12 @@
 
   /** When this node's right to admit ends; compare with the clock just before each act. */
   leaseEndMs(): number {
-    return this.#parts.leases.grantEndMs();
+    return this.#parts.leases.leaseEndMs();
   }
 
   /** This node holds all that was agreed before this moment. */
   currentAsOfMs(): number {
-    return this.leaseEndMs() - this.#parts.dependencies.times.grantMs;
+    return this.leaseEndMs() - this.#parts.dependencies.times.leaseMs;
   }
 
   /** The version in force at another member when it last answered a heartbeat. */
@@ -92,12 +92,12 @@
   }
 
   holdsLease(): boolean {
-    return this.#parts.leases.isGranted();
+    return this.#parts.leases.isHeld();
   }
 
-  /** The epoch in which this node may act alone for all, or undefined. Ends before the grant does. */
+  /** The epoch in which this node may act alone for all, or undefined. Ends before the lease does. */
   singletonEpoch(): number | undefined {
-    return this.#parts.leases.dutyEpoch();
+    return this.#parts.leases.singletonEpoch();
   }
 
   /** Multicasts a payload causally to the view; held back while the view is changing. */
@@ -105,7 +105,7 @@
     this.#parts.casts.cast(payload);
   }
 
-  /** Submits an operation under its id; the answer comes through the audience, once it is agreed. False: nothing was sent. */
+  /** Submits an operation under its id; the answer comes through the listener, once it is committed. False: nothing was sent. */
   submit(operation: Operation): boolean {
     return this.#parts.submissions.submit(operation);
   }
@@ -117,18 +117,18 @@
 
   /** What is known of an operation by its id. */
   operationResult(id: string): Answer | undefined {
-    return this.#parts.submissions.ask(id);
+    return this.#parts.submissions.result(id);
   }
 
-  /** Whether no further operation of an operator can be remembered now. */
-  get full(): boolean {
-    return this.#parts.submissions.full;
+  /** Whether no further answer to an operator can be retained now. */
+  get isFull(): boolean {
+    return this.#parts.submissions.isFull;
   }
 
   /** An operator's statement that a name will not come back. Only the coordinator can use it. */
   excludeNode(name: string): boolean {
     const { coordinator } = this.#parts.coordination;
-    coordinator?.forget(name);
+    coordinator?.exclude(name);
     return coordinator !== undefined;
   }
 
@@ -137,7 +137,7 @@
     const { local, transport } = this.#parts;
     local.startLeaving();
     for (const member of local.others())
-      transport.post(member, { case: 'goodbye', value: create(GoodbyeSchema) });
+      transport.send(member, { case: 'goodbye', value: create(GoodbyeSchema) });
   }
 
   /** Does what is due now. The order counts: each step sees what the ones before it changed. */
@@ -145,7 +145,7 @@
     const { discovery, diskWatch, heartbeats, leases, local, submissions, transport, versions, viewChange } =
       this.#parts;
     const nowMs = local.nowMs();
-    this.#noteSleep(nowMs);
+    this.#noteSuspension(nowMs);
     const isDiskStalled = diskWatch.isStalled(nowMs, local.inView);
     if (isDiskStalled && local.inView) viewChange.rejoin();
     heartbeats.tick(nowMs);
@@ -162,19 +162,19 @@
     this.#parts.receiver.receive(frame);
   }
 
-  /** Sends a frame of news to a member. */
+  /** Sends a frame to a member, if it is known. */
   sendTo(incarnation: string, body: Frame['body']): void {
-    this.#parts.transport.postTo(incarnation, body);
+    this.#parts.transport.sendTo(incarnation, body);
   }
 
-  /** A process that was away does not hold its own silence against the others. */
-  #noteSleep(nowMs: number): void {
+  /** A process that was suspended does not count its own silence against the others. */
+  #noteSuspension(nowMs: number): void {
     const { diskWatch, election, liveness, transport } = this.#parts;
     const awayMs = liveness.tick(nowMs);
     if (awayMs <= 0) return;
-    election.candidacy?.woke(nowMs);
-    transport.slept(awayMs);
-    diskWatch.slept(awayMs);
+    election.candidacy?.onWake(nowMs);
+    transport.onSleep(awayMs);
+    diskWatch.onSleep(awayMs);
   }
 
   #coordinate(nowMs: number): void {
--- a/packages/process-group/src/heartbeats.ts
+++ b/packages/process-group/src/heartbeats.ts
@@ -11,8 +11,8 @@
 import type { GroupParts } from './group-parts.js';
 import { rankOf, type GroupState } from './play.js';
 
-/** Heartbeats whose time of sending is remembered for their acknowledgements. */
-const HEARTBEATS_REMEMBERED = 64;
+/** Heartbeats whose time of sending is kept for their acknowledgements. */
+const HEARTBEATS_TRACKED_MAX = 64;
 
 type HeartbeatParts<S> = Pick<
   GroupParts<S>,
@@ -32,7 +32,7 @@
 
 /**
  * Sends this node's heartbeats to the view and answers those of others. The
- * acknowledgement of a member is what grants this node its lease, counted from
+ * acknowledgement of a member is what renews this node's lease, counted from
  * the moment at which the heartbeat was sent.
  * @example
  * heartbeats.tick(nowMs);
@@ -55,15 +55,15 @@
   /** Sends a heartbeat to every other member. */
   send(nowMs: number): void {
     const { coordination, coordinatorWatch, local } = this.#parts;
-    const held = local.state;
-    if (held === undefined) return;
+    const state = local.state;
+    if (state === undefined) return;
     this.#lastSentMs = nowMs;
     this.#sequence += 1;
     this.#sentMs.set(this.#sequence, nowMs);
-    this.#sentMs.delete(this.#sequence - HEARTBEATS_REMEMBERED);
+    this.#sentMs.delete(this.#sequence - HEARTBEATS_TRACKED_MAX);
     const others = local.others();
-    const heartbeat = this.#heartbeat(held, others, nowMs);
-    this.#post(held, others, heartbeat, nowMs);
+    const heartbeat = this.#heartbeat(state, others, nowMs);
+    this.#sendTo(state, others, heartbeat, nowMs);
     const coordinator = coordination.coordinator;
     if (coordinator !== undefined)
       coordinatorWatch.follow(local.incarnation, coordinator.epoch, heartbeat.resigning);
@@ -71,62 +71,62 @@
 
   onHeartbeat(from: string, heartbeat: Heartbeat): void {
     const { directory, local, transport, versions, viewChange } = this.#parts;
-    const held = local.state;
-    if (!local.inView || held === undefined) return;
-    const seat = directory.seat(from);
-    const isMember = rankOf(held.view, from) >= 0;
-    if (heartbeat.number > held.number) versions.fetch(from);
-    if (!isMember && heartbeat.number > held.number) return;
+    const state = local.state;
+    if (!local.inView || state === undefined) return;
+    const member = directory.member(from);
+    const isMember = rankOf(state.view, from) >= 0;
+    if (heartbeat.number > state.number) versions.fetch(from);
+    if (!isMember && heartbeat.number > state.number) return;
     if (isMember) this.#learn(from, heartbeat);
-    if (seat === undefined) return;
+    if (member === undefined) return;
     const value = create(HeartbeatAckSchema, {
       sequence: heartbeat.sequence,
-      number: held.number,
+      number: state.number,
       epoch: local.epoch,
       dropped: !isMember,
       noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
       // The others agree without a member that leaves: it must not vouch for who may miss what they agree.
       leaseWithheld: local.leaving || viewChange.isLeavingOut(from),
     });
-    transport.post(seat, { case: 'heartbeatAck', value });
+    transport.send(member, { case: 'heartbeatAck', value });
   }
 
   onHeartbeatAck(from: string, ack: HeartbeatAck): void {
     const { coordination, leases, liveness, local, versions, viewChange } = this.#parts;
     const sentMs = this.#sentMs.get(ack.sequence);
-    const held = local.state;
-    if (!local.inView || held === undefined || sentMs === undefined) return;
+    const state = local.state;
+    if (!local.inView || state === undefined || sentMs === undefined) return;
     liveness.answered(from, local.nowMs());
     coordination.resignIfBefore(ack.epoch);
     if (ack.dropped) {
-      if (ack.number > held.number) viewChange.rejoin();
+      if (ack.number > state.number) viewChange.rejoin();
       return;
     }
-    if (ack.number > held.number) versions.fetch(from);
+    if (ack.number > state.number) versions.fetch(from);
     if (ack.leaseWithheld) return;
     leases.onAck(from, sentMs, ack);
-    coordination.coordinator?.holds(from, ack.number);
+    coordination.coordinator?.learnApplied(from, ack.number);
   }
 
-  /** The counts of what was delivered go to the gatherer alone, except at level 1, which sends them to all. */
-  #post(held: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
+  /** The counts of what was delivered go to the collector alone, except at level 1, which sends them to all. */
+  #sendTo(state: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
     const { casts, local, transport } = this.#parts;
-    const gatherer = held.level === 1 ? undefined : this.#gatherer(held.view, nowMs);
+    const collector = state.level === 1 ? undefined : this.#stabilityCollector(state.view, nowMs);
     const counts = clone(HeartbeatSchema, heartbeat);
     counts.delivered = casts.delivered();
-    if (gatherer === local.incarnation) heartbeat.stable = casts.stable();
+    if (collector === local.incarnation) heartbeat.stable = casts.stable();
     for (const member of others) {
-      const withCounts = held.level === 1 || member.incarnation === gatherer;
-      transport.post(member, { case: 'heartbeat', value: withCounts ? counts : heartbeat });
+      const withCounts = state.level === 1 || member.incarnation === collector;
+      transport.send(member, { case: 'heartbeat', value: withCounts ? counts : heartbeat });
     }
   }
 
   /**
-   * The member that gathers what all have delivered and tells the others what
-   * may be let go: the lowest-ranked that is live. Each telling each would cost
-   * the cube of the group.
+   * The member that collects what all have delivered and sends the others what
+   * is stable: the lowest-ranked that is live. All members sending to all would
+   * cost the cube of the group's size.
    */
-  #gatherer(view: View, nowMs: number): string {
+  #stabilityCollector(view: View, nowMs: number): string {
     const { liveness, local } = this.#parts;
     const first = view.members.find(
       ({ incarnation }) => incarnation === local.incarnation || liveness.isLive(incarnation, nowMs),
@@ -134,20 +134,20 @@
     return first?.incarnation ?? local.incarnation;
   }
 
-  #heartbeat(held: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
+  #heartbeat(state: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
     const { coordination, diskWatch, liveness, local } = this.#parts;
     const coordinator = coordination.coordinator;
     const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
     return create(HeartbeatSchema, {
       sequence: this.#sequence,
-      view: held.view.number,
-      number: held.number,
+      view: state.view.number,
+      number: state.number,
       epoch: coordinator?.epoch ?? 0,
       suspects: others
         .filter((member) => !liveness.isLive(member.incarnation, nowMs))
         .map((member) => member.incarnation),
-      resigning: coordination.isUnable(nowMs) || local.leaving || mayNotClaim,
-      agreed: coordinator?.agreed ?? local.committedVersion,
+      resigning: coordination.isIneligible(nowMs) || local.leaving || mayNotClaim,
+      agreed: coordinator?.committedVersion ?? local.committedVersion,
     });
   }
 
@@ -161,6 +161,6 @@
     coordination.resignIfBefore(heartbeat.epoch);
     liveness.learn(from, heartbeat);
     if (heartbeat.view === local.state?.view.number) casts.learn(from, heartbeat);
-    coordination.coordinator?.holds(from, heartbeat.number);
+    coordination.coordinator?.learnApplied(from, heartbeat.number);
   }
 }
--- a/packages/process-group/src/liveness.ts
+++ b/packages/process-group/src/liveness.ts
@@ -17,7 +17,7 @@
   /** Whom each member suspects, as its last heartbeat said. */
   #suspectsOf = new Map<string, readonly string[]>();
   /** Members that cannot coordinate now, as their last heartbeat said. */
-  #unable = new Set<string>();
+  #resigning = new Set<string>();
   #saidGoodbye = new Set<string>();
 
   constructor(parts: Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>) {
@@ -30,10 +30,10 @@
     return this.#detector.tick(nowMs);
   }
 
-  /** Live: answers our heartbeats and does not lag behind our parcels beyond the bound. */
+  /** Live: answers our heartbeats and does not lag behind our ordered messages beyond the bound. */
   isLive(incarnation: string, nowMs: number): boolean {
     const lagMs = this.#parts.transport.lagMs(incarnation, nowMs);
-    return lagMs <= this.#parts.dependencies.times.lagMs && this.#detector.live(incarnation, nowMs);
+    return lagMs <= this.#parts.dependencies.times.maxLagMs && this.#detector.live(incarnation, nowMs);
   }
 
   /** Whether most members say that they cannot reach this incarnation. */
@@ -46,8 +46,8 @@
     return reports.length >= majority(view.members.length);
   }
 
-  isUnable(incarnation: string): boolean {
-    return this.#unable.has(incarnation);
+  isResigning(incarnation: string): boolean {
+    return this.#resigning.has(incarnation);
   }
 
   hasSaidGoodbye(incarnation: string): boolean {
@@ -67,7 +67,7 @@
     this.#detector.report(incarnation);
   }
 
-  onBye(incarnation: string): void {
+  onGoodbye(incarnation: string): void {
     this.#saidGoodbye.add(incarnation);
     this.#detector.report(incarnation);
   }
@@ -75,11 +75,11 @@
   /** Takes what a member says of itself and the others. */
   learn(from: string, heartbeat: Heartbeat): void {
     this.#suspectsOf.set(from, heartbeat.suspects);
-    if (heartbeat.resigning) this.#unable.add(from);
-    else this.#unable.delete(from);
+    if (heartbeat.resigning) this.#resigning.add(from);
+    else this.#resigning.delete(from);
   }
 
-  forget(incarnation: string): void {
+  remove(incarnation: string): void {
     this.#detector.forget(incarnation);
   }
 
--- a/packages/process-group/src/local-member.ts
+++ b/packages/process-group/src/local-member.ts
@@ -18,7 +18,7 @@
   #state: GroupState<S> | undefined;
   #inView = false;
   #epochSeen = 0;
-  #agreedSeen = 0;
+  #committedSeen = 0;
   #leaving = false;
 
   constructor(dependencies: GroupDependencies<S>) {
@@ -74,7 +74,7 @@
   /** Newest version that this node knows to be agreed. */
   get committedVersion(): number {
     const number = this.#state?.number ?? 0;
-    return Math.max(Math.min(this.#agreedSeen, number), number - 1);
+    return Math.max(Math.min(this.#committedSeen, number), number - 1);
   }
 
   /** Whether this node has said goodbye. */
@@ -96,18 +96,18 @@
   }
 
   learnCommitted(number: number): void {
-    this.#agreedSeen = Math.max(this.#agreedSeen, number);
+    this.#committedSeen = Math.max(this.#committedSeen, number);
   }
 
-  setState(held: GroupState<S>): void {
-    this.#state = held;
+  setState(state: GroupState<S>): void {
+    this.#state = state;
   }
 
   enterView(): void {
     this.#inView = true;
   }
 
-  /** Leaves the view and goes on under a new incarnation; the state held is kept. */
+  /** Leaves the view and goes on under a new incarnation; its state is kept. */
   renewIncarnation(): void {
     this.#self = withNewIncarnation(this.#self, randomId(this.#dependencies.chance));
     this.#inView = false;
--- a/packages/process-group/src/lone-voter.test.ts
+++ b/packages/process-group/src/lone-voter.test.ts
@@ -37,10 +37,10 @@
 }
 
 /** Starts the only core on a disk and runs it for long enough to coordinate. */
-function start(vault: PromptVault): Group<undefined> {
+function start(records: PromptVault): Group<undefined> {
   let nowMs = 0;
   let seed = 7;
-  const opening = readRecords(vault.records, 'disk-a').unwrapOrElse(failed);
+  const opening = readRecords(records.records, 'disk-a').unwrapOrElse(failed);
   const group = new Group<undefined>({
     name: 'core-1',
     address: ADDRESS,
@@ -53,7 +53,7 @@
     chance: { next: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647 },
     times: GROUP_TIMES,
     stateMachine: NO_STATE,
-    acceptor: new Acceptor(opening, vault, 'site', failed),
+    acceptor: new Acceptor(opening, records, 'site', failed),
     protocolLevels: PROTOCOL_LEVELS,
     listener: {
       onVersion: () => undefined,
@@ -71,10 +71,10 @@
 
 describe('a group of one voter', () => {
   it('coordinates again after its core was restarted', () => {
-    const vault = new PromptVault();
-    const founded = start(vault);
+    const records = new PromptVault();
+    const founded = start(records);
     expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
-    const restarted = start(vault);
+    const restarted = start(records);
     expect([restarted.isCoordinator, restarted.epoch]).toEqual([true, 2]);
     expect(restarted.holdsLease()).toEqual(true);
   });
--- a/packages/process-group/src/membership.test.ts
+++ b/packages/process-group/src/membership.test.ts
@@ -41,7 +41,7 @@
   }, 20_000);
   cluster.run(2000);
   const lacking = cluster.running
-    .filter(({ name }) => cluster.lacks(name).length > 0)
+    .filter(({ name }) => cluster.missingOperations(name).length > 0)
     .map(({ name }) => name);
   expect([what, tookMs <= ACK_MS || tookMs, lacking]).toEqual([what, true, []]);
 }
@@ -193,14 +193,14 @@
     const cluster = founded(FIVE, 2, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
-    cluster.cutOff(late, true);
+    cluster.setIsolated(late, true);
     for (let count = 0; count < 400; count += 1) {
       cluster.submit(other, 20_000);
       cluster.run(50);
     }
-    cluster.cutOff(late, false);
-    const stale = cluster.lacks(late).length;
-    const tookMs = cluster.runUntil(() => cluster.lacks(late).length === 0, 20_000);
+    cluster.setIsolated(late, false);
+    const stale = cluster.missingOperations(late).length;
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
     expect([cluster.acknowledged.size, stale > 300, tookMs <= CATCH_UP_MS || tookMs]).toEqual([
       401,
       true,
@@ -212,14 +212,14 @@
     const cluster = founded(THREE, 1, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = THREE.filter((name) => name !== leader);
-    cluster.cutOff(late, true);
+    cluster.setIsolated(late, true);
     for (let count = 0; count < 12; count += 1) {
       cluster.submit(other, 1024 * 1024);
       cluster.run(60);
     }
-    cluster.cutOff(late, false);
+    cluster.setIsolated(late, false);
     const { incarnation } = cluster.node(late).group.self;
-    const tookMs = cluster.runUntil(() => cluster.lacks(late).length === 0, 20_000);
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
     cluster.run(5000);
     expect([tookMs <= 1000 || tookMs, cluster.node(late).group.self.incarnation === incarnation]).toEqual([
       true,
@@ -248,7 +248,7 @@
         const state = group.state?.application ?? [];
         expect([...acknowledged].filter((id) => !state.includes(id))).toEqual([]);
       }
-      expect([group.holdsLease(), cluster.lacks(name)]).toEqual([true, []]);
+      expect([group.holdsLease(), cluster.missingOperations(name)]).toEqual([true, []]);
     }
   });
 });
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/play.ts
@@ -45,13 +45,13 @@
   readonly applicationExtension: Uint8Array;
 }
 
-/** The agreed state as held in memory, at one version. Never changed in place. */
+/** The replicated state in memory, at one version. Never changed in place. */
 export interface GroupState<S> {
   readonly epoch: number;
   readonly number: number;
   readonly deployment: string;
   readonly view: View;
-  /** The view that this version ended, until the next version says that this is settled. */
+  /** The view that this version ended, until the next version concludes the change. */
   readonly previousView: View | undefined;
   readonly voters: readonly Voter[];
   /** The voters before this version, if it changed them: until it is known to be chosen, elections and votes need a majority of both sets. */
@@ -64,18 +64,18 @@
   readonly clockMs: number;
 }
 
-/** Answers kept at level 1, and brief ones kept at any. */
-const PLAIN_KEPT = 512;
-const BRIEF_KEPT = 64;
+/** Answers retained at level 1, and transient ones retained at any. */
+const LEVEL1_ANSWERS_MAX = 512;
+const TRANSIENT_ANSWERS_MAX = 64;
 
-/** So long by the group's clock an answer to an operator is remembered, and its id applied no second time. */
-export const REMEMBERED_MS = 600_000;
+/** How long, by the group's clock, an answer to an operator is retained and its id applied no second time. */
+export const ANSWER_RETENTION_MS = 600_000;
 
-/** No more answers to operators are remembered; further operations wait or are refused at the door. */
-export const REMEMBERED_MOST = 2048;
+/** The most answers to operators that are retained; further operations wait or are rejected on admission. */
+export const RETAINED_ANSWERS_MAX = 2048;
 
 /** No detail of an answer is longer. */
-const DETAIL_CHARS = 600;
+const DETAIL_MAX_CHARS = 600;
 
 /**
  * More than half of a set.
@@ -96,7 +96,7 @@
  * Whether these disks are a majority of the voters, and of those before where a
  * version changed them.
  * @example
- * isQuorum(held, new Set(['disk-1', 'disk-2']));
+ * isQuorum(state, new Set(['disk-1', 'disk-2']));
  */
 export function isQuorum(sets: VoterSets, disks: { has(disk: string): boolean }): boolean {
   const { voters, previousVoters } = sets;
@@ -110,7 +110,7 @@
 /**
  * The disks of all voters of a version, and of those before it.
  * @example
- * disksOf(held); // Set { 'disk-1', 'disk-2', 'disk-3' }
+ * disksOf(state); // Set { 'disk-1', 'disk-2', 'disk-3' }
  */
 export function disksOf(sets: VoterSets): Set<string> {
   return new Set([...sets.voters, ...sets.previousVoters].map((voter) => voter.disk));
@@ -130,7 +130,7 @@
  * @example
  * later({ epoch: 2, number: 1 }, { epoch: 1, number: 9 }); // true
  */
-export function later(
+export function isLater(
   one: { epoch: number; number: number },
   other: { epoch: number; number: number },
 ): boolean {
@@ -138,20 +138,20 @@
 }
 
 /**
- * How many answers to operators are remembered now.
+ * How many answers to operators are retained now.
  * @example
- * rememberedCount(held) >= REMEMBERED_MOST; // true: no room for another operation
+ * retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX; // true: no room for another operation
  */
-export function rememberedCount(held: { readonly answers: readonly Answer[] }): number {
-  return held.answers.filter((answer) => !answer.transient).length;
+export function retainedAnswerCount(state: { readonly answers: readonly Answer[] }): number {
+  return state.answers.filter((answer) => !answer.transient).length;
 }
 
-/** What is remembered of earlier operations: level 1 counts, later levels go by the group's clock. */
-function remember(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
-  if (level === 1) return answers.slice(-PLAIN_KEPT);
-  const brief = answers.filter((answer) => answer.transient).slice(-BRIEF_KEPT);
+/** The answers that stay: level 1 goes by their count, later levels by the group's clock. */
+function retainedAnswers(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
+  if (level === 1) return answers.slice(-LEVEL1_ANSWERS_MAX);
+  const transient = answers.filter((answer) => answer.transient).slice(-TRANSIENT_ANSWERS_MAX);
   const kept = answers.filter((answer) =>
-    answer.transient ? brief.includes(answer) : clockMs - answer.clockMs <= REMEMBERED_MS,
+    answer.transient ? transient.includes(answer) : clockMs - answer.clockMs <= ANSWER_RETENTION_MS,
   );
   return kept.length === answers.length ? answers : kept;
 }
@@ -159,41 +159,41 @@
 /**
  * The state that follows from an entry. The same on every node.
  * @example
- * const next = advance(play, held, 2, create(EntrySchema, { operations: [operation] }));
+ * const next = advance(stateMachine, state, 2, create(EntrySchema, { operations: [operation] }));
  */
 export function advance<S>(
-  play: StateMachine<S>,
-  held: GroupState<S>,
+  stateMachine: StateMachine<S>,
+  state: GroupState<S>,
   epoch: number,
   entry: Entry,
 ): GroupState<S> {
   const level = Math.max(1, entry.level);
-  const clockMs = level === 1 ? 0 : held.clockMs + entry.elapsedMs;
-  let state = level === 1 ? play.withoutExtension(held.application) : held.application;
-  let answers = level === 1 ? held.answers : remember(held.answers, level, clockMs);
-  const number = held.number + 1;
+  const clockMs = level === 1 ? 0 : state.clockMs + entry.elapsedMs;
+  let application = level === 1 ? stateMachine.withoutExtension(state.application) : state.application;
+  let answers = level === 1 ? state.answers : retainedAnswers(state.answers, level, clockMs);
+  const number = state.number + 1;
   for (const operation of entry.operations) {
     if (answers.some((answer) => answer.id === operation.id)) continue;
-    const applied = play.apply(state, operation, level);
-    state = applied.state;
+    const applied = stateMachine.apply(application, operation, level);
+    application = applied.state;
     const { kind, detail } = applied.outcome;
     const answer = create(AnswerSchema, { id: operation.id, kind, detail, number });
     if (level > 1) {
       answer.clockMs = clockMs;
       answer.transient = operation.transient;
-      answer.detail = detail.slice(0, DETAIL_CHARS);
+      answer.detail = detail.slice(0, DETAIL_MAX_CHARS);
     }
-    answers = remember([...answers, answer], level, clockMs);
+    answers = retainedAnswers([...answers, answer], level, clockMs);
   }
   return {
     epoch,
     number,
-    deployment: held.deployment,
-    view: entry.view ?? held.view,
-    previousView: entry.view === undefined ? undefined : held.view,
-    voters: entry.voters.length > 0 ? entry.voters : held.voters,
-    previousVoters: entry.voters.length > 0 ? held.voters : [],
-    application: state,
+    deployment: state.deployment,
+    view: entry.view ?? state.view,
+    previousView: entry.view === undefined ? undefined : state.view,
+    voters: entry.voters.length > 0 ? entry.voters : state.voters,
+    previousVoters: entry.voters.length > 0 ? state.voters : [],
+    application: application,
     answers,
     level,
     clockMs,
@@ -201,26 +201,26 @@
 }
 
 /**
- * The level that all of some seats speak.
+ * The highest level of the protocol that all of some members speak.
  * @example
  * levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]); // 1
  */
-export function levelOf(seats: readonly { readonly maxLevel: number }[]): number {
-  return Math.min(...seats.map((seat) => Math.max(1, seat.maxLevel)));
+export function levelOf(members: readonly { readonly maxLevel: number }[]): number {
+  return Math.min(...members.map((member) => Math.max(1, member.maxLevel)));
 }
 
 /**
- * Why a seat cannot join others, or undefined if there is a level that all speak.
+ * Why a member cannot join others, or undefined if there is a level that all speak.
  * @example
  * levelMismatch({ maxLevel: 1, minLevel: 1 }, [{ maxLevel: 3, minLevel: 2 }]);
  * // 'it speaks levels 1 to 1 of the protocol, the group 2 to 3'
  */
-export function levelMismatch(seat: LevelRange, others: readonly LevelRange[]): string | undefined {
+export function levelMismatch(member: LevelRange, others: readonly LevelRange[]): string | undefined {
   if (others.length === 0) return undefined;
-  const least = Math.max(...others.map((other) => Math.max(1, other.minLevel)));
-  const most = levelOf(others);
-  if (Math.max(1, seat.maxLevel) >= least && Math.max(1, seat.minLevel) <= most) return undefined;
-  return `it speaks levels ${Math.max(1, seat.minLevel)} to ${Math.max(1, seat.maxLevel)} of the protocol, the group ${least} to ${most}`;
+  const min = Math.max(...others.map((other) => Math.max(1, other.minLevel)));
+  const max = levelOf(others);
+  if (Math.max(1, member.maxLevel) >= min && Math.max(1, member.minLevel) <= max) return undefined;
+  return `it speaks levels ${Math.max(1, member.minLevel)} to ${Math.max(1, member.maxLevel)} of the protocol, the group ${min} to ${max}`;
 }
 
 interface LevelRange {
@@ -229,34 +229,37 @@
 }
 
 /**
- * Held state as it goes to disks and joiners, with the entry that made it.
+ * A state as it goes to disks and joiners, with the entry that made it.
  * @example
- * const version = toVersion(play, held, entry);
+ * const version = toVersion(stateMachine, state, entry);
  */
-export function toVersion<S>(play: StateMachine<S>, held: GroupState<S>, entry: Entry): Version {
-  const { application: bytes, applicationExtension: extra } = play.encode(held.application);
-  const state = create(StateSchema, {
+export function toVersion<S>(stateMachine: StateMachine<S>, state: GroupState<S>, entry: Entry): Version {
+  const { application: bytes, applicationExtension: extra } = stateMachine.encode(state.application);
+  const encoded = create(StateSchema, {
     applicationExtension: extra,
-    clockMs: held.clockMs,
-    deployment: held.deployment,
-    view: held.view,
-    voters: [...held.voters],
-    previousVoters: [...held.previousVoters],
+    clockMs: state.clockMs,
+    deployment: state.deployment,
+    view: state.view,
+    voters: [...state.voters],
+    previousVoters: [...state.previousVoters],
     application: bytes,
-    answers: [...held.answers],
+    answers: [...state.answers],
   });
-  if (held.previousView !== undefined) state.previousView = held.previousView;
-  return create(VersionSchema, { epoch: held.epoch, number: held.number, entry, state });
+  if (state.previousView !== undefined) encoded.previousView = state.previousView;
+  return create(VersionSchema, { epoch: state.epoch, number: state.number, entry, state: encoded });
 }
 
 /**
- * The held state that a version with state stands for.
+ * The state that a version carries.
  * @example
- * const held = fromVersion(play, version);
+ * const state = fromVersion(stateMachine, version);
  */
-export function fromVersion<S>(play: StateMachine<S>, version: Version): Result<GroupState<S>, Fault> {
+export function fromVersion<S>(
+  stateMachine: StateMachine<S>,
+  version: Version,
+): Result<GroupState<S>, Fault> {
   const state: State = version.state ?? create(StateSchema);
-  return play.decode(state).map((own) => ({
+  return stateMachine.decode(state).map((own) => ({
     epoch: version.epoch,
     number: version.number,
     deployment: state.deployment,
@@ -272,11 +275,11 @@
 }
 
 /**
- * A version without its state, as it goes to members that hold the one before.
+ * A version without its state, as it goes to members that have applied the one before.
  * @example
- * bare(version).state; // undefined
+ * withoutState(version).state; // undefined
  */
-export function bare(version: Version): Version {
+export function withoutState(version: Version): Version {
   return create(VersionSchema, {
     epoch: version.epoch,
     number: version.number,
@@ -285,12 +288,12 @@
 }
 
 /**
- * A copy of a seat under another incarnation, as a dropped node rejoins.
+ * A copy of a member under another incarnation, as a removed node rejoins.
  * @example
- * withNewIncarnation(seat, 'incarnation-2').incarnation; // 'incarnation-2'
+ * withNewIncarnation(member, 'incarnation-2').incarnation; // 'incarnation-2'
  */
-export function withNewIncarnation(seat: Member, incarnation: string): Member {
-  const copy = clone(MemberSchema, seat);
+export function withNewIncarnation(member: Member, incarnation: string): Member {
+  const copy = clone(MemberSchema, member);
   copy.incarnation = incarnation;
   return copy;
 }
--- a/packages/process-group/src/process-group.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -17,12 +17,12 @@
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
-import { Causal, cutOf } from './causal.js';
-import { Grants } from './grants.js';
+import { CausalOrder, flushedCastsOf } from './causal.js';
+import { LeaseAcknowledgements } from './grants.js';
 import {
   advance,
   levelOf,
-  REMEMBERED_MS,
+  ANSWER_RETENTION_MS,
   levelMismatch,
   type GroupState,
   type StateMachine,
@@ -34,16 +34,16 @@
   members: ['a', 'b', 'c'].map((incarnation) => create(MemberSchema, { incarnation, name: incarnation })),
 });
 
-function member(incarnation: string): { causal: Causal; heard: string[] } {
+function member(incarnation: string): { causal: CausalOrder; heard: string[] } {
   const heard: string[] = [];
-  const causal = new Causal(VIEW, incarnation, (cast) => heard.push(`${cast.sender}${cast.sequence}`));
+  const causal = new CausalOrder(VIEW, incarnation, (cast) => heard.push(`${cast.sender}${cast.sequence}`));
   return { causal, heard };
 }
 
 const EMPTY = new Uint8Array();
 
 describe('causal order', () => {
-  it('holds a cast back until what its sender had delivered has come', () => {
+  it('buffers a cast until what its sender had delivered has arrived', () => {
     const [a, b, c] = [member('a'), member('b'), member('c')];
     const first = a.causal.send(EMPTY);
     b.causal.receive(first);
@@ -62,27 +62,27 @@
     expect([first.contextRank, second.contextRank]).toEqual([[0], []]);
   });
 
-  it('keeps a cast until all have it, and hands it on in a flush', () => {
+  it('retains a cast until all have it, and hands it on in a flush', () => {
     const [a, b] = [member('a'), member('b')];
     const cast = a.causal.send(EMPTY);
     b.causal.receive(cast);
-    expect(b.causal.keptCount).toEqual(1);
+    expect(b.causal.unstableCount).toEqual(1);
     b.causal.learnDelivered('a', [1, 0, 0]);
-    expect(b.causal.keptCount).toEqual(1);
+    expect(b.causal.unstableCount).toEqual(1);
     b.causal.learnDelivered('c', [1, 0, 0]);
-    expect(b.causal.keptCount).toEqual(0);
+    expect(b.causal.unstableCount).toEqual(0);
   });
 
-  it('lets go of what the gatherer says that all have', () => {
+  it('drops what the collector reports as delivered everywhere', () => {
     const [a, b] = [member('a'), member('b')];
     b.causal.receive(a.causal.send(EMPTY));
     a.causal.learnDelivered('b', [1, 0, 0]);
     const early = a.causal.stable;
     a.causal.learnDelivered('c', [1, 0, 0]);
     b.causal.learnStable(early);
-    const kept = b.causal.keptCount;
+    const kept = b.causal.unstableCount;
     b.causal.learnStable(a.causal.stable);
-    expect([early, kept, b.causal.keptCount]).toEqual([[0, 0, 0], 1, 0]);
+    expect([early, kept, b.causal.unstableCount]).toEqual([[0, 0, 0], 1, 0]);
   });
 
   it('ends a view with the same casts everywhere, though their sender is gone', () => {
@@ -92,9 +92,9 @@
     b.causal.receive(one);
     b.causal.receive(two);
     c.causal.receive(one);
-    const cut = cutOf(VIEW, [b.causal.stop(), c.causal.stop()]);
+    const flushedCasts = flushedCastsOf(VIEW, [b.causal.stop(), c.causal.stop()]);
     const late = b.causal.stop();
-    for (const { causal } of [b, c]) causal.finish(cut);
+    for (const { causal } of [b, c]) causal.finish(flushedCasts);
     expect(late.length).toEqual(2);
     expect([b.heard, c.heard]).toEqual([
       ['a1', 'a2'],
@@ -110,29 +110,32 @@
     expect(b.heard).toEqual([]);
   });
 
-  it('puts a cut in causal order, with those whose predecessors are lost at the end', () => {
+  it('orders flushed casts causally, with those whose predecessors are lost at the end', () => {
     function full(sender: string, sequence: number, context: number[]): Cast {
       const cast = member(sender).causal.send(EMPTY);
       return { ...cast, sequence, contextRank: [0, 1, 2], contextCount: context };
     }
-    const cut = cutOf(VIEW, [[full('b', 1, [1, 1, 0]), full('c', 1, [0, 5, 1])], [full('a', 1, [1, 0, 0])]]);
+    const cut = flushedCastsOf(VIEW, [
+      [full('b', 1, [1, 1, 0]), full('c', 1, [0, 5, 1])],
+      [full('a', 1, [1, 0, 0])],
+    ]);
     expect(cut.map((cast) => cast.sender)).toEqual(['a', 'b', 'c']);
   });
 });
 
-describe('grants', () => {
-  it('last a second from the moment the majority was asked', () => {
-    const grants = new Grants(1000);
-    expect(grants.endMs(VIEW, 'a', 1, 500)).toEqual(-Infinity);
-    grants.given('b', 400, 1);
-    expect(grants.endMs(VIEW, 'a', 1, 500)).toEqual(1400);
+describe('lease acknowledgements', () => {
+  it('last a second from the moment the heartbeats to the majority were sent', () => {
+    const acknowledgements = new LeaseAcknowledgements(1000);
+    expect(acknowledgements.leaseEndMs(VIEW, 'a', 1, 500)).toEqual(-Infinity);
+    acknowledgements.acknowledge('b', 400, 1);
+    expect(acknowledgements.leaseEndMs(VIEW, 'a', 1, 500)).toEqual(1400);
   });
 
-  it('do not count while the granter holds more than we do', () => {
-    const grants = new Grants(1000);
-    grants.given('b', 400, 2);
-    expect(grants.endMs(VIEW, 'a', 1, 500)).toEqual(-Infinity);
-    expect(grants.endMs(VIEW, 'a', 2, 500)).toEqual(1400);
+  it('do not count while the acknowledging member has applied more than this node', () => {
+    const acknowledgements = new LeaseAcknowledgements(1000);
+    acknowledgements.acknowledge('b', 400, 2);
+    expect(acknowledgements.leaseEndMs(VIEW, 'a', 1, 500)).toEqual(-Infinity);
+    expect(acknowledgements.leaseEndMs(VIEW, 'a', 2, 500)).toEqual(1400);
   });
 });
 
@@ -146,13 +149,13 @@
   }
 }
 
-function acceptorOn(vault: RecordWriter): Acceptor {
+function acceptorOn(records: RecordWriter): Acceptor {
   const opening = readRecords({}, 'disk-1');
   return new Acceptor(
     opening.isOk
       ? opening.value
       : { disk: '', deployment: '', promisedEpoch: 0, promisedTo: '', accepted: undefined },
-    vault,
+    records,
     'test',
     () => undefined,
   );
@@ -167,21 +170,21 @@
 
 describe('voter', () => {
   it('answers only after the sync', () => {
-    const vault = new SlowVault();
+    const disk = new SlowVault();
     const answers: (Promised | Accepted)[] = [];
-    const acceptor = acceptorOn(vault);
+    const acceptor = acceptorOn(disk);
     acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'leader' }), (promise) => answers.push(promise));
     acceptor.accept(version(3, 1), (accepted) => answers.push(accepted));
     expect(answers.length).toEqual(0);
-    vault.sync();
+    disk.sync();
     expect(answers.length).toEqual(2);
   });
 
-  it('promises an epoch to one claimant and refuses what is older', () => {
-    const vault = new SlowVault();
-    const acceptor = acceptorOn(vault);
+  it('promises an epoch to one candidate and rejects what is older', () => {
+    const disk = new SlowVault();
+    const acceptor = acceptorOn(disk);
     const granted: boolean[] = [];
-    const refused: boolean[] = [];
+    const rejected: boolean[] = [];
     acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'leader' }), (promise) =>
       granted.push(promise.granted),
     );
@@ -191,15 +194,15 @@
     acceptor.prepare(create(PrepareSchema, { epoch: 2, disk: 'leader' }), (promise) =>
       granted.push(promise.granted),
     );
-    acceptor.accept(version(2, 9), (accepted) => refused.push(accepted.rejected));
-    vault.sync();
+    acceptor.accept(version(2, 9), (accepted) => rejected.push(accepted.rejected));
+    disk.sync();
     expect(granted).toEqual([false, false, true]);
-    expect(refused).toEqual([true]);
+    expect(rejected).toEqual([true]);
   });
 
-  it('is refused when its disk has lost what it once held', () => {
-    const vault = new SlowVault();
-    const acceptor = acceptorOn(vault);
+  it('is rejected when its disk has lost the state it once held', () => {
+    const disk = new SlowVault();
+    const acceptor = acceptorOn(disk);
     const records: Uint8Array[] = [];
     const replica: RecordWriter = {
       store: (kind, bytes, done) => {
@@ -219,7 +222,7 @@
   const counter: StateMachine<number> = {
     empty: () => 0,
     encode: (state) => ({ application: new Uint8Array([state]), applicationExtension: new Uint8Array() }),
-    decode: ({ application: play }) => Result.ok(play[0] ?? 0),
+    decode: ({ application: bytes }) => Result.ok(bytes[0] ?? 0),
     withoutExtension: (state) => state,
     apply: (state, operation) =>
       operation.kind === 'add'
@@ -240,7 +243,7 @@
     clockMs: 0,
   };
 
-  it('take effect once for each id, and a refused one never', () => {
+  it('take effect once for each id, and a rejected one never', () => {
     const operations = ['x', 'x', 'y'].map((id) =>
       create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }),
     );
@@ -253,24 +256,29 @@
     ]);
   });
 
-  it("are remembered by their ids for ten minutes of the group's clock, placements for less", () => {
-    function add(held: GroupState<number>, id: string, elapsedMs: number, brief = false): GroupState<number> {
+  it("are retained by their ids for ten minutes of the group's clock, placements for less", () => {
+    function add(
+      state: GroupState<number>,
+      id: string,
+      elapsedMs: number,
+      transient = false,
+    ): GroupState<number> {
       return advance(
         counter,
-        held,
+        state,
         1,
         create(EntrySchema, {
           level: 2,
           elapsedMs,
-          operations: [create(OperationSchema, { id, kind: 'add', transient: brief })],
+          operations: [create(OperationSchema, { id, kind: 'add', transient })],
         }),
       );
     }
-    let held = add(start, 'first', 5);
-    for (let place = 0; place < 600; place += 1) held = add(held, `place-${place}`, 900, true);
-    const soon = add(held, 'first', REMEMBERED_MS - 600 * 900);
-    const late = add(held, 'first', REMEMBERED_MS - 600 * 900 + 1);
-    expect([held.application, soon.application, late.application, held.answers.length]).toEqual([
+    let state = add(start, 'first', 5);
+    for (let place = 0; place < 600; place += 1) state = add(state, `place-${place}`, 900, true);
+    const soon = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900);
+    const late = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900 + 1);
+    expect([state.application, soon.application, late.application, state.answers.length]).toEqual([
       601, 601, 602, 65,
     ]);
   });
--- a/packages/process-group/src/receiver.ts
+++ b/packages/process-group/src/receiver.ts
@@ -48,7 +48,7 @@
       case 'cast':
         return casts.receive(body.value);
       case 'chosen':
-        for (const version of body.value.versions) versions.take(from, version);
+        for (const version of body.value.versions) versions.receive(from, version);
         return;
       case 'submit':
         return coordination.onSubmit(from, body.value);
@@ -68,7 +68,7 @@
       case 'heartbeatAck':
         return heartbeats.onHeartbeatAck(from, body.value);
       case 'prepare':
-        return election.candidacy?.onClaim(from, body.value);
+        return election.candidacy?.onPrepare(from, body.value);
       case 'promise':
         return election.candidacy?.onPromise(body.value);
       case 'propose':
@@ -76,15 +76,15 @@
       case 'accepted':
         return coordination.onAccepted(body.value);
       case 'flushRequest':
-        return viewChange.onStop(from, body.value);
+        return viewChange.onFlushRequest(from, body.value);
       case 'flushReply':
-        return coordination.coordinator?.flushed(from, body.value);
+        return coordination.coordinator?.onFlushReply(from, body.value);
       case 'fetchVersions':
         return versions.onFetch(from, body.value.from);
       case 'sequenced':
-        return transport.onParcel(from, body.value);
+        return transport.onSequenced(from, body.value);
       case 'goodbye':
-        return liveness.onBye(from);
+        return liveness.onGoodbye(from);
       default:
         return dependencies.listener.onFrame(from, body);
     }
--- a/packages/process-group/src/test-cluster.ts
+++ b/packages/process-group/src/test-cluster.ts
@@ -19,13 +19,13 @@
 const LINK_MS = 1;
 
 /** The state: the ids of the operations that were applied, in their order. */
-const PLAY: StateMachine<readonly string[]> = {
+const STATE_MACHINE: StateMachine<readonly string[]> = {
   empty: () => [],
   encode: (state) => ({
     application: new TextEncoder().encode(JSON.stringify(state)),
     applicationExtension: new Uint8Array(),
   }),
-  decode: ({ application: play }) => Result.ok(JSON.parse(new TextDecoder().decode(play)) as string[]),
+  decode: ({ application: bytes }) => Result.ok(JSON.parse(new TextDecoder().decode(bytes)) as string[]),
   withoutExtension: (state) => state,
   apply: (state, { id }) => ({ state: [...state, id], outcome: { kind: 'agreed', detail: '' } }),
 };
@@ -55,11 +55,11 @@
   readonly nodes = new Map<string, TestNode>();
   /** Ids of the operations that were acknowledged. */
   readonly acknowledged = new Set<string>();
-  readonly cuts = new Set<string>();
+  readonly severedLinks = new Set<string>();
   #seeds: readonly string[];
   #founders: readonly string[] = [];
-  #votersWanted: number;
-  #dice: SeededRandom;
+  #desiredVoterCount: number;
+  #random: SeededRandom;
   #disks = 0;
   #operations = 0;
   #inFlight: { readonly dueMs: number; readonly from: string; readonly to: string; readonly frame: Frame }[] =
@@ -67,8 +67,8 @@
 
   constructor(seeds: readonly string[], faultTolerance: number, seed = 7) {
     this.#seeds = seeds;
-    this.#votersWanted = 2 * faultTolerance + 1;
-    this.#dice = new SeededRandom(seed);
+    this.#desiredVoterCount = 2 * faultTolerance + 1;
+    this.#random = new SeededRandom(seed);
   }
 
   /** Starts all machines for the first time and waits for a settled group. */
@@ -76,7 +76,7 @@
     this.#founders = this.#seeds.slice(0, 3);
     for (const name of this.#seeds) this.start(name);
     this.#founders = [];
-    this.runUntil(() => this.leader()?.group.state?.voters.length === this.#votersWanted, 20_000);
+    this.runUntil(() => this.leader()?.group.state?.voters.length === this.#desiredVoterCount, 20_000);
     this.run(1000);
   }
 
@@ -85,7 +85,7 @@
     const writes: TestNode['writes'] = [];
     const disk: Records = { ...records };
     const opening = readRecords(disk, `${name}-${this.#disks}`);
-    const vault: RecordWriter = {
+    const writer: RecordWriter = {
       store: (kind: RecordKind, bytes, done) => {
         writes.push({
           dueMs: this.nowMs + node.syncMs,
@@ -97,10 +97,10 @@
       },
     };
     const fresh = { disk: name, deployment: '', promisedEpoch: 0, promisedTo: '', accepted: undefined };
-    const acceptor = new Acceptor(opening.unwrapOr(fresh), vault, 'test', () => undefined);
+    const acceptor = new Acceptor(opening.unwrapOr(fresh), writer, 'test', () => undefined);
     const group = this.#group(name, acceptor);
     const node: TestNode = { name, records: disk, group, writes, syncMs: 1, stalled: false, running: true };
-    if (records?.disk === undefined) acceptor.mark();
+    if (records?.disk === undefined) acceptor.writeDiskRecord();
     this.nodes.set(name, node);
     return node;
   }
@@ -127,11 +127,11 @@
   }
 
   /** Cuts a machine off from all others, or ends that. */
-  cutOff(name: string, isCut: boolean): void {
+  setIsolated(name: string, isCut: boolean): void {
     for (const other of this.nodes.keys())
       for (const way of [`${name} ${other}`, `${other} ${name}`]) {
-        if (isCut) this.cuts.add(way);
-        else this.cuts.delete(way);
+        if (isCut) this.severedLinks.add(way);
+        else this.severedLinks.delete(way);
       }
   }
 
@@ -161,7 +161,7 @@
   }
 
   /** Acknowledged operations that a node's state lacks. */
-  lacks(name: string): string[] {
+  missingOperations(name: string): string[] {
     const state = this.node(name).group.state?.application ?? [];
     return [...this.acknowledged].filter((id) => !state.includes(id));
   }
@@ -172,7 +172,7 @@
   }
 
   /** Puts a frame on its way; the receiver would refuse one that is too large. */
-  #post(from: string, to: string, frame: Frame): void {
+  #send(from: string, to: string, frame: Frame): void {
     const mayBeLarge = frame.body.case === 'sequenced' || frame.body.case === 'propose';
     if (!mayBeLarge || encodeFrame(frame).length <= FRAME_MAX_BYTES)
       this.#inFlight.push({ dueMs: this.nowMs + LINK_MS, from, to, frame });
@@ -181,7 +181,7 @@
   #deliver(): void {
     while ((this.#inFlight[0]?.dueMs ?? Infinity) <= this.nowMs) {
       const next = this.#inFlight.shift();
-      if (next === undefined || this.cuts.has(`${next.from} ${next.to}`)) continue;
+      if (next === undefined || this.severedLinks.has(`${next.from} ${next.to}`)) continue;
       const node = this.nodes.get(next.to);
       if (node?.running === true) node.group.receive(next.frame);
     }
@@ -195,11 +195,11 @@
       deployment: 'test',
       seeds: this.#seeds,
       founders: this.#founders,
-      desiredVoterCount: this.#votersWanted,
+      desiredVoterCount: this.#desiredVoterCount,
       clock: { nowMs: () => this.nowMs },
-      chance: this.#dice,
+      chance: this.#random,
       times: PLATFORM_TIMES,
-      stateMachine: PLAY,
+      stateMachine: STATE_MACHINE,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
       listener: {
@@ -212,7 +212,7 @@
         onFrame: () => undefined,
         onJoinRejected: () => undefined,
       },
-      send: (to, frame) => this.#post(name, to, frame),
+      send: (to, frame) => this.#send(name, to, frame),
     });
   }
 }
--- a/packages/process-group/src/times.ts
+++ b/packages/process-group/src/times.ts
@@ -4,13 +4,13 @@
   readonly helloMs: number;
   readonly suspectMs: number;
   readonly pauseMs: number;
-  readonly grantMs: number;
+  readonly leaseMs: number;
   readonly graceMs: number;
   readonly flushMs: number;
   readonly resendMs: number;
-  readonly replaceMs: number;
+  readonly voterReplacementMs: number;
   readonly resignMs: number;
-  readonly lagMs: number;
+  readonly maxLagMs: number;
 }
 
 /** The defaults; the bounds of the brief are met with these. */
@@ -19,21 +19,21 @@
   helloMs: 250,
   suspectMs: 1500,
   pauseMs: 400,
-  grantMs: 1000,
+  leaseMs: 1000,
   graceMs: 250,
   flushMs: 1500,
   resendMs: 250,
-  replaceMs: 4000,
+  voterReplacementMs: 4000,
   resignMs: 3000,
-  lagMs: 4000,
+  maxLagMs: 4000,
 };
 
 /** The times of cores on a platform: a lost core is replaced before it counts as lost no more. */
 export const PLATFORM_TIMES: GroupTimes = {
   ...GROUP_TIMES,
-  replaceMs: 1500,
+  voterReplacementMs: 1500,
   suspectMs: 900,
-  grantMs: 600,
+  leaseMs: 600,
   helloMs: 100,
   graceMs: 100,
 };
--- a/packages/process-group/src/transport.ts
+++ b/packages/process-group/src/transport.ts
@@ -1,4 +1,4 @@
-/** Sending to other members: single frames, and ordered parcels over a channel each. */
+/** Sending to other members: single frames, and messages in order over a channel each. */
 import { create } from '@bufbuild/protobuf';
 import {
   OrderedChannel,
@@ -16,11 +16,11 @@
 >;
 
 /**
- * Sends frames, which may be lost, and bodies in parcels, which arrive once
+ * Sends frames, which may be lost, and ordered messages, which arrive once
  * and in order as long as both ends stay in the view.
  * @example
- * transport.post(member, { case: 'goodbye', value: create(GoodbyeSchema) });
- * transport.parcel(member, { case: 'cast', value: cast });
+ * transport.send(member, { case: 'goodbye', value: create(GoodbyeSchema) });
+ * transport.sendOrdered(member, { case: 'cast', value: cast });
  */
 export class Transport<S> {
   #parts: TransportParts<S>;
@@ -31,18 +31,18 @@
   }
 
   /** Sends one frame to a node. */
-  post(seat: Member, body: Frame['body']): void {
-    this.postToAddress(seat.address, seat.incarnation, body);
+  send(member: Member, body: Frame['body']): void {
+    this.sendToAddress(member.address, member.incarnation, body);
   }
 
   /** Sends one frame to a node if it is known under this incarnation. */
-  postTo(incarnation: string, body: Frame['body']): void {
-    const seat = this.#parts.directory.seat(incarnation);
-    if (seat !== undefined) this.post(seat, body);
+  sendTo(incarnation: string, body: Frame['body']): void {
+    const member = this.#parts.directory.member(incarnation);
+    if (member !== undefined) this.send(member, body);
   }
 
   /** Sends one frame to whoever is at an address; an empty incarnation means anybody. */
-  postToAddress(address: string, incarnation: string, body: Frame['body']): void {
+  sendToAddress(address: string, incarnation: string, body: Frame['body']): void {
     const { dependencies, local } = this.#parts;
     const frame = create(FrameSchema, {
       wire: WIRE_VERSION,
@@ -55,32 +55,32 @@
   }
 
   /** Sends a body in order; to this node itself it is delivered at once. */
-  parcel(seat: Member, body: SequencedMessage['body']): void {
+  sendOrdered(member: Member, body: SequencedMessage['body']): void {
     const { directory, local, receiver } = this.#parts;
-    if (seat.incarnation === local.incarnation) return receiver.onBody(seat.incarnation, body);
-    directory.remember(seat);
-    const channel = this.#channel(seat.incarnation);
-    if (!channel.post(body)) return this.#overflow(seat.incarnation);
-    this.#postParcels(seat, channel, local.nowMs());
+    if (member.incarnation === local.incarnation) return receiver.onBody(member.incarnation, body);
+    directory.learnMember(member);
+    const channel = this.#channel(member.incarnation);
+    if (!channel.post(body)) return this.#overflow(member.incarnation);
+    this.#sendDue(member, channel, local.nowMs());
   }
 
-  onParcel(from: string, parcel: SequencedMessage): void {
+  onSequenced(from: string, message: SequencedMessage): void {
     const { coordination, directory, local, receiver } = this.#parts;
     const channel = this.#channel(from);
-    coordination.coordinator?.holds(from, parcel.appliedVersion);
-    const bodies = channel.receive(parcel);
+    coordination.coordinator?.learnApplied(from, message.appliedVersion);
+    const bodies = channel.receive(message);
     for (const body of bodies) receiver.onBody(from, body);
-    const seat = directory.seat(from);
+    const member = directory.member(from);
     const isSameChannel = this.#channels.get(from) === channel;
-    if (seat !== undefined && isSameChannel && bodies.some((body) => body.case === 'chosen'))
-      this.#postParcels(seat, channel, local.nowMs());
+    if (member !== undefined && isSameChannel && bodies.some((body) => body.case === 'chosen'))
+      this.#sendDue(member, channel, local.nowMs());
   }
 
   /** Sends what is due on all channels: acknowledgements, and again what was not acknowledged. */
   tick(nowMs: number): void {
     for (const [incarnation, channel] of this.#channels) {
-      const seat = this.#parts.directory.seat(incarnation);
-      if (seat !== undefined) this.#postParcels(seat, channel, nowMs);
+      const member = this.#parts.directory.member(incarnation);
+      if (member !== undefined) this.#sendDue(member, channel, nowMs);
     }
   }
 
@@ -89,8 +89,8 @@
     return this.#channels.get(incarnation)?.lagMs(nowMs) ?? 0;
   }
 
-  /** This process was away: the others are not to blame for that time. */
-  slept(awayMs: number): void {
+  /** This process was suspended: that time does not count against the others. */
+  onSleep(awayMs: number): void {
     for (const channel of this.#channels.values()) channel.slept(awayMs);
   }
 
@@ -112,17 +112,17 @@
     return channel;
   }
 
-  #postParcels(seat: Member, channel: OrderedChannel, nowMs: number): void {
-    for (const parcel of channel.tick(nowMs)) {
-      parcel.appliedVersion = this.#parts.local.appliedVersion;
-      this.post(seat, { case: 'sequenced', value: parcel });
+  #sendDue(member: Member, channel: OrderedChannel, nowMs: number): void {
+    for (const message of channel.tick(nowMs)) {
+      message.appliedVersion = this.#parts.local.appliedVersion;
+      this.send(member, { case: 'sequenced', value: message });
     }
   }
 
   /** A channel that has lost a body is at its end: the member goes, or this node does if it is the one cut off. */
   #overflow(incarnation: string): void {
     const { leases, liveness, local, viewChange } = this.#parts;
-    if (leases.isGranted()) liveness.report(incarnation);
+    if (leases.isHeld()) liveness.report(incarnation);
     else if (local.inView) viewChange.rejoin();
   }
 }
--- a/packages/process-group/src/view-change.ts
+++ b/packages/process-group/src/view-change.ts
@@ -1,4 +1,4 @@
-/** A member's side of a view change: stopping, flushing, entering the next view, starting anew. */
+/** A member's side of a view change: stopping, flushing, entering the next view, rejoining. */
 import { create } from '@bufbuild/protobuf';
 import { FlushReplySchema, type FlushReply, type FlushRequest, type View } from '@rainrun/messages';
 import type { GroupParts } from './group-parts.js';
@@ -22,13 +22,13 @@
 /**
  * Takes this node from one view to the next: it stops its casts at the
  * coordinator's request, hands over what may be missing elsewhere, and opens the
- * new view once that is in force. A node that was left out starts anew.
+ * new view once that is in force. A node that was left out rejoins under a new incarnation.
  * @example
- * viewChange.onStop('incarnation-1', stop); // answers with a flush
+ * viewChange.onFlushRequest('incarnation-1', request); // answers with a flush reply
  */
 export class ViewChange<S> {
   #parts: ViewChangeParts<S>;
-  #stopEpoch = 0;
+  #flushEpoch = 0;
   /** Incarnations that stay, while a change is under way. */
   #staying: ReadonlySet<string> | undefined;
 
@@ -36,27 +36,35 @@
     this.#parts = parts;
   }
 
-  /** Whether a change is under way that leaves this member out: it is granted nothing any more. */
+  /** Whether a change is under way that leaves this member out: it gets no lease any more. */
   isLeavingOut(incarnation: string): boolean {
     return this.#staying !== undefined && !this.#staying.has(incarnation);
   }
 
-  onStop(from: string, stop: FlushRequest): void {
+  onFlushRequest(from: string, request: FlushRequest): void {
     const { directory, local, transport, versions } = this.#parts;
-    const held = local.state;
-    if (!local.inView || held === undefined || stop.epoch < local.epoch || stop.epoch < this.#stopEpoch)
+    const state = local.state;
+    if (
+      !local.inView ||
+      state === undefined ||
+      request.epoch < local.epoch ||
+      request.epoch < this.#flushEpoch
+    )
       return;
-    if (stop.view > held.view.number) return versions.fetch(from);
-    if (stop.view < held.view.number) return;
-    local.learnEpoch(stop.epoch);
-    const seat = directory.seat(from);
-    if (seat === undefined) return;
-    transport.post(seat, { case: 'flushReply', value: this.flush(stop.epoch, stop.change, stop.staying) });
+    if (request.view > state.view.number) return versions.fetch(from);
+    if (request.view < state.view.number) return;
+    local.learnEpoch(request.epoch);
+    const member = directory.member(from);
+    if (member === undefined) return;
+    transport.send(member, {
+      case: 'flushReply',
+      value: this.flush(request.epoch, request.change, request.staying),
+    });
   }
 
   /** Stops the casts of this view and hands over those that may be missing elsewhere. */
   flush(epoch: number, change: number, staying: readonly string[]): FlushReply {
-    this.#stopEpoch = epoch;
+    this.#flushEpoch = epoch;
     this.#staying = new Set(staying);
     return create(FlushReplySchema, { epoch, change, unstableCasts: this.#parts.casts.stop() });
   }
@@ -67,7 +75,7 @@
     const nowMs = local.nowMs();
     local.enterView();
     this.#staying = undefined;
-    this.#stopEpoch = 0;
+    this.#flushEpoch = 0;
     versions.clearGap();
     const incarnations = new Set(view.members.map((member) => member.incarnation));
     for (const member of view.members) {
@@ -75,7 +83,7 @@
       liveness.watch(member.incarnation, nowMs);
     }
     transport.keepOnly(incarnations);
-    this.#forgetOutsiders(incarnations, nowMs);
+    this.#removeOutsiders(incarnations, nowMs);
     liveness.clearReports();
     casts.enter(view);
   }
@@ -95,7 +103,7 @@
     this.#staying = undefined;
     versions.clearGap();
     coordination.drop();
-    election.candidacy?.forget();
+    election.candidacy?.abandon();
     coordinatorWatch.clear();
     liveness.clear();
     transport.clear();
@@ -104,13 +112,13 @@
     dependencies.listener.onNewIncarnation(local.incarnation);
   }
 
-  #forgetOutsiders(incarnations: ReadonlySet<string>, nowMs: number): void {
+  #removeOutsiders(incarnations: ReadonlySet<string>, nowMs: number): void {
     const { directory, discovery, liveness } = this.#parts;
     for (const incarnation of directory.incarnations()) {
-      if (incarnations.has(incarnation) || discovery.isInTouch(incarnation, nowMs)) continue;
-      directory.forget(incarnation);
-      discovery.forget(incarnation);
-      liveness.forget(incarnation);
+      if (incarnations.has(incarnation) || discovery.hasFreshContact(incarnation, nowMs)) continue;
+      directory.remove(incarnation);
+      discovery.remove(incarnation);
+      liveness.remove(incarnation);
     }
   }
 }
--- a/packages/process-group/src/voters.ts
+++ b/packages/process-group/src/voters.ts
@@ -6,10 +6,10 @@
 type VoterParts<S> = Pick<GroupParts<S>, 'dependencies' | 'discovery' | 'liveness' | 'local'>;
 
 /**
- * Finds the voters: from the state held in a view, else from the version
+ * Finds the voters: from the state in force in a view, else from the version
  * that this node's disk accepted last.
  * @example
- * voters.seat(voters.list()[0].disk); // the member with that disk, if it is in touch
+ * voters.memberOf(voters.list()[0].disk); // the member with that disk, if it is in touch
  */
 export class Voters<S> {
   #parts: VoterParts<S>;
@@ -25,18 +25,18 @@
   /** The voters, and those before them while their change is not known to be chosen. */
   sets(): VoterSets {
     const { dependencies, local } = this.#parts;
-    const { state: held } = local;
+    const { state } = local;
     const accepted = dependencies.acceptor?.accepted?.state ?? { voters: [], previousVoters: [] };
-    return held !== undefined && held.voters.length > 0 && local.inView ? held : accepted;
+    return state !== undefined && state.voters.length > 0 && local.inView ? state : accepted;
   }
 
   /** Where the voter with this disk is now, if it is known. */
-  seat(disk: string): Member | undefined {
+  memberOf(disk: string): Member | undefined {
     const { discovery, liveness, local } = this.#parts;
     const nowMs = local.nowMs();
     const member = local.view?.members.find(
-      (seat) => seat.disk === disk && liveness.isLive(seat.incarnation, nowMs),
+      (known) => known.disk === disk && liveness.isLive(known.incarnation, nowMs),
     );
-    return member ?? discovery.freshContacts().find((contact) => contact.seat.disk === disk)?.seat;
+    return member ?? discovery.freshContacts().find((contact) => contact.member.disk === disk)?.member;
   }
 }
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -111,7 +111,7 @@
     const { recordStore, records } = opened.value;
     return readRecords(records, randomId(CHANCE)).map((opening) => {
       const acceptor = new Acceptor(opening, recordStore, 'system', broken);
-      if (records.disk === undefined) acceptor.mark();
+      if (records.disk === undefined) acceptor.writeDiskRecord();
       return new CoreNode(settings, dialect, log, acceptor);
     });
   }
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/node.ts
@@ -388,6 +388,6 @@
     );
   }
   const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, broken);
-  if (records.disk === undefined) acceptor.mark();
+  if (records.disk === undefined) acceptor.writeDiskRecord();
   return Result.ok(acceptor);
 }
--- a/packages/runtime/src/operators.ts
+++ b/packages/runtime/src/operators.ts
@@ -2,7 +2,7 @@
 import type { Answer, Member } from '@rainrun/messages';
 import type { EndRecord } from '@rainrun/gateway';
 import type { ClusterNode } from '@rainrun/cluster-node';
-import { REMEMBERED_MOST } from '@rainrun/process-group';
+import { RETAINED_ANSWERS_MAX } from '@rainrun/process-group';
 import { isEdit, readEdit, readSpec } from '@rainrun/configuration';
 import {
   FAULT_RESPONSES,
@@ -384,11 +384,11 @@
   submit(kind: string, data: unknown, wishedId: string): Promise<OperatorReply> {
     if (wishedId !== '' && !OPERATION_ID.test(wishedId))
       return Promise.resolve(failure('bad-request', 'the operation id is not a word of up to 64 letters'));
-    if (this.#dependencies.clusterNode.group.full) {
+    if (this.#dependencies.clusterNode.group.isFull) {
       return Promise.resolve(
         failure(
           'over-share',
-          `${REMEMBERED_MOST} operations were answered in the last ten minutes; nothing was sent`,
+          `${RETAINED_ANSWERS_MAX} operations were answered in the last ten minutes; nothing was sent`,
         ),
       );
     }
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -202,7 +202,7 @@
     this.note(machine.name, 'boots');
     if (machine.disk === undefined) running.edge = this.#edge(machine, running);
     this.net.open(machine.address, machine.name, (frame) => this.#take(machine, running, frame));
-    if (fresh) acceptor?.mark();
+    if (fresh) acceptor?.writeDiskRecord();
     this.time.after(this.#dice.next() * HEARTBEAT_MS, () => this.#tick(machine, running));
   }
 
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -13,7 +13,7 @@
 import { type WorkerPool } from './workers.js';
 
 /** A coordinator that was succeeded may believe in its duty for so long. */
-export const LEASE_MS = PLATFORM_TIMES.grantMs;
+export const LEASE_MS = PLATFORM_TIMES.leaseMs;
 const CORE_TICK_MS = 20;
 const EDGE_TICK_MS = 25;
 const LIST_MS = 500;
@@ -82,7 +82,7 @@
       this.#context.note(machine.name, `disk: ${failed.detail}`);
       this.kill(machine);
     });
-    if (records.disk === undefined) acceptor.mark();
+    if (records.disk === undefined) acceptor.writeDiskRecord();
     return acceptor;
   }
 
