--- a/packages/process-group/src/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -15,7 +15,7 @@
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
-import { isLater } from './play.js';
+import { isLater } from './quorum.js';
 
 /** What a voter's disk holds when the node opens it. */
 export interface OpenedDisk {
--- a/packages/process-group/src/candidacy.ts
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -10,8 +10,8 @@
 } from '@rainrun/messages';
 import type { RandomSource } from '@rainrun/common';
 import type { Acceptor } from './acceptor.js';
-import { disksOf, isQuorum, isLater, type VoterSets } from './play.js';
-import type { GroupTimes } from './times.js';
+import { disksOf, isQuorum, isLater, type VoterSets } from './quorum.js';
+import type { GroupTimes } from '../times.js';
 
 /** What a candidacy needs of the node that it runs in. */
 export interface CandidacyContext {
--- a/packages/process-group/src/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -9,8 +9,8 @@
   type Version,
 } from '@rainrun/messages';
 import { Coordinator, type CoordinatorContext } from './coordinator.js';
-import type { GroupParts } from './group-parts.js';
-import { fromVersion } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { fromVersion } from './group-state.js';
 
 type CoordinationParts<S> = Pick<
   GroupParts<S>,
--- a/packages/process-group/src/coordinator-watch.ts
+++ b/packages/process-group/src/agreement/coordinator-watch.ts
@@ -1,5 +1,5 @@
 /** Whom this node takes for the coordinator. */
-import type { GroupParts } from './group-parts.js';
+import type { GroupParts } from '../group-parts.js';
 
 /** The coordinator as its last heartbeat showed it. */
 export interface FollowedCoordinator {
--- a/packages/process-group/src/coordinator.ts
+++ b/packages/process-group/src/agreement/coordinator.ts
@@ -19,23 +19,20 @@
   type Version,
   type View,
 } from '@rainrun/messages';
-import { flushedCastsOf } from './causal.js';
+import { flushedCastsOf } from '../multicast/causal-order.js';
 import {
   advance,
   withoutState,
-  disksOf,
-  isQuorum,
-  levelOf,
-  majority,
-  rankOf,
   retainedAnswerCount,
   RETAINED_ANSWERS_MAX,
   toVersion,
-  levelMismatch,
   type GroupState,
-  type StateMachine,
-} from './play.js';
-import type { GroupTimes } from './times.js';
+} from './group-state.js';
+import { disksOf, isQuorum, majority } from './quorum.js';
+import type { StateMachine } from './state-machine.js';
+import { rankOf } from '../membership/members.js';
+import { levelOf, levelMismatch } from '../membership/protocol-levels.js';
+import type { GroupTimes } from '../times.js';
 
 /** What the coordinator needs from the node that it runs in. */
 export interface CoordinatorContext<S> {
--- a/packages/process-group/src/group-election.test.ts
+++ b/packages/process-group/src/agreement/election.test.ts
@@ -11,7 +11,7 @@
 } from '@rainrun/messages';
 import type { Records } from '@rainrun/storage';
 import { expect } from 'earl';
-import { TestCluster } from './test-cluster.js';
+import { TestCluster } from '../testing/test-cluster.js';
 
 function versionOf(number: number, voters: readonly string[]): Version {
   return create(VersionSchema, {
--- a/packages/process-group/src/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -1,7 +1,7 @@
 /** Decides when this node becomes a candidate for the next epoch. */
 import type { Acceptor } from './acceptor.js';
 import { Candidacy, type CandidacyContext } from './candidacy.js';
-import type { GroupParts } from './group-parts.js';
+import type { GroupParts } from '../group-parts.js';
 
 type ElectionParts<S> = Pick<
   GroupParts<S>,
--- a/packages/process-group/src/founding.ts
+++ b/packages/process-group/src/agreement/founding.ts
@@ -2,8 +2,8 @@
 import { create } from '@bufbuild/protobuf';
 import { PrepareSchema, EntrySchema, ViewSchema, VoterSchema, type Member } from '@rainrun/messages';
 import type { Acceptor } from './acceptor.js';
-import type { GroupParts } from './group-parts.js';
-import { toVersion, type GroupState } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { toVersion, type GroupState } from './group-state.js';
 
 type FoundingParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'discovery' | 'local'>;
 
--- a/packages/process-group/src/play.ts
+++ b/packages/process-group/src/agreement/group-state.ts
@@ -1,49 +1,21 @@
-import { clone, create } from '@bufbuild/protobuf';
+/** The replicated state of the group at one version: how an entry advances it, and its form in messages and records. */
+import { create } from '@bufbuild/protobuf';
 import {
   AnswerSchema,
   EntrySchema,
-  MemberSchema,
   StateSchema,
   VersionSchema,
   ViewSchema,
   type Answer,
-  type Voter,
   type Entry,
-  type Operation,
-  type Member,
   type State,
   type Version,
   type View,
+  type Voter,
 } from '@rainrun/messages';
-import type { Fault, FaultKind } from '@rainrun/common';
+import type { Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
-
-/** How one operation ended. */
-export interface Outcome {
-  readonly kind: 'agreed' | FaultKind;
-  readonly detail: string;
-}
-
-/**
- * The application's own state as the group sees it: pure functions only, so
- * that every node that applies the same entries holds the same state.
- */
-export interface StateMachine<S> {
-  empty(): S;
-  /** The state in two parts: one that every level can read, and what came with later levels. */
-  encode(state: S): EncodedState;
-  decode(encoded: EncodedState): Result<S, Fault>;
-  /** Applies by the rules of a level of the protocol. */
-  apply(state: S, operation: Operation, level: number): { state: S; outcome: Outcome };
-  /** The state without what level 1 cannot carry. */
-  withoutExtension(state: S): S;
-}
-
-/** The application's state as bytes. */
-export interface EncodedState {
-  readonly application: Uint8Array;
-  readonly applicationExtension: Uint8Array;
-}
+import type { StateMachine } from './state-machine.js';
 
 /** The replicated state in memory, at one version. Never changed in place. */
 export interface GroupState<S> {
@@ -77,66 +49,6 @@
 /** No detail of an answer is longer. */
 const DETAIL_MAX_CHARS = 600;
 
-/**
- * More than half of a set.
- * @example
- * majority(3); // 2
- */
-export function majority(size: number): number {
-  return Math.floor(size / 2) + 1;
-}
-
-/** The voters of a version, and those before it where it changed them. */
-export interface VoterSets {
-  readonly voters: readonly Voter[];
-  readonly previousVoters: readonly Voter[];
-}
-
-/**
- * Whether these disks are a majority of the voters, and of those before where a
- * version changed them.
- * @example
- * isQuorum(state, new Set(['disk-1', 'disk-2']));
- */
-export function isQuorum(sets: VoterSets, disks: { has(disk: string): boolean }): boolean {
-  const { voters, previousVoters } = sets;
-  return hasMajority(voters, disks) && (previousVoters.length === 0 || hasMajority(previousVoters, disks));
-}
-
-function hasMajority(voters: readonly Voter[], disks: { has(disk: string): boolean }): boolean {
-  return voters.filter((voter) => disks.has(voter.disk)).length >= majority(voters.length);
-}
-
-/**
- * The disks of all voters of a version, and of those before it.
- * @example
- * disksOf(state); // Set { 'disk-1', 'disk-2', 'disk-3' }
- */
-export function disksOf(sets: VoterSets): Set<string> {
-  return new Set([...sets.voters, ...sets.previousVoters].map((voter) => voter.disk));
-}
-
-/**
- * The rank of an incarnation in a view, or -1.
- * @example
- * rankOf(view, 'incarnation-1'); // 0
- */
-export function rankOf(view: View, incarnation: string): number {
-  return view.members.findIndex((member) => member.incarnation === incarnation);
-}
-
-/**
- * Whether version `one` comes after `other`: the epoch decides before the number.
- * @example
- * later({ epoch: 2, number: 1 }, { epoch: 1, number: 9 }); // true
- */
-export function isLater(
-  one: { epoch: number; number: number },
-  other: { epoch: number; number: number },
-): boolean {
-  return one.epoch !== other.epoch ? one.epoch > other.epoch : one.number > other.number;
-}
-
 /**
  * How many answers to operators are retained now.
  * @example
@@ -200,34 +112,6 @@
   };
 }
 
-/**
- * The highest level of the protocol that all of some members speak.
- * @example
- * levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]); // 1
- */
-export function levelOf(members: readonly { readonly maxLevel: number }[]): number {
-  return Math.min(...members.map((member) => Math.max(1, member.maxLevel)));
-}
-
-/**
- * Why a member cannot join others, or undefined if there is a level that all speak.
- * @example
- * levelMismatch({ maxLevel: 1, minLevel: 1 }, [{ maxLevel: 3, minLevel: 2 }]);
- * // 'it speaks levels 1 to 1 of the protocol, the group 2 to 3'
- */
-export function levelMismatch(member: LevelRange, others: readonly LevelRange[]): string | undefined {
-  if (others.length === 0) return undefined;
-  const min = Math.max(...others.map((other) => Math.max(1, other.minLevel)));
-  const max = levelOf(others);
-  if (Math.max(1, member.maxLevel) >= min && Math.max(1, member.minLevel) <= max) return undefined;
-  return `it speaks levels ${Math.max(1, member.minLevel)} to ${Math.max(1, member.maxLevel)} of the protocol, the group ${min} to ${max}`;
-}
-
-interface LevelRange {
-  readonly maxLevel: number;
-  readonly minLevel: number;
-}
-
 /**
  * A state as it goes to disks and joiners, with the entry that made it.
  * @example
@@ -286,14 +170,3 @@
     entry: version.entry ?? create(EntrySchema),
   });
 }
-
-/**
- * A copy of a member under another incarnation, as a removed node rejoins.
- * @example
- * withNewIncarnation(member, 'incarnation-2').incarnation; // 'incarnation-2'
- */
-export function withNewIncarnation(member: Member, incarnation: string): Member {
-  const copy = clone(MemberSchema, member);
-  copy.incarnation = incarnation;
-  return copy;
-}
--- a/packages/process-group/src/lone-voter.test.ts
+++ b/packages/process-group/src/agreement/lone-voter.test.ts
@@ -6,9 +6,9 @@
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
-import { Group } from './group.js';
-import type { StateMachine } from './play.js';
-import { GROUP_TIMES } from './times.js';
+import { Group } from '../group.js';
+import type { StateMachine } from './state-machine.js';
+import { GROUP_TIMES } from '../times.js';
 
 const TICK_MS = 20;
 const SETTLED_MS = 6000;
--- a/packages/process-group/src/submissions.ts
+++ b/packages/process-group/src/agreement/submissions.ts
@@ -1,8 +1,8 @@
 /** Operations that this node has submitted and waits for. */
 import { create } from '@bufbuild/protobuf';
 import { SubmitSchema, type Answer, type Operation } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './group-state.js';
 
 /** An operation that was not answered is sent again after so long. */
 const RESUBMIT_MS = 1000;
--- a/packages/process-group/src/versions.ts
+++ b/packages/process-group/src/agreement/versions.ts
@@ -1,8 +1,9 @@
 /** Delivery of agreed versions in their order, and catching up on missed ones. */
 import { create } from '@bufbuild/protobuf';
 import { ChosenSchema, EntrySchema, FetchVersionsSchema, type Member, type Version } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import { advance, withoutState, fromVersion, rankOf, toVersion, type GroupState } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { advance, withoutState, fromVersion, toVersion, type GroupState } from './group-state.js';
+import { rankOf } from '../membership/members.js';
 
 /** Versions whose entries are kept for members that lag; others get a snapshot. */
 const LOG_MAX_ENTRIES = 256;
--- a/packages/process-group/src/voters.ts
+++ b/packages/process-group/src/agreement/voters.ts
@@ -1,7 +1,7 @@
 /** The voters of the agreed state: which disks vote, and where they are now. */
 import type { Member, Voter } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import type { VoterSets } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import type { VoterSets } from './quorum.js';
 
 type VoterParts<S> = Pick<GroupParts<S>, 'dependencies' | 'discovery' | 'liveness' | 'local'>;
 
--- a/packages/process-group/src/group-dependencies.ts
+++ b/packages/process-group/src/group-dependencies.ts
@@ -1,8 +1,9 @@
 /** What a group is given by its node, and how it notifies the rest of the node. */
 import type { RandomSource, Clock } from '@rainrun/common';
 import type { Answer, Entry, Frame, Member, ProtocolLevels } from '@rainrun/messages';
-import type { Acceptor } from './acceptor.js';
-import type { GroupState, StateMachine } from './play.js';
+import type { Acceptor } from './agreement/acceptor.js';
+import type { GroupState } from './agreement/group-state.js';
+import type { StateMachine } from './agreement/state-machine.js';
 import type { GroupTimes } from './times.js';
 
 /** Callbacks by which the group notifies the rest of its node. */
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -12,9 +12,9 @@
 import type { RecordKind, RecordWriter } from '@rainrun/storage';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
-import { Acceptor, readRecords } from './acceptor.js';
+import { Acceptor, readRecords } from './agreement/acceptor.js';
 import { Group } from './group.js';
-import type { StateMachine } from './play.js';
+import type { StateMachine } from './agreement/state-machine.js';
 import { GROUP_TIMES } from './times.js';
 
 const NAMES = ['a', 'b', 'c'];
--- a/packages/process-group/src/group-parts.ts
+++ b/packages/process-group/src/group-parts.ts
@@ -1,23 +1,23 @@
 /** The parts of a group, one job each, and the place at which they find one another. */
-import { Casts } from './casts.js';
-import { Coordination } from './coordination.js';
-import { CoordinatorWatch } from './coordinator-watch.js';
-import { Directory } from './directory.js';
-import { Discovery } from './discovery.js';
-import { DiskWatch } from './disk-watch.js';
-import { Election } from './election.js';
-import { Founding } from './founding.js';
+import { Casts } from './multicast/casts.js';
+import { Coordination } from './agreement/coordination.js';
+import { CoordinatorWatch } from './agreement/coordinator-watch.js';
+import { Directory } from './membership/directory.js';
+import { Discovery } from './membership/discovery.js';
+import { DiskWatch } from './membership/disk-watch.js';
+import { Election } from './agreement/election.js';
+import { Founding } from './agreement/founding.js';
 import type { GroupDependencies } from './group-dependencies.js';
-import { Heartbeats } from './heartbeats.js';
-import { Leases } from './leases.js';
-import { Liveness } from './liveness.js';
-import { LocalMember } from './local-member.js';
-import { Receiver } from './receiver.js';
-import { Submissions } from './submissions.js';
-import { Transport } from './transport.js';
-import { Versions } from './versions.js';
-import { ViewChange } from './view-change.js';
-import { Voters } from './voters.js';
+import { Heartbeats } from './membership/heartbeats.js';
+import { Leases } from './leases/leases.js';
+import { Liveness } from './membership/liveness.js';
+import { LocalMember } from './membership/local-member.js';
+import { Receiver } from './transport/receiver.js';
+import { Submissions } from './agreement/submissions.js';
+import { Transport } from './transport/transport.js';
+import { Versions } from './agreement/versions.js';
+import { ViewChange } from './membership/view-change.js';
+import { Voters } from './agreement/voters.js';
 
 /**
  * Builds the parts of a group. Each part names those that it uses in its
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -10,7 +10,7 @@
 } from '@rainrun/messages';
 import type { GroupDependencies } from './group-dependencies.js';
 import { GroupParts } from './group-parts.js';
-import type { GroupState } from './play.js';
+import type { GroupState } from './agreement/group-state.js';
 
 /**
  * A node's place in the process group: membership, views, causal and total
--- a/packages/process-group/src/fencing.test.ts
+++ b/packages/process-group/src/leases/fencing.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test';
 import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
-import { TestCluster } from './test-cluster.js';
+import { TestCluster } from '../testing/test-cluster.js';
 
 const NAMES = ['a', 'b', 'c'];
 const RUNS = 40;
--- a/packages/process-group/src/grants.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -1,5 +1,5 @@
 import type { View } from '@rainrun/messages';
-import { majority } from './play.js';
+import { majority } from '../agreement/quorum.js';
 
 interface LeaseAcknowledgement {
   readonly sentMs: number;
--- a/packages/process-group/src/leases.ts
+++ b/packages/process-group/src/leases/leases.ts
@@ -1,7 +1,7 @@
 /** Leases: until when this node may admit work, and until when it may act alone for all. */
 import type { HeartbeatAck } from '@rainrun/messages';
-import { LeaseAcknowledgements } from './grants.js';
-import type { GroupParts } from './group-parts.js';
+import { LeaseAcknowledgements } from './lease-acknowledgements.js';
+import type { GroupParts } from '../group-parts.js';
 
 /** The singleton lease ends by this fraction of a lease before the leases of the others do. */
 const SINGLETON_MARGIN_FRACTION = 1 / 4;
--- a/packages/process-group/src/directory.ts
+++ b/packages/process-group/src/membership/directory.ts
@@ -1,6 +1,6 @@
 /** Which nodes are known, and where. */
 import type { Member } from '@rainrun/messages';
-import type { GroupDependencies } from './group-dependencies.js';
+import type { GroupDependencies } from '../group-dependencies.js';
 
 /**
  * The nodes that this one has heard of: by incarnation as long as they
--- a/packages/process-group/src/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -2,8 +2,9 @@
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import { rankOf, levelMismatch } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { rankOf } from './members.js';
+import { levelMismatch } from './protocol-levels.js';
 
 /** A node that was lately in touch, as it described itself. */
 export interface Contact {
--- a/packages/process-group/src/disk-watch.ts
+++ b/packages/process-group/src/membership/disk-watch.ts
@@ -1,6 +1,6 @@
 /** Whether this node's own disk still syncs what is written to it. */
-import type { Acceptor } from './acceptor.js';
-import type { GroupTimes } from './times.js';
+import type { Acceptor } from '../agreement/acceptor.js';
+import type { GroupTimes } from '../times.js';
 
 /**
  * Notices a disk that has synced nothing for too long though writes wait.
--- a/packages/process-group/src/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -8,8 +8,9 @@
   type Member,
   type View,
 } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import { rankOf, type GroupState } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import type { GroupState } from '../agreement/group-state.js';
+import { rankOf } from './members.js';
 
 /** Heartbeats whose time of sending is kept for their acknowledgements. */
 const HEARTBEATS_TRACKED_MAX = 64;
--- a/packages/process-group/src/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -1,8 +1,8 @@
 /** Failure detection: which members answer, and what they say of one another. */
 import { FailureDetector } from '@rainrun/failure-detector';
 import type { Heartbeat } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
-import { majority } from './play.js';
+import type { GroupParts } from '../group-parts.js';
+import { majority } from '../agreement/quorum.js';
 
 /**
  * What this node knows of the health of the others: whether they answer its
--- a/packages/process-group/src/local-member.ts
+++ b/packages/process-group/src/membership/local-member.ts
@@ -2,8 +2,9 @@
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { MemberSchema, type Member, type View } from '@rainrun/messages';
-import type { GroupDependencies } from './group-dependencies.js';
-import { withNewIncarnation, type GroupState } from './play.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { GroupState } from '../agreement/group-state.js';
+import { withNewIncarnation } from './members.js';
 
 /**
  * This node as a member: who it is, which version it holds, whether it is in
--- /dev/null
+++ b/packages/process-group/src/membership/members.ts
@@ -0,0 +1,23 @@
+/** Members of a view: their ranks and incarnations. */
+import { clone } from '@bufbuild/protobuf';
+import { MemberSchema, type Member, type View } from '@rainrun/messages';
+
+/**
+ * The rank of an incarnation in a view, or -1.
+ * @example
+ * rankOf(view, 'incarnation-1'); // 0
+ */
+export function rankOf(view: View, incarnation: string): number {
+  return view.members.findIndex((member) => member.incarnation === incarnation);
+}
+
+/**
+ * A copy of a member under another incarnation, as a removed node rejoins.
+ * @example
+ * withNewIncarnation(member, 'incarnation-2').incarnation; // 'incarnation-2'
+ */
+export function withNewIncarnation(member: Member, incarnation: string): Member {
+  const copy = clone(MemberSchema, member);
+  copy.incarnation = incarnation;
+  return copy;
+}
--- a/packages/process-group/src/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { TestCluster, type TestNode } from './test-cluster.js';
+import { TestCluster, type TestNode } from '../testing/test-cluster.js';
 
 const FIVE = ['a', 'b', 'c', 'd', 'e'];
 const THREE = ['a', 'b', 'c'];
--- a/packages/process-group/src/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -1,7 +1,7 @@
 /** A member's side of a view change: stopping, flushing, entering the next view, rejoining. */
 import { create } from '@bufbuild/protobuf';
 import { FlushReplySchema, type FlushReply, type FlushRequest, type View } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
+import type { GroupParts } from '../group-parts.js';
 
 type ViewChangeParts<S> = Pick<
   GroupParts<S>,
--- a/packages/process-group/src/agreement-check.ts
+++ b/packages/process-group/src/model-checking/agreement-check.ts
@@ -1,14 +1,14 @@
 #!/usr/bin/env node
 /**
  * The model check of agreement, as long as wanted:
- * `node packages/process-group/dist/agreement-check.js [--states N] [--walks N] [--seed N] [--scope NAME]`.
+ * `node packages/process-group/dist/model-checking/agreement-check.js [--states N] [--walks N] [--seed N] [--scope NAME]`.
  * Exit code 1 and the shortest way to a violation, if there is one.
  */
 import { parseArgs } from 'node:util';
 import fc from 'fast-check';
 import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
 import { searchAll, StateSpace, walk } from './agreement-search.js';
-import * as production from './index.js';
+import * as production from '../index.js';
 
 const WALK_STEPS = 200;
 
--- a/packages/process-group/src/agreement-invariants.ts
+++ b/packages/process-group/src/model-checking/agreement-invariants.ts
@@ -1,7 +1,7 @@
 /** The invariants of agreement, checked on messages and events alone. */
 import type { Version } from '@rainrun/messages';
 import { contentOf, incarnationName, type Message } from './agreement-messages.js';
-import { isLater, majority } from './play.js';
+import { isLater, majority } from '../agreement/quorum.js';
 
 type Of<K extends Message['kind']> = Extract<Message, { kind: K }>;
 
--- a/packages/process-group/src/agreement-model.ts
+++ b/packages/process-group/src/model-checking/agreement-model.ts
@@ -32,12 +32,14 @@
   type Incarnation,
   type Message,
 } from './agreement-messages.js';
-import type { Acceptor, readRecords } from './acceptor.js';
-import type { Candidacy, CandidacyContext } from './candidacy.js';
-import type { Coordinator, CoordinatorContext } from './coordinator.js';
-import { disksOf, fromVersion, type GroupState, type StateMachine, type VoterSets } from './play.js';
+import type { Acceptor, readRecords } from '../agreement/acceptor.js';
+import type { Candidacy, CandidacyContext } from '../agreement/candidacy.js';
+import type { Coordinator, CoordinatorContext } from '../agreement/coordinator.js';
+import { fromVersion, type GroupState } from '../agreement/group-state.js';
+import { disksOf, type VoterSets } from '../agreement/quorum.js';
+import type { StateMachine } from '../agreement/state-machine.js';
 import { DEPLOYMENT, memberOf } from './agreement-initial-state.js';
-import { GROUP_TIMES } from './times.js';
+import { GROUP_TIMES } from '../times.js';
 
 /** The code under check; a mutant brings its own. */
 export interface AgreementCode {
--- a/packages/process-group/src/agreement-mutants.ts
+++ b/packages/process-group/src/model-checking/agreement-mutants.ts
@@ -16,7 +16,8 @@
   readonly name: string;
   /** The scope that shows it. */
   readonly scope: keyof typeof SCOPES;
-  readonly file: 'acceptor.js' | 'candidacy.js' | 'coordinator.js' | 'play.js';
+  /** The compiled module, by its path from the package's `dist`. */
+  readonly file: string;
   readonly from: string;
   readonly to: string;
 }
@@ -26,140 +27,140 @@
   {
     name: 'a promise is synced before it is answered',
     scope: 'tornVoter',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: "this.#store('promise', toBinary(PromiseRecordSchema, record), () => {",
     to: "reply(this.#promise(epoch, true));\n        this.#store('promise', toBinary(PromiseRecordSchema, record), () => {",
   },
   {
     name: 'a version is synced before it is acknowledged',
     scope: 'tornVoter',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: "this.#store('version', toBinary(VersionSchema, version), () => {",
     to: "reply(this.#acceptedReply(version, false));\n        this.#store('version', toBinary(VersionSchema, version), () => {",
   },
   {
     name: 'versions of older epochs are rejected',
     scope: 'rivals',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: 'const stale = epoch < this.#promisedEpoch ||\n            (epoch === this.#promisedEpoch && this.#promisedTo',
     to: 'const stale = false ||\n            (epoch === this.#promisedEpoch && this.#promisedTo',
   },
   {
     name: 'prepares of older epochs are rejected',
     scope: 'rivals',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: 'const stale = epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && candidate',
     to: 'const stale = false || (epoch === this.#promisedEpoch && candidate',
   },
   {
     name: 'an epoch is promised to one candidate',
     scope: 'replacementTorn',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: '(epoch === this.#promisedEpoch && candidate !== this.#promisedTo)',
     to: 'false',
   },
   {
     name: 'a promise brings the accepted version',
     scope: 'rivalsAtWork',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: 'if (granted && this.#accepted !== undefined)',
     to: 'if (granted && this.#accepted?.number === 1)',
   },
   {
     name: 'a restarted voter keeps to its promise',
     scope: 'tornCandidate',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
     to: 'promisedEpoch: accepted?.epoch ?? 0',
   },
   {
     name: 'a restarted voter keeps to the epoch that it accepted in',
     scope: 'restart',
-    file: 'acceptor.js',
+    file: 'agreement/acceptor.js',
     from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
     to: 'promisedEpoch: promise.epoch',
   },
   {
     name: 'a candidacy is for an epoch that is new',
     scope: 'restart',
-    file: 'candidacy.js',
+    file: 'agreement/candidacy.js',
     from: 'const epoch = this.#context.epoch() + 1;',
     to: 'const epoch = this.#context.epoch();',
   },
   {
     name: "a candidate's own promise is synced before it coordinates",
     scope: 'tornCandidate',
-    file: 'candidacy.js',
+    file: 'agreement/candidacy.js',
     from: 'if (best?.state === undefined || !promises.has(disk))',
     to: 'if (best?.state === undefined)',
   },
   {
     name: 'an election needs a majority',
     scope: 'rivalsAtWork',
-    file: 'candidacy.js',
+    file: 'agreement/candidacy.js',
     from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
     to: 'if (promises.size === 0)',
   },
   {
     name: 'an election needs a majority of the newest voters',
     scope: 'replacement',
-    file: 'candidacy.js',
+    file: 'agreement/candidacy.js',
     from: 'if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises))',
     to: 'if (!isQuorum(this.#context.voters(), promises))',
   },
   {
     name: 'the newest accepted version is taken over',
     scope: 'rivalsAtWork',
-    file: 'candidacy.js',
+    file: 'agreement/candidacy.js',
     from: '(best === undefined || isLater(accepted, best))',
     to: '(best === undefined)',
   },
   {
     name: 'the epoch decides what is newest',
     scope: 'rivalsAtWork',
-    file: 'play.js',
+    file: 'agreement/quorum.js',
     from: 'one.epoch !== other.epoch ? one.epoch > other.epoch : one.number > other.number',
     to: 'one.number !== other.number ? one.number > other.number : one.epoch > other.epoch',
   },
   {
     name: 'a version needs a majority',
     scope: 'rivals',
-    file: 'coordinator.js',
+    file: 'agreement/coordinator.js',
     from: 'if (isQuorum(proposal.state, proposal.acks))',
     to: 'if (proposal.acks.size > 0)',
   },
   {
     name: 'a change of voters needs a majority of the old ones',
     scope: 'repair',
-    file: 'coordinator.js',
+    file: 'agreement/coordinator.js',
     from: 'if (isQuorum(proposal.state, proposal.acks))',
     to: 'if (isQuorum({ ...proposal.state, previousVoters: [] }, proposal.acks))',
   },
   {
     name: 'a change of voters needs a majority of the new ones',
     scope: 'replacement',
-    file: 'coordinator.js',
+    file: 'agreement/coordinator.js',
     from: 'if (isQuorum(proposal.state, proposal.acks))',
     to: 'if (isQuorum({ voters: proposal.state.previousVoters.length > 0 ? proposal.state.previousVoters : proposal.state.voters, previousVoters: [] }, proposal.acks))',
   },
   {
     name: 'a version records the voters that it replaced',
     scope: 'repair',
-    file: 'play.js',
+    file: 'agreement/group-state.js',
     from: 'previousVoters: entry.voters.length > 0 ? state.voters : [],',
     to: 'previousVoters: [],',
   },
   {
     name: 'one voter is replaced at a time',
     scope: 'twoSpares',
-    file: 'coordinator.js',
+    file: 'agreement/coordinator.js',
     from: 'return voters.map((voter) => (voter === lost ? { ...voter, disk: spare.disk, name: spare.name } : voter));',
     to: 'return voters.map((voter, place) => (place > 0 && spares[place - 1] !== undefined ? { ...voter, disk: spares[place - 1].disk } : voter));',
   },
   {
     name: 'an acknowledgement counts for its own version only',
     scope: 'rivalsAtWork',
-    file: 'coordinator.js',
+    file: 'agreement/coordinator.js',
     from: 'if (accepted.epoch !== this.#epoch || accepted.number !== proposal.state.number)',
     to: 'if (false)',
   },
@@ -171,11 +172,12 @@
  * const code = await loadMutant(MUTANTS[0]);
  */
 export async function loadMutant(mutant: Mutant): Promise<Result<AgreementCode, Fault>> {
-  const dist = dirname(fileURLToPath(import.meta.url));
+  const dist = dirname(dirname(fileURLToPath(import.meta.url)));
   const folder = await mkdtemp(join(dist, 'mutant-'));
   try {
-    for (const name of await readdir(dist))
-      if (name.endsWith('.js') && !name.endsWith('.test.js')) await cp(join(dist, name), join(folder, name));
+    for (const name of await readdir(dist, { recursive: true }))
+      if (name.endsWith('.js') && !name.endsWith('.test.js') && !name.startsWith('mutant-'))
+        await cp(join(dist, name), join(folder, name));
     const path = join(folder, mutant.file);
     const text = await readFile(path, 'utf8');
     if (text.split(mutant.from).length !== 2)
--- a/packages/process-group/src/agreement.test.ts
+++ b/packages/process-group/src/model-checking/agreement.test.ts
@@ -4,7 +4,7 @@
 import { loadMutant, MUTANTS } from './agreement-mutants.js';
 import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
 import { searchAll, StateSpace, walk } from './agreement-search.js';
-import * as production from './index.js';
+import * as production from '../index.js';
 
 /** States that a search of a planted fault may take. */
 const MUTANT_STATES = 400_000;
--- a/packages/process-group/src/casts.ts
+++ b/packages/process-group/src/multicast/casts.ts
@@ -1,8 +1,8 @@
 /** Causal multicast across views: what waits for a view, and the causal order within one. */
 import type { Cast, Heartbeat, View } from '@rainrun/messages';
-import { CausalOrder } from './causal.js';
-import type { GroupParts } from './group-parts.js';
-import { rankOf } from './play.js';
+import { CausalOrder } from './causal-order.js';
+import type { GroupParts } from '../group-parts.js';
+import { rankOf } from '../membership/members.js';
 
 /** Payloads kept while this node cannot cast; the oldest goes first. */
 const BACKLOG_MAX = 64;
--- a/packages/process-group/src/causal.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -1,6 +1,6 @@
 import { create } from '@bufbuild/protobuf';
 import { CastSchema, type Cast, type View } from '@rainrun/messages';
-import { rankOf } from './play.js';
+import { rankOf } from '../membership/members.js';
 
 interface BufferedCast {
   readonly rank: number;
--- a/packages/process-group/src/process-group.test.ts
+++ b/packages/process-group/src/process-group.test.ts
@@ -16,17 +16,12 @@
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
-import { Acceptor, readRecords } from './acceptor.js';
-import { CausalOrder, flushedCastsOf } from './causal.js';
-import { LeaseAcknowledgements } from './grants.js';
-import {
-  advance,
-  levelOf,
-  ANSWER_RETENTION_MS,
-  levelMismatch,
-  type GroupState,
-  type StateMachine,
-} from './play.js';
+import { Acceptor, readRecords } from './agreement/acceptor.js';
+import { CausalOrder, flushedCastsOf } from './multicast/causal-order.js';
+import { LeaseAcknowledgements } from './leases/lease-acknowledgements.js';
+import { advance, ANSWER_RETENTION_MS, type GroupState } from './agreement/group-state.js';
+import type { StateMachine } from './agreement/state-machine.js';
+import { levelOf, levelMismatch } from './membership/protocol-levels.js';
 
 const VIEW = create(ViewSchema, {
   epoch: 1,
--- a/packages/process-group/src/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -10,10 +10,10 @@
 import { SeededRandom } from '@rainrun/common';
 import type { RecordKind, Records, RecordWriter } from '@rainrun/storage';
 import { Result } from 'true-myth';
-import { Acceptor, readRecords } from './acceptor.js';
-import { Group } from './group.js';
-import type { StateMachine } from './play.js';
-import { PLATFORM_TIMES } from './times.js';
+import { Acceptor, readRecords } from '../agreement/acceptor.js';
+import { Group } from '../group.js';
+import type { StateMachine } from '../agreement/state-machine.js';
+import { PLATFORM_TIMES } from '../times.js';
 
 const TICK_MS = 25;
 const LINK_MS = 1;
--- a/packages/process-group/src/receiver.ts
+++ b/packages/process-group/src/transport/receiver.ts
@@ -1,6 +1,6 @@
 /** The entrance for everything that other nodes send. */
 import type { Frame, SequencedMessage } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
+import type { GroupParts } from '../group-parts.js';
 
 type ReceiverParts<S> = Pick<
   GroupParts<S>,
--- a/packages/process-group/src/transport.ts
+++ b/packages/process-group/src/transport/transport.ts
@@ -8,7 +8,7 @@
   type SequencedMessage,
   type Member,
 } from '@rainrun/messages';
-import type { GroupParts } from './group-parts.js';
+import type { GroupParts } from '../group-parts.js';
 
 type TransportParts<S> = Pick<
   GroupParts<S>,
