--- a/packages/process-group/src/agreement/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -8,7 +8,8 @@
   type Submit,
   type Version,
 } from '@rainrun/messages';
-import { Coordinator, type CoordinatorContext } from './coordinator.js';
+import { Coordinator } from './coordinator.js';
+import type { CoordinatorContext } from './coordinator-context.js';
 import type { GroupParts } from '../group-parts.js';
 import { fromVersion } from './group-state.js';
 
--- /dev/null
+++ b/packages/process-group/src/agreement/operation-queue.ts
@@ -0,0 +1,44 @@
+/** Operations that wait to be sequenced, and how many go into one version. */
+import type { Operation } from '@rainrun/messages';
+import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './group-state.js';
+
+/** Operations of one version at most. */
+const BATCH_MAX_OPERATIONS = 64;
+
+/** Payload bytes of one version at most, but for a larger operation that goes alone: a proposal must fit into a frame. */
+const BATCH_MAX_BYTES = 1024 * 1024;
+
+/**
+ * The coordinator's queue of submitted operations.
+ * @example
+ * queue.push(operation);
+ * queue.takeBatch(state); // [operation]
+ */
+export class OperationQueue {
+  #operations: Operation[] = [];
+
+  has(id: string): boolean {
+    return this.#operations.some((known) => known.id === id);
+  }
+
+  push(operation: Operation): void {
+    this.#operations.push(operation);
+  }
+
+  /** Takes the operations for the version after `state`: as many as their answers can be retained. */
+  takeBatch(state: Parameters<typeof retainedAnswerCount>[0]): Operation[] {
+    let room = RETAINED_ANSWERS_MAX - retainedAnswerCount(state);
+    const batch: Operation[] = [];
+    const remaining: Operation[] = [];
+    let bytes = 0;
+    for (const operation of this.#operations) {
+      const small = batch.length === 0 || bytes + operation.payload.length <= BATCH_MAX_BYTES;
+      const fits = small && batch.length < BATCH_MAX_OPERATIONS && (operation.transient || room > 0);
+      if (fits) bytes += operation.payload.length;
+      if (fits && !operation.transient) room -= 1;
+      (fits ? batch : remaining).push(operation);
+    }
+    this.#operations = remaining;
+    return batch;
+  }
+}
--- /dev/null
+++ b/packages/process-group/src/agreement/version-proposer.ts
@@ -0,0 +1,104 @@
+/** The accept phase of Paxos: proposes a version to the voters until a quorum has accepted it. */
+import { create } from '@bufbuild/protobuf';
+import { ProposeSchema, type Accepted, type Entry, type Version } from '@rainrun/messages';
+import { levelOf } from '../membership/protocol-levels.js';
+import type { CoordinatorContext } from './coordinator-context.js';
+import { advance, toVersion, type GroupState } from './group-state.js';
+import { disksOf, isQuorum } from './quorum.js';
+
+/** A version on its way to being chosen. */
+export interface Proposal<S> {
+  readonly state: GroupState<S>;
+  readonly entry: Entry;
+  readonly version: Version;
+  /** Disks that have accepted it. */
+  readonly acks: Set<string>;
+  sentMs: number;
+}
+
+type ProposerContext<S> = Pick<
+  CoordinatorContext<S>,
+  'disk' | 'memberOfVoter' | 'send' | 'stateMachine' | 'times' | 'vote'
+>;
+
+/**
+ * Proposes one version at a time. A version that changes the voters needs a
+ * quorum of the old and of the new ones.
+ * @example
+ * proposer.proposeNext(state, entry, nowMs);
+ * proposer.onAccepted(accepted); // calls `onChosen` at a quorum
+ */
+export class VersionProposer<S> {
+  #context: ProposerContext<S>;
+  #epoch: number;
+  #onChosen: (proposal: Proposal<S>) => void;
+  #proposal: Proposal<S> | undefined;
+  /** When the group's clock was last moved. */
+  #clockAdvancedMs: number;
+
+  constructor(
+    context: ProposerContext<S>,
+    epoch: number,
+    nowMs: number,
+    onChosen: (proposal: Proposal<S>) => void,
+  ) {
+    this.#context = context;
+    this.#epoch = epoch;
+    this.#clockAdvancedMs = nowMs;
+    this.#onChosen = onChosen;
+  }
+
+  get isProposing(): boolean {
+    return this.#proposal !== undefined;
+  }
+
+  /** Whether the version on its way holds this operation. */
+  hasOperation(id: string): boolean {
+    return this.#proposal?.entry.operations.some((known) => known.id === id) ?? false;
+  }
+
+  /** Proposes the version that follows from an entry. */
+  proposeNext(state: GroupState<S>, entry: Entry, nowMs: number): void {
+    entry.level = levelOf(entry.view?.members ?? state.view.members);
+    if (entry.level > 1) entry.elapsedMs = nowMs - this.#clockAdvancedMs;
+    this.#clockAdvancedMs = nowMs;
+    this.propose(advance(this.#context.stateMachine, state, this.#epoch, entry), entry);
+    this.sendDue(nowMs);
+  }
+
+  /** Takes a state and its entry for the version to propose; `sendDue` sends it. */
+  propose(state: GroupState<S>, entry: Entry): void {
+    const version = toVersion(this.#context.stateMachine, state, entry);
+    this.#proposal = { state, entry, version, acks: new Set(), sentMs: -Infinity };
+  }
+
+  /** Sends the proposal, first and again every `resendMs`, to the voters that have not accepted it. */
+  sendDue(nowMs: number): void {
+    const proposal = this.#proposal;
+    if (proposal === undefined || nowMs - proposal.sentMs < this.#context.times.resendMs) return;
+    proposal.sentMs = nowMs;
+    const value = create(ProposeSchema, { disk: this.#context.disk, version: proposal.version });
+    for (const disk of disksOf(proposal.state)) {
+      if (proposal.acks.has(disk)) continue;
+      if (disk === this.#context.disk) {
+        this.#context.vote(proposal.version);
+        continue;
+      }
+      const member = this.#context.memberOfVoter(disk);
+      if (member !== undefined) this.#context.send(member, { case: 'propose', value });
+    }
+  }
+
+  onAccepted(accepted: Accepted): void {
+    const proposal = this.#proposal;
+    if (proposal === undefined || accepted.rejected) return;
+    if (accepted.epoch !== this.#epoch || accepted.number !== proposal.state.number) return;
+    proposal.acks.add(accepted.disk);
+    if (isQuorum(proposal.state, proposal.acks)) this.#choose(proposal);
+  }
+
+  #choose(proposal: Proposal<S>): void {
+    this.#proposal = undefined;
+    this.#onChosen(proposal);
+  }
+}
--- a/packages/process-group/src/index.ts
+++ b/packages/process-group/src/index.ts
@@ -2,6 +2,7 @@
 export * from './multicast/causal-order.js';
 export * from './agreement/candidacy.js';
 export * from './agreement/coordinator.js';
+export * from './agreement/coordinator-context.js';
 export * from './leases/lease-acknowledgements.js';
 export * from './group-dependencies.js';
 export * from './group.js';
--- /dev/null
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -0,0 +1,198 @@
+/** The coordinator's side of a view change: who stays and joins, the flush, and the next view's entry. */
+import { create } from '@bufbuild/protobuf';
+import {
+  EntrySchema,
+  FlushRequestSchema,
+  ViewSchema,
+  type Cast,
+  type Entry,
+  type FlushReply,
+  type Member,
+  type View,
+} from '@rainrun/messages';
+import type { CoordinatorContext } from '../agreement/coordinator-context.js';
+import type { DepartedMembers } from '../agreement/departed-members.js';
+import type { GroupState } from '../agreement/group-state.js';
+import { flushedCastsOf } from '../multicast/causal-order.js';
+import { rankOf } from './members.js';
+import { levelMismatch } from './protocol-levels.js';
+
+/** A view change while the flush replies are collected. */
+interface PendingViewChange {
+  readonly id: number;
+  readonly staying: readonly Member[];
+  readonly joiners: readonly Member[];
+  readonly startedMs: number;
+  /** Unstable casts of each member that has flushed. */
+  readonly castsByMember: Map<string, readonly Cast[]>;
+  sentMs: number;
+}
+
+type ViewChangeContext = Pick<
+  CoordinatorContext<unknown>,
+  'appliedVersion' | 'flushSelf' | 'isLive' | 'isReported' | 'joiners' | 'self' | 'send' | 'times'
+>;
+
+type ViewState = Pick<GroupState<unknown>, 'number' | 'view'>;
+
+/**
+ * Changes the view as in Birman's virtual synchrony: the members that stay stop
+ * casting and flush, then the next view is proposed together with the union of
+ * their unstable casts, so that all of them deliver the same casts in the old view.
+ * @example
+ * if (viewChange.isCollecting) viewChange.collectFlushes(state, nowMs);
+ * else viewChange.start(state, nowMs); // false: no change is wanted
+ */
+export class ViewChangeCoordinator {
+  #context: ViewChangeContext;
+  #epoch: number;
+  #departed: DepartedMembers;
+  #propose: (entry: Entry, nowMs: number) => void;
+  #change: PendingViewChange | undefined;
+  #changes = 0;
+  /** Since when a change has been wanted; it starts `graceMs` later. */
+  #wantedSinceMs: number | undefined;
+  /** Set while members may have stopped for a view that was not installed. */
+  #isViewOwed = true;
+  /** Members that did not flush in time, and until when they are left out. */
+  #slowUntilMs = new Map<string, number>();
+
+  constructor(
+    context: ViewChangeContext,
+    epoch: number,
+    departed: DepartedMembers,
+    propose: (entry: Entry, nowMs: number) => void,
+  ) {
+    this.#context = context;
+    this.#epoch = epoch;
+    this.#departed = departed;
+    this.#propose = propose;
+  }
+
+  /** Whether a change is under way. */
+  get isCollecting(): boolean {
+    return this.#change !== undefined;
+  }
+
+  onFlushReply(incarnation: string, reply: FlushReply): void {
+    if (reply.epoch !== this.#epoch || reply.change !== this.#change?.id) return;
+    this.#change.castsByMember.set(incarnation, reply.unstableCasts);
+  }
+
+  /** Starts a change if one is due; whether it did. */
+  start(state: ViewState, nowMs: number): boolean {
+    const { view } = state;
+    const staying = this.#staying(view, nowMs);
+    const joiners = this.#admittedJoiners(view, staying);
+    if (staying.length === view.members.length && joiners.length === 0 && !this.#isViewOwed) {
+      this.#wantedSinceMs = undefined;
+      return false;
+    }
+    const self = this.#context.self().incarnation;
+    if (rankOf(view, self) >= 0 && this.#context.appliedVersion() < state.number) return false;
+    this.#wantedSinceMs ??= nowMs;
+    if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
+    if (!this.#departed.hasMajority(view, (member) => staying.includes(member))) return false;
+    this.#wantedSinceMs = undefined;
+    this.#isViewOwed = true;
+    this.#changes += 1;
+    this.#change = {
+      id: this.#changes,
+      staying,
+      joiners,
+      startedMs: nowMs,
+      castsByMember: new Map(),
+      sentMs: -Infinity,
+    };
+    this.collectFlushes(state, nowMs);
+    return true;
+  }
+
+  /** Requests the flushes that are missing; proposes the view once all are here, gives the change up after `flushMs`. */
+  collectFlushes(state: ViewState, nowMs: number): void {
+    const change = this.#change;
+    if (change === undefined) return;
+    const missing = change.staying.filter((member) => !change.castsByMember.has(member.incarnation));
+    if (this.#mustGiveUp(change, missing, nowMs)) {
+      this.#change = undefined;
+      this.#wantedSinceMs = nowMs - this.#context.times.graceMs;
+      return;
+    }
+    if (missing.length === 0) return this.#install(change, state, nowMs);
+    if (nowMs - change.sentMs < this.#context.times.resendMs) return;
+    change.sentMs = nowMs;
+    this.#requestFlushes(change, missing, state.view);
+    if (change.staying.every((member) => change.castsByMember.has(member.incarnation)))
+      this.#install(change, state, nowMs);
+  }
+
+  #staying(view: View, nowMs: number): Member[] {
+    const self = this.#context.self().incarnation;
+    return view.members.filter(
+      (member) =>
+        member.incarnation === self ||
+        (this.#context.isLive(member.incarnation) &&
+          nowMs >= (this.#slowUntilMs.get(member.incarnation) ?? -Infinity) &&
+          !this.#context.isReported(member.incarnation) &&
+          !this.#departed.has(member)),
+    );
+  }
+
+  /** Joiners, in the order of their names, that are new and speak a level that all the others speak. */
+  #admittedJoiners(view: View, staying: readonly Member[]): Member[] {
+    const names = new Set(staying.map((member) => member.name));
+    const admitted: Member[] = [];
+    for (const joiner of [...this.#context.joiners()].sort((one, other) =>
+      one.name < other.name ? -1 : 1,
+    )) {
+      const isKnown =
+        names.has(joiner.name) ||
+        rankOf(view, joiner.incarnation) >= 0 ||
+        this.#departed.isExcluded(joiner.name);
+      if (!isKnown && levelMismatch(joiner, [...staying, ...admitted]) === undefined) admitted.push(joiner);
+    }
+    return admitted;
+  }
+
+  /** Whether a member that stays was lost, or the flush takes too long; who is late then is left out of the next change. */
+  #mustGiveUp(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
+    const self = this.#context.self().incarnation;
+    const isMemberLost = change.staying.some(
+      (member) => member.incarnation !== self && !this.#context.isLive(member.incarnation),
+    );
+    const { flushMs } = this.#context.times;
+    const isTimedOut = nowMs - change.startedMs > flushMs;
+    if (isTimedOut) {
+      for (const member of missing) this.#slowUntilMs.set(member.incarnation, nowMs + 2 * flushMs);
+    }
+    return isMemberLost || isTimedOut;
+  }
+
+  #requestFlushes(change: PendingViewChange, missing: readonly Member[], view: View): void {
+    const self = this.#context.self().incarnation;
+    const staying = change.staying.map((member) => member.incarnation);
+    const value = create(FlushRequestSchema, {
+      epoch: this.#epoch,
+      change: change.id,
+      view: view.number,
+      staying,
+    });
+    for (const member of missing) {
+      if (member.incarnation === self)
+        change.castsByMember.set(self, this.#context.flushSelf(change.id, staying));
+      else this.#context.send(member, { case: 'flushRequest', value });
+    }
+  }
+
+  #install(change: PendingViewChange, { view: old }: ViewState, nowMs: number): void {
+    this.#change = undefined;
+    this.#isViewOwed = false;
+    const view = create(ViewSchema, {
+      epoch: this.#epoch,
+      number: old.number + 1,
+      members: [...change.staying, ...change.joiners],
+    });
+    const flushedCasts = flushedCastsOf(old, [...change.castsByMember.values()]);
+    this.#propose(create(EntrySchema, { view, flushedCasts }), nowMs);
+  }
+}
--- a/packages/process-group/src/model-checking/agreement-model.ts
+++ b/packages/process-group/src/model-checking/agreement-model.ts
@@ -34,7 +34,8 @@
 } from './agreement-messages.js';
 import type { Acceptor, readRecords } from '../agreement/acceptor.js';
 import type { Candidacy, CandidacyContext } from '../agreement/candidacy.js';
-import type { Coordinator, CoordinatorContext } from '../agreement/coordinator.js';
+import type { Coordinator } from '../agreement/coordinator.js';
+import type { CoordinatorContext } from '../agreement/coordinator-context.js';
 import { fromVersion, type GroupState } from '../agreement/group-state.js';
 import { disksOf, type VoterSets } from '../agreement/quorum.js';
 import type { StateMachine } from '../agreement/state-machine.js';
