--- a/packages/process-group/src/agreement/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -1,3 +1,4 @@
+/** The acceptor of Paxos: a voter's promises and accepted versions, and their records on its disk. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
   AcceptedSchema,
@@ -27,7 +28,7 @@
 }
 
 /**
- * Reads the records of a disk. A disk that has lost the agreed state it once held is rejected (`damaged`).
+ * Reads the records of a disk. A disk that has lost the replicated state it once held is rejected (`damaged`).
  * @example
  * const opened = readRecords({}, 'fresh-id'); // an empty disk with a new id
  */
@@ -89,14 +90,17 @@
     this.#accepted = opened.accepted;
   }
 
+  /** Id of the disk: the identity of the voter. */
   get disk(): string {
     return this.#disk;
   }
 
+  /** The newest epoch that was promised or accepted in, whether it is synced yet or not. */
   get promisedEpoch(): number {
     return this.#promisedEpoch;
   }
 
+  /** The newest version that was accepted and synced. */
   get accepted(): Version | undefined {
     return this.#accepted;
   }
@@ -126,6 +130,11 @@
     );
   }
 
+  /**
+   * Phase 1 of Paxos: promises an epoch to a candidate unless a newer epoch, or this
+   * one for another candidate, is promised. The promise is synced before `reply`:
+   * a restart must not forget it. A promise brings the newest accepted version.
+   */
   prepare(prepare: Prepare, reply: (promise: Promised) => void): void {
     const { epoch, disk: candidate } = prepare;
     const stale =
@@ -143,6 +152,10 @@
     });
   }
 
+  /**
+   * Phase 2 of Paxos: accepts a version unless a newer epoch is promised. The
+   * version is synced before `reply`, since the acceptance counts towards a quorum.
+   */
   accept(propose: Propose, reply: (accepted: Accepted) => void): void {
     const version = propose.version;
     if (version === undefined) return;
--- a/packages/process-group/src/agreement/candidacy.ts
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -1,3 +1,4 @@
+/** The prepare phase of Paxos: how a voter wins the promises of a quorum for the next epoch. */
 import { create } from '@bufbuild/protobuf';
 import {
   PrepareSchema,
@@ -34,6 +35,7 @@
   becomeCoordinator(epoch: number, version: Version): void;
 }
 
+/** One candidacy under way. */
 interface PrepareRound {
   readonly epoch: number;
   readonly startedMs: number;
@@ -68,6 +70,7 @@
     return this.#round !== undefined;
   }
 
+  /** Whether this node has waited long enough to become a candidate. */
   isDue(nowMs: number): boolean {
     return nowMs >= this.#afterMs;
   }
@@ -88,6 +91,7 @@
     this.#proposalSeenMs = this.#context.nowMs();
   }
 
+  /** Gives up the candidacy under way, if any. */
   abandon(): void {
     this.#round = undefined;
   }
@@ -99,6 +103,7 @@
     return nowMs - this.#proposalSeenMs < this.#context.times.suspectMs;
   }
 
+  /** Starts a candidacy for the epoch after the newest known: the pre-vote, then the prepare phase. */
   begin(nowMs: number): void {
     const { acceptor } = this.#context;
     const epoch = this.#context.epoch() + 1;
@@ -115,6 +120,7 @@
     this.#addSupporter(round, acceptor.disk);
   }
 
+  /** Sends the prepare again while answers are missing, or gives up after `suspectMs`. */
   tick(nowMs: number): void {
     if (this.#round !== undefined) this.#sendPrepares(this.#round, nowMs);
   }
@@ -139,6 +145,7 @@
     this.#afterMs = nowMs + 200 + this.#context.random.next() * 800;
   }
 
+  /** Answers another candidate. A pre-vote is answered without a promise and without a write. */
   onPrepare(from: string, prepare: Prepare): void {
     const { acceptor } = this.#context;
     const member = this.#context.member(from);
@@ -159,6 +166,7 @@
     acceptor.prepare(prepare, (promise) => this.#context.send(member, { case: 'promise', value: promise }));
   }
 
+  /** Takes the answer to this node's own pre-vote or prepare. */
   onPromise(promise: Promised): void {
     const round = this.#round;
     this.#context.learnEpoch(promise.granted ? 0 : promise.seenEpoch);
--- a/packages/process-group/src/agreement/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -10,24 +10,37 @@
 } from '@rainrun/messages';
 import { Coordinator } from './coordinator.js';
 import type { CoordinatorContext } from './coordinator-context.js';
-import type { GroupParts } from '../group-parts.js';
+import type { CoordinatorWatch } from './coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from './versions.js';
+import type { ViewChange } from '../membership/view-change.js';
+import type { Voters } from './voters.js';
 import { fromVersion } from './group-state.js';
 
-type CoordinationParts<S> = Pick<
-  GroupParts<S>,
-  | 'coordinatorWatch'
-  | 'dependencies'
-  | 'directory'
-  | 'discovery'
-  | 'election'
-  | 'leases'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'versions'
-  | 'viewChange'
-  | 'voters'
->;
+/** What a coordinator's term needs. */
+interface CoordinationCollaborators<S> {
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly discovery: Discovery<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly viewChange: ViewChange<S>;
+  readonly voters: Voters<S>;
+  /** Notes proposals that were seen, and the end of this node's own term. */
+  readonly election: {
+    readonly candidacy: { noteProposal(): void; onResigned(): void } | undefined;
+  };
+}
 
 /**
  * Holds the coordinator while this node is it, and ends its term when a newer
@@ -37,13 +50,13 @@
  * coordination.coordinator?.epoch; // 3
  */
 export class Coordination<S> {
-  #parts: CoordinationParts<S>;
+  #collaborators: CoordinationCollaborators<S>;
   #coordinator: Coordinator<S> | undefined;
   #ineligibleUntilMs = -Infinity;
   #leaseLostMs: number | undefined;
 
-  constructor(parts: CoordinationParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: CoordinationCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** The coordinator, while this node is it. */
@@ -58,7 +71,7 @@
 
   /** Drives the coordinator; resigns when a majority has not renewed its lease for too long. */
   tick(nowMs: number): void {
-    const { dependencies, leases, local } = this.#parts;
+    const { dependencies, leases, local } = this.#collaborators;
     const { resignMs } = dependencies.times;
     if (!local.inView || leases.isHeld()) this.#leaseLostMs = undefined;
     else this.#leaseLostMs ??= nowMs;
@@ -71,7 +84,7 @@
 
   /** A majority promised an epoch: this node coordinates from this version on. */
   start(epoch: number, version: Version): void {
-    const { coordinatorWatch, dependencies, leases, local } = this.#parts;
+    const { coordinatorWatch, dependencies, leases, local } = this.#collaborators;
     const base = fromVersion(dependencies.stateMachine, version);
     if (base.isErr) return;
     this.#leaveIfBehind(base.value.number);
@@ -96,7 +109,7 @@
    * goes on outside the view and takes a snapshot with the next one.
    */
   #leaveIfBehind(baseNumber: number): void {
-    const { local, viewChange } = this.#parts;
+    const { local, viewChange } = this.#collaborators;
     if (local.inView && (local.state?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
   }
 
@@ -112,7 +125,7 @@
 
   /** Takes an operation that a member, or this node itself, submits. */
   onSubmit(from: string, submit: Submit): void {
-    const { local } = this.#parts;
+    const { local } = this.#collaborators;
     const member =
       from === local.incarnation
         ? local.self
@@ -123,7 +136,7 @@
 
   /** Hands a proposal of a coordinator to this node's disk, if it votes. */
   onPropose(from: string, propose: Propose): void {
-    const { dependencies, directory, election, local, transport } = this.#parts;
+    const { dependencies, directory, election, local, transport } = this.#collaborators;
     const { acceptor } = dependencies;
     const member = directory.member(from);
     const { version } = propose;
@@ -138,7 +151,7 @@
   /** Takes a vote on this coordinator's proposal. */
   onAccepted(accepted: Accepted): void {
     if (this.#coordinator !== undefined && accepted.seenEpoch > this.#coordinator.epoch) {
-      this.#parts.local.learnEpoch(accepted.seenEpoch);
+      this.#collaborators.local.learnEpoch(accepted.seenEpoch);
       return this.#resign();
     }
     this.#coordinator?.onAccepted(accepted);
@@ -146,12 +159,13 @@
 
   #resign(): void {
     this.#coordinator = undefined;
-    this.#parts.election.candidacy?.onResigned();
-    this.#parts.coordinatorWatch.unfollowSelf();
+    this.#collaborators.election.candidacy?.onResigned();
+    this.#collaborators.coordinatorWatch.unfollowSelf();
   }
 
   #context(): CoordinatorContext<S> {
-    const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } = this.#parts;
+    const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } =
+      this.#collaborators;
     const { stateMachine, times, acceptor } = dependencies;
     return {
       stateMachine,
--- a/packages/process-group/src/agreement/coordinator-watch.ts
+++ b/packages/process-group/src/agreement/coordinator-watch.ts
@@ -1,5 +1,7 @@
 /** Whom this node takes for the coordinator. */
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
 
 /** The coordinator as its last heartbeat showed it. */
 export interface FollowedCoordinator {
@@ -10,7 +12,14 @@
   readonly resigning: boolean;
 }
 
-type CoordinatorWatchParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'liveness' | 'local'>;
+/** What the watch of the coordinator needs. */
+interface CoordinatorWatchCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  /** Whether this node itself coordinates. */
+  readonly coordination: { readonly coordinator: object | undefined };
+}
 
 /**
  * Remembers the coordinator of the newest epoch that was heard, this node
@@ -19,20 +28,21 @@
  * coordinatorWatch.live()?.incarnation; // where operations are submitted
  */
 export class CoordinatorWatch<S> {
-  #parts: CoordinatorWatchParts<S>;
+  #collaborators: CoordinatorWatchCollaborators<S>;
   #followed: FollowedCoordinator | undefined;
 
-  constructor(parts: CoordinatorWatchParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: CoordinatorWatchCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
+  /** Notes the coordinator that was heard now. */
   follow(incarnation: string, epoch: number, resigning: boolean): void {
-    this.#followed = { incarnation, epoch, atMs: this.#parts.local.nowMs(), resigning: resigning };
+    this.#followed = { incarnation, epoch, atMs: this.#collaborators.local.nowMs(), resigning: resigning };
   }
 
   /** Ceases to follow this node itself: it has resigned. */
   unfollowSelf(): void {
-    if (this.#followed?.incarnation === this.#parts.local.incarnation) this.#followed = undefined;
+    if (this.#followed?.incarnation === this.#collaborators.local.incarnation) this.#followed = undefined;
   }
 
   clear(): void {
@@ -41,7 +51,7 @@
 
   /** The coordinator, if it was heard lately, is live and of the newest epoch known. */
   live(): FollowedCoordinator | undefined {
-    const { coordination, dependencies, liveness, local } = this.#parts;
+    const { coordination, dependencies, liveness, local } = this.#collaborators;
     const followed = this.#followed;
     if (followed === undefined || followed.resigning || followed.epoch < local.epoch) return undefined;
     const nowMs = local.nowMs();
--- a/packages/process-group/src/agreement/coordinator.ts
+++ b/packages/process-group/src/agreement/coordinator.ts
@@ -20,7 +20,7 @@
 import { VoterReplacement } from './voter-replacement.js';
 
 /**
- * The one node that, in its epoch, changes the view and sequences the agreed
+ * The one node that, in its epoch, changes the view and sequences the submitted
  * operations. One version at a time: chosen by a quorum of voters, then applied
  * by a majority of the view (of the old and the new one when the view changes);
  * only then is it committed and the next one begun.
--- a/packages/process-group/src/agreement/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -1,21 +1,30 @@
 /** Decides when this node becomes a candidate for the next epoch. */
 import type { Acceptor } from './acceptor.js';
 import { Candidacy, type CandidacyContext } from './candidacy.js';
-import type { GroupParts } from '../group-parts.js';
+import type { Coordination } from './coordination.js';
+import type { CoordinatorWatch } from './coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { Founding } from './founding.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Voters } from './voters.js';
 
-type ElectionParts<S> = Pick<
-  GroupParts<S>,
-  | 'coordination'
-  | 'coordinatorWatch'
-  | 'dependencies'
-  | 'directory'
-  | 'discovery'
-  | 'founding'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'voters'
->;
+/** What elections need. */
+interface ElectionCollaborators<S> {
+  readonly coordination: Coordination<S>;
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly discovery: Discovery<S>;
+  readonly founding: Founding<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly voters: Voters<S>;
+}
 
 /**
  * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when
@@ -24,12 +33,12 @@
  * election.tick(nowMs); // while this node does not coordinate
  */
 export class Election<S> {
-  #parts: ElectionParts<S>;
+  #collaborators: ElectionCollaborators<S>;
   #candidacy: Candidacy | undefined;
 
-  constructor(parts: ElectionParts<S>) {
-    this.#parts = parts;
-    const { acceptor } = parts.dependencies;
+  constructor(collaborators: ElectionCollaborators<S>) {
+    this.#collaborators = collaborators;
+    const { acceptor } = collaborators.dependencies;
     this.#candidacy = acceptor === undefined ? undefined : new Candidacy(this.#candidacyContext(acceptor));
   }
 
@@ -38,8 +47,9 @@
     return this.#candidacy;
   }
 
+  /** Founds the group, drives the candidacy under way, or begins one if this node is the next in order. */
   tick(nowMs: number): void {
-    const { coordination, dependencies, founding } = this.#parts;
+    const { coordination, dependencies, founding } = this.#collaborators;
     const { acceptor } = dependencies;
     const candidacy = this.#candidacy;
     if (acceptor === undefined || candidacy === undefined) return;
@@ -53,7 +63,7 @@
 
   /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
   #isEveryVoterOutside(acceptor: Acceptor): boolean {
-    const { discovery, local, voters } = this.#parts;
+    const { discovery, local, voters } = this.#collaborators;
     const known = voters.list();
     if (local.inView || known.length === 0) return false;
     const outside = discovery.freshContacts().filter((contact) => !contact.inView);
@@ -69,14 +79,14 @@
    * know too little of the voters to be elected.
    */
   #isNext(disk: string, nowMs: number): boolean {
-    const { local, voters } = this.#parts;
+    const { local, voters } = this.#collaborators;
     const disks = voters.list().map((voter) => voter.disk);
     if (!disks.includes(disk)) return false;
     return local.inView ? this.#isFirstMember(disks, nowMs) : this.#isFirstOutside(disks, disk);
   }
 
   #isFirstMember(disks: readonly string[], nowMs: number): boolean {
-    const { liveness, local } = this.#parts;
+    const { liveness, local } = this.#collaborators;
     const first = local.view?.members.find(
       ({ disk, incarnation }) =>
         incarnation === local.incarnation ||
@@ -86,7 +96,7 @@
   }
 
   #isFirstOutside(disks: readonly string[], ownDisk: string): boolean {
-    const { discovery, local } = this.#parts;
+    const { discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView && disks.includes(contact.member.disk))) return false;
     const number = Math.max(1, local.newestVersion);
@@ -99,7 +109,8 @@
   }
 
   #candidacyContext(acceptor: Acceptor): CandidacyContext {
-    const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } = this.#parts;
+    const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } =
+      this.#collaborators;
     const { times, chance: random } = dependencies;
     return {
       acceptor,
--- a/packages/process-group/src/agreement/founding.ts
+++ b/packages/process-group/src/agreement/founding.ts
@@ -1,11 +1,30 @@
 /** The founding of a group: its first version, made once by the first of the founders. */
 import { create } from '@bufbuild/protobuf';
-import { PrepareSchema, EntrySchema, ViewSchema, VoterSchema, type Member } from '@rainrun/messages';
+import {
+  PrepareSchema,
+  EntrySchema,
+  ViewSchema,
+  VoterSchema,
+  type Member,
+  type Version,
+} from '@rainrun/messages';
 import type { Acceptor } from './acceptor.js';
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { LocalMember } from '../membership/local-member.js';
 import { toVersion, type GroupState } from './group-state.js';
 
-type FoundingParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'discovery' | 'local'>;
+/** What founding needs. */
+interface FoundingCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly discovery: Discovery<S>;
+  readonly local: LocalMember<S>;
+  /** Begins this node's first term as coordinator. */
+  readonly coordination: {
+    readonly coordinator: object | undefined;
+    start(epoch: number, version: Version): void;
+  };
+}
 
 /**
  * Founds the group when all founders are there with empty disks and nobody
@@ -14,21 +33,21 @@
  * if (founding.mayFound()) founding.tick();
  */
 export class Founding<S> {
-  #parts: FoundingParts<S>;
+  #collaborators: FoundingCollaborators<S>;
 
-  constructor(parts: FoundingParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: FoundingCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Whether this node is a founder whose disk has not accepted anything yet. */
   mayFound(): boolean {
-    const { acceptor } = this.#parts.dependencies;
+    const { acceptor } = this.#collaborators.dependencies;
     return acceptor !== undefined && this.#founderName() !== undefined && acceptor.accepted === undefined;
   }
 
   /** Founds the group if this is the first of the founders and all the others are there. */
   tick(): void {
-    const { coordination, dependencies } = this.#parts;
+    const { coordination, dependencies } = this.#collaborators;
     const { acceptor, founders, stateMachine } = dependencies;
     const own = this.#founderName();
     if (acceptor === undefined || own === undefined || [...founders].sort()[0] !== own) return;
@@ -44,13 +63,13 @@
 
   /** How the founders' list calls this node: by name or by address. */
   #founderName(): string | undefined {
-    const { founders, name, address } = this.#parts.dependencies;
+    const { founders, name, address } = this.#collaborators.dependencies;
     return founders.find((founder) => founder === name || founder === address);
   }
 
   /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
   #founderMembers(own: string): Member[] | undefined {
-    const { dependencies, discovery, local } = this.#parts;
+    const { dependencies, discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView || contact.newestVersion > 0)) return undefined;
     const members = [local.self];
@@ -67,7 +86,7 @@
   }
 
   #firstVersion(acceptor: Acceptor, members: readonly Member[]): GroupState<S> {
-    const { deployment, stateMachine } = this.#parts.dependencies;
+    const { deployment, stateMachine } = this.#collaborators.dependencies;
     const epoch = acceptor.promisedEpoch + 1;
     return {
       epoch,
--- a/packages/process-group/src/agreement/submissions.ts
+++ b/packages/process-group/src/agreement/submissions.ts
@@ -1,7 +1,11 @@
 /** Operations that this node has submitted and waits for. */
 import { create } from '@bufbuild/protobuf';
 import { SubmitSchema, type Answer, type Operation } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { CoordinatorWatch } from './coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
 import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './group-state.js';
 
 /** An operation that was not answered is sent again after so long. */
@@ -12,10 +16,14 @@
   sentMs: number;
 }
 
-type SubmissionParts<S> = Pick<
-  GroupParts<S>,
-  'coordinatorWatch' | 'dependencies' | 'directory' | 'local' | 'transport'
->;
+/** What submissions need. */
+interface SubmissionCollaborators<S> {
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+}
 
 /**
  * Sends operations to the coordinator, again while no answer comes; the
@@ -24,22 +32,22 @@
  * if (!submissions.submit(operation)) answerUnavailable();
  */
 export class Submissions<S> {
-  #parts: SubmissionParts<S>;
+  #collaborators: SubmissionCollaborators<S>;
   #pending = new Map<string, Submission>();
 
-  constructor(parts: SubmissionParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: SubmissionCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Whether no further answer to an operator can be retained now. */
   get isFull(): boolean {
-    const { state } = this.#parts.local;
+    const { state } = this.#collaborators.local;
     return state !== undefined && retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX;
   }
 
   /** Submits an operation under its id. False: there is no coordinator, and nothing was sent. */
   submit(operation: Operation): boolean {
-    const { coordinatorWatch, local } = this.#parts;
+    const { coordinatorWatch, local } = this.#collaborators;
     if (!local.inView || coordinatorWatch.live() === undefined) return false;
     this.#pending.set(operation.id, { operation, sentMs: -Infinity });
     this.sendDue();
@@ -53,18 +61,18 @@
 
   /** The committed answer to an operation, if it is retained. */
   result(id: string): Answer | undefined {
-    const { local } = this.#parts;
+    const { local } = this.#collaborators;
     const answer = local.state?.answers.find((known) => known.id === id);
     return answer !== undefined && answer.number <= local.committedVersion ? answer : undefined;
   }
 
   onAnswer(answer: Answer): void {
-    if (this.#pending.delete(answer.id)) this.#parts.dependencies.listener.onAnswer(answer);
+    if (this.#pending.delete(answer.id)) this.#collaborators.dependencies.listener.onAnswer(answer);
   }
 
   /** Sends the operations that are due, first ones and repeated ones. */
   sendDue(): void {
-    const { coordinatorWatch, directory, local, transport } = this.#parts;
+    const { coordinatorWatch, directory, local, transport } = this.#collaborators;
     const coordinator = coordinatorWatch.live()?.incarnation ?? '';
     const member = coordinator === local.incarnation ? local.self : directory.member(coordinator);
     if (member === undefined) return;
--- a/packages/process-group/src/agreement/versions.ts
+++ b/packages/process-group/src/agreement/versions.ts
@@ -1,7 +1,18 @@
-/** Delivery of agreed versions in their order, and catching up on missed ones. */
+/** Delivery of chosen versions in their order, and catching up on missed ones. */
 import { create } from '@bufbuild/protobuf';
-import { ChosenSchema, EntrySchema, FetchVersionsSchema, type Member, type Version } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import {
+  ChosenSchema,
+  EntrySchema,
+  FetchVersionsSchema,
+  type Member,
+  type Version,
+  type View,
+} from '@rainrun/messages';
+import type { Casts } from '../multicast/casts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
 import { advance, withoutState, fromVersion, toVersion, type GroupState } from './group-state.js';
 import { rankOf } from '../membership/members.js';
 
@@ -14,10 +25,16 @@
 /** A node that cannot close a gap within this time rejoins under a new incarnation. */
 const GAP_MAX_MS = 2500;
 
-type VersionParts<S> = Pick<
-  GroupParts<S>,
-  'casts' | 'dependencies' | 'directory' | 'heartbeats' | 'local' | 'transport' | 'viewChange'
->;
+/** What the delivery of versions needs. */
+interface VersionCollaborators<S> {
+  readonly casts: Casts<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly heartbeats: { send(nowMs: number): void };
+  readonly viewChange: { enter(view: View): void; open(): void; rejoin(): void };
+}
 
 /**
  * Applies versions one after the other. A gap is fetched from whoever holds
@@ -26,25 +43,25 @@
  * versions.receive('incarnation-2', version);
  */
 export class Versions<S> {
-  #parts: VersionParts<S>;
+  #collaborators: VersionCollaborators<S>;
   #entries = new Map<number, Version>();
   #lastEntry = create(EntrySchema);
   #lastFetchMs = -Infinity;
   #gapSinceMs: number | undefined;
 
-  constructor(parts: VersionParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: VersionCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Rejoins if a gap has stayed open for too long. */
   tick(nowMs: number): void {
     if (this.#gapSinceMs !== undefined && nowMs - this.#gapSinceMs > GAP_MAX_MS)
-      this.#parts.viewChange.rejoin();
+      this.#collaborators.viewChange.rejoin();
   }
 
   /** Asks a member for the versions after the one in force here. */
   fetch(from: string): void {
-    const { dependencies, local, transport } = this.#parts;
+    const { dependencies, local, transport } = this.#collaborators;
     const nowMs = local.nowMs();
     if (nowMs - this.#lastFetchMs < dependencies.times.resendMs) return;
     this.#lastFetchMs = nowMs;
@@ -54,7 +71,7 @@
 
   /** Sends a member versions from `first` on: as entries, as many as a message takes, or as a snapshot if those are no longer kept. */
   onFetch(from: string, first: number): void {
-    const { directory, local, transport } = this.#parts;
+    const { directory, local, transport } = this.#collaborators;
     const member = directory.member(from);
     const state = local.state;
     if (member === undefined || state === undefined || !local.inView) return;
@@ -71,7 +88,7 @@
 
   /** Sends a member a snapshot of the state. */
   sendSnapshot(member: Member): void {
-    const { dependencies, local, transport } = this.#parts;
+    const { dependencies, local, transport } = this.#collaborators;
     if (local.state === undefined) return;
     const version = toVersion(dependencies.stateMachine, local.state, this.#lastEntry);
     transport.sendOrdered(member, { case: 'chosen', value: create(ChosenSchema, { versions: [version] }) });
@@ -79,7 +96,7 @@
 
   /** Takes a version from a member or from the coordinator in this node. */
   receive(from: string, version: Version): void {
-    const { local } = this.#parts;
+    const { local } = this.#collaborators;
     const state = local.state;
     local.learnEpoch(version.epoch);
     if (!local.inView) {
@@ -96,12 +113,13 @@
     this.#deliver(state, version);
   }
 
+  /** No version is missing any more, or none of them matters in a new view. */
   clearGap(): void {
     this.#gapSinceMs = undefined;
   }
 
   #installSnapshot(version: Version): void {
-    const { dependencies, heartbeats, local, viewChange } = this.#parts;
+    const { dependencies, heartbeats, local, viewChange } = this.#collaborators;
     const read = fromVersion(dependencies.stateMachine, version);
     if (read.isErr || rankOf(read.value.view, local.incarnation) < 0) return;
     local.setState(read.value);
@@ -113,7 +131,7 @@
   }
 
   #deliver(state: GroupState<S>, version: Version): void {
-    const { casts, dependencies, local, viewChange } = this.#parts;
+    const { casts, dependencies, local, viewChange } = this.#collaborators;
     const entry = version.entry ?? create(EntrySchema);
     const { view } = entry;
     if (view !== undefined) casts.finish(entry.flushedCasts);
--- a/packages/process-group/src/group-parts.ts
+++ b/packages/process-group/src/group-wiring.ts
@@ -1,4 +1,4 @@
-/** The parts of a group, one job each, and the place at which they find one another. */
+/** Wires the parts of a group together; no part imports this module. */
 import { Casts } from './multicast/casts.js';
 import { Coordination } from './agreement/coordination.js';
 import { CoordinatorWatch } from './agreement/coordinator-watch.js';
@@ -20,13 +20,14 @@
 import { Voters } from './agreement/voters.js';
 
 /**
- * Builds the parts of a group. Each part names those that it uses in its
- * `...Parts` type and calls them at work, not while it is constructed.
+ * Builds the parts of a group. Each part declares its collaborators in its own
+ * module, those above it in the order of imports by the few calls that it makes.
+ * Collaborators are looked up at each call, since some are constructed later.
  * @example
- * const parts = new GroupParts(dependencies);
- * parts.receiver.receive(frame);
+ * const wiring = new GroupWiring(dependencies);
+ * wiring.receiver.receive(frame);
  */
-export class GroupParts<S> {
+export class GroupWiring<S> {
   readonly dependencies: GroupDependencies<S>;
   /** Identity, state in force, epochs seen. */
   readonly local: LocalMember<S>;
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -9,7 +9,7 @@
   type View,
 } from '@rainrun/messages';
 import type { GroupDependencies } from './group-dependencies.js';
-import { GroupParts } from './group-parts.js';
+import { GroupWiring } from './group-wiring.js';
 import type { GroupState } from './agreement/group-state.js';
 
 /**
@@ -22,119 +22,122 @@
  * group.receive(frame); // for each frame that comes
  */
 export class Group<S> {
-  #parts: GroupParts<S>;
+  #wiring: GroupWiring<S>;
 
   constructor(dependencies: GroupDependencies<S>) {
-    this.#parts = new GroupParts(dependencies);
+    this.#wiring = new GroupWiring(dependencies);
   }
 
+  /** This node as a member, under its present incarnation. */
   get self(): Member {
-    return this.#parts.local.self;
+    return this.#wiring.local.self;
   }
 
   /** The newest version that came into force here. */
   get state(): GroupState<S> | undefined {
-    return this.#parts.local.state;
+    return this.#wiring.local.state;
   }
 
   /** The view this node is a member of, or undefined while it is in none. */
   get view(): View | undefined {
-    return this.#parts.local.view;
+    return this.#wiring.local.view;
   }
 
   /** True while the view is being changed: casts wait. */
   get isViewChanging(): boolean {
-    return this.#parts.casts.stopped;
+    return this.#wiring.casts.stopped;
   }
 
   /** Whether this node is the coordinator. */
   get isCoordinator(): boolean {
-    return this.#parts.coordination.coordinator !== undefined;
+    return this.#wiring.coordination.coordinator !== undefined;
   }
 
   /** Incarnation of the coordinator that this node follows, if one was heard lately. */
   get coordinatorIncarnation(): string | undefined {
-    return this.#parts.coordinatorWatch.live()?.incarnation;
+    return this.#wiring.coordinatorWatch.live()?.incarnation;
   }
 
   /** Newest epoch that this node knows of. */
   get epoch(): number {
-    return this.#parts.local.epoch;
+    return this.#wiring.local.epoch;
   }
 
   /** Casts kept until all members are known to have them. */
   get unstableCount(): number {
-    return this.#parts.casts.unstableCount;
+    return this.#wiring.casts.unstableCount;
   }
 
+  /** Bytes of causal context sent in this view. */
   get contextBytes(): number {
-    return this.#parts.casts.contextBytes;
+    return this.#wiring.casts.contextBytes;
   }
 
-  /** Newest version that this node knows to be agreed. */
+  /** Newest version that this node knows to be committed. */
   get committedVersion(): number {
-    return this.#parts.local.committedVersion;
+    return this.#wiring.local.committedVersion;
   }
 
-  /** When this node's right to admit ends; compare with the clock just before each act. */
+  /** When this node's lease to admit ends, in milliseconds of its clock; compare with the clock just before each act. */
   leaseEndMs(): number {
-    return this.#parts.leases.leaseEndMs();
+    return this.#wiring.leases.leaseEndMs();
   }
 
-  /** This node holds all that was agreed before this moment. */
+  /** This node has applied all that was committed before this moment. */
   currentAsOfMs(): number {
-    return this.leaseEndMs() - this.#parts.dependencies.times.leaseMs;
+    return this.leaseEndMs() - this.#wiring.dependencies.times.leaseMs;
   }
 
   /** The version in force at another member when it last answered a heartbeat. */
   versionAt(incarnation: string): number | undefined {
-    return this.#parts.leases.versionAt(incarnation);
+    return this.#wiring.leases.versionAt(incarnation);
   }
 
+  /** Whether this node may admit work now. */
   holdsLease(): boolean {
-    return this.#parts.leases.isHeld();
+    return this.#wiring.leases.isHeld();
   }
 
   /** The epoch in which this node may act alone for all, or undefined. Ends before the lease does. */
   singletonEpoch(): number | undefined {
-    return this.#parts.leases.singletonEpoch();
+    return this.#wiring.leases.singletonEpoch();
   }
 
   /** Multicasts a payload causally to the view; held back while the view is changing. */
   cast(payload: Uint8Array): void {
-    this.#parts.casts.cast(payload);
+    this.#wiring.casts.cast(payload);
   }
 
   /** Submits an operation under its id; the answer comes through the listener, once it is committed. False: nothing was sent. */
   submit(operation: Operation): boolean {
-    return this.#parts.submissions.submit(operation);
+    return this.#wiring.submissions.submit(operation);
   }
 
   /** Nobody waits for an operation any more: it is not sent again, so that it cannot come to pass long after its caller has asked elsewhere. */
   withdraw(id: string): void {
-    this.#parts.submissions.withdraw(id);
+    this.#wiring.submissions.withdraw(id);
   }
 
   /** What is known of an operation by its id. */
   operationResult(id: string): Answer | undefined {
-    return this.#parts.submissions.result(id);
+    return this.#wiring.submissions.result(id);
   }
 
   /** Whether no further answer to an operator can be retained now. */
   get isFull(): boolean {
-    return this.#parts.submissions.isFull;
+    return this.#wiring.submissions.isFull;
   }
 
   /** An operator's statement that a name will not come back. Only the coordinator can use it. */
   excludeNode(name: string): boolean {
-    const { coordinator } = this.#parts.coordination;
+    const { coordinator } = this.#wiring.coordination;
     coordinator?.exclude(name);
     return coordinator !== undefined;
   }
 
   /** Says goodbye, so that the view need not wait to suspect this node. */
   leave(): void {
-    const { local, transport } = this.#parts;
+    const { local, transport } = this.#wiring;
     local.startLeaving();
     for (const member of local.others())
       transport.send(member, { case: 'goodbye', value: create(GoodbyeSchema) });
@@ -143,7 +146,7 @@
   /** Does what is due now. The order counts: each step sees what the ones before it changed. */
   tick(): void {
     const { discovery, diskWatch, heartbeats, leases, local, submissions, transport, versions, viewChange } =
-      this.#parts;
+      this.#wiring;
     const nowMs = local.nowMs();
     this.#noteSuspension(nowMs);
     const isDiskStalled = diskWatch.isStalled(nowMs, local.inView);
@@ -159,17 +162,17 @@
 
   /** Takes a frame that came from another node. */
   receive(frame: Frame): void {
-    this.#parts.receiver.receive(frame);
+    this.#wiring.receiver.receive(frame);
   }
 
   /** Sends a frame to a member, if it is known. */
   sendTo(incarnation: string, body: Frame['body']): void {
-    this.#parts.transport.sendTo(incarnation, body);
+    this.#wiring.transport.sendTo(incarnation, body);
   }
 
   /** A process that was suspended does not count its own silence against the others. */
   #noteSuspension(nowMs: number): void {
-    const { diskWatch, election, liveness, transport } = this.#parts;
+    const { diskWatch, election, liveness, transport } = this.#wiring;
     const awayMs = liveness.tick(nowMs);
     if (awayMs <= 0) return;
     election.candidacy?.onWake(nowMs);
@@ -178,7 +181,7 @@
   }
 
   #coordinate(nowMs: number): void {
-    const { coordination, election } = this.#parts;
+    const { coordination, election } = this.#wiring;
     if (coordination.coordinator !== undefined) coordination.tick(nowMs);
     else election.tick(nowMs);
   }
--- a/packages/process-group/src/leases/lease-acknowledgements.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -1,6 +1,8 @@
+/** The members' acknowledgements from which the end of a lease is computed. */
 import type { View } from '@rainrun/messages';
 import { majority } from '../agreement/quorum.js';
 
+/** A member's last acknowledgement. */
 interface LeaseAcknowledgement {
   readonly sentMs: number;
   readonly number: number;
@@ -25,6 +27,7 @@
     this.#leaseMs = leaseMs;
   }
 
+  /** Takes an acknowledgement of the heartbeat sent at `sentMs`; the member had applied version `number`. */
   acknowledge(incarnation: string, sentMs: number, number: number): void {
     const known = this.#acknowledgements.get(incarnation);
     if (known === undefined || sentMs >= known.sentMs)
@@ -36,6 +39,7 @@
     return this.#acknowledgements.get(incarnation)?.number;
   }
 
+  /** Takes an acknowledgement by a member that knows of no newer coordinator. */
   acknowledgeSingleton(incarnation: string, sentMs: number): void {
     this.#singletonSentMs.set(
       incarnation,
@@ -48,6 +52,7 @@
     this.#singletonSentMs.clear();
   }
 
+  /** Drops all acknowledgements. */
   clear(): void {
     this.#acknowledgements.clear();
     this.#singletonSentMs.clear();
--- a/packages/process-group/src/leases/leases.ts
+++ b/packages/process-group/src/leases/leases.ts
@@ -1,12 +1,21 @@
 /** Leases: until when this node may admit work, and until when it may act alone for all. */
 import type { HeartbeatAck } from '@rainrun/messages';
 import { LeaseAcknowledgements } from './lease-acknowledgements.js';
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { LocalMember } from '../membership/local-member.js';
 
 /** The singleton lease ends by this fraction of a lease before the leases of the others do. */
 const SINGLETON_MARGIN_FRACTION = 1 / 4;
 
-type LeaseParts<S> = Pick<GroupParts<S>, 'coordination' | 'dependencies' | 'local'>;
+/** What the leases need. */
+interface LeaseCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly local: LocalMember<S>;
+  /** This node's term as coordinator, which the singleton lease belongs to. */
+  readonly coordination: {
+    readonly coordinator: { readonly epoch: number; readonly ready: boolean } | undefined;
+  };
+}
 
 /**
  * The leases that a majority of the view renews with its acknowledgements: one
@@ -16,14 +25,14 @@
  * if (leases.isHeld()) admit(request);
  */
 export class Leases<S> {
-  #parts: LeaseParts<S>;
+  #collaborators: LeaseCollaborators<S>;
   #acknowledgements: LeaseAcknowledgements;
   /** Since when a majority has known this node's epoch for the newest. */
   #singletonSinceMs: number | undefined;
 
-  constructor(parts: LeaseParts<S>) {
-    this.#parts = parts;
-    this.#acknowledgements = new LeaseAcknowledgements(parts.dependencies.times.leaseMs);
+  constructor(collaborators: LeaseCollaborators<S>) {
+    this.#collaborators = collaborators;
+    this.#acknowledgements = new LeaseAcknowledgements(collaborators.dependencies.times.leaseMs);
   }
 
   /** Notes since when this node holds the singleton lease. */
@@ -33,7 +42,7 @@
 
   /** When this node's lease to admit ends; compare with the clock just before each act. */
   leaseEndMs(): number {
-    const { local } = this.#parts;
+    const { local } = this.#collaborators;
     if (!local.inView || local.state === undefined || local.leaving) return -Infinity;
     return this.#acknowledgements.leaseEndMs(
       local.state.view,
@@ -48,13 +57,14 @@
     return this.#acknowledgements.versionAt(incarnation);
   }
 
+  /** Whether this node may admit work now. */
   isHeld(): boolean {
-    return this.leaseEndMs() > this.#parts.local.nowMs();
+    return this.leaseEndMs() > this.#collaborators.local.nowMs();
   }
 
   /** The epoch in which this node may act alone for all, or undefined. Ends before the lease does. */
   singletonEpoch(): number | undefined {
-    const { coordination, dependencies, local } = this.#parts;
+    const { coordination, dependencies, local } = this.#collaborators;
     const nowMs = local.nowMs();
     if (this.#singletonSinceMs === undefined || nowMs < this.#singletonSinceMs + dependencies.times.leaseMs)
       return undefined;
@@ -73,12 +83,13 @@
     this.#acknowledgements.clearSingleton();
   }
 
+  /** Drops all acknowledgements: this node goes on under a new incarnation. */
   clear(): void {
     this.#acknowledgements.clear();
   }
 
   #holdsSingleton(nowMs: number): boolean {
-    const { coordination, dependencies, local } = this.#parts;
+    const { coordination, dependencies, local } = this.#collaborators;
     if (coordination.coordinator?.ready !== true || !local.inView || local.state === undefined) return false;
     if (local.leaving) return false;
     const marginMs = dependencies.times.leaseMs * SINGLETON_MARGIN_FRACTION;
--- a/packages/process-group/src/membership/directory.ts
+++ b/packages/process-group/src/membership/directory.ts
@@ -25,6 +25,7 @@
     return this.#addresses;
   }
 
+  /** A node by its incarnation, if it is known. */
   member(incarnation: string): Member | undefined {
     return this.#members.get(incarnation);
   }
@@ -45,6 +46,7 @@
     this.#members.set(member.incarnation, member);
   }
 
+  /** Remembers an address at which a node may be found. */
   learnAddress(address: string): void {
     this.#addresses.add(address);
   }
@@ -55,6 +57,7 @@
     this.#addresses.delete(this.#ownAddress);
   }
 
+  /** Drops an incarnation; its address is kept. */
   remove(incarnation: string): void {
     this.#members.delete(incarnation);
   }
--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -2,7 +2,13 @@
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from './directory.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from './liveness.js';
+import type { LocalMember } from './local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from '../agreement/versions.js';
 import { rankOf } from './members.js';
 import { levelMismatch } from './protocol-levels.js';
 
@@ -23,18 +29,18 @@
 /** Contacts older than so many times `CONTACT_MS` are dropped. */
 const CONTACT_RETENTION_FACTOR = 10;
 
-type DiscoveryParts<S> = Pick<
-  GroupParts<S>,
-  | 'dependencies'
-  | 'directory'
-  | 'founding'
-  | 'leases'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'versions'
-  | 'viewChange'
->;
+/** What discovery needs. */
+interface DiscoveryCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly founding: { mayFound(): boolean };
+  readonly viewChange: { rejoin(): void };
+}
 
 /**
  * Greets the addresses known while this node is outside a view or has lost
@@ -46,7 +52,7 @@
  * discovery.joiners(); // the coordinator lets these in
  */
 export class Discovery<S> {
-  #parts: DiscoveryParts<S>;
+  #collaborators: DiscoveryCollaborators<S>;
   #contacts = new Map<string, Contact>();
   /** What others gave us to echo, by incarnation. */
   #receivedGreetings = new Map<string, string>();
@@ -55,13 +61,13 @@
   #welcomedMs = new Map<string, number>();
   #lastHelloMs = -Infinity;
 
-  constructor(parts: DiscoveryParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: DiscoveryCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Greets every address known, when it is time and there is a reason to. */
   tick(nowMs: number): void {
-    const { dependencies, leases, local } = this.#parts;
+    const { dependencies, leases, local } = this.#collaborators;
     if (nowMs - this.#lastHelloMs < dependencies.times.helloMs) return;
     this.#lastHelloMs = nowMs;
     if (local.leaving || (local.inView && leases.isHeld())) return;
@@ -71,13 +77,13 @@
 
   /** The nodes that were in touch lately. */
   freshContacts(): Contact[] {
-    const nowMs = this.#parts.local.nowMs();
+    const nowMs = this.#collaborators.local.nowMs();
     return [...this.#contacts.values()].filter((contact) => isFresh(contact, nowMs));
   }
 
   /** Live nodes that ask to join; this node too while it is in no view. */
   joiners(): Member[] {
-    const { local } = this.#parts;
+    const { local } = this.#collaborators;
     const joiners = this.freshContacts()
       .filter((contact) => !contact.inView)
       .map((contact) => contact.member);
@@ -86,13 +92,15 @@
     return joiners.filter((member) => rankOf(view, member.incarnation) < 0);
   }
 
+  /** Whether this incarnation was in touch within `CONTACT_FRESH_MS`. */
   hasFreshContact(incarnation: string, nowMs: number): boolean {
     const contact = this.#contacts.get(incarnation);
     return contact !== undefined && isFresh(contact, nowMs);
   }
 
+  /** Answers a greeting; its sender counts as a contact once it echoes what this node gave it. */
   onHello(hello: Hello): void {
-    const { directory, liveness, local } = this.#parts;
+    const { directory, liveness, local } = this.#collaborators;
     const member = hello.sender;
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
@@ -113,8 +121,9 @@
     this.#answerHello(member, greeting);
   }
 
+  /** Takes the answer to a greeting; rejoins if the group went on without this node. */
   onHelloAck(ack: HelloAck): void {
-    const { dependencies, directory, liveness, local, viewChange } = this.#parts;
+    const { dependencies, directory, liveness, local, viewChange } = this.#collaborators;
     const member = ack.sender;
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
@@ -130,6 +139,7 @@
     if (local.inView && inView && !listed && number > local.newestVersion) viewChange.rejoin();
   }
 
+  /** Drops what is known of an incarnation. */
   remove(incarnation: string): void {
     this.#contacts.delete(incarnation);
     this.#sentGreetings.delete(incarnation);
@@ -150,7 +160,7 @@
   }
 
   #sendHellos(): void {
-    const { dependencies, directory, founding, local, transport } = this.#parts;
+    const { dependencies, directory, founding, local, transport } = this.#collaborators;
     const greetings = this.#greetingsByAddress();
     for (const address of new Set([...dependencies.seeds, ...directory.addresses])) {
       if (address === local.self.address) continue;
@@ -167,7 +177,7 @@
   #greetingsByAddress(): Map<string, string> {
     const greetings = new Map<string, string>();
     for (const [incarnation, greeting] of this.#receivedGreetings) {
-      const address = this.#parts.directory.member(incarnation)?.address;
+      const address = this.#collaborators.directory.member(incarnation)?.address;
       if (address !== undefined) greetings.set(address, greeting);
     }
     return greetings;
@@ -176,14 +186,14 @@
   #greetingFor(incarnation: string): string {
     const known = this.#sentGreetings.get(incarnation);
     if (known !== undefined) return known;
-    const greeting = randomId(this.#parts.dependencies.chance);
+    const greeting = randomId(this.#collaborators.dependencies.chance);
     this.#sentGreetings.set(incarnation, greeting);
     return greeting;
   }
 
   /** Sends a snapshot to a member that does not know yet that it is one. */
   #welcomeMember(member: Member, nowMs: number): void {
-    const { dependencies, local, versions } = this.#parts;
+    const { dependencies, local, versions } = this.#collaborators;
     const view = local.view;
     if (view === undefined || rankOf(view, member.incarnation) < 0) return;
     const sinceMs = nowMs - (this.#welcomedMs.get(member.incarnation) ?? -Infinity);
@@ -193,7 +203,7 @@
   }
 
   #answerHello(member: Member, greeting: string): void {
-    const { founding, local, transport } = this.#parts;
+    const { founding, local, transport } = this.#collaborators;
     const view = local.view;
     const isMember = view !== undefined && rankOf(view, member.incarnation) >= 0;
     const members = view?.members ?? [];
--- a/packages/process-group/src/membership/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -8,28 +8,39 @@
   type Member,
   type View,
 } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { Casts } from '../multicast/casts.js';
+import type { Coordination } from '../agreement/coordination.js';
+import type { CoordinatorWatch } from '../agreement/coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { DiskWatch } from './disk-watch.js';
+import type { Directory } from './directory.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from './liveness.js';
+import type { LocalMember } from './local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from '../agreement/versions.js';
+import type { ViewChange } from './view-change.js';
 import type { GroupState } from '../agreement/group-state.js';
 import { rankOf } from './members.js';
 
 /** Heartbeats whose time of sending is kept for their acknowledgements. */
 const HEARTBEATS_TRACKED_MAX = 64;
 
-type HeartbeatParts<S> = Pick<
-  GroupParts<S>,
-  | 'casts'
-  | 'coordination'
-  | 'coordinatorWatch'
-  | 'dependencies'
-  | 'diskWatch'
-  | 'directory'
-  | 'leases'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'versions'
-  | 'viewChange'
->;
+/** What heartbeats need. */
+interface HeartbeatCollaborators<S> {
+  readonly casts: Casts<S>;
+  readonly coordination: Coordination<S>;
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly diskWatch: DiskWatch;
+  readonly directory: Directory<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly viewChange: ViewChange<S>;
+}
 
 /**
  * Sends this node's heartbeats to the view and answers those of others. The
@@ -39,23 +50,24 @@
  * heartbeats.tick(nowMs);
  */
 export class Heartbeats<S> {
-  #parts: HeartbeatParts<S>;
+  #collaborators: HeartbeatCollaborators<S>;
   #sequence = 0;
   #sentMs = new Map<number, number>();
   #lastSentMs = -Infinity;
 
-  constructor(parts: HeartbeatParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: HeartbeatCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
+  /** Sends a heartbeat if one is due. */
   tick(nowMs: number): void {
-    const { dependencies, local } = this.#parts;
+    const { dependencies, local } = this.#collaborators;
     if (local.inView && nowMs - this.#lastSentMs >= dependencies.times.heartbeatMs) this.send(nowMs);
   }
 
   /** Sends a heartbeat to every other member. */
   send(nowMs: number): void {
-    const { coordination, coordinatorWatch, local } = this.#parts;
+    const { coordination, coordinatorWatch, local } = this.#collaborators;
     const state = local.state;
     if (state === undefined) return;
     this.#lastSentMs = nowMs;
@@ -70,8 +82,9 @@
       coordinatorWatch.follow(local.incarnation, coordinator.epoch, heartbeat.resigning);
   }
 
+  /** Answers a heartbeat; the acknowledgement renews the sender's leases unless it is withheld. */
   onHeartbeat(from: string, heartbeat: Heartbeat): void {
-    const { directory, local, transport, versions, viewChange } = this.#parts;
+    const { directory, local, transport, versions, viewChange } = this.#collaborators;
     const state = local.state;
     if (!local.inView || state === undefined) return;
     const member = directory.member(from);
@@ -92,8 +105,9 @@
     transport.send(member, { case: 'heartbeatAck', value });
   }
 
+  /** Takes an acknowledgement of a heartbeat that this node sent. */
   onHeartbeatAck(from: string, ack: HeartbeatAck): void {
-    const { coordination, leases, liveness, local, versions, viewChange } = this.#parts;
+    const { coordination, leases, liveness, local, versions, viewChange } = this.#collaborators;
     const sentMs = this.#sentMs.get(ack.sequence);
     const state = local.state;
     if (!local.inView || state === undefined || sentMs === undefined) return;
@@ -111,7 +125,7 @@
 
   /** The counts of what was delivered go to the collector alone, except at level 1, which sends them to all. */
   #sendTo(state: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
-    const { casts, local, transport } = this.#parts;
+    const { casts, local, transport } = this.#collaborators;
     const collector = state.level === 1 ? undefined : this.#stabilityCollector(state.view, nowMs);
     const counts = clone(HeartbeatSchema, heartbeat);
     counts.delivered = casts.delivered();
@@ -128,7 +142,7 @@
    * cost the cube of the group's size.
    */
   #stabilityCollector(view: View, nowMs: number): string {
-    const { liveness, local } = this.#parts;
+    const { liveness, local } = this.#collaborators;
     const first = view.members.find(
       ({ incarnation }) => incarnation === local.incarnation || liveness.isLive(incarnation, nowMs),
     );
@@ -136,7 +150,7 @@
   }
 
   #heartbeat(state: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
-    const { coordination, diskWatch, liveness, local } = this.#parts;
+    const { coordination, diskWatch, liveness, local } = this.#collaborators;
     const coordinator = coordination.coordinator;
     const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
     return create(HeartbeatSchema, {
@@ -153,7 +167,7 @@
   }
 
   #learn(from: string, heartbeat: Heartbeat): void {
-    const { casts, coordination, coordinatorWatch, liveness, local } = this.#parts;
+    const { casts, coordination, coordinatorWatch, liveness, local } = this.#collaborators;
     if (heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch) {
       local.learnEpoch(heartbeat.epoch);
       coordinatorWatch.follow(from, heartbeat.epoch, heartbeat.resigning);
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -1,9 +1,18 @@
 /** Failure detection: which members answer, and what they say of one another. */
 import { FailureDetector } from '@rainrun/failure-detector';
 import type { Heartbeat } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { LocalMember } from './local-member.js';
+import type { Transport } from '../transport/transport.js';
 import { majority } from '../agreement/quorum.js';
 
+/** What failure detection needs. */
+interface LivenessCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+}
+
 /**
  * What this node knows of the health of the others: whether they answer its
  * heartbeats and keep up with its channel, whom they suspect themselves, and
@@ -12,7 +21,7 @@
  * if (!liveness.isLive('incarnation-2', nowMs)) suspects.push('incarnation-2');
  */
 export class Liveness<S> {
-  #parts: Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>;
+  #collaborators: LivenessCollaborators<S>;
   #detector: FailureDetector;
   /** Whom each member suspects, as its last heartbeat said. */
   #suspectsOf = new Map<string, readonly string[]>();
@@ -20,9 +29,9 @@
   #resigning = new Set<string>();
   #saidGoodbye = new Set<string>();
 
-  constructor(parts: Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>) {
-    this.#parts = parts;
-    this.#detector = new FailureDetector(parts.dependencies.times);
+  constructor(collaborators: LivenessCollaborators<S>) {
+    this.#collaborators = collaborators;
+    this.#detector = new FailureDetector(collaborators.dependencies.times);
   }
 
   /** To be called at every tick; returns for how long this process itself was away. */
@@ -32,13 +41,15 @@
 
   /** Live: answers our heartbeats and does not lag behind our ordered messages beyond the bound. */
   isLive(incarnation: string, nowMs: number): boolean {
-    const lagMs = this.#parts.transport.lagMs(incarnation, nowMs);
-    return lagMs <= this.#parts.dependencies.times.maxLagMs && this.#detector.live(incarnation, nowMs);
+    const lagMs = this.#collaborators.transport.lagMs(incarnation, nowMs);
+    return (
+      lagMs <= this.#collaborators.dependencies.times.maxLagMs && this.#detector.live(incarnation, nowMs)
+    );
   }
 
   /** Whether most members say that they cannot reach this incarnation. */
   isReported(incarnation: string): boolean {
-    const view = this.#parts.local.view;
+    const view = this.#collaborators.local.view;
     if (view === undefined) return false;
     const reports = view.members.filter((member) =>
       this.#suspectsOf.get(member.incarnation)?.includes(incarnation),
@@ -46,18 +57,22 @@
     return reports.length >= majority(view.members.length);
   }
 
+  /** Whether a member says that it cannot coordinate now. */
   isResigning(incarnation: string): boolean {
     return this.#resigning.has(incarnation);
   }
 
+  /** Whether an incarnation has left in order. */
   hasSaidGoodbye(incarnation: string): boolean {
     return this.#saidGoodbye.has(incarnation);
   }
 
+  /** Begins to expect answers of an incarnation. */
   watch(incarnation: string, nowMs: number): void {
     this.#detector.watch(incarnation, nowMs);
   }
 
+  /** Notes that an incarnation has answered. */
   answered(incarnation: string, nowMs: number): void {
     this.#detector.answered(incarnation, nowMs);
   }
@@ -67,6 +82,7 @@
     this.#detector.report(incarnation);
   }
 
+  /** Takes a goodbye: the incarnation counts as failed from now on. */
   onGoodbye(incarnation: string): void {
     this.#saidGoodbye.add(incarnation);
     this.#detector.report(incarnation);
@@ -79,6 +95,7 @@
     else this.#resigning.delete(from);
   }
 
+  /** Ceases to watch an incarnation. */
   remove(incarnation: string): void {
     this.#detector.forget(incarnation);
   }
--- a/packages/process-group/src/membership/local-member.ts
+++ b/packages/process-group/src/membership/local-member.ts
@@ -8,7 +8,7 @@
 
 /**
  * This node as a member: who it is, which version it holds, whether it is in
- * a view, and the newest epoch and agreed version that it has heard of.
+ * a view, and the newest epoch and committed version that it has heard of.
  * @example
  * const local = new LocalMember(dependencies);
  * local.view; // undefined until a view has let this node in
@@ -72,7 +72,7 @@
     return Math.max(this.#epochSeen, this.#dependencies.acceptor?.promisedEpoch ?? 0);
   }
 
-  /** Newest version that this node knows to be agreed. */
+  /** Newest version that this node knows to be committed. */
   get committedVersion(): number {
     const number = this.#state?.number ?? 0;
     return Math.max(Math.min(this.#committedSeen, number), number - 1);
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -1,23 +1,32 @@
 /** A member's side of a view change: stopping, flushing, entering the next view, rejoining. */
 import { create } from '@bufbuild/protobuf';
 import { FlushReplySchema, type FlushReply, type FlushRequest, type View } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { Casts } from '../multicast/casts.js';
+import type { CoordinatorWatch } from '../agreement/coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from './directory.js';
+import type { Discovery } from './discovery.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from './liveness.js';
+import type { LocalMember } from './local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from '../agreement/versions.js';
 
-type ViewChangeParts<S> = Pick<
-  GroupParts<S>,
-  | 'casts'
-  | 'coordination'
-  | 'coordinatorWatch'
-  | 'dependencies'
-  | 'directory'
-  | 'discovery'
-  | 'election'
-  | 'leases'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'versions'
->;
+/** What a member's side of a view change needs. */
+interface ViewChangeCollaborators<S> {
+  readonly casts: Casts<S>;
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly discovery: Discovery<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly coordination: { drop(): void };
+  readonly election: { readonly candidacy: { abandon(): void } | undefined };
+}
 
 /**
  * Takes this node from one view to the next: it stops its casts at the
@@ -27,13 +36,13 @@
  * viewChange.onFlushRequest('incarnation-1', request); // answers with a flush reply
  */
 export class ViewChange<S> {
-  #parts: ViewChangeParts<S>;
+  #collaborators: ViewChangeCollaborators<S>;
   #flushEpoch = 0;
   /** Incarnations that stay, while a change is under way. */
   #staying: ReadonlySet<string> | undefined;
 
-  constructor(parts: ViewChangeParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: ViewChangeCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Whether a change is under way that leaves this member out: it gets no lease any more. */
@@ -41,8 +50,9 @@
     return this.#staying !== undefined && !this.#staying.has(incarnation);
   }
 
+  /** Flushes at the request of the coordinator of the newest epoch, unless the request is for another view. */
   onFlushRequest(from: string, request: FlushRequest): void {
-    const { directory, local, transport, versions } = this.#parts;
+    const { directory, local, transport, versions } = this.#collaborators;
     const state = local.state;
     if (
       !local.inView ||
@@ -66,12 +76,12 @@
   flush(epoch: number, change: number, staying: readonly string[]): FlushReply {
     this.#flushEpoch = epoch;
     this.#staying = new Set(staying);
-    return create(FlushReplySchema, { epoch, change, unstableCasts: this.#parts.casts.stop() });
+    return create(FlushReplySchema, { epoch, change, unstableCasts: this.#collaborators.casts.stop() });
   }
 
   /** Makes a view the one in force here; casts begin with `open`. */
   enter(view: View): void {
-    const { casts, directory, liveness, local, transport, versions } = this.#parts;
+    const { casts, directory, liveness, local, transport, versions } = this.#collaborators;
     const nowMs = local.nowMs();
     local.enterView();
     this.#staying = undefined;
@@ -90,13 +100,13 @@
 
   /** Lets in what came before its view, once the view has been announced. */
   open(): void {
-    this.#parts.casts.open();
+    this.#collaborators.casts.open();
   }
 
   /** Leaves the view, if any, and looks for the group as a new member. */
   rejoin(): void {
-    const { casts, coordination, coordinatorWatch, dependencies, directory, discovery } = this.#parts;
-    const { election, leases, liveness, local, transport, versions } = this.#parts;
+    const { casts, coordination, coordinatorWatch, dependencies, directory, discovery } = this.#collaborators;
+    const { election, leases, liveness, local, transport, versions } = this.#collaborators;
     directory.learnAddresses(local.state?.view.members ?? []);
     local.renewIncarnation();
     casts.clear();
@@ -113,7 +123,7 @@
   }
 
   #removeOutsiders(incarnations: ReadonlySet<string>, nowMs: number): void {
-    const { directory, discovery, liveness } = this.#parts;
+    const { directory, discovery, liveness } = this.#collaborators;
     for (const incarnation of directory.incarnations()) {
       if (incarnations.has(incarnation) || discovery.hasFreshContact(incarnation, nowMs)) continue;
       directory.remove(incarnation);
--- a/packages/process-group/src/multicast/casts.ts
+++ b/packages/process-group/src/multicast/casts.ts
@@ -1,7 +1,9 @@
 /** Causal multicast across views: what waits for a view, and the causal order within one. */
 import type { Cast, Heartbeat, View } from '@rainrun/messages';
 import { CausalOrder } from './causal-order.js';
-import type { GroupParts } from '../group-parts.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
 import { rankOf } from '../membership/members.js';
 
 /** Payloads kept while this node cannot cast; the oldest goes first. */
@@ -10,7 +12,12 @@
 /** Casts kept that came before their view; the oldest goes first. */
 const EARLY_CASTS_MAX = 4096;
 
-type CastParts<S> = Pick<GroupParts<S>, 'dependencies' | 'local' | 'transport'>;
+/** What multicast needs. */
+interface CastCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+}
 
 /**
  * Sends and delivers causal casts. Payloads wait while the view is being
@@ -19,13 +26,13 @@
  * casts.cast(payload);
  */
 export class Casts<S> {
-  #parts: CastParts<S>;
+  #collaborators: CastCollaborators<S>;
   #causal: CausalOrder | undefined;
   #backlog: Uint8Array[] = [];
   #early: Cast[] = [];
 
-  constructor(parts: CastParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: CastCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** True while no casts are sent: outside a view, and while the view is being changed. */
@@ -44,7 +51,7 @@
 
   /** Multicasts a payload causally to the view; held back while the view is changing. */
   cast(payload: Uint8Array): void {
-    const { local, transport } = this.#parts;
+    const { local, transport } = this.#collaborators;
     if (!local.inView || this.#causal === undefined || this.#causal.stopped) {
       this.#backlog.push(payload);
       if (this.#backlog.length > BACKLOG_MAX) this.#backlog.shift();
@@ -55,7 +62,7 @@
   }
 
   receive(cast: Cast): void {
-    const viewNumber = this.#parts.local.view?.number ?? 0;
+    const viewNumber = this.#collaborators.local.view?.number ?? 0;
     if (cast.view > viewNumber) {
       this.#early.push(cast);
       if (this.#early.length > EARLY_CASTS_MAX) this.#early.shift();
@@ -92,7 +99,9 @@
 
   /** Starts the causal order of a new view. */
   enter(view: View): void {
-    this.#causal = new CausalOrder(view, this.#parts.local.incarnation, (cast) => this.#deliver(view, cast));
+    this.#causal = new CausalOrder(view, this.#collaborators.local.incarnation, (cast) =>
+      this.#deliver(view, cast),
+    );
   }
 
   /** Takes the casts and payloads that waited for the view. */
@@ -111,6 +120,6 @@
 
   #deliver(view: View, cast: Cast): void {
     const sender = view.members[rankOf(view, cast.sender)];
-    if (sender !== undefined) this.#parts.dependencies.listener.onCast(sender, cast.payload);
+    if (sender !== undefined) this.#collaborators.dependencies.listener.onCast(sender, cast.payload);
   }
 }
--- a/packages/process-group/src/multicast/causal-order.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -1,7 +1,9 @@
+/** Causal order of multicasts within one view, by vector clocks (CBCAST of Birman, Schiper and Stephenson). */
 import { create } from '@bufbuild/protobuf';
 import { CastSchema, type Cast, type View } from '@rainrun/messages';
 import { rankOf } from '../membership/members.js';
 
+/** A cast with its sender's rank and the vector clock at which it was sent. */
 interface BufferedCast {
   readonly rank: number;
   readonly context: readonly number[];
@@ -42,10 +44,12 @@
     this.#stableAt = view.members.map(() => new Array<number>(size).fill(0));
   }
 
+  /** Whether delivery in this view has ended. */
   get stopped(): boolean {
     return this.#stopped;
   }
 
+  /** How many casts of each member were delivered here, by rank. */
   get delivered(): readonly number[] {
     return this.#delivered;
   }
@@ -55,6 +59,7 @@
     return this.#contextBytes;
   }
 
+  /** Casts that are not known to be delivered everywhere. */
   get unstableCount(): number {
     return this.#unstable.size;
   }
--- a/packages/process-group/src/transport/receiver.ts
+++ b/packages/process-group/src/transport/receiver.ts
@@ -1,22 +1,33 @@
 /** The entrance for everything that other nodes send. */
 import type { Frame, SequencedMessage } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
+import type { Casts } from '../multicast/casts.js';
+import type { Coordination } from '../agreement/coordination.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { Election } from '../agreement/election.js';
+import type { Heartbeats } from '../membership/heartbeats.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Submissions } from '../agreement/submissions.js';
+import type { Transport } from './transport.js';
+import type { Versions } from '../agreement/versions.js';
+import type { ViewChange } from '../membership/view-change.js';
 
-type ReceiverParts<S> = Pick<
-  GroupParts<S>,
-  | 'casts'
-  | 'coordination'
-  | 'dependencies'
-  | 'discovery'
-  | 'election'
-  | 'heartbeats'
-  | 'liveness'
-  | 'local'
-  | 'submissions'
-  | 'transport'
-  | 'versions'
-  | 'viewChange'
->;
+/** The parts that answer what comes from other nodes. */
+interface ReceiverCollaborators<S> {
+  readonly casts: Casts<S>;
+  readonly coordination: Coordination<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly discovery: Discovery<S>;
+  readonly election: Election<S>;
+  readonly heartbeats: Heartbeats<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly submissions: Submissions<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly viewChange: ViewChange<S>;
+}
 
 /**
  * Hands each frame, and each body that comes in order, to the part of the
@@ -25,15 +36,16 @@
  * receiver.receive(frame);
  */
 export class Receiver<S> {
-  #parts: ReceiverParts<S>;
+  #collaborators: ReceiverCollaborators<S>;
 
-  constructor(parts: ReceiverParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: ReceiverCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
+  /** Takes a frame; one that is addressed to another incarnation is dropped. */
   receive(frame: Frame): void {
     const { from, body } = frame;
-    const { discovery, local } = this.#parts;
+    const { discovery, local } = this.#collaborators;
     if (from === local.incarnation) return;
     if (body.case === 'hello') return discovery.onHello(body.value);
     if (body.case === 'helloAck') return discovery.onHelloAck(body.value);
@@ -43,7 +55,7 @@
 
   /** Takes a body that arrived in order, or that this node sent to itself. */
   onBody(from: string, body: SequencedMessage['body']): void {
-    const { casts, coordination, submissions, versions } = this.#parts;
+    const { casts, coordination, submissions, versions } = this.#collaborators;
     switch (body.case) {
       case 'cast':
         return casts.receive(body.value);
@@ -61,7 +73,7 @@
 
   #onAddressed(from: string, body: Frame['body']): void {
     const { coordination, dependencies, election, heartbeats, liveness, transport, versions, viewChange } =
-      this.#parts;
+      this.#collaborators;
     switch (body.case) {
       case 'heartbeat':
         return heartbeats.onHeartbeat(from, body.value);
--- a/packages/process-group/src/transport/transport.ts
+++ b/packages/process-group/src/transport/transport.ts
@@ -8,12 +8,25 @@
   type SequencedMessage,
   type Member,
 } from '@rainrun/messages';
-import type { GroupParts } from '../group-parts.js';
-
-type TransportParts<S> = Pick<
-  GroupParts<S>,
-  'coordination' | 'dependencies' | 'directory' | 'leases' | 'liveness' | 'local' | 'receiver' | 'viewChange'
->;
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { LocalMember } from '../membership/local-member.js';
+
+/** What the transport needs; the parts above it by the few calls that it makes. */
+interface TransportCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly local: LocalMember<S>;
+  /** What members have applied goes to the coordinator, while this node is it. */
+  readonly coordination: {
+    readonly coordinator: { learnApplied(incarnation: string, number: number): void } | undefined;
+  };
+  readonly leases: { isHeld(): boolean };
+  readonly liveness: { report(incarnation: string): void };
+  /** Takes the bodies that arrived in order. */
+  readonly receiver: { onBody(from: string, body: SequencedMessage['body']): void };
+  readonly viewChange: { rejoin(): void };
+}
 
 /**
  * Sends frames, which may be lost, and ordered messages, which arrive once
@@ -23,11 +36,11 @@
  * transport.sendOrdered(member, { case: 'cast', value: cast });
  */
 export class Transport<S> {
-  #parts: TransportParts<S>;
+  #collaborators: TransportCollaborators<S>;
   #channels = new Map<string, OrderedChannel>();
 
-  constructor(parts: TransportParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: TransportCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** Sends one frame to a node. */
@@ -37,13 +50,13 @@
 
   /** Sends one frame to a node if it is known under this incarnation. */
   sendTo(incarnation: string, body: Frame['body']): void {
-    const member = this.#parts.directory.member(incarnation);
+    const member = this.#collaborators.directory.member(incarnation);
     if (member !== undefined) this.send(member, body);
   }
 
   /** Sends one frame to whoever is at an address; an empty incarnation means anybody. */
   sendToAddress(address: string, incarnation: string, body: Frame['body']): void {
-    const { dependencies, local } = this.#parts;
+    const { dependencies, local } = this.#collaborators;
     const frame = create(FrameSchema, {
       wire: WIRE_VERSION,
       deployment: dependencies.deployment,
@@ -56,7 +69,7 @@
 
   /** Sends a body in order; to this node itself it is delivered at once. */
   sendOrdered(member: Member, body: SequencedMessage['body']): void {
-    const { directory, local, receiver } = this.#parts;
+    const { directory, local, receiver } = this.#collaborators;
     if (member.incarnation === local.incarnation) return receiver.onBody(member.incarnation, body);
     directory.learnMember(member);
     const channel = this.#channel(member.incarnation);
@@ -64,8 +77,9 @@
     this.#sendDue(member, channel, local.nowMs());
   }
 
+  /** Takes an ordered message and delivers the bodies that are complete up to here. */
   onSequenced(from: string, message: SequencedMessage): void {
-    const { coordination, directory, local, receiver } = this.#parts;
+    const { coordination, directory, local, receiver } = this.#collaborators;
     const channel = this.#channel(from);
     coordination.coordinator?.learnApplied(from, message.appliedVersion);
     const bodies = channel.receive(message);
@@ -79,7 +93,7 @@
   /** Sends what is due on all channels: acknowledgements, and again what was not acknowledged. */
   tick(nowMs: number): void {
     for (const [incarnation, channel] of this.#channels) {
-      const member = this.#parts.directory.member(incarnation);
+      const member = this.#collaborators.directory.member(incarnation);
       if (member !== undefined) this.#sendDue(member, channel, nowMs);
     }
   }
@@ -114,14 +128,14 @@
 
   #sendDue(member: Member, channel: OrderedChannel, nowMs: number): void {
     for (const message of channel.tick(nowMs)) {
-      message.appliedVersion = this.#parts.local.appliedVersion;
+      message.appliedVersion = this.#collaborators.local.appliedVersion;
       this.send(member, { case: 'sequenced', value: message });
     }
   }
 
   /** A channel that has lost a body is at its end: the member goes, or this node does if it is the one cut off. */
   #overflow(incarnation: string): void {
-    const { leases, liveness, local, viewChange } = this.#parts;
+    const { leases, liveness, local, viewChange } = this.#collaborators;
     if (leases.isHeld()) liveness.report(incarnation);
     else if (local.inView) viewChange.rejoin();
   }
