--- a/packages/process-group/src/agreement/lone-voter.test.ts
+++ b/packages/process-group/src/agreement/lone-voter.test.ts
@@ -11,7 +11,7 @@
 import { GROUP_TIMES } from '../times.js';
 
 const TICK_MS = 20;
-const SETTLED_MS = 6000;
+const STABLE_AFTER_MS = 6000;
 const ADDRESS = '127.0.0.1:1';
 
 const NO_STATE: StateMachine<undefined> = {
@@ -23,7 +23,7 @@
 };
 
 /** A disk that syncs at once and outlives its node. */
-class PromptVault implements RecordWriter {
+class ImmediateDisk implements RecordWriter {
   records: Records = {};
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -37,7 +37,7 @@
 }
 
 /** Starts the only core on a disk and runs it for long enough to coordinate. */
-function start(records: PromptVault): Group<undefined> {
+function start(records: ImmediateDisk): Group<undefined> {
   let nowMs = 0;
   let seed = 7;
   const opening = readRecords(records.records, 'disk-a').unwrapOrElse(failed);
@@ -65,13 +65,13 @@
     },
     send: () => undefined,
   });
-  for (; nowMs < SETTLED_MS; nowMs += TICK_MS) group.tick();
+  for (; nowMs < STABLE_AFTER_MS; nowMs += TICK_MS) group.tick();
   return group;
 }
 
 describe('a group of one voter', () => {
   it('coordinates again after its core was restarted', () => {
-    const records = new PromptVault();
+    const records = new ImmediateDisk();
     const founded = start(records);
     expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
     const restarted = start(records);
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -21,7 +21,7 @@
 const TICK_MS = 20;
 
 /** A disk that has synced as soon as it is asked to. */
-class QuickVault implements RecordWriter {
+class ImmediateDisk implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
@@ -67,7 +67,7 @@
         chance: random,
         times: GROUP_TIMES,
         stateMachine: COUNT,
-        acceptor: new Acceptor(opening.value, new QuickVault(), 'd', () => undefined),
+        acceptor: new Acceptor(opening.value, new ImmediateDisk(), 'd', () => undefined),
         protocolLevels: PROTOCOL_LEVELS,
         listener: {
           onVersion: () => undefined,
--- a/packages/process-group/src/membership/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -99,7 +99,7 @@
       epoch: local.epoch,
       dropped: !isMember,
       noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
-      // The others agree without a member that leaves: it must not vouch for who may miss what they agree.
+      // The others agree without a member that leaves: its acknowledgement must not renew the lease of a member that may miss what they commit.
       leaseWithheld: local.leaving || viewChange.isLeavingOut(from),
     });
     transport.send(member, { case: 'heartbeatAck', value });
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -34,7 +34,7 @@
     this.#detector = new FailureDetector(collaborators.dependencies.times);
   }
 
-  /** To be called at every tick; returns for how long this process itself was away. */
+  /** To be called at every tick; returns for how many milliseconds this process itself was suspended. */
   tick(nowMs: number): number {
     return this.#detector.tick(nowMs);
   }
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -29,7 +29,7 @@
 }
 
 /** An operation is acknowledged in time, and every node ends with all that were. */
-function expectWhole(cluster: TestCluster, what: string): void {
+function expectComplete(cluster: TestCluster, what: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
   const tookMs = cluster.runUntil(() => {
@@ -66,7 +66,7 @@
       wipe(cluster, first);
       cluster.run(CATCH_UP_MS);
       wipe(cluster, second);
-      expectWhole(cluster, `${first.join()} then ${second.join()}`);
+      expectComplete(cluster, `${first.join()} then ${second.join()}`);
     }
   });
 
@@ -78,7 +78,7 @@
       for (const node of cluster.running) node.syncMs = 100;
       cluster.run(CATCH_UP_MS);
       wipe(cluster, pairsOf(FIVE)[9 - place] ?? first);
-      expectWhole(cluster, first.join());
+      expectComplete(cluster, first.join());
     }
   });
 
@@ -89,7 +89,7 @@
         wipe(cluster, [first]);
         cluster.run(CATCH_UP_MS);
         wipe(cluster, [second]);
-        expectWhole(cluster, `${first} then ${second}`);
+        expectComplete(cluster, `${first} then ${second}`);
       }
   });
 
@@ -110,7 +110,7 @@
         cluster.run(CATCH_UP_MS);
         wipe(cluster, [lost]);
         expect(size).toEqual(2);
-        expectWhole(cluster, `${leaving} leaves, ${lost} is lost`);
+        expectComplete(cluster, `${leaving} leaves, ${lost} is lost`);
       }
   });
 
@@ -127,7 +127,7 @@
       cluster.start(lost);
       cluster.start(leader, records);
       cluster.run(CATCH_UP_MS);
-      expectWhole(cluster, `after ${afterMs}`);
+      expectComplete(cluster, `after ${afterMs}`);
       expect([afterMs, votersOf(cluster.leader()).length, new Set(votersOf(cluster.leader())).size]).toEqual([
         afterMs,
         5,
@@ -143,7 +143,7 @@
       cluster.submit('c');
       cluster.run(afterMs);
       losePower(cluster, []);
-      expectWhole(cluster, `after ${afterMs}`);
+      expectComplete(cluster, `after ${afterMs}`);
     }
   });
 
@@ -156,7 +156,7 @@
         cluster.submit('a');
         cluster.run(place);
         losePower(cluster, second);
-        expectWhole(cluster, `${first.join()} then ${second.join()} and all power`);
+        expectComplete(cluster, `${first.join()} then ${second.join()} and all power`);
       }
   });
 
@@ -173,7 +173,7 @@
     expect(replaced).not.toInclude(group.self.disk);
     expect(votersOf(cluster.leader())).toEqual(replaced);
     expect(cluster.node(old).group.view?.members.length).toEqual(4);
-    expectWhole(cluster, 'back under its old disk');
+    expectComplete(cluster, 'back under its old disk');
   });
 
   it('never makes more than one voter of an address whose disk changes', () => {
@@ -184,7 +184,7 @@
       const voters = votersOf(cluster.leader());
       expect([voters.length, voters.filter((disk) => disk.startsWith('b')).length]).toEqual([3, 1]);
     }
-    expectWhole(cluster, 'four disks at one address');
+    expectComplete(cluster, 'four disks at one address');
   });
 });
 
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -53,7 +53,7 @@
   /** Since when a change has been wanted; it starts `graceMs` later. */
   #wantedSinceMs: number | undefined;
   /** Set while members may have stopped for a view that was not installed. */
-  #isViewOwed = true;
+  #mustInstallView = true;
   /** Members that did not flush in time, and until when they are left out. */
   #slowUntilMs = new Map<string, number>();
 
@@ -84,7 +84,7 @@
     const { view } = state;
     const staying = this.#staying(view, nowMs);
     const joiners = this.#admittedJoiners(view, staying);
-    if (staying.length === view.members.length && joiners.length === 0 && !this.#isViewOwed) {
+    if (staying.length === view.members.length && joiners.length === 0 && !this.#mustInstallView) {
       this.#wantedSinceMs = undefined;
       return false;
     }
@@ -94,7 +94,7 @@
     if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
     if (!this.#departed.hasMajority(view, (member) => staying.includes(member))) return false;
     this.#wantedSinceMs = undefined;
-    this.#isViewOwed = true;
+    this.#mustInstallView = true;
     this.#changes += 1;
     this.#change = {
       id: this.#changes,
@@ -186,7 +186,7 @@
 
   #install(change: PendingViewChange, { view: old }: ViewState, nowMs: number): void {
     this.#change = undefined;
-    this.#isViewOwed = false;
+    this.#mustInstallView = false;
     const view = create(ViewSchema, {
       epoch: this.#epoch,
       number: old.number + 1,
--- a/packages/process-group/src/model-checking/agreement-search.ts
+++ b/packages/process-group/src/model-checking/agreement-search.ts
@@ -48,7 +48,7 @@
   readonly mayPrepare: boolean;
   readonly idleCoordinator: boolean;
   /** Names of the messages that are not taken again. */
-  readonly heard: ReadonlySet<string>;
+  readonly received: ReadonlySet<string>;
   /** A machine in this state, until it is used for what follows; then its inputs are repeated. */
   live: ModelMachine | undefined;
 }
@@ -139,13 +139,13 @@
     let state = this.#apply({ machines, sent: [], budget }, machine, { kind: 'prepare' }).state;
     for (;;) {
       const next = this.#progress(state);
-      if (next === undefined) return this.#settled(state, budget);
+      if (next === undefined) return this.#afterFirstElection(state, budget);
       state = next;
     }
   }
 
   /** The first election is over: its messages are known to the invariants, and not delivered again. */
-  #settled(state: State, budget: Budget): State {
+  #afterFirstElection(state: State, budget: Budget): State {
     for (const number of state.sent) this.#delivered.add(number);
     const machines = state.machines.map((number, place) =>
       this.#scope.lost.includes(this.#names[place] ?? '') ? GONE : number,
@@ -186,7 +186,7 @@
       hasPendingWrites,
       mayPrepare,
       idleCoordinator,
-      heard: receivedMessages,
+      received: receivedMessages,
       live: machine,
     });
     return number;
@@ -224,7 +224,7 @@
 
   #addDelivery(actions: Action[], machine: number, known: MachineState, sent: number): void {
     if (this.#delivered.has(sent) || !this.#isFor(this.#message(sent), known)) return;
-    if (known.heard.has(this.#messages[sent]?.name ?? '')) return;
+    if (known.received.has(this.#messages[sent]?.name ?? '')) return;
     actions.push({ machine, what: { kind: 'deliver', message: sent } });
   }
 
--- a/packages/process-group/src/multicast/causal-order.test.ts
+++ b/packages/process-group/src/multicast/causal-order.test.ts
@@ -4,10 +4,12 @@
 import { VIEW } from '../testing/three-member-view.js';
 import { CausalOrder, flushedCastsOf } from './causal-order.js';
 
-function member(incarnation: string): { causal: CausalOrder; heard: string[] } {
-  const heard: string[] = [];
-  const causal = new CausalOrder(VIEW, incarnation, (cast) => heard.push(`${cast.sender}${cast.sequence}`));
-  return { causal, heard };
+function member(incarnation: string): { causal: CausalOrder; delivered: string[] } {
+  const delivered: string[] = [];
+  const causal = new CausalOrder(VIEW, incarnation, (cast) =>
+    delivered.push(`${cast.sender}${cast.sequence}`),
+  );
+  return { causal, delivered };
 }
 
 const EMPTY = new Uint8Array();
@@ -19,9 +21,9 @@
     b.causal.receive(first);
     const answer = b.causal.send(EMPTY);
     c.causal.receive(answer);
-    expect(c.heard).toEqual([]);
+    expect(c.delivered).toEqual([]);
     c.causal.receive(first);
-    expect(c.heard).toEqual(['a1', 'b1']);
+    expect(c.delivered).toEqual(['a1', 'b1']);
   });
 
   it('carries only what changed in the context record', () => {
@@ -66,7 +68,7 @@
     const late = b.causal.stop();
     for (const { causal } of [b, c]) causal.finish(flushedCasts);
     expect(late.length).toEqual(2);
-    expect([b.heard, c.heard]).toEqual([
+    expect([b.delivered, c.delivered]).toEqual([
       ['a1', 'a2'],
       ['a1', 'a2'],
     ]);
@@ -77,7 +79,7 @@
     b.causal.stop();
     b.causal.receive(a.causal.send(EMPTY));
     b.causal.finish([]);
-    expect(b.heard).toEqual([]);
+    expect(b.delivered).toEqual([]);
   });
 
   it('orders flushed casts causally, with those whose predecessors are lost at the end', () => {
--- a/packages/process-group/src/testing/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -71,7 +71,7 @@
     this.#random = new SeededRandom(seed);
   }
 
-  /** Starts all machines for the first time and waits for a settled group. */
+  /** Starts all machines for the first time and waits until the group has its voters. */
   found(): void {
     this.#founders = this.#seeds.slice(0, 3);
     for (const name of this.#seeds) this.start(name);
--- a/packages/process-group/src/times.ts
+++ b/packages/process-group/src/times.ts
@@ -26,7 +26,7 @@
   readonly maxLagMs: number;
 }
 
-/** The defaults; the bounds of the brief are met with these. */
+/** The default timings. */
 export const GROUP_TIMES: GroupTimes = {
   heartbeatMs: 200,
   helloMs: 250,
@@ -41,7 +41,7 @@
   maxLagMs: 4000,
 };
 
-/** The times of cores on a platform: a lost core is replaced before it counts as lost no more. */
+/** The timings of cores on a platform, where a lost core is to be replaced within seconds. */
 export const PLATFORM_TIMES: GroupTimes = {
   ...GROUP_TIMES,
   voterReplacementMs: 1500,
