--- /dev/null
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -0,0 +1,211 @@
+/** The prepare phase of Paxos: how a voter wins the promises of a quorum for the next epoch. */
+import { create } from '@bufbuild/protobuf';
+import {
+  PrepareSchema,
+  PromiseSchema,
+  type Prepare,
+  type Frame,
+  type Promise as Promised,
+  type Member,
+  type Version,
+} from '@rainrun/messages';
+import type { RandomSource } from '@rainrun/common';
+import type { Acceptor } from './acceptor.js';
+import { disksOf, isQuorum, isLater, type VoterSets } from './quorum.js';
+import type { GroupTimes } from '../times.js';
+
+/** What a candidacy needs of the node that it runs in. */
+export interface CandidacyContext {
+  readonly acceptor: Acceptor;
+  readonly times: GroupTimes;
+  readonly random: RandomSource;
+  nowMs(): number;
+  /** The voters of the newest version that this node knows of. */
+  voters(): VoterSets;
+  /** Where the voter with this disk is now, if it is known. */
+  memberOfVoter(disk: string): Member | undefined;
+  member(incarnation: string): Member | undefined;
+  send(member: Member, body: Frame['body']): void;
+  /** Incarnation of the coordinator that this node follows, if one is heard. */
+  followedCoordinator(): string | undefined;
+  /** Newest epoch that this node knows of. */
+  epoch(): number;
+  learnEpoch(epoch: number): void;
+  /** A majority promised an epoch: this node coordinates from this version on. */
+  becomeCoordinator(epoch: number, version: Version): void;
+}
+
+/** One candidacy under way. */
+interface PrepareRound {
+  readonly epoch: number;
+  readonly startedMs: number;
+  sentMs: number;
+  /** Voters that said in the pre-vote that they would promise; the prepare phase begins once they are a majority. */
+  readonly supporters: Set<string>;
+  isPreVote: boolean;
+  readonly promises: Map<string, Promised>;
+}
+
+/**
+ * A voter's candidacy for the next epoch (the prepare phase of Paxos), and its
+ * answers to the candidacies of others. A pre-vote asks first whether a majority
+ * would promise, so that a candidate does not depose a coordinator at work.
+ * @example
+ * const candidacy = new Candidacy(context);
+ * if (candidacy.isDue(nowMs) && !candidacy.isCoordinated(undefined, nowMs)) candidacy.begin(nowMs);
+ */
+export class Candidacy {
+  #context: CandidacyContext;
+  #round: PrepareRound | undefined;
+  #afterMs: number;
+  #proposalSeenMs = -Infinity;
+
+  constructor(context: CandidacyContext) {
+    this.#context = context;
+    this.#afterMs = context.nowMs() + context.times.suspectMs + context.random.next() * 300;
+  }
+
+  /** Whether a pre-vote or a prepare phase of this node is under way. */
+  get isUnderWay(): boolean {
+    return this.#round !== undefined;
+  }
+
+  /** Whether this node has waited long enough to become a candidate. */
+  isDue(nowMs: number): boolean {
+    return nowMs >= this.#afterMs;
+  }
+
+  /** The process was suspended: it listens for a coordinator before it becomes a candidate. */
+  onWake(nowMs: number): void {
+    this.#afterMs = Math.max(this.#afterMs, nowMs + this.#context.times.suspectMs);
+  }
+
+  /** This node has ceased to coordinate. */
+  onResigned(): void {
+    const { times, random } = this.#context;
+    this.#afterMs = this.#context.nowMs() + times.suspectMs + random.next() * 500;
+  }
+
+  /** A coordinator of the newest epoch has proposed something. */
+  noteProposal(): void {
+    this.#proposalSeenMs = this.#context.nowMs();
+  }
+
+  /** Gives up the candidacy under way, if any. */
+  abandon(): void {
+    this.#round = undefined;
+  }
+
+  /** Whether a coordinator other than the candidate is at work as far as this node can see; a candidate against it gets no promise. */
+  isCoordinated(candidate: string | undefined, nowMs: number): boolean {
+    const following = this.#context.followedCoordinator();
+    if (following !== undefined && following !== candidate) return true;
+    return nowMs - this.#proposalSeenMs < this.#context.times.suspectMs;
+  }
+
+  /** Starts a candidacy for the epoch after the newest known: the pre-vote, then the prepare phase. */
+  begin(nowMs: number): void {
+    const { acceptor } = this.#context;
+    const epoch = this.#context.epoch() + 1;
+    const round: PrepareRound = {
+      epoch,
+      startedMs: nowMs,
+      sentMs: -Infinity,
+      isPreVote: true,
+      supporters: new Set([acceptor.disk]),
+      promises: new Map(),
+    };
+    this.#round = round;
+    this.#sendPrepares(round, nowMs);
+    this.#addSupporter(round, acceptor.disk);
+  }
+
+  /** Sends the prepare again while answers are missing, or gives up after `suspectMs`. */
+  tick(nowMs: number): void {
+    if (this.#round !== undefined) this.#sendPrepares(this.#round, nowMs);
+  }
+
+  #sendPrepares(round: PrepareRound, nowMs: number): void {
+    const { acceptor, times } = this.#context;
+    if (nowMs - round.startedMs > times.suspectMs) return this.#backOff(nowMs);
+    if (nowMs - round.sentMs < times.resendMs) return;
+    round.sentMs = nowMs;
+    const { epoch, isPreVote } = round;
+    const value = create(PrepareSchema, { epoch, disk: acceptor.disk, preVote: isPreVote });
+    for (const disk of disksOf(this.#context.voters())) {
+      if (isPreVote ? round.supporters.has(disk) : round.promises.has(disk)) continue;
+      const member = this.#context.memberOfVoter(disk);
+      if (disk === acceptor.disk) acceptor.prepare(value, (promise) => this.onPromise(promise));
+      else if (member !== undefined) this.#context.send(member, { case: 'prepare', value });
+    }
+  }
+
+  #backOff(nowMs: number): void {
+    this.#round = undefined;
+    this.#afterMs = nowMs + 200 + this.#context.random.next() * 800;
+  }
+
+  /** Answers another candidate. A pre-vote is answered without a promise and without a write. */
+  onPrepare(from: string, prepare: Prepare): void {
+    const { acceptor } = this.#context;
+    const member = this.#context.member(from);
+    if (member === undefined) return;
+    const taken = this.isCoordinated(from, this.#context.nowMs());
+    if (taken || prepare.preVote) {
+      const granted = !taken && prepare.epoch > acceptor.promisedEpoch;
+      const { epoch, preVote: isPreVote } = prepare;
+      const value = create(PromiseSchema, {
+        epoch,
+        preVote: isPreVote,
+        granted,
+        disk: acceptor.disk,
+        seenEpoch: this.#context.epoch(),
+      });
+      return this.#context.send(member, { case: 'promise', value });
+    }
+    acceptor.prepare(prepare, (promise) => this.#context.send(member, { case: 'promise', value: promise }));
+  }
+
+  /** Takes the answer to this node's own pre-vote or prepare. */
+  onPromise(promise: Promised): void {
+    const round = this.#round;
+    this.#context.learnEpoch(promise.granted ? 0 : promise.seenEpoch);
+    if (round === undefined || promise.epoch !== round.epoch) return;
+    if (!promise.granted) return this.#backOff(this.#context.nowMs());
+    if (promise.preVote) return this.#addSupporter(round, promise.disk);
+    round.promises.set(promise.disk, promise);
+    this.#conclude(round);
+  }
+
+  /**
+   * Takes the epoch once a quorum promised it. This node's own disk must be
+   * among them: after a crash it would otherwise prepare the same epoch again,
+   * and coordinate in it a second time.
+   */
+  #conclude(round: PrepareRound): void {
+    const { promises, epoch } = round;
+    const { disk } = this.#context.acceptor;
+    const best = bestOf(round);
+    if (best?.state === undefined || !promises.has(disk)) return;
+    if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises)) return;
+    this.#round = undefined;
+    if (best.state.voters.some((voter) => voter.disk === disk)) this.#context.becomeCoordinator(epoch, best);
+  }
+
+  #addSupporter(round: PrepareRound, disk: string): void {
+    round.supporters.add(disk);
+    if (!round.isPreVote || !isQuorum(this.#context.voters(), round.supporters)) return;
+    round.isPreVote = false;
+    round.sentMs = -Infinity;
+    this.#sendPrepares(round, this.#context.nowMs());
+  }
+}
+
+/** The newest version that a voter accepted, of those that promised. */
+function bestOf(round: PrepareRound): Version | undefined {
+  let best: Version | undefined;
+  for (const { accepted } of round.promises.values()) {
+    if (accepted !== undefined && (best === undefined || isLater(accepted, best))) best = accepted;
+  }
+  return best;
+}
--- a/packages/process-group/src/group-parts.ts
+++ b/packages/process-group/src/group-wiring.ts
@@ -1,38 +1,39 @@
-/** The parts of a group, one job each, and the place at which they find one another. */
-import { Casts } from './casts.js';
-import { Coordination } from './coordination.js';
-import { CoordinatorWatch } from './coordinator-watch.js';
-import { Directory } from './directory.js';
-import { Discovery } from './discovery.js';
-import { DiskWatch } from './disk-watch.js';
-import { Election } from './election.js';
-import { Founding } from './founding.js';
+/** Wires the parts of a group together; no part imports this module. */
+import { Casts } from './multicast/casts.js';
+import { Coordination } from './agreement/coordination.js';
+import { CoordinatorWatch } from './agreement/coordinator-watch.js';
+import { Directory } from './membership/directory.js';
+import { Discovery } from './membership/discovery.js';
+import { DiskWatch } from './membership/disk-watch.js';
+import { Election } from './agreement/election.js';
+import { Founding } from './agreement/founding.js';
 import type { GroupDependencies } from './group-dependencies.js';
-import { Heartbeats } from './heartbeats.js';
-import { Leases } from './leases.js';
-import { Liveness } from './liveness.js';
-import { LocalMember } from './local-member.js';
-import { Receiver } from './receiver.js';
-import { Submissions } from './submissions.js';
-import { Transport } from './transport.js';
-import { Versions } from './versions.js';
-import { ViewChange } from './view-change.js';
-import { Voters } from './voters.js';
+import { Heartbeats } from './membership/heartbeats.js';
+import { Leases } from './leases/leases.js';
+import { Liveness } from './membership/liveness.js';
+import { LocalMember } from './membership/local-member.js';
+import { Receiver } from './transport/receiver.js';
+import { Submissions } from './agreement/submissions.js';
+import { Transport } from './transport/transport.js';
+import { Versions } from './agreement/versions.js';
+import { ViewChange } from './membership/view-change.js';
+import { Voters } from './agreement/voters.js';
 
 /**
- * Builds the parts of a group. Each part names those that it uses in its
- * `...Parts` type and calls them at work, not while it is constructed.
+ * Builds the parts of a group. Each part declares its collaborators in its own
+ * module, those above it in the order of imports by the few calls that it makes.
+ * Collaborators are looked up at each call, since some are constructed later.
  * @example
- * const parts = new GroupParts(dependencies);
- * parts.receiver.receive(frame);
+ * const wiring = new GroupWiring(dependencies);
+ * wiring.receiver.receive(frame);
  */
-export class GroupParts<S> {
+export class GroupWiring<S> {
   readonly dependencies: GroupDependencies<S>;
   /** Identity, state in force, epochs seen. */
   readonly local: LocalMember<S>;
   /** Nodes and addresses known. */
   readonly directory: Directory<S>;
-  /** Frames and ordered parcels to others. */
+  /** Frames and ordered messages to others. */
   readonly transport: Transport<S>;
   /** Dispatch of what comes from others. */
   readonly receiver: Receiver<S>;
