--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -3,6 +3,7 @@
  * to each edge by itself, and draws requests; here it is ejected, for the callers that it fails, and comes back in
  * steps.
  */
+import { backoffMs, type BackoffPolicy } from '@rainrun/common';
 import type { WorkerRecord, WorkerTable } from '@rainrun/placement';
 
 /** How requests of one edge to one worker ended. */
@@ -39,8 +40,8 @@
 const PRIOR_REQUESTS = 20;
 /** At most this part of the workers of a service is ejected for the edges of one zone. */
 const MOST_PART = 0.34;
-const EJECTED_MS = 2000;
-const EJECTED_MOST_MS = 16_000;
+/** How long a worker stays ejected, by how often it was ejected in a row before. */
+const EJECTION_BACKOFF: BackoffPolicy = { firstMs: 2000, maxMs: 16_000 };
 /** Percentages of the edges that try a worker again, one step after the other; then all do. */
 const RETURN_STEPS = [10, 40] as const;
 const RETURN_STEP_MS = 700;
@@ -122,7 +123,7 @@
     const known = this.#ejections.get(row.id)?.get(zone);
     const isForgiven = known === undefined || nowMs - known.untilMs > FORGIVEN_MS;
     const times = isForgiven ? 0 : known.times + 1;
-    const untilMs = nowMs + Math.min(EJECTED_MOST_MS, EJECTED_MS * 2 ** times);
+    const untilMs = nowMs + backoffMs(EJECTION_BACKOFF, times);
     entry(this.#ejections, row.id).set(zone, { untilMs, times });
     this.#tallies.get(row.id)?.delete(zone);
   }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,5 @@
 export * from './errors.js';
+export * from './backoff.js';
 export * from './random.js';
 export * from './hash.js';
 export * from './slab.js';
