--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -352,20 +352,20 @@
         () => undefined,
         () => fromBinary(WorkerListSchema, item.value),
       );
-      if (list.isOk) this.#roster.takeList(list.value);
+      if (list.isOk) this.#roster.setList(list.value);
     } else if (item.key.startsWith(NEWS_WORKER)) {
       const state = tryOrElse(
         () => undefined,
         () => fromBinary(WorkerStateSchema, item.value),
       );
-      if (state.isOk) this.#roster.takeState(state.value, nowMs);
+      if (state.isOk) this.#roster.recordState(state.value, nowMs);
     }
   }
 
   #onVersion(held: GroupState<SpecState>, entry: Entry | undefined): void {
     const incarnations = new Set(held.view.members.map((member) => member.incarnation));
-    this.#roster.keepOnly(incarnations);
-    this.#demand.keepOnly(incarnations);
+    this.#roster.retainOnly(incarnations);
+    this.#demand.retainOnly(incarnations);
     this.#dependencies.onStateChange(held, entry);
   }
 
@@ -376,8 +376,8 @@
       () => fromBinary(ObservationSchema, payload),
     );
     if (read.isErr) return;
-    this.#roster.takeObservation(sender.incarnation, read.value, this.#now());
-    this.#demand.take(sender.incarnation, read.value, this.#now());
+    this.#roster.recordObservation(sender.incarnation, read.value, this.#now());
+    this.#demand.record(sender.incarnation, read.value, this.#now());
   }
 
   #onAnswer(answer: Answer): void {
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -42,7 +42,7 @@
 import { Result } from 'true-myth';
 import { PlanPacer } from './plan-pacer.js';
 import { encodeStateUpdate, type EncodedDeployment } from './state-update.js';
-import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
+import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
 import { WorkerHealth } from './worker-health.js';
 
 const DEPLOYMENT_STATE_MACHINE: StateMachine<Deployment> = {
@@ -86,16 +86,16 @@
 export class CoreReplica {
   #dependencies: CoreReplicaDependencies;
   #group: Group<Deployment>;
-  #book = new WorkerTable();
+  #workerTable = new WorkerTable();
   #planner: PlacementPlanner;
   #health = new WorkerHealth();
-  #table = '';
+  #tableId = '';
   #tableEpoch = -1;
   #subscribers = new Subscribers();
   #pacer = new PlanPacer();
   #waiting = new Map<string, (answer: Answer) => void>();
-  #read: { readonly state: Deployment; readonly engines: ReadonlyMap<string, Engine> } | undefined;
-  #told: { readonly state: Deployment; readonly bytes: EncodedDeployment } | undefined;
+  #parsedEngines: { readonly state: Deployment; readonly engines: ReadonlyMap<string, Engine> } | undefined;
+  #encodedState: { readonly state: Deployment; readonly bytes: EncodedDeployment } | undefined;
 
   constructor(dependencies: CoreReplicaDependencies) {
     this.#dependencies = dependencies;
@@ -124,7 +124,7 @@
   }
 
   get workerTable(): WorkerTable {
-    return this.#book;
+    return this.#workerTable;
   }
 
   get planner(): PlacementPlanner {
@@ -145,10 +145,10 @@
     this.#subscribers.expire(nowMs);
     this.#openTable();
     if (this.#group.isCoordinator) {
-      this.#health.judge(this.#book, nowMs);
+      this.#health.evaluate(this.#workerTable, nowMs);
       this.#placeModels(nowMs);
     }
-    this.#tellChanges(nowMs);
+    this.#sendDueUpdates(nowMs);
   }
 
   /** Takes the platform's whole list. */
@@ -156,9 +156,9 @@
     if (!this.#group.isCoordinator) return;
     this.#openTable();
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#book.learn(list, nowMs);
+    this.#workerTable.learn(list, nowMs);
     this.#placeModels(nowMs);
-    this.#tellChanges(nowMs);
+    this.#sendDueUpdates(nowMs);
   }
 
   /** Submits an operation; `done` is called once, with the agreed answer. */
@@ -184,7 +184,7 @@
 
   #newPlanner(): PlacementPlanner {
     const dependencies = this.#dependencies;
-    return new PlacementPlanner(this.#book, {
+    return new PlacementPlanner(this.#workerTable, {
       fence: () => this.#group.singletonEpoch(),
       order: (row, order, done) => dependencies.order(row, order, done),
       report: (row, done) => dependencies.report(row, done),
@@ -198,20 +198,20 @@
     const epoch = this.#group.isCoordinator ? this.#group.epoch : -1;
     if (epoch === this.#tableEpoch) return;
     this.#tableEpoch = epoch;
-    this.#table = epoch < 0 ? '' : `${epoch}-${this.#group.self.incarnation}`;
-    this.#book = new WorkerTable();
+    this.#tableId = epoch < 0 ? '' : `${epoch}-${this.#group.self.incarnation}`;
+    this.#workerTable = new WorkerTable();
     this.#planner = this.#newPlanner();
     this.#health = new WorkerHealth();
   }
 
   #engines(): ReadonlyMap<string, Engine> {
     const { state } = this;
-    if (this.#read?.state !== state) {
+    if (this.#parsedEngines?.state !== state) {
       const checked = state.document === undefined ? undefined : checkConfiguration(state.document);
       const configuration = checked?.isOk === true ? checked.value : undefined;
-      this.#read = { state, engines: enginesOf(configuration) };
+      this.#parsedEngines = { state, engines: enginesOf(configuration) };
     }
-    return this.#read.engines;
+    return this.#parsedEngines.engines;
   }
 
   /** Plans where the pacer allows it, and sends the orders that are due. */
@@ -219,44 +219,49 @@
     const engines = this.#engines();
     if (this.#pacer.isDue(nowMs)) {
       this.#planner.plan(engines, this.state.evacuated, nowMs);
-      this.#pacer.planned(nowMs, this.#dependencies.clock.nowMs());
+      this.#pacer.recordPlan(nowMs, this.#dependencies.clock.nowMs());
     }
     this.#planner.sendDueOrders(engines, nowMs);
   }
 
   #onFrame(body: Frame['body']): void {
-    if (body.case === 'subscribe') this.#onFollow(body.value);
+    if (body.case === 'subscribe') this.#onSubscribe(body.value);
   }
 
-  #onFollow(follow: Subscribe): void {
+  #onSubscribe(follow: Subscribe): void {
     const { subscriber: seat, demands: wants, leaving, incremental: partial, outcomes } = follow;
     if (seat === undefined) return;
     if (leaving) return this.#subscribers.remove(seat.incarnation);
     const nowMs = this.#dependencies.clock.nowMs();
-    const subscriber = this.#subscribers.heard(follow, seat, nowMs);
+    const subscriber = this.#subscribers.onSubscribe(follow, seat, nowMs);
     if (this.#group.isCoordinator) {
       this.#planner.updateDemand(seat.incarnation, wants, nowMs, partial);
-      this.#health.note(seat.zone, outcomes, nowMs);
+      this.#health.record(seat.zone, outcomes, nowMs);
       if (wants.some(({ waiting }) => waiting > 0)) this.#placeModels(nowMs);
     }
-    if (this.#subscribers.isAnswerDue(subscriber, this.#offer(), nowMs)) this.#tell(subscriber, nowMs);
-    this.#tellChanges(nowMs);
+    if (this.#subscribers.isAnswerDue(subscriber, this.#offer(), nowMs)) this.#sendUpdate(subscriber, nowMs);
+    this.#sendDueUpdates(nowMs);
   }
 
   /** What this core can tell those who follow it; only the coordinator has a table of workers. */
-  #offer(): Offer {
+  #offer(): AvailableState {
     const { isCoordinator: leading } = this.#group;
-    const table = leading && this.#book.number > 0 ? this.#table : '';
-    return { edition: this.state.edition, table, row: this.#book.number, leading };
+    const table = leading && this.#workerTable.number > 0 ? this.#tableId : '';
+    return {
+      edition: this.state.edition,
+      tableId: table,
+      tableRow: this.#workerTable.number,
+      isCoordinator: leading,
+    };
   }
 
-  #tellChanges(nowMs: number): void {
-    const due = this.#subscribers.due(this.#offer(), this.#book.takeChanges(), nowMs);
-    for (const subscriber of due) this.#tell(subscriber, nowMs);
+  #sendDueUpdates(nowMs: number): void {
+    const due = this.#subscribers.dueSubscribers(this.#offer(), this.#workerTable.takeChanges(), nowMs);
+    for (const subscriber of due) this.#sendUpdate(subscriber, nowMs);
   }
 
   /** What is told is taken for known until the follower says otherwise, so that it is told once. */
-  #tell(subscriber: Subscriber, nowMs: number): void {
+  #sendUpdate(subscriber: Subscriber, nowMs: number): void {
     const offer = this.#offer();
     const tell = create(StateUpdateSchema, {
       edition: this.state.edition,
@@ -266,18 +271,18 @@
     this.#addView(tell, subscriber, nowMs);
     if (this.#subscribers.isStateDue(subscriber, offer, nowMs)) {
       this.#addState(tell, subscriber);
-      this.#subscribers.sentState(subscriber, offer, nowMs);
+      this.#subscribers.recordStateSent(subscriber, offer, nowMs);
     }
-    if (offer.table !== '') this.#addRows(tell, subscriber, offer, nowMs);
-    subscriber.toldMs = nowMs;
+    if (offer.tableId !== '') this.#addRows(tell, subscriber, offer, nowMs);
+    subscriber.lastUpdateMs = nowMs;
     const frame = create(FrameSchema, {
       wire: WIRE_VERSION,
       deployment: this.#dependencies.deployment,
       from: this.#group.self.incarnation,
-      to: subscriber.seat.incarnation,
+      to: subscriber.member.incarnation,
     });
     frame.body = { case: 'stateUpdate', value: tell };
-    this.#dependencies.send(subscriber.seat.address, frame);
+    this.#dependencies.send(subscriber.member.address, frame);
   }
 
   #addView(tell: StateUpdate, subscriber: Subscriber, nowMs: number): void {
@@ -286,29 +291,29 @@
     if (leader !== undefined) tell.coordinator = leader;
     if (view === undefined || !this.#subscribers.isViewDue(subscriber, view.number, nowMs)) return;
     tell.cores = view.members;
-    this.#subscribers.sentView(subscriber, view.number, nowMs);
+    this.#subscribers.recordViewSent(subscriber, view.number, nowMs);
   }
 
-  #addRows(tell: StateUpdate, subscriber: Subscriber, offer: Offer, nowMs: number): void {
-    const whole = subscriber.table !== offer.table;
-    tell.tableId = offer.table;
+  #addRows(tell: StateUpdate, subscriber: Subscriber, offer: AvailableState, nowMs: number): void {
+    const whole = subscriber.tableId !== offer.tableId;
+    tell.tableId = offer.tableId;
     tell.snapshot = whole;
-    tell.tableRow = offer.row;
-    tell.baseRow = whole ? 0 : subscriber.row;
-    tell.rows = this.#book.since(tell.baseRow).map((row) => rowOf(row, nowMs));
-    this.#subscribers.sentRows(subscriber, offer, tell.rows.length, nowMs);
+    tell.tableRow = offer.tableRow;
+    tell.baseRow = whole ? 0 : subscriber.tableRow;
+    tell.rows = this.#workerTable.since(tell.baseRow).map((row) => rowOf(row, nowMs));
+    this.#subscribers.recordRowsSent(subscriber, offer, tell.rows.length, nowMs);
   }
 
-  #addState(tell: StateUpdate, { readsDeflated }: Subscriber): void {
+  #addState(tell: StateUpdate, { acceptsDeflate: readsDeflated }: Subscriber): void {
     const { state } = this;
-    if (this.#told?.state !== state) this.#told = { state, bytes: encodeStateUpdate(state) };
-    if (readsDeflated) tell.deflatedState = this.#told.bytes.deflated;
-    else tell.state = this.#told.bytes.plain;
+    if (this.#encodedState?.state !== state) this.#encodedState = { state, bytes: encodeStateUpdate(state) };
+    if (readsDeflated) tell.deflatedState = this.#encodedState.bytes.deflated;
+    else tell.state = this.#encodedState.bytes.plain;
   }
 
   #onVersion(held: GroupState<Deployment>, _entry: Entry | undefined): void {
     this.#dependencies.onStateChange(held.application);
-    this.#tellChanges(this.#dependencies.clock.nowMs());
+    this.#sendDueUpdates(this.#dependencies.clock.nowMs());
   }
 
   #onAnswer(answer: Answer): void {
--- a/packages/cluster-node/src/core-status.ts
+++ b/packages/cluster-node/src/core-status.ts
@@ -1,4 +1,4 @@
-/** How a core sees its group, for people who operate it. */
+/** Status report: the process group as one core of the platform family sees it, for operators. */
 import type { Member } from '@rainrun/messages';
 import type { CoreReplica } from './core-replica.js';
 
@@ -8,7 +8,7 @@
   readonly zone: string;
   readonly address: string;
   readonly voter: boolean;
-  /** The version in force there when it last answered; null where nothing was heard. */
+  /** The version in force there when it last answered; null where it never answered. */
   readonly version: number | null;
   /** How many versions it has still to catch up. */
   readonly behind: number | null;
@@ -28,7 +28,7 @@
   readonly node: string;
   readonly zone: string;
   readonly epoch: number;
-  /** Null while none is heard. */
+  /** Null while no coordinator is known. */
   readonly coordinator: string | null;
   /** Newest version in force here, and the newest known to be agreed. */
   readonly version: number;
@@ -47,40 +47,40 @@
  */
 export function coreStatus(replica: CoreReplica): CoreStatus {
   const { group, state } = replica;
-  const seats = group.view?.members ?? [];
+  const members = group.view?.members ?? [];
   const voters = group.state?.voters ?? [];
   const version = group.state?.number ?? 0;
-  function versionOf(seat: Member | undefined): number | null {
-    if (seat === undefined) return null;
-    return seat.incarnation === group.self.incarnation
+  function versionOf(member: Member | undefined): number | null {
+    if (member === undefined) return null;
+    return member.incarnation === group.self.incarnation
       ? version
-      : (group.versionAt(seat.incarnation) ?? null);
+      : (group.versionAt(member.incarnation) ?? null);
   }
-  const newest = Math.max(version, ...seats.map((seat) => versionOf(seat) ?? 0));
+  const newest = Math.max(version, ...members.map((member) => versionOf(member) ?? 0));
   return {
     node: group.self.name,
     zone: group.self.zone,
     epoch: group.epoch,
-    coordinator: seats.find((seat) => seat.incarnation === group.coordinatorIncarnation)?.name ?? null,
+    coordinator: members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ?? null,
     version,
     agreed: group.committedVersion,
     revision: state.revision,
     evacuated: state.evacuated,
     edges: replica.subscriberCount,
-    members: seats.map((seat) => {
-      const held = versionOf(seat);
+    members: members.map((member) => {
+      const memberVersion = versionOf(member);
       return {
-        name: seat.name,
-        zone: seat.zone,
-        address: seat.address,
-        voter: voters.some((voter) => voter.disk === seat.disk),
-        version: held,
-        behind: held === null ? null : newest - held,
+        name: member.name,
+        zone: member.zone,
+        address: member.address,
+        voter: voters.some((voter) => voter.disk === member.disk),
+        version: memberVersion,
+        behind: memberVersion === null ? null : newest - memberVersion,
       };
     }),
     voters: voters.map(({ name, disk }) => {
-      const seat = seats.find((known) => known.disk === disk);
-      return { name, disk, member: seat !== undefined, version: versionOf(seat) };
+      const member = members.find((known) => known.disk === disk);
+      return { name, disk, member: member !== undefined, version: versionOf(member) };
     }),
   };
 }
--- a/packages/cluster-node/src/demand-table.ts
+++ b/packages/cluster-node/src/demand-table.ts
@@ -27,7 +27,7 @@
   #groups = new Map<string, Map<string, GroupMeasure>>();
   #totals = new Map<string, GroupStatus>();
 
-  take(sender: string, observation: Observation, nowMs: number): void {
+  record(sender: string, observation: Observation, nowMs: number): void {
     const backlogs = new Map<string, number>();
     for (const { model, adapter, arrivals, backlog } of observation.demands) {
       backlogs.set(model, (backlogs.get(model) ?? 0) + backlog);
@@ -42,7 +42,7 @@
     for (const measure of observation.groups) this.#count(measure);
   }
 
-  keepOnly(incarnations: ReadonlySet<string>): void {
+  retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#backlogs.keys())
       if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
     for (const incarnation of this.#groups.keys())
--- a/packages/cluster-node/src/edge-replica.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -52,7 +52,7 @@
   /** How requests to workers ended since the last call. */
   outcomes(): WorkerOutcomes[];
   /** Another edition, or other workers, are known from now on. */
-  changed(what: 'state' | 'workers'): void;
+  onChange(what: 'state' | 'workers'): void;
 }
 
 /** What an edge tells a core beside what it holds. */
@@ -63,27 +63,27 @@
   readonly incremental?: boolean;
 }
 
-const EVERYONE = 100;
-const FOLLOW_MS = 250;
+const ALL_EDGES_PERCENT = 100;
+const SUBSCRIBE_INTERVAL_MS = 250;
 /** A node that cannot serve yet, and that no coordinator knows of, asks this often. */
-const EAGER_MS = 80;
-const SELDOM_MS = 750;
-const HASTE_MS = 6;
-const CORE_MS = 10_000;
-const CORES_MOST = 3;
-const FRESH_MS = 1500;
+const UNREADY_INTERVAL_MS = 80;
+const NON_COORDINATOR_INTERVAL_MS = 750;
+const URGENT_BATCH_DELAY_MS = 6;
+const CORE_EXPIRY_MS = 10_000;
+const CORES_MAX = 3;
+const CORE_TIMEOUT_MS = 1500;
 /** So long a new coordinator may not have heard every edge. */
-const COUNTING_MS = 2500;
+const EDGE_COUNT_SETTLING_MS = 2500;
 
 interface Core {
   readonly address: string;
   /** The incarnation at this address, once a view has named it. */
   incarnation: string;
   /** Each edge prefers the cores in an order of its own, so that all are followed by alike many. */
-  readonly place: number;
-  heardMs: number;
-  granted: boolean;
-  askedMs: number;
+  readonly preference: number;
+  lastContactMs: number;
+  hasLease: boolean;
+  subscribedMs: number;
 }
 
 /**
@@ -96,25 +96,25 @@
  */
 export class EdgeReplica {
   #dependencies: EdgeReplicaDependencies;
-  #seat: Member;
+  #self: Member;
   #state: Deployment = EMPTY_DEPLOYMENT;
   #configuration: Configuration | undefined;
   #cores = new Map<string, Core>();
-  #leader: Member | undefined;
-  #table = '';
-  #row = 0;
+  #coordinator: Member | undefined;
+  #tableId = '';
+  #tableRow = 0;
   #workers = new Map<string, WorkerSnapshot>();
-  #edges = 1;
+  #edgeCount = 1;
   /** Whose count of the edges is taken, and since when. */
-  #counted = { table: '', sinceMs: -Infinity };
-  #hasteMs: number | undefined;
+  #edgeCountSource = { table: '', sinceMs: -Infinity };
+  #urgentSinceMs: number | undefined;
   /** What the coordinator was told to wait, since the last whole question. */
-  #toldWaiting = new Set<string>();
-  #knewMs: number | undefined;
+  #reportedWaiting = new Set<string>();
+  #readySinceMs: number | undefined;
 
   constructor(dependencies: EdgeReplicaDependencies) {
     this.#dependencies = dependencies;
-    this.#seat = create(MemberSchema, {
+    this.#self = create(MemberSchema, {
       name: dependencies.name,
       incarnation: randomId(dependencies.chance),
       address: dependencies.address,
@@ -135,72 +135,80 @@
   }
 
   get incarnation(): string {
-    return this.#seat.incarnation;
+    return this.#self.incarnation;
   }
 
   /** How many edges there are, as far as the coordinator knows. */
-  get edges(): number {
-    return this.#edges;
+  get edgeCount(): number {
+    return this.#edgeCount;
   }
 
   /** Whether a core with a majority behind it was heard lately. */
   get informed(): boolean {
     const nowMs = this.#dependencies.clock.nowMs();
-    return [...this.#cores.values()].some((core) => core.granted && nowMs - core.heardMs < FRESH_MS);
+    return [...this.#cores.values()].some(
+      (core) => core.hasLease && nowMs - core.lastContactMs < CORE_TIMEOUT_MS,
+    );
   }
 
   /** Whether this node may serve: it holds a configuration and the workers, and had both from a core in touch with the others. */
   get ready(): boolean {
-    return this.#configuration !== undefined && this.#workers.size > 0 && this.#knewMs !== undefined;
+    return this.#configuration !== undefined && this.#workers.size > 0 && this.#readySinceMs !== undefined;
   }
 
   /** Something is wanted that cannot wait for the next heartbeat. */
   requestUpdateSoon(): void {
-    this.#hasteMs ??= this.#dependencies.clock.nowMs();
+    this.#urgentSinceMs ??= this.#dependencies.clock.nowMs();
   }
 
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    const hasty = this.#hasteMs !== undefined && nowMs - this.#hasteMs >= HASTE_MS;
-    const isEager = !this.ready && !this.#isLeaderHeard(nowMs);
-    for (const core of this.#followed(nowMs)) {
-      const leads = core.address === this.#leader?.address;
-      const everyMs = isEager ? EAGER_MS : leads || this.#leader === undefined ? FOLLOW_MS : SELDOM_MS;
-      if (nowMs - core.askedMs >= everyMs) this.#follow(core, nowMs, leads);
-      else if (hasty && leads) this.#hasten(core);
+    const hasty = this.#urgentSinceMs !== undefined && nowMs - this.#urgentSinceMs >= URGENT_BATCH_DELAY_MS;
+    const isEager = !this.ready && !this.#isCoordinatorLive(nowMs);
+    for (const core of this.#subscribedCores(nowMs)) {
+      const leads = core.address === this.#coordinator?.address;
+      const everyMs = isEager
+        ? UNREADY_INTERVAL_MS
+        : leads || this.#coordinator === undefined
+          ? SUBSCRIBE_INTERVAL_MS
+          : NON_COORDINATOR_INTERVAL_MS;
+      if (nowMs - core.subscribedMs >= everyMs) this.#subscribe(core, nowMs, leads);
+      else if (hasty && leads) this.#sendUrgentDemands(core);
     }
-    if (hasty) this.#hasteMs = undefined;
+    if (hasty) this.#urgentSinceMs = undefined;
   }
 
   /** Says that this node goes. */
   leave(): void {
-    for (const core of this.#cores.values()) this.#post(core.address, { leaving: true });
+    for (const core of this.#cores.values()) this.#send(core.address, { leaving: true });
   }
 
   receive(frame: Frame): void {
-    if (frame.body.case !== 'stateUpdate' || frame.to !== this.#seat.incarnation) return;
-    this.#onTell(frame.body.value, frame.from);
+    if (frame.body.case !== 'stateUpdate' || frame.to !== this.#self.incarnation) return;
+    this.#onStateUpdate(frame.body.value, frame.from);
   }
 
   /** Whether the coordinator answers: then it tells this node all that is new unasked. */
-  #isLeaderHeard(nowMs: number): boolean {
-    const core = this.#cores.get(this.#leader?.address ?? '');
-    return core !== undefined && core.incarnation !== '' && nowMs - core.heardMs < FRESH_MS;
+  #isCoordinatorLive(nowMs: number): boolean {
+    const core = this.#cores.get(this.#coordinator?.address ?? '');
+    return core !== undefined && core.incarnation !== '' && nowMs - core.lastContactMs < CORE_TIMEOUT_MS;
   }
 
   /** The leader and a few more: seeds until cores are known. */
-  #followed(nowMs: number): Core[] {
+  #subscribedCores(nowMs: number): Core[] {
     for (const [address, core] of this.#cores) {
-      if (nowMs - core.heardMs > CORE_MS && !this.#dependencies.seeds.includes(address))
+      if (nowMs - core.lastContactMs > CORE_EXPIRY_MS && !this.#dependencies.seeds.includes(address))
         this.#cores.delete(address);
     }
     for (const address of this.#dependencies.seeds) this.#core(address);
-    const known = [...this.#cores.values()].filter((core) => core.address !== this.#seat.address);
-    const fresh = known.filter((core) => nowMs - core.heardMs < FRESH_MS);
-    const leader = known.filter((core) => core.address === this.#leader?.address);
-    const granted = fresh.filter((core) => core.granted).sort((one, other) => one.place - other.place);
-    const chosen = new Set([...leader, ...granted.slice(0, CORES_MOST)]);
-    if (leader.length === 0 || !fresh.includes(leader[0] as Core) || chosen.size < CORES_MOST)
+    const known = [...this.#cores.values()].filter((core) => core.address !== this.#self.address);
+    const fresh = known.filter((core) => nowMs - core.lastContactMs < CORE_TIMEOUT_MS);
+    const leader = known.filter((core) => core.address === this.#coordinator?.address);
+    const granted = fresh
+      .filter((core) => core.hasLease)
+      .sort((one, other) => one.preference - other.preference);
+    const chosen = new Set([...leader, ...granted.slice(0, CORES_MAX)]);
+    if (leader.length === 0 || !fresh.includes(leader[0] as Core) || chosen.size < CORES_MAX)
       for (const core of known) chosen.add(core);
     return [...chosen];
   }
@@ -211,97 +219,105 @@
       core = {
         address,
         incarnation: '',
-        place: spread(`${this.#seat.incarnation} ${address}`),
-        heardMs: this.#dependencies.clock.nowMs(),
-        granted: false,
-        askedMs: -Infinity,
+        preference: spread(`${this.#self.incarnation} ${address}`),
+        lastContactMs: this.#dependencies.clock.nowMs(),
+        hasLease: false,
+        subscribedMs: -Infinity,
       };
       this.#cores.set(address, core);
     }
     return core;
   }
 
-  #follow(core: Core, nowMs: number, leads: boolean): void {
-    core.askedMs = nowMs;
+  #subscribe(core: Core, nowMs: number, leads: boolean): void {
+    core.subscribedMs = nowMs;
     const demands = leads ? this.#dependencies.demands() : [];
-    if (leads) this.#toldWaiting = new Set(demands.filter(({ waiting }) => waiting > 0).map(keyOf));
+    if (leads) this.#reportedWaiting = new Set(demands.filter(({ waiting }) => waiting > 0).map(keyOf));
     const outcomes = leads ? this.#dependencies.outcomes() : [];
-    this.#post(core.address, { demands: [...demands], outcomes });
+    this.#send(core.address, { demands: [...demands], outcomes });
   }
 
   /** Between two whole questions the coordinator is told only of what waits, or waited when it was told last. */
-  #hasten(leader: Core): void {
+  #sendUrgentDemands(leader: Core): void {
     const demands = this.#dependencies
       .demands()
-      .filter((want) => want.waiting > 0 || this.#toldWaiting.has(keyOf(want)));
-    for (const demand of demands) this.#toldWaiting.add(keyOf(demand));
-    this.#post(leader.address, { demands, incremental: true });
+      .filter((want) => want.waiting > 0 || this.#reportedWaiting.has(keyOf(want)));
+    for (const demand of demands) this.#reportedWaiting.add(keyOf(demand));
+    this.#send(leader.address, { demands, incremental: true });
   }
 
-  #post(address: string, fields: SubscribeFields): void {
+  #send(address: string, fields: SubscribeFields): void {
     const value = create(SubscribeSchema, {
-      subscriber: this.#seat,
+      subscriber: this.#self,
       edition: this.#state.edition,
-      tableId: this.#table,
-      tableRow: this.#row,
+      tableId: this.#tableId,
+      tableRow: this.#tableRow,
       acceptsDeflate: true,
       ...fields,
     });
     const frame = create(FrameSchema, {
       wire: WIRE_VERSION,
       deployment: this.#dependencies.deployment,
-      from: this.#seat.incarnation,
+      from: this.#self.incarnation,
       to: '',
     });
     frame.body = { case: 'subscribe', value };
     this.#dependencies.send(address, frame);
   }
 
-  #onTell(tell: StateUpdate, from: string): void {
+  #onStateUpdate(tell: StateUpdate, from: string): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const seat of tell.cores) this.#core(seat.address).incarnation = seat.incarnation;
     const core = [...this.#cores.values()].find((known) => known.incarnation === from);
     if (core !== undefined) {
-      core.heardMs = nowMs;
-      core.granted = tell.hasLease;
+      core.lastContactMs = nowMs;
+      core.hasLease = tell.hasLease;
     }
-    if (tell.hasLease && tell.coordinator !== undefined) this.#leader = tell.coordinator;
+    if (tell.hasLease && tell.coordinator !== undefined) this.#coordinator = tell.coordinator;
     this.#countEdges(tell, nowMs);
-    this.#takeState(tell);
-    this.#takeRows(tell, nowMs);
-    if (tell.hasLease && this.#configuration !== undefined && this.#workers.size > 0) this.#knewMs ??= nowMs;
+    this.#applyState(tell);
+    this.#applyRows(tell, nowMs);
+    if (tell.hasLease && this.#configuration !== undefined && this.#workers.size > 0)
+      this.#readySinceMs ??= nowMs;
   }
 
   /** Only the coordinator hears every edge; one that is new to it counts too few at first. */
   #countEdges(tell: StateUpdate, nowMs: number): void {
     // A coordinator that has lost its majority may hear no edge, and still be heard.
-    if (!tell.hasLease || tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#counted.table)) return;
-    if (tell.tableId !== this.#counted.table) this.#counted = { table: tell.tableId, sinceMs: nowMs };
-    const least = nowMs - this.#counted.sinceMs < COUNTING_MS ? this.#edges : 1;
-    this.#edges = Math.max(least, tell.edgeCount);
+    if (!tell.hasLease || tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#edgeCountSource.table))
+      return;
+    if (tell.tableId !== this.#edgeCountSource.table)
+      this.#edgeCountSource = { table: tell.tableId, sinceMs: nowMs };
+    const least = nowMs - this.#edgeCountSource.sinceMs < EDGE_COUNT_SETTLING_MS ? this.#edgeCount : 1;
+    this.#edgeCount = Math.max(least, tell.edgeCount);
   }
 
-  #takeState(tell: StateUpdate): void {
+  #applyState(tell: StateUpdate): void {
     if (tell.edition <= this.#state.edition) return;
     const state = decodeStateUpdate(tell);
     if (state === undefined || state.isErr) return;
     this.#state = state.value;
     const checked = state.value.document === undefined ? undefined : checkConfiguration(state.value.document);
     if (checked?.isOk === true) this.#configuration = checked.value;
-    this.#dependencies.changed('state');
+    this.#dependencies.onChange('state');
   }
 
-  #takeRows(tell: StateUpdate, nowMs: number): void {
-    if (tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#table)) return;
+  #applyRows(tell: StateUpdate, nowMs: number): void {
+    if (tell.tableId === '' || epochOf(tell.tableId) < epochOf(this.#tableId)) return;
     if (tell.snapshot) this.#workers = new Map();
-    else if (tell.tableId !== this.#table || tell.tableRow < this.#row || tell.baseRow > this.#row) return;
-    for (const row of tell.rows) this.#takeRow(row, nowMs);
-    this.#table = tell.tableId;
-    this.#row = tell.tableRow;
-    if (tell.snapshot || tell.rows.length > 0) this.#dependencies.changed('workers');
+    else if (
+      tell.tableId !== this.#tableId ||
+      tell.tableRow < this.#tableRow ||
+      tell.baseRow > this.#tableRow
+    )
+      return;
+    for (const row of tell.rows) this.#applyRow(row, nowMs);
+    this.#tableId = tell.tableId;
+    this.#tableRow = tell.tableRow;
+    if (tell.snapshot || tell.rows.length > 0) this.#dependencies.onChange('workers');
   }
 
-  #takeRow(row: WorkerRow, nowMs: number): void {
+  #applyRow(row: WorkerRow, nowMs: number): void {
     if (row.removed) {
       this.#workers.delete(row.id);
       return;
@@ -328,7 +344,7 @@
       warmUpUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
       models,
       number,
-      sharePercent: limits.find((limit) => limit.zone === this.#seat.zone)?.percent ?? EVERYONE,
+      sharePercent: limits.find((limit) => limit.zone === this.#self.zone)?.percent ?? ALL_EDGES_PERCENT,
     });
   }
 }
--- a/packages/cluster-node/src/older-disk.test.ts
+++ b/packages/cluster-node/src/older-disk.test.ts
@@ -127,7 +127,7 @@
       answerQuery: () => ({ status: 404, body: {} }),
     });
     lone.run(node, START_MS);
-    const { spec, emptied, touched } = node.state;
+    const { spec, evacuatedZones: emptied, changedInVersion: touched } = node.state;
     expect(spec?.version).toEqual(1);
     expect(spec?.spec.models.map((model) => model.name)).toEqual(['model-1']);
     expect(emptied).toEqual(['inland']);
@@ -138,6 +138,6 @@
     );
     lone.run(node, ANSWER_MS);
     expect(answers).toEqual(['zone inland emptied']);
-    expect(node.state.emptied).toEqual(['inland']);
+    expect(node.state.evacuatedZones).toEqual(['inland']);
   });
 });
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -7,9 +7,9 @@
 import { Result } from 'true-myth';
 import type { CoreStatus } from './core-status.js';
 import {
-  ANSWER_WAIT_MS,
+  ANSWER_TIMEOUT_MS,
   OperatorService,
-  ZONE_WAIT_MS,
+  ZONE_ORDER_DELAY_MS,
   type OperatorCall,
   type OperatorReply,
   type OperatorReplica,
@@ -113,7 +113,7 @@
     }).state;
     bench.replica.heardMs = bench.nowMs - 1;
     const read = bench.ask({ kind: 'read' });
-    bench.pass(ANSWER_WAIT_MS - 1);
+    bench.pass(ANSWER_TIMEOUT_MS - 1);
     const early = [...read];
     bench.pass(25);
     expect([early.length, ...statuses(read), bench.nowMs < 5000 + 1000]).toEqual([0, [503], true]);
@@ -142,7 +142,7 @@
   it('shows how its group stands only as what it knew last', () => {
     const bench = new Bench();
     const view = bench.ask({ kind: 'status' });
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     bench.replica.heardMs = Infinity;
     const current = bench.ask({ kind: 'status' });
     const [stale, fresh] = [view, current].map((replies) => JSON.parse(replies[0]?.body ?? '{}') as object);
@@ -159,7 +159,7 @@
       { kind: 'return', zone: 'west' },
     ] as const;
     const replies = orders.map((order) => bench.ask(order));
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     expect(statuses(...replies)).toEqual([[503], [503], [503], [503]]);
     expect(bench.replica.submitted.map(({ kind }) => kind)).toEqual([
       'configuration.put',
@@ -174,7 +174,7 @@
     const bench = new Bench();
     bench.replica.coordinated = false;
     const replies = [bench.ask(VALID), bench.ask({ kind: 'evacuate', zone: 'west' })];
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     expect(statuses(...replies)).toEqual([[503], [503]]);
   });
 
@@ -198,7 +198,7 @@
     const other = bench.ask({ ...VALID, document: { ...DOCUMENT, more: 1 } });
     for (const place of [0, 1, 2]) bench.replica.agree(place);
     const late = bench.ask(VALID);
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     bench.replica.agree(3);
     expect(statuses(taken, again, other, late)).toEqual([[200], [200], [412], [503]]);
   });
@@ -219,10 +219,10 @@
     const bench = new Bench();
     const first = bench.ask({ kind: 'evacuate', zone: 'west' });
     const heldUp = bench.ask({ kind: 'evacuate', zone: 'west' });
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     bench.replica.agree(0);
     const back = bench.ask({ kind: 'return', zone: 'west' });
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     bench.replica.agree(2);
     bench.replica.agree(1);
     expect([...statuses(first, back, heldUp), bench.replica.state.evacuated]).toEqual([
@@ -245,7 +245,7 @@
     const bench = new Bench();
     for (const kind of ['evacuate', 'return'] as const) {
       bench.ask({ kind, zone: 'west' });
-      bench.pass(ZONE_WAIT_MS);
+      bench.pass(ZONE_ORDER_DELAY_MS);
       bench.replica.agree(bench.replica.submitted.length - 1);
     }
     let gone = false;
@@ -254,9 +254,9 @@
       () => undefined,
       () => gone,
     );
-    bench.pass(ZONE_WAIT_MS / 2);
+    bench.pass(ZONE_ORDER_DELAY_MS / 2);
     gone = true;
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     expect([bench.replica.submitted.length, bench.replica.state.evacuated]).toEqual([2, []]);
   });
 });
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -57,14 +57,14 @@
   status(): CoreStatus;
 }
 
-const UNANSWERED = fault('not-admitting', 'not known to be agreed yet; send it again');
-const UNINFORMED = fault('not-admitting', 'no majority answered since the question; ask another node');
+const NOT_KNOWN_COMMITTED = fault('not-admitting', 'not known to be agreed yet; send it again');
+const NO_QUORUM_READ = fault('not-admitting', 'no majority answered since the question; ask another node');
 
-type Done = (reply: OperatorReply) => void;
+type ReplyCallback = (reply: OperatorReply) => void;
 
 interface PendingOrder {
-  readonly bornMs: number;
-  readonly done: Done;
+  readonly receivedMs: number;
+  readonly done: ReplyCallback;
   id: string;
 }
 
@@ -72,28 +72,28 @@
 interface ZoneOrder {
   readonly kind: 'zone.evacuate' | 'zone.return';
   readonly payload: { readonly zone: string; readonly seen: number };
-  readonly bornMs: number;
-  readonly done: Done;
+  readonly receivedMs: number;
+  readonly done: ReplyCallback;
   readonly isCallerGone: () => boolean;
 }
 
 /** A question, with its answers once this node knows the newest state and where it cannot. */
 interface PendingRead {
-  readonly askedMs: number;
-  readonly done: Done;
-  informed(): OperatorReply;
-  uninformed(): OperatorReply;
+  readonly receivedMs: number;
+  readonly done: ReplyCallback;
+  currentReply(): OperatorReply;
+  staleReply(): OperatorReply;
 }
 
 /** A caller goes on to another node after a second of silence: it is answered before. */
-export const ANSWER_WAIT_MS = 800;
+export const ANSWER_TIMEOUT_MS = 800;
 
 /**
  * Orders on zones bear no version by which a late copy shows. They wait for so
  * long, a round trip between regions: where a cut has held a call up, the end
  * of its connection comes by then, and a call without a caller is not submitted.
  */
-export const ZONE_WAIT_MS = 100;
+export const ZONE_ORDER_DELAY_MS = 100;
 
 /**
  * The operator side of one core. Every answer that says what is in force, or
@@ -120,7 +120,7 @@
    * Answers a call; `done` is called once, at once or from a later `tick`.
    * `isCallerGone` tells whether nobody waits for the answer any more.
    */
-  answer(call: OperatorCall, done: Done, isCallerGone: () => boolean = () => false): void {
+  answer(call: OperatorCall, done: ReplyCallback, isCallerGone: () => boolean = () => false): void {
     if (this.#draining) return done(this.failure(fault('draining', 'this node ends; ask another')));
     const { edition } = this.#dependencies.replica.state;
     const bornMs = this.#dependencies.clock.nowMs();
@@ -135,17 +135,17 @@
         return this.#orderZone('zone.return', { zone: call.zone, seen: edition }, done, isCallerGone);
       case 'read':
         return this.#read({
-          askedMs: bornMs,
+          receivedMs: bornMs,
           done,
-          informed: () => this.#configuration(),
-          uninformed: () => this.failure(UNINFORMED),
+          currentReply: () => this.#configuration(),
+          staleReply: () => this.failure(NO_QUORUM_READ),
         });
       case 'status':
         return this.#read({
-          askedMs: bornMs,
+          receivedMs: bornMs,
           done,
-          informed: () => ({ status: 200, body: JSON.stringify(this.#dependencies.status()) }),
-          uninformed: () => this.failure(UNINFORMED, { lastKnown: this.#dependencies.status() }),
+          currentReply: () => ({ status: 200, body: JSON.stringify(this.#dependencies.status()) }),
+          staleReply: () => this.failure(NO_QUORUM_READ, { lastKnown: this.#dependencies.status() }),
         });
       case 'none':
         return done(this.failure(fault('not-found', 'nothing is served here')));
@@ -158,10 +158,10 @@
     this.#submitZoneOrders();
     const nowMs = this.#dependencies.clock.nowMs();
     for (const order of this.#orders) {
-      if (nowMs - order.bornMs < ANSWER_WAIT_MS) continue;
+      if (nowMs - order.receivedMs < ANSWER_TIMEOUT_MS) continue;
       this.#orders.delete(order);
       this.#dependencies.replica.abandon(order.id);
-      order.done(this.failure(UNANSWERED));
+      order.done(this.failure(NOT_KNOWN_COMMITTED));
     }
   }
 
@@ -182,30 +182,30 @@
   #orderZone(
     kind: ZoneOrder['kind'],
     payload: ZoneOrder['payload'],
-    done: Done,
+    done: ReplyCallback,
     isCallerGone: () => boolean,
   ): void {
     const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
-    this.#zoneOrders.add({ kind, payload, bornMs: this.#dependencies.clock.nowMs(), done, isCallerGone });
+    this.#zoneOrders.add({ kind, payload, receivedMs: this.#dependencies.clock.nowMs(), done, isCallerGone });
   }
 
   #submitZoneOrders(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const order of this.#zoneOrders) {
-      if (nowMs - order.bornMs < ZONE_WAIT_MS) continue;
+      if (nowMs - order.receivedMs < ZONE_ORDER_DELAY_MS) continue;
       this.#zoneOrders.delete(order);
-      if (nowMs - order.bornMs >= ANSWER_WAIT_MS) order.done(this.failure(UNANSWERED));
+      if (nowMs - order.receivedMs >= ANSWER_TIMEOUT_MS) order.done(this.failure(NOT_KNOWN_COMMITTED));
       else if (order.isCallerGone()) order.done(this.failure(fault('visitor-left', 'the caller has gone')));
-      else this.#order(order.kind, order.payload, order.bornMs, order.done);
+      else this.#order(order.kind, order.payload, order.receivedMs, order.done);
     }
   }
 
   /** What is invalid in every state is refused here and now; all else is for agreement to decide. */
-  #order(kind: DeploymentOperation['kind'], payload: unknown, bornMs: number, done: Done): void {
+  #order(kind: DeploymentOperation['kind'], payload: unknown, bornMs: number, done: ReplyCallback): void {
     const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
-    const order: PendingOrder = { bornMs, done, id: '' };
+    const order: PendingOrder = { receivedMs: bornMs, done, id: '' };
     this.#orders.add(order);
     const sent = this.#dependencies.replica.submit(kind, payload, (answer) => {
       if (this.#orders.delete(order)) done(this.#outcome(answer));
@@ -232,10 +232,10 @@
     const informedMs = replica.group.currentAsOfMs();
     const nowMs = clock.nowMs();
     for (const read of this.#reads) {
-      const informed = informedMs >= read.askedMs;
-      if (!informed && nowMs - read.askedMs < ANSWER_WAIT_MS) continue;
+      const informed = informedMs >= read.receivedMs;
+      if (!informed && nowMs - read.receivedMs < ANSWER_TIMEOUT_MS) continue;
       this.#reads.delete(read);
-      read.done(informed ? read.informed() : read.uninformed());
+      read.done(informed ? read.currentReply() : read.staleReply());
     }
   }
 
--- a/packages/cluster-node/src/plan-pacer.ts
+++ b/packages/cluster-node/src/plan-pacer.ts
@@ -7,11 +7,11 @@
  */
 
 /** No two plans are nearer to each other than this. */
-const LEAST_GAP_MS = 4;
+const GAP_MIN_MS = 4;
 /** After a plan this many times its cost is left to everything else: planning takes a quarter of the time at most. */
 const REST_FACTOR = 3;
 /** However dear a plan was, the next one is due after this. */
-const MOST_GAP_MS = 250;
+const GAP_MAX_MS = 250;
 
 /**
  * Says when the next plan is due.
@@ -28,8 +28,8 @@
   }
 
   /** Notes a plan by when it began and ended. */
-  planned(beganMs: number, endedMs: number): void {
-    const gapMs = Math.max(LEAST_GAP_MS, REST_FACTOR * (endedMs - beganMs));
-    this.#notBeforeMs = endedMs + Math.min(MOST_GAP_MS, gapMs);
+  recordPlan(beganMs: number, endedMs: number): void {
+    const gapMs = Math.max(GAP_MIN_MS, REST_FACTOR * (endedMs - beganMs));
+    this.#notBeforeMs = endedMs + Math.min(GAP_MAX_MS, gapMs);
   }
 }
--- a/packages/cluster-node/src/state-update.ts
+++ b/packages/cluster-node/src/state-update.ts
@@ -4,13 +4,13 @@
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { StateUpdate } from '@rainrun/messages';
-import { decodeDeployment, encodeForFollowers, type Deployment } from '@rainrun/configuration';
+import { decodeDeployment, encodeForSubscribers, type Deployment } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import type { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 
 /** No state is larger once it is inflated. */
-const STATE_MOST_BYTES = 64 * 1024 * 1024;
+const STATE_MAX_BYTES = 64 * 1024 * 1024;
 
 /** The agreed state in both forms. */
 export interface EncodedDeployment {
@@ -24,7 +24,7 @@
  * tell.deflatedState = encodeStateUpdate(state).deflated;
  */
 export function encodeStateUpdate(state: Deployment): EncodedDeployment {
-  const plain = encodeForFollowers(state);
+  const plain = encodeForSubscribers(state);
   return { plain, deflated: deflateRawSync(plain) };
 }
 
@@ -38,6 +38,6 @@
     return tell.state.length === 0 ? undefined : decodeDeployment(tell.state);
   return tryOrElse(
     (thrown) => fault('wire', `the state cannot be inflated: ${String(thrown)}`),
-    () => inflateRawSync(tell.deflatedState, { maxOutputLength: STATE_MOST_BYTES }),
+    () => inflateRawSync(tell.deflatedState, { maxOutputLength: STATE_MAX_BYTES }),
   ).andThen((bytes) => decodeDeployment(bytes));
 }
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -4,7 +4,7 @@
 import { EMPTY_DEPLOYMENT } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { PlanPacer } from './plan-pacer.js';
-import { Subscribers, type Offer, type Subscriber } from './subscribers.js';
+import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
 import { decodeStateUpdate, encodeStateUpdate } from './state-update.js';
 
 const NOTHING = { all: false, models: new Set<string>() };
@@ -29,50 +29,55 @@
     demands: wants,
     ...known,
   });
-  return subscribers.heard(follow, seatOf(edge), nowMs);
+  return subscribers.onSubscribe(follow, seatOf(edge), nowMs);
 }
 
-function offer(change: Partial<Offer> = {}): Offer {
-  return { edition: 3, table: 't', row: 5, leading: true, ...change };
+function offer(change: Partial<AvailableState> = {}): AvailableState {
+  return { edition: 3, tableId: 't', tableRow: 5, isCoordinator: true, ...change };
 }
 
 function names(subscribers: readonly Subscriber[]): string[] {
-  return subscribers.map(({ seat }) => seat.incarnation);
+  return subscribers.map(({ member: seat }) => seat.incarnation);
 }
 
 describe('subscribers', () => {
   it('tells a change of a model at once to those who ask for it, and to the others with later ones', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b', 'c'])
-      subscribers.sentRows(heard(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'), offer(), 0, 1000);
+      subscribers.recordRowsSent(
+        heard(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'),
+        offer(),
+        0,
+        1000,
+      );
     const changes = { all: false, models: new Set(['assist/m']) };
-    expect(names(subscribers.due(offer({ row: 6 }), changes, 1001))).toEqual(['b']);
+    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), changes, 1001))).toEqual(['b']);
     // The others are gathered for 3 ms times the three of them.
-    expect(names(subscribers.due(offer({ row: 6 }), NOTHING, 1008))).toEqual([]);
-    expect(names(subscribers.due(offer({ row: 6 }), NOTHING, 1009))).toEqual(['a', 'b', 'c']);
+    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1008))).toEqual([]);
+    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1009))).toEqual(['a', 'b', 'c']);
   });
 
   it('tells everyone at once that a worker came or leaves', () => {
     const subscribers = new Subscribers();
-    for (const edge of ['a', 'b']) subscribers.sentRows(heard(subscribers, edge, 1000), offer(), 0, 1000);
-    expect(names(subscribers.due(offer({ row: 6 }), { all: true, models: new Set() }, 1001))).toEqual([
-      'a',
-      'b',
-    ]);
+    for (const edge of ['a', 'b'])
+      subscribers.recordRowsSent(heard(subscribers, edge, 1000), offer(), 0, 1000);
+    expect(
+      names(subscribers.dueSubscribers(offer({ tableRow: 6 }), { all: true, models: new Set() }, 1001)),
+    ).toEqual(['a', 'b']);
   });
 
   it('does not lose an urgent change that came while others were gathered', () => {
     const subscribers = new Subscribers();
     for (let edge = 0; edge < 40; edge += 1)
-      subscribers.sentRows(
+      subscribers.recordRowsSent(
         heard(subscribers, `e${edge}`, 1000, {}, edge === 7 ? 'm' : 'n'),
         offer(),
         0,
         1000,
       );
     const changes = { all: false, models: new Set(['assist/m']) };
-    expect(names(subscribers.due(offer({ row: 6 }), changes, 1001))).toEqual([]);
-    expect(names(subscribers.due(offer({ row: 6 }), NOTHING, 1006))).toEqual(['e7']);
+    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), changes, 1001))).toEqual([]);
+    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1006))).toEqual(['e7']);
   });
 
   it('tells a new state in a storm of changes five times a second, and always the newest in the end', () => {
@@ -82,12 +87,12 @@
     let nowMs = 1000;
     for (let edition = 4; edition < 34; edition += 1) {
       nowMs += 50;
-      for (const one of subscribers.due(offer({ edition }), NOTHING, nowMs)) {
+      for (const one of subscribers.dueSubscribers(offer({ edition }), NOTHING, nowMs)) {
         told += 1;
-        subscribers.sentState(one, offer({ edition }), nowMs);
+        subscribers.recordStateSent(one, offer({ edition }), nowMs);
       }
     }
-    const [last] = subscribers.due(offer({ edition: 33 }), NOTHING, nowMs + 200);
+    const [last] = subscribers.dueSubscribers(offer({ edition: 33 }), NOTHING, nowMs + 200);
     const newest = last === undefined ? 33 : last.edition;
     expect([told, newest >= 30]).toEqual([8, true]);
   });
@@ -95,11 +100,11 @@
   it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
     const subscribers = new Subscribers();
     const one = heard(subscribers, 'a', 1000, { tableRow: 0 });
-    subscribers.sentRows(one, offer(), 5, 1000);
+    subscribers.recordRowsSent(one, offer(), 5, 1000);
     expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1010, { tableRow: 0 }), offer(), 1010)).toEqual(
       true,
     );
-    one.toldMs = 1005;
+    one.lastUpdateMs = 1005;
     expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1011, { tableRow: 0 }), offer(), 1011)).toEqual(
       false,
     );
@@ -111,9 +116,15 @@
   it('tells nobody unasked from a core that does not coordinate', () => {
     const subscribers = new Subscribers();
     heard(subscribers, 'a', 1000);
-    expect(subscribers.due(offer({ edition: 9, leading: false }), NOTHING, 2000)).toEqual([]);
+    expect(subscribers.dueSubscribers(offer({ edition: 9, isCoordinator: false }), NOTHING, 2000)).toEqual(
+      [],
+    );
     expect(
-      subscribers.isAnswerDue(heard(subscribers, 'a', 2000), offer({ edition: 9, leading: false }), 2000),
+      subscribers.isAnswerDue(
+        heard(subscribers, 'a', 2000),
+        offer({ edition: 9, isCoordinator: false }),
+        2000,
+      ),
     ).toEqual(true);
   });
 
@@ -138,7 +149,7 @@
       const read = decodeStateUpdate(tell);
       expect(read?.isOk === true ? read.value : undefined).toEqual({
         ...state,
-        taken: EMPTY_DEPLOYMENT.taken,
+        accepted: EMPTY_DEPLOYMENT.accepted,
       });
     }
   });
@@ -158,7 +169,7 @@
     let planningMs = 0;
     while (nowMs < 10_000) {
       if (pacer.isDue(nowMs)) {
-        pacer.planned(nowMs, nowMs + 30);
+        pacer.recordPlan(nowMs, nowMs + 30);
         planningMs += 30;
         nowMs += 30;
       } else nowMs += 1;
@@ -169,7 +180,7 @@
 
   it('lets cheap plans follow each other at once', () => {
     const pacer = new PlanPacer();
-    pacer.planned(1000, 1000);
+    pacer.recordPlan(1000, 1000);
     expect([pacer.isDue(1003), pacer.isDue(1004)]).toEqual([false, true]);
   });
 });
--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -25,38 +25,38 @@
   readonly inFlight: ReadonlyMap<string, number>;
 }
 
-const LOAD_MS = 5000;
+const LOAD_EXPIRY_MS = 5000;
 
 /**
  * What the platform lists, what workers replied and what other edges carry,
  * put together for the data plane and for placement.
  * @example
- * roster.takeList(list);
- * roster.workers(stage, 'incarnation-1', nowMs); // every listed worker
+ * directory.setList(list);
+ * directory.workers(state, 'incarnation-1', nowMs); // every listed worker
  */
 export class WorkerDirectory {
   #list: WorkerList | undefined;
   #states = new Map<string, WorkerState>();
   #sinceMs = new Map<string, Map<string, number>>();
-  #loadOf = new Map<string, number>();
+  #loadNumbers = new Map<string, number>();
   #loads = new Map<string, Load>();
 
   get generation(): number {
     return this.#list?.generation ?? 0;
   }
 
-  takeList(list: WorkerList): void {
+  setList(list: WorkerList): void {
     this.#list = list;
   }
 
-  takeState(state: WorkerState, nowMs: number): void {
+  recordState(state: WorkerState, nowMs: number): void {
     const before = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
     const reset = !(this.#states.get(state.worker)?.reachable ?? false);
     const since = new Map<string, number>();
     for (const { model, adapters, loadNumber: load } of state.holdings) {
       const copy = `${state.worker}/${model}`;
-      const anew = reset || load > (this.#loadOf.get(copy) ?? 0);
-      this.#loadOf.set(copy, Math.max(load, this.#loadOf.get(copy) ?? 0));
+      const anew = reset || load > (this.#loadNumbers.get(copy) ?? 0);
+      this.#loadNumbers.set(copy, Math.max(load, this.#loadNumbers.get(copy) ?? 0));
       for (const key of [model, ...adapters.map((adapter) => `${model}/${adapter}`)]) {
         since.set(key, anew ? nowMs : (before.get(key) ?? nowMs));
       }
@@ -65,22 +65,22 @@
     this.#sinceMs.set(state.worker, since);
   }
 
-  takeObservation(sender: string, observation: Observation, nowMs: number): void {
+  recordObservation(sender: string, observation: Observation, nowMs: number): void {
     const inFlight = new Map(observation.loads.map((load) => [load.worker, load.inFlight]));
     this.#loads.set(sender, { atMs: nowMs, inFlight });
   }
 
   /** Drops what was observed by nodes that are no longer in the view. */
-  keepOnly(incarnations: ReadonlySet<string>): void {
+  retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#loads.keys())
       if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
   }
 
-  workers(stage: SpecState, self: string, nowMs: number): DirectoryWorker[] {
-    const spec = stage.spec?.spec;
+  workers(state: SpecState, self: string, nowMs: number): DirectoryWorker[] {
+    const spec = state.spec?.spec;
     return (this.#list?.workers ?? []).map((entry) => {
-      const state = this.#states.get(entry.name);
-      const { roomMb, slots } = roomOf(spec, entry.name);
+      const reported = this.#states.get(entry.name);
+      const { roomMb, slots } = capacityOf(spec, entry.name);
       return {
         name: entry.name,
         address: entry.address,
@@ -88,11 +88,11 @@
         kind: entry.kind,
         pool: entry.pool,
         draining: entry.draining,
-        evacuated: stage.emptied.includes(entry.zone),
-        reachable: entry.kind === 'lookup' || (state?.reachable ?? false),
+        evacuated: state.evacuatedZones.includes(entry.zone),
+        reachable: entry.kind === 'lookup' || (reported?.reachable ?? false),
         roomMb,
         slots,
-        holdings: heldAndWanted(state?.holdings ?? [], stage.placement[entry.name] ?? []),
+        holdings: loadedAndPlaced(reported?.holdings ?? [], state.placement[entry.name] ?? []),
         sinceMs: this.#sinceMs.get(entry.name) ?? new Map<string, number>(),
         othersInFlight: this.#othersInFlight(entry.name, self, nowMs),
       };
@@ -102,23 +102,26 @@
   #othersInFlight(worker: string, self: string, nowMs: number): number {
     let sum = 0;
     for (const [incarnation, load] of this.#loads) {
-      if (incarnation !== self && nowMs - load.atMs < LOAD_MS) sum += load.inFlight.get(worker) ?? 0;
+      if (incarnation !== self && nowMs - load.atMs < LOAD_EXPIRY_MS) sum += load.inFlight.get(worker) ?? 0;
     }
     return sum;
   }
 }
 
-/** What a worker holds and should go on holding: nothing more is sent to what is to be unloaded. */
-function heldAndWanted(held: readonly HoldingTarget[], wanted: readonly HoldingTarget[]): HoldingTarget[] {
-  return held.flatMap(({ model, adapters }) => {
-    const target = wanted.find((holding) => holding.model === model);
+/** What a worker has loaded and is placed there: no request goes to what is to be unloaded. */
+function loadedAndPlaced(
+  loaded: readonly HoldingTarget[],
+  placed: readonly HoldingTarget[],
+): HoldingTarget[] {
+  return loaded.flatMap(({ model, adapters }) => {
+    const target = placed.find((holding) => holding.model === model);
     return target === undefined
       ? []
       : [{ model, adapters: adapters.filter((adapter) => target.adapters.includes(adapter)) }];
   });
 }
 
-function roomOf(spec: Spec | undefined, name: string): { roomMb: number; slots: number } {
+function capacityOf(spec: Spec | undefined, name: string): { roomMb: number; slots: number } {
   if (spec === undefined) return { roomMb: 0, slots: 1 };
   return spec.workers.named.find((worker) => worker.name === name) ?? spec.workers;
 }
--- a/packages/cluster-node/src/worker-health.test.ts
+++ b/packages/cluster-node/src/worker-health.test.ts
@@ -40,9 +40,9 @@
           let failed = 0;
           for (let request = 0; request < requests; request += 1)
             if (failing(row.id, zone, (nth += 1))) failed += 1;
-          this.health.note(zone, [{ worker: row.id, answered: requests - failed, failed }], this.nowMs);
+          this.health.record(zone, [{ worker: row.id, answered: requests - failed, failed }], this.nowMs);
         }
-      this.health.judge(this.table, this.nowMs);
+      this.health.evaluate(this.table, this.nowMs);
     }
   }
 
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -30,24 +30,24 @@
 
 /** Outcomes count half after so long. */
 const HALF_LIFE_MS = 2000;
-const JUDGE_MS = 250;
+const EVALUATION_INTERVAL_MS = 250;
 /** Fewer failures than this say nothing; of a worker that is tried again, fewer than the second number. */
-const LEAST_FAILURES = 4;
-const LEAST_FAILURES_AGAIN = 2;
+const FAILURES_MIN = 4;
+const FAILURES_MIN_ON_RETURN = 2;
 /** A worker is ejected when its failures are so many standard deviations above what its peers' would make of them. */
 const DEVIATIONS = 4;
 /** Peers are taken to have had so many requests more, one of them failed: few say nothing for certain. */
 const PRIOR_REQUESTS = 20;
 /** At most this part of the workers of a service is ejected for the edges of one zone. */
-const MOST_PART = 0.34;
+const EJECTED_FRACTION_MAX = 0.34;
 /** How long a worker stays ejected, by how often it was ejected in a row before. */
 const EJECTION_BACKOFF: BackoffPolicy = { firstMs: 2000, maxMs: 16_000 };
 /** Percentages of the edges that try a worker again, one step after the other; then all do. */
 const RETURN_STEPS = [10, 40] as const;
 const RETURN_STEP_MS = 700;
 /** A worker that has been back for so long starts anew. */
-const FORGIVEN_MS = 10_000;
-const EVERYONE = 100;
+const EJECTION_RESET_MS = 10_000;
+const ALL_EDGES_PERCENT = 100;
 
 /**
  * Judges workers by the outcomes that edges report.
@@ -59,10 +59,10 @@
   /** By worker, and by zone of the callers. */
   #tallies = new Map<string, Map<string, Tally>>();
   #ejections = new Map<string, Map<string, Ejection>>();
-  #judgedMs = -Infinity;
+  #evaluatedMs = -Infinity;
 
   /** Takes what one edge saw since it reported last. */
-  note(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
+  record(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
     for (const { worker, answered, failed } of outcomes) {
       const tally = faded(entry(this.#tallies, worker).get(zone), nowMs);
       tally.answered += answered;
@@ -72,28 +72,28 @@
   }
 
   /** Ejects workers that fail more than their peers, and lets ejected ones come back. */
-  judge(table: WorkerTable, nowMs: number): void {
-    if (nowMs - this.#judgedMs < JUDGE_MS) return;
-    this.#judgedMs = nowMs;
+  evaluate(table: WorkerTable, nowMs: number): void {
+    if (nowMs - this.#evaluatedMs < EVALUATION_INTERVAL_MS) return;
+    this.#evaluatedMs = nowMs;
     this.#forget(table);
     const services = new Map<string, WorkerRecord[]>();
     for (const row of table.rows)
       if (!row.gone) services.set(row.service, [...(services.get(row.service) ?? []), row]);
-    for (const rows of services.values()) this.#judgeService(rows, nowMs);
+    for (const rows of services.values()) this.#evaluateService(rows, nowMs);
     for (const row of table.rows) this.#applyLimits(table, row, nowMs);
   }
 
-  #judgeService(rows: readonly WorkerRecord[], nowMs: number): void {
+  #evaluateService(rows: readonly WorkerRecord[], nowMs: number): void {
     const zones = new Set(rows.flatMap((row) => [...(this.#tallies.get(row.id)?.keys() ?? [])]));
     for (const zone of zones) {
       const tallies = rows.map((row) => ({ row, tally: faded(this.#tallies.get(row.id)?.get(zone), nowMs) }));
       const requests = tallies.reduce((sum, { tally }) => sum + tally.answered + tally.failed, 0);
       const failed = tallies.reduce((sum, { tally }) => sum + tally.failed, 0);
-      let room = Math.floor(MOST_PART * rows.length) - this.#limitedCount(rows, zone, nowMs);
+      let room = Math.floor(EJECTED_FRACTION_MAX * rows.length) - this.#limitedCount(rows, zone, nowMs);
       const worstFirst = tallies.sort((one, other) => other.tally.failed - one.tally.failed);
       for (const { row, tally } of worstFirst) {
         if (!this.#isOutlier(row, zone, tally, requests, failed, nowMs)) continue;
-        const isNew = this.#percentOf(row.id, zone, nowMs) === EVERYONE;
+        const isNew = this.#percentOf(row.id, zone, nowMs) === ALL_EDGES_PERCENT;
         if (isNew && room <= 0) continue;
         if (isNew) room -= 1;
         this.#eject(row, zone, nowMs);
@@ -112,7 +112,7 @@
   ): boolean {
     const percent = this.#percentOf(row.id, zone, nowMs);
     if (percent === 0) return false;
-    if (failed < (percent < EVERYONE ? LEAST_FAILURES_AGAIN : LEAST_FAILURES) - 0.5) return false;
+    if (failed < (percent < ALL_EDGES_PERCENT ? FAILURES_MIN_ON_RETURN : FAILURES_MIN) - 0.5) return false;
     const requests = answered + failed;
     const peersPart = (failedOfAll - failed + 1) / (requestsOfAll - requests + PRIOR_REQUESTS);
     const expected = requests * peersPart;
@@ -121,7 +121,7 @@
 
   #eject(row: WorkerRecord, zone: string, nowMs: number): void {
     const known = this.#ejections.get(row.id)?.get(zone);
-    const isForgiven = known === undefined || nowMs - known.untilMs > FORGIVEN_MS;
+    const isForgiven = known === undefined || nowMs - known.untilMs > EJECTION_RESET_MS;
     const times = isForgiven ? 0 : known.times + 1;
     const untilMs = nowMs + backoffMs(EJECTION_BACKOFF, times);
     entry(this.#ejections, row.id).set(zone, { untilMs, times });
@@ -129,22 +129,22 @@
   }
 
   #limitedCount(rows: readonly WorkerRecord[], zone: string, nowMs: number): number {
-    return rows.filter((row) => this.#percentOf(row.id, zone, nowMs) < EVERYONE).length;
+    return rows.filter((row) => this.#percentOf(row.id, zone, nowMs) < ALL_EDGES_PERCENT).length;
   }
 
   /** How many in a hundred edges of a zone may send to a worker now. */
   #percentOf(worker: string, zone: string, nowMs: number): number {
     const ejection = this.#ejections.get(worker)?.get(zone);
-    if (ejection === undefined) return EVERYONE;
+    if (ejection === undefined) return ALL_EDGES_PERCENT;
     if (nowMs < ejection.untilMs) return 0;
-    return RETURN_STEPS[Math.floor((nowMs - ejection.untilMs) / RETURN_STEP_MS)] ?? EVERYONE;
+    return RETURN_STEPS[Math.floor((nowMs - ejection.untilMs) / RETURN_STEP_MS)] ?? ALL_EDGES_PERCENT;
   }
 
   #applyLimits(table: WorkerTable, row: WorkerRecord, nowMs: number): void {
     const limits = new Map<string, number>();
     for (const zone of this.#ejections.get(row.id)?.keys() ?? []) {
       const percent = this.#percentOf(row.id, zone, nowMs);
-      if (percent < EVERYONE) limits.set(zone, percent);
+      if (percent < ALL_EDGES_PERCENT) limits.set(zone, percent);
     }
     const isSame =
       limits.size === row.limits.size &&
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -67,7 +67,7 @@
   readonly kind: FaultKind;
   readonly detail: string;
   /** When to come back, where more is known than the table says. */
-  readonly returnS?: number;
+  readonly retryAfterS?: number;
 }
 
 /**
--- a/packages/common/src/name-index.ts
+++ b/packages/common/src/name-index.ts
@@ -1,10 +1,10 @@
 /**
- * Maps names to dense indices at the door; inside, only indices travel.
+ * Interns names as dense indices, in the order of their first use.
  * @example
- * const register = new Register();
- * register.index('north'); // 0
- * register.index('north'); // 0
- * register.name(0); // 'north'
+ * const names = new NameIndex();
+ * names.index('north'); // 0
+ * names.index('north'); // 0
+ * names.name(0); // 'north'
  */
 export class NameIndex {
   #names: string[] = [];
--- a/packages/common/src/slab.ts
+++ b/packages/common/src/slab.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps continuations under small integer keys and uses freed places again.
- * A key carries the generation of its place, so a late key finds nothing.
+ * Keeps values under small integer keys and uses freed slots again.
+ * A key carries the generation of its slot, so a late key finds nothing.
  * @example
  * const slab = new Slab<string>();
  * const key = slab.put('a');
@@ -8,7 +8,7 @@
  * slab.take(key); // undefined
  */
 export class Slab<T> {
-  #places: (T | undefined)[] = [];
+  #slots: (T | undefined)[] = [];
   #generations: number[] = [];
   #free: number[] = [];
   #count = 0;
@@ -18,26 +18,26 @@
   }
 
   put(value: T): number {
-    const place = this.#free.pop() ?? this.#places.length;
-    this.#places[place] = value;
-    this.#generations[place] ??= 0;
+    const slot = this.#free.pop() ?? this.#slots.length;
+    this.#slots[slot] = value;
+    this.#generations[slot] ??= 0;
     this.#count += 1;
-    return place + (this.#generations[place] ?? 0) * 0x100000;
+    return slot + (this.#generations[slot] ?? 0) * 0x100000;
   }
 
   get(key: number): T | undefined {
-    const place = key % 0x100000;
-    if (Math.floor(key / 0x100000) !== this.#generations[place]) return undefined;
-    return this.#places[place];
+    const slot = key % 0x100000;
+    if (Math.floor(key / 0x100000) !== this.#generations[slot]) return undefined;
+    return this.#slots[slot];
   }
 
   take(key: number): T | undefined {
     const value = this.get(key);
     if (value === undefined) return undefined;
-    const place = key % 0x100000;
-    this.#places[place] = undefined;
-    this.#generations[place] = (this.#generations[place] ?? 0) + 1;
-    this.#free.push(place);
+    const slot = key % 0x100000;
+    this.#slots[slot] = undefined;
+    this.#generations[slot] = (this.#generations[slot] ?? 0) + 1;
+    this.#free.push(slot);
     this.#count -= 1;
     return value;
   }
--- a/packages/compatibility/src/cluster-node-script.ts
+++ b/packages/compatibility/src/cluster-node-script.ts
@@ -109,12 +109,12 @@
 export function stateOfSite(group: SiteGroup): unknown {
   for (const { node } of group.cores) node.learnList(workerList());
   group.run(FOUNDING_MS);
-  const { state: stage, group: agreed } = group.leader;
-  const { spec, history, emptied, placedBy, placement, touched, since } = stage;
+  const { state, group: agreed } = group.leader;
+  const { spec, history, evacuatedZones, placedBy, placement, changedInVersion, changesKnownSince } = state;
   return {
     spec: [spec?.version, spec?.operation, spec?.text],
     history: history.map(({ version, operation, bytes }) => [version, operation, bytes]),
-    stage: [emptied, placedBy, touched, since],
+    stage: [evacuatedZones, placedBy, changedInVersion, changesKnownSince],
     placement: Object.entries(placement).map(([worker, holdings]) => [
       worker,
       holdings.map(({ model, adapters }) => [model, adapters]),
@@ -134,6 +134,6 @@
       brief,
     ]),
     later: LATER_OPERATIONS.map(([id, kind, payload]) => submit(group, id, kind, payload)),
-    emptied: group.leader.state.emptied,
+    emptied: group.leader.state.evacuatedZones,
   };
 }
--- a/packages/compatibility/src/core-replica-script.ts
+++ b/packages/compatibility/src/core-replica-script.ts
@@ -105,8 +105,8 @@
     status: coreStatus(group.leader),
     deployment: [state.edition, state.revision, state.evacuated, state.zones, state.document],
     taken: [
-      state.taken.forgottenRevision,
-      state.taken.changes.map(({ revision, digest }) => [revision, digest]),
+      state.accepted.forgottenRevision,
+      state.accepted.changes.map(({ revision, digest }) => [revision, digest]),
     ],
     answers: (agreed.state?.answers ?? []).map(({ id, kind, detail, number, clockMs, transient: brief }) => [
       id,
--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -203,7 +203,7 @@
     return {
       case: name,
       counters: bench.router.counts,
-      refusals: bench.refusals.map(({ kind, detail, returnS }) => [kind, detail, returnS]),
+      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
       sent: bench.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
     };
   });
@@ -381,7 +381,7 @@
     return {
       case: name,
       counters: bench.gateway.counts,
-      refusals: bench.refusals.map(({ kind, detail, returnS }) => [kind, detail, returnS]),
+      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
       sent: bench.sent.map(({ request }) => request),
     };
   });
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -101,7 +101,7 @@
       visited(requestOf('GET', {}, {}), (_ask, port) => port.reject(fault(kind, 'why'))),
     ),
     refusedForAWhile: visited(requestOf('GET', {}, {}), (_ask, port) =>
-      port.reject({ ...fault('over-share', 'why'), returnS: 7 }),
+      port.reject({ ...fault('over-share', 'why'), retryAfterS: 7 }),
     ),
     malformed: [
       requestOf('GET', { 'rainrun-deadline-ms': 'soon' }, {}),
--- a/packages/configuration/src/accepted-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -1,24 +1,23 @@
 /**
- * Memory of the configuration changes that were taken, by which an order that
- * is sent again is recognized.
+ * The configuration changes accepted lately, by which a change that is sent again is recognized (idempotency).
  */
 import { createHash } from 'node:crypto';
 
-/** A change that was taken: its revision and what it said. */
+/** An accepted change: its revision and a digest of what it said. */
 export interface AcceptedChange {
   readonly revision: number;
   readonly digest: string;
 }
 
-/** The newest changes that were taken, and up to which revision earlier ones are forgotten. */
+/** The newest changes that were accepted, and up to which revision earlier ones are forgotten. */
 export interface AcceptedChanges {
   /** Changes of this revision and below are no longer remembered; 0 while all are. */
   readonly forgottenRevision: number;
-  /** In the order of their revisions, which is the order in which they were taken. */
+  /** In the order of their revisions, which is the order in which they were accepted. */
   readonly changes: readonly AcceptedChange[];
 }
 
-/** The memory before anything was taken. */
+/** Before anything was accepted. */
 export const NO_ACCEPTED_CHANGES: AcceptedChanges = { forgottenRevision: 0, changes: [] };
 
 /**
@@ -47,33 +46,33 @@
  * @example
  * withAcceptedChange(NO_ACCEPTED_CHANGES, { revision: 7, digest }).changes.length; // 1
  */
-export function withAcceptedChange(taken: AcceptedChanges, change: AcceptedChange): AcceptedChanges {
-  const changes = [...taken.changes, change];
-  if (changes.length <= ACCEPTED_CHANGES_MAX) return { ...taken, changes };
+export function withAcceptedChange(accepted: AcceptedChanges, change: AcceptedChange): AcceptedChanges {
+  const changes = [...accepted.changes, change];
+  if (changes.length <= ACCEPTED_CHANGES_MAX) return { ...accepted, changes };
   const forgotten = changes.shift();
-  return { forgottenRevision: forgotten?.revision ?? taken.forgottenRevision, changes };
+  return { forgottenRevision: forgotten?.revision ?? accepted.forgottenRevision, changes };
 }
 
 /**
- * The change that was taken under a revision, as far as it is remembered.
+ * The change that was accepted under a revision, as far as it is remembered.
  * @example
  * acceptedUnder(NO_ACCEPTED_CHANGES, 7); // undefined
  */
-export function acceptedUnder(taken: AcceptedChanges, revision: number): AcceptedChange | undefined {
-  const known = taken.changes.findLast((change) => change.revision <= revision);
+export function acceptedUnder(accepted: AcceptedChanges, revision: number): AcceptedChange | undefined {
+  const known = accepted.changes.findLast((change) => change.revision <= revision);
   return known?.revision === revision ? known : undefined;
 }
 
 /**
- * Whether a change may have been taken and forgotten since. One that builds on
- * its own revision or a later one cannot have been taken.
+ * Whether a change may have been accepted and forgotten since. One that builds on
+ * its own revision or a later one cannot have been accepted.
  * @example
  * mayBeEvictedChange(NO_ACCEPTED_CHANGES, 7, 5); // false
  */
 export function mayBeEvictedChange(
-  taken: AcceptedChanges,
+  accepted: AcceptedChanges,
   revision: number,
   base: number | undefined,
 ): boolean {
-  return revision <= taken.forgottenRevision && (base === undefined || base < revision);
+  return revision <= accepted.forgottenRevision && (base === undefined || base < revision);
 }
--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { mergePatch, readSpec, ROUTES_MOST, SPEC_MAX_BYTES, specFaultText } from './spec.js';
+import { mergePatch, readSpec, ROUTES_MAX, SPEC_MAX_BYTES, specFaultText } from './spec.js';
 import {
   applyToSpecState,
   decodeSpecState,
@@ -58,8 +58,8 @@
         routes: Array.from({ length: count }, (_, place) => ({ path: `/r/${place}`, serve: 'chat' })),
       });
     }
-    const over = readSpec(withRoutes(ROUTES_MOST + 1));
-    expect([readSpec(withRoutes(ROUTES_MOST)).isOk, over.isErr && specFaultText(over.error)]).toEqual([
+    const over = readSpec(withRoutes(ROUTES_MAX + 1));
+    expect([readSpec(withRoutes(ROUTES_MAX)).isOk, over.isErr && specFaultText(over.error)]).toEqual([
       true,
       'routes: more than 10000 routes',
     ]);
@@ -71,7 +71,7 @@
   });
 });
 
-describe('stage', () => {
+describe('spec state', () => {
   it('lets one of two racing operators win, and tells the other what is in force', () => {
     const first = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
     const second = put(first.state, 0, JSON.stringify({ ...good(), deployment: 'e' }));
@@ -185,11 +185,13 @@
   it('empties and restores zones it knows, and forgets an emptied zone that the spec drops', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
     const emptied = applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
-    expect(emptied.state.emptied).toEqual(['north']);
+    expect(emptied.state.evacuatedZones).toEqual(['north']);
     expect(
       applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind,
     ).toEqual('not-found');
-    expect(put(emptied.state, 1, JSON.stringify({ ...good(), zones: ['south'] })).state.emptied).toEqual([]);
+    expect(
+      put(emptied.state, 1, JSON.stringify({ ...good(), zones: ['south'] })).state.evacuatedZones,
+    ).toEqual([]);
   });
 
   it('refuses a placement from an epoch that is over', () => {
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -4,10 +4,10 @@
 import * as v from 'valibot';
 
 const Count = v.pipe(v.number(), v.minValue(0));
-const Word = v.pipe(v.string(), v.minLength(1));
+const NonEmptyText = v.pipe(v.string(), v.minLength(1));
 
 const ModelSchema = v.looseObject({
-  name: Word,
+  name: NonEmptyText,
   sizeMb: Count,
   loadS: v.optional(Count, 1),
   adapters: v.optional(Count, 0),
@@ -24,7 +24,7 @@
 });
 
 const ServiceSchema = v.looseObject({
-  name: Word,
+  name: NonEmptyText,
   healthPath: v.optional(v.string(), '/health'),
   connections: v.optional(Count, 0),
   warmupS: v.optional(Count, 0),
@@ -33,11 +33,11 @@
 });
 
 const RouteSchema = v.looseObject({
-  name: Word,
-  host: Word,
+  name: NonEmptyText,
+  host: NonEmptyText,
   prefix: v.pipe(v.string(), v.startsWith('/')),
   service: v.optional(v.nullable(v.string())),
-  split: v.optional(v.nullable(v.array(v.looseObject({ service: Word, weight: Count })))),
+  split: v.optional(v.nullable(v.array(v.looseObject({ service: NonEmptyText, weight: Count })))),
   kind: v.optional(v.picklist(['idempotent', 'non_idempotent', 'streaming']), 'non_idempotent'),
   timeoutMs: v.pipe(v.number(), v.gtValue(0, 'a time-out above 0')),
   targetMs: v.optional(Count, 1000),
@@ -87,7 +87,7 @@
 export const DEFAULT_LIMITS: Limits = v.parse(LimitsSchema, {});
 
 /** Faults that no entry has by itself: names and places that stand twice, services that are not there. */
-function placeFaults(configuration: Configuration): string[] {
+function crossFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
   const places = new Set<string>();
   const names = new Set<string>();
@@ -123,7 +123,7 @@
   return faults;
 }
 
-const FAULTS_TOLD = 8;
+const REPORTED_FAULTS_MAX = 8;
 
 function issueText(issue: v.BaseIssue<unknown>, place: string): string {
   const path = [place, v.getDotPath(issue) ?? ''].filter((part) => part !== '').join('.');
@@ -182,10 +182,10 @@
     routes: ROUTE_CHECK.items(outline.output.routes, 'routes', faults),
     services: SERVICE_CHECK.items(outline.output.services, 'services', faults),
   };
-  if (faults.length === 0) faults.push(...placeFaults(configuration));
+  if (faults.length === 0) faults.push(...crossFaults(configuration));
   return faults.length > 0 ? refusal(faults) : Result.ok(configuration);
 }
 
 function refusal(faults: readonly string[]): Result<Configuration, Fault> {
-  return Result.err(fault('bad-spec', faults.slice(0, FAULTS_TOLD).join('\n')));
+  return Result.err(fault('bad-spec', faults.slice(0, REPORTED_FAULTS_MAX).join('\n')));
 }
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -1,4 +1,4 @@
-/** A deployment's state as bytes, for disks, joiners and followers. */
+/** A deployment's state as bytes, for disks, joiners and subscribed edges. */
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
@@ -8,7 +8,7 @@
 import { DIGEST_CHARS, NO_ACCEPTED_CHANGES, type AcceptedChanges } from './accepted-changes.js';
 
 /** Revisions beside each other and digests in one text, since there may be thousands. */
-const TakenSchema = v.pipe(
+const StoredAcceptedSchema = v.pipe(
   v.object({
     forgottenRevision: v.number(),
     revisions: v.array(v.number()),
@@ -28,10 +28,10 @@
 );
 
 /** As earlier builds wrote it: their digests say nothing of the base, so all counts as forgotten. */
-const EarlierTakenSchema = v.pipe(
+const EarlierStoredAcceptedSchema = v.pipe(
   v.array(v.object({ revision: v.number() })),
-  v.transform((taken): AcceptedChanges => {
-    const forgottenRevision = Math.max(0, ...taken.map(({ revision }) => revision));
+  v.transform((changes): AcceptedChanges => {
+    const forgottenRevision = Math.max(0, ...changes.map(({ revision }) => revision));
     return { forgottenRevision, changes: [] };
   }),
 );
@@ -42,15 +42,15 @@
   revision: v.number(),
   evacuated: v.array(v.string()),
   zones: v.optional(v.record(v.string(), v.number()), {}),
-  taken: v.union([TakenSchema, EarlierTakenSchema]),
+  taken: v.union([StoredAcceptedSchema, EarlierStoredAcceptedSchema]),
 });
 
-function write(state: Deployment, taken: AcceptedChanges): Uint8Array {
+function write(state: Deployment, accepted: AcceptedChanges): Uint8Array {
   const { edition, document, revision, evacuated, zones } = state;
   const written = {
-    forgottenRevision: taken.forgottenRevision,
-    revisions: taken.changes.map((change) => change.revision),
-    digests: taken.changes.map((change) => change.digest).join(''),
+    forgottenRevision: accepted.forgottenRevision,
+    revisions: accepted.changes.map((change) => change.revision),
+    digests: accepted.changes.map((change) => change.digest).join(''),
   };
   const rest = JSON.stringify({ edition, revision, evacuated, zones, taken: written });
   const text = document === undefined ? rest : `{"document":${documentText(document)},${rest.slice(1)}`;
@@ -63,16 +63,16 @@
  * decodeDeployment(encodeDeployment(EMPTY_DEPLOYMENT)).isOk; // true
  */
 export function encodeDeployment(state: Deployment): Uint8Array {
-  return write(state, state.taken);
+  return write(state, state.accepted);
 }
 
 /**
- * The state as bytes for nodes that only follow it: without the memory of
- * changes, which only those need that decide on orders.
+ * The state as bytes for edges, which only subscribe to it: without the accepted
+ * changes, which only cores need.
  * @example
- * decodeDeployment(encodeForFollowers(EMPTY_DEPLOYMENT)).isOk; // true
+ * decodeDeployment(encodeForSubscribers(EMPTY_DEPLOYMENT)).isOk; // true
  */
-export function encodeForFollowers(state: Deployment): Uint8Array {
+export function encodeForSubscribers(state: Deployment): Uint8Array {
   return write(state, NO_ACCEPTED_CHANGES);
 }
 
@@ -91,7 +91,7 @@
       return Result.err<Deployment, Fault>(
         fault('damaged', `the deployment's state: ${parsed.issues[0].message}`),
       );
-    const { document, ...rest } = parsed.output;
-    return Result.ok<Deployment, Fault>({ ...rest, document });
+    const { edition, document, revision, evacuated, zones, taken } = parsed.output;
+    return Result.ok<Deployment, Fault>({ edition, document, revision, evacuated, zones, accepted: taken });
   });
 }
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -28,9 +28,9 @@
   readonly document: ConfigurationDocument | undefined;
   readonly revision: number;
   readonly evacuated: readonly string[];
-  /** In which edition each zone was last evacuated or taken back. */
+  /** In which edition each zone was last evacuated or returned. */
   readonly zones: Readonly<Record<string, number>>;
-  readonly taken: AcceptedChanges;
+  readonly accepted: AcceptedChanges;
 }
 
 /** The state before anything was agreed. */
@@ -40,17 +40,17 @@
   revision: 0,
   evacuated: [],
   zones: {},
-  taken: NO_ACCEPTED_CHANGES,
+  accepted: NO_ACCEPTED_CHANGES,
 };
 
 /**
  * No document is larger, as JSON text. One message between nodes holds the
  * operation and the state that it leads to, and carries 8 MiB.
  */
-export const DOCUMENT_MOST_BYTES = 3 * 1024 * 1024;
+export const DOCUMENT_MAX_BYTES = 3 * 1024 * 1024;
 
-/** So many zones may be known as evacuated or taken back: names come from callers. */
-const ZONES_MOST = 1024;
+/** So many zones may be known as evacuated or returned: names come from callers. */
+const ZONES_MAX = 1024;
 
 /** An operation of an operator on the deployment. */
 export type DeploymentOperation =
@@ -102,8 +102,8 @@
 
 function checkedSize(document: ConfigurationDocument): Result<ConfigurationDocument, Fault> {
   const bytes = Buffer.byteLength(documentText(document));
-  return bytes > DOCUMENT_MOST_BYTES
-    ? Result.err(fault('too-large', `${bytes} bytes of configuration, at most ${DOCUMENT_MOST_BYTES}`))
+  return bytes > DOCUMENT_MAX_BYTES
+    ? Result.err(fault('too-large', `${bytes} bytes of configuration, at most ${DOCUMENT_MAX_BYTES}`))
     : Result.ok(document);
 }
 
@@ -207,16 +207,16 @@
 }
 
 /**
- * Takes a change at most once. One that was taken is agreed to again, whatever
- * came after it; one that may have been taken, but is no longer remembered, is
- * neither agreed to nor refused.
+ * Accepts a change at most once (idempotent). One that was accepted before is acknowledged again, whatever
+ * came after it; one that may have been accepted, but is no longer remembered, is
+ * neither acknowledged nor rejected.
  */
-function takeChange(state: Deployment, change: Change): Applied {
+function acceptChange(state: Deployment, change: Change): Applied {
   const { base, revision } = change;
-  const known = acceptedUnder(state.taken, revision);
+  const known = acceptedUnder(state.accepted, revision);
   if (known !== undefined && known.digest === change.digest())
     return agreed(state, `revision ${revision} was taken before`);
-  if (mayBeEvictedChange(state.taken, revision, base)) {
+  if (mayBeEvictedChange(state.accepted, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
     return refused(state, fault('operation-unknown', detail));
   }
@@ -228,22 +228,22 @@
     const detail = `revision: found ${revision}, expected one above ${state.revision}`;
     return refused(state, fault('bad-spec', detail));
   }
-  const taken = withAcceptedChange(state.taken, { revision, digest: change.digest() });
+  const accepted = withAcceptedChange(state.accepted, { revision, digest: change.digest() });
   return agreed(
-    { ...state, edition: state.edition + 1, document: next.value, revision, taken },
+    { ...state, edition: state.edition + 1, document: next.value, revision, accepted },
     `revision ${revision}`,
   );
 }
 
-/** An invalid one was never taken, however old it is. */
+/** An invalid change was never accepted, however old it is. */
 function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
   const revision = v.safeParse(Revision, document['revision']);
   if (!revision.success) return refused(state, fault('bad-spec', `revision: ${revision.issues[0].message}`));
-  if (mayBeEvictedChange(state.taken, revision.output, base)) {
+  if (mayBeEvictedChange(state.accepted, revision.output, base)) {
     const checked = checkedDocument(document);
     if (checked.isErr) return refused(state, checked.error);
   }
-  return takeChange(state, {
+  return acceptChange(state, {
     base,
     revision: revision.output,
     digest: () => digestOfChange('put', base, documentText(document)),
@@ -257,7 +257,7 @@
   patch: v.InferOutput<typeof PatchSchema>['patch'],
 ): Applied {
   const { revision, set, drop } = patch;
-  return takeChange(state, {
+  return acceptChange(state, {
     base,
     revision,
     digest: () => digestOfChange('patch', base, JSON.stringify(patch)),
@@ -273,8 +273,8 @@
     const why = `zone ${zone} was changed in edition ${changed ?? 0}, after edition ${seen}`;
     return refused(state, fault('operation-unknown', `${why}; send it again if it is still meant`));
   }
-  if (changed === undefined && Object.keys(state.zones).length >= ZONES_MOST)
-    return refused(state, fault('bad-request', `${ZONES_MOST} zones are known already`));
+  if (changed === undefined && Object.keys(state.zones).length >= ZONES_MAX)
+    return refused(state, fault('bad-request', `${ZONES_MAX} zones are known already`));
   const others = state.evacuated.filter((known) => known !== zone);
   const edition = state.edition + 1;
   const zones = { ...state.zones, [zone]: edition };
@@ -285,22 +285,22 @@
 }
 
 /** Payloads that were read lately: a coordinator applies each operation when it proposes and when it holds it. */
-const READ_KEPT = 4;
-const readPayloads: {
+const PARSED_PAYLOADS_MAX = 4;
+const parsedPayloads: {
   readonly kind: string;
   readonly payload: string;
   readonly read: Result<DeploymentOperation, Fault>;
 }[] = [];
 
 function readPayload(kind: string, payload: string): Result<DeploymentOperation, Fault> {
-  const known = readPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
+  const known = parsedPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
   if (known !== undefined) return known.read;
   const read = tryOrElse(
     (thrown) => fault('bad-request', String(thrown)),
     () => JSON.parse(payload) as unknown,
   ).andThen((data) => readOperation(kind, data));
-  readPayloads.push({ kind, payload, read });
-  if (readPayloads.length > READ_KEPT) readPayloads.shift();
+  parsedPayloads.push({ kind, payload, read });
+  if (parsedPayloads.length > PARSED_PAYLOADS_MAX) parsedPayloads.shift();
   return read;
 }
 
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -18,62 +18,65 @@
   readonly spec: Spec;
 }
 
-/** One line of the spec's history. */
+/** One version in the history of the spec. */
 export interface HistoryEntry {
   readonly version: number;
   readonly operation: string;
   readonly bytes: number;
 }
 
-/** The agreed state of the application: spec, emptied zones, placement. */
+/** The committed state of a spec deployment: spec, evacuated zones, placement. */
 export interface SpecState {
   readonly spec: SpecRecord | undefined;
   readonly history: readonly HistoryEntry[];
-  readonly emptied: readonly string[];
+  readonly evacuatedZones: readonly string[];
   /** The epoch whose placer decided last; an older one is refused. */
   readonly placedBy: number;
   readonly placement: Readonly<Record<string, readonly HoldingTarget[]>>;
-  /** In which version each entry of the spec was last touched, as far back as `since`; for changes that race. */
-  readonly touched: Readonly<Record<string, number>>;
-  /** What was touched before this version is not known any more. */
-  readonly since: number;
+  /** In which version each entry of the spec last changed, as far back as `changesKnownSince`; finds concurrent edits. */
+  readonly changedInVersion: Readonly<Record<string, number>>;
+  /** Changes before this version are no longer known. */
+  readonly changesKnownSince: number;
 }
 
 /** The state before anything was agreed. */
 export const EMPTY_SPEC_STATE: SpecState = {
   spec: undefined,
   history: [],
-  emptied: [],
+  evacuatedZones: [],
   placedBy: 0,
   placement: {},
-  touched: {},
-  since: 0,
+  changedInVersion: {},
+  changesKnownSince: 0,
 };
 
-const HISTORY_KEPT = 100;
-/** For so many versions it is known who touched what. */
-const TOUCHED_KEPT = 1000;
+const HISTORY_MAX = 100;
+/** For so many versions it is known which entries changed. */
+const CHANGED_VERSIONS_KEPT = 1000;
 
-const Put = v.strictObject({ base: v.optional(v.number()), text: v.string() });
-const Change = v.strictObject({ base: v.optional(v.number()), patch: v.record(v.string(), v.unknown()) });
-const EditCall = v.strictObject({ base: v.optional(v.number()), seen: v.number(), edit: v.unknown() });
-const Zone = v.strictObject({ zone: v.string() });
-const Holdings = v.array(v.strictObject({ model: v.string(), adapters: v.array(v.string()) }));
-const Place = v.strictObject({ epoch: v.number(), workers: v.record(v.string(), Holdings) });
+const PutSchema = v.strictObject({ base: v.optional(v.number()), text: v.string() });
+const MergePatchSchema = v.strictObject({
+  base: v.optional(v.number()),
+  patch: v.record(v.string(), v.unknown()),
+});
+const EditSchema = v.strictObject({ base: v.optional(v.number()), seen: v.number(), edit: v.unknown() });
+const ZoneSchema = v.strictObject({ zone: v.string() });
+const HoldingsSchema = v.array(v.strictObject({ model: v.string(), adapters: v.array(v.string()) }));
+const PlaceSchema = v.strictObject({ epoch: v.number(), workers: v.record(v.string(), HoldingsSchema) });
 
-const Stored = v.strictObject({
+const StoredSchema = v.strictObject({
   version: v.number(),
   operation: v.string(),
   text: v.string(),
   history: v.array(v.strictObject({ version: v.number(), operation: v.string(), bytes: v.number() })),
   emptied: v.array(v.string()),
   placedBy: v.number(),
-  placement: v.record(v.string(), Holdings),
+  placement: v.record(v.string(), HoldingsSchema),
 });
 
-const Extra = v.object({ touched: v.record(v.string(), v.number()), since: v.number() });
+const ExtensionSchema = v.object({ touched: v.record(v.string(), v.number()), since: v.number() });
 
-/** How an operation on the stage ended. */
+/** How an operation on the spec state ended. */
 export interface SpecOutcome {
   readonly kind: 'agreed' | FaultKind;
   readonly detail: string;
@@ -100,26 +103,35 @@
   if (read.isErr) return refuse(state, 'bad-spec', specFaultText(read.error));
   const version = current + 1;
   const history = [...state.history, { version, operation, bytes: Buffer.byteLength(text) }].slice(
-    -HISTORY_KEPT,
+    -HISTORY_MAX,
   );
-  const emptied = state.emptied.filter((zone) => read.value.zones.includes(zone));
-  const { touched, since } = touch(state, text, version);
+  const evacuatedZones = state.evacuatedZones.filter((zone) => read.value.zones.includes(zone));
+  const { changedInVersion, changesKnownSince } = recordChanges(state, text, version);
   return agree(
-    { ...state, spec: { version, operation, text, spec: read.value }, history, emptied, touched, since },
+    {
+      ...state,
+      spec: { version, operation, text, spec: read.value },
+      history,
+      evacuatedZones,
+      changedInVersion,
+      changesKnownSince,
+    },
     `version ${version}`,
   );
 }
 
 /** Notes what a new text changes, and forgets what is long ago. */
-function touch(
+function recordChanges(
   state: SpecState,
   text: string,
   version: number,
-): { touched: Record<string, number>; since: number } {
-  const since = Math.max(state.since, version - TOUCHED_KEPT);
-  const touched = Object.fromEntries(Object.entries(state.touched).filter(([, at]) => at > since));
-  for (const key of differing(rawOf(state.spec?.text ?? '{}'), rawOf(text))) touched[key] = version;
-  return { touched, since };
+): Pick<SpecState, 'changedInVersion' | 'changesKnownSince'> {
+  const changesKnownSince = Math.max(state.changesKnownSince, version - CHANGED_VERSIONS_KEPT);
+  const changedInVersion = Object.fromEntries(
+    Object.entries(state.changedInVersion).filter(([, at]) => at > changesKnownSince),
+  );
+  for (const key of differing(rawOf(state.spec?.text ?? '{}'), rawOf(text))) changedInVersion[key] = version;
+  return { changedInVersion, changesKnownSince };
 }
 
 function rawOf(text: string): Record<string, unknown> {
@@ -154,27 +166,29 @@
  * An edit names what it touches. What others touched since the version that
  * its author had seen makes it a conflict; all else of theirs stays.
  */
-function editSpec(state: SpecState, operation: string, call: v.InferOutput<typeof EditCall>): Applied {
+function editSpec(state: SpecState, operation: string, call: v.InferOutput<typeof EditSchema>): Applied {
   const current = state.spec?.version ?? 0;
   if (state.spec === undefined) return refuse(state, 'not-found', 'no spec has been agreed yet');
   const { base, seen } = call;
   if (base !== undefined && base !== current)
     return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
-  if (seen < state.since || seen > current)
+  if (seen < state.changesKnownSince || seen > current)
     return refuse(
       state,
       'conflict',
-      `made for version ${seen}; version ${current} is in force, and what was touched is known back to ${state.since}`,
+      `made for version ${seen}; version ${current} is in force, and what was touched is known back to ${state.changesKnownSince}`,
     );
   const read = readEdit(call.edit);
   if (read.isErr) return refuse(state, 'bad-request', specFaultText(read.error));
-  const others = keysOf(read.value).filter((key) => (state.touched[key] ?? 0) > seen);
+  const others = keysOf(read.value).filter((key) => (state.changedInVersion[key] ?? 0) > seen);
   if (others.length > 0) {
     return refuse(
       state,
       'conflict',
       others
-        .map((key) => `${key} was changed in version ${state.touched[key] ?? 0}, after version ${seen}`)
+        .map(
+          (key) => `${key} was changed in version ${state.changedInVersion[key] ?? 0}, after version ${seen}`,
+        )
         .join('\n'),
     );
   }
@@ -186,9 +200,12 @@
 function setZone(state: SpecState, kind: string, zone: string): Applied {
   if (state.spec === undefined || !state.spec.spec.zones.includes(zone))
     return refuse(state, 'not-found', `no zone "${zone}"`);
-  const others = state.emptied.filter((name) => name !== zone);
-  const emptied = kind === 'zone.empty' ? [...others, zone].sort() : others;
-  return agree({ ...state, emptied }, `zone ${zone} ${kind === 'zone.empty' ? 'emptied' : 'restored'}`);
+  const others = state.evacuatedZones.filter((name) => name !== zone);
+  const evacuatedZones = kind === 'zone.empty' ? [...others, zone].sort() : others;
+  return agree(
+    { ...state, evacuatedZones },
+    `zone ${zone} ${kind === 'zone.empty' ? 'emptied' : 'restored'}`,
+  );
 }
 
 function place(state: SpecState, epoch: number, workers: Record<string, readonly HoldingTarget[]>): Applied {
@@ -200,7 +217,7 @@
 }
 
 /**
- * Applies one operation to the stage: a pure function, the same on every node.
+ * Applies one operation to the spec state: a pure function, the same on every node.
  * @example
  * applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2).outcome.kind; // 'not-found'
  */
@@ -214,15 +231,15 @@
 }
 
 /**
- * The stage without what level 1 of the protocol does not carry.
+ * The spec state without what level 1 of the protocol does not carry.
  * @example
- * specStateWithoutExtension(state).touched; // {}
+ * specStateWithoutExtension(state).changedInVersion; // {}
  */
 export function specStateWithoutExtension(state: SpecState): SpecState {
   const since = state.spec?.version ?? 0;
-  return state.since === since && Object.keys(state.touched).length === 0
+  return state.changesKnownSince === since && Object.keys(state.changedInVersion).length === 0
     ? state
-    : { ...state, touched: {}, since };
+    : { ...state, changedInVersion: {}, changesKnownSince: since };
 }
 
 function applyKind(
@@ -234,32 +251,32 @@
   const data = read.isOk ? read.value : undefined;
   switch (operation.kind) {
     case 'spec.put': {
-      const put = v.safeParse(Put, data);
+      const put = v.safeParse(PutSchema, data);
       return put.success
         ? adopt(state, operation.id, put.output.base, put.output.text)
         : refuse(state, 'bad-request', 'not a spec');
     }
     case 'spec.change': {
-      const change = v.safeParse(Change, data);
+      const change = v.safeParse(MergePatchSchema, data);
       if (!change.success) return refuse(state, 'bad-request', 'not a change');
       return changeSpec(state, operation.id, change.output.base, change.output.patch, level);
     }
     case 'spec.edit': {
       if (level === 1) return refuse(state, 'bad-request', `no operation "${operation.kind}"`);
-      const edit = v.safeParse(EditCall, data);
+      const edit = v.safeParse(EditSchema, data);
       return edit.success
         ? editSpec(state, operation.id, edit.output)
         : refuse(state, 'bad-request', 'not an edit');
     }
     case 'zone.empty':
     case 'zone.restore': {
-      const zone = v.safeParse(Zone, data);
+      const zone = v.safeParse(ZoneSchema, data);
       return zone.success
         ? setZone(state, operation.kind, zone.output.zone)
         : refuse(state, 'bad-request', 'no zone named');
     }
     case 'place': {
-      const placed = v.safeParse(Place, data);
+      const placed = v.safeParse(PlaceSchema, data);
       return placed.success
         ? place(state, placed.output.epoch, placed.output.workers)
         : refuse(state, 'bad-request', 'not a placement');
@@ -288,11 +305,11 @@
     operation: state.spec?.operation ?? '',
     text: state.spec?.text ?? '',
     history: state.history,
-    emptied: state.emptied,
+    emptied: state.evacuatedZones,
     placedBy: state.placedBy,
     placement: state.placement,
   };
-  const { touched, since } = state;
+  const { changedInVersion: touched, changesKnownSince: since } = state;
   const encoder = new TextEncoder();
   return {
     application: encoder.encode(JSON.stringify(stored)),
@@ -301,23 +318,30 @@
 }
 
 /**
- * The stage that bytes stand for, or that they are damaged.
+ * The spec state that bytes stand for, or that they are damaged.
  * @example
  * decodeSpecState({ application: new Uint8Array([1]), applicationExtension: new Uint8Array() }).isErr; // true
  */
 export function decodeSpecState(encoded: EncodedSpecState): Result<SpecState, Fault> {
   return readJson(new TextDecoder().decode(encoded.application)).andThen((data) => {
-    const stored = v.safeParse(Stored, data);
+    const stored = v.safeParse(StoredSchema, data);
     if (!stored.success) return Result.err<SpecState, Fault>(fault('damaged', 'the stage cannot be read'));
     const { version, operation, text, history, emptied, placedBy, placement } = stored.output;
     const extra = v.safeParse(
-      Extra,
+      ExtensionSchema,
       encoded.applicationExtension.length === 0
         ? undefined
         : rawOf(new TextDecoder().decode(encoded.applicationExtension)),
     );
     const { touched, since } = extra.success ? extra.output : { touched: {}, since: version };
-    const rest = { history, emptied, placedBy, placement, touched, since };
+    const rest: Omit<SpecState, 'spec'> = {
+      history,
+      evacuatedZones: emptied,
+      placedBy,
+      placement,
+      changedInVersion: touched,
+      changesKnownSince: since,
+    };
     if (version === 0) return Result.ok<SpecState, Fault>({ spec: undefined, ...rest });
     return readSpec(text)
       .map((spec): SpecState => ({ spec: { version, operation, text, spec }, ...rest }))
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -7,7 +7,7 @@
 export const SPEC_MAX_BYTES = 2 * 1024 * 1024;
 
 /** No spec has more routes. */
-export const ROUTES_MOST = 10_000;
+export const ROUTES_MAX = 10_000;
 
 const Name = v.pipe(v.string(), v.regex(/^[a-z0-9][a-z0-9._-]{0,63}$/, 'a name of a-z, 0-9, ".", "_", "-"'));
 const Positive = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
@@ -63,7 +63,7 @@
       }),
     ),
     v.minLength(1),
-    v.maxLength(ROUTES_MOST, `more than ${ROUTES_MOST} routes`),
+    v.maxLength(ROUTES_MAX, `more than ${ROUTES_MAX} routes`),
   ),
 });
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -386,7 +386,7 @@
       this.#dependencies.chance.next(),
       this.#dependencies.clock.nowMs(),
     );
-    return { ...why, returnS };
+    return { ...why, retryAfterS: returnS };
   }
 
   #pace(group: number): DrainRate {
--- a/packages/messages/src/gossip.ts
+++ b/packages/messages/src/gossip.ts
@@ -1,3 +1,4 @@
+/** Gossip: versioned items spread by random forwarding, with anti-entropy repair. */
 import { create } from '@bufbuild/protobuf';
 import { hashText, type RandomSource } from '@rainrun/common';
 import {
@@ -12,7 +13,7 @@
   type GossipItem,
 } from './gen/rainrun_pb.js';
 
-/** Ranges into which the keys are cut for digests. */
+/** Ranges into which the keys are partitioned for digests. */
 export const RANGES = 32;
 
 const FANOUT = 3;
@@ -22,21 +23,21 @@
 }
 
 /**
- * News: the newest item for each key, passed on to a few members; gaps are
- * found by digests over ranges of keys and mended from the newer copy.
+ * The newest item for each key, forwarded to a few peers at each heartbeat; gaps are
+ * found by digests over ranges of keys and repaired from the newer replica (anti-entropy).
  * @example
- * const board = new GossipTable(dice, (item) => learn(item));
- * board.tell('leaving/w1', 3, 1, bytes);
+ * const table = new GossipTable(random, (item) => learn(item));
+ * table.publish('worker/w1', 3, 1, bytes);
  */
 export class GossipTable {
-  #chance: RandomSource;
-  #heard: (item: GossipItem) => void;
+  #random: RandomSource;
+  #onItem: (item: GossipItem) => void;
   #items = new Map<string, GossipItem>();
-  #fresh: GossipItem[] = [];
+  #unsent: GossipItem[] = [];
 
-  constructor(chance: RandomSource, heard: (item: GossipItem) => void) {
-    this.#chance = chance;
-    this.#heard = heard;
+  constructor(random: RandomSource, onItem: (item: GossipItem) => void) {
+    this.#random = random;
+    this.#onItem = onItem;
   }
 
   get(key: string): GossipItem | undefined {
@@ -44,25 +45,25 @@
   }
 
   publish(key: string, major: number, minor: number, value: Uint8Array): void {
-    this.#learn(create(GossipItemSchema, { key, major, minor, value }));
+    this.#store(create(GossipItemSchema, { key, major, minor, value }));
   }
 
-  /** Frames to post this heartbeat: fresh items to a few members, and one digest. */
+  /** Frames to send this heartbeat: fresh items to a few members, and one digest. */
   tick(members: readonly string[]): { to: string; body: Frame['body'] }[] {
-    const posts: { to: string; body: Frame['body'] }[] = [];
-    if (members.length === 0) return posts;
-    if (this.#fresh.length > 0) {
-      const value = create(GossipUpdateSchema, { items: this.#fresh });
-      for (const to of this.#few(members)) posts.push({ to, body: { case: 'gossipUpdate', value } });
-      this.#fresh = [];
+    const frames: { to: string; body: Frame['body'] }[] = [];
+    if (members.length === 0) return frames;
+    if (this.#unsent.length > 0) {
+      const value = create(GossipUpdateSchema, { items: this.#unsent });
+      for (const to of this.#randomPeers(members)) frames.push({ to, body: { case: 'gossipUpdate', value } });
+      this.#unsent = [];
     }
-    const to = members[Math.floor(this.#chance.next() * members.length)];
-    if (to !== undefined) posts.push({ to, body: { case: 'gossipDigest', value: this.#digest() } });
-    return posts;
+    const to = members[Math.floor(this.#random.next() * members.length)];
+    if (to !== undefined) frames.push({ to, body: { case: 'gossipDigest', value: this.#digest() } });
+    return frames;
   }
 
-  onUpdate(news: GossipUpdate): void {
-    for (const item of news.items) this.#learn(item);
+  onUpdate(update: GossipUpdate): void {
+    for (const item of update.items) this.#store(item);
   }
 
   onDigest(digest: GossipDigest): GossipRepair | undefined {
@@ -74,14 +75,14 @@
     return create(GossipRepairSchema, { ranges, items: this.#inRanges(ranges) });
   }
 
-  onRepair(mend: GossipRepair): GossipRepair | undefined {
-    const mine = this.#inRanges(mend.ranges);
+  onRepair(repair: GossipRepair): GossipRepair | undefined {
+    const mine = this.#inRanges(repair.ranges);
     const theirs = new Map<string, GossipItem>();
-    for (const item of mend.items) {
+    for (const item of repair.items) {
       theirs.set(item.key, item);
-      this.#learn(item);
+      this.#store(item);
     }
-    if (mend.answered) return undefined;
+    if (repair.answered) return undefined;
     const better: GossipItem[] = [];
     for (const item of mine) {
       const other = theirs.get(item.key);
@@ -89,24 +90,24 @@
     }
     return better.length === 0
       ? undefined
-      : create(GossipRepairSchema, { ranges: mend.ranges, items: better, answered: true });
+      : create(GossipRepairSchema, { ranges: repair.ranges, items: better, answered: true });
   }
 
-  #few(members: readonly string[]): string[] {
+  #randomPeers(members: readonly string[]): string[] {
     const pool = [...members];
     const few: string[] = [];
     while (few.length < FANOUT && pool.length > 0) {
-      few.push(...pool.splice(Math.floor(this.#chance.next() * pool.length), 1));
+      few.push(...pool.splice(Math.floor(this.#random.next() * pool.length), 1));
     }
     return few;
   }
 
-  #learn(item: GossipItem): void {
+  #store(item: GossipItem): void {
     const known = this.#items.get(item.key);
     if (known !== undefined && !newer(item, known)) return;
     this.#items.set(item.key, item);
-    this.#fresh.push(item);
-    this.#heard(item);
+    this.#unsent.push(item);
+    this.#onItem(item);
   }
 
   #digest(): GossipDigest {
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -170,7 +170,7 @@
   }
   reject(why: Fault): void {
     this.status = FAULT_RESPONSES[why.kind].status;
-    this.seen.push(`refuse ${this.status}${why.returnS === undefined ? '' : ' again'}`);
+    this.seen.push(`refuse ${this.status}${why.retryAfterS === undefined ? '' : ' again'}`);
   }
   open(status: number, headers: readonly Header[]): void {
     this.status = status;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -132,7 +132,7 @@
       cancel: undefined,
     };
     if (this.#waiting.size >= CROWD_MOST)
-      return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
+      return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), retryAfterS: 1 });
     if (!passage.idempotent && this.#once.has(ask.id))
       return this.#turnAway(port, fault('outcome-unknown', 'a request with this id is under way here'));
     if (!passage.idempotent) this.#once.add(ask.id);
@@ -381,7 +381,7 @@
     this.#once.delete(passage.request.id);
     if (passage.ran) return passage.port.reject(fault('outcome-unknown', end.why));
     this.#count('refused full');
-    passage.port.reject({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
+    passage.port.reject({ ...fault('no-worker', end.why), retryAfterS: HELD_AGAIN_S });
   }
 
   #giveUp(passage: RoutedRequest): void {
@@ -392,7 +392,11 @@
     if (passage.opened) return this.#cut(passage);
     this.#once.delete(passage.request.id);
     if (passage.ran) passage.port.reject(fault('deadline-exceeded', 'the time for it has passed'));
-    else passage.port.reject({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
+    else
+      passage.port.reject({
+        ...fault('no-worker', 'no worker came free in time'),
+        retryAfterS: HELD_AGAIN_S,
+      });
   }
 
   #left(passage: RoutedRequest): void {
--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -28,7 +28,7 @@
     return;
   }
   const headers: Record<string, string> = { 'content-type': 'application/json', 'rainrun-id': id };
-  const returnS = why.returnS ?? row.retryAfterS;
+  const returnS = why.retryAfterS ?? row.retryAfterS;
   if (returnS > 0) headers['retry-after'] = String(returnS);
   res.writeHead(row.status, headers);
   res.end(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran: row.ran, id } }));
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -71,7 +71,7 @@
       send: (address, frame) => this.#wire.post(address, frame),
       demands: () => this.#wants(),
       outcomes: () => this.#router.takeOutcomes().map((one) => create(WorkerOutcomesSchema, one)),
-      changed: (what) => this.#changed(what),
+      onChange: (what) => this.#changed(what),
     });
     this.#router = new Router({
       zone: settings.zone,
@@ -82,7 +82,7 @@
       configuration: () => this.#follower.configuration,
       evacuated: () => this.#follower.state.evacuated,
       workers: () => this.#follower.workers,
-      edges: () => this.#follower.edges,
+      edges: () => this.#follower.edgeCount,
       incarnation: () => this.#follower.incarnation,
       region: (zone) => settings.regions[zone] ?? '',
       missing: () => this.#hasten(),
@@ -206,7 +206,7 @@
       ...this.#router.counts,
       inFlight: this.#router.inFlight,
       waiting: this.#router.waiting,
-      edges: this.#follower.edges,
+      edges: this.#follower.edgeCount,
       workers: this.#follower.workers.size,
       edition: this.#follower.state.edition,
       framesIn: this.#wire.counts.framesIn,
--- a/packages/runtime/src/front.test.ts
+++ b/packages/runtime/src/front.test.ts
@@ -143,7 +143,7 @@
 
   it('says with a promise when to come back', async () => {
     bench = await new Bench().open();
-    bench.onTake = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), returnS: 0.2 });
+    bench.onTake = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
     const answer = await bench.ask({ 'x-id': '1' });
     expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.2']);
   });
--- a/packages/runtime/src/operators.ts
+++ b/packages/runtime/src/operators.ts
@@ -148,7 +148,7 @@
     const { state: stage } = this.#dependencies.clusterNode;
     const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
       zone,
-      emptied: stage.emptied.includes(zone),
+      emptied: stage.evacuatedZones.includes(zone),
     }));
     return { status: 200, body: { zones } };
   }
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -17,7 +17,7 @@
     previousView: undefined,
     voters: [],
     previousVoters: [],
-    application: { ...EMPTY_SPEC_STATE, emptied },
+    application: { ...EMPTY_SPEC_STATE, evacuatedZones: emptied },
     answers: [],
     level: 2,
     clockMs: 0,
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -126,7 +126,8 @@
     this.#newest.set(incarnation, number);
     this.#judgeMarks(held, atMs);
     for (const [zone, emptied] of this.#emptiedMs) {
-      if (number > emptied.number && !held.application.emptied.includes(zone)) this.#emptiedMs.delete(zone);
+      if (number > emptied.number && !held.application.evacuatedZones.includes(zone))
+        this.#emptiedMs.delete(zone);
     }
     if (!whole) this.#closeViews(incarnation, held.view.number, atMs);
     this.#judgeEarly(incarnation, held);
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -55,7 +55,7 @@
   const wrong = oracle.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
   if (lost === 0) wrong.push('nothing was lost');
   if (site.whole() !== undefined) wrong.push(`not back: ${site.whole() ?? ''}`);
-  const stands = last.running?.clusterNode.state.emptied.includes('north') === true;
+  const stands = last.running?.clusterNode.state.evacuatedZones.includes('north') === true;
   if (told === 'agreed' && !stands) wrong.push('agreed, and gone');
   if (told !== '' && told !== 'agreed' && stands) wrong.push(`${told}, and in force`);
   return wrong.map(
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -195,7 +195,7 @@
     refuses: String(!group.holdsLease()),
     members: group.view?.members.length ?? 0,
     spec: stage.spec?.version ?? 0,
-    emptied: stage.emptied.join('+'),
+    emptied: stage.evacuatedZones.join('+'),
     level: group.state?.level ?? 0,
     zones: stage.spec?.spec.zones.length ?? 0,
     voters: (group.state?.voters ?? []).filter((voter) =>
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -342,7 +342,7 @@
     let least = Infinity;
     for (const endMs = system.time.nowMs() + forMs; system.time.nowMs() < endMs;) {
       system.time.runUntil(system.time.nowMs() + 20);
-      for (const edge of system.edges) least = Math.min(least, edge.running?.follower?.edges ?? 0);
+      for (const edge of system.edges) least = Math.min(least, edge.running?.follower?.edgeCount ?? 0);
     }
     return least;
   }
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -142,7 +142,7 @@
       ({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs,
     );
     for (const { name, running } of steady) {
-      const edges = running?.follower?.edges ?? 0;
+      const edges = running?.follower?.edgeCount ?? 0;
       if (edges < steady.length)
         this.#context.breach('share', `${name} divides by ${edges} where ${steady.length} edges are at work`);
     }
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -215,7 +215,7 @@
       send: (to, frame) => network.post(machine, to, frame),
       outcomes: () => [],
       demands: () => demand.wantsOf(follower),
-      changed: (what) => {
+      onChange: (what) => {
         if (what === 'state')
           this.#context.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
       },
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -136,7 +136,7 @@
       send: (address, frame) => this.#post(address, frame),
       outcomes: () => [],
       demands: () => this.#wants(),
-      changed: (what) => this.#changed(what, bornMs),
+      onChange: (what) => this.#changed(what, bornMs),
     });
     door.take = (frame) => this.#take(frame);
   }
@@ -187,8 +187,8 @@
 
   tick(): void {
     this.#follower.tick();
-    if (this.#follower.edges !== this.#edges) {
-      this.#edges = this.#follower.edges;
+    if (this.#follower.edgeCount !== this.#edges) {
+      this.#edges = this.#follower.edgeCount;
       this.#notes().note(this.#notes().edges, this.#edges);
     }
   }
