--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,4 +1,6 @@
-/** Every way in which a call to rainrun can end other than well. The list is closed. */
+/** Typed errors: the closed list of fault kinds, the response to each, and `Fault`, the error value of a `Result`. */
+
+/** Every way in which a call to rainrun can fail. The list is closed. */
 export type FaultKind =
   | 'bad-request'
   | 'bad-spec'
@@ -26,14 +28,14 @@
   | 'unbridged'
   | 'wire';
 
-/** What a caller is told: status, whether the work may have run, and when to come back. */
+/** The response to a fault: HTTP status, whether the work may have run, and after how many seconds to retry. */
 export interface FaultResponse {
   readonly status: number;
   readonly ran: 'no' | 'maybe';
   readonly retryAfterS: number;
 }
 
-/** The one table from kind to answer. `retryAfterS` 0 means that coming back will not help. */
+/** The one table from kind to response. `retryAfterS` 0 means that a retry will not help. */
 export const FAULT_RESPONSES: Readonly<Record<FaultKind, FaultResponse>> = {
   'bad-request': { status: 400, ran: 'no', retryAfterS: 0 },
   'bad-spec': { status: 422, ran: 'no', retryAfterS: 0 },
@@ -62,21 +64,49 @@
   wire: { status: 400, ran: 'no', retryAfterS: 0 },
 };
 
-/** A fault as it travels inside a process. */
+/**
+ * Why a call failed, as a value: the `Err` side of a `Result`, never thrown. Only `kind` and `detail` leave the
+ * process; status and retry advice for each kind stand in `FAULT_RESPONSES`.
+ */
 export interface Fault {
   readonly kind: FaultKind;
+  /** What went wrong, for the caller and the logs: one line in most cases. */
   readonly detail: string;
-  /** When to come back, where more is known than the table says. */
+  /** The error or other value that was thrown, where one was; for debugging, never sent or logged whole. */
+  readonly cause?: unknown;
+  /** Seconds after which to retry, where more is known than the table says. */
   readonly retryAfterS?: number;
 }
 
+/** What is known of a fault beside its kind and detail. */
+export type FaultContext = Pick<Fault, 'cause' | 'retryAfterS'>;
+
 /**
  * Makes a fault.
  * @example
  * fault('not-found', 'no operation 7f').kind; // 'not-found'
+ * fault('wire', describeError(thrown), { cause: thrown });
+ */
+export function fault(kind: FaultKind, detail: string, context: FaultContext = {}): Fault {
+  return { kind, detail, ...context };
+}
+
+/**
+ * A thrown value as text, with the error's name before its message.
+ * @example
+ * describeError(new TypeError('not a number')); // 'TypeError: not a number'
+ */
+export function describeError(thrown: unknown): string {
+  return String(thrown);
+}
+
+/**
+ * The message of a thrown value alone, where the name of the error says nothing more, as for errors of system calls.
+ * @example
+ * errorMessage(new Error('EACCES: permission denied')); // 'EACCES: permission denied'
  */
-export function fault(kind: FaultKind, detail: string): Fault {
-  return { kind, detail };
+export function errorMessage(thrown: unknown): string {
+  return thrown instanceof Error ? thrown.message : String(thrown);
 }
 
 /**
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -1,5 +1,5 @@
 /** A deployment's state as bytes, for disks, joiners and subscribed edges. */
-import { fault, type Fault } from '@rainrun/common';
+import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
@@ -83,7 +83,7 @@
  */
 export function decodeDeployment(bytes: Uint8Array): Result<Deployment, Fault> {
   return tryOrElse(
-    (thrown) => fault('damaged', `the deployment's state: ${String(thrown)}`),
+    (thrown) => fault('damaged', `the deployment's state: ${describeError(thrown)}`, { cause: thrown }),
     () => JSON.parse(new TextDecoder().decode(bytes)) as unknown,
   ).andThen((data) => {
     const parsed = v.safeParse(StoredSchema, data);
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -2,7 +2,7 @@
  * The agreed state of a deployment, and the operations that change it: pure
  * functions, the same on every core.
  */
-import { fault, type Fault, type FaultKind } from '@rainrun/common';
+import { describeError, fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
@@ -296,7 +296,7 @@
   const known = parsedPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
   if (known !== undefined) return known.read;
   const read = tryOrElse(
-    (thrown) => fault('bad-request', String(thrown)),
+    (thrown) => fault('bad-request', describeError(thrown), { cause: thrown }),
     () => JSON.parse(payload) as unknown,
   ).andThen((data) => readOperation(kind, data));
   parsedPayloads.push({ kind, payload, read });
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,4 +1,4 @@
-import { fault, type Fault } from '@rainrun/common';
+import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
@@ -160,7 +160,7 @@
   }
   if (text.trim() === '') return Result.err([{ path: '', message: 'the spec is empty' }]);
   return tryOrElse(
-    (thrown) => [{ path: '', message: `not JSON: ${String(thrown)}` }],
+    (thrown) => [{ path: '', message: `not JSON: ${describeError(thrown)}` }],
     () => JSON.parse(text) as unknown,
   ).andThen((data) => {
     const parsed = v.safeParse(SpecSchema, data);
@@ -208,7 +208,7 @@
  */
 export function readJson(text: string): Result<unknown, Fault> {
   return tryOrElse(
-    (thrown) => fault('bad-request', `not JSON: ${String(thrown)}`),
+    (thrown) => fault('bad-request', `not JSON: ${describeError(thrown)}`, { cause: thrown }),
     () => JSON.parse(text) as unknown,
   );
 }
--- a/packages/failure-detector/src/failure-detector.test.ts
+++ b/packages/failure-detector/src/failure-detector.test.ts
@@ -1,6 +1,6 @@
 import { it } from 'node:test';
 import { expect } from 'earl';
-import { FailureDetector } from './index.js';
+import { FailureDetector } from './failure-detector.js';
 
 it('suspects who does not answer, but does not blame others for its own sleep', () => {
   const detector = new FailureDetector({ suspectMs: 1500, pauseMs: 400 });
--- a/packages/messages/src/codec.ts
+++ b/packages/messages/src/codec.ts
@@ -1,5 +1,6 @@
+/** Frames between nodes as bytes, and which versions and deployments are understood. */
 import { fromBinary, toBinary } from '@bufbuild/protobuf';
-import { fault, type Fault } from '@rainrun/common';
+import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { FrameSchema, type Frame } from './gen/rainrun_pb.js';
@@ -7,7 +8,7 @@
 /** Version of the frames on the wire; nodes of another version are not understood. */
 export const WIRE_VERSION = 1;
 
-/** Levels of the protocol that a program speaks. */
+/** Levels of the protocol that a program speaks, both inclusive. */
 export interface ProtocolLevels {
   readonly min: number;
   readonly max: number;
@@ -22,7 +23,7 @@
 /**
  * A frame as bytes.
  * @example
- * const bytes = pack(create(FrameSchema, { wire: WIRE, deployment: 'd', from: 'a' }));
+ * const bytes = encodeFrame(create(FrameSchema, { wire: WIRE_VERSION, deployment: 'd', from: 'a' }));
  */
 export function encodeFrame(frame: Frame): Uint8Array {
   return toBinary(FrameSchema, frame);
@@ -31,12 +32,12 @@
 /**
  * Bytes as a frame of this deployment, or why not.
  * @example
- * unpack(new Uint8Array([255]), 'd').isErr; // true
+ * decodeFrame(new Uint8Array([255]), 'd').isErr; // true
  */
 export function decodeFrame(bytes: Uint8Array, deployment: string): Result<Frame, Fault> {
   if (bytes.length > FRAME_MAX_BYTES) return Result.err(fault('wire', `frame of ${bytes.length} bytes`));
   const read = tryOrElse(
-    (thrown) => fault('wire', String(thrown)),
+    (thrown) => fault('wire', describeError(thrown), { cause: thrown }),
     () => fromBinary(FrameSchema, bytes),
   );
   if (read.isErr) return read;
--- /dev/null
+++ b/packages/storage/src/record-store.ts
@@ -0,0 +1,153 @@
+/** The data folder of a node: durable records, each version a file of its own. */
+import { mkdir, open, readdir, readFile, rename, unlink } from 'node:fs/promises';
+import { dirname, join, resolve } from 'node:path';
+import { errorMessage, fault, type Fault } from '@rainrun/common';
+import { Result, type Unit } from 'true-myth';
+import { seal, unseal } from './sealed-file.js';
+
+/** The kinds of record that a node keeps. */
+export type RecordKind = 'disk' | 'promise' | 'version';
+
+/** Durable storage of records; the simulator implements its own. */
+export interface RecordWriter {
+  /** Stores one version of a record; `done` is called only after it is synced, in the order of the calls. */
+  store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void;
+}
+
+/** The newest intact record of each kind. */
+export type Records = Partial<Record<RecordKind, Uint8Array>>;
+
+const VERSIONS_KEPT = 2;
+const FILE_NAME = /^(disk|promise|version)\.(\d{1,15})$/;
+
+/** Errors of system calls name the operation and the path in their message. */
+function diskFault(thrown: unknown): Fault {
+  return fault('disk', errorMessage(thrown), { cause: thrown });
+}
+
+async function syncFolder(path: string): Promise<void> {
+  const folder = await open(path, 'r');
+  try {
+    await folder.sync();
+  } finally {
+    await folder.close();
+  }
+}
+
+/** Makes a folder that outlives a loss of power: each folder above that gained an entry is synced. */
+async function makeFolder(path: string): Promise<void> {
+  const firstMade = await mkdir(path, { recursive: true });
+  if (firstMade === undefined) return;
+  const top = dirname(resolve(firstMade));
+  let above = dirname(resolve(path));
+  while (above !== top) {
+    await syncFolder(above);
+    above = dirname(above);
+  }
+  await syncFolder(top);
+}
+
+/** The versions of each kind of record in a folder, ascending; a file of another name is a fault. */
+async function listVersions(folder: string): Promise<Result<Map<RecordKind, number[]>, Fault>> {
+  const versions = new Map<RecordKind, number[]>();
+  for (const name of await readdir(folder)) {
+    const match = FILE_NAME.exec(name);
+    if (match !== null) {
+      const kind = match[1] as RecordKind;
+      versions.set(kind, [...(versions.get(kind) ?? []), Number(match[2])]);
+    } else if (!name.endsWith('.aside')) {
+      return Result.err(fault('foreign', `${join(folder, name)} is not a record of rainrun`));
+    }
+  }
+  for (const known of versions.values()) known.sort((one, other) => one - other);
+  return Result.ok(versions);
+}
+
+/** The newest record of each kind; a damaged one is a fault. */
+async function readNewest(
+  folder: string,
+  versions: ReadonlyMap<RecordKind, readonly number[]>,
+): Promise<Result<Records, Fault>> {
+  const records: Records = {};
+  for (const [kind, known] of versions) {
+    const path = join(folder, `${kind}.${known.at(-1)}`);
+    const bytes = unseal(await readFile(path));
+    if (bytes.isErr) return Result.err(fault(bytes.error.kind, `${path}: ${bytes.error.detail}`));
+    records[kind] = bytes.value;
+  }
+  return Result.ok(records);
+}
+
+/**
+ * One data folder. Each version of a record is a file of its own, written
+ * aside, synced, renamed, and the folder synced; the last two are kept.
+ * @example
+ * const opened = await RecordStore.open('/var/lib/rainrun');
+ * if (opened.isOk) opened.value.recordStore.store('promise', bytes, (result) => reply(result));
+ */
+export class RecordStore implements RecordWriter {
+  #folder: string;
+  #versions: Map<RecordKind, number[]>;
+  #tail: Promise<void> = Promise.resolve();
+
+  private constructor(folder: string, versions: Map<RecordKind, number[]>) {
+    this.#folder = folder;
+    this.#versions = versions;
+  }
+
+  /**
+   * Opens or makes the folder and reads the newest record of each kind. A
+   * damaged newest record is a fault, never guessed around. The folder is synced
+   * before anything is built upon what was read: a process that was killed may
+   * have renamed a record and not synced the folder, and a later loss of power
+   * would take that record away again.
+   */
+  static async open(folder: string): Promise<Result<{ recordStore: RecordStore; records: Records }, Fault>> {
+    try {
+      await makeFolder(folder);
+      const versions = await listVersions(folder);
+      if (versions.isErr) return Result.err(versions.error);
+      const records = await readNewest(folder, versions.value);
+      if (records.isErr) return Result.err(records.error);
+      await syncFolder(folder);
+      if (records.value.disk === undefined && versions.value.size > 0)
+        return Result.err(fault('damaged', `${folder} holds records but not the disk's own`));
+      return Result.ok({ recordStore: new RecordStore(folder, versions.value), records: records.value });
+    } catch (thrown) {
+      return Result.err(diskFault(thrown));
+    }
+  }
+
+  store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
+    this.#tail = this.#tail.then(() => this.#write(kind, bytes)).then(done);
+  }
+
+  async #write(kind: RecordKind, bytes: Uint8Array): Promise<Result<Unit, Fault>> {
+    const known = this.#versions.get(kind) ?? [];
+    const number = (known.at(-1) ?? 0) + 1;
+    const path = join(this.#folder, `${kind}.${number}`);
+    try {
+      const aside = await open(`${path}.aside`, 'w');
+      try {
+        await aside.writeFile(seal(bytes));
+        await aside.sync();
+      } finally {
+        await aside.close();
+      }
+      await rename(`${path}.aside`, path);
+      await syncFolder(this.#folder);
+      this.#versions.set(kind, [...known, number]);
+      await this.#prune(kind);
+      return Result.ok();
+    } catch (thrown) {
+      return Result.err(diskFault(thrown));
+    }
+  }
+
+  async #prune(kind: RecordKind): Promise<void> {
+    const known = this.#versions.get(kind) ?? [];
+    for (const number of known.splice(0, Math.max(0, known.length - VERSIONS_KEPT))) {
+      await unlink(join(this.#folder, `${kind}.${number}`));
+    }
+  }
+}
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -4,7 +4,8 @@
 import { join } from 'node:path';
 import { afterEach, describe, it, mock } from 'node:test';
 import { expect } from 'earl';
-import { RecordStore, seal, unseal, type RecordKind } from './index.js';
+import { RecordStore, type RecordKind } from './record-store.js';
+import { seal, unseal } from './sealed-file.js';
 
 let folders: string[] = [];
 
