--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -1,83 +1,30 @@
+/** A core of the platform family: wires the process group to placement, to subscribed edges and to operations. */
 import { create } from '@bufbuild/protobuf';
-import {
-  FrameSchema,
-  OperationSchema,
-  StateUpdateSchema,
-  WIRE_VERSION,
-  WorkerRowSchema,
-  type Answer,
-  type Entry,
-  type Subscribe,
-  type Frame,
-  type StateUpdate,
-  type WorkerRow,
-} from '@rainrun/messages';
-import {
-  Group,
-  type GroupDependencies,
-  type GroupState,
-  type Outcome,
-  type StateMachine,
-} from '@rainrun/process-group';
-import {
-  applyToDeployment,
-  checkConfiguration,
-  decodeDeployment,
-  EMPTY_DEPLOYMENT,
-  encodeDeployment,
-  type Configuration,
-  type Deployment,
-} from '@rainrun/configuration';
-import { fault, randomId, type Fault } from '@rainrun/common';
-import {
-  PlacementPlanner,
-  WorkerTable,
-  type WorkerRecord,
-  type ListedWorker,
-  type ReportReply,
-  type Engine,
-  type WorkerOrder,
-  type WorkerOrderReply,
-} from '@rainrun/placement';
-import { Result } from 'true-myth';
-import { PlanPacer } from './plan-pacer.js';
-import { encodeStateUpdate, type EncodedDeployment } from './state-update.js';
-import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
-import { WorkerHealth } from './worker-health.js';
-
-const DEPLOYMENT_STATE_MACHINE: StateMachine<Deployment> = {
-  empty: () => EMPTY_DEPLOYMENT,
-  encode: (state) => ({ application: encodeDeployment(state), applicationExtension: new Uint8Array() }),
-  decode: (encoded) => decodeDeployment(encoded.application),
-  withoutExtension: (state) => state,
-  apply(state, operation): { state: Deployment; outcome: Outcome } {
-    return applyToDeployment(state, {
-      kind: operation.kind,
-      payload: new TextDecoder().decode(operation.payload),
-    });
-  },
-};
+import { OperationSchema, type Frame, type Subscribe } from '@rainrun/messages';
+import { Group, type GroupDependencies, type GroupState } from '@rainrun/process-group';
+import { EMPTY_DEPLOYMENT, type Deployment } from '@rainrun/configuration';
+import { randomId, type Fault } from '@rainrun/common';
+import type { ListedWorker, PlacementPlanner, WorkerTable } from '@rainrun/placement';
+import type { Result } from 'true-myth';
+import { DEPLOYMENT_STATE_MACHINE } from './deployment-state-machine.js';
+import { PendingOperations, type AnswerCallback } from './pending-operations.js';
+import { PlacementLoop, type PlacementEffects } from './placement-loop.js';
+import { UpdatePublisher } from './update-publisher.js';
 
 /** What a core is given by its program, or by the simulator. */
-export interface CoreReplicaDependencies extends Omit<
-  GroupDependencies<Deployment>,
-  'stateMachine' | 'listener'
-> {
-  /** Sends one order to a worker. */
-  order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void;
-  /** Asks a worker what it holds. */
-  report(row: WorkerRecord, done: (reply: ReportReply) => void): void;
+export interface CoreReplicaDependencies
+  extends Omit<GroupDependencies<Deployment>, 'stateMachine' | 'listener'>, PlacementEffects {
   /** Called when another edition came into force here. */
   onStateChange(state: Deployment): void;
+  /** Called when this node joins, or rejoins, as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
+  /** Called when the group rejects this node, with the reason. */
   onJoinRejected(why: string): void;
-  /** Called for each decision on placement, for the logs. */
-  onPlacementDecision(text: string): void;
 }
 
 /**
- * A core: a member of the process group that holds the deployment's state and
- * the placement, and tells the nodes that follow it. The coordinator keeps the
+ * A core: a member of the process group that replicates the deployment's state
+ * and publishes it to the edges that subscribe. The coordinator keeps the
  * table of workers and orders them. No socket, timer or file of its own.
  * @example
  * const replica = new CoreReplica(dependencies);
@@ -86,53 +33,54 @@
 export class CoreReplica {
   #dependencies: CoreReplicaDependencies;
   #group: Group<Deployment>;
-  #workerTable = new WorkerTable();
-  #planner: PlacementPlanner;
-  #health = new WorkerHealth();
-  #tableId = '';
-  #tableEpoch = -1;
-  #subscribers = new Subscribers();
-  #pacer = new PlanPacer();
-  #waiting = new Map<string, (answer: Answer) => void>();
-  #parsedEngines: { readonly state: Deployment; readonly engines: ReadonlyMap<string, Engine> } | undefined;
-  #encodedState: { readonly state: Deployment; readonly bytes: EncodedDeployment } | undefined;
+  #placement: PlacementLoop;
+  #publisher: UpdatePublisher;
+  #operations = new PendingOperations();
 
   constructor(dependencies: CoreReplicaDependencies) {
     this.#dependencies = dependencies;
-    this.#planner = this.#newPlanner();
     this.#group = new Group<Deployment>({
       ...dependencies,
       stateMachine: DEPLOYMENT_STATE_MACHINE,
       listener: {
-        onVersion: (held, entry) => this.#onVersion(held, entry),
+        onVersion: (state) => this.#onVersion(state),
         onCast: () => undefined,
-        onAnswer: (answer) => this.#onAnswer(answer),
+        onAnswer: (answer) => this.#operations.onAnswer(answer),
         onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
         onJoinRejected: (why) => dependencies.onJoinRejected(why),
         onFrame: (_from, body) => this.#onFrame(body),
       },
       send: (address, frame) => dependencies.send(address, frame),
     });
+    this.#placement = new PlacementLoop(dependencies, this.#group, () => this.state);
+    this.#publisher = new UpdatePublisher({
+      deployment: dependencies.deployment,
+      group: this.#group,
+      state: () => this.state,
+      placement: () => this.#placement,
+      send: (address, frame) => dependencies.send(address, frame),
+    });
   }
 
   get group(): Group<Deployment> {
     return this.#group;
   }
 
+  /** The state in force here. */
   get state(): Deployment {
     return this.#group.state?.application ?? EMPTY_DEPLOYMENT;
   }
 
   get workerTable(): WorkerTable {
-    return this.#workerTable;
+    return this.#placement.workerTable;
   }
 
   get planner(): PlacementPlanner {
-    return this.#planner;
+    return this.#placement.planner;
   }
 
   get subscriberCount(): number {
-    return this.#subscribers.size;
+    return this.#publisher.subscriberCount;
   }
 
   receive(frame: Frame): void {
@@ -142,247 +90,56 @@
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#group.tick();
-    this.#subscribers.expire(nowMs);
-    this.#openTable();
-    if (this.#group.isCoordinator) {
-      this.#health.evaluate(this.#workerTable, nowMs);
-      this.#placeModels(nowMs);
-    }
-    this.#sendDueUpdates(nowMs);
+    this.#publisher.expire(nowMs);
+    this.#placement.openTable();
+    if (this.#group.isCoordinator) this.#placement.tick(nowMs);
+    this.#publisher.sendDueUpdates(nowMs);
   }
 
-  /** Takes the platform's whole list. */
+  /** Takes the platform's complete list of workers; ignored unless this core is the coordinator. */
   learnList(list: readonly ListedWorker[]): void {
     if (!this.#group.isCoordinator) return;
-    this.#openTable();
+    this.#placement.openTable();
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#workerTable.learn(list, nowMs);
-    this.#placeModels(nowMs);
-    this.#sendDueUpdates(nowMs);
+    this.#placement.learnList(list, nowMs);
+    this.#publisher.sendDueUpdates(nowMs);
   }
 
-  /** Submits an operation; `done` is called once, with the agreed answer. */
-  submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
-    const id = randomId(this.#dependencies.chance);
+  /** Submits an operation; `done` is called once, with the committed answer. Fails with `unreached`. */
+  submit(kind: string, payload: unknown, done: AnswerCallback): Result<string, Fault> {
     const operation = create(OperationSchema, {
-      id,
+      id: randomId(this.#dependencies.chance),
       kind,
       payload: new TextEncoder().encode(JSON.stringify(payload)),
       transient: true,
     });
-    this.#waiting.set(id, done);
-    if (this.#group.submit(operation)) return Result.ok(id);
-    this.#waiting.delete(id);
-    return Result.err(fault('unreached', 'no coordinator can be reached; nothing was sent'));
+    return this.#operations.submit(this.#group, operation, done);
   }
 
   /** The caller waits for this answer no longer, and may have asked another node. */
   abandon(id: string): void {
-    this.#waiting.delete(id);
-    this.#group.withdraw(id);
-  }
-
-  #newPlanner(): PlacementPlanner {
-    const dependencies = this.#dependencies;
-    return new PlacementPlanner(this.#workerTable, {
-      fence: () => this.#group.singletonEpoch(),
-      order: (row, order, done) => dependencies.order(row, order, done),
-      report: (row, done) => dependencies.report(row, done),
-      nowMs: () => dependencies.clock.nowMs(),
-      onDecision: (text) => dependencies.onPlacementDecision(text),
-    });
-  }
-
-  /** A coordinator's table begins anew with each epoch. */
-  #openTable(): void {
-    const epoch = this.#group.isCoordinator ? this.#group.epoch : -1;
-    if (epoch === this.#tableEpoch) return;
-    this.#tableEpoch = epoch;
-    this.#tableId = epoch < 0 ? '' : `${epoch}-${this.#group.self.incarnation}`;
-    this.#workerTable = new WorkerTable();
-    this.#planner = this.#newPlanner();
-    this.#health = new WorkerHealth();
-  }
-
-  #engines(): ReadonlyMap<string, Engine> {
-    const { state } = this;
-    if (this.#parsedEngines?.state !== state) {
-      const checked = state.document === undefined ? undefined : checkConfiguration(state.document);
-      const configuration = checked?.isOk === true ? checked.value : undefined;
-      this.#parsedEngines = { state, engines: enginesOf(configuration) };
-    }
-    return this.#parsedEngines.engines;
-  }
-
-  /** Plans where the pacer allows it, and sends the orders that are due. */
-  #placeModels(nowMs: number): void {
-    const engines = this.#engines();
-    if (this.#pacer.isDue(nowMs)) {
-      this.#planner.plan(engines, this.state.evacuated, nowMs);
-      this.#pacer.recordPlan(nowMs, this.#dependencies.clock.nowMs());
-    }
-    this.#planner.sendDueOrders(engines, nowMs);
+    this.#operations.abandon(this.#group, id);
   }
 
   #onFrame(body: Frame['body']): void {
     if (body.case === 'subscribe') this.#onSubscribe(body.value);
   }
 
-  #onSubscribe(follow: Subscribe): void {
-    const { subscriber: seat, demands: wants, leaving, incremental: partial, outcomes } = follow;
-    if (seat === undefined) return;
-    if (leaving) return this.#subscribers.remove(seat.incarnation);
+  #onSubscribe(subscribe: Subscribe): void {
+    const { subscriber: member, demands, leaving, incremental, outcomes } = subscribe;
+    if (member === undefined) return;
+    const { incarnation, zone } = member;
+    if (leaving) return this.#publisher.unsubscribe(incarnation);
     const nowMs = this.#dependencies.clock.nowMs();
-    const subscriber = this.#subscribers.onSubscribe(follow, seat, nowMs);
-    if (this.#group.isCoordinator) {
-      this.#planner.updateDemand(seat.incarnation, wants, nowMs, partial);
-      this.#health.record(seat.zone, outcomes, nowMs);
-      if (wants.some(({ waiting }) => waiting > 0)) this.#placeModels(nowMs);
-    }
-    if (this.#subscribers.isAnswerDue(subscriber, this.#offer(), nowMs)) this.#sendUpdate(subscriber, nowMs);
-    this.#sendDueUpdates(nowMs);
-  }
-
-  /** What this core can tell those who follow it; only the coordinator has a table of workers. */
-  #offer(): AvailableState {
-    const { isCoordinator: leading } = this.#group;
-    const table = leading && this.#workerTable.number > 0 ? this.#tableId : '';
-    return {
-      edition: this.state.edition,
-      tableId: table,
-      tableRow: this.#workerTable.number,
-      isCoordinator: leading,
-    };
-  }
-
-  #sendDueUpdates(nowMs: number): void {
-    const due = this.#subscribers.dueSubscribers(this.#offer(), this.#workerTable.takeChanges(), nowMs);
-    for (const subscriber of due) this.#sendUpdate(subscriber, nowMs);
-  }
-
-  /** What is told is taken for known until the follower says otherwise, so that it is told once. */
-  #sendUpdate(subscriber: Subscriber, nowMs: number): void {
-    const offer = this.#offer();
-    const tell = create(StateUpdateSchema, {
-      edition: this.state.edition,
-      hasLease: this.#group.holdsLease(),
-      edgeCount: this.#subscribers.size,
-    });
-    this.#addView(tell, subscriber, nowMs);
-    if (this.#subscribers.isStateDue(subscriber, offer, nowMs)) {
-      this.#addState(tell, subscriber);
-      this.#subscribers.recordStateSent(subscriber, offer, nowMs);
-    }
-    if (offer.tableId !== '') this.#addRows(tell, subscriber, offer, nowMs);
-    subscriber.lastUpdateMs = nowMs;
-    const frame = create(FrameSchema, {
-      wire: WIRE_VERSION,
-      deployment: this.#dependencies.deployment,
-      from: this.#group.self.incarnation,
-      to: subscriber.member.incarnation,
-    });
-    frame.body = { case: 'stateUpdate', value: tell };
-    this.#dependencies.send(subscriber.member.address, frame);
-  }
-
-  #addView(tell: StateUpdate, subscriber: Subscriber, nowMs: number): void {
-    const { view, coordinatorIncarnation } = this.#group;
-    const leader = view?.members.find((member) => member.incarnation === coordinatorIncarnation);
-    if (leader !== undefined) tell.coordinator = leader;
-    if (view === undefined || !this.#subscribers.isViewDue(subscriber, view.number, nowMs)) return;
-    tell.cores = view.members;
-    this.#subscribers.recordViewSent(subscriber, view.number, nowMs);
-  }
-
-  #addRows(tell: StateUpdate, subscriber: Subscriber, offer: AvailableState, nowMs: number): void {
-    const whole = subscriber.tableId !== offer.tableId;
-    tell.tableId = offer.tableId;
-    tell.snapshot = whole;
-    tell.tableRow = offer.tableRow;
-    tell.baseRow = whole ? 0 : subscriber.tableRow;
-    tell.rows = this.#workerTable.since(tell.baseRow).map((row) => rowOf(row, nowMs));
-    this.#subscribers.recordRowsSent(subscriber, offer, tell.rows.length, nowMs);
-  }
-
-  #addState(tell: StateUpdate, { acceptsDeflate: readsDeflated }: Subscriber): void {
-    const { state } = this;
-    if (this.#encodedState?.state !== state) this.#encodedState = { state, bytes: encodeStateUpdate(state) };
-    if (readsDeflated) tell.deflatedState = this.#encodedState.bytes.deflated;
-    else tell.state = this.#encodedState.bytes.plain;
-  }
-
-  #onVersion(held: GroupState<Deployment>, _entry: Entry | undefined): void {
-    this.#dependencies.onStateChange(held.application);
-    this.#sendDueUpdates(this.#dependencies.clock.nowMs());
+    const subscriber = this.#publisher.onSubscribe(subscribe, member, nowMs);
+    if (this.#group.isCoordinator)
+      this.#placement.onEdgeReport({ incarnation, zone, demands, incremental, outcomes }, nowMs);
+    this.#publisher.answer(subscriber, nowMs);
+    this.#publisher.sendDueUpdates(nowMs);
   }
 
-  #onAnswer(answer: Answer): void {
-    const done = this.#waiting.get(answer.id);
-    this.#waiting.delete(answer.id);
-    done?.(answer);
-  }
-}
-
-function rowOf(row: WorkerRecord, nowMs: number): WorkerRow {
-  const {
-    number,
-    id,
-    service,
-    address,
-    zone,
-    draining: leaving,
-    gone,
-    slots,
-    coldUntilMs,
-    models,
-    limits,
-  } = row;
-  return create(WorkerRowSchema, {
-    number,
-    id,
-    service,
-    address,
-    zone,
-    draining: leaving,
-    removed: gone,
-    slots,
-    warmUpMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
-    loadedModels: [...models].map(([model, adapters]) => ({
-      $typeName: 'rainrun.v1.LoadedModel' as const,
-      model,
-      adapters: [...adapters],
-      loadNumber: 0,
-    })),
-    callerLimits: [...limits].map(([callers, percent]) => ({
-      $typeName: 'rainrun.v1.CallerLimit' as const,
-      zone: callers,
-      percent,
-    })),
-  });
-}
-
-/**
- * The engines that a configuration describes, by service.
- * @example
- * enginesOf(undefined).size; // 0
- */
-export function enginesOf(configuration: Configuration | undefined): ReadonlyMap<string, Engine> {
-  const engines = new Map<string, Engine>();
-  for (const { name, engine } of configuration?.services ?? []) {
-    if (engine === undefined || engine === null || engine.models.length === 0) continue;
-    engines.set(name, {
-      service: name,
-      slots: engine.slots,
-      roomMb: engine.roomMb,
-      adapterPlaces: engine.adapterPlaces,
-      loadsPerS: engine.loadsPerS,
-      models: new Map(
-        engine.models.map((model) => [
-          model.name,
-          { name: model.name, sizeMb: model.sizeMb, loadMs: model.loadS * 1000, adapterMb: model.adapterMb },
-        ]),
-      ),
-    });
+  #onVersion(state: GroupState<Deployment>): void {
+    this.#dependencies.onStateChange(state.application);
+    this.#publisher.sendDueUpdates(this.#dependencies.clock.nowMs());
   }
-  return engines;
 }
--- /dev/null
+++ b/packages/cluster-node/src/spec-state-machine.ts
@@ -0,0 +1,22 @@
+/** The spec family's state as the replicated state machine of the process group. */
+import type { Outcome, StateMachine } from '@rainrun/process-group';
+import {
+  applyToSpecState,
+  decodeSpecState,
+  EMPTY_SPEC_STATE,
+  encodeSpecState,
+  specStateWithoutExtension,
+  type SpecState,
+} from '@rainrun/configuration';
+
+/** Every node of the spec family replicates this state machine. */
+export const SPEC_STATE_MACHINE: StateMachine<SpecState> = {
+  empty: () => EMPTY_SPEC_STATE,
+  encode: encodeSpecState,
+  decode: decodeSpecState,
+  withoutExtension: specStateWithoutExtension,
+  apply(state, operation, level): { state: SpecState; outcome: Outcome } {
+    const { id, kind } = operation;
+    return applyToSpecState(state, { id, kind, payload: new TextDecoder().decode(operation.payload) }, level);
+  },
+};
--- /dev/null
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -0,0 +1,175 @@
+/** Builds state updates for the edges that subscribe to a core, and sends them when they are due. Platform family. */
+import { create } from '@bufbuild/protobuf';
+import {
+  FrameSchema,
+  StateUpdateSchema,
+  WIRE_VERSION,
+  WorkerRowSchema,
+  type Frame,
+  type Member,
+  type StateUpdate,
+  type Subscribe,
+  type WorkerRow,
+} from '@rainrun/messages';
+import type { Deployment } from '@rainrun/configuration';
+import type { WorkerRecord, WorkerTable } from '@rainrun/placement';
+import { encodeStateUpdate, type EncodedDeployment } from './state-update.js';
+import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
+
+/** The process group, as far as updates tell of it. */
+export interface PublishedGroup {
+  readonly isCoordinator: boolean;
+  readonly self: { readonly incarnation: string };
+  readonly view: { readonly number: number; readonly members: readonly Member[] } | undefined;
+  readonly coordinatorIncarnation: string | undefined;
+  holdsLease(): boolean;
+}
+
+/** What the publisher reads and how it sends. */
+export interface UpdatePublisherDependencies {
+  readonly deployment: string;
+  readonly group: PublishedGroup;
+  state(): Deployment;
+  /** The worker table of this epoch, and its id. */
+  placement(): { readonly workerTable: WorkerTable; readonly tableId: string };
+  send(address: string, frame: Frame): void;
+}
+
+/**
+ * The subscribed edges of one core.
+ * @example
+ * publisher.onSubscribe(subscribe, member, nowMs);
+ * publisher.sendDueUpdates(nowMs);
+ */
+export class UpdatePublisher {
+  #dependencies: UpdatePublisherDependencies;
+  #subscribers = new Subscribers();
+  #encodedState: { readonly state: Deployment; readonly bytes: EncodedDeployment } | undefined;
+
+  constructor(dependencies: UpdatePublisherDependencies) {
+    this.#dependencies = dependencies;
+  }
+
+  get subscriberCount(): number {
+    return this.#subscribers.size;
+  }
+
+  /** Removes expired subscriptions. */
+  expire(nowMs: number): void {
+    this.#subscribers.expire(nowMs);
+  }
+
+  /** Ends the subscription of an edge that leaves. */
+  unsubscribe(incarnation: string): void {
+    this.#subscribers.remove(incarnation);
+  }
+
+  /** Records a subscription or its renewal. */
+  onSubscribe(subscribe: Subscribe, member: Member, nowMs: number): Subscriber {
+    return this.#subscribers.onSubscribe(subscribe, member, nowMs);
+  }
+
+  /** Answers an edge that has just subscribed, where an answer is due. */
+  answer(subscriber: Subscriber, nowMs: number): void {
+    if (this.#subscribers.isAnswerDue(subscriber, this.#available(), nowMs))
+      this.#sendUpdate(subscriber, nowMs);
+  }
+
+  /** Sends the updates that are due unasked. */
+  sendDueUpdates(nowMs: number): void {
+    const { workerTable } = this.#dependencies.placement();
+    const due = this.#subscribers.dueSubscribers(this.#available(), workerTable.takeChanges(), nowMs);
+    for (const subscriber of due) this.#sendUpdate(subscriber, nowMs);
+  }
+
+  /** What this core can send; only the coordinator has a table of workers. */
+  #available(): AvailableState {
+    const { isCoordinator } = this.#dependencies.group;
+    const { workerTable, tableId } = this.#dependencies.placement();
+    return {
+      edition: this.#dependencies.state().edition,
+      tableId: isCoordinator && workerTable.number > 0 ? tableId : '',
+      tableRow: workerTable.number,
+      isCoordinator,
+    };
+  }
+
+  /** What is sent counts as known until the edge says otherwise, so that it is sent once. */
+  #sendUpdate(subscriber: Subscriber, nowMs: number): void {
+    const available = this.#available();
+    const { deployment, group, state, send } = this.#dependencies;
+    const update = create(StateUpdateSchema, {
+      edition: state().edition,
+      hasLease: group.holdsLease(),
+      edgeCount: this.#subscribers.size,
+    });
+    this.#addView(update, subscriber, nowMs);
+    if (this.#subscribers.isStateDue(subscriber, available, nowMs)) {
+      this.#addState(update, subscriber);
+      this.#subscribers.recordStateSent(subscriber, available, nowMs);
+    }
+    if (available.tableId !== '') this.#addRows(update, subscriber, available, nowMs);
+    subscriber.lastUpdateMs = nowMs;
+    const frame = create(FrameSchema, {
+      wire: WIRE_VERSION,
+      deployment,
+      from: group.self.incarnation,
+      to: subscriber.member.incarnation,
+    });
+    frame.body = { case: 'stateUpdate', value: update };
+    send(subscriber.member.address, frame);
+  }
+
+  #addView(update: StateUpdate, subscriber: Subscriber, nowMs: number): void {
+    const { view, coordinatorIncarnation } = this.#dependencies.group;
+    const coordinator = view?.members.find((member) => member.incarnation === coordinatorIncarnation);
+    if (coordinator !== undefined) update.coordinator = coordinator;
+    if (view === undefined || !this.#subscribers.isViewDue(subscriber, view.number, nowMs)) return;
+    update.cores = [...view.members];
+    this.#subscribers.recordViewSent(subscriber, view.number, nowMs);
+  }
+
+  #addRows(update: StateUpdate, subscriber: Subscriber, available: AvailableState, nowMs: number): void {
+    const isSnapshot = subscriber.tableId !== available.tableId;
+    const { workerTable } = this.#dependencies.placement();
+    update.tableId = available.tableId;
+    update.snapshot = isSnapshot;
+    update.tableRow = available.tableRow;
+    update.baseRow = isSnapshot ? 0 : subscriber.tableRow;
+    update.rows = workerTable.since(update.baseRow).map((row) => rowOf(row, nowMs));
+    this.#subscribers.recordRowsSent(subscriber, available, update.rows.length, nowMs);
+  }
+
+  #addState(update: StateUpdate, { acceptsDeflate }: Subscriber): void {
+    const state = this.#dependencies.state();
+    if (this.#encodedState?.state !== state) this.#encodedState = { state, bytes: encodeStateUpdate(state) };
+    if (acceptsDeflate) update.deflatedState = this.#encodedState.bytes.deflated;
+    else update.state = this.#encodedState.bytes.plain;
+  }
+}
+
+function rowOf(worker: WorkerRecord, nowMs: number): WorkerRow {
+  const { number, id, service, address, zone, draining, gone, slots, coldUntilMs, models, limits } = worker;
+  return create(WorkerRowSchema, {
+    number,
+    id,
+    service,
+    address,
+    zone,
+    draining,
+    removed: gone,
+    slots,
+    warmUpMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
+    loadedModels: [...models].map(([model, adapters]) => ({
+      $typeName: 'rainrun.v1.LoadedModel' as const,
+      model,
+      adapters: [...adapters],
+      loadNumber: 0,
+    })),
+    callerLimits: [...limits].map(([callers, percent]) => ({
+      $typeName: 'rainrun.v1.CallerLimit' as const,
+      zone: callers,
+      percent,
+    })),
+  });
+}
