--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -3,6 +3,7 @@
 export * from './cluster-node.js';
 export * from './worker-directory.js';
 export * from './edge-replica.js';
+export * from './edge-worker-table.js';
 export * from './core-replica.js';
 export * from './state-update.js';
 export * from './subscribers.js';
