--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -1,75 +1,27 @@
+/** A node of the spec family: wires the process group to gossip, placement, forwarded queries and observations. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
-  GossipTable,
   ObservationSchema,
   OperationSchema,
-  ForwardedQuerySchema,
-  ForwardedReplySchema,
-  WorkerListSchema,
-  WorkerStateSchema,
-  type Answer,
   type Entry,
   type Frame,
-  type GossipItem,
-  type Observation,
-  type ForwardedQuery,
-  type ForwardedReply,
   type Member,
+  type Observation,
   type WorkerList,
 } from '@rainrun/messages';
-import {
-  Group,
-  type GroupDependencies,
-  type GroupState,
-  type Outcome,
-  type StateMachine,
-} from '@rainrun/process-group';
-import {
-  applyToSpecState,
-  decodeSpecState,
-  EMPTY_SPEC_STATE,
-  encodeSpecState,
-  specStateWithoutExtension,
-  type SpecState,
-} from '@rainrun/configuration';
-import { fault, randomId, type Fault } from '@rainrun/common';
-import {
-  SpecOrderSender,
-  SpecPlacer,
-  SPEC_PLACER_SETTINGS,
-  type SpecWorkerState,
-  type SpecModelDemand,
-  type SpecOrder,
-  type SpecOrderReply,
-  type SpecPlacerSettings,
-} from '@rainrun/placement';
-import { Result } from 'true-myth';
+import { Group, type GroupDependencies, type GroupState } from '@rainrun/process-group';
+import { EMPTY_SPEC_STATE, type SpecState } from '@rainrun/configuration';
+import type { Fault } from '@rainrun/common';
+import type { SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
+import type { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { DemandTable, type GroupStatus } from './demand-table.js';
+import { ForwardedQueries, type QueryCallback, type QueryResult } from './forwarded-queries.js';
+import { PendingOperations, type AnswerCallback } from './pending-operations.js';
+import { SpecPlacementLoop } from './spec-placement-loop.js';
+import { SPEC_STATE_MACHINE } from './spec-state-machine.js';
 import { WorkerDirectory, type DirectoryWorker } from './worker-directory.js';
-
-const SPEC_STATE_MACHINE: StateMachine<SpecState> = {
-  empty: () => EMPTY_SPEC_STATE,
-  encode: encodeSpecState,
-  decode: decodeSpecState,
-  withoutExtension: specStateWithoutExtension,
-  apply(state, operation, level): { state: SpecState; outcome: Outcome } {
-    const { id, kind } = operation;
-    return applyToSpecState(state, { id, kind, payload: new TextDecoder().decode(operation.payload) }, level);
-  },
-};
-
-const NEWS_TICK_MS = 200;
-const PLACE_TICK_MS = 1000;
-/** How long a new holder of the duty waits to hear what every worker holds. */
-const HEARING_MS = 4000;
-/** So long a question waits for its answer, and so often it is sent again. */
-const ASK_MS = 1500;
-const ASK_AGAIN_MS = 300;
-/** Another copy comes after the first ones of everything, asked for or not. */
-const ANOTHER = 1e6;
-const NEWS_LIST = 'list';
-const NEWS_WORKER = 'worker/';
+import { WorkerGossip } from './worker-gossip.js';
 
 /** What a node of the system is given by its program, or by the simulator. */
 export interface ClusterNodeDependencies extends Omit<
@@ -79,36 +31,23 @@
   /** Sends one order to a worker. */
   order(address: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
   /** Called when a version has come into force here. */
-  onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void;
+  onStateChange(state: GroupState<SpecState>, entry: Entry | undefined): void;
   /** Called for each cast delivered here. */
   onCast(sender: string, payload: Uint8Array): void;
-  /** Called at each change of standing, for the logs. */
+  /** Called when this node joins, or rejoins, as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
-  /** Called when the group says that this node cannot join it. */
+  /** Called when the group rejects this node, with the reason. */
   onJoinRejected(why: string): void;
   /** Set points of placement, where they are not the usual ones. */
   readonly placing?: SpecPlacerSettings;
-  /** Answers a question that an operator asked at another node. */
+  /** Answers a query that an operator asked at another node. */
   answerQuery(kind: string, text: string): QueryResult;
 }
 
-/** A node's answer to a question from another: an HTTP status and a JSON value. */
-export interface QueryResult {
-  readonly status: number;
-  readonly body: unknown;
-}
-
-interface PendingQuery {
-  readonly to: string;
-  readonly question: ForwardedQuery;
-  readonly endMs: number;
-  sentMs: number;
-  readonly done: (told: QueryResult | undefined) => void;
-}
-
 /**
- * One node: its place in the group, the agreed stage, news, and, where it
- * holds the duty, placement and orders. No socket, timer or file of its own.
+ * One node: its member of the group, the committed spec state, gossip, and,
+ * where it holds the singleton lease, placement and orders. No socket, timer or
+ * file of its own.
  * @example
  * const clusterNode = new ClusterNode(dependencies);
  * clusterNode.tick(); // every 50 ms
@@ -117,41 +56,23 @@
 export class ClusterNode {
   #dependencies: ClusterNodeDependencies;
   #group: Group<SpecState>;
-  #news: GossipTable;
-  #roster = new WorkerDirectory();
+  #directory = new WorkerDirectory();
   #demand = new DemandTable();
-  #placer: SpecPlacer;
-  #orderer: SpecOrderSender;
-  #waiting = new Map<string, (answer: Answer) => void>();
-  #newsHeartbeatMs = -Infinity;
-  #placeHeartbeatMs = -Infinity;
-  #placing: string | undefined;
-  #dutySince: { epoch: number; atMs: number } | undefined;
-  #tellings = 0;
-  #asked = new Map<string, PendingQuery>();
-  #counter = 0;
+  #gossip: WorkerGossip;
+  #placement: SpecPlacementLoop;
+  #queries: ForwardedQueries;
+  #operations = new PendingOperations();
 
   constructor(dependencies: ClusterNodeDependencies) {
     this.#dependencies = dependencies;
-    this.#placer = new SpecPlacer(dependencies.placing ?? SPEC_PLACER_SETTINGS);
-    this.#news = new GossipTable(dependencies.chance, (item) => this.#hear(item));
-    this.#orderer = new SpecOrderSender({
-      singletonEpoch: () => this.#group.singletonEpoch(),
-      order: (order, done) => this.#order(order, done),
-      learned: (worker, known) => this.#learned(worker, known),
-    });
-    this.#group = new Group<SpecState>({
-      ...dependencies,
-      stateMachine: SPEC_STATE_MACHINE,
-      listener: {
-        onVersion: (held, entry) => this.#onVersion(held, entry),
-        onCast: (sender, payload) => this.#onCast(sender, payload),
-        onAnswer: (answer) => this.#onAnswer(answer),
-        onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
-        onJoinRejected: (why) => dependencies.onJoinRejected(why),
-        onFrame: (from, body) => this.#onFrame(from, body),
-      },
-      send: (address, frame) => dependencies.send(address, frame),
+    this.#group = this.#newGroup();
+    this.#gossip = this.#newGossip();
+    this.#placement = this.#newPlacement();
+    this.#queries = new ForwardedQueries({
+      clock: dependencies.clock,
+      chance: dependencies.chance,
+      send: (incarnation, body) => this.#group.sendTo(incarnation, body),
+      answerQuery: (kind, text) => dependencies.answerQuery(kind, text),
     });
   }
 
@@ -159,10 +80,12 @@
     return this.#group;
   }
 
+  /** The state in force here. */
   get state(): SpecState {
     return this.#group.state?.application ?? EMPTY_SPEC_STATE;
   }
 
+  /** What the research groups measured over the fleet. */
   get groups(): GroupStatus[] {
     return this.#demand.groups();
   }
@@ -174,79 +97,46 @@
       .map((member) => member.name);
   }
 
+  /** All listed workers. */
   workers(): DirectoryWorker[] {
-    return this.#roster.workers(this.state, this.#group.self.incarnation, this.#now());
+    return this.#directory.workers(this.state, this.#group.self.incarnation, this.#now());
   }
 
   /** Why a model stands where it does, if this node decided it. */
   reason(model: string): string | undefined {
-    return this.#placer.reason(model);
+    return this.#placement.reason(model);
   }
 
-  /** Takes the platform's list; an older generation than the known one is left aside. */
+  /** Takes the platform's list; one of an older generation than the known one is ignored. */
   learnList(list: WorkerList): void {
-    this.#news.publish(NEWS_LIST, list.generation, 0, toBinary(WorkerListSchema, list));
+    this.#gossip.publishList(list);
   }
 
-  /** Casts what this edge saw. */
+  /** Casts what this edge observed. */
   observe(observation: Observation): void {
     this.#group.cast(toBinary(ObservationSchema, observation));
   }
 
   /**
-   * Submits an operation. `done` is called once with the agreed answer; a
-   * caller that cannot wait asks later by the id.
+   * Submits an operation. `done` is called once, with the committed answer; a
+   * caller that cannot wait asks later by the id. Fails with `unreached`.
    */
-  submit(id: string, kind: string, payload: string, done: (answer: Answer) => void): Result<string, Fault> {
+  submit(id: string, kind: string, payload: string, done: AnswerCallback): Result<string, Fault> {
     const operation = create(OperationSchema, {
       id,
       kind,
       payload: new TextEncoder().encode(payload),
       transient: kind === 'place',
     });
-    this.#waiting.set(id, done);
-    if (this.#group.submit(operation)) return Result.ok(id);
-    this.#waiting.delete(id);
-    return Result.err(fault('unreached', 'no coordinator can be reached; nothing was sent'));
+    return this.#operations.submit(this.#group, operation, done);
   }
 
   /**
-   * Asks another member. `done` is called once: with its answer, or with
-   * nothing when none came in time.
+   * Forwards a query to another member. `done` is called once: with its answer,
+   * or with nothing when none came in time.
    */
-  query(to: string, kind: string, text: string, done: (told: QueryResult | undefined) => void): void {
-    const question = create(ForwardedQuerySchema, { id: randomId(this.#dependencies.chance), kind, text });
-    this.#asked.set(question.id, { to, question, endMs: this.#now() + ASK_MS, sentMs: -Infinity, done });
-    this.#askAgain();
-  }
-
-  #askAgain(): void {
-    const nowMs = this.#now();
-    for (const [id, asked] of this.#asked) {
-      if (nowMs > asked.endMs) {
-        this.#asked.delete(id);
-        asked.done(undefined);
-      } else if (nowMs - asked.sentMs >= ASK_AGAIN_MS) {
-        asked.sentMs = nowMs;
-        this.#group.sendTo(asked.to, { case: 'forwardedQuery', value: asked.question });
-      }
-    }
-  }
-
-  #answer(from: string, question: ForwardedQuery): void {
-    const { status, body } = this.#dependencies.answerQuery(question.kind, question.text);
-    const value = create(ForwardedReplySchema, { id: question.id, status, body: JSON.stringify(body) });
-    this.#group.sendTo(from, { case: 'forwardedReply', value });
-  }
-
-  #told(reply: ForwardedReply): void {
-    const asked = this.#asked.get(reply.id);
-    this.#asked.delete(reply.id);
-    const body = tryOrElse(
-      () => undefined,
-      () => JSON.parse(reply.body) as unknown,
-    );
-    asked?.done(body.isOk ? { status: reply.status, body: body.value } : undefined);
+  query(to: string, kind: string, text: string, done: QueryCallback): void {
+    this.#queries.query(to, kind, text, done);
   }
 
   receive(frame: Frame): void {
@@ -256,159 +146,87 @@
   tick(): void {
     const nowMs = this.#now();
     this.#group.tick();
-    if (nowMs - this.#newsHeartbeatMs >= NEWS_TICK_MS) {
-      this.#newsHeartbeatMs = nowMs;
-      const self = this.#group.self.incarnation;
-      const incarnations = (this.#group.view?.members ?? [])
-        .map((member) => member.incarnation)
-        .filter((incarnation) => incarnation !== self);
-      for (const { to, body } of this.#news.tick(incarnations)) this.#group.sendTo(to, body);
-    }
-    this.#askAgain();
-    this.#place(nowMs);
+    this.#gossip.tick(nowMs);
+    this.#queries.tick();
+    this.#placement.tick(nowMs);
   }
 
-  #now(): number {
-    return this.#dependencies.clock.nowMs();
-  }
-
-  #place(nowMs: number): void {
-    const epoch = this.#group.singletonEpoch();
-    const spec = this.state.spec?.spec;
-    if (epoch === undefined || spec === undefined) return;
-    const workers = this.workers().filter((worker) => worker.kind === 'model');
-    const staying = workers.filter((worker) => !worker.draining);
-    const demands = this.#demand.models(nowMs);
-    const held = this.#heldParts(staying);
-    this.#orderer.tick(spec, this.state.placement, staying, nowMs, (model, adapter) =>
-      urgencyOf(demands, held, model, adapter),
-    );
-    if (this.#dutySince?.epoch !== epoch) this.#dutySince = { epoch, atMs: nowMs };
-    const heardAll = staying.every((worker) => this.#orderer.known(worker.name) !== undefined);
-    if (!heardAll && nowMs - this.#dutySince.atMs < HEARING_MS) return;
-    if (nowMs - this.#placeHeartbeatMs < PLACE_TICK_MS || this.#placing !== undefined) return;
-    this.#placeHeartbeatMs = nowMs;
-    const seen = workers.map((worker) => ({
-      ...worker,
-      usable: !worker.draining && !worker.evacuated && (this.#orderer.known(worker.name)?.reachable ?? false),
-      holdings: this.state.placement[worker.name] ?? [],
-    }));
-    const changes: Record<string, unknown> = this.#placer.step(spec, seen, demands, nowMs);
-    const listed = new Set(workers.map((worker) => worker.name));
-    for (const name of Object.keys(this.state.placement)) if (!listed.has(name)) changes[name] = [];
-    if (Object.keys(changes).length === 0) return;
-    this.#counter += 1;
-    const id = `place-${epoch}-${this.#group.self.incarnation}-${this.#counter}`;
-    this.#placing = id;
-    const sent = this.submit(id, 'place', JSON.stringify({ epoch, workers: changes }), () => {
-      this.#placing = undefined;
+  #newGroup(): Group<SpecState> {
+    const dependencies = this.#dependencies;
+    return new Group<SpecState>({
+      ...dependencies,
+      stateMachine: SPEC_STATE_MACHINE,
+      listener: {
+        onVersion: (state, entry) => this.#onVersion(state, entry),
+        onCast: (sender, payload) => this.#onCast(sender, payload),
+        onAnswer: (answer) => this.#operations.onAnswer(answer),
+        onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
+        onJoinRejected: (why) => dependencies.onJoinRejected(why),
+        onFrame: (from, body) => this.#onFrame(from, body),
+      },
+      send: (address, frame) => dependencies.send(address, frame),
     });
-    if (sent.isErr) this.#placing = undefined;
   }
 
-  /** Models and adapters that some reachable worker holds, as it said itself. */
-  #heldParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
-    const parts = new Set<string>();
-    for (const { name } of workers) {
-      const known = this.#orderer.known(name);
-      if (known?.reachable !== true) continue;
-      for (const { model, adapters } of known.holdings) {
-        parts.add(`${model}/`);
-        for (const adapter of adapters) parts.add(`${model}/${adapter}`);
-      }
-    }
-    return parts;
+  #newGossip(): WorkerGossip {
+    return new WorkerGossip({
+      clock: this.#dependencies.clock,
+      chance: this.#dependencies.chance,
+      directory: this.#directory,
+      peers: () => this.#peers(),
+      send: (incarnation, body) => this.#group.sendTo(incarnation, body),
+    });
   }
 
-  #order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
-    const entry = this.workers().find((worker) => worker.name === order.worker);
-    if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
-    this.#dependencies.order(entry.address, order, done);
+  #newPlacement(): SpecPlacementLoop {
+    const { placing } = this.#dependencies;
+    return new SpecPlacementLoop({
+      ...(placing === undefined ? {} : { placing }),
+      state: () => this.state,
+      workers: () => this.workers(),
+      demands: (nowMs) => this.#demand.models(nowMs),
+      incarnation: () => this.#group.self.incarnation,
+      singletonEpoch: () => this.#group.singletonEpoch(),
+      order: (address, order, done) => this.#dependencies.order(address, order, done),
+      onWorkerState: (worker, known) => this.#gossip.publishState(worker, known, this.#group.epoch),
+      submitPlacement: (id, payload, done) => this.submit(id, 'place', payload, done),
+    });
   }
 
-  #learned(worker: string, known: SpecWorkerState): void {
-    this.#tellings += 1;
-    const state = create(WorkerStateSchema, {
-      worker,
-      reachable: known.reachable,
-      holdings: known.holdings.map(({ model, adapters }) => ({
-        $typeName: 'rainrun.v1.LoadedModel' as const,
-        model,
-        adapters: [...adapters],
-        loadNumber: known.loads.get(model) ?? 0,
-      })),
-    });
-    const epoch = this.#group.epoch;
-    const item = this.#news.get(NEWS_WORKER + worker);
-    const bytes = toBinary(WorkerStateSchema, state);
-    if (item !== undefined && item.major === epoch && Buffer.compare(item.value, bytes) === 0) return;
-    this.#news.publish(NEWS_WORKER + worker, epoch, this.#tellings, bytes);
+  #now(): number {
+    return this.#dependencies.clock.nowMs();
   }
 
-  #hear(item: GossipItem): void {
-    const nowMs = this.#now();
-    if (item.key === NEWS_LIST) {
-      const list = tryOrElse(
-        () => undefined,
-        () => fromBinary(WorkerListSchema, item.value),
-      );
-      if (list.isOk) this.#roster.setList(list.value);
-    } else if (item.key.startsWith(NEWS_WORKER)) {
-      const state = tryOrElse(
-        () => undefined,
-        () => fromBinary(WorkerStateSchema, item.value),
-      );
-      if (state.isOk) this.#roster.recordState(state.value, nowMs);
-    }
+  /** Incarnations of the other members of the view. */
+  #peers(): string[] {
+    const self = this.#group.self.incarnation;
+    return (this.#group.view?.members ?? [])
+      .map((member) => member.incarnation)
+      .filter((incarnation) => incarnation !== self);
   }
 
-  #onVersion(held: GroupState<SpecState>, entry: Entry | undefined): void {
-    const incarnations = new Set(held.view.members.map((member) => member.incarnation));
-    this.#roster.retainOnly(incarnations);
+  #onVersion(state: GroupState<SpecState>, entry: Entry | undefined): void {
+    const incarnations = new Set(state.view.members.map((member) => member.incarnation));
+    this.#directory.retainOnly(incarnations);
     this.#demand.retainOnly(incarnations);
-    this.#dependencies.onStateChange(held, entry);
+    this.#dependencies.onStateChange(state, entry);
   }
 
+  /** Casts that are no observation, as from a later version, are for the listener alone. */
   #onCast(sender: Member, payload: Uint8Array): void {
     this.#dependencies.onCast(sender.incarnation, payload);
-    const read = tryOrElse(
+    const observation = tryOrElse(
       () => undefined,
       () => fromBinary(ObservationSchema, payload),
     );
-    if (read.isErr) return;
-    this.#roster.recordObservation(sender.incarnation, read.value, this.#now());
-    this.#demand.record(sender.incarnation, read.value, this.#now());
-  }
-
-  #onAnswer(answer: Answer): void {
-    const done = this.#waiting.get(answer.id);
-    this.#waiting.delete(answer.id);
-    done?.(answer);
+    if (observation.isErr) return;
+    this.#directory.recordObservation(sender.incarnation, observation.value, this.#now());
+    this.#demand.record(sender.incarnation, observation.value, this.#now());
   }
 
   #onFrame(from: string, body: Frame['body']): void {
-    if (body.case === 'forwardedQuery') this.#answer(from, body.value);
-    else if (body.case === 'forwardedReply') this.#told(body.value);
-    else if (body.case === 'gossipUpdate') this.#news.onUpdate(body.value);
-    else if (body.case === 'gossipDigest') {
-      const mend = this.#news.onDigest(body.value);
-      if (mend !== undefined) this.#group.sendTo(from, { case: 'gossipRepair', value: mend });
-    } else if (body.case === 'gossipRepair') {
-      const mend = this.#news.onRepair(body.value);
-      if (mend !== undefined) this.#group.sendTo(from, { case: 'gossipRepair', value: mend });
-    }
+    if (body.case === 'forwardedQuery') this.#queries.onQuery(from, body.value);
+    else if (body.case === 'forwardedReply') this.#queries.onReply(body.value);
+    else this.#gossip.onFrame(from, body);
   }
 }
-
-/** How urgent a load is; another copy is loaded after every first one. */
-function urgencyOf(
-  demands: ReadonlyMap<string, SpecModelDemand>,
-  held: ReadonlySet<string>,
-  model: string,
-  adapter: string,
-): number {
-  const demand = demands.get(model);
-  if (demand === undefined) return 0;
-  const asked = adapter === '' ? demand.arrivalsPerS + demand.backlog : (demand.adapters.get(adapter) ?? 0);
-  return held.has(`${model}/${adapter}`) ? asked - ANOTHER : asked;
-}
--- a/packages/cluster-node/src/index.ts
+++ b/packages/cluster-node/src/index.ts
@@ -1,6 +1,7 @@
 export * from './demand-table.js';
 export * from './spec-edge.js';
 export * from './cluster-node.js';
+export * from './forwarded-queries.js';
 export * from './worker-directory.js';
 export * from './edge-replica.js';
 export * from './edge-worker-table.js';
