--- a/packages/cluster-node/src/demand-table.ts
+++ b/packages/cluster-node/src/demand-table.ts
@@ -1,9 +1,10 @@
+/** Demand for models and measures of research groups, summed over the observations of all edges. Spec family. */
 import type { GroupMeasure, Observation } from '@rainrun/messages';
 import type { SpecModelDemand } from '@rainrun/placement';
 
 const HALF_LIFE_S = 10;
 
-/** What a group measured over the fleet, smoothed. */
+/** What a research group measured over the fleet; waits are smoothed, in milliseconds. */
 export interface GroupStatus {
   readonly group: string;
   readonly kind: string;
@@ -18,7 +19,7 @@
 /**
  * Observations of all edges, smoothed into demand per model and measures per group.
  * @example
- * demand.take('incarnation-1', observation, nowMs);
+ * demand.record('incarnation-1', observation, nowMs);
  * demand.models(nowMs).get('gearbox-7b')?.arrivalsPerS;
  */
 export class DemandTable {
@@ -27,6 +28,7 @@
   #groups = new Map<string, Map<string, GroupMeasure>>();
   #totals = new Map<string, GroupStatus>();
 
+  /** Adds what one edge observed since its last observation. */
   record(sender: string, observation: Observation, nowMs: number): void {
     const backlogs = new Map<string, number>();
     for (const { model, adapter, arrivals, backlog } of observation.demands) {
@@ -42,6 +44,7 @@
     for (const measure of observation.groups) this.#count(measure);
   }
 
+  /** Drops what was observed by nodes that are no longer in the view. */
   retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#backlogs.keys())
       if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
@@ -49,6 +52,7 @@
       if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
   }
 
+  /** Demand by model; arrivals are per second and decay with a half-life of ten seconds. */
   models(nowMs: number): Map<string, SpecModelDemand> {
     const demands = new Map<string, SpecModelDemand>();
     for (const model of this.#models.keys()) {
@@ -66,19 +70,19 @@
     return demands;
   }
 
-  /** Totals since this node began to listen, with what stands in flight and backlog now. */
+  /** Totals since this node joined, with requests in flight and backlog now. */
   groups(): GroupStatus[] {
-    const pictures = new Map<string, GroupStatus>();
-    for (const [key, total] of this.#totals) pictures.set(key, { ...total, inFlight: 0, backlog: 0 });
+    const statuses = new Map<string, GroupStatus>();
+    for (const [key, total] of this.#totals) statuses.set(key, { ...total, inFlight: 0, backlog: 0 });
     for (const measures of this.#groups.values()) {
       for (const [key, measure] of measures) {
-        const picture = pictures.get(key);
-        if (picture === undefined) continue;
-        picture.inFlight += measure.inFlight;
-        picture.backlog += measure.backlog;
+        const status = statuses.get(key);
+        if (status === undefined) continue;
+        status.inFlight += measure.inFlight;
+        status.backlog += measure.backlog;
       }
     }
-    return [...pictures.values()];
+    return [...statuses.values()];
   }
 
   #count(measure: GroupMeasure): void {
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -44,14 +44,14 @@
   readonly done: (answer: Answer) => void;
 }
 
-/** A replica whose group agrees when the test says so, and hears a majority when the test says so. */
+/** A replica whose group agrees when the test says so, and confirms a quorum when the test says so. */
 class StandInReplica implements OperatorReplica {
   state: Deployment = EMPTY_DEPLOYMENT;
-  heardMs = -Infinity;
+  currentAsOfMs = -Infinity;
   coordinated = true;
   readonly submitted: Submitted[] = [];
-  readonly forgotten: string[] = [];
-  readonly group = { currentAsOfMs: () => this.heardMs };
+  readonly abandoned: string[] = [];
+  readonly group = { currentAsOfMs: () => this.currentAsOfMs };
 
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
     if (!this.coordinated) return Result.err(fault('unreached', 'no coordinator'));
@@ -61,7 +61,7 @@
   }
 
   abandon(id: string): void {
-    this.forgotten.push(id);
+    this.abandoned.push(id);
   }
 
   agree(place: number): void {
@@ -111,7 +111,7 @@
       kind: 'configuration.put',
       payload: JSON.stringify(VALID),
     }).state;
-    bench.replica.heardMs = bench.nowMs - 1;
+    bench.replica.currentAsOfMs = bench.nowMs - 1;
     const read = bench.ask({ kind: 'read' });
     bench.pass(ANSWER_TIMEOUT_MS - 1);
     const early = [...read];
@@ -124,7 +124,7 @@
     const none = bench.ask({ kind: 'read' });
     bench.pass(100);
     const before = [...none];
-    bench.replica.heardMs = 5000;
+    bench.replica.currentAsOfMs = 5000;
     bench.pass(25);
     bench.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
       kind: 'configuration.put',
@@ -133,7 +133,7 @@
     const read = bench.ask({ kind: 'read' });
     bench.pass(25);
     const early = [...read];
-    bench.replica.heardMs = bench.nowMs;
+    bench.replica.currentAsOfMs = bench.nowMs;
     bench.pass(25);
     expect([before.length, early.length, ...statuses(none, read)]).toEqual([0, 0, [404], [200]]);
     expect(read[0]?.body).toEqual(JSON.stringify(DOCUMENT));
@@ -143,7 +143,7 @@
     const bench = new Bench();
     const view = bench.ask({ kind: 'status' });
     bench.pass(ANSWER_TIMEOUT_MS);
-    bench.replica.heardMs = Infinity;
+    bench.replica.currentAsOfMs = Infinity;
     const current = bench.ask({ kind: 'status' });
     const [stale, fresh] = [view, current].map((replies) => JSON.parse(replies[0]?.body ?? '{}') as object);
     expect(statuses(view, current)).toEqual([[503], [200]]);
@@ -167,7 +167,7 @@
       'zone.evacuate',
       'zone.return',
     ]);
-    expect(bench.replica.forgotten).toEqual(['o0', 'o1', 'o2', 'o3']);
+    expect(bench.replica.abandoned).toEqual(['o0', 'o1', 'o2', 'o3']);
   });
 
   it('answers at once with 503 where no coordinator is known', () => {
@@ -207,7 +207,7 @@
     const bench = new Bench();
     const order = bench.ask(VALID);
     bench.service.drain();
-    bench.replica.heardMs = Infinity;
+    bench.replica.currentAsOfMs = Infinity;
     const late = [bench.ask(VALID), bench.ask({ kind: 'read' })];
     bench.replica.agree(0);
     expect(statuses(order, ...late)).toEqual([[200], [503], [503]]);
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -1,5 +1,5 @@
 /**
- * Answers operators on a core: orders by agreement, questions by a quorum read.
+ * Answers operators on a core of the platform family: changes by agreement, reads by a quorum read.
  * It owns no socket and no timer, so that the program and the simulator run the
  * same code.
  */
@@ -14,7 +14,7 @@
 import type { Result } from 'true-myth';
 import type { CoreStatus } from './core-status.js';
 
-/** A call of an operator, in our terms. */
+/** A request of an operator. */
 export type OperatorCall =
   | {
       readonly kind: 'put';
@@ -41,7 +41,7 @@
   abandon(id: string): void;
 }
 
-/** How answers are put for the callers of one platform. */
+/** How replies are written for the callers of one platform. */
 export interface OperatorFormat {
   writeDocument(document: ConfigurationDocument): string;
   /** The status for a fault, where the platform's differs from ours. */
@@ -62,14 +62,14 @@
 
 type ReplyCallback = (reply: OperatorReply) => void;
 
-interface PendingOrder {
+interface PendingChange {
   readonly receivedMs: number;
   readonly done: ReplyCallback;
   id: string;
 }
 
-/** An order on a zone that has come and is not yet submitted. */
-interface ZoneOrder {
+/** A zone operation that is received and not yet submitted. */
+interface ZoneChange {
   readonly kind: 'zone.evacuate' | 'zone.return';
   readonly payload: { readonly zone: string; readonly seen: number };
   readonly receivedMs: number;
@@ -77,7 +77,7 @@
   readonly isCallerGone: () => boolean;
 }
 
-/** A question, with its answers once this node knows the newest state and where it cannot. */
+/** A read, with its replies where this node is known to hold the newest state, and where it is not in time. */
 interface PendingRead {
   readonly receivedMs: number;
   readonly done: ReplyCallback;
@@ -85,20 +85,20 @@
   staleReply(): OperatorReply;
 }
 
-/** A caller goes on to another node after a second of silence: it is answered before. */
+/** A caller retries at another node after a second without an answer: it is answered before. */
 export const ANSWER_TIMEOUT_MS = 800;
 
 /**
- * Orders on zones bear no version by which a late copy shows. They wait for so
- * long, a round trip between regions: where a cut has held a call up, the end
+ * Zone operations bear no version by which a late duplicate shows. They wait for so
+ * long, a round trip between regions: where a partition has delayed a call, the end
  * of its connection comes by then, and a call without a caller is not submitted.
  */
 export const ZONE_ORDER_DELAY_MS = 100;
 
 /**
  * The operator side of one core. Every answer that says what is in force, or
- * what is not, was agreed after the call came or read once a majority was heard
- * after it; a core that cannot know so in time answers 503, and the caller asks
+ * what is not, was committed after the call came or read once a majority
+ * confirmed it after that; a core that cannot know so in time answers 503, and the caller asks
  * another one.
  * @example
  * const service = new OperatorService({ replica, clock, format });
@@ -107,8 +107,8 @@
  */
 export class OperatorService {
   #dependencies: OperatorServiceDependencies;
-  #orders = new Set<PendingOrder>();
-  #zoneOrders = new Set<ZoneOrder>();
+  #pendingChanges = new Set<PendingChange>();
+  #zoneChanges = new Set<ZoneChange>();
   #reads = new Set<PendingRead>();
   #draining = false;
 
@@ -123,26 +123,36 @@
   answer(call: OperatorCall, done: ReplyCallback, isCallerGone: () => boolean = () => false): void {
     if (this.#draining) return done(this.failure(fault('draining', 'this node ends; ask another')));
     const { edition } = this.#dependencies.replica.state;
-    const bornMs = this.#dependencies.clock.nowMs();
+    const receivedMs = this.#dependencies.clock.nowMs();
     switch (call.kind) {
       case 'put':
-        return this.#order('configuration.put', { base: call.base, document: call.document }, bornMs, done);
+        return this.#submitChange(
+          'configuration.put',
+          { base: call.base, document: call.document },
+          receivedMs,
+          done,
+        );
       case 'patch':
-        return this.#order('configuration.patch', { base: call.base, patch: call.patch }, bornMs, done);
+        return this.#submitChange(
+          'configuration.patch',
+          { base: call.base, patch: call.patch },
+          receivedMs,
+          done,
+        );
       case 'evacuate':
-        return this.#orderZone('zone.evacuate', { zone: call.zone, seen: edition }, done, isCallerGone);
+        return this.#queueZoneChange('zone.evacuate', { zone: call.zone, seen: edition }, done, isCallerGone);
       case 'return':
-        return this.#orderZone('zone.return', { zone: call.zone, seen: edition }, done, isCallerGone);
+        return this.#queueZoneChange('zone.return', { zone: call.zone, seen: edition }, done, isCallerGone);
       case 'read':
         return this.#read({
-          receivedMs: bornMs,
+          receivedMs,
           done,
           currentReply: () => this.#configuration(),
           staleReply: () => this.failure(NO_QUORUM_READ),
         });
       case 'status':
         return this.#read({
-          receivedMs: bornMs,
+          receivedMs,
           done,
           currentReply: () => ({ status: 200, body: JSON.stringify(this.#dependencies.status()) }),
           staleReply: () => this.failure(NO_QUORUM_READ, { lastKnown: this.#dependencies.status() }),
@@ -155,13 +165,13 @@
   /** Answers what can be answered now, and ends what has waited too long. */
   tick(): void {
     this.#answerReads();
-    this.#submitZoneOrders();
+    this.#submitZoneChanges();
     const nowMs = this.#dependencies.clock.nowMs();
-    for (const order of this.#orders) {
-      if (nowMs - order.receivedMs < ANSWER_TIMEOUT_MS) continue;
-      this.#orders.delete(order);
-      this.#dependencies.replica.abandon(order.id);
-      order.done(this.failure(NOT_KNOWN_COMMITTED));
+    for (const change of this.#pendingChanges) {
+      if (nowMs - change.receivedMs < ANSWER_TIMEOUT_MS) continue;
+      this.#pendingChanges.delete(change);
+      this.#dependencies.replica.abandon(change.id);
+      change.done(this.failure(NOT_KNOWN_COMMITTED));
     }
   }
 
@@ -170,7 +180,7 @@
     this.#draining = true;
   }
 
-  /** The answer for a fault, with what else there is to tell. */
+  /** The reply for a fault, with the last known status where it helps. */
   failure(why: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
     const { status, ran } = FAULT_RESPONSES[why.kind];
     return {
@@ -179,39 +189,50 @@
     };
   }
 
-  #orderZone(
-    kind: ZoneOrder['kind'],
-    payload: ZoneOrder['payload'],
+  #queueZoneChange(
+    kind: ZoneChange['kind'],
+    payload: ZoneChange['payload'],
     done: ReplyCallback,
     isCallerGone: () => boolean,
   ): void {
     const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
-    this.#zoneOrders.add({ kind, payload, receivedMs: this.#dependencies.clock.nowMs(), done, isCallerGone });
+    this.#zoneChanges.add({
+      kind,
+      payload,
+      receivedMs: this.#dependencies.clock.nowMs(),
+      done,
+      isCallerGone,
+    });
   }
 
-  #submitZoneOrders(): void {
+  #submitZoneChanges(): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    for (const order of this.#zoneOrders) {
-      if (nowMs - order.receivedMs < ZONE_ORDER_DELAY_MS) continue;
-      this.#zoneOrders.delete(order);
-      if (nowMs - order.receivedMs >= ANSWER_TIMEOUT_MS) order.done(this.failure(NOT_KNOWN_COMMITTED));
-      else if (order.isCallerGone()) order.done(this.failure(fault('visitor-left', 'the caller has gone')));
-      else this.#order(order.kind, order.payload, order.receivedMs, order.done);
+    for (const change of this.#zoneChanges) {
+      if (nowMs - change.receivedMs < ZONE_ORDER_DELAY_MS) continue;
+      this.#zoneChanges.delete(change);
+      if (nowMs - change.receivedMs >= ANSWER_TIMEOUT_MS) change.done(this.failure(NOT_KNOWN_COMMITTED));
+      else if (change.isCallerGone()) change.done(this.failure(fault('visitor-left', 'the caller has gone')));
+      else this.#submitChange(change.kind, change.payload, change.receivedMs, change.done);
     }
   }
 
-  /** What is invalid in every state is refused here and now; all else is for agreement to decide. */
-  #order(kind: DeploymentOperation['kind'], payload: unknown, bornMs: number, done: ReplyCallback): void {
+  /** What is invalid in every state is rejected at once; all else is decided by agreement. */
+  #submitChange(
+    kind: DeploymentOperation['kind'],
+    payload: unknown,
+    receivedMs: number,
+    done: ReplyCallback,
+  ): void {
     const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
-    const order: PendingOrder = { receivedMs: bornMs, done, id: '' };
-    this.#orders.add(order);
+    const change: PendingChange = { receivedMs, done, id: '' };
+    this.#pendingChanges.add(change);
     const sent = this.#dependencies.replica.submit(kind, payload, (answer) => {
-      if (this.#orders.delete(order)) done(this.#outcome(answer));
+      if (this.#pendingChanges.delete(change)) done(this.#outcome(answer));
     });
-    if (sent.isOk) order.id = sent.value;
-    else if (this.#orders.delete(order)) done(this.failure(sent.error));
+    if (sent.isOk) change.id = sent.value;
+    else if (this.#pendingChanges.delete(change)) done(this.failure(sent.error));
   }
 
   #outcome({ kind, detail }: Answer): OperatorReply {
@@ -225,17 +246,17 @@
     this.#answerReads();
   }
 
-  /** A question is answered once this node holds all that was agreed before it. */
+  /** A read is answered once this node holds all that was committed before it. */
   #answerReads(): void {
     const { replica, clock } = this.#dependencies;
     if (this.#reads.size === 0) return;
-    const informedMs = replica.group.currentAsOfMs();
+    const currentAsOfMs = replica.group.currentAsOfMs();
     const nowMs = clock.nowMs();
     for (const read of this.#reads) {
-      const informed = informedMs >= read.receivedMs;
-      if (!informed && nowMs - read.receivedMs < ANSWER_TIMEOUT_MS) continue;
+      const isCurrent = currentAsOfMs >= read.receivedMs;
+      if (!isCurrent && nowMs - read.receivedMs < ANSWER_TIMEOUT_MS) continue;
       this.#reads.delete(read);
-      read.done(informed ? read.currentReply() : read.staleReply());
+      read.done(isCurrent ? read.currentReply() : read.staleReply());
     }
   }
 
--- a/packages/cluster-node/src/plan-pacer.ts
+++ b/packages/cluster-node/src/plan-pacer.ts
@@ -17,7 +17,7 @@
  * Says when the next plan is due.
  * @example
  * const pacer = new PlanPacer();
- * if (pacer.isDue(nowMs)) { plan(); pacer.planned(nowMs, clock.nowMs()); }
+ * if (pacer.isDue(nowMs)) { plan(); pacer.recordPlan(nowMs, clock.nowMs()); }
  */
 export class PlanPacer {
   #notBeforeMs = -Infinity;
--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -1,3 +1,4 @@
+/** The data plane of an edge of the spec family: ties the gateway to the edge's node. */
 import { create } from '@bufbuild/protobuf';
 import { ObservationSchema } from '@rainrun/messages';
 import { Gateway, type Sender } from '@rainrun/gateway';
@@ -15,15 +16,15 @@
   deadBand: 0.1,
 };
 
-/** How often an edge casts what it saw. */
+/** How often an edge casts what it observed, in milliseconds. */
 export const OBSERVE_MS = 500;
 
 /**
  * The data plane of an edge, tied to its node: the gateway sees the node's
- * stage, workers and grant; the node's members see what the gateway measured.
+ * state, workers and lease; the other nodes receive what the gateway measured.
  * @example
- * const edge = new Edge(clusterNode, 'edge-1', 'north', clock, chance, sender);
- * edge.gateway.admit(ask, port);
+ * const edge = new SpecEdge(clusterNode, 'edge-1', 'north', clock, chance, sender);
+ * edge.gateway.admit(request, sink);
  * edge.observe(); // every OBSERVE_MS
  */
 export class SpecEdge {
@@ -97,13 +98,12 @@
   }
 
   #moveLoops(): void {
-    const pictures = this.#clusterNode.groups;
+    const statuses = this.#clusterNode.groups;
     for (const { name, kinds } of this.#clusterNode.state.spec?.spec.groups ?? []) {
-      const measured = pictures.filter((picture) => picture.group === name && picture.served > 0);
+      const measured = statuses.filter((status) => status.group === name && status.served > 0);
       if (measured.length === 0) continue;
       const ratios = measured.map(
-        (picture) =>
-          picture.waitMs / (kinds.find((kind) => kind.name === picture.kind)?.targetMs ?? Infinity),
+        (status) => status.waitMs / (kinds.find((kind) => kind.name === status.kind)?.targetMs ?? Infinity),
       );
       const loop = this.#loops.get(name) ?? new Loop(this.#loopSettings);
       this.#loops.set(name, loop);
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -9,27 +9,27 @@
 
 const NOTHING = { all: false, models: new Set<string>() };
 
-function seatOf(incarnation: string) {
+function memberOf(incarnation: string) {
   return create(MemberSchema, { name: incarnation, incarnation, address: `${incarnation}:1` });
 }
 
-function heard(
+function subscribe(
   subscribers: Subscribers,
   edge: string,
   nowMs: number,
   known: MessageInitShape<typeof SubscribeSchema> = {},
   model = '',
 ): Subscriber {
-  const wants = model === '' ? [] : [create(ModelDemandSchema, { service: 'assist', model })];
-  const follow = create(SubscribeSchema, {
-    subscriber: seatOf(edge),
+  const demands = model === '' ? [] : [create(ModelDemandSchema, { service: 'assist', model })];
+  const message = create(SubscribeSchema, {
+    subscriber: memberOf(edge),
     tableId: 't',
     tableRow: 5,
     edition: 3,
-    demands: wants,
+    demands,
     ...known,
   });
-  return subscribers.onSubscribe(follow, seatOf(edge), nowMs);
+  return subscribers.onSubscribe(message, memberOf(edge), nowMs);
 }
 
 function offer(change: Partial<AvailableState> = {}): AvailableState {
@@ -37,15 +37,15 @@
 }
 
 function names(subscribers: readonly Subscriber[]): string[] {
-  return subscribers.map(({ member: seat }) => seat.incarnation);
+  return subscribers.map(({ member }) => member.incarnation);
 }
 
 describe('subscribers', () => {
-  it('tells a change of a model at once to those who ask for it, and to the others with later ones', () => {
+  it('sends a change of a model at once to those who demand it, and to the others with later ones', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b', 'c'])
       subscribers.recordRowsSent(
-        heard(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'),
+        subscribe(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'),
         offer(),
         0,
         1000,
@@ -60,7 +60,7 @@
   it('tells everyone at once that a worker came or leaves', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b'])
-      subscribers.recordRowsSent(heard(subscribers, edge, 1000), offer(), 0, 1000);
+      subscribers.recordRowsSent(subscribe(subscribers, edge, 1000), offer(), 0, 1000);
     expect(
       names(subscribers.dueSubscribers(offer({ tableRow: 6 }), { all: true, models: new Set() }, 1001)),
     ).toEqual(['a', 'b']);
@@ -70,7 +70,7 @@
     const subscribers = new Subscribers();
     for (let edge = 0; edge < 40; edge += 1)
       subscribers.recordRowsSent(
-        heard(subscribers, `e${edge}`, 1000, {}, edge === 7 ? 'm' : 'n'),
+        subscribe(subscribers, `e${edge}`, 1000, {}, edge === 7 ? 'm' : 'n'),
         offer(),
         0,
         1000,
@@ -80,57 +80,57 @@
     expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1006))).toEqual(['e7']);
   });
 
-  it('tells a new state in a storm of changes five times a second, and always the newest in the end', () => {
+  it('sends a new state in a storm of changes five times a second, and always the newest in the end', () => {
     const subscribers = new Subscribers();
-    heard(subscribers, 'a', 1000);
-    let told = 0;
+    subscribe(subscribers, 'a', 1000);
+    let sent = 0;
     let nowMs = 1000;
     for (let edition = 4; edition < 34; edition += 1) {
       nowMs += 50;
       for (const one of subscribers.dueSubscribers(offer({ edition }), NOTHING, nowMs)) {
-        told += 1;
+        sent += 1;
         subscribers.recordStateSent(one, offer({ edition }), nowMs);
       }
     }
     const [last] = subscribers.dueSubscribers(offer({ edition: 33 }), NOTHING, nowMs + 200);
     const newest = last === undefined ? 33 : last.edition;
-    expect([told, newest >= 30]).toEqual([8, true]);
+    expect([sent, newest >= 30]).toEqual([8, true]);
   });
 
   it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
     const subscribers = new Subscribers();
-    const one = heard(subscribers, 'a', 1000, { tableRow: 0 });
+    const one = subscribe(subscribers, 'a', 1000, { tableRow: 0 });
     subscribers.recordRowsSent(one, offer(), 5, 1000);
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1010, { tableRow: 0 }), offer(), 1010)).toEqual(
-      true,
-    );
+    expect(
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1010, { tableRow: 0 }), offer(), 1010),
+    ).toEqual(true);
     one.lastUpdateMs = 1005;
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1011, { tableRow: 0 }), offer(), 1011)).toEqual(
-      false,
-    );
-    expect(subscribers.isAnswerDue(heard(subscribers, 'a', 1100, { tableRow: 0 }), offer(), 1100)).toEqual(
-      true,
-    );
+    expect(
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1011, { tableRow: 0 }), offer(), 1011),
+    ).toEqual(false);
+    expect(
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1100, { tableRow: 0 }), offer(), 1100),
+    ).toEqual(true);
   });
 
-  it('tells nobody unasked from a core that does not coordinate', () => {
+  it('sends nothing unasked from a core that is not the coordinator', () => {
     const subscribers = new Subscribers();
-    heard(subscribers, 'a', 1000);
+    subscribe(subscribers, 'a', 1000);
     expect(subscribers.dueSubscribers(offer({ edition: 9, isCoordinator: false }), NOTHING, 2000)).toEqual(
       [],
     );
     expect(
       subscribers.isAnswerDue(
-        heard(subscribers, 'a', 2000),
+        subscribe(subscribers, 'a', 2000),
         offer({ edition: 9, isCoordinator: false }),
         2000,
       ),
     ).toEqual(true);
   });
 
-  it('forgets a subscriber that is silent', () => {
+  it('expires a subscription that is not renewed', () => {
     const subscribers = new Subscribers();
-    heard(subscribers, 'a', 1000);
+    subscribe(subscribers, 'a', 1000);
     subscribers.expire(3400);
     expect(subscribers.size).toEqual(1);
     subscribers.expire(3600);
@@ -138,15 +138,15 @@
   });
 });
 
-describe('the state as edges are told it', () => {
+describe('the state as edges receive it', () => {
   it('comes back the same in both forms, without what operators sent', () => {
     const state = { ...EMPTY_DEPLOYMENT, edition: 4, revision: 9, evacuated: ['north'] };
-    const told = encodeStateUpdate(state);
-    for (const tell of [
-      create(StateUpdateSchema, { state: told.plain }),
-      create(StateUpdateSchema, { deflatedState: told.deflated }),
+    const encoded = encodeStateUpdate(state);
+    for (const update of [
+      create(StateUpdateSchema, { state: encoded.plain }),
+      create(StateUpdateSchema, { deflatedState: encoded.deflated }),
     ]) {
-      const read = decodeStateUpdate(tell);
+      const read = decodeStateUpdate(update);
       expect(read?.isOk === true ? read.value : undefined).toEqual({
         ...state,
         accepted: EMPTY_DEPLOYMENT.accepted,
--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -1,3 +1,4 @@
+/** The workers as a node of the spec family knows them: from the platform, from the workers and from other edges. */
 import type { Observation, WorkerList, WorkerState } from '@rainrun/messages';
 import type { HoldingTarget, Spec, SpecState } from '@rainrun/configuration';
 
@@ -28,8 +29,8 @@
 const LOAD_EXPIRY_MS = 5000;
 
 /**
- * What the platform lists, what workers replied and what other edges carry,
- * put together for the data plane and for placement.
+ * What the platform lists, what workers replied and what other edges have in flight,
+ * joined for the data plane and for placement.
  * @example
  * directory.setList(list);
  * directory.workers(state, 'incarnation-1', nowMs); // every listed worker
@@ -45,10 +46,12 @@
     return this.#list?.generation ?? 0;
   }
 
+  /** Takes the platform's complete list. */
   setList(list: WorkerList): void {
     this.#list = list;
   }
 
+  /** Records what a worker replied; a reload starts its holdings anew. */
   recordState(state: WorkerState, nowMs: number): void {
     const before = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
     const reset = !(this.#states.get(state.worker)?.reachable ?? false);
@@ -65,6 +68,7 @@
     this.#sinceMs.set(state.worker, since);
   }
 
+  /** Records an edge's requests in flight. */
   recordObservation(sender: string, observation: Observation, nowMs: number): void {
     const inFlight = new Map(observation.loads.map((load) => [load.worker, load.inFlight]));
     this.#loads.set(sender, { atMs: nowMs, inFlight });
@@ -76,6 +80,7 @@
       if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
   }
 
+  /** Every listed worker, as the node of incarnation `self` sees it. */
   workers(state: SpecState, self: string, nowMs: number): DirectoryWorker[] {
     const spec = state.spec?.spec;
     return (this.#list?.workers ?? []).map((entry) => {
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -1,7 +1,7 @@
 /**
- * Which workers fail more than their peers do, by what all edges saw of their answers. A worker that fails looks idle
- * to each edge by itself, and draws requests; here it is ejected, for the callers that it fails, and comes back in
- * steps.
+ * Outlier detection: which workers fail more than their peers do, by the outcomes that all edges report. A worker that
+ * fails looks idle to each edge by itself, and draws requests; here it is ejected, for the callers that it fails, and
+ * comes back in steps. Platform family.
  */
 import { backoffMs, type BackoffPolicy } from '@rainrun/common';
 import type { WorkerRecord, WorkerTable } from '@rainrun/placement';
@@ -13,7 +13,7 @@
   readonly failed: number;
 }
 
-/** What was seen lately of one worker by the edges of one zone. */
+/** Recent outcomes at one worker for the edges of one zone, decayed. */
 interface Tally {
   answered: number;
   failed: number;
@@ -38,7 +38,7 @@
 const DEVIATIONS = 4;
 /** Peers are taken to have had so many requests more, one of them failed: few say nothing for certain. */
 const PRIOR_REQUESTS = 20;
-/** At most this part of the workers of a service is ejected for the edges of one zone. */
+/** At most this fraction of the workers of a service is ejected for the edges of one zone. */
 const EJECTED_FRACTION_MAX = 0.34;
 /** How long a worker stays ejected, by how often it was ejected in a row before. */
 const EJECTION_BACKOFF: BackoffPolicy = { firstMs: 2000, maxMs: 16_000 };
@@ -50,10 +50,10 @@
 const ALL_EDGES_PERCENT = 100;
 
 /**
- * Judges workers by the outcomes that edges report.
+ * Evaluates workers by the outcomes that edges report.
  * @example
- * health.note('north', [{ worker: 'w1', answered: 1, failed: 4 }], nowMs);
- * health.judge(table, nowMs); // limits who may send to it, in its row of the table
+ * health.record('north', [{ worker: 'w1', answered: 1, failed: 4 }], nowMs);
+ * health.evaluate(table, nowMs); // limits who may send to it, in its row of the table
  */
 export class WorkerHealth {
   /** By worker, and by zone of the callers. */
@@ -61,7 +61,7 @@
   #ejections = new Map<string, Map<string, Ejection>>();
   #evaluatedMs = -Infinity;
 
-  /** Takes what one edge saw since it reported last. */
+  /** Records the outcomes at one edge since its last report. */
   record(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
     for (const { worker, answered, failed } of outcomes) {
       const tally = faded(entry(this.#tallies, worker).get(zone), nowMs);
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -72,7 +72,7 @@
   readonly kind: FaultKind;
   /** What went wrong, for the caller and the logs: one line in most cases. */
   readonly detail: string;
-  /** The error or other value that was thrown, where one was; for debugging, never sent or logged whole. */
+  /** The error or other value that was thrown, where one was; for debugging, never sent or logged. */
   readonly cause?: unknown;
   /** Seconds after which to retry, where more is known than the table says. */
   readonly retryAfterS?: number;
--- a/packages/common/src/hash.ts
+++ b/packages/common/src/hash.ts
@@ -1,3 +1,5 @@
+/** Hash functions for partitioning and rendezvous choice; not cryptographic. */
+
 /**
  * FNV-1a over a text, as used for ranges, digests and prefixes.
  * @example
@@ -5,8 +7,8 @@
  */
 export function hashText(text: string, start = 2166136261): number {
   let hash = start;
-  for (let place = 0; place < text.length; place += 1) {
-    hash = Math.imul(hash ^ text.charCodeAt(place), 16777619);
+  for (let index = 0; index < text.length; index += 1) {
+    hash = Math.imul(hash ^ text.charCodeAt(index), 16777619);
   }
   return hash >>> 0;
 }
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -5,7 +5,8 @@
 export * from './slab.js';
 export * from './name-index.js';
 
-/** A clock that never goes back. */
+/** A monotonic clock. */
 export interface Clock {
+  /** Milliseconds since an arbitrary moment. */
   nowMs(): number;
 }
--- a/packages/common/src/name-index.ts
+++ b/packages/common/src/name-index.ts
@@ -1,3 +1,5 @@
+/** Interning of names. */
+
 /**
  * Interns names as dense indices, in the order of their first use.
  * @example
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -1,10 +1,12 @@
+/** Random sources, which are passed in, so that a run can be repeated from its seed. */
+
 /** A source of numbers in [0, 1). */
 export interface RandomSource {
   next(): number;
 }
 
 /**
- * Seeded chance: the same seed gives the same row of numbers.
+ * A seeded pseudo-random generator: the same seed gives the same sequence.
  * @example
  * new SeededRandom(7).next() === new SeededRandom(7).next(); // true
  */
@@ -29,8 +31,8 @@
  * @example
  * randomId(new SeededRandom(1)).length; // 12
  */
-export function randomId(chance: RandomSource): string {
+export function randomId(random: RandomSource): string {
   let text = '';
-  for (let digit = 0; digit < 12; digit += 1) text += Math.floor(chance.next() * 16).toString(16);
+  for (let digit = 0; digit < 12; digit += 1) text += Math.floor(random.next() * 16).toString(16);
   return text;
 }
--- a/packages/common/src/slab.ts
+++ b/packages/common/src/slab.ts
@@ -1,3 +1,5 @@
+/** A slab allocator for values that are looked up by small integer keys. */
+
 /**
  * Keeps values under small integer keys and uses freed slots again.
  * A key carries the generation of its slot, so a late key finds nothing.
--- a/packages/configuration/src/accepted-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -30,7 +30,7 @@
 export const DIGEST_CHARS = 8;
 
 /**
- * Identifies what an order says: its kind, the revision that it builds on and its content.
+ * Identifies what a change says: its kind, the revision that it builds on and its content.
  * @example
  * digestOfChange('put', 5, '{"revision":7}').length; // 8
  */
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -86,7 +86,7 @@
 /** The limits where a configuration names none. */
 export const DEFAULT_LIMITS: Limits = v.parse(LimitsSchema, {});
 
-/** Faults that no entry has by itself: names and places that stand twice, services that are not there. */
+/** Faults across entries: duplicate names and routes, unknown services. */
 function crossFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
   const places = new Set<string>();
@@ -169,7 +169,7 @@
 const SERVICE_CHECK = new ItemCheck(ServiceSchema);
 
 /**
- * Checks a configuration whole; a fault names each place and what is wrong there.
+ * Checks a complete configuration; a fault names each place and what is wrong there.
  * @example
  * checkConfiguration({ revision: 1, routes: [], services: [] }).isOk; // true
  */
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -133,7 +133,7 @@
 
 /**
  * Checks what can be checked of an operation without the state: its form, and
- * a whole configuration with all that is in it. What is refused here is refused
+ * a complete configuration with all that is in it. What is rejected here is rejected
  * in every state.
  * @example
  * checkOperation('zone.evacuate', { zone: 'north' }).isOk; // true
--- a/packages/configuration/src/edit.ts
+++ b/packages/configuration/src/edit.ts
@@ -1,3 +1,4 @@
+/** Edits of a spec: changes that name the entries they add, replace or remove. */
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 import type { SpecFault } from './spec.js';
@@ -15,7 +16,7 @@
   workers: Entries,
 };
 
-/** The parts of a spec that are no lists; each is set whole. */
+/** The parts of a spec that are no lists; each is replaced as a whole. */
 const SETTABLE = ['store', 'retries', 'workers'] as const;
 
 const EditSchema = v.strictObject({
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -1,3 +1,4 @@
+/** The replicated state of the spec family: a pure function of its operations, and its stored form. */
 import { fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
@@ -163,8 +164,8 @@
 }
 
 /**
- * An edit names what it touches. What others touched since the version that
- * its author had seen makes it a conflict; all else of theirs stays.
+ * An edit names the entries that it changes. Where others changed them since the version that
+ * its author had seen, it is a conflict; all their other changes stay.
  */
 function editSpec(state: SpecState, operation: string, call: v.InferOutput<typeof EditSchema>): Applied {
   const current = state.spec?.version ?? 0;
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,3 +1,4 @@
+/** The spec of research groups' deployments: its form, how it is checked, and merge patches on it. */
 import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
@@ -150,7 +151,7 @@
 }
 
 /**
- * Reads and checks a spec whole; on failure every fault with its path.
+ * Reads and checks a complete spec; on failure every fault with its path.
  * @example
  * readSpec('{}').isErr; // true
  */
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -64,8 +64,8 @@
   it('refuses a torn newest version instead of going back to an older one', async () => {
     const path = await folder();
     await filled(path);
-    const whole = await readFile(join(path, 'version.3'));
-    await writeFile(join(path, 'version.3'), whole.subarray(0, whole.length - 1));
+    const complete = await readFile(join(path, 'version.3'));
+    await writeFile(join(path, 'version.3'), complete.subarray(0, complete.length - 1));
     const opened = await RecordStore.open(path);
     expect(opened.isErr && opened.error.kind).toEqual('damaged');
   });
@@ -110,7 +110,7 @@
     const flipped = Buffer.from(sealed);
     flipped[flipped.length - 1] = 9;
     const kinds = [unseal(wrongMagic), unseal(flipped), unseal(Buffer.alloc(3))].map((read) =>
-      read.isErr ? read.error.kind : 'taken',
+      read.isErr ? read.error.kind : 'accepted',
     );
     expect(kinds).toEqual(['foreign', 'damaged', 'damaged']);
   });
