--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,4 +1,5 @@
-import { fault, type Fault } from '@rainrun/common';
+/** The spec of research groups' deployments: its form, how it is checked, and merge patches on it. */
+import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
@@ -7,7 +8,7 @@
 export const SPEC_MAX_BYTES = 2 * 1024 * 1024;
 
 /** No spec has more routes. */
-export const ROUTES_MOST = 10_000;
+export const ROUTES_MAX = 10_000;
 
 const Name = v.pipe(v.string(), v.regex(/^[a-z0-9][a-z0-9._-]{0,63}$/, 'a name of a-z, 0-9, ".", "_", "-"'));
 const Positive = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
@@ -63,7 +64,7 @@
       }),
     ),
     v.minLength(1),
-    v.maxLength(ROUTES_MOST, `more than ${ROUTES_MOST} routes`),
+    v.maxLength(ROUTES_MAX, `more than ${ROUTES_MAX} routes`),
   ),
 });
 
@@ -150,7 +151,7 @@
 }
 
 /**
- * Reads and checks a spec whole; on failure every fault with its path.
+ * Reads and checks a complete spec; on failure every fault with its path.
  * @example
  * readSpec('{}').isErr; // true
  */
@@ -160,7 +161,7 @@
   }
   if (text.trim() === '') return Result.err([{ path: '', message: 'the spec is empty' }]);
   return tryOrElse(
-    (thrown) => [{ path: '', message: `not JSON: ${String(thrown)}` }],
+    (thrown) => [{ path: '', message: `not JSON: ${describeError(thrown)}` }],
     () => JSON.parse(text) as unknown,
   ).andThen((data) => {
     const parsed = v.safeParse(SpecSchema, data);
@@ -208,7 +209,7 @@
  */
 export function readJson(text: string): Result<unknown, Fault> {
   return tryOrElse(
-    (thrown) => fault('bad-request', `not JSON: ${String(thrown)}`),
+    (thrown) => fault('bad-request', `not JSON: ${describeError(thrown)}`, { cause: thrown }),
     () => JSON.parse(text) as unknown,
   );
 }
