--- a/packages/router/src/attempt.ts
+++ b/packages/router/src/attempt.ts
@@ -1,5 +1,5 @@
 import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
-import { EventCutter } from './events.js';
+import { EventSplitter } from './event-splitter.js';
 import type { RoutedRequest, WorkerView } from './request.js';
 
 /** The names that stand on the wire between router and workers, lower case where they are compared. */
@@ -31,7 +31,7 @@
     /** It may have run. */
     | 'failed';
   readonly why: string;
-  readonly againMs?: number;
+  readonly retryAfterMs?: number;
   /** Whether the worker failed the request, though the client has its answer or has left: an error, or a long silence. */
   readonly workerFailed?: boolean;
 }
@@ -41,16 +41,16 @@
   nowMs(): number;
   mayStart(): boolean;
   /** When this worker was last heard on any connection. */
-  heardMs(): number;
+  lastHeardMs(): number;
   /** It was heard now. */
-  heard(): void;
+  onHeard(): void;
   /** Whether the request can go to another worker now; a part of the budget is then set aside for that. */
-  mayMove(): boolean;
+  reserveMove(): boolean;
   /** The worker is silent, and the request stays with it. */
-  silent(): void;
+  onSilent(): void;
   /** The first word of an answer came so long after the send. */
-  answered(waitMs: number): void;
-  over(end: AttemptEnd): void;
+  onResponseHead(waitMs: number): void;
+  onEnd(end: AttemptEnd): void;
 }
 
 const SILENT_MS = 1000;
@@ -82,18 +82,18 @@
 /**
  * One send of a request to one worker: takes its answer apart and passes it on.
  * @example
- * const run = new Run(passage, worker, words, context);
+ * const run = new Run(request, worker, words, context);
  * run.attach(link.send(run.request(nowMs), run));
  */
 export class Attempt implements LinkHandler {
-  #passage: RoutedRequest;
+  #request: RoutedRequest;
   #worker: WorkerView;
   #words: HeaderNames;
   #context: AttemptContext;
   #send: LinkSend | undefined;
   #status = 0;
   #headers: Header[] = [];
-  #cutter: EventCutter | undefined;
+  #cutter: EventSplitter | undefined;
   #whole: Buffer[] = [];
   #wholeBytes = 0;
   #started = false;
@@ -105,8 +105,8 @@
   #bornMs: number;
   #moveAskedMs = -Infinity;
 
-  constructor(passage: RoutedRequest, worker: WorkerView, words: HeaderNames, context: AttemptContext) {
-    this.#passage = passage;
+  constructor(request: RoutedRequest, worker: WorkerView, words: HeaderNames, context: AttemptContext) {
+    this.#request = request;
     this.#worker = worker;
     this.#words = words;
     this.#context = context;
@@ -120,25 +120,25 @@
   }
 
   request(nowMs: number): LinkRequest {
-    const { request: ask, endMs, route, lastEventId } = this.#passage;
+    const { clientRequest, endMs, route, lastEventId } = this.#request;
     const { deadlineMs, expectInstance, priority, lastEventId: lastWord } = this.#words;
     const own = new Set([deadlineMs, expectInstance, priority, lastWord].map((name) => name.toLowerCase()));
-    const headers: Header[] = ask.headers.filter(
+    const headers: Header[] = clientRequest.headers.filter(
       ([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
     );
     const leftMs = Math.max(1, Math.floor(endMs - nowMs));
-    if (ask.deadlineMs !== undefined) headers.push([deadlineMs, String(leftMs)]);
+    if (clientRequest.deadlineMs !== undefined) headers.push([deadlineMs, String(leftMs)]);
     if (lastEventId !== undefined) headers.push([lastWord, lastEventId]);
     headers.push([expectInstance, this.#worker.id]);
-    if (this.#passage.streamed) headers.push([priority, String(Math.min(9, route.priority))]);
+    if (this.#request.streamed) headers.push([priority, String(Math.min(9, route.priority))]);
     return {
       address: this.#worker.address,
-      method: ask.method,
-      target: ask.target,
+      method: clientRequest.method,
+      target: clientRequest.target,
       headers,
-      body: ask.body,
+      body: clientRequest.body,
       stallMs: leftMs + 50,
-      ownConnection: [...this.#passage.sentTo.values()].includes(this.#worker.address),
+      ownConnection: [...this.#request.sentTo.values()].includes(this.#worker.address),
     };
   }
 
@@ -149,12 +149,12 @@
    */
   tick(nowMs: number): void {
     if (this.#over) return;
-    if (nowMs >= this.#passage.endMs) return this.#abandon('the time for it has passed');
-    if (!this.#passage.idempotent || !this.#started || this.#paused) return;
+    if (nowMs >= this.#request.endMs) return this.#abandon('the time for it has passed');
+    if (!this.#request.idempotent || !this.#started || this.#paused) return;
     if (nowMs - this.#lifeMs <= this.#patienceMs(nowMs) || nowMs - this.#moveAskedMs < MOVE_EVERY_MS) return;
     this.#moveAskedMs = nowMs;
-    if (!this.#passage.opened || this.#context.mayMove()) this.#abandon('silent for too long');
-    else this.#context.silent();
+    if (!this.#request.responseStarted || this.#context.reserveMove()) this.#abandon('silent for too long');
+    else this.#context.onSilent();
   }
 
   /** This node ends: what has no answer yet gets one of ours. */
@@ -166,7 +166,7 @@
   leave(): void {
     const silentMs = this.#context.nowMs() - this.#lifeMs;
     const workerFailed =
-      this.#started && !this.#paused && silentMs > Math.max(SILENT_MS, this.#passage.route.targetMs);
+      this.#started && !this.#paused && silentMs > Math.max(SILENT_MS, this.#request.route.targetMs);
     this.#finish({ how: 'cut', why: 'the client has left', workerFailed });
     this.#send?.abort();
   }
@@ -182,30 +182,30 @@
   head(status: number, headers: readonly Header[]): void {
     if (this.#over) return;
     this.#lifeMs = this.#context.nowMs();
-    this.#context.heard();
+    this.#context.onHeard();
     const echoed = valueOf(headers, this.#words.requestId);
-    if (echoed !== this.#passage.request.id) return this.#abandon('an answer to another request');
+    if (echoed !== this.#request.clientRequest.id) return this.#abandon('an answer to another request');
     const notRun = valueOf(headers, this.#words.notRun) !== undefined;
     if (notRun && status < 300) return this.#abandon('an answer that says that it was not run');
     if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
     if (notRun) return this.#finish({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
     if (status < 300 && valueOf(headers, this.#words.signature) === undefined)
       return this.#abandon('an answer without its signature');
-    this.#context.answered(this.#lifeMs - this.#bornMs);
+    this.#context.onResponseHead(this.#lifeMs - this.#bornMs);
     this.#status = status;
     this.#headers = headers.filter(([name]) => !isHop(name));
     const type = valueOf(headers, 'content-type') ?? '';
-    if (this.#passage.streamed && status < 300 && type.startsWith('text/event-stream'))
-      this.#cutter = new EventCutter();
-    else if (this.#passage.opened) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (status >= 500 && this.#passage.idempotent && this.#context.mayMove())
+    if (this.#request.streamed && status < 300 && type.startsWith('text/event-stream'))
+      this.#cutter = new EventSplitter();
+    else if (this.#request.responseStarted) this.#abandon(`answered ${status} where a stream was to go on`);
+    else if (status >= 500 && this.#request.idempotent && this.#context.reserveMove())
       this.#abandon(`answered ${status}`);
   }
 
   chunk(bytes: Buffer): void {
     if (this.#over) return;
     this.#lifeMs = this.#context.nowMs();
-    this.#context.heard();
+    this.#context.onHeard();
     if (this.#cutter === undefined) {
       this.#wholeBytes += bytes.length;
       if (this.#wholeBytes > WHOLE_MOST) return this.#abandon('an answer without end');
@@ -219,13 +219,13 @@
 
   end(): void {
     if (this.#over) return;
-    const { port } = this.#passage;
+    const { sink: port } = this.#request;
     if (this.#cutter === undefined) {
       port.respond(this.#status, this.#headers, Buffer.concat(this.#whole));
       return this.#finish({ how: 'served', why: '', workerFailed: this.#status >= 500 });
     }
-    if (this.#cutter.restBytes > 0) return this.#abandon('ended within an event');
-    if (!this.#passage.opened) this.#open();
+    if (this.#cutter.incompleteBytes > 0) return this.#abandon('ended within an event');
+    if (!this.#request.responseStarted) this.#open();
     port.close();
     this.#finish({ how: 'served', why: '' });
   }
@@ -241,26 +241,26 @@
    * that speaks to others is at work: what it has read would be read again.
    */
   #patienceMs(nowMs: number): number {
-    const { route, opened, streamed } = this.#passage;
-    const heard = nowMs - this.#context.heardMs() < SPEAKS_MS;
+    const { route, responseStarted: opened, streamed } = this.#request;
+    const heard = nowMs - this.#context.lastHeardMs() < SPEAKS_MS;
     if (!streamed) return Math.max(400, 3 * route.targetMs);
     if (opened) return heard ? 4 * Math.max(SILENT_MS, route.gapMs) : SILENT_MS;
     return heard ? Infinity : SILENT_MS + route.targetMs;
   }
 
   #open(): void {
-    this.#passage.opened = true;
-    this.#passage.port.open(
+    this.#request.responseStarted = true;
+    this.#request.sink.open(
       this.#status,
       this.#headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
     );
   }
 
   #pass(bytes: Buffer, lastId: string | undefined): void {
-    if (!this.#passage.opened) this.#open();
-    this.#passage.passedMs = this.#lifeMs;
-    if (lastId !== undefined) this.#passage.lastEventId = lastId;
-    if (this.#passage.port.write(bytes, () => this.#goOn())) return;
+    if (!this.#request.responseStarted) this.#open();
+    this.#request.lastByteMs = this.#lifeMs;
+    if (lastId !== undefined) this.#request.lastEventId = lastId;
+    if (this.#request.sink.write(bytes, () => this.#goOn())) return;
     this.#paused = true;
     this.#send?.pause();
   }
@@ -285,7 +285,7 @@
   #finish(end: AttemptEnd): void {
     if (this.#over) return;
     this.#over = true;
-    this.#context.over(end);
+    this.#context.onEnd(end);
   }
 }
 
--- a/packages/router/src/balancer.ts
+++ b/packages/router/src/balancer.ts
@@ -2,7 +2,7 @@
 import type { RoutedRequest, WorkerView } from './request.js';
 
 /** What the balancer knows beyond the workers themselves. */
-export interface BalanceDependencies {
+export interface BalancerDependencies {
   readonly zone: string;
   /** Different at every edge. */
   readonly salt: string;
@@ -14,7 +14,7 @@
 }
 
 /** Why no worker was chosen. */
-export type NoWorker = 'not-held' | 'none' | 'full' | 'cold' | 'shunned';
+export type NoWorkerReason = 'not-held' | 'none' | 'full' | 'cold' | 'shunned';
 
 interface Standing {
   inFlight: number;
@@ -46,13 +46,13 @@
  * least loaded as far as this edge knows; prompts that share long parts go
  * where they went before, the same at every edge.
  * @example
- * const choice = balancer.choose(passage, workers);
+ * const choice = balancer.choose(request, workers);
  */
 export class Balancer {
-  #dependencies: BalanceDependencies;
+  #dependencies: BalancerDependencies;
   #standings = new Map<string, Standing>();
 
-  constructor(dependencies: BalanceDependencies) {
+  constructor(dependencies: BalancerDependencies) {
     this.#dependencies = dependencies;
   }
 
@@ -61,32 +61,32 @@
   }
 
   /** When a worker was last heard. */
-  heardMs(id: string): number {
+  lastHeardMs(id: string): number {
     return this.#standings.get(id)?.heardMs ?? -Infinity;
   }
 
-  heard(id: string): void {
+  recordHeard(id: string): void {
     this.#standing(id).heardMs = this.#dependencies.nowMs();
   }
 
   /** Forgets workers that are gone. */
-  keepOnly(workers: ReadonlyMap<string, unknown>): void {
+  retainOnly(workers: ReadonlyMap<string, unknown>): void {
     for (const [id, standing] of this.#standings)
       if (!workers.has(id) && standing.inFlight === 0) this.#standings.delete(id);
   }
 
-  begun(worker: WorkerView): void {
+  attemptStarted(worker: WorkerView): void {
     this.#standing(worker.id).inFlight += 1;
   }
 
-  ended(worker: WorkerView, well: boolean): void {
+  attemptEnded(worker: WorkerView, well: boolean): void {
     const standing = this.#standing(worker.id);
     standing.inFlight = Math.max(0, standing.inFlight - 1);
     if (well) standing.faults = 0;
   }
 
   /** The worker failed a request: it is left alone for a while. */
-  failed(worker: WorkerView): void {
+  recordFailure(worker: WorkerView): void {
     const standing = this.#standing(worker.id);
     const nowMs = this.#dependencies.nowMs();
     if (nowMs < standing.shunnedUntilMs) return;
@@ -95,18 +95,18 @@
   }
 
   /** The worker had no room: it is left alone for a moment. */
-  full(worker: WorkerView, waitMs: number): void {
+  backOff(worker: WorkerView, waitMs: number): void {
     const standing = this.#standing(worker.id);
     standing.shunnedUntilMs = Math.max(standing.shunnedUntilMs, this.#dependencies.nowMs() + waitMs);
   }
 
   /** The worker does not hold this, whatever its row says. */
-  lacks(worker: WorkerView, model: string, adapter: string): void {
+  recordMissingModel(worker: WorkerView, model: string, adapter: string): void {
     this.#standing(worker.id).missing.set(`${model}/${adapter}`, worker.number);
   }
 
   /** Takes a place at a cold worker; false when it may have no more in this second. */
-  takePlace(worker: WorkerView, perS: number): boolean {
+  takeWarmUpToken(worker: WorkerView, perS: number): boolean {
     const nowMs = this.#dependencies.nowMs();
     if (nowMs >= worker.warmUpUntilMs || perS <= 0) return true;
     const standing = this.#standing(worker.id);
@@ -123,14 +123,14 @@
     return true;
   }
 
-  choose(passage: RoutedRequest, workers: Iterable<WorkerView>): WorkerView | NoWorker {
-    const { request: ask, service, route } = passage;
+  choose(request: RoutedRequest, workers: Iterable<WorkerView>): WorkerView | NoWorkerReason {
+    const { clientRequest, service, route } = request;
     const nowMs = this.#dependencies.nowMs();
     const evacuated = this.#dependencies.evacuated();
     const mostHere = this.#mostHere(service.connections);
     const able: WorkerView[] = [];
     const limited: WorkerView[] = [];
-    let why: NoWorker = 'none';
+    let why: NoWorkerReason = 'none';
     for (const worker of workers) {
       if (worker.service !== service.name || worker.draining || evacuated.includes(worker.zone)) continue;
       if (
@@ -140,12 +140,12 @@
         !route.regions.includes(this.#dependencies.region(worker.zone))
       )
         continue;
-      if (!this.holds(worker, ask.model, ask.adapter)) {
+      if (!this.hasModel(worker, clientRequest.model, clientRequest.adapter)) {
         if (why === 'none') why = 'not-held';
         continue;
       }
       const standing = this.#standing(worker.id);
-      if (passage.avoided.has(worker.id) || nowMs < standing.shunnedUntilMs) {
+      if (request.excludedWorkers.has(worker.id) || nowMs < standing.shunnedUntilMs) {
         why = 'shunned';
         continue;
       }
@@ -159,11 +159,11 @@
     // A worker that fails some of its requests is better than none.
     const chosen = able.length > 0 ? able : limited;
     if (chosen.length === 0) return why;
-    const ranked = this.#ranked(passage, chosen);
-    return ranked.find((worker) => this.takePlace(worker, service.warmupPerS)) ?? 'cold';
+    const ranked = this.#ranked(request, chosen);
+    return ranked.find((worker) => this.takeWarmUpToken(worker, service.warmupPerS)) ?? 'cold';
   }
 
-  holds(worker: WorkerView, model: string, adapter: string): boolean {
+  hasModel(worker: WorkerView, model: string, adapter: string): boolean {
     if (model === '' || worker.models.size === 0) return model === '';
     const adapters = worker.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return false;
@@ -184,8 +184,8 @@
       : Math.max(2, Math.floor((connections * 0.9) / Math.max(1, this.#dependencies.edges())));
   }
 
-  #ranked(passage: RoutedRequest, able: WorkerView[]): WorkerView[] {
-    const { request: ask } = passage;
+  #ranked(request: RoutedRequest, able: WorkerView[]): WorkerView[] {
+    const { clientRequest } = request;
     const loads = new Map(
       able.map((worker) => [
         worker.id,
@@ -193,18 +193,19 @@
       ]),
     );
     const least = Math.min(...loads.values());
-    const shared = ask.prefix.at(-1);
-    const long = shared !== undefined && ask.promptTokens >= LONG_TOKENS;
+    const shared = clientRequest.prefix.at(-1);
+    const long = shared !== undefined && clientRequest.promptTokens >= LONG_TOKENS;
     function load(worker: WorkerView): number {
       return loads.get(worker.id) ?? 0;
     }
     // Ties are broken anew for each request: by its shared parts every edge would choose the same worker.
     able.sort(
       (one, other) =>
-        load(one) - load(other) || spread(`${ask.id} ${other.id}`) - spread(`${ask.id} ${one.id}`),
+        load(one) - load(other) ||
+        spread(`${clientRequest.id} ${other.id}`) - spread(`${clientRequest.id} ${one.id}`),
     );
     if (!long) return able;
-    const key = `${ask.model}/${ask.adapter}/${shared}`;
+    const key = `${clientRequest.model}/${clientRequest.adapter}/${shared}`;
     const kept = [...able]
       .sort((one, other) => spread(`${key} ${other.id}`) - spread(`${key} ${one.id}`))
       .slice(0, KEPT_AT);
--- a/packages/router/src/demand-meter.ts
+++ b/packages/router/src/demand-meter.ts
@@ -21,8 +21,8 @@
 
 interface Rate {
   perS: number;
-  pressure: number;
-  patienceMs: number;
+  waitToTargetRatio: number;
+  meanTargetMs: number;
   atMs: number;
 }
 
@@ -30,54 +30,61 @@
  * Counts what is asked for at this edge, by service, model and adapter.
  * @example
  * const demand = new Demand();
- * demand.arrived(passage, nowMs);
+ * demand.arrived(request, nowMs);
  * demand.asked(waiting, nowMs);
  */
 export class DemandMeter {
   #rates = new Map<string, Rate>();
   #inFlight = new Map<string, number>();
 
-  arrived(passage: RoutedRequest, nowMs: number): void {
-    if (passage.request.model === '') return;
-    const { targetMs } = passage.route;
-    const rate = this.#rates.get(passage.key) ?? { perS: 0, pressure: 0, patienceMs: targetMs, atMs: nowMs };
-    this.#rates.set(passage.key, rate);
-    fade(rate, nowMs);
+  recordArrival(request: RoutedRequest, nowMs: number): void {
+    if (request.clientRequest.model === '') return;
+    const { targetMs } = request.route;
+    const rate = this.#rates.get(request.key) ?? {
+      perS: 0,
+      waitToTargetRatio: 0,
+      meanTargetMs: targetMs,
+      atMs: nowMs,
+    };
+    this.#rates.set(request.key, rate);
+    decay(rate, nowMs);
     rate.perS += Math.LN2 / HALF_LIFE_S;
-    rate.patienceMs += (targetMs - rate.patienceMs) * PATIENCE_PART;
+    rate.meanTargetMs += (targetMs - rate.meanTargetMs) * PATIENCE_PART;
   }
 
-  sent(key: string): void {
+  attemptStarted(key: string): void {
     this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
   }
 
-  ended(key: string): void {
+  attemptEnded(key: string): void {
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 1) - 1));
   }
 
   /** The first word of an answer came so long after the send. */
-  answered(passage: RoutedRequest, waitMs: number): void {
-    const rate = this.#rates.get(passage.key);
-    if (rate === undefined || passage.route.targetMs <= 0) return;
-    const pressure = waitMs / passage.route.targetMs;
-    rate.pressure =
-      rate.pressure === 0 ? pressure : rate.pressure + (pressure - rate.pressure) * PRESSURE_PART;
+  recordResponseWait(request: RoutedRequest, waitMs: number): void {
+    const rate = this.#rates.get(request.key);
+    if (rate === undefined || request.route.targetMs <= 0) return;
+    const pressure = waitMs / request.route.targetMs;
+    rate.waitToTargetRatio =
+      rate.waitToTargetRatio === 0
+        ? pressure
+        : rate.waitToTargetRatio + (pressure - rate.waitToTargetRatio) * PRESSURE_PART;
   }
 
   /** What is asked for now. */
-  asked(waitingPassages: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
+  demands(waitingRequests: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
-    for (const passage of waitingPassages) waiting.set(passage.key, (waiting.get(passage.key) ?? 0) + 1);
+    for (const request of waitingRequests) waiting.set(request.key, (waiting.get(request.key) ?? 0) + 1);
     const asked: EdgeDemand[] = [];
     for (const [key, rate] of this.#rates) {
-      fade(rate, nowMs);
+      decay(rate, nowMs);
       const now = { waiting: waiting.get(key) ?? 0, inFlight: this.#inFlight.get(key) ?? 0 };
       if (rate.perS < SELDOM_PER_S && now.waiting + now.inFlight === 0) {
         this.#rates.delete(key);
         continue;
       }
       const [service = '', model = '', adapter = ''] = key.split('/');
-      const { perS, pressure, patienceMs } = rate;
+      const { perS, waitToTargetRatio: pressure, meanTargetMs: patienceMs } = rate;
       asked.push({
         service,
         model,
@@ -92,7 +99,7 @@
   }
 }
 
-function fade(rate: Rate, nowMs: number): void {
+function decay(rate: Rate, nowMs: number): void {
   rate.perS *= 0.5 ** ((nowMs - rate.atMs) / 1000 / HALF_LIFE_S);
   rate.atMs = nowMs;
 }
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -2,17 +2,17 @@
 
 /** A request that came before any configuration was known. */
 interface EarlyRequest {
-  readonly ask: ClientRequest;
-  readonly port: ResponseSink;
-  readonly bornMs: number;
+  readonly request: ClientRequest;
+  readonly sink: ResponseSink;
+  readonly arrivedMs: number;
   readonly endMs: number;
-  leave: (() => void) | undefined;
+  cancel: (() => void) | undefined;
 }
 
 /** What becomes of an early request: it is taken with the time that it has left, or refused. */
 export interface EarlyRequestContext {
-  take(ask: ClientRequest, port: ResponseSink): () => void;
-  refuse(port: ResponseSink): void;
+  submit(ask: ClientRequest, port: ResponseSink): () => void;
+  reject(port: ResponseSink): void;
 }
 
 const HELD_MS = 1500;
@@ -24,46 +24,46 @@
  * early.release(true, nowMs); // a configuration is known: all of them are taken
  */
 export class EarlyRequests {
-  #desk: EarlyRequestContext;
-  #held = new Set<EarlyRequest>();
+  #context: EarlyRequestContext;
+  #pending = new Set<EarlyRequest>();
 
   constructor(desk: EarlyRequestContext) {
-    this.#desk = desk;
+    this.#context = desk;
   }
 
   get size(): number {
-    return this.#held.size;
+    return this.#pending.size;
   }
 
   /** The returned function says that the client has left. */
-  hold(ask: ClientRequest, port: ResponseSink, nowMs: number): () => void {
+  add(ask: ClientRequest, port: ResponseSink, nowMs: number): () => void {
     const endMs = nowMs + Math.min(HELD_MS, ask.deadlineMs ?? HELD_MS);
-    const early: EarlyRequest = { ask, port, bornMs: nowMs, endMs, leave: undefined };
-    this.#held.add(early);
+    const early: EarlyRequest = { request: ask, sink: port, arrivedMs: nowMs, endMs, cancel: undefined };
+    this.#pending.add(early);
     return () => {
-      this.#held.delete(early);
-      early.leave?.();
+      this.#pending.delete(early);
+      early.cancel?.();
     };
   }
 
   /** Takes all that wait where a configuration is known, and else refuses those that have waited long enough. */
   release(isKnown: boolean, nowMs: number): void {
-    for (const early of this.#held) {
+    for (const early of this.#pending) {
       if (!isKnown && nowMs < early.endMs) continue;
-      this.#held.delete(early);
-      if (isKnown) early.leave = this.#desk.take(withTimeLeft(early, nowMs), early.port);
-      else this.#desk.refuse(early.port);
+      this.#pending.delete(early);
+      if (isKnown) early.cancel = this.#context.submit(withTimeLeft(early, nowMs), early.sink);
+      else this.#context.reject(early.sink);
     }
   }
 
   /** Refuses all of them. */
   close(): void {
-    for (const { port } of this.#held) this.#desk.refuse(port);
-    this.#held.clear();
+    for (const { sink: port } of this.#pending) this.#context.reject(port);
+    this.#pending.clear();
   }
 }
 
-function withTimeLeft({ ask, bornMs }: EarlyRequest, nowMs: number): ClientRequest {
+function withTimeLeft({ request: ask, arrivedMs: bornMs }: EarlyRequest, nowMs: number): ClientRequest {
   const { deadlineMs } = ask;
   return {
     ...ask,
--- a/packages/router/src/events.test.ts
+++ b/packages/router/src/event-splitter.test.ts
@@ -1,10 +1,10 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { EventCutter } from './events.js';
+import { EventSplitter } from './event-splitter.js';
 
 /** What is passed on of a stream that comes in these pieces, and what stays behind. */
 function taken(...pieces: readonly string[]): { lots: string[]; ids: (string | undefined)[]; rest: number } {
-  const cutter = new EventCutter();
+  const cutter = new EventSplitter();
   const lots: string[] = [];
   const ids: (string | undefined)[] = [];
   for (const piece of pieces) {
@@ -15,7 +15,7 @@
       ids.push(events.lastId);
     }
   }
-  return { lots, ids, rest: cutter.restBytes };
+  return { lots, ids, rest: cutter.incompleteBytes };
 }
 
 describe('events of a stream', () => {
@@ -52,7 +52,7 @@
 
   it('keep bytes that are no text as they are', () => {
     const bytes = Buffer.from([100, 97, 116, 97, 58, 0, 255, 254, 10, 10]);
-    const events = new EventCutter().take(bytes);
+    const events = new EventSplitter().take(bytes);
     expect(events === 'endless' ? [] : [...events.bytes]).toEqual([...bytes]);
   });
 
--- a/packages/router/src/events.ts
+++ b/packages/router/src/event-splitter.ts
@@ -3,7 +3,7 @@
 const EVENT_MOST = 1024 * 1024;
 
 /** Whole events taken from a stream. */
-export interface Events {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   /** Id of the last of them that has one. */
   readonly lastId: string | undefined;
@@ -12,17 +12,17 @@
 /**
  * Cuts a stream of events into whole ones, so that nothing is passed on in half.
  * @example
- * new EventCutter().take(Buffer.from('id: 1\ndata: a\n\nid: 2')).lastId; // '1'
+ * new EventSplitter().take(Buffer.from('id: 1\ndata: a\n\nid: 2')).lastId; // '1'
  */
-export class EventCutter {
+export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0);
 
   /** Bytes of an event that is not whole yet. */
-  get restBytes(): number {
+  get incompleteBytes(): number {
     return this.#rest.length;
   }
 
-  take(chunk: Buffer): Events | 'endless' {
+  take(chunk: Buffer): CompleteEvents | 'endless' {
     const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const end = lastEventEnd(bytes);
     this.#rest = bytes.subarray(end);
--- a/packages/router/src/outcomes.ts
+++ b/packages/router/src/outcome-counter.ts
@@ -12,7 +12,7 @@
  * outcomes.add('worker-1', false);
  * outcomes.take(); // [{ worker: 'worker-1', answered: 0, failed: 1 }]
  */
-export class Outcomes {
+export class OutcomeCounter {
   #counts = new Map<string, { answered: number; failed: number }>();
 
   add(worker: string, well: boolean): void {
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,7 +1,7 @@
 import type { RouteEntry, ServiceEntry } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
-import type { NoWorker } from './balancer.js';
+import type { NoWorkerReason } from './balancer.js';
 
 /** A whole request, read and taken apart at the door. */
 export interface ClientRequest {
@@ -57,8 +57,8 @@
 
 /** A request on its way through the router. */
 export interface RoutedRequest {
-  readonly request: ClientRequest;
-  readonly port: ResponseSink;
+  readonly clientRequest: ClientRequest;
+  readonly sink: ResponseSink;
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
   readonly key: string;
@@ -67,26 +67,26 @@
   readonly idempotent: boolean;
   readonly streamed: boolean;
   /** Workers that were sent this request and had it. */
-  arrivals: number;
+  attemptsStarted: number;
   /** Addresses of the workers that were sent this request, by worker. */
   readonly sentTo: Map<string, string>;
   /** Workers that turned it away or failed it. */
-  readonly avoided: Set<string>;
+  readonly excludedWorkers: Set<string>;
   /** Whether any byte of an answer went to the client. */
-  opened: boolean;
+  responseStarted: boolean;
   /** When the last byte of an answer went to the client. */
-  passedMs: number;
+  lastByteMs: number;
   /** Id of the last event that went to the client whole. */
   lastEventId: string | undefined;
   /** Whether a worker may have run it. */
-  ran: boolean;
-  left: boolean;
+  mayHaveRun: boolean;
+  clientLeft: boolean;
   /** A part of the budget is set aside for its next send. */
-  reserved: boolean;
+  retryReserved: boolean;
   /** A further send was promised, and its part of the budget is gone. */
-  unpaid: boolean;
+  retryDenied: boolean;
   notBeforeMs: number;
   /** Why no worker could take it when it was tried last, while it waits. */
-  waitsFor: NoWorker | undefined;
-  cancel: (() => void) | undefined;
+  waitReason: NoWorkerReason | undefined;
+  cancelAttempt: (() => void) | undefined;
 }
--- a/packages/router/src/routes.test.ts
+++ b/packages/router/src/route-table.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test';
 import { checkConfiguration, type Configuration } from '@rainrun/configuration';
 import { expect } from 'earl';
-import { RouteTable } from './routes.js';
+import { RouteTable } from './route-table.js';
 
 function route(
   name: string,
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -235,10 +235,10 @@
       edges: () => this.edges,
       incarnation: () => incarnation,
       region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
-      missing: () => {
+      onModelMissing: () => {
         this.missed += 1;
       },
-      waits: () => {
+      onWaiting: () => {
         this.waits += 1;
       },
     });
@@ -270,7 +270,7 @@
       lastEventId: undefined,
       ...change,
     };
-    return { port, leave: this.router.take(ask, port) };
+    return { port, leave: this.router.submit(ask, port) };
   }
 
   /** Earns budget with requests that are served at once. */
@@ -878,7 +878,7 @@
     expect([address, bench.link.flown.length, bench.missed > 0]).toEqual(['w2:80', 1, true]);
     expect(
       bench.router
-        .asked()
+        .demands()
         .map(({ model, adapter, waiting, inFlight }) => `${model}/${adapter} ${waiting} ${inFlight}`),
     ).toEqual(['m1/a1 0 1', 'm2/ 1 0']);
   });
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,12 +1,12 @@
 import { RetryBudget, type Link } from '@rainrun/gateway';
 import type { Configuration, RouteEntry } from '@rainrun/configuration';
 import { fault, type Clock, type Fault } from '@rainrun/common';
-import { Balancer, type NoWorker } from './balancer.js';
+import { Balancer, type NoWorkerReason } from './balancer.js';
 import { DemandMeter, type EdgeDemand } from './demand-meter.js';
 import { EarlyRequests } from './early-requests.js';
-import { Outcomes, type WorkerOutcomes } from './outcomes.js';
+import { OutcomeCounter, type WorkerOutcomes } from './outcome-counter.js';
 import type { ClientRequest, ResponseSink, RoutedRequest, WorkerView } from './request.js';
-import { RouteTable } from './routes.js';
+import { RouteTable } from './route-table.js';
 import { Attempt, type AttemptEnd, type HeaderNames } from './attempt.js';
 
 /** What the router is given by its node. */
@@ -24,9 +24,9 @@
   incarnation(): string;
   region(zone: string): string;
   /** A model is asked for that stands nowhere. */
-  missing(): void;
+  onModelMissing(): void;
   /** A request begins to wait: from now on `tick` is to be called as often as it may be sent. */
-  waits(): void;
+  onWaiting(): void;
 }
 
 const AGAIN_MS = 25;
@@ -44,7 +44,7 @@
  * it or the worker has not run it, and within the fleet's budget.
  * @example
  * const router = new Router(dependencies);
- * const leave = router.take(ask, port);
+ * const leave = router.take(clientRequest, port);
  * router.tick(); // every 20 ms and after each change
  */
 export class Router {
@@ -54,12 +54,12 @@
   #waiting = new Set<RoutedRequest>();
   #runs = new Set<Attempt>();
   #early = new EarlyRequests({
-    take: (ask, port) => this.take(ask, port),
-    refuse: (port) => void this.#turnAway(port, UNCONFIGURED),
+    submit: (clientRequest, port) => this.submit(clientRequest, port),
+    reject: (port) => void this.#turnAway(port, UNCONFIGURED),
   });
   #budgets = new Map<string, RetryBudget>();
   #demand = new DemandMeter();
-  #outcomes = new Outcomes();
+  #outcomes = new OutcomeCounter();
   #counts = new Map<string, number>();
   /** Ids of requests under way that may not be repeated. */
   #once = new Set<string>();
@@ -90,56 +90,59 @@
   }
 
   /** Takes a request; the returned function says that the client has left. */
-  take(ask: ClientRequest, port: ResponseSink): () => void {
+  submit(clientRequest: ClientRequest, port: ResponseSink): () => void {
     this.#count('taken');
     if (this.#closed) return this.#turnAway(port, fault('draining', 'this node ends'));
     const configuration = this.#dependencies.configuration();
     if (configuration === undefined) {
       if (this.#early.size >= CROWD_MOST) return this.#turnAway(port, UNCONFIGURED);
-      return this.#early.hold(ask, port, this.#dependencies.clock.nowMs());
+      return this.#early.add(clientRequest, port, this.#dependencies.clock.nowMs());
     }
     if (this.#table?.configuration !== configuration)
       this.#table = { configuration, routes: new RouteTable(configuration) };
-    const route = this.#table.routes.find(ask.host, ask.target);
-    const target = route === undefined ? undefined : this.#table.routes.target(route, ask.id);
+    const route = this.#table.routes.find(clientRequest.host, clientRequest.target);
+    const target = route === undefined ? undefined : this.#table.routes.target(route, clientRequest.id);
     if (target === undefined)
-      return this.#turnAway(port, fault('not-found', `no route for ${ask.host}${ask.target}`));
+      return this.#turnAway(
+        port,
+        fault('not-found', `no route for ${clientRequest.host}${clientRequest.target}`),
+      );
     const nowMs = this.#dependencies.clock.nowMs();
     const { service } = target;
     const streamed = target.route.kind === 'streaming';
-    const passage: RoutedRequest = {
-      request: ask,
-      port,
+    const request: RoutedRequest = {
+      clientRequest,
+      sink: port,
       route: target.route,
       service,
-      key: `${service.name}/${ask.model}/${ask.adapter}`,
+      key: `${service.name}/${clientRequest.model}/${clientRequest.adapter}`,
       arrivedMs: nowMs,
-      endMs: nowMs + Math.min(target.route.timeoutMs, ask.deadlineMs ?? Infinity),
+      endMs: nowMs + Math.min(target.route.timeoutMs, clientRequest.deadlineMs ?? Infinity),
       idempotent: target.route.kind === 'idempotent' || (streamed && target.route.resumable),
       streamed,
-      arrivals: 0,
+      attemptsStarted: 0,
       sentTo: new Map(),
-      avoided: new Set(),
-      opened: false,
-      passedMs: nowMs,
-      lastEventId: ask.lastEventId,
-      ran: false,
-      left: false,
-      reserved: false,
-      unpaid: false,
+      excludedWorkers: new Set(),
+      responseStarted: false,
+      lastByteMs: nowMs,
+      lastEventId: clientRequest.lastEventId,
+      mayHaveRun: false,
+      clientLeft: false,
+      retryReserved: false,
+      retryDenied: false,
       notBeforeMs: nowMs,
-      waitsFor: undefined,
-      cancel: undefined,
+      waitReason: undefined,
+      cancelAttempt: undefined,
     };
     if (this.#waiting.size >= CROWD_MOST)
       return this.#turnAway(port, { ...fault('over-share', 'too many requests wait here'), returnS: 1 });
-    if (!passage.idempotent && this.#once.has(ask.id))
+    if (!request.idempotent && this.#once.has(clientRequest.id))
       return this.#turnAway(port, fault('outcome-unknown', 'a request with this id is under way here'));
-    if (!passage.idempotent) this.#once.add(ask.id);
-    this.#budget(passage).first(this.#dependencies.retries.ratio);
-    this.#demand.arrived(passage, nowMs);
-    this.#dispatch(passage, nowMs);
-    return () => this.#left(passage);
+    if (!request.idempotent) this.#once.add(clientRequest.id);
+    this.#budget(request).first(this.#dependencies.retries.ratio);
+    this.#demand.recordArrival(request, nowMs);
+    this.#dispatch(request, nowMs);
+    return () => this.#left(request);
   }
 
   /** Answers whatever has no answer yet, and takes nothing more. */
@@ -147,33 +150,36 @@
     this.#closed = true;
     this.#early.close();
     for (const run of [...this.#runs]) run.giveUp();
-    for (const passage of [...this.#waiting]) this.#giveUp(passage);
+    for (const request of [...this.#waiting]) this.#giveUp(request);
   }
 
   /** Gives up what has waited too long, and sends what can be sent now. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#balancer.keepOnly(this.#dependencies.workers());
+    this.#balancer.retainOnly(this.#dependencies.workers());
     if (this.#early.size > 0) this.#early.release(this.#dependencies.configuration() !== undefined, nowMs);
     const order = [...this.#waiting].sort(
       (one, other) => one.route.priority - other.route.priority || one.arrivedMs - other.arrivedMs,
     );
     const nowhere = new Set<string>();
-    for (const passage of order) {
-      if (nowMs >= passage.endMs) this.#giveUp(passage);
-      else if (passage.opened && nowMs - passage.passedMs >= silenceBorneMs(passage.route))
-        this.#cut(passage);
-      else if (passage.opened && !passage.reserved) this.#resume(passage, nowMs);
-      else if (nowMs >= passage.notBeforeMs && !(passage.avoided.size === 0 && nowhere.has(passage.key))) {
-        if (!this.#dispatch(passage, nowMs) && passage.avoided.size === 0) nowhere.add(passage.key);
+    for (const request of order) {
+      if (nowMs >= request.endMs) this.#giveUp(request);
+      else if (request.responseStarted && nowMs - request.lastByteMs >= silenceBorneMs(request.route))
+        this.#cut(request);
+      else if (request.responseStarted && !request.retryReserved) this.#resume(request, nowMs);
+      else if (
+        nowMs >= request.notBeforeMs &&
+        !(request.excludedWorkers.size === 0 && nowhere.has(request.key))
+      ) {
+        if (!this.#dispatch(request, nowMs) && request.excludedWorkers.size === 0) nowhere.add(request.key);
       }
     }
     for (const run of [...this.#runs]) run.tick(nowMs);
   }
 
   /** What is asked for now, by service, model and adapter. */
-  asked(): EdgeDemand[] {
-    return this.#demand.asked(this.#waiting, this.#dependencies.clock.nowMs());
+  demands(): EdgeDemand[] {
+    return this.#demand.demands(this.#waiting, this.#dependencies.clock.nowMs());
   }
 
   /** How requests to workers ended since the last call. */
@@ -182,8 +188,8 @@
   }
 
   /** One budget a service: the bound is the service's. */
-  #budget(passage: RoutedRequest): RetryBudget {
-    const name = passage.service.name;
+  #budget(request: RoutedRequest): RetryBudget {
+    const name = request.service.name;
     let budget = this.#budgets.get(name);
     if (budget === undefined) {
       budget = new RetryBudget();
@@ -203,151 +209,155 @@
   }
 
   /** Sends a request if a worker may take it now; false: it waits. */
-  #dispatch(passage: RoutedRequest, nowMs: number): boolean {
-    const choice = this.#choose(passage);
+  #dispatch(request: RoutedRequest, nowMs: number): boolean {
+    const choice = this.#choose(request);
     if (typeof choice === 'string') {
-      this.#wait(passage, choice);
+      this.#wait(request, choice);
       return false;
     }
-    this.#waiting.delete(passage);
-    passage.waitsFor = undefined;
-    this.#send(passage, choice, nowMs);
+    this.#waiting.delete(request);
+    request.waitReason = undefined;
+    this.#send(request, choice, nowMs);
     return true;
   }
 
   /** Once a request was sent to as many workers as its route allows, only these are left for it. */
-  #choose(passage: RoutedRequest): WorkerView | NoWorker {
+  #choose(request: RoutedRequest): WorkerView | NoWorkerReason {
     const workers = this.#dependencies.workers();
-    if (passage.sentTo.size < passage.route.attempts) return this.#balancer.choose(passage, workers.values());
-    const known = [...passage.sentTo.keys()].map((id) => workers.get(id));
+    if (request.sentTo.size < request.route.attempts) return this.#balancer.choose(request, workers.values());
+    const known = [...request.sentTo.keys()].map((id) => workers.get(id));
     return this.#balancer.choose(
-      passage,
+      request,
       known.filter((worker) => worker !== undefined),
     );
   }
 
   /** Whether a request can leave its worker for another one at once; if so, a part of the budget is set aside. */
-  #mayMove(passage: RoutedRequest, worker: WorkerView): boolean {
-    if (passage.arrivals < passage.route.attempts && this.#budget(passage).reserve()) {
-      passage.avoided.add(worker.id);
-      passage.reserved = typeof this.#choose(passage) !== 'string';
-      if (passage.reserved) return true;
-      passage.avoided.delete(worker.id);
-      this.#budget(passage).release();
+  #mayMove(request: RoutedRequest, worker: WorkerView): boolean {
+    if (request.attemptsStarted < request.route.attempts && this.#budget(request).reserve()) {
+      request.excludedWorkers.add(worker.id);
+      request.retryReserved = typeof this.#choose(request) !== 'string';
+      if (request.retryReserved) return true;
+      request.excludedWorkers.delete(worker.id);
+      this.#budget(request).release();
     }
     return false;
   }
 
   /** The client has a part of this stream, and no worker may take the rest now. */
-  #hold(passage: RoutedRequest): void {
-    passage.avoided.clear();
-    passage.unpaid = false;
-    passage.cancel = undefined;
-    this.#waiting.add(passage);
+  #hold(request: RoutedRequest): void {
+    request.excludedWorkers.clear();
+    request.retryDenied = false;
+    request.cancelAttempt = undefined;
+    this.#waiting.add(request);
   }
 
   /**
    * A stream of which the client has a part goes on looking for a worker, as
    * long as the client bears its silence and a worker may take it.
    */
-  #resume(passage: RoutedRequest, nowMs: number): void {
-    if (nowMs < passage.notBeforeMs) return;
-    passage.notBeforeMs = nowMs + RESUME_EVERY_MS;
-    if (!this.#budget(passage).reserve()) return;
-    passage.reserved = true;
-    const choice = this.#choose(passage);
+  #resume(request: RoutedRequest, nowMs: number): void {
+    if (nowMs < request.notBeforeMs) return;
+    request.notBeforeMs = nowMs + RESUME_EVERY_MS;
+    if (!this.#budget(request).reserve()) return;
+    request.retryReserved = true;
+    const choice = this.#choose(request);
     if (typeof choice !== 'string') {
-      this.#waiting.delete(passage);
-      return this.#send(passage, choice, nowMs);
+      this.#waiting.delete(request);
+      return this.#send(request, choice, nowMs);
     }
-    this.#release(passage);
-    if (choice === 'none' && passage.sentTo.size >= passage.route.attempts) this.#cut(passage);
+    this.#release(request);
+    if (choice === 'none' && request.sentTo.size >= request.route.attempts) this.#cut(request);
   }
 
-  #cut(passage: RoutedRequest): void {
-    this.#waiting.delete(passage);
-    this.#release(passage);
-    this.#once.delete(passage.request.id);
+  #cut(request: RoutedRequest): void {
+    this.#waiting.delete(request);
+    this.#release(request);
+    this.#once.delete(request.clientRequest.id);
     this.#count('cut off');
-    passage.port.abort();
+    request.sink.abort();
   }
 
-  #wait(passage: RoutedRequest, why: NoWorker): void {
-    const isNews = passage.waitsFor !== why;
-    if (!this.#waiting.has(passage)) this.#dependencies.waits();
-    this.#waiting.add(passage);
-    passage.cancel = undefined;
-    passage.waitsFor = why;
-    if (why === 'not-held' && isNews) this.#dependencies.missing();
-    if (why === 'shunned' && passage.avoided.size > 0 && passage.arrivals < passage.route.attempts)
-      passage.avoided.clear();
+  #wait(request: RoutedRequest, why: NoWorkerReason): void {
+    const isNews = request.waitReason !== why;
+    if (!this.#waiting.has(request)) this.#dependencies.onWaiting();
+    this.#waiting.add(request);
+    request.cancelAttempt = undefined;
+    request.waitReason = why;
+    if (why === 'not-held' && isNews) this.#dependencies.onModelMissing();
+    if (
+      why === 'shunned' &&
+      request.excludedWorkers.size > 0 &&
+      request.attemptsStarted < request.route.attempts
+    )
+      request.excludedWorkers.clear();
   }
 
-  #send(passage: RoutedRequest, worker: WorkerView, nowMs: number): void {
-    const { key } = passage;
-    this.#balancer.begun(worker);
-    this.#demand.sent(key);
-    const run = new Attempt(passage, worker, this.#dependencies.headerNames, {
+  #send(request: RoutedRequest, worker: WorkerView, nowMs: number): void {
+    const { key } = request;
+    this.#balancer.attemptStarted(worker);
+    this.#demand.attemptStarted(key);
+    const run = new Attempt(request, worker, this.#dependencies.headerNames, {
       nowMs: () => this.#dependencies.clock.nowMs(),
-      mayStart: () => this.#mayStart(passage, worker),
-      heardMs: () => this.#balancer.heardMs(worker.id),
-      heard: () => this.#balancer.heard(worker.id),
-      mayMove: () => this.#mayMove(passage, worker),
-      silent: () => this.#balancer.failed(worker),
-      answered: (waitMs) => this.#demand.answered(passage, waitMs),
-      over: (end) => {
+      mayStart: () => this.#mayStart(request, worker),
+      lastHeardMs: () => this.#balancer.lastHeardMs(worker.id),
+      onHeard: () => this.#balancer.recordHeard(worker.id),
+      reserveMove: () => this.#mayMove(request, worker),
+      onSilent: () => this.#balancer.recordFailure(worker),
+      onResponseHead: (waitMs) => this.#demand.recordResponseWait(request, waitMs),
+      onEnd: (end) => {
         this.#runs.delete(run);
-        this.#demand.ended(key);
-        this.#over(passage, worker, end);
+        this.#demand.attemptEnded(key);
+        this.#over(request, worker, end);
       },
     });
     this.#runs.add(run);
-    passage.cancel = () => run.leave();
+    request.cancelAttempt = () => run.leave();
     run.attach(this.#dependencies.link.send(run.request(nowMs), run));
   }
 
   /** The last look before the first byte. */
-  #mayStart(passage: RoutedRequest, worker: WorkerView): boolean {
+  #mayStart(request: RoutedRequest, worker: WorkerView): boolean {
     const known = this.#dependencies.workers().get(worker.id);
     if (
-      passage.left ||
+      request.clientLeft ||
       known === undefined ||
       known.draining ||
       this.#dependencies.evacuated().includes(known.zone)
     )
       return false;
-    if (this.#dependencies.clock.nowMs() >= passage.endMs) return false;
-    passage.unpaid = passage.reserved && !this.#budget(passage).spend();
-    passage.reserved = false;
-    if (passage.unpaid) return false;
-    passage.arrivals += 1;
-    passage.sentTo.set(worker.id, worker.address);
+    if (this.#dependencies.clock.nowMs() >= request.endMs) return false;
+    request.retryDenied = request.retryReserved && !this.#budget(request).spend();
+    request.retryReserved = false;
+    if (request.retryDenied) return false;
+    request.attemptsStarted += 1;
+    request.sentTo.set(worker.id, worker.address);
     return true;
   }
 
-  #over(passage: RoutedRequest, worker: WorkerView, end: AttemptEnd): void {
+  #over(request: RoutedRequest, worker: WorkerView, end: AttemptEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    passage.cancel = undefined;
+    request.cancelAttempt = undefined;
     this.#noteOutcome(worker, end);
     this.#count(end.how);
-    if (end.how === 'failed' || end.how === 'cut') passage.ran = true;
+    if (end.how === 'failed' || end.how === 'cut') request.mayHaveRun = true;
     if (end.how === 'misdirected')
-      this.#balancer.lacks(worker, passage.request.model, passage.request.adapter);
-    if (end.how === 'not-run') this.#balancer.full(worker, end.againMs ?? AGAIN_MS);
-    if (end.how === 'failed' || end.how === 'unreached') this.#balancer.failed(worker);
-    if (passage.left || end.how === 'served' || end.how === 'cut') {
-      this.#once.delete(passage.request.id);
+      this.#balancer.recordMissingModel(worker, request.clientRequest.model, request.clientRequest.adapter);
+    if (end.how === 'not-run') this.#balancer.backOff(worker, end.retryAfterMs ?? AGAIN_MS);
+    if (end.how === 'failed' || end.how === 'unreached') this.#balancer.recordFailure(worker);
+    if (request.clientLeft || end.how === 'served' || end.how === 'cut') {
+      this.#once.delete(request.clientRequest.id);
       return;
     }
-    if (nowMs >= passage.endMs || this.#closed) return this.#giveUp(passage);
-    if (passage.unpaid) return this.#refuse(passage, end);
+    if (nowMs >= request.endMs || this.#closed) return this.#giveUp(request);
+    if (request.retryDenied) return this.#refuse(request, end);
     if (end.how === 'not-sent' || end.how === 'unreached')
-      return this.#again(passage, worker, end.how === 'unreached', nowMs);
-    const mayRepeat = end.how !== 'failed' || passage.idempotent;
-    const mayArrive = passage.arrivals < passage.route.attempts;
-    passage.reserved ||= mayRepeat && mayArrive && this.#budget(passage).reserve();
-    if (passage.reserved) return this.#again(passage, worker, true, nowMs);
-    this.#refuse(passage, end);
+      return this.#again(request, worker, end.how === 'unreached', nowMs);
+    const mayRepeat = end.how !== 'failed' || request.idempotent;
+    const mayArrive = request.attemptsStarted < request.route.attempts;
+    request.retryReserved ||= mayRepeat && mayArrive && this.#budget(request).reserve();
+    if (request.retryReserved) return this.#again(request, worker, true, nowMs);
+    this.#refuse(request, end);
   }
 
   /**
@@ -356,53 +366,53 @@
    */
   #noteOutcome(worker: WorkerView, end: AttemptEnd): void {
     const isFailure = end.workerFailed === true || end.how === 'failed' || end.how === 'unreached';
-    this.#balancer.ended(worker, end.how === 'served' && !isFailure);
+    this.#balancer.attemptEnded(worker, end.how === 'served' && !isFailure);
     if (isFailure) this.#outcomes.add(worker.id, false);
     else if (end.how === 'served') this.#outcomes.add(worker.id, true);
   }
 
-  #again(passage: RoutedRequest, worker: WorkerView, avoid: boolean, nowMs: number): void {
-    if (avoid) passage.avoided.add(worker.id);
-    passage.notBeforeMs = nowMs;
-    this.#dispatch(passage, nowMs);
+  #again(request: RoutedRequest, worker: WorkerView, avoid: boolean, nowMs: number): void {
+    if (avoid) request.excludedWorkers.add(worker.id);
+    request.notBeforeMs = nowMs;
+    this.#dispatch(request, nowMs);
   }
 
   /** A further send that will not be is given back to the budget. */
-  #release(passage: RoutedRequest): void {
-    if (passage.reserved) this.#budget(passage).release();
-    passage.reserved = false;
+  #release(request: RoutedRequest): void {
+    if (request.retryReserved) this.#budget(request).release();
+    request.retryReserved = false;
   }
 
-  #refuse(passage: RoutedRequest, end: AttemptEnd): void {
-    this.#release(passage);
-    if (passage.opened && passage.idempotent && this.#budget(passage).bearsRetries)
-      return this.#hold(passage);
-    if (passage.opened) return this.#cut(passage);
-    this.#once.delete(passage.request.id);
-    if (passage.ran) return passage.port.reject(fault('outcome-unknown', end.why));
+  #refuse(request: RoutedRequest, end: AttemptEnd): void {
+    this.#release(request);
+    if (request.responseStarted && request.idempotent && this.#budget(request).bearsRetries)
+      return this.#hold(request);
+    if (request.responseStarted) return this.#cut(request);
+    this.#once.delete(request.clientRequest.id);
+    if (request.mayHaveRun) return request.sink.reject(fault('outcome-unknown', end.why));
     this.#count('refused full');
-    passage.port.reject({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
+    request.sink.reject({ ...fault('no-worker', end.why), returnS: HELD_AGAIN_S });
   }
 
-  #giveUp(passage: RoutedRequest): void {
-    this.#waiting.delete(passage);
-    this.#release(passage);
-    if (passage.left) return;
+  #giveUp(request: RoutedRequest): void {
+    this.#waiting.delete(request);
+    this.#release(request);
+    if (request.clientLeft) return;
     this.#count('given up');
-    if (passage.opened) return this.#cut(passage);
-    this.#once.delete(passage.request.id);
-    if (passage.ran) passage.port.reject(fault('deadline-exceeded', 'the time for it has passed'));
-    else passage.port.reject({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
+    if (request.responseStarted) return this.#cut(request);
+    this.#once.delete(request.clientRequest.id);
+    if (request.mayHaveRun) request.sink.reject(fault('deadline-exceeded', 'the time for it has passed'));
+    else request.sink.reject({ ...fault('no-worker', 'no worker came free in time'), returnS: HELD_AGAIN_S });
   }
 
-  #left(passage: RoutedRequest): void {
-    if (passage.left) return;
-    passage.left = true;
+  #left(request: RoutedRequest): void {
+    if (request.clientLeft) return;
+    request.clientLeft = true;
     this.#count('client left');
-    this.#waiting.delete(passage);
-    this.#once.delete(passage.request.id);
-    passage.cancel?.();
-    this.#release(passage);
+    this.#waiting.delete(request);
+    this.#once.delete(request.clientRequest.id);
+    request.cancelAttempt?.();
+    this.#release(request);
   }
 
   #count(name: string): void {
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -85,14 +85,14 @@
       edges: () => this.#follower.edges,
       incarnation: () => this.#follower.incarnation,
       region: (zone) => settings.regions[zone] ?? '',
-      missing: () => this.#hasten(),
-      waits: () => this.#beatWithin(HEARTBEAT_MS),
+      onModelMissing: () => this.#hasten(),
+      onWaiting: () => this.#beatWithin(HEARTBEAT_MS),
     });
     this.#front = new ClientServer({
       words: dialect.clientHeaderNames,
       limits: () => this.#follower.configuration?.limits ?? undefined,
       leaving: () => this.#stopping,
-      take: (ask, port) => this.#router.take(ask, port),
+      take: (ask, port) => this.#router.submit(ask, port),
     });
     this.#readiness = createServer((req, res) => {
       const ready = req.url === dialect.readinessPath && this.#follower.ready && !this.#stopping;
@@ -197,7 +197,7 @@
   }
 
   #wants(): ModelDemand[] {
-    return this.#router.asked().map((asked) => create(ModelDemandSchema, asked));
+    return this.#router.demands().map((asked) => create(ModelDemandSchema, asked));
   }
 
   #counters(): Record<string, number> {
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -88,20 +88,20 @@
   const rounds = 300;
   const began = process.cpuUsage();
   for (let round = 0; round < rounds; round += 1) {
-    const ask = {
+    const clientRequest = {
       id: `request-${round}`,
       model: modelName(round % held),
       adapter: '',
       prefix: [],
       promptTokens: 100,
     };
-    const passage = {
-      ask,
+    const request = {
+      clientRequest,
       service: { name: SERVICE, connections: 640, warmupPerS: 0 },
       route: {},
-      avoided: new Set(),
+      excludedWorkers: new Set(),
     } as unknown as RoutedRequest;
-    balancer.choose(passage, workers.values());
+    balancer.choose(request, workers.values());
   }
   const { user, system } = process.cpuUsage(began);
   return (user + system) / rounds;
