--- /dev/null
+++ b/packages/router/src/admission.ts
@@ -0,0 +1,61 @@
+/** Turns a client's request into one that the router of the platform system can dispatch: finds route and service. */
+import type { Configuration } from '@rainrun/configuration';
+import type { ClientRequest, ResponseSink, RoutedRequest } from './request.js';
+import { RouteTable, type Target } from './route-table.js';
+
+/**
+ * Finds the target of requests; builds the route table once for each configuration.
+ * @example
+ * const target = resolver.resolve(configuration, clientRequest);
+ */
+export class TargetResolver {
+  #current: { readonly configuration: Configuration; readonly routes: RouteTable } | undefined;
+
+  /** The route and service for a request; undefined if no route matches. */
+  resolve(configuration: Configuration, clientRequest: ClientRequest): Target | undefined {
+    if (this.#current?.configuration !== configuration)
+      this.#current = { configuration, routes: new RouteTable(configuration) };
+    const { routes } = this.#current;
+    const route = routes.find(clientRequest.host, clientRequest.target);
+    return route === undefined ? undefined : routes.target(route, clientRequest.id);
+  }
+}
+
+/** What a new request is made of. */
+export interface RoutedRequestInit {
+  readonly clientRequest: ClientRequest;
+  readonly sink: ResponseSink;
+  readonly target: Target;
+  /** Monotonic, in milliseconds. */
+  readonly nowMs: number;
+}
+
+/** A request that arrives now, before its first attempt. */
+export function newRoutedRequest({ clientRequest, sink, target, nowMs }: RoutedRequestInit): RoutedRequest {
+  const { route, service } = target;
+  const streamed = route.kind === 'streaming';
+  return {
+    clientRequest,
+    sink,
+    route,
+    service,
+    key: `${service.name}/${clientRequest.model}/${clientRequest.adapter}`,
+    arrivedMs: nowMs,
+    endMs: nowMs + Math.min(route.timeoutMs, clientRequest.deadlineMs ?? Infinity),
+    idempotent: route.kind === 'idempotent' || (streamed && route.resumable),
+    streamed,
+    attemptsStarted: 0,
+    sentTo: new Map(),
+    excludedWorkers: new Set(),
+    responseStarted: false,
+    lastByteMs: nowMs,
+    lastEventId: clientRequest.lastEventId,
+    mayHaveRun: false,
+    clientLeft: false,
+    retryReserved: false,
+    retryDenied: false,
+    notBeforeMs: nowMs,
+    waitReason: undefined,
+    cancelAttempt: undefined,
+  };
+}
--- a/packages/router/src/attempt.ts
+++ b/packages/router/src/attempt.ts
@@ -1,24 +1,17 @@
+/** One attempt of a request at one worker, in the router of the platform system. */
 import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { EventSplitter } from './event-splitter.js';
+import { attemptHeaders, isHop, valueOf, type HeaderNames } from './headers.js';
 import type { RoutedRequest, WorkerView } from './request.js';
+import { checkHead } from './response-check.js';
+import { ATTEMPT_POLICY } from './routing-policy.js';
 
-/** The names that stand on the wire between router and workers, lower case where they are compared. */
-export interface HeaderNames {
-  readonly requestId: string;
-  readonly deadlineMs: string;
-  readonly lastEventId: string;
-  readonly signature: string;
-  readonly expectInstance: string;
-  readonly notRun: string;
-  readonly priority: string;
-}
-
-/** How a send ended. */
+/** How an attempt ended. */
 export interface AttemptEnd {
   readonly how:
-    /** The client has the worker's answer. */
+    /** The client has the worker's response. */
     | 'served'
-    /** The client has part of an answer, and sees that it is cut. */
+    /** The client has part of a response, and sees that it is incomplete; or it has left. */
     | 'cut'
     /** No byte left, and none was meant to. */
     | 'not-sent'
@@ -26,229 +19,219 @@
     | 'unreached'
     /** The worker says that it has not run it. */
     | 'not-run'
-    /** The worker is another one, or does not hold what was asked for. */
+    /** The worker is another one, or does not have the model or adapter loaded. */
     | 'misdirected'
     /** It may have run. */
     | 'failed';
   readonly why: string;
+  /** How long the worker asks to be left alone, in milliseconds. */
   readonly retryAfterMs?: number;
-  /** Whether the worker failed the request, though the client has its answer or has left: an error, or a long silence. */
+  /** Whether the worker failed the request, though the client has its response or has left: an error, or a long silence. */
   readonly workerFailed?: boolean;
 }
 
-/** What a run needs of its router. */
+/** What an attempt needs of its router. */
 export interface AttemptContext {
+  /** Monotonic, in milliseconds. */
   nowMs(): number;
+  /** The last check before the first byte leaves. */
   mayStart(): boolean;
   /** When this worker was last heard on any connection. */
   lastHeardMs(): number;
-  /** It was heard now. */
+  /** A byte came from the worker now. */
   onHeard(): void;
-  /** Whether the request can go to another worker now; a part of the budget is then set aside for that. */
+  /** Whether the request can move to another worker now; a retry is then reserved for it. */
   reserveMove(): boolean;
   /** The worker is silent, and the request stays with it. */
   onSilent(): void;
-  /** The first word of an answer came so long after the send. */
+  /** The head of a valid response came, so long after the attempt was made. */
   onResponseHead(waitMs: number): void;
+  /** Called once. */
   onEnd(end: AttemptEnd): void;
 }
 
-const SILENT_MS = 1000;
-const SPEAKS_MS = 700;
-/** How often a request at a silent worker looks for another one. */
-const MOVE_EVERY_MS = 250;
-const WHOLE_MOST = 16 * 1024 * 1024;
-const HOP = new Set([
-  'connection',
-  'keep-alive',
-  'transfer-encoding',
-  'proxy-connection',
-  'te',
-  'trailer',
-  'upgrade',
-  'proxy-authenticate',
-  'proxy-authorization',
-]);
-
-/**
- * Whether a header concerns only one connection.
- * @example
- * isHop('Connection'); // true
- */
-export function isHop(name: string): boolean {
-  return HOP.has(name.toLowerCase());
+/** What an attempt is made of. */
+export interface AttemptOptions {
+  readonly request: RoutedRequest;
+  readonly worker: WorkerView;
+  readonly headerNames: HeaderNames;
+  readonly context: AttemptContext;
 }
 
 /**
- * One send of a request to one worker: takes its answer apart and passes it on.
+ * One attempt of a request at one worker: checks the response and forwards it to the client.
  * @example
- * const run = new Run(request, worker, words, context);
- * run.attach(link.send(run.request(nowMs), run));
+ * const attempt = new Attempt({ request, worker, headerNames, context });
+ * attempt.attach(link.send(attempt.linkRequest(nowMs), attempt));
  */
 export class Attempt implements LinkHandler {
   #request: RoutedRequest;
   #worker: WorkerView;
-  #words: HeaderNames;
+  #headerNames: HeaderNames;
   #context: AttemptContext;
   #send: LinkSend | undefined;
   #status = 0;
   #headers: Header[] = [];
-  #cutter: EventSplitter | undefined;
-  #whole: Buffer[] = [];
-  #wholeBytes = 0;
+  /** Set once the worker answers with an event stream. */
+  #splitter: EventSplitter | undefined;
+  #body: Buffer[] = [];
+  #bodyBytes = 0;
   #started = false;
+  /** The last check before the first byte said no. */
   #withheld = false;
-  /** The client reads too slowly, so the worker is held up. */
+  /** The client reads too slowly, so reading from the worker is paused. */
   #paused = false;
-  #over = false;
-  #lifeMs: number;
-  #bornMs: number;
-  #moveAskedMs = -Infinity;
+  #ended = false;
+  #createdMs: number;
+  #lastActivityMs: number;
+  #lastMoveTriedMs = -Infinity;
 
-  constructor(request: RoutedRequest, worker: WorkerView, words: HeaderNames, context: AttemptContext) {
+  constructor({ request, worker, headerNames, context }: AttemptOptions) {
     this.#request = request;
     this.#worker = worker;
-    this.#words = words;
+    this.#headerNames = headerNames;
     this.#context = context;
-    this.#lifeMs = context.nowMs();
-    this.#bornMs = this.#lifeMs;
+    this.#createdMs = context.nowMs();
+    this.#lastActivityMs = this.#createdMs;
   }
 
+  /** Takes the send on the link, once there is one. */
   attach(send: LinkSend): void {
     this.#send = send;
-    if (this.#over) send.abort();
+    if (this.#ended) send.abort();
   }
 
-  request(nowMs: number): LinkRequest {
-    const { clientRequest, endMs, route, lastEventId } = this.#request;
-    const { deadlineMs, expectInstance, priority, lastEventId: lastWord } = this.#words;
-    const own = new Set([deadlineMs, expectInstance, priority, lastWord].map((name) => name.toLowerCase()));
-    const headers: Header[] = clientRequest.headers.filter(
-      ([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
-    );
-    const leftMs = Math.max(1, Math.floor(endMs - nowMs));
-    if (clientRequest.deadlineMs !== undefined) headers.push([deadlineMs, String(leftMs)]);
-    if (lastEventId !== undefined) headers.push([lastWord, lastEventId]);
-    headers.push([expectInstance, this.#worker.id]);
-    if (this.#request.streamed) headers.push([priority, String(Math.min(9, route.priority))]);
+  /** What is to be sent to the worker. */
+  linkRequest(nowMs: number): LinkRequest {
+    const { clientRequest, endMs, sentTo } = this.#request;
+    const remainingMs = Math.max(1, Math.floor(endMs - nowMs));
     return {
       address: this.#worker.address,
       method: clientRequest.method,
       target: clientRequest.target,
-      headers,
+      headers: attemptHeaders(this.#request, this.#worker.id, this.#headerNames, remainingMs),
       body: clientRequest.body,
-      stallMs: leftMs + 50,
-      ownConnection: [...this.#request.sentTo.values()].includes(this.#worker.address),
+      stallMs: remainingMs + ATTEMPT_POLICY.stallMarginMs,
+      ownConnection: [...sentTo.values()].includes(this.#worker.address),
     };
   }
 
   /**
-   * Ends what is past its time, and what is silent for longer than its route
-   * bears. A stream of which the client has a part is left only for a worker
-   * that can take it: silence alone cuts no answer.
+   * Ends what has expired, and what is silent for longer than its route
+   * bears. A stream of which the client has a part is abandoned only for a worker
+   * that can take it: silence alone cuts no response.
    */
   tick(nowMs: number): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     if (nowMs >= this.#request.endMs) return this.#abandon('the time for it has passed');
     if (!this.#request.idempotent || !this.#started || this.#paused) return;
-    if (nowMs - this.#lifeMs <= this.#patienceMs(nowMs) || nowMs - this.#moveAskedMs < MOVE_EVERY_MS) return;
-    this.#moveAskedMs = nowMs;
+    if (nowMs - this.#lastActivityMs <= this.#maxSilenceMs(nowMs)) return;
+    if (nowMs - this.#lastMoveTriedMs < ATTEMPT_POLICY.moveIntervalMs) return;
+    this.#lastMoveTriedMs = nowMs;
     if (!this.#request.responseStarted || this.#context.reserveMove()) this.#abandon('silent for too long');
     else this.#context.onSilent();
   }
 
-  /** This node ends: what has no answer yet gets one of ours. */
-  giveUp(): void {
+  /** This node shuts down. */
+  shutDown(): void {
     this.#abandon('this node ends');
   }
 
   /** The client has left: the worker's connection is closed. */
-  leave(): void {
-    const silentMs = this.#context.nowMs() - this.#lifeMs;
-    const workerFailed =
-      this.#started && !this.#paused && silentMs > Math.max(SILENT_MS, this.#request.route.targetMs);
-    this.#finish({ how: 'cut', why: 'the client has left', workerFailed });
+  clientLeft(): void {
+    const silentMs = this.#context.nowMs() - this.#lastActivityMs;
+    const maxSilentMs = Math.max(ATTEMPT_POLICY.silentMs, this.#request.route.targetMs);
+    const workerFailed = this.#started && !this.#paused && silentMs > maxSilentMs;
+    this.#end({ how: 'cut', why: 'the client has left', workerFailed });
     this.#send?.abort();
   }
 
   mayStart(): boolean {
-    if (this.#over) return false;
+    if (this.#ended) return false;
     this.#started = this.#context.mayStart();
     this.#withheld = !this.#started;
-    this.#lifeMs = this.#context.nowMs();
+    this.#lastActivityMs = this.#context.nowMs();
     return this.#started;
   }
 
   head(status: number, headers: readonly Header[]): void {
-    if (this.#over) return;
-    this.#lifeMs = this.#context.nowMs();
-    this.#context.onHeard();
-    const echoed = valueOf(headers, this.#words.requestId);
-    if (echoed !== this.#request.clientRequest.id) return this.#abandon('an answer to another request');
-    const notRun = valueOf(headers, this.#words.notRun) !== undefined;
-    if (notRun && status < 300) return this.#abandon('an answer that says that it was not run');
-    if (status === 421) return this.#finish({ how: 'misdirected', why: `${this.#worker.id} is not there` });
-    if (notRun) return this.#finish({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
-    if (status < 300 && valueOf(headers, this.#words.signature) === undefined)
-      return this.#abandon('an answer without its signature');
-    this.#context.onResponseHead(this.#lifeMs - this.#bornMs);
+    if (this.#ended) return;
+    this.#recordActivity();
+    const verdict = checkHead(this.#request.clientRequest.id, this.#headerNames, status, headers);
+    if (verdict.kind === 'invalid') return this.#abandon(verdict.why);
+    if (verdict.kind === 'misdirected')
+      return this.#end({ how: 'misdirected', why: `${this.#worker.id} is not there` });
+    if (verdict.kind === 'not-run')
+      return this.#end({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
+    this.#context.onResponseHead(this.#lastActivityMs - this.#createdMs);
     this.#status = status;
     this.#headers = headers.filter(([name]) => !isHop(name));
-    const type = valueOf(headers, 'content-type') ?? '';
-    if (this.#request.streamed && status < 300 && type.startsWith('text/event-stream'))
-      this.#cutter = new EventSplitter();
-    else if (this.#request.responseStarted) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (status >= 500 && this.#request.idempotent && this.#context.reserveMove())
-      this.#abandon(`answered ${status}`);
+    this.#acceptHead(status, valueOf(headers, 'content-type') ?? '');
   }
 
   chunk(bytes: Buffer): void {
-    if (this.#over) return;
-    this.#lifeMs = this.#context.nowMs();
-    this.#context.onHeard();
-    if (this.#cutter === undefined) {
-      this.#wholeBytes += bytes.length;
-      if (this.#wholeBytes > WHOLE_MOST) return this.#abandon('an answer without end');
-      this.#whole.push(bytes);
-      return;
-    }
-    const events = this.#cutter.take(bytes);
+    if (this.#ended) return;
+    this.#recordActivity();
+    if (this.#splitter === undefined) return this.#buffer(bytes);
+    const events = this.#splitter.take(bytes);
     if (events === 'endless') return this.#abandon('an event without end');
-    if (events.bytes.length > 0) this.#pass(events.bytes, events.lastId);
+    if (events.bytes.length > 0) this.#forward(events.bytes, events.lastId);
   }
 
   end(): void {
-    if (this.#over) return;
-    const { sink: port } = this.#request;
-    if (this.#cutter === undefined) {
-      port.respond(this.#status, this.#headers, Buffer.concat(this.#whole));
-      return this.#finish({ how: 'served', why: '', workerFailed: this.#status >= 500 });
+    if (this.#ended) return;
+    const { sink } = this.#request;
+    if (this.#splitter === undefined) {
+      sink.respond(this.#status, this.#headers, Buffer.concat(this.#body));
+      return this.#end({ how: 'served', why: '', workerFailed: this.#status >= 500 });
     }
-    if (this.#cutter.incompleteBytes > 0) return this.#abandon('ended within an event');
-    if (!this.#request.responseStarted) this.#open();
-    port.close();
-    this.#finish({ how: 'served', why: '' });
+    if (this.#splitter.incompleteBytes > 0) return this.#abandon('ended within an event');
+    if (!this.#request.responseStarted) this.#startResponse();
+    sink.close();
+    this.#end({ how: 'served', why: '' });
   }
 
   failed(sent: boolean, why: string): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     if (sent) return this.#fail(why);
-    this.#finish({ how: this.#withheld ? 'not-sent' : 'unreached', why });
+    this.#end({ how: this.#withheld ? 'not-sent' : 'unreached', why });
+  }
+
+  #recordActivity(): void {
+    this.#lastActivityMs = this.#context.nowMs();
+    this.#context.onHeard();
+  }
+
+  /** Decides how the body of a valid response is read. */
+  #acceptHead(status: number, contentType: string): void {
+    if (this.#request.streamed && status < 300 && contentType.startsWith('text/event-stream'))
+      this.#splitter = new EventSplitter();
+    else if (this.#request.responseStarted) this.#abandon(`answered ${status} where a stream was to go on`);
+    else if (status >= 500 && this.#request.idempotent && this.#context.reserveMove())
+      this.#abandon(`answered ${status}`);
+  }
+
+  #buffer(bytes: Buffer): void {
+    this.#bodyBytes += bytes.length;
+    if (this.#bodyBytes > ATTEMPT_POLICY.maxBufferedBytes) return this.#abandon('an answer without end');
+    this.#body.push(bytes);
   }
 
   /**
-   * How long a worker may say nothing to a request that can be repeated. One
-   * that speaks to others is at work: what it has read would be read again.
+   * How long a worker may be silent on a request that can be repeated. One
+   * that is heard on other requests is at work: its prefill would be done again elsewhere.
    */
-  #patienceMs(nowMs: number): number {
-    const { route, responseStarted: opened, streamed } = this.#request;
-    const heard = nowMs - this.#context.lastHeardMs() < SPEAKS_MS;
-    if (!streamed) return Math.max(400, 3 * route.targetMs);
-    if (opened) return heard ? 4 * Math.max(SILENT_MS, route.gapMs) : SILENT_MS;
-    return heard ? Infinity : SILENT_MS + route.targetMs;
+  #maxSilenceMs(nowMs: number): number {
+    const { route, responseStarted, streamed } = this.#request;
+    const { silentMs, recentlyHeardMs, minPlainSilenceMs, plainSilenceTargets, streamSilenceGaps } =
+      ATTEMPT_POLICY;
+    const isAtWork = nowMs - this.#context.lastHeardMs() < recentlyHeardMs;
+    if (!streamed) return Math.max(minPlainSilenceMs, plainSilenceTargets * route.targetMs);
+    if (responseStarted) return isAtWork ? streamSilenceGaps * Math.max(silentMs, route.gapMs) : silentMs;
+    return isAtWork ? Infinity : silentMs + route.targetMs;
   }
 
-  #open(): void {
+  #startResponse(): void {
     this.#request.responseStarted = true;
     this.#request.sink.open(
       this.#status,
@@ -256,45 +239,35 @@
     );
   }
 
-  #pass(bytes: Buffer, lastId: string | undefined): void {
-    if (!this.#request.responseStarted) this.#open();
-    this.#request.lastByteMs = this.#lifeMs;
+  #forward(bytes: Buffer, lastId: string | undefined): void {
+    if (!this.#request.responseStarted) this.#startResponse();
+    this.#request.lastByteMs = this.#lastActivityMs;
     if (lastId !== undefined) this.#request.lastEventId = lastId;
-    if (this.#request.sink.write(bytes, () => this.#goOn())) return;
+    if (this.#request.sink.write(bytes, () => this.#resumeReading())) return;
     this.#paused = true;
     this.#send?.pause();
   }
 
-  /** The client reads again; meanwhile the worker could say nothing. */
-  #goOn(): void {
+  /** The client reads again; while it did not, the worker could send nothing. */
+  #resumeReading(): void {
     this.#paused = false;
-    this.#lifeMs = this.#context.nowMs();
+    this.#lastActivityMs = this.#context.nowMs();
     this.#send?.resume();
   }
 
   #abandon(why: string): void {
     if (this.#started) this.#fail(why);
-    else this.#finish({ how: 'not-sent', why });
+    else this.#end({ how: 'not-sent', why });
     this.#send?.abort();
   }
 
   #fail(why: string): void {
-    this.#finish({ how: 'failed', why: `${this.#worker.id}: ${why}` });
+    this.#end({ how: 'failed', why: `${this.#worker.id}: ${why}` });
   }
 
-  #finish(end: AttemptEnd): void {
-    if (this.#over) return;
-    this.#over = true;
+  #end(end: AttemptEnd): void {
+    if (this.#ended) return;
+    this.#ended = true;
     this.#context.onEnd(end);
   }
 }
-
-/**
- * The value of a header, whatever the case of its name.
- * @example
- * valueOf([['Retry-After', '1']], 'retry-after'); // '1'
- */
-export function valueOf(headers: readonly Header[], name: string): string | undefined {
-  const wanted = name.toLowerCase();
-  return headers.find(([known]) => known.toLowerCase() === wanted)?.[1];
-}
--- a/packages/router/src/demand-meter.ts
+++ b/packages/router/src/demand-meter.ts
@@ -1,23 +1,29 @@
+/** Measures the demand at one edge of the platform system, which placement works by. */
 import type { RoutedRequest } from './request.js';
 
-/** What a model or an adapter of it is asked for at this edge. */
+/** The demand for a model, or an adapter of it, at this edge. */
 export interface EdgeDemand {
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
   readonly waiting: number;
   readonly inFlight: number;
+  /** Arrivals a second, smoothed. */
   readonly perS: number;
-  /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
+  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
   readonly waitToTargetRatio: number;
-  /** Mean target latency of its requests: they can wait so long without loss. 0 if unknown. */
+  /** Mean target latency of its requests, in milliseconds; 0 if unknown. */
   readonly meanTargetMs: number;
 }
 
+/** Half-life of the arrival rate, in seconds. */
 const HALF_LIFE_S = 4;
-const PRESSURE_PART = 0.15;
-const PATIENCE_PART = 0.15;
-const SELDOM_PER_S = 0.01;
+/** Weight of the newest value in the mean of waits. */
+const WAIT_SMOOTHING = 0.15;
+/** Weight of the newest value in the mean of targets. */
+const TARGET_SMOOTHING = 0.15;
+/** Demand below this rate is forgotten, in arrivals a second. */
+const MIN_PER_S = 0.01;
 
 interface Rate {
   perS: number;
@@ -27,11 +33,11 @@
 }
 
 /**
- * Counts what is asked for at this edge, by service, model and adapter.
+ * Measures the demand at this edge, by service, model and adapter.
  * @example
- * const demand = new Demand();
- * demand.arrived(request, nowMs);
- * demand.asked(waiting, nowMs);
+ * const demand = new DemandMeter();
+ * demand.recordArrival(request, nowMs);
+ * demand.demands(waiting, nowMs);
  */
 export class DemandMeter {
   #rates = new Map<string, Rate>();
@@ -49,7 +55,7 @@
     this.#rates.set(request.key, rate);
     decay(rate, nowMs);
     rate.perS += Math.LN2 / HALF_LIFE_S;
-    rate.meanTargetMs += (targetMs - rate.meanTargetMs) * PATIENCE_PART;
+    rate.meanTargetMs += (targetMs - rate.meanTargetMs) * TARGET_SMOOTHING;
   }
 
   attemptStarted(key: string): void {
@@ -60,42 +66,42 @@
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 1) - 1));
   }
 
-  /** The first word of an answer came so long after the send. */
+  /** The head of a response came so long after the attempt was made. */
   recordResponseWait(request: RoutedRequest, waitMs: number): void {
     const rate = this.#rates.get(request.key);
     if (rate === undefined || request.route.targetMs <= 0) return;
-    const pressure = waitMs / request.route.targetMs;
+    const ratio = waitMs / request.route.targetMs;
     rate.waitToTargetRatio =
       rate.waitToTargetRatio === 0
-        ? pressure
-        : rate.waitToTargetRatio + (pressure - rate.waitToTargetRatio) * PRESSURE_PART;
+        ? ratio
+        : rate.waitToTargetRatio + (ratio - rate.waitToTargetRatio) * WAIT_SMOOTHING;
   }
 
-  /** What is asked for now. */
+  /** The demand now. */
   demands(waitingRequests: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
     for (const request of waitingRequests) waiting.set(request.key, (waiting.get(request.key) ?? 0) + 1);
-    const asked: EdgeDemand[] = [];
+    const demands: EdgeDemand[] = [];
     for (const [key, rate] of this.#rates) {
       decay(rate, nowMs);
       const now = { waiting: waiting.get(key) ?? 0, inFlight: this.#inFlight.get(key) ?? 0 };
-      if (rate.perS < SELDOM_PER_S && now.waiting + now.inFlight === 0) {
+      if (rate.perS < MIN_PER_S && now.waiting + now.inFlight === 0) {
         this.#rates.delete(key);
         continue;
       }
       const [service = '', model = '', adapter = ''] = key.split('/');
-      const { perS, waitToTargetRatio: pressure, meanTargetMs: patienceMs } = rate;
-      asked.push({
+      const { perS, waitToTargetRatio, meanTargetMs } = rate;
+      demands.push({
         service,
         model,
         adapter,
         ...now,
         perS,
-        waitToTargetRatio: pressure,
-        meanTargetMs: patienceMs,
+        waitToTargetRatio,
+        meanTargetMs,
       });
     }
-    return asked;
+    return demands;
   }
 }
 
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -1,4 +1,6 @@
+/** Requests that reach an edge of the platform system before its first configuration. */
 import type { ClientRequest, ResponseSink } from './request.js';
+import { ADMISSION_POLICY } from './routing-policy.js';
 
 /** A request that came before any configuration was known. */
 interface EarlyRequest {
@@ -9,36 +11,35 @@
   cancel: (() => void) | undefined;
 }
 
-/** What becomes of an early request: it is taken with the time that it has left, or refused. */
+/** What becomes of an early request: it is submitted with the time that it has left, or rejected. */
 export interface EarlyRequestContext {
-  submit(ask: ClientRequest, port: ResponseSink): () => void;
-  reject(port: ResponseSink): void;
+  submit(request: ClientRequest, sink: ResponseSink): () => void;
+  reject(sink: ResponseSink): void;
 }
 
-const HELD_MS = 1500;
-
 /**
  * Requests that come just after a start, before this node knows any configuration: they wait a moment for it.
  * @example
- * const leave = early.hold(ask, port, nowMs);
- * early.release(true, nowMs); // a configuration is known: all of them are taken
+ * const clientLeft = early.add(clientRequest, sink, nowMs);
+ * early.release(true, nowMs); // a configuration is known: all of them are submitted
  */
 export class EarlyRequests {
   #context: EarlyRequestContext;
   #pending = new Set<EarlyRequest>();
 
-  constructor(desk: EarlyRequestContext) {
-    this.#context = desk;
+  constructor(context: EarlyRequestContext) {
+    this.#context = context;
   }
 
   get size(): number {
     return this.#pending.size;
   }
 
-  /** The returned function says that the client has left. */
-  add(ask: ClientRequest, port: ResponseSink, nowMs: number): () => void {
-    const endMs = nowMs + Math.min(HELD_MS, ask.deadlineMs ?? HELD_MS);
-    const early: EarlyRequest = { request: ask, sink: port, arrivedMs: nowMs, endMs, cancel: undefined };
+  /** The returned function is to be called when the client leaves. */
+  add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
+    const { configurationWaitMs } = ADMISSION_POLICY;
+    const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
+    const early: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
     this.#pending.add(early);
     return () => {
       this.#pending.delete(early);
@@ -46,7 +47,7 @@
     };
   }
 
-  /** Takes all that wait where a configuration is known, and else refuses those that have waited long enough. */
+  /** Submits all that wait where a configuration is known, and else rejects those that have waited long enough. */
   release(isKnown: boolean, nowMs: number): void {
     for (const early of this.#pending) {
       if (!isKnown && nowMs < early.endMs) continue;
@@ -56,17 +57,17 @@
     }
   }
 
-  /** Refuses all of them. */
+  /** Rejects all of them. */
   close(): void {
-    for (const { sink: port } of this.#pending) this.#context.reject(port);
+    for (const { sink } of this.#pending) this.#context.reject(sink);
     this.#pending.clear();
   }
 }
 
-function withTimeLeft({ request: ask, arrivedMs: bornMs }: EarlyRequest, nowMs: number): ClientRequest {
-  const { deadlineMs } = ask;
+function withTimeLeft({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
+  const { deadlineMs } = request;
   return {
-    ...ask,
-    deadlineMs: deadlineMs === undefined ? undefined : Math.max(0, deadlineMs - (nowMs - bornMs)),
+    ...request,
+    deadlineMs: deadlineMs === undefined ? undefined : Math.max(0, deadlineMs - (nowMs - arrivedMs)),
   };
 }
--- /dev/null
+++ b/packages/router/src/headers.ts
@@ -0,0 +1,74 @@
+/** Headers between the router of the platform system and its workers. */
+import type { Header } from '@rainrun/gateway';
+import type { RoutedRequest } from './request.js';
+import { ATTEMPT_POLICY } from './routing-policy.js';
+
+/** The names of the headers between router and workers; compared without case. */
+export interface HeaderNames {
+  readonly requestId: string;
+  readonly deadlineMs: string;
+  readonly lastEventId: string;
+  readonly signature: string;
+  readonly expectInstance: string;
+  readonly notRun: string;
+  readonly priority: string;
+}
+
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
+const HOP_BY_HOP = new Set([
+  'connection',
+  'keep-alive',
+  'transfer-encoding',
+  'proxy-connection',
+  'te',
+  'trailer',
+  'upgrade',
+  'proxy-authenticate',
+  'proxy-authorization',
+]);
+
+/**
+ * Whether a header concerns only one connection.
+ * @example
+ * isHop('Connection'); // true
+ */
+export function isHop(name: string): boolean {
+  return HOP_BY_HOP.has(name.toLowerCase());
+}
+
+/**
+ * The value of a header, whatever the case of its name.
+ * @example
+ * valueOf([['Retry-After', '1']], 'retry-after'); // '1'
+ */
+export function valueOf(headers: readonly Header[], name: string): string | undefined {
+  const wanted = name.toLowerCase();
+  return headers.find(([known]) => known.toLowerCase() === wanted)?.[1];
+}
+
+/**
+ * The headers of one attempt: the client's, without hop-by-hop ones, and the router's own in place of any of these
+ * names that the client sent.
+ * @param remainingMs - time until the request expires, in whole milliseconds
+ */
+export function attemptHeaders(
+  request: RoutedRequest,
+  workerId: string,
+  names: HeaderNames,
+  remainingMs: number,
+): Header[] {
+  const { clientRequest, route, lastEventId, streamed } = request;
+  const own = new Set(
+    [names.deadlineMs, names.expectInstance, names.priority, names.lastEventId].map((name) =>
+      name.toLowerCase(),
+    ),
+  );
+  const headers: Header[] = clientRequest.headers.filter(
+    ([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
+  );
+  if (clientRequest.deadlineMs !== undefined) headers.push([names.deadlineMs, String(remainingMs)]);
+  if (lastEventId !== undefined) headers.push([names.lastEventId, lastEventId]);
+  headers.push([names.expectInstance, workerId]);
+  if (streamed) headers.push([names.priority, String(Math.min(ATTEMPT_POLICY.maxPriority, route.priority))]);
+  return headers;
+}
--- /dev/null
+++ b/packages/router/src/request-completion.ts
@@ -0,0 +1,99 @@
+/** Ends requests at an edge of the platform system: the response of its own, the retry reserved, the id in flight. */
+import { fault, type Fault } from '@rainrun/common';
+import type { AttemptEnd } from './attempt.js';
+import type { Counters } from './counters.js';
+import type { ResponseSink, RoutedRequest } from './request.js';
+import type { RetryBudgets } from './retry-budgets.js';
+import { ADMISSION_POLICY } from './routing-policy.js';
+import type { WaitingQueue } from './waiting-queue.js';
+
+/** What requests are removed from when they end. */
+export interface RequestCompletionOptions {
+  readonly queue: WaitingQueue;
+  readonly budgets: RetryBudgets;
+  readonly counters: Counters;
+}
+
+/**
+ * Ends requests without a worker's response. A request that a worker may have run is never rejected with a time to
+ * retry after.
+ * @example
+ * completion.expire(request); // 503 with Retry-After, or 504 if a worker may have run it
+ */
+export class RequestCompletion {
+  #queue: WaitingQueue;
+  #budgets: RetryBudgets;
+  #counters: Counters;
+  /** Ids of non-idempotent requests in flight. */
+  #nonIdempotentIds = new Set<string>();
+
+  constructor({ queue, budgets, counters }: RequestCompletionOptions) {
+    this.#queue = queue;
+    this.#budgets = budgets;
+    this.#counters = counters;
+  }
+
+  /** Registers the id of a non-idempotent request; false if one with that id is in flight. */
+  register(request: RoutedRequest): boolean {
+    if (request.idempotent) return true;
+    if (this.#nonIdempotentIds.has(request.clientRequest.id)) return false;
+    this.#nonIdempotentIds.add(request.clientRequest.id);
+    return true;
+  }
+
+  /** The id of a request may be used again. */
+  unregister(request: RoutedRequest): void {
+    this.#nonIdempotentIds.delete(request.clientRequest.id);
+  }
+
+  /** Rejects what was not admitted. */
+  reject(sink: ResponseSink, why: Fault): void {
+    this.#counters.increment(`refused ${why.kind}`);
+    sink.reject(why);
+  }
+
+  /** Rejects a request after its last attempt; nothing of a response went to the client. */
+  rejectAfter(request: RoutedRequest, end: AttemptEnd): void {
+    this.unregister(request);
+    if (request.mayHaveRun) return request.sink.reject(fault('outcome-unknown', end.why));
+    this.#counters.increment('refused full');
+    this.#rejectAsUnserved(request, end.why);
+  }
+
+  /** Ends a request whose time has passed, or that is pending when this node shuts down. */
+  expire(request: RoutedRequest): void {
+    this.#queue.delete(request);
+    this.#budgets.release(request);
+    if (request.clientLeft) return;
+    this.#counters.increment('given up');
+    if (request.responseStarted) return this.abort(request);
+    this.unregister(request);
+    if (request.mayHaveRun) request.sink.reject(fault('deadline-exceeded', 'the time for it has passed'));
+    else this.#rejectAsUnserved(request, 'no worker came free in time');
+  }
+
+  /** Resets the connection of a client that has part of a response. */
+  abort(request: RoutedRequest): void {
+    this.#queue.delete(request);
+    this.#budgets.release(request);
+    this.unregister(request);
+    this.#counters.increment('cut off');
+    request.sink.abort();
+  }
+
+  /** The client has left: nothing more is done for its request. */
+  clientLeft(request: RoutedRequest): void {
+    if (request.clientLeft) return;
+    request.clientLeft = true;
+    this.#counters.increment('client left');
+    this.#queue.delete(request);
+    this.unregister(request);
+    request.cancelAttempt?.();
+    this.#budgets.release(request);
+  }
+
+  /** No worker has run the request, so the client may send it again. */
+  #rejectAsUnserved(request: RoutedRequest, why: string): void {
+    request.sink.reject({ ...fault('no-worker', why), returnS: ADMISSION_POLICY.noWorkerRetryAfterS });
+  }
+}
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -1,41 +1,43 @@
+/** Requests, responses and workers as the router of the platform system sees them. */
 import type { RouteEntry, ServiceEntry } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
-import type { NoWorkerReason } from './balancer.js';
 
-/** A whole request, read and taken apart at the door. */
+/** A complete request, read and parsed by the client server. */
 export interface ClientRequest {
   readonly id: string;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly target: string;
   readonly host: string;
-  /** All that is to be passed on. */
+  /** All headers that are to be forwarded. */
   readonly headers: readonly Header[];
   readonly body: Buffer;
-  /** How long the client will wait from now. */
+  /** How long the client will wait from now, in milliseconds; undefined if it names no deadline. */
   readonly deadlineMs: number | undefined;
   readonly model: string;
   readonly adapter: string;
-  /** Ids of the parts of the prompt that others share, first to last. */
+  /** Ids of the prompt's parts that other requests share, first to last. */
   readonly prefix: readonly string[];
-  /** Tokens to read. */
+  /** Tokens of the prompt. */
   readonly promptTokens: number;
+  /** Id after which the client wants a stream to go on (`Last-Event-ID`). */
   readonly lastEventId: string | undefined;
 }
 
-/** Where the answer goes. */
+/** Where the response to a request goes. */
 export interface ResponseSink {
-  /** A whole answer. */
+  /** A complete response of a worker. */
   respond(status: number, headers: readonly Header[], body: Buffer): void;
-  /** An answer of our own: what went wrong, and when to come back. */
+  /** A response of this node's own: what went wrong, and when to retry. */
   reject(why: Fault): void;
-  /** Opens an answer that is passed on piece by piece. */
+  /** Starts a response that is forwarded chunk by chunk. */
   open(status: number, headers: readonly Header[]): void;
-  /** False: the client reads slowly, `drained` will be called. */
+  /** Writes a chunk. False: the client reads slowly, `drained` will be called once. */
   write(bytes: Buffer, drained: () => void): boolean;
+  /** Ends a started response as complete. */
   close(): void;
-  /** Ends the connection so that the client sees that the answer is not whole. */
+  /** Resets the connection, so that the client sees that the response is incomplete. */
   abort(): void;
 }
 
@@ -46,47 +48,61 @@
   readonly address: string;
   readonly zone: string;
   readonly draining: boolean;
+  /** Requests that it can run at once. */
   readonly slots: number;
+  /** Until when it warms up, on the monotonic clock; -Infinity if it does not. */
   readonly warmUpUntilMs: number;
+  /** Loaded adapters by loaded model. */
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
-  /** Grows with each change that was told of it. */
+  /** Version of its row; grows with each change. */
   readonly number: number;
-  /** Percentage of the edges here that may send to it: fewer than all where it failed what they sent. */
+  /** Percentage of this zone's edges that may send to it: below 100 while it is ejected as an outlier. */
   readonly sharePercent: number;
 }
 
-/** A request on its way through the router. */
+/**
+ * Why no worker was chosen: none is eligible, none has the model loaded, or those that have it are backed off,
+ * at their limit, or warming up.
+ */
+export type NoWorkerReason = 'none' | 'model-not-loaded' | 'backed-off' | 'full' | 'warming-up';
+
+/** A request on its way through the router. Times are on the monotonic clock. */
 export interface RoutedRequest {
   readonly clientRequest: ClientRequest;
   readonly sink: ResponseSink;
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
+  /** `service/model/adapter`: what its demand is counted under. */
   readonly key: string;
   readonly arrivedMs: number;
+  /** When it expires. */
   readonly endMs: number;
+  /** Whether it may be sent again after a worker may have run it. */
   readonly idempotent: boolean;
   readonly streamed: boolean;
-  /** Workers that were sent this request and had it. */
+  /** Attempts whose first byte left. */
   attemptsStarted: number;
-  /** Addresses of the workers that were sent this request, by worker. */
+  /** Addresses of the workers to which an attempt started, by worker id. */
   readonly sentTo: Map<string, string>;
-  /** Workers that turned it away or failed it. */
+  /** Workers that rejected it or failed it. */
   readonly excludedWorkers: Set<string>;
-  /** Whether any byte of an answer went to the client. */
+  /** Whether any byte of a response went to the client. */
   responseStarted: boolean;
-  /** When the last byte of an answer went to the client. */
+  /** When the last byte of a response went to the client. */
   lastByteMs: number;
-  /** Id of the last event that went to the client whole. */
+  /** Id of the last complete event that went to the client. */
   lastEventId: string | undefined;
   /** Whether a worker may have run it. */
   mayHaveRun: boolean;
   clientLeft: boolean;
-  /** A part of the budget is set aside for its next send. */
+  /** A token of the retry budget is reserved for its next attempt. */
   retryReserved: boolean;
-  /** A further send was promised, and its part of the budget is gone. */
+  /** A retry was reserved, but its token is gone from the budget. */
   retryDenied: boolean;
+  /** It is not dispatched again before this. */
   notBeforeMs: number;
-  /** Why no worker could take it when it was tried last, while it waits. */
+  /** Why no worker could take it at the last look, while it waits. */
   waitReason: NoWorkerReason | undefined;
+  /** Ends the attempt in flight; undefined if none is. */
   cancelAttempt: (() => void) | undefined;
 }
--- /dev/null
+++ b/packages/router/src/retry-budgets.ts
@@ -0,0 +1,66 @@
+/** The retry budgets of one edge of the platform system, one for each service. */
+import { RetryBudget } from '@rainrun/gateway';
+import type { RoutedRequest } from './request.js';
+
+/** What the budgets need of their edge. */
+export interface RetryBudgetsDependencies {
+  /** Retries: a ratio of the first attempts, and this many more in the fleet, in any window. */
+  readonly retries: { readonly ratio: number; readonly extra: number };
+  /** How many edges share the allowance. */
+  edges(): number;
+  /** The incarnation of this edge: a new one begins with an empty budget. */
+  incarnation(): string;
+}
+
+/**
+ * Keeps one budget for each service, because the bound is the service's.
+ * @example
+ * budgets.recordFirstAttempt(request);
+ * if (budgets.reserve(request)) retry(request);
+ */
+export class RetryBudgets {
+  #dependencies: RetryBudgetsDependencies;
+  #byService = new Map<string, RetryBudget>();
+
+  constructor(dependencies: RetryBudgetsDependencies) {
+    this.#dependencies = dependencies;
+  }
+
+  /** A new request earns its part of a retry. */
+  recordFirstAttempt(request: RoutedRequest): void {
+    this.#budget(request).first(this.#dependencies.retries.ratio);
+  }
+
+  /** Reserves a retry; false if the budget has none left. */
+  reserve(request: RoutedRequest): boolean {
+    return this.#budget(request).reserve();
+  }
+
+  /** Gives back the retry that is reserved for a request, if one is. */
+  release(request: RoutedRequest): void {
+    if (request.retryReserved) this.#budget(request).release();
+    request.retryReserved = false;
+  }
+
+  /** Spends the retry that is reserved for a request; false if its token is gone. */
+  spend(request: RoutedRequest): boolean {
+    return this.#budget(request).spend();
+  }
+
+  /** Whether this edge's part of the allowance can ever pay for a retry. */
+  canEverRetry(request: RoutedRequest): boolean {
+    return this.#budget(request).bearsRetries;
+  }
+
+  #budget(request: RoutedRequest): RetryBudget {
+    const { name } = request.service;
+    let budget = this.#byService.get(name);
+    if (budget === undefined) {
+      budget = new RetryBudget();
+      this.#byService.set(name, budget);
+    }
+    const { retries } = this.#dependencies;
+    budget.allot(this.#dependencies.incarnation(), retries.extra / Math.max(1, this.#dependencies.edges()));
+    return budget;
+  }
+}
--- a/packages/router/src/route-table.ts
+++ b/packages/router/src/route-table.ts
@@ -1,3 +1,4 @@
+/** Finds the route and the service of a request from the configuration of the platform system. */
 import { spread } from '@rainrun/common';
 import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/configuration';
 
@@ -8,7 +9,7 @@
 }
 
 /**
- * The routes of a configuration, made ready once: by host, longest prefix first.
+ * The routes of a configuration, indexed once: by host, longest prefix first.
  * @example
  * new RouteTable(configuration).find('a.example', '/assist/7');
  */
@@ -28,29 +29,31 @@
       routes.sort((one, other) => other.prefix.length - one.prefix.length);
   }
 
+  /** The route with the longest prefix of a path; undefined if none matches. */
   find(host: string, path: string): RouteEntry | undefined {
     return this.#hosts.get(host.toLowerCase())?.find((route) => path.startsWith(route.prefix));
   }
 
+  /** A service by its name. */
   service(name: string): ServiceEntry | undefined {
     return this.#services.get(name);
   }
 
-  /** The service for one request: by the parts of the split, the same for the same id. */
+  /** The service for one request: by the weights of the route's split, the same for the same id. */
   target(route: RouteEntry, id: string): Target | undefined {
-    const service = this.#services.get(partOf(route, id));
+    const service = this.#services.get(serviceOf(route, id));
     return service === undefined ? undefined : { route, service };
   }
 }
 
-function partOf(route: RouteEntry, id: string): string {
+function serviceOf(route: RouteEntry, id: string): string {
   const split = route.split ?? [];
   const sum = split.reduce((total, part) => total + part.weight, 0);
   if (sum <= 0) return route.service ?? '';
-  let place = (spread(id) / 2 ** 32) * sum;
+  let position = (spread(id) / 2 ** 32) * sum;
   for (const part of split) {
-    place -= part.weight;
-    if (place < 0) return part.service;
+    position -= part.weight;
+    if (position < 0) return part.service;
   }
   return split.findLast((part) => part.weight > 0)?.service ?? '';
 }
--- a/packages/router/src/router.test.ts
+++ b/packages/router/src/router.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'earl';
 import { Router } from './router.js';
 import type { ClientRequest, ResponseSink, WorkerView } from './request.js';
-import { valueOf, type HeaderNames } from './attempt.js';
+import { valueOf, type HeaderNames } from './headers.js';
 
 const WORDS: HeaderNames = {
   requestId: 'call-id',
