--- /dev/null
+++ b/packages/router/src/testing/router-harness.ts
@@ -0,0 +1,299 @@
+/** A router under test: fake link, sink and workers of the platform system. */
+import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
+import { checkConfiguration, type Configuration } from '@rainrun/configuration';
+import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
+import { Router } from '../router.js';
+import type { ClientRequest, ResponseSink, WorkerView } from '../request.js';
+import { valueOf, type HeaderNames } from '../headers.js';
+
+/** Names of the headers between router and workers in these tests. */
+export const HEADER_NAMES: HeaderNames = {
+  requestId: 'call-id',
+  deadlineMs: 'left-ms',
+  lastEventId: 'after',
+  signature: 'mark',
+  expectInstance: 'only',
+  notRun: 'unrun',
+  priority: 'rank',
+};
+
+const CONFIGURATION_DOCUMENT = {
+  revision: 1,
+  routes: [
+    {
+      name: 'once',
+      host: 'a.example',
+      prefix: '/once/',
+      service: 'look',
+      kind: 'non_idempotent',
+      timeoutMs: 2000,
+      attempts: 3,
+    },
+    {
+      name: 'often',
+      host: 'a.example',
+      prefix: '/often/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 3,
+      targetMs: 200,
+    },
+    {
+      name: 'single',
+      host: 'a.example',
+      prefix: '/single/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 1,
+    },
+    {
+      name: 'talk',
+      host: 'a.example',
+      prefix: '/talk/',
+      service: 'look',
+      kind: 'streaming',
+      timeoutMs: 9000,
+      attempts: 3,
+      resumable: true,
+      gapMs: 600,
+      targetMs: 500,
+    },
+    {
+      name: 'tell',
+      host: 'a.example',
+      prefix: '/tell/',
+      service: 'look',
+      kind: 'streaming',
+      timeoutMs: 9000,
+      attempts: 3,
+      resumable: false,
+      priority: 2,
+    },
+    {
+      name: 'model',
+      host: 'a.example',
+      prefix: '/model/',
+      service: 'assist',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      attempts: 2,
+    },
+    {
+      name: 'home',
+      host: 'a.example',
+      prefix: '/home/',
+      service: 'look',
+      kind: 'idempotent',
+      timeoutMs: 2000,
+      regions: ['south'],
+    },
+  ],
+  services: [{ name: 'look', warmupPerS: 10 }, { name: 'assist' }],
+};
+
+function testConfiguration(): Configuration {
+  const checked = checkConfiguration(CONFIGURATION_DOCUMENT);
+  return checked.isOk ? checked.value : ({} as Configuration);
+}
+
+/** One attempt on the link, at which a test plays the worker. */
+export class SentRequest implements LinkSend {
+  readonly request: LinkRequest;
+  readonly handler: LinkHandler;
+  aborted = false;
+  paused = false;
+  constructor(request: LinkRequest, handler: LinkHandler) {
+    this.request = request;
+    this.handler = handler;
+  }
+  abort(): void {
+    this.aborted = true;
+  }
+  pause(): void {
+    this.paused = true;
+  }
+  resume(): void {
+    this.paused = false;
+  }
+  /** Its first byte leaves, if it may. */
+  start(): boolean {
+    return this.handler.mayStart();
+  }
+  get id(): string {
+    return valueOf(this.request.headers, HEADER_NAMES.requestId) ?? '';
+  }
+  /** A whole answer of this worker. */
+  answer(status: number, body: string, headers: readonly Header[] = []): void {
+    this.handler.head(status, [[HEADER_NAMES.requestId, this.id], [HEADER_NAMES.signature, 's'], ...headers]);
+    this.handler.chunk(Buffer.from(body));
+    this.handler.end();
+  }
+  /** It says that it has not run the request. */
+  decline(status: number): void {
+    this.handler.head(status, [
+      [HEADER_NAMES.requestId, this.id],
+      [HEADER_NAMES.notRun, '1'],
+    ]);
+    this.handler.end();
+  }
+  openStream(mark: string): void {
+    this.handler.head(200, [
+      [HEADER_NAMES.requestId, this.id],
+      [HEADER_NAMES.signature, mark],
+      ['content-type', 'text/event-stream'],
+    ]);
+  }
+  events(text: string): void {
+    this.handler.chunk(Buffer.from(text));
+  }
+}
+
+/** A link that records what is sent and lets tests play the workers. */
+export class RecordingLink implements Link {
+  readonly sent: SentRequest[] = [];
+  send(request: LinkRequest, handler: LinkHandler): LinkSend {
+    const sent = new SentRequest(request, handler);
+    this.sent.push(sent);
+    return sent;
+  }
+}
+
+/** A client that records what it is answered. */
+export class RecordingSink implements ResponseSink {
+  readonly seen: string[] = [];
+  status = 0;
+  text = '';
+  slow = false;
+  drained: (() => void) | undefined;
+  respond(status: number, _headers: readonly Header[], body: Buffer): void {
+    this.status = status;
+    this.seen.push(`answer ${status} ${body.toString()}`);
+  }
+  reject(why: Fault): void {
+    this.status = FAULT_RESPONSES[why.kind].status;
+    this.seen.push(`refuse ${this.status}${why.returnS === undefined ? '' : ' again'}`);
+  }
+  open(status: number, headers: readonly Header[]): void {
+    this.status = status;
+    this.seen.push(`open ${status} ${valueOf(headers, HEADER_NAMES.signature) ?? ''}`);
+  }
+  write(bytes: Buffer, drained: () => void): boolean {
+    this.text += bytes.toString();
+    this.drained = drained;
+    return !this.slow;
+  }
+  close(): void {
+    this.seen.push('close');
+  }
+  abort(): void {
+    this.seen.push('cut');
+  }
+}
+
+/** An idle worker of service `look` in zone `north`, but for what is changed. */
+export function worker(id: string, change: Partial<WorkerView> = {}): WorkerView {
+  return {
+    id,
+    service: 'look',
+    address: `${id}:80`,
+    zone: 'north',
+    draining: false,
+    slots: 4,
+    warmUpUntilMs: -Infinity,
+    models: new Map(),
+    number: 1,
+    sharePercent: 100,
+    ...change,
+  };
+}
+
+/** A router with a clock, workers and a link that a test controls. */
+export class RouterHarness {
+  nowMs = 1000;
+  edges = 1;
+  evacuated: string[] = [];
+  workers = new Map<string, WorkerView>();
+  missed = 0;
+  waits = 0;
+  readonly link = new RecordingLink();
+  readonly router: Router;
+  #asked = 0;
+
+  constructor(
+    workers: readonly WorkerView[],
+    retries = { ratio: 1, extra: 20 },
+    incarnation = 'incarnation-1',
+  ) {
+    const configuration = testConfiguration();
+    this.put(...workers);
+    this.router = new Router({
+      zone: 'north',
+      clock: { nowMs: () => this.nowMs },
+      link: this.link,
+      headerNames: HEADER_NAMES,
+      retries,
+      configuration: () => configuration,
+      evacuated: () => this.evacuated,
+      workers: () => this.workers,
+      edges: () => this.edges,
+      incarnation: () => incarnation,
+      region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
+      onModelMissing: () => {
+        this.missed += 1;
+      },
+      onWaiting: () => {
+        this.waits += 1;
+      },
+    });
+  }
+
+  put(...workers: readonly WorkerView[]): void {
+    for (const one of workers) this.workers.set(one.id, one);
+  }
+
+  ask(target: string, change: Partial<ClientRequest> = {}): { sink: RecordingSink; leave: () => void } {
+    this.#asked += 1;
+    const id = change.id ?? `q${this.#asked}`;
+    const sink = new RecordingSink();
+    const ask: ClientRequest = {
+      id,
+      method: 'POST',
+      target,
+      host: 'a.example',
+      headers: [
+        ['Call-Id', id],
+        ['X-Own', 'kept'],
+      ],
+      body: Buffer.from('body'),
+      deadlineMs: 1500,
+      model: '',
+      adapter: '',
+      prefix: [],
+      promptTokens: 0,
+      lastEventId: undefined,
+      ...change,
+    };
+    return { sink, leave: this.router.submit(ask, sink) };
+  }
+
+  /** Earns budget with requests that are served at once. */
+  earn(count: number): void {
+    for (let done = 0; done < count; done += 1) {
+      this.ask('/once/x');
+      const sent = this.last();
+      sent.start();
+      sent.answer(200, 'ok');
+    }
+  }
+
+  last(): SentRequest {
+    return this.link.sent.at(-1) as SentRequest;
+  }
+
+  later(waitMs: number): void {
+    this.nowMs += waitMs;
+    this.router.tick();
+  }
+}
--- /dev/null
+++ b/packages/router/src/worker-outcomes.test.ts
@@ -0,0 +1,63 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { RouterHarness, worker } from './testing/router-harness.js';
+
+describe('a worker that fails its requests', () => {
+  it('is reported by its errors, also where the client has its answer and the request may not be repeated', () => {
+    const harness = new RouterHarness([worker('w1')]);
+    const { sink } = harness.ask('/once/x');
+    harness.last().start();
+    harness.last().answer(500, 'broken');
+    expect(sink.seen).toEqual(['answer 500 broken']);
+    expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
+    expect(harness.router.takeOutcomes()).toEqual([]);
+  });
+
+  it('is reported when a client leaves after a long silence, and not when it leaves at once', () => {
+    const harness = new RouterHarness([worker('w1')]);
+    const patient = harness.ask('/once/x');
+    harness.last().start();
+    harness.later(1300);
+    patient.leave();
+    const hasty = harness.ask('/once/x');
+    harness.last().start();
+    harness.later(50);
+    hasty.leave();
+    expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
+  });
+
+  it('is not reported for what it rejects, as a full worker does', () => {
+    const harness = new RouterHarness([worker('w1')]);
+    harness.ask('/once/x');
+    harness.last().start();
+    harness.last().decline(503);
+    expect(harness.router.takeOutcomes()).toEqual([]);
+  });
+
+  it('gets no request here while others can take it and this edge is not to send to it', () => {
+    const harness = new RouterHarness([worker('w1', { sharePercent: 0 }), worker('w2')]);
+    for (let nth = 0; nth < 4; nth += 1) harness.ask('/once/x');
+    expect(harness.link.sent.map(({ request }) => request.address)).toEqual([
+      'w2:80',
+      'w2:80',
+      'w2:80',
+      'w2:80',
+    ]);
+    harness.ask('/once/x');
+    expect(harness.last().request.address).toEqual('w1:80');
+  });
+
+  it('is tried again by a part of the edges', () => {
+    let tried = 0;
+    for (let edge = 0; edge < 100; edge += 1) {
+      const harness = new RouterHarness(
+        [worker('w1', { sharePercent: 10 }), worker('w2', { zone: 'far' })],
+        undefined,
+        `incarnation-${edge}`,
+      );
+      harness.ask('/once/x');
+      if (harness.last().request.address === 'w1:80') tried += 1;
+    }
+    expect(tried > 2 && tried < 25).toEqual(true);
+  });
+});
