--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -211,7 +211,7 @@
     stand.granted = false;
     expect(stand.last().handler.mayStart()).toEqual(false);
     stand.granted = true;
-    stand.workers = stand.workers.map((worker) => ({ ...worker, leaving: true }));
+    stand.workers = stand.workers.map((worker) => ({ ...worker, draining: true }));
     expect(stand.last().handler.mayStart()).toEqual(false);
   });
 
@@ -230,7 +230,7 @@
       return [stand.probed.length > 0, [...port.seen], stand.last().aborted];
     }
     const usual = pass(true);
-    stand.workers = stand.workers.map((worker) => ({ ...worker, leaving: worker.name === name }));
+    stand.workers = stand.workers.map((worker) => ({ ...worker, draining: worker.name === name }));
     const reached = pass(false);
     expect([usual, reached, pass(true)]).toEqual([
       [false, [], false],
