--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -138,7 +138,7 @@
     this.#orderer = new SpecOrderSender({
       singletonEpoch: () => this.#group.singletonEpoch(),
       order: (order, done) => this.#order(order, done),
-      learned: (worker, known) => this.#learned(worker, known),
+      onWorkerState: (worker, known) => this.#learned(worker, known),
     });
     this.#group = new Group<SpecState>({
       ...dependencies,
@@ -284,13 +284,14 @@
       urgencyOf(demands, held, model, adapter),
     );
     if (this.#dutySince?.epoch !== epoch) this.#dutySince = { epoch, atMs: nowMs };
-    const heardAll = staying.every((worker) => this.#orderer.known(worker.name) !== undefined);
+    const heardAll = staying.every((worker) => this.#orderer.workerState(worker.name) !== undefined);
     if (!heardAll && nowMs - this.#dutySince.atMs < HEARING_MS) return;
     if (nowMs - this.#placeHeartbeatMs < PLACE_TICK_MS || this.#placing !== undefined) return;
     this.#placeHeartbeatMs = nowMs;
     const seen = workers.map((worker) => ({
       ...worker,
-      usable: !worker.draining && !worker.evacuated && (this.#orderer.known(worker.name)?.reachable ?? false),
+      usable:
+        !worker.draining && !worker.evacuated && (this.#orderer.workerState(worker.name)?.reachable ?? false),
       holdings: this.state.placement[worker.name] ?? [],
     }));
     const changes: Record<string, unknown> = this.#placer.step(spec, seen, demands, nowMs);
@@ -310,7 +311,7 @@
   #heldParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
     const parts = new Set<string>();
     for (const { name } of workers) {
-      const known = this.#orderer.known(name);
+      const known = this.#orderer.workerState(name);
       if (known?.reachable !== true) continue;
       for (const { model, adapters } of known.holdings) {
         parts.add(`${model}/`);
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -326,9 +326,9 @@
     address,
     zone,
     draining: leaving,
-    gone,
+    removed: gone,
     slots,
-    coldUntilMs,
+    warmUpUntilMs: coldUntilMs,
     models,
     limits,
   } = row;
--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -9,8 +9,8 @@
 export const LOOP_SETTINGS: LoopSettings = {
   gain: 0.5,
   integralPerS: 0.1,
-  least: 0.25,
-  most: 4,
+  min: 0.25,
+  max: 4,
   stepPerS: 0.2,
   deadBand: 0.1,
 };
@@ -53,7 +53,7 @@
       workers: () => clusterNode.workers(),
       edges: () => clusterNode.edges,
       incarnation: () => clusterNode.group.self.incarnation,
-      granted: () => clusterNode.group.holdsLease(),
+      hasLease: () => clusterNode.group.holdsLease(),
       weight: (group) => this.#weight(group),
     });
   }
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -77,7 +77,7 @@
     this.#forget(table);
     const services = new Map<string, WorkerRecord[]>();
     for (const row of table.rows)
-      if (!row.gone) services.set(row.service, [...(services.get(row.service) ?? []), row]);
+      if (!row.removed) services.set(row.service, [...(services.get(row.service) ?? []), row]);
     for (const rows of services.values()) this.#judgeService(rows, nowMs);
     for (const row of table.rows) this.#applyLimits(table, row, nowMs);
   }
@@ -150,7 +150,7 @@
       [...limits].every(([zone, percent]) => row.limits.get(zone) === percent);
     if (isSame) return;
     row.limits = limits;
-    table.changed(row);
+    table.touch(row);
   }
 
   #forget(table: WorkerTable): void {
--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -30,7 +30,7 @@
   edges(): readonly string[];
   /** This node's incarnation in the group. */
   incarnation(): string;
-  granted(): boolean;
+  hasLease(): boolean;
   /** The weight of a group now, from its share and its loop. */
   weight(group: string): number;
 }
--- a/packages/gateway/src/drain-rate.ts
+++ b/packages/gateway/src/drain-rate.ts
@@ -22,7 +22,7 @@
   }
 
   /** `chance` in [0, 1) spreads those who are told at the same moment. */
-  returnS(waiting: number, chance: number, nowMs: number): number {
+  retryAfterS(waiting: number, chance: number, nowMs: number): number {
     this.#fade(nowMs);
     const drainS = waiting === 0 ? LEAST_S : waiting / Math.max(this.#perS, 0.01);
     const spreadS = Math.min(MOST_S, Math.max(LEAST_S, drainS)) * (1 + chance);
--- a/packages/gateway/src/gateway-request.ts
+++ b/packages/gateway/src/gateway-request.ts
@@ -19,7 +19,7 @@
 /** What a visitor asks for, in dense indices. */
 export interface GatewayRequest {
   readonly id: string;
-  readonly port: GatewayResponseSink;
+  readonly sink: GatewayResponseSink;
   readonly group: number;
   readonly kind: number;
   readonly model: number;
@@ -33,11 +33,11 @@
   readonly pool: string;
   readonly arrivedMs: number;
   readonly targetMs: number;
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   readonly deadlineMs: number;
   /** Set once the visitor has gone. */
-  left: boolean;
-  sends: number;
+  clientLeft: boolean;
+  attempts: number;
   /** Set once its first byte has left for a worker. */
   started: boolean;
   /** Whether an extra send is reserved for it in the budget, or was lost there. */
@@ -45,7 +45,7 @@
   /** The worker it was last sent to. */
   worker: string;
   cancel: (() => void) | undefined;
-  firstPieceMs: number | undefined;
+  firstChunkMs: number | undefined;
   /** Where the request went and why, for `explain`. */
-  readonly trail: string[];
+  readonly decisions: string[];
 }
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -99,7 +99,7 @@
     workers: () => this.workers,
     edges: () => this.edges,
     incarnation: () => this.incarnation,
-    granted: () => this.granted,
+    hasLease: () => this.granted,
     weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
   });
 
@@ -469,27 +469,27 @@
       while (budget.reserve()) count += Number(budget.spend());
       return count;
     }
-    budget.allot('incarnation-1', 3);
+    budget.setAllowance('incarnation-1', 3);
     const atFirst = taken();
-    for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
+    for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
     const earned = taken();
-    for (let sent = 0; sent < 500; sent += 1) budget.first(0.2);
-    budget.allot('incarnation-1', 2);
-    budget.allot('incarnation-1', 4);
+    for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
+    budget.setAllowance('incarnation-1', 2);
+    budget.setAllowance('incarnation-1', 4);
     const held = taken();
-    for (let sent = 0; sent < 500; sent += 1) budget.first(0.2);
-    budget.allot('incarnation-2', 4);
+    for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
+    budget.setAllowance('incarnation-2', 4);
     expect([atFirst, earned, held, taken()]).toEqual([0, 1, 2, 0]);
   });
 
   it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
     const budget = new RetryBudget();
-    budget.allot('incarnation-1', 2);
-    for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
+    budget.setAllowance('incarnation-1', 2);
+    for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
     const promises = [budget.reserve(), budget.reserve()];
     budget.release();
     promises.push(budget.reserve());
-    budget.allot('incarnation-2', 2);
+    budget.setAllowance('incarnation-2', 2);
     expect([promises, budget.spend()]).toEqual([[true, false, true], false]);
   });
 
@@ -517,10 +517,10 @@
 
   it('tells who is refused to come back as the backlog drains, and not all at once', () => {
     const pace = new DrainRate();
-    const idle = pace.returnS(0, 0, 0);
+    const idle = pace.retryAfterS(0, 0, 0);
     for (let nowMs = 0; nowMs < 60_000; nowMs += 250) pace.sent(nowMs);
-    const told = [0, 0.5, 0.99].map((chance) => pace.returnS(40, chance, 60_000));
-    expect([idle, told, pace.returnS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
+    const told = [0, 0.5, 0.99].map((chance) => pace.retryAfterS(40, chance, 60_000));
+    expect([idle, told, pace.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
   it('a stream watch knows a whole stream', () => {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,7 +1,7 @@
 import { EventEmitter } from 'eventemitter3';
 import type { Spec, SpecGroup } from '@rainrun/configuration';
 import { fault, NameIndex, Slab, type Fault } from '@rainrun/common';
-import { Assigner, type Need } from './worker-selection.js';
+import { WorkerSelector, type WorkerRequirement } from './worker-selection.js';
 import { Backlog } from './backlog.js';
 import { Catalogue } from './catalogue.js';
 import { UnconfirmedSends } from './unconfirmed-sends.js';
@@ -40,14 +40,14 @@
   #adapters = new NameIndex();
   #slab = new Slab<GatewayRequest>();
   #backlog = new Backlog();
-  #assigner: Assigner;
+  #selector: WorkerSelector;
   #retries: Retries;
   #filters: readonly Filter[];
   #shares: GroupShares;
-  #paces: DrainRate[] = [];
+  #drainRates: DrainRate[] = [];
   #measures = new Measures();
-  #doubt: UnconfirmedSends;
-  #flights = new Set<Send>();
+  #unconfirmed: UnconfirmedSends;
+  #sends = new Set<Send>();
   #draining = false;
   #catalogued: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
   #counts = new Map<string, number>();
@@ -57,13 +57,13 @@
     this.#dependencies = dependencies;
     this.#retries = new Retries(dependencies, (name) => this.#count(name));
     this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
-    this.#assigner = new Assigner(dependencies.name, dependencies.zone);
-    this.#doubt = new UnconfirmedSends(dependencies.sender);
-    this.#filters = [(visit) => this.#mayAdmit(visit), (visit) => this.#knows(visit)];
+    this.#selector = new WorkerSelector(dependencies.name, dependencies.zone);
+    this.#unconfirmed = new UnconfirmedSends(dependencies.sender);
+    this.#filters = [(visit) => this.#checkAdmitting(visit), (visit) => this.#checkKnown(visit)];
   }
 
   get inFlight(): number {
-    return this.#flights.size;
+    return this.#sends.size;
   }
 
   get backlogCount(): number {
@@ -84,12 +84,12 @@
   /** Lets a visitor in; the returned function says that the visitor has left. */
   admit(ask: GatewayRequestInit, port: GatewayResponseSink): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
-    const visit = this.#visitOf(ask, port, nowMs);
+    const visit = this.#newRequest(ask, port, nowMs);
     this.#count('entered');
     for (const filter of this.#filters) {
       const refused = filter(visit);
       if (refused === undefined) continue;
-      this.#refuse(visit, refused);
+      this.#reject(visit, refused);
       return () => undefined;
     }
     this.#noteArrival(visit, nowMs);
@@ -97,18 +97,18 @@
     this.tick();
     const crowded = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(visit);
     if (crowded !== undefined) this.#giveUp(key, crowded);
-    return () => this.#visitorLeft(visit);
+    return () => this.#onClientLeft(visit);
   }
 
   /** A request with its names as indices; what the spec does not know stands as the empty name. */
-  #visitOf(ask: GatewayRequestInit, port: GatewayResponseSink, nowMs: number): GatewayRequest {
+  #newRequest(ask: GatewayRequestInit, port: GatewayResponseSink, nowMs: number): GatewayRequest {
     const catalogue = this.#catalogue();
     const route = catalogue?.route(ask.path);
     const group = catalogue?.group(ask.group);
     const kind = kindOf(group, ask.kind);
     return {
       id: ask.id,
-      port,
+      sink: port,
       group: this.#groups.index(group?.name ?? ''),
       kind: this.#kinds.index(kind?.name ?? ''),
       model: this.#models.index(ask.model),
@@ -122,16 +122,16 @@
       pool: route?.pool ?? '',
       arrivedMs: nowMs,
       targetMs: kind?.targetMs ?? 0,
-      patienceMs: kind?.patienceMs ?? 0,
+      maxWaitMs: kind?.patienceMs ?? 0,
       deadlineMs: nowMs + (ask.deadlineMs ?? DEADLINE_MS),
-      left: false,
-      sends: 0,
+      clientLeft: false,
+      attempts: 0,
       started: false,
       retry: 'none',
       worker: '',
       cancel: undefined,
-      firstPieceMs: undefined,
-      trail: [],
+      firstChunkMs: undefined,
+      decisions: [],
     };
   }
 
@@ -145,13 +145,13 @@
         const waitedMs = nowMs - visit.arrivedMs;
         if (nowMs > visit.deadlineMs)
           this.#giveUp(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
-        else if (waitedMs > visit.patienceMs)
-          this.#giveUp(key, fault('no-worker', visit.trail.at(-1) ?? 'no worker came free in time'));
+        else if (waitedMs > visit.maxWaitMs)
+          this.#giveUp(key, fault('no-worker', visit.decisions.at(-1) ?? 'no worker came free in time'));
       }
     }
-    for (const send of [...this.#flights]) if (nowMs > send.deadlineMs) send.expire();
-    this.#doubtSends(nowMs);
-    if (!this.#dependencies.granted()) return;
+    for (const send of [...this.#sends]) if (nowMs > send.deadlineMs) send.expire();
+    this.#probeUnconfirmed(nowMs);
+    if (!this.#dependencies.hasLease()) return;
     while (this.#sendNext(nowMs));
   }
 
@@ -175,14 +175,15 @@
   }
 
   workerInFlight(worker: string): number {
-    return this.#assigner.inFlight(worker);
+    return this.#selector.inFlight(worker);
   }
 
   // Filters.
 
-  #mayAdmit(visit: GatewayRequest): Fault | undefined {
+  #checkAdmitting(visit: GatewayRequest): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
-    if (!this.#dependencies.granted()) return fault('not-admitting', 'this node is cut off from most others');
+    if (!this.#dependencies.hasLease())
+      return fault('not-admitting', 'this node is cut off from most others');
     if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
     return visit.deadlineMs <= visit.arrivedMs
       ? fault('deadline-past', 'the deadline has passed')
@@ -197,7 +198,7 @@
     return this.#catalogued?.catalogue;
   }
 
-  #knows(visit: GatewayRequest): Fault | undefined {
+  #checkKnown(visit: GatewayRequest): Fault | undefined {
     const catalogue = this.#catalogue();
     if (visit.pool === '') return fault('not-found', `no route for ${visit.path}`);
     const name = this.#groups.name(visit.group);
@@ -242,7 +243,7 @@
     const visit = this.#slab.take(key);
     if (visit === undefined) return;
     this.#backlog.remove(key, visit.group);
-    this.#refuse(visit, why);
+    this.#reject(visit, why);
   }
 
   #sendNext(nowMs: number): boolean {
@@ -255,10 +256,10 @@
         if (visit === undefined) continue;
         if (!visit.idempotent && this.#shares.isHeldBack(group)) continue;
         const wanted = this.#need(visit);
-        const need = `${visit.pool}/${this.#demandKey(visit)}/${wanted.beyond}`;
+        const need = `${visit.pool}/${this.#demandKey(visit)}/${wanted.overShare}`;
         if (nowhere.has(need)) continue;
-        const assignment = this.#assigner.assign(wanted, workers, edges, nowMs);
-        if (visit.trail.at(-1) !== assignment.why) visit.trail.push(assignment.why);
+        const assignment = this.#selector.select(wanted, workers, edges, nowMs);
+        if (visit.decisions.at(-1) !== assignment.why) visit.decisions.push(assignment.why);
         if (assignment.worker === undefined) {
           nowhere.add(need);
           continue;
@@ -272,13 +273,13 @@
     return false;
   }
 
-  #need(visit: GatewayRequest): Need {
+  #need(visit: GatewayRequest): WorkerRequirement {
     return {
       pool: visit.pool,
       model: visit.idempotent ? '' : this.#models.name(visit.model),
       adapter: visit.idempotent ? '' : this.#adapters.name(visit.adapter),
       prefix: visit.prefix,
-      beyond:
+      overShare:
         !visit.idempotent && this.#shares.hasItsPart(visit.group) && this.#shares.shareOf(visit.group) < 1,
     };
   }
@@ -286,22 +287,22 @@
   #send(visit: GatewayRequest, worker: GatewayWorker): void {
     const { clock, sender } = this.#dependencies;
     const nowMs = clock.nowMs();
-    visit.sends += 1;
+    visit.attempts += 1;
     visit.worker = worker.name;
-    this.#assigner.begun(worker.name, visit.prefix);
+    this.#selector.sendStarted(worker.name, visit.prefix);
     this.#backlog.charge(visit.group, this.#dependencies.weight(this.#groups.name(visit.group)));
     this.#shares.begun(visit.group);
-    this.#pace(visit.group).sent(nowMs);
+    this.#drainRate(visit.group).sent(nowMs);
     this.#count('sends');
     const send = new Send(visit, worker, {
       nowMs: () => clock.nowMs(),
       mayStart: () => this.#mayStart(visit, worker) && this.#retries.pay(visit),
       over: (end) => {
-        this.#flights.delete(send);
-        this.#sendOver(visit, worker, end);
+        this.#sends.delete(send);
+        this.#onSendEnd(visit, worker, end);
       },
     });
-    this.#flights.add(send);
+    this.#sends.add(send);
     const stallMs = visit.idempotent ? LOOKUP_SEND_MS : STALL_MS;
     const sending = sender.send(
       {
@@ -320,17 +321,21 @@
 
   /** The last look before the first byte. */
   #mayStart(visit: GatewayRequest, worker: GatewayWorker): boolean {
-    if (visit.left || !this.#dependencies.granted() || this.#dependencies.clock.nowMs() > visit.deadlineMs)
+    if (
+      visit.clientLeft ||
+      !this.#dependencies.hasLease() ||
+      this.#dependencies.clock.nowMs() > visit.deadlineMs
+    )
       return false;
     return mayServe(this.#dependencies.workers(), worker);
   }
 
   /** The workers are looked up once a heartbeat, and only if there is a silent send to judge. */
-  #doubtSends(nowMs: number): void {
-    const granted = this.#dependencies.granted();
+  #probeUnconfirmed(nowMs: number): void {
+    const granted = this.#dependencies.hasLease();
     let workers: readonly GatewayWorker[] | undefined;
-    this.#doubt.tick(
-      [...this.#flights],
+    this.#unconfirmed.tick(
+      [...this.#sends],
       (send) => {
         if (!granted) return true;
         workers ??= this.#dependencies.workers();
@@ -340,17 +345,18 @@
     );
   }
 
-  #sendOver(visit: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
+  #onSendEnd(visit: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#shares.ended(visit.group);
-    this.#assigner.ended(worker.name, end.well, nowMs);
-    if (end.done === undefined && end.tried && !visit.left) this.#assigner.failed(worker.name, nowMs);
-    if (!end.well) this.#measures.failed(worker.name);
+    this.#selector.sendEnded(worker.name, end.succeeded, nowMs);
+    if (end.done === undefined && end.tried && !visit.clientLeft)
+      this.#selector.recordRestartRisk(worker.name, nowMs);
+    if (!end.succeeded) this.#measures.failed(worker.name);
     visit.cancel = undefined;
-    if (visit.left) return this.#ended(visit, 'visitor-left');
+    if (visit.clientLeft) return this.#ended(visit, 'visitor-left');
     const mayRetry = end.done === undefined && !this.#draining && this.#retries.mayRetry(visit, end, nowMs);
     if (mayRetry) this.#wait(visit);
-    else if (end.done === undefined) this.#refuse(visit, end.fault);
+    else if (end.done === undefined) this.#reject(visit, end.fault);
     else {
       if (end.done === 'served') this.#measureServed(visit, nowMs);
       this.#ended(visit, end.done);
@@ -358,11 +364,11 @@
     this.tick();
   }
 
-  #visitorLeft(visit: GatewayRequest): void {
-    if (visit.left) return;
-    visit.left = true;
+  #onClientLeft(visit: GatewayRequest): void {
+    if (visit.clientLeft) return;
+    visit.clientLeft = true;
     const cancel = visit.cancel;
-    const waiting = visit.sends === 0;
+    const waiting = visit.attempts === 0;
     visit.cancel = undefined;
     cancel?.();
     if (cancel !== undefined && waiting) this.#ended(visit, 'visitor-left');
@@ -370,18 +376,18 @@
 
   // Counting.
 
-  #refuse(visit: GatewayRequest, why: Fault): void {
-    visit.port.reject(this.#withReturn(visit, why));
+  #reject(visit: GatewayRequest, why: Fault): void {
+    visit.sink.reject(this.#withRetryAfter(visit, why));
     this.#measures.refused(this.#groups.name(visit.group), this.#kinds.name(visit.kind));
-    visit.trail.push(`${why.kind}: ${why.detail}`);
+    visit.decisions.push(`${why.kind}: ${why.detail}`);
     this.#ended(visit, why.kind);
   }
 
   /** Who is refused for want of room is told when to come back: as the group's backlog drains. */
-  #withReturn(visit: GatewayRequest, why: Fault): Fault {
+  #withRetryAfter(visit: GatewayRequest, why: Fault): Fault {
     if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
     const waiting = this.#backlog.countOf(visit.group);
-    const returnS = this.#pace(visit.group).returnS(
+    const returnS = this.#drainRate(visit.group).retryAfterS(
       waiting,
       this.#dependencies.chance.next(),
       this.#dependencies.clock.nowMs(),
@@ -389,8 +395,8 @@
     return { ...why, returnS };
   }
 
-  #pace(group: number): DrainRate {
-    return (this.#paces[group] ??= new DrainRate());
+  #drainRate(group: number): DrainRate {
+    return (this.#drainRates[group] ??= new DrainRate());
   }
 
   #ended(visit: GatewayRequest, outcome: EndRecord['outcome']): void {
@@ -409,10 +415,10 @@
       worker: visit.worker,
       outcome,
       arrivedMs: visit.arrivedMs,
-      firstPieceMs: visit.firstPieceMs,
+      firstPieceMs: visit.firstChunkMs,
       endedMs: this.#dependencies.clock.nowMs(),
-      sends: visit.sends,
-      trail: visit.trail,
+      sends: visit.attempts,
+      trail: visit.decisions,
     });
   }
 
@@ -421,7 +427,7 @@
   }
 
   #measureServed(visit: GatewayRequest, nowMs: number): void {
-    const waitMs = (visit.firstPieceMs ?? nowMs) - visit.arrivedMs;
+    const waitMs = (visit.firstChunkMs ?? nowMs) - visit.arrivedMs;
     this.#measures.served(
       this.#groups.name(visit.group),
       this.#kinds.name(visit.kind),
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -26,10 +26,10 @@
 
   /** Whether a failed send may be followed by another. */
   mayRetry(visit: GatewayRequest, end: SendEnd, nowMs: number): boolean {
-    if (nowMs > visit.deadlineMs || visit.sends >= SENDS_MOST) return false;
+    if (nowMs > visit.deadlineMs || visit.attempts >= SENDS_MOST) return false;
     if (end.sent && !visit.idempotent) return false;
     if (!end.sent && !end.tried) {
-      visit.sends -= 1;
+      visit.attempts -= 1;
       return visit.retry !== 'lost';
     }
     this.#allot();
@@ -50,7 +50,7 @@
       visit.retry = this.#budget.spend() ? 'none' : 'lost';
       return visit.retry === 'none';
     }
-    if (!visit.started) this.#budget.first(this.#dependencies.spec()?.retries.ratio ?? 0);
+    if (!visit.started) this.#budget.recordFirstAttempt(this.#dependencies.spec()?.retries.ratio ?? 0);
     visit.started = true;
     return true;
   }
@@ -64,6 +64,6 @@
   #allot(): void {
     const edges = this.#dependencies.edges().length;
     const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
-    this.#budget.allot(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
+    this.#budget.setAllowance(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
   }
 }
--- a/packages/gateway/src/retry-budget.ts
+++ b/packages/gateway/src/retry-budget.ts
@@ -21,7 +21,7 @@
   #reserved = 0;
 
   /** Says which incarnation this is and what its part of the allowance is; another incarnation begins with nothing. */
-  allot(incarnation: string, part: number): void {
+  setAllowance(incarnation: string, part: number): void {
     if (incarnation !== this.#incarnation) this.#tokens = 0;
     this.#incarnation = incarnation;
     this.#part = part;
@@ -29,12 +29,12 @@
   }
 
   /** Whether this edge's part can ever pay for an extra send. */
-  get bearsRetries(): boolean {
+  get canEverRetry(): boolean {
     return this.#part >= 1 - ROUNDING;
   }
 
   /** A request is sent for the first time. */
-  first(ratio: number): void {
+  recordFirstAttempt(ratio: number): void {
     this.#tokens = Math.min(this.#part, this.#tokens + ratio);
   }
 
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -9,7 +9,7 @@
 /** How a send ended; `done` is set when the visitor has had an answer. */
 export interface SendEnd {
   readonly done: 'served' | 'cut' | undefined;
-  readonly well: boolean;
+  readonly succeeded: boolean;
   /** Whether any byte may have left. */
   readonly sent: boolean;
   /** Whether a connection was tried at all. */
@@ -86,7 +86,7 @@
 
   /** The visitor has left: the worker's connection is closed. */
   leave(): void {
-    this.#finish({ done: undefined, well: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#finish({ done: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
     this.#sending?.abort();
   }
 
@@ -134,16 +134,22 @@
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
     if (!isJson(body))
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
-    this.#visit.firstPieceMs ??= this.#context.nowMs();
-    this.#visit.port.respond(this.#status, this.#contentType, body);
-    this.#finish({ done: 'served', well: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#visit.firstChunkMs ??= this.#context.nowMs();
+    this.#visit.sink.respond(this.#status, this.#contentType, body);
+    this.#finish({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
   failed(sent: boolean, why: string): void {
     if (this.#over) return;
     if (!sent) {
       const tried = !this.#withheld;
-      this.#finish({ done: undefined, well: !tried, sent: false, tried, fault: fault('no-worker', why) });
+      this.#finish({
+        done: undefined,
+        succeeded: !tried,
+        sent: false,
+        tried,
+        fault: fault('no-worker', why),
+      });
       return;
     }
     if (this.#opened) return this.#cut();
@@ -157,10 +163,10 @@
   }
 
   #pass(events: Buffer): void {
-    const { port } = this.#visit;
+    const { sink: port } = this.#visit;
     if (!this.#opened) {
       this.#opened = true;
-      this.#visit.firstPieceMs ??= this.#context.nowMs();
+      this.#visit.firstChunkMs ??= this.#context.nowMs();
       port.open(this.#contentType);
     }
     if (!port.write(events, () => this.#sending?.resume())) this.#sending?.pause();
@@ -172,8 +178,8 @@
       return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended early`));
     }
     this.#pass(watch.closing);
-    this.#visit.port.close();
-    this.#finish({ done: 'served', well: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#visit.sink.close();
+    this.#finish({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
   #nonsense(why: string): void {
@@ -183,12 +189,12 @@
   }
 
   #cut(): void {
-    this.#visit.port.abort();
-    this.#finish({ done: 'cut', well: false, sent: true, tried: true, fault: NO_FAULT });
+    this.#visit.sink.abort();
+    this.#finish({ done: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
   }
 
   #fail(sent: boolean, why: Fault, well = false): void {
-    this.#finish({ done: undefined, well, sent, tried: true, fault: why });
+    this.#finish({ done: undefined, succeeded: well, sent, tried: true, fault: why });
   }
 
   #finish(end: SendEnd): void {
--- a/packages/gateway/src/unconfirmed-sends.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -5,8 +5,8 @@
 const PROBES_FAILED = 2;
 
 interface ProbedWorker {
-  failed: number;
-  flying: boolean;
+  failedProbes: number;
+  probeInFlight: boolean;
   notBeforeMs: number;
 }
 
@@ -22,7 +22,7 @@
  */
 export class UnconfirmedSends {
   #sender: Sender;
-  #doubted = new Map<string, ProbedWorker>();
+  #probed = new Map<string, ProbedWorker>();
 
   constructor(sender: Sender) {
     this.#sender = sender;
@@ -35,21 +35,25 @@
       const { address } = send.worker;
       silent.set(address, [...(silent.get(address) ?? []), send]);
     }
-    for (const address of this.#doubted.keys()) if (!silent.has(address)) this.#doubted.delete(address);
+    for (const address of this.#probed.keys()) if (!silent.has(address)) this.#probed.delete(address);
     for (const [address, unheard] of silent) {
-      const doubted = this.#doubted.get(address) ?? { failed: 0, flying: false, notBeforeMs: -Infinity };
-      this.#doubted.set(address, doubted);
-      if (doubted.failed >= PROBES_FAILED) for (const send of unheard) send.abandon();
-      else if (!doubted.flying && nowMs >= doubted.notBeforeMs) this.#probe(address, doubted, nowMs);
+      const doubted = this.#probed.get(address) ?? {
+        failedProbes: 0,
+        probeInFlight: false,
+        notBeforeMs: -Infinity,
+      };
+      this.#probed.set(address, doubted);
+      if (doubted.failedProbes >= PROBES_FAILED) for (const send of unheard) send.abandon();
+      else if (!doubted.probeInFlight && nowMs >= doubted.notBeforeMs) this.#probe(address, doubted, nowMs);
     }
   }
 
   #probe(address: string, doubted: ProbedWorker, nowMs: number): void {
-    doubted.flying = true;
+    doubted.probeInFlight = true;
     doubted.notBeforeMs = nowMs + PROBE_GAP_MS;
     this.#sender.probe(address, (reached) => {
-      doubted.flying = false;
-      doubted.failed = reached ? 0 : doubted.failed + 1;
+      doubted.probeInFlight = false;
+      doubted.failedProbes = reached ? 0 : doubted.failedProbes + 1;
     });
   }
 }
--- a/packages/gateway/src/worker-selection.ts
+++ b/packages/gateway/src/worker-selection.ts
@@ -1,34 +1,34 @@
 import { hashText } from '@rainrun/common';
 import type { GatewayWorker } from './dependencies.js';
 
-const PREFIXES_KEPT = 4096;
-const WARM_STEP_MS = 500;
+const MAX_PREFIXES = 4096;
+const WARM_UP_STEP_MS = 500;
 /** Part of a worker's slots that a group beyond its share does not take. */
-const KEPT_RATIO = 0.25;
-const SHUN_BASE_MS = 500;
-const SHUN_MOST_MS = 8000;
+const RESERVED_SLOT_RATIO = 0.25;
+const BACKOFF_FIRST_MS = 500;
+const BACKOFF_MAX_MS = 8000;
 
 /** What the assigner keeps for each worker. */
-interface WorkerStanding {
+interface WorkerStatus {
   inFlight: number;
-  faults: number;
-  shunnedUntilMs: number;
+  failures: number;
+  backoffUntilMs: number;
   /** When it last failed a request or took none: it may have started anew since. */
   failedMs: number;
 }
 
 /** What is asked of a worker. */
-export interface Need {
+export interface WorkerRequirement {
   readonly pool: string;
   readonly model: string;
   readonly adapter: string;
   readonly prefix: number;
   /** Its group has its part of the slots already: it may not take a worker's last ones. */
-  readonly beyond: boolean;
+  readonly overShare: boolean;
 }
 
 /** Where a request goes, or why nowhere now. */
-export type Assignment =
+export type Selection =
   | { readonly worker: GatewayWorker; readonly why: string }
   | { readonly worker: undefined; readonly why: string };
 
@@ -44,10 +44,10 @@
  * const assigner = new Assigner('edge-1', 'north');
  * assigner.assign(need, workers, edges, nowMs);
  */
-export class Assigner {
+export class WorkerSelector {
   #self: string;
   #zone: string;
-  #standings = new Map<string, WorkerStanding>();
+  #statuses = new Map<string, WorkerStatus>();
   #prefixes = new Map<number, string>();
 
   constructor(self: string, zone: string) {
@@ -56,17 +56,22 @@
   }
 
   inFlight(worker: string): number {
-    return this.#standing(worker).inFlight;
+    return this.#status(worker).inFlight;
   }
 
-  assign(need: Need, workers: readonly GatewayWorker[], edges: readonly string[], nowMs: number): Assignment {
+  select(
+    need: WorkerRequirement,
+    workers: readonly GatewayWorker[],
+    edges: readonly string[],
+    nowMs: number,
+  ): Selection {
     let best: GatewayWorker | undefined;
     let bestScore = -Infinity;
     let why = 'no worker holds it';
     for (const worker of workers) {
       if (!this.#serves(worker, need)) continue;
-      const standing = this.#standing(worker.name);
-      if (nowMs < standing.shunnedUntilMs) {
+      const standing = this.#status(worker.name);
+      if (nowMs < standing.backoffUntilMs) {
         why = 'its workers failed lately';
         continue;
       }
@@ -76,8 +81,9 @@
         continue;
       }
       if (
-        need.beyond &&
-        standing.inFlight + worker.othersInFlight >= worker.slots - Math.ceil(worker.slots * KEPT_RATIO)
+        need.overShare &&
+        standing.inFlight + worker.othersInFlight >=
+          worker.slots - Math.ceil(worker.slots * RESERVED_SLOT_RATIO)
       ) {
         why = 'the last slots are kept for groups below their share';
         continue;
@@ -95,32 +101,32 @@
     return { worker: best, why: `${best.name} in ${best.zone}, score ${bestScore.toFixed(2)}` };
   }
 
-  begun(worker: string, prefix: number): void {
-    this.#standing(worker).inFlight += 1;
+  sendStarted(worker: string, prefix: number): void {
+    this.#status(worker).inFlight += 1;
     this.#prefixes.delete(prefix);
     this.#prefixes.set(prefix, worker);
     const oldest = this.#prefixes.keys().next();
-    if (this.#prefixes.size > PREFIXES_KEPT && oldest.done !== true) this.#prefixes.delete(oldest.value);
+    if (this.#prefixes.size > MAX_PREFIXES && oldest.done !== true) this.#prefixes.delete(oldest.value);
   }
 
   /** A send that was not answered: from here on the worker counts as warming. */
-  failed(worker: string, nowMs: number): void {
-    this.#standing(worker).failedMs = nowMs;
+  recordRestartRisk(worker: string, nowMs: number): void {
+    this.#status(worker).failedMs = nowMs;
   }
 
-  ended(worker: string, well: boolean, nowMs: number): void {
-    const standing = this.#standing(worker);
+  sendEnded(worker: string, well: boolean, nowMs: number): void {
+    const standing = this.#status(worker);
     standing.inFlight = Math.max(0, standing.inFlight - 1);
-    if (well) standing.faults = 0;
+    if (well) standing.failures = 0;
     else {
-      standing.faults += 1;
-      const waitMs = Math.min(SHUN_MOST_MS, SHUN_BASE_MS * 2 ** (standing.faults - 1));
-      if (standing.faults >= 2) standing.shunnedUntilMs = nowMs + waitMs;
+      standing.failures += 1;
+      const waitMs = Math.min(BACKOFF_MAX_MS, BACKOFF_FIRST_MS * 2 ** (standing.failures - 1));
+      if (standing.failures >= 2) standing.backoffUntilMs = nowMs + waitMs;
     }
   }
 
   /** Whether a worker may get this at all, load aside. */
-  #serves(worker: GatewayWorker, need: Need): boolean {
+  #serves(worker: GatewayWorker, need: WorkerRequirement): boolean {
     if (worker.draining || worker.evacuated || !worker.reachable || worker.pool !== need.pool) return false;
     if (need.model === '') return true;
     const holding = worker.holdings.find((held) => held.model === need.model);
@@ -128,7 +134,7 @@
   }
 
   /** How many this edge may have in flight there: its part of the slots, of few while a copy warms. */
-  #limit(worker: GatewayWorker, need: Need, edges: readonly string[], nowMs: number): number {
+  #limit(worker: GatewayWorker, need: WorkerRequirement, edges: readonly string[], nowMs: number): number {
     const free = worker.slots - worker.othersInFlight;
     const part = Math.ceil(worker.slots / Math.max(1, edges.length));
     const usual = Math.max(part, Math.floor(free / 2));
@@ -136,18 +142,18 @@
     const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map(
       (key) => worker.sinceMs.get(key) ?? nowMs,
     );
-    const warmMs = nowMs - Math.max(...since, this.#standing(worker.name).failedMs);
-    const allowed = 2 ** Math.floor(warmMs / WARM_STEP_MS);
+    const warmMs = nowMs - Math.max(...since, this.#status(worker.name).failedMs);
+    const allowed = 2 ** Math.floor(warmMs / WARM_UP_STEP_MS);
     if (allowed >= worker.slots) return usual;
     const rank = edges.filter((edge) => score(worker.name, edge) > score(worker.name, this.#self)).length;
     return Math.min(usual, Math.floor((allowed + edges.length - 1 - rank) / Math.max(1, edges.length)));
   }
 
-  #standing(worker: string): WorkerStanding {
-    let standing = this.#standings.get(worker);
+  #status(worker: string): WorkerStatus {
+    let standing = this.#statuses.get(worker);
     if (standing === undefined) {
-      standing = { inFlight: 0, faults: 0, shunnedUntilMs: -Infinity, failedMs: -Infinity };
-      this.#standings.set(worker, standing);
+      standing = { inFlight: 0, failures: 0, backoffUntilMs: -Infinity, failedMs: -Infinity };
+      this.#statuses.set(worker, standing);
     }
     return standing;
   }
--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -1,8 +1,9 @@
+/** Chooses the workers that load adapters of the platform system. */
 import { spread } from '@rainrun/common';
 import { adapterCount, usedMb } from './holdings.js';
 import type { OrderSender } from './order-sender.js';
-import { SETTLE_MS, type PlacementRound } from './placement-round.js';
-import type { Unserved } from './unserved.js';
+import { DRAIN_MS, type PlacementRound } from './placement-round.js';
+import type { UnservedDemand } from './unserved-demand.js';
 import type { Usage } from './usage.js';
 import { newStep, type WorkerState } from './worker-state.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
@@ -14,7 +15,7 @@
 }
 
 /** An adapter is not put behind more steps of a worker than this. */
-const MOST_STEPS = 2;
+const MAX_STEPS = 2;
 
 /**
  * Puts adapters that are waited for where their models stand: those first that
@@ -26,9 +27,9 @@
   #table: WorkerTable;
   #sender: OrderSender;
   #usage: Usage;
-  #unserved: Unserved;
+  #unserved: UnservedDemand;
 
-  constructor(table: WorkerTable, sender: OrderSender, usage: Usage, unserved: Unserved) {
+  constructor(table: WorkerTable, sender: OrderSender, usage: Usage, unserved: UnservedDemand) {
     this.#table = table;
     this.#sender = sender;
     this.#usage = usage;
@@ -51,13 +52,13 @@
       for (const [adapter, { waiting, inFlight }] of demand.adapters) {
         const wanted = { model, adapter };
         const key = keyOf(engine.service, wanted);
-        if (waiting + inFlight > 0) this.#usage.used(key, nowMs);
+        if (waiting + inFlight > 0) this.#usage.recordUse(key, nowMs);
         if (waiting === 0) continue;
         if (round.rows.some((row) => row.models.get(model)?.has(adapter) === true)) {
-          this.#unserved.served(key);
+          this.#unserved.recordServed(key);
           continue;
         }
-        this.#unserved.asked(key, nowMs);
+        this.#unserved.recordRequested(key, nowMs);
         if (!round.rows.some((row) => this.#isComing(row, wanted))) missing.push(wanted);
       }
     }
@@ -90,15 +91,15 @@
     const { engine, nowMs } = round;
     const state = this.#sender.state(row);
     const sizeMb = engine.models.get(model)?.adapterMb ?? 0;
-    if (state.steps.length > MOST_STEPS || nowMs < state.restsUntilMs || !state.planned.has(model))
+    if (state.steps.length > MAX_STEPS || nowMs < state.backoffUntilMs || !state.planned.has(model))
       return false;
     if (engine.roomMb - usedMb(engine, state.planned) < sizeMb) return false;
     if (adapterCount(state.planned) >= engine.adapterPlaces) {
       const victim = this.#longestUnused(round, state);
       if (victim === undefined) return false;
       row.models.get(victim.model)?.delete(victim.adapter);
-      this.#table.changed(row, victim.model);
-      state.add(newStep('unload', victim.model, victim.adapter, nowMs + SETTLE_MS));
+      this.#table.touch(row, victim.model);
+      state.add(newStep('unload', victim.model, victim.adapter, nowMs + DRAIN_MS));
     }
     state.add(newStep('load', model, adapter, nowMs));
     return true;
--- a/packages/placement/src/copy-demand.test.ts
+++ b/packages/placement/src/copy-demand.test.ts
@@ -19,7 +19,15 @@
 }
 
 function running(inFlight: number): Demand {
-  return { waiting: 0, inFlight, perS: 0, pressed: 0, patient: 0, adapters: new Map(), reports: 1 };
+  return {
+    waiting: 0,
+    inFlight,
+    perS: 0,
+    weightedWaitRatio: 0,
+    weightedTargetMs: 0,
+    adapters: new Map(),
+    reports: 1,
+  };
 }
 
 /** Follows a course of concurrency, given by the second, and returns each target. */
@@ -40,7 +48,7 @@
 
   it('is not moved by the waves of a steady use', () => {
     const targets = follow(LOAD_MS, 30, (atS) => 21 + 3 * Math.sin(atS * 2 * Math.PI * 0.9));
-    const wanted = targets.slice(200).map((target) => target.wanted);
+    const wanted = targets.slice(200).map((target) => target.desired);
     expect(Math.max(...wanted) - Math.min(...wanted) <= 1).toEqual(true);
   });
 
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -1,22 +1,23 @@
+/** How many copies of each model of the platform system its use needs. */
 import type { Demand } from './demand-totals.js';
 import type { Engine } from './engine.js';
-import { Loop } from './loop.js';
+import { Loop } from './feedback-loop.js';
 import { PLACEMENT_POLICY } from './policy.js';
 
 const POLICY = PLACEMENT_POLICY.copies;
 
-/** How many copies of a model its use asks for. */
+/** How many copies of a model its use needs. */
 export interface CopyTarget {
   /** Copies that its requests need now; one more is loaded below this. */
-  readonly wanted: number;
+  readonly desired: number;
   /** Copies that it may keep; one is given up beyond this. */
-  readonly kept: number;
+  readonly retained: number;
   /** Requests that ran and waited at once, lately. */
   readonly recent: number;
   /** The same by the time at which a load that begins now will be done, if the trend of its use goes on. */
   readonly expected: number;
   /** Requests that one copy should have at once. */
-  readonly each: number;
+  readonly perCopy: number;
 }
 
 /** How much of a model runs and waits at once. */
@@ -26,13 +27,13 @@
   /** Over about a quarter of the time of a load, and over all of it: their difference is the trend. */
   short: number;
   long: number;
-  /** At its height, which is forgotten slowly. */
-  height: number;
+  /** Its peak, which decays slowly. */
+  peak: number;
   atMs: number;
 }
 
 /**
- * Follows the use of each model, and says how many copies it needs.
+ * Follows the use of perCopy model, and says how many copies it needs.
  * @example
  * copies.targetOf(engine, 'model-1', demand, nowMs).wanted;
  */
@@ -46,15 +47,15 @@
     const concurrency = this.#smooth(key, demand.inFlight + demand.waiting, loadMs, nowMs);
     const { recent } = concurrency;
     const expected = expectedIn(loadMs, concurrency);
-    concurrency.height = Math.max(concurrency.height, expected);
-    const atSetPoint = Math.max(1, Math.min(POLICY.runsWanted, engine.slots * POLICY.slotsWanted));
-    const each = atSetPoint / this.#steer(key, demand, nowMs);
+    concurrency.peak = Math.max(concurrency.peak, expected);
+    const atSetPoint = Math.max(1, Math.min(POLICY.targetInFlight, engine.slots * POLICY.targetSlotUse));
+    const perCopy = atSetPoint / this.#steer(key, demand, nowMs);
     return {
-      wanted: Math.ceil(expected / each - POLICY.deadBand),
-      kept: Math.ceil(concurrency.height / each),
+      desired: Math.ceil(expected / perCopy - POLICY.deadBand),
+      retained: Math.ceil(concurrency.peak / perCopy),
       recent,
       expected,
-      each,
+      perCopy,
     };
   }
 
@@ -68,16 +69,16 @@
       recent: now,
       short: now,
       long: now,
-      height: now,
+      peak: now,
       atMs: nowMs,
     };
     this.#concurrency.set(key, known);
-    const passedMs = nowMs - known.atMs;
+    const elapsedMs = nowMs - known.atMs;
     const { shortMs, longMs } = averagedOver(loadMs);
-    known.recent += (now - known.recent) * (1 - Math.exp(-passedMs / POLICY.smoothMs));
-    known.short += (now - known.short) * (1 - Math.exp(-passedMs / shortMs));
-    known.long += (now - known.long) * (1 - Math.exp(-passedMs / longMs));
-    known.height = Math.max(known.recent, known.height * Math.exp(-passedMs / POLICY.heightMs));
+    known.recent += (now - known.recent) * (1 - Math.exp(-elapsedMs / POLICY.smoothMs));
+    known.short += (now - known.short) * (1 - Math.exp(-elapsedMs / shortMs));
+    known.long += (now - known.long) * (1 - Math.exp(-elapsedMs / longMs));
+    known.peak = Math.max(known.recent, known.peak * Math.exp(-elapsedMs / POLICY.peakDecayMs));
     known.atMs = nowMs;
     return known;
   }
@@ -86,11 +87,11 @@
   #steer(key: string, demand: Demand, nowMs: number): number {
     const known = this.#loops.get(key) ?? { loop: new Loop(POLICY.loop), atMs: nowMs };
     this.#loops.set(key, known);
-    const passedMs = nowMs - known.atMs;
-    if (passedMs >= POLICY.loopMs) {
+    const elapsedMs = nowMs - known.atMs;
+    if (elapsedMs >= POLICY.loopMs) {
       known.atMs = nowMs;
-      const pressure = demand.perS < POLICY.steeredPerS ? 0 : demand.pressed / demand.perS;
-      if (pressure > 0) known.loop.move(pressure / POLICY.pressureWanted, Math.min(1, passedMs / 1000));
+      const waitRatio = demand.perS < POLICY.minControlledPerS ? 0 : demand.weightedWaitRatio / demand.perS;
+      if (waitRatio > 0) known.loop.move(waitRatio / POLICY.targetWaitRatio, Math.min(1, elapsedMs / 1000));
     }
     return known.loop.output;
   }
@@ -98,8 +99,8 @@
 
 function averagedOver(loadMs: number): { shortMs: number; longMs: number } {
   return {
-    shortMs: Math.max(POLICY.leastShortMs, loadMs * POLICY.shortPart),
-    longMs: Math.max(POLICY.leastLongMs, loadMs * POLICY.longPart),
+    shortMs: Math.max(POLICY.minShortWindowMs, loadMs * POLICY.shortWindowLoads),
+    longMs: Math.max(POLICY.minLongWindowMs, loadMs * POLICY.longWindowLoads),
   };
 }
 
@@ -109,6 +110,6 @@
   const risePerMs = Math.max(0, (short - long) / (longMs - shortMs));
   return Math.max(
     recent,
-    Math.min(POLICY.expectedMost * recent, short + risePerMs * loadMs * POLICY.trendLoads),
+    Math.min(POLICY.maxGrowth * recent, short + risePerMs * loadMs * POLICY.trendLoads),
   );
 }
--- a/packages/placement/src/retirement.ts
+++ b/packages/placement/src/copy-retirement.ts
@@ -1,8 +1,9 @@
+/** Takes surplus copies of models of the platform system out of use before they are unloaded. */
 import type { OrderSender } from './order-sender.js';
-import { isWatched, RESIDE_MS, type PlacementRound } from './placement-round.js';
+import { isObserved, MIN_RESIDENCE_MS, type PlacementRound } from './placement-round.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
-/** Copies of one model are taken out of use no sooner after each other. */
+/** Least time between two retired copies of one model, in milliseconds. */
 const RETIRE_MS = 400;
 
 /**
@@ -27,8 +28,8 @@
   retire(round: PlacementRound): void {
     const { engine, copies, targets, nowMs } = round;
     for (const [model, count] of copies) {
-      if (count <= Math.max(1, targets.get(model)?.kept ?? 1) || !engine.models.has(model)) continue;
-      if (!isWatched(round, model)) continue;
+      if (count <= Math.max(1, targets.get(model)?.retained ?? 1) || !engine.models.has(model)) continue;
+      if (!isObserved(round, model)) continue;
       const key = `${engine.service}/${model}`;
       if (nowMs - (this.#retiredMs.get(key) ?? -Infinity) < RETIRE_MS) continue;
       const holders = round.rows.filter((row) => this.#mayRetire(row, model, nowMs));
@@ -37,7 +38,7 @@
       this.#retiredMs.set(key, nowMs);
       fullest.models.delete(model);
       this.#sender.state(fullest).retired.add(model);
-      this.#table.changed(fullest, model);
+      this.#table.touch(fullest, model);
       copies.set(model, count - 1);
     }
   }
@@ -51,7 +52,7 @@
       if (state.steps.some((step) => step.model === model)) continue;
       state.retired.delete(model);
       row.models.set(model, new Set(adapters));
-      this.#table.changed(row, model);
+      this.#table.touch(row, model);
       copies.set(model, (copies.get(model) ?? 0) + 1);
       return true;
     }
@@ -60,6 +61,8 @@
 
   #mayRetire(row: WorkerRecord, model: string, nowMs: number): boolean {
     const state = this.#sender.state(row);
-    return row.models.has(model) && state.steps.length === 0 && state.heldMs(model, nowMs) > RESIDE_MS;
+    return (
+      row.models.has(model) && state.steps.length === 0 && state.loadedForMs(model, nowMs) > MIN_RESIDENCE_MS
+    );
   }
 }
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -1,9 +1,9 @@
 /**
- * What all edges together ask for, by service and model, kept up to date edge by edge: a plan reads the totals
- * instead of adding up what every edge said.
+ * The demand of all edges of the platform system, by service and model, kept up to date edge by edge: a plan reads
+ * the totals instead of adding up the reports.
  */
 
-/** What one edge asks for of a model or of an adapter of it. */
+/** The demand of one edge for a model, or for an adapter of it. */
 export interface EdgeDemand {
   readonly service: string;
   readonly model: string;
@@ -13,9 +13,9 @@
   readonly inFlight: number;
   /** Requests a second. */
   readonly perS: number;
-  /** Mean wait for a worker's first word, in parts of the target; 0 if none is known. */
+  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
   readonly waitToTargetRatio: number;
-  /** Mean target latency of its requests: they can wait so long without loss. 0 if unknown. */
+  /** Mean target latency of its requests, in milliseconds; 0 if unknown. */
   readonly meanTargetMs: number;
 }
 
@@ -28,10 +28,10 @@
 
 /** Requests for a model, adapters included. */
 export interface Demand extends AdapterDemand {
-  /** Sum of the pressures, each as often as it is asked for. */
-  pressed: number;
-  /** Sum of the patiences, each as often as it is asked for. */
-  patient: number;
+  /** Sum of the waits relative to the target, weighted by arrivals a second. */
+  weightedWaitRatio: number;
+  /** Sum of the target latencies, weighted by arrivals a second. */
+  weightedTargetMs: number;
   readonly adapters: Map<string, AdapterDemand>;
   /** How many reports stand in it: with the last one it is gone, and with it all errors of rounding. */
   reports: number;
@@ -40,16 +40,16 @@
 interface Report {
   atMs: number;
   /** By service, model and adapter. */
-  readonly wants: Map<string, EdgeDemand>;
+  readonly demands: Map<string, EdgeDemand>;
 }
 
 const NOTHING: ReadonlyMap<string, Demand> = new Map();
 
 /**
- * Totals of what edges ask for.
+ * Totals of the demand that edges report.
  * @example
  * const totals = new DemandTotals();
- * totals.set('edge-1', wants, nowMs);
+ * totals.set('edge-1', edgeDemands, nowMs);
  * totals.of('assist').get('model-1')?.waiting;
  */
 export class DemandTotals {
@@ -62,23 +62,23 @@
     return this.#waiting;
   }
 
-  /** Takes all that an edge asks for now; it replaces what it asked for before. */
-  set(edge: string, wants: readonly EdgeDemand[], nowMs: number): void {
+  /** Takes all demand of an edge; it replaces what the edge reported before. */
+  set(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
     this.#remove(edge);
-    this.update(edge, wants, nowMs);
+    this.update(edge, edgeDemands, nowMs);
   }
 
-  /** Takes what has changed at an edge; what else it asked for stays. */
-  update(edge: string, wants: readonly EdgeDemand[], nowMs: number): void {
-    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, wants: new Map<string, EdgeDemand>() };
+  /** Takes the demand that has changed at an edge; the rest of its report stays. */
+  update(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
+    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, demands: new Map<string, EdgeDemand>() };
     this.#reports.set(edge, report);
     report.atMs = nowMs;
-    for (const want of wants) {
-      const key = `${want.service}/${want.model}/${want.adapter}`;
-      const before = report.wants.get(key);
+    for (const edgeDemand of edgeDemands) {
+      const key = `${edgeDemand.service}/${edgeDemand.model}/${edgeDemand.adapter}`;
+      const before = report.demands.get(key);
       if (before !== undefined) this.#subtract(before);
-      report.wants.set(key, want);
-      this.#add(want);
+      report.demands.set(key, edgeDemand);
+      this.#add(edgeDemand);
     }
   }
 
@@ -87,7 +87,7 @@
     for (const [edge, { atMs }] of this.#reports) if (atMs < beforeMs) this.#remove(edge);
   }
 
-  /** What is asked for of a service, by model. */
+  /** The demand for a service, by model. */
   of(service: string): ReadonlyMap<string, Demand> {
     return this.#byService.get(service) ?? NOTHING;
   }
@@ -96,54 +96,62 @@
     const report = this.#reports.get(edge);
     if (report === undefined) return;
     this.#reports.delete(edge);
-    for (const want of report.wants.values()) this.#subtract(want);
+    for (const edgeDemand of report.demands.values()) this.#subtract(edgeDemand);
   }
 
-  #add(want: EdgeDemand): void {
-    this.#waiting += want.waiting;
-    let models = this.#byService.get(want.service);
+  #add(edgeDemand: EdgeDemand): void {
+    this.#waiting += edgeDemand.waiting;
+    let models = this.#byService.get(edgeDemand.service);
     if (models === undefined) {
       models = new Map();
-      this.#byService.set(want.service, models);
+      this.#byService.set(edgeDemand.service, models);
     }
-    let demand = models.get(want.model);
+    let demand = models.get(edgeDemand.model);
     if (demand === undefined) {
-      demand = { waiting: 0, inFlight: 0, perS: 0, pressed: 0, patient: 0, adapters: new Map(), reports: 0 };
-      models.set(want.model, demand);
+      demand = {
+        waiting: 0,
+        inFlight: 0,
+        perS: 0,
+        weightedWaitRatio: 0,
+        weightedTargetMs: 0,
+        adapters: new Map(),
+        reports: 0,
+      };
+      models.set(edgeDemand.model, demand);
     }
     demand.reports += 1;
-    demand.pressed += want.waitToTargetRatio * want.perS;
-    demand.patient += want.meanTargetMs * want.perS;
-    accumulate(demand, want, 1);
-    if (want.adapter === '') return;
-    let adapter = demand.adapters.get(want.adapter);
+    demand.weightedWaitRatio += edgeDemand.waitToTargetRatio * edgeDemand.perS;
+    demand.weightedTargetMs += edgeDemand.meanTargetMs * edgeDemand.perS;
+    accumulate(demand, edgeDemand, 1);
+    if (edgeDemand.adapter === '') return;
+    let adapter = demand.adapters.get(edgeDemand.adapter);
     if (adapter === undefined) {
       adapter = { waiting: 0, inFlight: 0, perS: 0 };
-      demand.adapters.set(want.adapter, adapter);
+      demand.adapters.set(edgeDemand.adapter, adapter);
     }
-    accumulate(adapter, want, 1);
+    accumulate(adapter, edgeDemand, 1);
   }
 
-  #subtract(want: EdgeDemand): void {
-    this.#waiting -= want.waiting;
-    const models = this.#byService.get(want.service);
-    const demand = models?.get(want.model);
+  #subtract(edgeDemand: EdgeDemand): void {
+    this.#waiting -= edgeDemand.waiting;
+    const models = this.#byService.get(edgeDemand.service);
+    const demand = models?.get(edgeDemand.model);
     if (demand === undefined) return;
     demand.reports -= 1;
     if (demand.reports === 0) {
-      models?.delete(want.model);
+      models?.delete(edgeDemand.model);
       return;
     }
-    demand.pressed -= want.waitToTargetRatio * want.perS;
-    demand.patient -= want.meanTargetMs * want.perS;
-    accumulate(demand, want, -1);
-    const adapter = demand.adapters.get(want.adapter);
-    if (adapter !== undefined) accumulate(adapter, want, -1);
+    demand.weightedWaitRatio -= edgeDemand.waitToTargetRatio * edgeDemand.perS;
+    demand.weightedTargetMs -= edgeDemand.meanTargetMs * edgeDemand.perS;
+    accumulate(demand, edgeDemand, -1);
+    const adapter = demand.adapters.get(edgeDemand.adapter);
+    if (adapter !== undefined) accumulate(adapter, edgeDemand, -1);
   }
 }
 
-function accumulate(demand: AdapterDemand, want: EdgeDemand, sign: 1 | -1): void {
-  demand.waiting += sign * want.waiting;
-  demand.inFlight += sign * want.inFlight;
-  demand.perS += sign * want.perS;
+function accumulate(demand: AdapterDemand, edgeDemand: EdgeDemand, sign: 1 | -1): void {
+  demand.waiting += sign * edgeDemand.waiting;
+  demand.inFlight += sign * edgeDemand.inFlight;
+  demand.perS += sign * edgeDemand.perS;
 }
--- a/packages/placement/src/disk-load-time.test.ts
+++ b/packages/placement/src/disk-load-time.test.ts
@@ -6,17 +6,17 @@
 
 /** A load from disk that really takes `tookMs`, asked about first when it is expected and then every 50 ms. */
 function load(time: DiskLoadTime, tookMs: number): { asked: number; lateMs: number } {
-  const begunMs = 1000;
+  const startedMs = 1000;
   let busyMs = -Infinity;
   let asked = 1;
-  let nowMs = begunMs + time.partOfStore * STORE_MS;
-  while (nowMs < begunMs + tookMs) {
+  let nowMs = startedMs + time.partOfStore * STORE_MS;
+  while (nowMs < startedMs + tookMs) {
     busyMs = nowMs;
     nowMs += 50;
     asked += 1;
   }
-  time.observe({ begunMs, busyMs }, STORE_MS, nowMs);
-  return { asked, lateMs: nowMs - begunMs - tookMs };
+  time.observe({ startedMs, busyMs }, STORE_MS, nowMs);
+  return { asked, lateMs: nowMs - startedMs - tookMs };
 }
 
 describe("the time of loads from a worker's own disk", () => {
@@ -31,7 +31,7 @@
   it('is not learned from a load that is known to no begin', () => {
     const time = new DiskLoadTime();
     const before = time.partOfStore;
-    time.observe({ begunMs: Infinity, busyMs: -Infinity }, STORE_MS, 5000);
+    time.observe({ startedMs: Infinity, busyMs: -Infinity }, STORE_MS, 5000);
     expect(time.partOfStore).toEqual(before);
   });
 });
--- a/packages/placement/src/disk-load-time.ts
+++ b/packages/placement/src/disk-load-time.ts
@@ -26,9 +26,14 @@
   }
 
   /** Takes note of a load from disk that is done: it ended between the worker's last busy answer and now. */
-  observe({ begunMs, busyMs }: Pick<Step, 'begunMs' | 'busyMs'>, fromStoreMs: number, nowMs: number): void {
-    if (fromStoreMs <= 0 || !Number.isFinite(begunMs)) return;
-    const tookMs = busyMs > begunMs ? (busyMs + nowMs) / 2 - begunMs : (nowMs - begunMs) * DONE_AT_ONCE_PART;
+  observe(
+    { startedMs, busyMs }: Pick<Step, 'startedMs' | 'busyMs'>,
+    fromStoreMs: number,
+    nowMs: number,
+  ): void {
+    if (fromStoreMs <= 0 || !Number.isFinite(startedMs)) return;
+    const tookMs =
+      busyMs > startedMs ? (busyMs + nowMs) / 2 - startedMs : (nowMs - startedMs) * DONE_AT_ONCE_PART;
     const part = Math.min(1, Math.max(LEAST_PART, tookMs / fromStoreMs));
     this.#part += (part - this.#part) * LEARNED_PART;
   }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-export * from './loop.js';
+export * from './feedback-loop.js';
 export * from './spec-order-sender.js';
 export * from './spec-placer.js';
 export * from './worker-table.js';
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -1,11 +1,12 @@
+/** Chooses the worker for a copy of a model of the platform system, and the copies that are evicted for it. */
 import type { CopyDemand } from './copy-demand.js';
 import { modelMb, usedMb } from './holdings.js';
 import type { OrderSender } from './order-sender.js';
 import {
   isActive,
-  isWatched,
-  RESIDE_MS,
-  SETTLE_MS,
+  isObserved,
+  MIN_RESIDENCE_MS,
+  DRAIN_MS,
   type CopyNeed,
   type PlacementRound,
 } from './placement-round.js';
@@ -14,7 +15,7 @@
 import { newStep } from './worker-state.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
-const POLICY = PLACEMENT_POLICY.keeping;
+const POLICY = PLACEMENT_POLICY.eviction;
 const VALUE = POLICY.value;
 
 /** Where the weights come from. */
@@ -28,7 +29,7 @@
 }
 
 /** So long edges are given to learn that they may send no more for what is to go, where they do send. */
-const SETTLE_USED_MS = 50;
+const DRAIN_IN_USE_MS = 50;
 
 /**
  * Finds the worker for a copy that is wanted, and orders the copies away that
@@ -60,15 +61,15 @@
     if (site === undefined) return undefined;
     const { row, victims } = site;
     for (const victim of victims) this.#unload(round, row, victim);
-    for (const victim of victims) this.#table.changed(row, victim);
+    for (const victim of victims) this.#table.touch(row, victim);
     this.#sender.state(row).add(newStep('load', need.model, '', round.nowMs));
     round.copies.set(need.model, (round.copies.get(need.model) ?? 0) + 1);
     const instead = victims.length > 0 ? ` in the place of ${victims.join(', ')}` : '';
-    return `${row.id} loads ${need.model} from ${source}${instead} (worth ${need.worth.toFixed(2)})`;
+    return `${row.id} loads ${need.model} from ${source}${instead} (worth ${need.value.toFixed(2)})`;
   }
 
   /** Whether a worker that has the model on its own disk will be free sooner than a load from the store takes. */
-  comesFromDiskSoon({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
+  isLoadedFromDiskSoon({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     if (ageMs > loadMs) return false;
     const diskPart = this.#sender.diskPart(engine);
@@ -80,8 +81,8 @@
   }
 
   #isFree(row: WorkerRecord, nowMs: number): boolean {
-    const { steps, restsUntilMs } = this.#sender.state(row);
-    return steps.length === 0 && nowMs >= restsUntilMs;
+    const { steps, backoffUntilMs } = this.#sender.state(row);
+    return steps.length === 0 && nowMs >= backoffUntilMs;
   }
 
   #unload(round: PlacementRound, row: WorkerRecord, victim: string): void {
@@ -91,7 +92,7 @@
     row.models.delete(victim);
     copies.set(victim, (copies.get(victim) ?? 1) - 1);
     const inUse = (demands.get(victim)?.inFlight ?? 0) > 0;
-    state.add(newStep('unload', victim, '', nowMs + (inUse ? SETTLE_USED_MS : SETTLE_MS)));
+    state.add(newStep('unload', victim, '', nowMs + (inUse ? DRAIN_IN_USE_MS : DRAIN_MS)));
   }
 
   #bestSite(round: PlacementRound, need: CopyNeed, source: LoadSource): Site | undefined {
@@ -120,7 +121,7 @@
     let cost = 0;
     const victims: string[] = [];
     for (const { model, value } of valued) {
-      if (freeMb >= sizeMb || value >= need.worth) break;
+      if (freeMb >= sizeMb || value >= need.value) break;
       victims.push(model);
       freeMb += modelMb(engine, model, holdings.get(model)?.size ?? 0);
       cost += value;
@@ -138,7 +139,7 @@
     const state = this.#sender.state(row);
     const copies = round.copies.get(model) ?? 0;
     if (state.retired.has(model)) return VALUE.retired;
-    if (state.heldMs(model, nowMs) < RESIDE_MS) return copies > 1 ? VALUE.further : VALUE.fresh;
+    if (state.loadedForMs(model, nowMs) < MIN_RESIDENCE_MS) return copies > 1 ? VALUE.further : VALUE.fresh;
     const active = isActive(round, model);
     if (copies > 1) return this.#valueOfOneOfMany(round, model, copies, need);
     if (active) return VALUE.active + Math.min(1, (round.demands.get(model)?.inFlight ?? 0) / 100);
@@ -146,22 +147,23 @@
   }
 
   /** The longer a model was unused, and the better its requests bear that it has to be loaded again, the less. */
-  #valueOfIdle({ engine, watchedMs, nowMs }: PlacementRound, model: string): number {
+  #valueOfIdle({ engine, observedMs, nowMs }: PlacementRound, model: string): number {
     const key = `${engine.service}/${model}`;
     const idleMs = this.#usage.idleMs(key, nowMs);
-    if (idleMs < POLICY.restMs) return VALUE.rested;
-    const knownMs = Math.min(idleMs, watchedMs);
+    if (idleMs < POLICY.recentUseMs) return VALUE.rested;
+    const knownMs = Math.min(idleMs, observedMs);
     const isPatient =
-      this.#usage.patienceMs(key) >= POLICY.patientLoads * (engine.models.get(model)?.loadMs ?? Infinity);
-    const part = isPatient ? POLICY.patientPart : 1;
+      this.#usage.meanTargetMs(key) >=
+      POLICY.patientTargetLoads * (engine.models.get(model)?.loadMs ?? Infinity);
+    const part = isPatient ? POLICY.patientRecencyWeight : 1;
     return VALUE.idle + (VALUE.idleLately * part) / (1 + knownMs / 1000);
   }
 
   /** A copy of a model that stands at other workers too. */
   #valueOfOneOfMany(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     const active = isActive(round, model);
-    if (!isWatched(round, model)) return active ? VALUE.further : VALUE.unwatched;
-    if (copies > Math.max(1, round.targets.get(model)?.kept ?? 0))
+    if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unwatched;
+    if (copies > Math.max(1, round.targets.get(model)?.retained ?? 0))
       return active ? VALUE.surplusActive : VALUE.surplus;
     return this.#valueOfFurther(round, model, copies, need);
   }
@@ -170,9 +172,9 @@
     if (!isActive(round, model)) return VALUE.idle;
     const after = this.#copyDemand.recent(round.engine, model) / (copies - 1);
     if (need.load === Infinity) {
-      const each = round.targets.get(model)?.each ?? Infinity;
-      return after < each * POLICY.borne ? VALUE.spareForFirst : VALUE.furtherForFirst;
+      const perCopy = round.targets.get(model)?.perCopy ?? Infinity;
+      return after < perCopy * POLICY.maxRemainingLoadRatio ? VALUE.spareForFirst : VALUE.furtherForFirst;
     }
-    return after < need.load * POLICY.givesWay ? VALUE.burdened : VALUE.further;
+    return after < need.load * POLICY.maxVictimLoadRatio ? VALUE.burdened : VALUE.further;
   }
 }
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,3 +1,4 @@
+/** Sends the orders of the platform system's planner to workers, and keeps what each worker reported. */
 import { DiskLoadTime } from './disk-load-time.js';
 import type { Engine } from './engine.js';
 import { copyOf } from './holdings.js';
@@ -16,11 +17,11 @@
 }
 
 /** A busy worker is tried again after so long; half as long again after each further time. */
-const AGAIN_MS = 35;
-const AGAIN_MOST_MS = 140;
-const AGAIN_GROWTH = 1.5;
+const RETRY_FIRST_MS = 35;
+const RETRY_MAX_MS = 140;
+const RETRY_GROWTH = 1.5;
 /** An adapter takes some milliseconds: what is behind it is tried again sooner. */
-const ADAPTER_AGAIN_PART = 1 / 3;
+const ADAPTER_RETRY_RATIO = 1 / 3;
 /** What a load from the store is waited for beyond the time that the configuration gives. */
 const LOAD_SLACK_MS = 5;
 /** An adapter is there so soon. */
@@ -28,16 +29,16 @@
 /** So long a worker takes to let a model go that nobody uses. */
 const UNLOAD_MS = 35;
 /** A worker has seen a newer coordinator: this one will have lost the duty by then, or gets a newer epoch. */
-const FENCED_MS = 1000;
+const FENCED_RETRY_MS = 1000;
 /** A worker that leaves so many questions in a row unanswered is taken for silent. */
-const SILENT_QUESTIONS = 2;
+const UNRESPONSIVE_REPORTS = 2;
 /** A worker that is busy so long after the last order that it took is asked what it holds. */
-const BUSY_LONG_MS = 500;
+const VERIFY_AFTER_BUSY_MS = 500;
 /** By then a report tells of the last order that the worker took; one that tells of fewer before is older than it. */
-const REPORT_OLD_MS = 2000;
+const STALE_REPORT_MS = 2000;
 /** Between two questions to one worker that is at an order; twice as long after each that had no answer. */
-const ASK_AGAIN_MS = 250;
-const ASK_AGAIN_MOST_MS = 2000;
+const REPORT_RETRY_FIRST_MS = 250;
+const REPORT_RETRY_MAX_MS = 2000;
 
 /**
  * Sends what was decided for each worker, one order at a time, and keeps to
@@ -87,101 +88,101 @@
   }
 
   /** Forgets workers that are no longer in the table. */
-  forgetGone(): void {
+  forgetRemoved(): void {
     for (const id of this.#states.keys()) if (this.#table.row(id) === undefined) this.#states.delete(id);
   }
 
   /** Whether a worker neither takes orders nor says what it holds: nobody can count on what it held. */
-  isSilent(row: WorkerRecord): boolean {
-    return !row.sure && this.state(row).reportRequest.unanswered >= SILENT_QUESTIONS;
+  isUnresponsive(row: WorkerRecord): boolean {
+    return !row.confirmed && this.state(row).reportRequest.unanswered >= UNRESPONSIVE_REPORTS;
   }
 
   /** Takes a worker's own word on what it holds: from here on it may be ordered. */
-  #settle(row: WorkerRecord, report: WorkerReport): void {
+  #confirm(row: WorkerRecord, report: WorkerReport): void {
     const state = this.state(row);
     state.adopt(report);
     row.models = copyOf(report.holdings);
-    row.sure = true;
-    this.#table.changed(row);
+    row.confirmed = true;
+    this.#table.touch(row);
   }
 
   /** Sends what is due to one worker: its next order, or the question what it holds. */
-  pursue(engine: Engine, row: WorkerRecord, nowMs: number): void {
+  sendDue(engine: Engine, row: WorkerRecord, nowMs: number): void {
     const state = this.state(row);
     if (row.draining) return state.clear();
-    if (!row.sure) return this.#reread(row, state);
+    if (!row.confirmed) return this.#requestReport(row, state);
     const first = state.steps[0];
     if (first === undefined) return;
     if (nowMs >= first.doneMs) return this.#finish(row, state, first);
-    if (first.posted || nowMs < first.notBeforeMs) return;
+    if (first.inFlight || nowMs < first.notBeforeMs) return;
     const fence = this.#dependencies.fence();
     if (fence === undefined) return;
-    if (!first.begun && !state.fits(engine, first)) return this.#doubt(row, state);
+    if (!first.started && !state.fits(engine, first)) return this.#invalidate(row, state);
     this.#send(engine, row, state, first, fence);
   }
 
   #send(engine: Engine, row: WorkerRecord, state: WorkerState, first: Step, fence: number): void {
     const { action, model, adapter } = first;
     const { sequence } = state;
-    first.posted = true;
+    first.inFlight = true;
     this.counts.orders += 1;
     this.#dependencies.order(row, { action, model, adapter, fence, sequence }, (reply) => {
-      if (row.sure && state.steps[0] === first) this.#replied(engine, row, state, first, reply);
+      if (row.confirmed && state.steps[0] === first) this.#onReply(engine, row, state, first, reply);
     });
   }
 
-  #replied(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, reply: WorkerOrderReply): void {
+  #onReply(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, reply: WorkerOrderReply): void {
     const nowMs = this.#dependencies.nowMs();
     switch (reply) {
       case 'begun':
-        if (step.begun) return this.#stillAtIt(step, nowMs);
-        state.accepted(nowMs);
-        return this.#begun(engine, row, state, step, nowMs);
+        if (step.started) return this.#onStillRunning(step, nowMs);
+        state.recordAccepted(nowMs);
+        return this.#onStarted(engine, row, state, step, nowMs);
       case 'held':
         if (state.onDisk.has(step.model)) this.#observeDisk(engine, step, nowMs);
         return this.#finish(row, state, step);
       case 'busy':
         this.counts.busy += 1;
-        step.refusals += 1;
+        step.busyReplies += 1;
         step.busyMs = nowMs;
-        this.#sendAgain(step, nowMs + retryMs(step));
-        if (nowMs - state.acceptedMs >= BUSY_LONG_MS) this.#compare(row, state);
+        this.#scheduleRetry(step, nowMs + retryMs(step));
+        if (nowMs - state.acceptedMs >= VERIFY_AFTER_BUSY_MS) this.#verifySequence(row, state);
         return;
       case 'no-answer':
         this.counts.unanswered += 1;
-        return this.#doubt(row, state);
+        return this.#invalidate(row, state);
       case 'fenced':
-        return this.#sendAgain(step, nowMs + FENCED_MS);
+        return this.#scheduleRetry(step, nowMs + FENCED_RETRY_MS);
       case 'wrong-worker':
       case 'refused':
-        state.refused(nowMs);
-        return this.#doubt(row, state);
+        state.recordRejection(nowMs);
+        return this.#invalidate(row, state);
     }
   }
 
-  #sendAgain(step: Step, notBeforeMs: number): void {
-    step.posted = false;
+  #scheduleRetry(step: Step, notBeforeMs: number): void {
+    step.inFlight = false;
     step.notBeforeMs = notBeforeMs;
   }
 
   /** The worker says of an order that it has taken before that it is at it: it has not taken another one. */
-  #stillAtIt(step: Step, nowMs: number): void {
+  #onStillRunning(step: Step, nowMs: number): void {
     step.busyMs = nowMs;
-    this.#sendAgain(step, nowMs + AGAIN_MS);
+    this.#scheduleRetry(step, nowMs + RETRY_FIRST_MS);
   }
 
-  #begun(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
+  #onStarted(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
     // A worker does one order at a time: the next one is not taken before this is done.
     if (step.action === 'unload') return this.#finish(row, state, step);
     if (step.adapter !== '') {
       step.doneMs = nowMs + ADAPTER_MS;
       return;
     }
-    step.begun = true;
-    step.begunMs = nowMs;
+    step.started = true;
+    step.startedMs = nowMs;
     this.counts.loads += 1;
     const slackMs = state.onDisk.has(step.model) ? 0 : LOAD_SLACK_MS;
-    this.#sendAgain(step, nowMs + state.loadMs(engine, step.model, this.diskPart(engine)) + slackMs);
+    this.#scheduleRetry(step, nowMs + state.loadMs(engine, step.model, this.diskPart(engine)) + slackMs);
   }
 
   #observeDisk(engine: Engine, step: Step, nowMs: number): void {
@@ -198,57 +199,58 @@
       if (next !== undefined && step.adapter === '') next.notBeforeMs = nowMs + UNLOAD_MS;
     } else if (step.adapter === '') row.models.set(step.model, new Set(state.holdings.get(step.model)));
     else row.models.get(step.model)?.add(step.adapter);
-    this.#table.changed(row, step.model);
+    this.#table.touch(row, step.model);
   }
 
   /** What the worker holds is no longer known for certain: nothing more is ordered until it has said it. */
-  #doubt(row: WorkerRecord, state: WorkerState): void {
+  #invalidate(row: WorkerRecord, state: WorkerState): void {
     this.counts.reread += 1;
     state.clear();
-    row.sure = false;
+    row.confirmed = false;
   }
 
-  #reread(row: WorkerRecord, state: WorkerState): void {
-    this.#ask(row, (report) => {
-      if (!row.sure && !this.#isOutdated(state, report)) this.#settle(row, report);
+  #requestReport(row: WorkerRecord, state: WorkerState): void {
+    this.#askReport(row, (report) => {
+      if (!row.confirmed && !this.#isOutdated(state, report)) this.#confirm(row, report);
     });
   }
 
   /** A worker that stays busy may have taken an order that nobody here knows of. */
-  #compare(row: WorkerRecord, state: WorkerState): void {
+  #verifySequence(row: WorkerRecord, state: WorkerState): void {
     const { acceptedMs } = state;
-    this.#ask(row, (report) => {
-      const isUnchanged = row.sure && state.acceptedMs === acceptedMs;
+    this.#askReport(row, (report) => {
+      const isUnchanged = row.confirmed && state.acceptedMs === acceptedMs;
       if (isUnchanged && report.sequence !== state.sequence && !this.#isOutdated(state, report))
-        this.#settle(row, report);
+        this.#confirm(row, report);
     });
   }
 
   /** Whether a report is older than the last order that is known to be taken. */
   #isOutdated(state: WorkerState, report: WorkerReport): boolean {
-    const isRecent = this.#dependencies.nowMs() - state.acceptedMs < REPORT_OLD_MS;
+    const isRecent = this.#dependencies.nowMs() - state.acceptedMs < STALE_REPORT_MS;
     return isRecent && report.sequence < state.sequence;
   }
 
   /** Asks a worker that may be ordered what it holds, not too often. */
-  #ask(row: WorkerRecord, heard: (report: WorkerReport) => void): void {
+  #askReport(row: WorkerRecord, onReport: (report: WorkerReport) => void): void {
     const nowMs = this.#dependencies.nowMs();
-    const { reportRequest: asking } = this.state(row);
-    if (asking.open || nowMs < asking.notBeforeMs || this.#dependencies.fence() === undefined) return;
-    asking.open = true;
+    const { reportRequest } = this.state(row);
+    if (reportRequest.open || nowMs < reportRequest.notBeforeMs || this.#dependencies.fence() === undefined)
+      return;
+    reportRequest.open = true;
     this.counts.reports += 1;
     this.#dependencies.report(row, (reply) => {
-      asking.open = false;
-      asking.unanswered = reply === 'no-answer' ? asking.unanswered + 1 : 0;
-      const waitMs = Math.min(ASK_AGAIN_MOST_MS, ASK_AGAIN_MS * 2 ** asking.unanswered);
-      asking.notBeforeMs = this.#dependencies.nowMs() + waitMs;
-      if (reply !== 'busy' && reply !== 'no-answer' && this.#table.row(row.id) === row) heard(reply);
+      reportRequest.open = false;
+      reportRequest.unanswered = reply === 'no-answer' ? reportRequest.unanswered + 1 : 0;
+      const waitMs = Math.min(REPORT_RETRY_MAX_MS, REPORT_RETRY_FIRST_MS * 2 ** reportRequest.unanswered);
+      reportRequest.notBeforeMs = this.#dependencies.nowMs() + waitMs;
+      if (reply !== 'busy' && reply !== 'no-answer' && this.#table.row(row.id) === row) onReport(reply);
     });
   }
 }
 
 /** How long a step waits that a busy worker did not take. */
-function retryMs({ adapter, refusals }: Step): number {
-  const firstMs = adapter === '' ? AGAIN_MS : AGAIN_MS * ADAPTER_AGAIN_PART;
-  return Math.min(AGAIN_MOST_MS, firstMs * AGAIN_GROWTH ** (refusals - 1));
+function retryMs({ adapter, busyReplies }: Step): number {
+  const firstMs = adapter === '' ? RETRY_FIRST_MS : RETRY_FIRST_MS * ADAPTER_RETRY_RATIO;
+  return Math.min(RETRY_MAX_MS, firstMs * RETRY_GROWTH ** (busyReplies - 1));
 }
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -1,13 +1,14 @@
+/** What one planning round of the platform system works on. */
 import type { CopyTarget } from './copy-demand.js';
 import type { Demand } from './demand-totals.js';
 import type { Engine } from './engine.js';
 import { PLACEMENT_POLICY } from './policy.js';
 import type { WorkerRecord } from './worker-table.js';
 
-/** So long edges are given to learn that they may send no more for what is to go. */
-export const SETTLE_MS = 15;
-/** A copy stays in use so long once it is loaded. */
-export const RESIDE_MS = 800;
+/** Time that edges get to learn that they may send no more to what is unloaded, in milliseconds. */
+export const DRAIN_MS = 15;
+/** A copy is not evicted within this time of its load, in milliseconds. */
+export const MIN_RESIDENCE_MS = 800;
 
 /** What one plan of a service decides on. */
 export interface PlacementRound {
@@ -17,19 +18,19 @@
   readonly demands: ReadonlyMap<string, Demand>;
   readonly targets: ReadonlyMap<string, CopyTarget>;
   /** Workers that load from the store when the round begins. */
-  readonly fetching: number;
+  readonly loadingFromStore: number;
   /** Copies of each model that stand or come; kept up to date with what the round decides. */
   readonly copies: Map<string, number>;
-  /** For how long this coordinator has heard what is asked for of the service. */
-  readonly watchedMs: number;
+  /** For how long this coordinator has received demand for the service, in milliseconds. */
+  readonly observedMs: number;
   readonly nowMs: number;
 }
 
 /** A copy that is wanted. */
 export interface CopyNeed {
   readonly model: string;
-  /** It takes the place of copies that are worth less. */
-  readonly worth: number;
+  /** It evicts copies of a lower value. */
+  readonly value: number;
   /** The higher, the sooner it is loaded. */
   readonly urgency: number;
   /** Since when its model is asked for and stands nowhere; 0 for a further copy. */
@@ -44,8 +45,8 @@
  * @example
  * isWatched(round, 'model-1');
  */
-export function isWatched({ engine, watchedMs }: PlacementRound, model: string): boolean {
-  return watchedMs >= PLACEMENT_POLICY.keeping.watchedLoads * (engine.models.get(model)?.loadMs ?? 0);
+export function isObserved({ engine, observedMs }: PlacementRound, model: string): boolean {
+  return observedMs >= PLACEMENT_POLICY.eviction.observationLoads * (engine.models.get(model)?.loadMs ?? 0);
 }
 
 /**
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -3,7 +3,7 @@
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
-import { Loop } from './loop.js';
+import { Loop } from './feedback-loop.js';
 import { SpecOrderSender, sizeMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
 import {
   SpecPlacer,
@@ -31,7 +31,7 @@
 }
 
 describe('loop', () => {
-  const settings = { gain: 0.5, integralPerS: 0.2, least: 0.25, most: 4, stepPerS: 0.5, deadBand: 0.05 };
+  const settings = { gain: 0.5, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 };
 
   it('moves in bounded steps and stays within its bounds', () => {
     const loop = new Loop(settings);
@@ -181,7 +181,7 @@
       this.orders.push(order);
       this.waiting.push(() => done(this.#reply(order)));
     },
-    learned: () => undefined,
+    onWorkerState: () => undefined,
   });
 
   #reply(order: SpecOrder): Result<SpecOrderReply, Fault> {
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,3 +1,4 @@
+/** Plans which worker of the platform system loads which model, while this node has the singleton lease. */
 import { AdapterPlacement } from './adapter-placement.js';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
 import { DemandTotals, type Demand, type EdgeDemand } from './demand-totals.js';
@@ -6,9 +7,9 @@
 import { OrderSender, type OrderDependencies } from './order-sender.js';
 import type { CopyNeed, PlacementRound } from './placement-round.js';
 import { PLACEMENT_POLICY } from './policy.js';
-import { Retirement } from './retirement.js';
+import { Retirement } from './copy-retirement.js';
 import { StoreBudget, type LoadPurpose } from './store-budget.js';
-import { Unserved } from './unserved.js';
+import { UnservedDemand } from './unserved-demand.js';
 import { Usage } from './usage.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
@@ -16,7 +17,7 @@
 
 /** What the planner needs of its node. */
 export interface PlannerDependencies extends OrderDependencies {
-  /** Called for each decision, for the logs. */
+  /** Called for perCopy decision, for the logs. */
   onDecision(text: string): void;
 }
 
@@ -24,7 +25,7 @@
 type Needs = Readonly<Record<LoadPurpose, CopyNeed[]>>;
 
 /** What an edge asked for is forgotten after so long without a word from it. */
-const WANT_MS = 2000;
+const DEMAND_TTL_MS = 2000;
 
 /**
  * Decides which worker holds which model, and orders it, while this node has
@@ -34,7 +35,7 @@
  * longer a model was asked for in vain, the sooner its turn comes.
  * @example
  * const planner = new PlacementPlanner(table, dependencies);
- * planner.want('incarnation-1', wants, nowMs);
+ * planner.want('incarnation-1', demands, nowMs);
  * planner.plan(engines, evacuated, nowMs);
  * planner.pursue(engines, nowMs);
  */
@@ -45,9 +46,9 @@
   #totals = new DemandTotals();
   #copyDemand = new CopyDemand();
   #usage = new Usage();
-  #unserved = new Unserved();
+  #unserved = new UnservedDemand();
   /** Since when something is asked for, by service. */
-  #askedSinceMs = new Map<string, number>();
+  #demandSinceMs = new Map<string, number>();
   #retirement: Retirement;
   #models: ModelPlacement;
   #adapters: AdapterPlacement;
@@ -68,32 +69,32 @@
   }
 
   /** Takes all that an edge asks for now, or where `partial` what has changed of it. */
-  updateDemand(incarnation: string, wants: readonly EdgeDemand[], nowMs: number, partial = false): void {
-    if (partial) this.#totals.update(incarnation, wants, nowMs);
-    else this.#totals.set(incarnation, wants, nowMs);
+  updateDemand(incarnation: string, demands: readonly EdgeDemand[], nowMs: number, partial = false): void {
+    if (partial) this.#totals.update(incarnation, demands, nowMs);
+    else this.#totals.set(incarnation, demands, nowMs);
   }
 
   /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
   plan(engines: ReadonlyMap<string, Engine>, evacuated: readonly string[], nowMs: number): void {
-    this.#totals.expire(nowMs - WANT_MS);
+    this.#totals.expire(nowMs - DEMAND_TTL_MS);
     this.#unserved.expire(nowMs);
-    this.#sender.forgetGone();
+    this.#sender.forgetRemoved();
     for (const engine of engines.values()) {
-      const round = this.#begin(engine, evacuated, nowMs);
+      const round = this.#newRound(engine, evacuated, nowMs);
       this.#adapters.place(round);
       this.#retirement.retire(round);
       this.#placeModels(round, this.#needs(round), this.#budget(engine, nowMs));
     }
   }
 
-  /** Sends the orders that are due, in what was decided before. */
+  /** Sends the orders that are due, in what was decision before. */
   sendDueOrders(engines: ReadonlyMap<string, Engine>, nowMs: number): void {
     for (const engine of engines.values())
-      for (const row of this.#rowsOf(engine)) this.#sender.pursue(engine, row, nowMs);
+      for (const row of this.#rowsOf(engine)) this.#sender.sendDue(engine, row, nowMs);
   }
 
   #rowsOf(engine: Engine): WorkerRecord[] {
-    return [...this.#table.rows].filter((row) => row.service === engine.service && !row.gone);
+    return [...this.#table.rows].filter((row) => row.service === engine.service && !row.removed);
   }
 
   #budget(engine: Engine, nowMs: number): StoreBudget {
@@ -103,29 +104,38 @@
     return budget;
   }
 
-  #begin(engine: Engine, evacuated: readonly string[], nowMs: number): PlacementRound {
+  #newRound(engine: Engine, evacuated: readonly string[], nowMs: number): PlacementRound {
     const present = this.#rowsOf(engine);
-    const fetching = present.filter((row) => this.#sender.state(row).isFetching).length;
+    const loadingFromStore = present.filter((row) => this.#sender.state(row).isLoadingFromStore).length;
     const staying = present.filter((row) => !row.draining && !evacuated.includes(row.zone));
     const copies = new Map<string, number>();
-    for (const row of staying.filter((known) => !this.#sender.isSilent(known)))
-      for (const model of this.#coming(row)) copies.set(model, (copies.get(model) ?? 0) + 1);
+    for (const row of staying.filter((known) => !this.#sender.isUnresponsive(known)))
+      for (const model of this.#plannedModels(row)) copies.set(model, (copies.get(model) ?? 0) + 1);
     const demands = this.#demands(engine);
     const targets = new Map<string, CopyTarget>();
     for (const [model, demand] of demands) {
       targets.set(model, this.#copyDemand.targetOf(engine, model, demand, nowMs));
       const key = `${engine.service}/${model}`;
-      if (demand.waiting + demand.inFlight > 0) this.#usage.used(key, nowMs);
-      if (demand.perS > 0) this.#usage.notePatience(key, demand.patient / demand.perS);
+      if (demand.waiting + demand.inFlight > 0) this.#usage.recordUse(key, nowMs);
+      if (demand.perS > 0) this.#usage.recordTarget(key, demand.weightedTargetMs / demand.perS);
     }
-    const rows = staying.filter((row) => row.sure);
-    const watchedMs = this.#watchedMs(engine, demands, nowMs);
-    return { engine, rows, demands, targets, fetching, copies, watchedMs, nowMs };
+    const rows = staying.filter((row) => row.confirmed);
+    const observedMs = this.#observedMs(engine, demands, nowMs);
+    return {
+      engine,
+      rows,
+      demands,
+      targets,
+      loadingFromStore,
+      copies,
+      observedMs,
+      nowMs,
+    };
   }
 
-  #watchedMs({ service }: Engine, demands: ReadonlyMap<string, Demand>, nowMs: number): number {
-    if (demands.size > 0 && !this.#askedSinceMs.has(service)) this.#askedSinceMs.set(service, nowMs);
-    return nowMs - (this.#askedSinceMs.get(service) ?? nowMs);
+  #observedMs({ service }: Engine, demands: ReadonlyMap<string, Demand>, nowMs: number): number {
+    if (demands.size > 0 && !this.#demandSinceMs.has(service)) this.#demandSinceMs.set(service, nowMs);
+    return nowMs - (this.#demandSinceMs.get(service) ?? nowMs);
   }
 
   /** What is asked for of the models that an engine can load. */
@@ -137,7 +147,7 @@
   }
 
   /** Models that a worker serves or will serve once its orders are done. */
-  #coming(row: WorkerRecord): Set<string> {
+  #plannedModels(row: WorkerRecord): Set<string> {
     const models = new Set(row.models.keys());
     for (const { action, model, adapter } of this.#sender.state(row).steps) {
       if (adapter !== '') continue;
@@ -152,8 +162,8 @@
     const standing = new Set(round.rows.flatMap((row) => [...row.models.keys()]));
     for (const [model, demand] of round.demands) {
       const key = `${round.engine.service}/${model}`;
-      if (standing.has(model)) this.#unserved.served(key);
-      else if (demand.waiting > 0) this.#unserved.asked(key, round.nowMs);
+      if (standing.has(model)) this.#unserved.recordServed(key);
+      else if (demand.waiting > 0) this.#unserved.recordRequested(key, round.nowMs);
       if ((round.copies.get(model) ?? 0) > 0) this.#addFurther(round, model, needs['further-copy']);
       else if (demand.waiting > 0) needs['first-copy'].push(this.#firstCopy(round, model, demand));
     }
@@ -162,18 +172,19 @@
   }
 
   /**
-   * What each request waits for counts, and how long the model was asked for in vain: so its turn comes. Requests
+   * What perCopy request waits for counts, and how long the model was asked for in vain: so its turn comes. Requests
    * that cannot wait as long as a load takes are lost until it is done, those that are still to come too.
    */
   #firstCopy({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
     const ageMs = this.#unserved.ageMs(`${engine.service}/${model}`, nowMs);
     const loadMs = engine.models.get(model)?.loadMs ?? 1000;
     const lost =
-      this.#usage.patienceMs(`${engine.service}/${model}`) < loadMs ? demand.perS * (loadMs / 1000) : 0;
+      this.#usage.meanTargetMs(`${engine.service}/${model}`) < loadMs ? demand.perS * (loadMs / 1000) : 0;
     return {
       model,
-      worth: POLICY.firstWorth + Math.min(POLICY.impatientMost, (POLICY.impatientPerLoad * ageMs) / loadMs),
-      urgency: demand.waiting + POLICY.lostCounts * lost + (POLICY.urgencyPerLoad * ageMs) / loadMs,
+      value:
+        POLICY.firstCopyValue + Math.min(POLICY.maxWaitValue, (POLICY.waitValuePerLoad * ageMs) / loadMs),
+      urgency: demand.waiting + POLICY.lostRequestWeight * lost + (POLICY.urgencyPerLoad * ageMs) / loadMs,
       ageMs,
       load: Infinity,
     };
@@ -182,12 +193,12 @@
   #addFurther({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
     const target = targets.get(model);
     const have = copies.get(model) ?? 0;
-    const wanted = Math.min(rows.length, target?.wanted ?? 0);
+    const wanted = Math.min(rows.length, target?.desired ?? 0);
     if (target === undefined || have >= wanted) return;
-    const { recent, expected, each } = target;
-    const isHeavy = recent > POLICY.heavy * have * each;
-    const worth = isHeavy ? POLICY.heavyWorth : POLICY.furtherWorth + (wanted - have) / wanted;
-    further.push({ model, worth, urgency: expected - have * each, ageMs: 0, load: recent / have });
+    const { recent, expected, perCopy } = target;
+    const isHeavy = recent > POLICY.overloadRatio * have * perCopy;
+    const value = isHeavy ? POLICY.overloadedValue : POLICY.furtherCopyValue + (wanted - have) / wanted;
+    further.push({ model, value, urgency: expected - have * perCopy, ageMs: 0, load: recent / have });
   }
 
   /** Takes copies back into use, then loads what workers have on their own disks, then from the store. */
@@ -196,11 +207,11 @@
     for (const purpose of ['first-copy', 'further-copy'] as const)
       for (const need of needs[purpose]) {
         if (this.#retirement.revive(round, need.model) || this.#place(round, need, 'disk')) continue;
-        if (!this.#models.comesFromDiskSoon(round, need)) fromStore[purpose].push(need);
+        if (!this.#models.isLoadedFromDiskSoon(round, need)) fromStore[purpose].push(need);
       }
-    let { fetching } = round;
+    let { loadingFromStore } = round;
     const atOnce = loadsAtOnce(round.engine);
-    while (budget.isOpen && fetching < atOnce && this.#models.isAnyWorkerFree(round)) {
+    while (budget.isOpen && loadingFromStore < atOnce && this.#models.isAnyWorkerFree(round)) {
       const { next } = budget;
       const other = next === 'first-copy' ? 'further-copy' : 'first-copy';
       const purpose = fromStore[next].length > 0 ? next : other;
@@ -208,14 +219,14 @@
       if (need === undefined) return;
       if (!this.#place(round, need, 'store')) continue;
       budget.take(purpose);
-      fetching += 1;
+      loadingFromStore += 1;
     }
   }
 
   #place(round: PlacementRound, need: CopyNeed, source: LoadSource): boolean {
-    const decided = this.#models.place(round, need, source);
-    if (decided === undefined) return false;
-    this.#dependencies.onDecision(decided);
+    const decision = this.#models.place(round, need, source);
+    if (decision === undefined) return false;
+    this.#dependencies.onDecision(decision);
     return true;
   }
 }
--- a/packages/placement/src/spec-order-sender.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -33,28 +33,28 @@
   /** The epoch this node may act in; asked just before each order. */
   singletonEpoch(): number | undefined;
   order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
-  learned(worker: string, known: SpecWorkerState): void;
+  onWorkerState(worker: string, known: SpecWorkerState): void;
 }
 
 /** How much a model, or an adapter of it, is asked for; the more, the sooner it is loaded. */
 export type Urgency = (model: string, adapter: string) => number;
 
-interface Bay {
+interface WorkerChannel {
   known: SpecWorkerState | undefined;
   epoch: number;
-  flying: boolean;
+  orderInFlight: boolean;
   notBeforeMs: number;
-  faults: number;
-  askedMs: number;
+  failures: number;
+  lastOrderMs: number;
   /** What is to be unloaded, and since when. */
   surplus: { part: string; sinceMs: number } | undefined;
 }
 
-const CHECK_MS = 5000;
+const INVENTORY_INTERVAL_MS = 5000;
 /** Loads ordered in a later epoch have higher numbers. */
-const LOADS_AN_EPOCH = 65_536;
+const LOADS_PER_EPOCH = 65_536;
 /** By then every edge that may admit has heard of the new target and sends no more to what goes. */
-const UNLOAD_WAIT_MS = 1500;
+const UNLOAD_DELAY_MS = 1500;
 
 /** How many pulls the store allows: so many a minute, and so many at once. */
 class PullBucket {
@@ -89,7 +89,7 @@
  */
 export class SpecOrderSender {
   #context: SpecOrderContext;
-  #bays = new Map<string, Bay>();
+  #channels = new Map<string, WorkerChannel>();
   #bucket: PullBucket | undefined;
   #epoch = 0;
   #sequence = 0;
@@ -99,8 +99,8 @@
     this.#context = context;
   }
 
-  known(worker: string): SpecWorkerState | undefined {
-    return this.#bays.get(worker)?.known;
+  workerState(worker: string): SpecWorkerState | undefined {
+    return this.#channels.get(worker)?.known;
   }
 
   tick(
@@ -116,10 +116,10 @@
       this.#epoch = epoch;
       this.#bucket = new PullBucket(nowMs);
     }
-    const loads: { name: string; bay: Bay; step: Step; urgency: number }[] = [];
+    const loads: { name: string; bay: WorkerChannel; step: Step; urgency: number }[] = [];
     for (const { name, roomMb } of workers) {
-      const bay = this.#bay(name);
-      if (bay.flying || nowMs < bay.notBeforeMs) continue;
+      const bay = this.#channel(name);
+      if (bay.orderInFlight || nowMs < bay.notBeforeMs) continue;
       const step = this.#next(bay, spec, placement[name] ?? [], roomMb, nowMs, urgency);
       if (step?.action === 'load')
         loads.push({ name, bay, step, urgency: urgency(step.model, step.adapter) });
@@ -132,25 +132,25 @@
     }
   }
 
-  #bay(name: string): Bay {
-    let bay = this.#bays.get(name);
+  #channel(name: string): WorkerChannel {
+    let bay = this.#channels.get(name);
     if (bay === undefined) {
       bay = {
         known: undefined,
         epoch: 0,
-        flying: false,
+        orderInFlight: false,
         notBeforeMs: -Infinity,
-        faults: 0,
-        askedMs: -Infinity,
+        failures: 0,
+        lastOrderMs: -Infinity,
         surplus: undefined,
       };
-      this.#bays.set(name, bay);
+      this.#channels.set(name, bay);
     }
     return bay;
   }
 
   #next(
-    bay: Bay,
+    bay: WorkerChannel,
     spec: Spec,
     target: readonly HoldingTarget[],
     roomMb: number,
@@ -163,32 +163,32 @@
     if (surplus !== undefined) {
       const part = `${surplus.model}/${surplus.adapter}`;
       if (bay.surplus?.part !== part) bay.surplus = { part, sinceMs: nowMs };
-      return nowMs - bay.surplus.sinceMs >= UNLOAD_WAIT_MS ? { action: 'unload', ...surplus } : undefined;
+      return nowMs - bay.surplus.sinceMs >= UNLOAD_DELAY_MS ? { action: 'unload', ...surplus } : undefined;
     }
     const [wanted] = missing(known.holdings, target).sort(
       (one, other) => urgency(other.model, other.adapter) - urgency(one.model, one.adapter),
     );
-    if (wanted === undefined) return nowMs - bay.askedMs > CHECK_MS ? INVENTORY : undefined;
+    if (wanted === undefined) return nowMs - bay.lastOrderMs > INVENTORY_INTERVAL_MS ? INVENTORY : undefined;
     const size = sizeMb(spec, known.holdings) + partMb(spec, wanted);
     return size <= roomMb ? { action: 'load', ...wanted } : undefined;
   }
 
-  #send(name: string, bay: Bay, epoch: number, step: Step, nowMs: number): void {
+  #send(name: string, bay: WorkerChannel, epoch: number, step: Step, nowMs: number): void {
     this.#sequence += 1;
-    bay.flying = true;
-    bay.askedMs = nowMs;
+    bay.orderInFlight = true;
+    bay.lastOrderMs = nowMs;
     const order: SpecOrder = { worker: name, epoch, sequence: this.#sequence, ...step };
     const bucket = this.#bucket;
     this.#context.order(order, (reply) => {
-      bay.flying = false;
+      bay.orderInFlight = false;
       if (step.action === 'load') bucket?.ended();
-      this.#heard(name, bay, step, epoch, reply, nowMs);
+      this.#onReply(name, bay, step, epoch, reply, nowMs);
     });
   }
 
-  #heard(
+  #onReply(
     name: string,
-    bay: Bay,
+    bay: WorkerChannel,
     step: Step,
     epoch: number,
     reply: Result<SpecOrderReply, Fault>,
@@ -197,21 +197,21 @@
     const loads = new Map(bay.known?.loads);
     if (step.action === 'load' && step.adapter === '') {
       this.#loads += 1;
-      loads.set(step.model, epoch * LOADS_AN_EPOCH + this.#loads);
+      loads.set(step.model, epoch * LOADS_PER_EPOCH + this.#loads);
     }
     if (reply.isErr) {
-      bay.faults += 1;
-      bay.notBeforeMs = nowMs + Math.min(4000, 500 * 2 ** bay.faults);
+      bay.failures += 1;
+      bay.notBeforeMs = nowMs + Math.min(4000, 500 * 2 ** bay.failures);
       bay.epoch = 0;
-      const reachable = bay.faults < 2 && (bay.known?.reachable ?? false);
+      const reachable = bay.failures < 2 && (bay.known?.reachable ?? false);
       bay.known = { holdings: bay.known?.holdings ?? [], reachable, loads };
     } else {
-      bay.faults = 0;
+      bay.failures = 0;
       bay.epoch = reply.value.busy ? 0 : epoch;
       if (reply.value.busy) bay.notBeforeMs = nowMs + 1000;
       bay.known = { holdings: reply.value.holdings, reachable: true, loads };
     }
-    this.#context.learned(name, bay.known);
+    this.#context.onWorkerState(name, bay.known);
   }
 }
 
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -1,6 +1,6 @@
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 import { TokenBucket } from './token-bucket.js';
-import { Unserved } from './unserved.js';
+import { UnservedDemand } from './unserved-demand.js';
 
 /** A worker as the placer sees it. */
 export interface SpecPlacerWorker {
@@ -51,12 +51,12 @@
 
 const NONE = new Map<string, number>();
 
-interface Bench {
+interface WorkerPlan {
   readonly worker: SpecPlacerWorker;
   readonly holdings: Map<string, Set<string>>;
   freeMb: number;
-  touched: boolean;
-  cleared: boolean;
+  changed: boolean;
+  evicted: boolean;
 }
 
 interface Parts {
@@ -81,7 +81,7 @@
   #movedMs = new Map<string, number>();
   #reasons = new Map<string, string>();
   /** Models that are asked for and stand nowhere. */
-  #unserved = new Unserved();
+  #unserved = new UnservedDemand();
   /** Places that may change hands now because of how long a model was asked for in vain. */
   #turns: TokenBucket | undefined;
 
@@ -119,7 +119,7 @@
     }
     const changes: Record<string, HoldingTarget[]> = {};
     for (const bench of benches) {
-      if (bench.touched) changes[bench.worker.name] = toHoldings(bench);
+      if (bench.changed) changes[bench.worker.name] = toHoldings(bench);
     }
     return changes;
   }
@@ -131,7 +131,7 @@
 
   #wants(
     spec: Spec,
-    benches: readonly Bench[],
+    benches: readonly WorkerPlan[],
     demands: ReadonlyMap<string, SpecModelDemand>,
     nowMs: number,
   ): PlacementNeed[] {
@@ -191,7 +191,7 @@
   /** Notes what stands nowhere; how long one turn lasts, so that all of it can be pulled meanwhile. */
   #turnMs(
     spec: Spec,
-    benches: readonly Bench[],
+    benches: readonly WorkerPlan[],
     demands: ReadonlyMap<string, SpecModelDemand>,
     nowMs: number,
   ): number {
@@ -199,16 +199,16 @@
     let missing = 0;
     for (const { name: model } of spec.models) {
       const stands = benches.some((bench) => bench.worker.usable && bench.holdings.has(model));
-      if (stands) this.#unserved.served(model);
+      if (stands) this.#unserved.recordServed(model);
       else if (demands.has(model)) {
-        this.#unserved.asked(model, nowMs);
+        this.#unserved.recordRequested(model, nowMs);
         missing += 1;
       }
     }
     return Math.max(this.#settings.restMs, missing * msPerPull(spec));
   }
 
-  #pressure(demand: SpecModelDemand | undefined, copies: readonly Bench[]): number {
+  #pressure(demand: SpecModelDemand | undefined, copies: readonly WorkerPlan[]): number {
     if (demand === undefined) return 0;
     const slots = copies.reduce(
       (sum, bench) => sum + bench.worker.slots / Math.max(1, bench.holdings.size / 2),
@@ -218,7 +218,7 @@
   }
 
   /** Puts what is wanted where there is room, in a zone that lacks it if there is one. */
-  #fill(want: PlacementNeed, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
+  #fill(want: PlacementNeed, benches: readonly WorkerPlan[], parts: Parts, nowMs: number): boolean {
     const needMb = partMb(want, parts);
     const zones = new Set(
       benches.filter((bench) => bench.holdings.has(want.model)).map((bench) => bench.worker.zone),
@@ -244,18 +244,18 @@
     if (want.adapter !== undefined) adapters.add(want.adapter);
     open.holdings.set(want.model, adapters);
     open.freeMb -= needMb;
-    open.touched = true;
+    open.changed = true;
     this.#movedMs.set(`${open.worker.name}/${want.model}`, nowMs);
     this.#reasons.set(want.model, `${want.why}, put on ${open.worker.name}`);
     return true;
   }
 
   /** Takes away the copy that is worth least, if the want is worth much more. */
-  #clear(want: PlacementNeed, benches: readonly Bench[], parts: Parts, nowMs: number): boolean {
+  #clear(want: PlacementNeed, benches: readonly WorkerPlan[], parts: Parts, nowMs: number): boolean {
     if (want.urgency <= 0) return false;
     const needMb = partMb(want, parts);
     const victims = fitting(want, benches)
-      .filter((bench) => !bench.cleared && bench.worker.roomMb >= needMb)
+      .filter((bench) => !bench.evicted && bench.worker.roomMb >= needMb)
       .flatMap((bench) =>
         [...bench.holdings.keys()]
           .filter((model) => model !== want.model && this.#rested(bench, model, nowMs))
@@ -272,21 +272,21 @@
     const { bench, model } = victim;
     bench.freeMb += heldMb(bench, model, parts.sizes, parts.adapterMb);
     bench.holdings.delete(model);
-    bench.touched = true;
-    bench.cleared = true;
+    bench.changed = true;
+    bench.evicted = true;
     this.#reasons.set(model, `left ${bench.worker.name} for ${want.model}`);
     this.#fill(want, [bench], parts, nowMs);
     return true;
   }
 
-  #rested(bench: Bench, model: string, nowMs: number): boolean {
+  #rested(bench: WorkerPlan, model: string, nowMs: number): boolean {
     return nowMs - (this.#movedMs.get(`${bench.worker.name}/${model}`) ?? -Infinity) > this.#settings.restMs;
   }
 
   #worth(
     model: string,
-    bench: Bench,
-    benches: readonly Bench[],
+    bench: WorkerPlan,
+    benches: readonly WorkerPlan[],
     demands: ReadonlyMap<string, SpecModelDemand>,
   ): number {
     const others = benches.filter(
@@ -314,12 +314,12 @@
   return 60_000 / spec.store.pullsPerMinute;
 }
 
-function isInOneZone(benches: readonly Bench[]): boolean {
+function isInOneZone(benches: readonly WorkerPlan[]): boolean {
   return new Set(benches.map((bench) => bench.worker.zone)).size === 1;
 }
 
 /** Workers on which a want could be met: those with the model for an adapter, those without it for a copy. */
-function fitting(want: PlacementNeed, benches: readonly Bench[]): Bench[] {
+function fitting(want: PlacementNeed, benches: readonly WorkerPlan[]): WorkerPlan[] {
   return benches.filter((bench) => {
     const adapters = bench.holdings.get(want.model);
     return (
@@ -336,7 +336,7 @@
 }
 
 function heldMb(
-  bench: Bench,
+  bench: WorkerPlan,
   model: string,
   sizes: ReadonlyMap<string, number>,
   adapterMb: ReadonlyMap<string, number>,
@@ -350,14 +350,14 @@
   worker: SpecPlacerWorker,
   sizes: ReadonlyMap<string, number>,
   adapterMb: ReadonlyMap<string, number>,
-): Bench {
+): WorkerPlan {
   const holdings = new Map<string, Set<string>>();
   for (const { model, adapters } of worker.holdings) {
     if (sizes.has(model)) holdings.set(model, new Set(adapters.filter((adapter) => adapterMb.has(adapter))));
   }
-  const bench: Bench = { worker, holdings, freeMb: worker.roomMb, touched: false, cleared: false };
+  const bench: WorkerPlan = { worker, holdings, freeMb: worker.roomMb, changed: false, evicted: false };
   for (const model of holdings.keys()) bench.freeMb -= heldMb(bench, model, sizes, adapterMb);
-  bench.touched = holdings.size !== worker.holdings.length || bench.freeMb < 0;
+  bench.changed = holdings.size !== worker.holdings.length || bench.freeMb < 0;
   for (const model of [...holdings.keys()].reverse()) {
     if (bench.freeMb >= 0) break;
     bench.freeMb += heldMb(bench, model, sizes, adapterMb);
@@ -366,6 +366,6 @@
   return bench;
 }
 
-function toHoldings(bench: Bench): HoldingTarget[] {
+function toHoldings(bench: WorkerPlan): HoldingTarget[] {
   return [...bench.holdings].map(([model, adapters]) => ({ model, adapters: [...adapters].sort() }));
 }
--- a/packages/placement/src/store-budget.ts
+++ b/packages/placement/src/store-budget.ts
@@ -1,3 +1,4 @@
+/** The loads that the store of weights allows one service of the platform system. */
 import { loadsAtOnce, type Engine } from './engine.js';
 import { TokenBucket } from './token-bucket.js';
 
--- /dev/null
+++ b/packages/placement/src/unserved-demand.ts
@@ -0,0 +1,45 @@
+/** How long models and adapters were requested without being loaded anywhere; used by both systems. */
+
+/** Since when something was asked for and not served. */
+interface UnservedSpan {
+  readonly sinceMs: number;
+  lastRequestedMs: number;
+}
+
+/** Nobody has asked for it for so long: the next request begins anew. */
+const FORGET_MS = 30_000;
+
+/**
+ * Remembers since when models and adapters were asked for and could be had
+ * nowhere. It outlives the requests that waited: one that was given up still
+ * counts when the next one comes.
+ * @example
+ * unserved.recordRequested('assist/model-1', nowMs);
+ * unserved.ageMs('assist/model-1', nowMs); // 0, and grows
+ */
+export class UnservedDemand {
+  #spans = new Map<string, UnservedSpan>();
+
+  /** It is asked for, and can be had nowhere. */
+  recordRequested(key: string, nowMs: number): void {
+    const spell = this.#spans.get(key);
+    if (spell === undefined) this.#spans.set(key, { sinceMs: nowMs, lastRequestedMs: nowMs });
+    else spell.lastRequestedMs = nowMs;
+  }
+
+  /** It can be had. */
+  recordServed(key: string): void {
+    this.#spans.delete(key);
+  }
+
+  ageMs(key: string, nowMs: number): number {
+    const spell = this.#spans.get(key);
+    return spell === undefined ? 0 : nowMs - spell.sinceMs;
+  }
+
+  /** Forgets what nobody has asked for lately. */
+  expire(nowMs: number): void {
+    for (const [key, { lastRequestedMs }] of this.#spans)
+      if (nowMs - lastRequestedMs > FORGET_MS) this.#spans.delete(key);
+  }
+}
--- a/packages/placement/src/usage.ts
+++ b/packages/placement/src/usage.ts
@@ -1,8 +1,10 @@
+/** When models and adapters of the platform system were last used. */
+
 interface Use {
   /** When it was last in use; endless ago if it was only asked for. */
   usedMs: number;
   /** How long its requests can wait without loss; 0 if unknown. */
-  patienceMs: number;
+  meanTargetMs: number;
 }
 
 /**
@@ -15,13 +17,13 @@
 export class Usage {
   #uses = new Map<string, Use>();
 
-  used(key: string, nowMs: number): void {
+  recordUse(key: string, nowMs: number): void {
     this.#use(key).usedMs = nowMs;
   }
 
   /** Takes the mean patience of the requests for a model, where it is known. */
-  notePatience(key: string, patienceMs: number): void {
-    if (patienceMs > 0) this.#use(key).patienceMs = patienceMs;
+  recordTarget(key: string, patienceMs: number): void {
+    if (patienceMs > 0) this.#use(key).meanTargetMs = patienceMs;
   }
 
   /** How long it has not been used; endless if it never was. */
@@ -30,12 +32,12 @@
   }
 
   /** How long the requests for a model can wait without loss; 0 if none was seen. */
-  patienceMs(key: string): number {
-    return this.#uses.get(key)?.patienceMs ?? 0;
+  meanTargetMs(key: string): number {
+    return this.#uses.get(key)?.meanTargetMs ?? 0;
   }
 
   #use(key: string): Use {
-    const use = this.#uses.get(key) ?? { usedMs: -Infinity, patienceMs: 0 };
+    const use = this.#uses.get(key) ?? { usedMs: -Infinity, meanTargetMs: 0 };
     this.#uses.set(key, use);
     return use;
   }
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -1,3 +1,4 @@
+/** What one worker of the platform system has loaded, and the orders decided for it. */
 import type { Engine } from './engine.js';
 import { adapterCount, copyOf, usedMb, type Holdings } from './holdings.js';
 import type { WorkerReport } from './orders.js';
@@ -9,15 +10,15 @@
   /** Empty for the model itself. */
   readonly adapter: string;
   /** Whether the worker has said that it is at it. */
-  begun: boolean;
+  started: boolean;
   /** When it said so. */
-  begunMs: number;
+  startedMs: number;
   /** When it was last known to be at it still. */
   busyMs: number;
-  /** Whether an answer is waited for. */
-  posted: boolean;
-  /** How often the worker was busy with something else. */
-  refusals: number;
+  /** Whether the order was sent and has no reply yet. */
+  inFlight: boolean;
+  /** How often the worker replied that it is busy. */
+  busyReplies: number;
   notBeforeMs: number;
   /** When it will be done without another word. */
   doneMs: number;
@@ -33,19 +34,19 @@
     action,
     model,
     adapter,
-    begun: false,
-    begunMs: Infinity,
+    started: false,
+    startedMs: Infinity,
     busyMs: -Infinity,
-    posted: false,
-    refusals: 0,
+    inFlight: false,
+    busyReplies: 0,
     notBeforeMs,
     doneMs: Infinity,
   };
 }
 
 /** After a refusal a worker gets no new order for so long; twice as long after each further one. */
-const REFUSED_MS = 250;
-const REFUSED_MOST_MS = 4000;
+const REJECTED_BACKOFF_MS = 250;
+const REJECTED_BACKOFF_MAX_MS = 4000;
 
 /** Questions to one worker what it holds. */
 export interface ReportRequest {
@@ -71,7 +72,7 @@
   /** Models that are there and get no more requests: the first to give way, and back at once when wanted. */
   readonly retired = new Set<string>();
   /** Since when it holds a model. */
-  readonly sinceMs = new Map<string, number>();
+  readonly loadedSinceMs = new Map<string, number>();
   /** When it was asked what it holds. */
   readonly reportRequest: ReportRequest = { open: false, notBeforeMs: -Infinity, unanswered: 0 };
   /** How many orders it has taken; known once it has reported. */
@@ -79,11 +80,11 @@
   /** When it last took an order. */
   acceptedMs = -Infinity;
   /** Until when it is left alone after it refused orders. */
-  restsUntilMs = -Infinity;
+  backoffUntilMs = -Infinity;
   #holdings: Map<string, Set<string>>;
   #steps: Step[] = [];
   #planned: Map<string, Set<string>> | undefined;
-  #refusals = 0;
+  #rejections = 0;
 
   constructor(listed: Holdings) {
     this.#holdings = copyOf(listed);
@@ -111,7 +112,8 @@
     this.sequence = report.sequence;
     this.retired.clear();
     for (const model of report.holdings.keys()) this.onDisk.add(model);
-    for (const model of this.sinceMs.keys()) if (!report.holdings.has(model)) this.sinceMs.delete(model);
+    for (const model of this.loadedSinceMs.keys())
+      if (!report.holdings.has(model)) this.loadedSinceMs.delete(model);
     this.clear();
   }
 
@@ -127,16 +129,17 @@
   }
 
   /** The worker has taken an order. */
-  accepted(nowMs: number): void {
+  recordAccepted(nowMs: number): void {
     this.sequence += 1;
     this.acceptedMs = nowMs;
-    this.#refusals = 0;
+    this.#rejections = 0;
   }
 
   /** The worker has refused an order. */
-  refused(nowMs: number): void {
-    this.restsUntilMs = nowMs + Math.min(REFUSED_MOST_MS, REFUSED_MS * 2 ** this.#refusals);
-    this.#refusals += 1;
+  recordRejection(nowMs: number): void {
+    this.backoffUntilMs =
+      nowMs + Math.min(REJECTED_BACKOFF_MAX_MS, REJECTED_BACKOFF_MS * 2 ** this.#rejections);
+    this.#rejections += 1;
   }
 
   /** The first step is done. */
@@ -146,10 +149,10 @@
     applyStep(this.#holdings, step);
     this.#planned = undefined;
     if (step.adapter !== '') return;
-    if (step.action === 'unload') this.sinceMs.delete(step.model);
+    if (step.action === 'unload') this.loadedSinceMs.delete(step.model);
     else {
       this.onDisk.add(step.model);
-      this.sinceMs.set(step.model, nowMs);
+      this.loadedSinceMs.set(step.model, nowMs);
     }
   }
 
@@ -169,22 +172,22 @@
   }
 
   /** How long it has held a model; endless for one that it has held from the start. */
-  heldMs(model: string, nowMs: number): number {
-    return nowMs - (this.sinceMs.get(model) ?? -Infinity);
+  loadedForMs(model: string, nowMs: number): number {
+    return nowMs - (this.loadedSinceMs.get(model) ?? -Infinity);
   }
 
   /** In how many milliseconds all steps will be done, as far as can be told. */
   freeInMs(engine: Engine, diskPart: number, nowMs: number): number {
     let sumMs = 0;
-    for (const { action, model, adapter, begun, notBeforeMs } of this.#steps) {
+    for (const { action, model, adapter, started, notBeforeMs } of this.#steps) {
       if (action === 'unload' || adapter !== '') continue;
-      sumMs += begun ? Math.max(0, notBeforeMs - nowMs) : this.loadMs(engine, model, diskPart);
+      sumMs += started ? Math.max(0, notBeforeMs - nowMs) : this.loadMs(engine, model, diskPart);
     }
     return sumMs;
   }
 
   /** Whether a model is being loaded from the store of weights, or will be. */
-  get isFetching(): boolean {
+  get isLoadingFromStore(): boolean {
     return this.#steps.some(
       ({ action, model, adapter }) => action === 'load' && adapter === '' && !this.onDisk.has(model),
     );
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -1,3 +1,4 @@
+/** The workers of the platform system as its coordinator knows them, a versioned row each. */
 import { copyOf, type Holdings } from './holdings.js';
 
 /** One worker as the platform lists it. */
@@ -9,11 +10,11 @@
   readonly slots: number;
   readonly draining: boolean;
   readonly warmUpMs: number;
-  /** What it holds by its own word: adapters by model. */
+  /** What it reports as loaded: adapters by model. */
   readonly models: Holdings;
 }
 
-/** One incarnation of a worker as the holder of the duty knows it. */
+/** One incarnation of a worker as the holder of the singleton lease knows it. */
 export interface WorkerRecord {
   readonly id: string;
   readonly service: string;
@@ -21,21 +22,23 @@
   readonly zone: string;
   slots: number;
   draining: boolean;
-  gone: boolean;
-  coldUntilMs: number;
+  removed: boolean;
+  warmUpUntilMs: number;
   /** What requests may be sent for: adapters by model. */
   models: Map<string, Set<string>>;
   /** Percentage of the edges of a zone that may send to it; zones that are not named send freely. */
   limits: ReadonlyMap<string, number>;
   /** Grows with every change of any row. */
   number: number;
-  goneMs: number;
-  /** Whether its holdings are known for certain, by its own word; only then is it ordered. */
-  sure: boolean;
+  removedMs: number;
+  /** Whether the worker itself has reported its holdings; only then is it ordered. */
+  confirmed: boolean;
 }
 
+/** A row is dropped so long after its worker was removed, in milliseconds. */
 const FORGET_MS = 30_000;
-const COLD_STEP_MS = 400;
+/** The end of the warm-up must move by more than this to count as a new one, in milliseconds. */
+const WARM_UP_STEP_MS = 400;
 
 /** What changed in a table since it was last asked. */
 export interface TableChanges {
@@ -49,9 +52,9 @@
  * The table of workers, a numbered row each, so that a reader that has all
  * rows up to a number is told only what came after it.
  * @example
- * const book = new WorkerTable();
- * book.learn([listed], nowMs);
- * book.since(0); // every row
+ * const table = new WorkerTable();
+ * table.learn([listed], nowMs);
+ * table.since(0); // every row
  */
 export class WorkerTable {
   #rows = new Map<string, WorkerRecord>();
@@ -77,8 +80,8 @@
     return [...this.#rows.values()].filter((row) => row.number > number);
   }
 
-  /** Numbers a changed row anew; `model` is named where nothing but the copies of that model changed. */
-  changed(row: WorkerRecord, model?: string): void {
+  /** Gives a changed row a new number; `model` is named where nothing but the copies of that model changed. */
+  touch(row: WorkerRecord, model?: string): void {
     this.#number += 1;
     row.number = this.#number;
     if (model === undefined) this.#changedAll = true;
@@ -95,26 +98,26 @@
 
   /** Takes the platform's whole list. Holdings count only for incarnations that were not known: later ones follow from replies to orders. */
   learn(list: readonly ListedWorker[], nowMs: number): WorkerRecord[] {
-    const fresh: WorkerRecord[] = [];
-    const seen = new Set<string>();
+    const added: WorkerRecord[] = [];
+    const listedIds = new Set<string>();
     for (const listed of list) {
-      seen.add(listed.id);
+      listedIds.add(listed.id);
       const known = this.#rows.get(listed.id);
-      if (known === undefined) fresh.push(this.#enter(listed, nowMs));
+      if (known === undefined) added.push(this.#insert(listed, nowMs));
       else this.#update(known, listed, nowMs);
     }
     for (const row of this.#rows.values()) {
-      if (!seen.has(row.id) && !row.gone) {
-        row.gone = true;
-        row.goneMs = nowMs;
-        this.changed(row);
-      } else if (row.gone && nowMs - row.goneMs > FORGET_MS) this.#rows.delete(row.id);
+      if (!listedIds.has(row.id) && !row.removed) {
+        row.removed = true;
+        row.removedMs = nowMs;
+        this.touch(row);
+      } else if (row.removed && nowMs - row.removedMs > FORGET_MS) this.#rows.delete(row.id);
     }
-    return fresh;
+    return added;
   }
 
-  #enter(listed: ListedWorker, nowMs: number): WorkerRecord {
-    const { id, service, address, zone, slots, draining: leaving, warmUpMs: coldMs } = listed;
+  #insert(listed: ListedWorker, nowMs: number): WorkerRecord {
+    const { id, service, address, zone, slots, draining, warmUpMs } = listed;
     const models = copyOf(listed.models);
     const row: WorkerRecord = {
       id,
@@ -122,36 +125,36 @@
       address,
       zone,
       slots,
-      draining: leaving,
-      gone: false,
-      coldUntilMs: coldMs > 0 ? nowMs + coldMs : -Infinity,
+      draining,
+      removed: false,
+      warmUpUntilMs: warmUpMs > 0 ? nowMs + warmUpMs : -Infinity,
       models,
       limits: new Map(),
       number: 0,
-      goneMs: 0,
-      sure: false,
+      removedMs: 0,
+      confirmed: false,
     };
     this.#rows.set(id, row);
-    this.changed(row);
+    this.touch(row);
     return row;
   }
 
   #update(row: WorkerRecord, listed: ListedWorker, nowMs: number): void {
-    const coldUntilMs = listed.warmUpMs > 0 ? nowMs + listed.warmUpMs : -Infinity;
-    const cold = coldUntilMs > row.coldUntilMs + COLD_STEP_MS && coldUntilMs > nowMs;
+    const warmUpUntilMs = listed.warmUpMs > 0 ? nowMs + listed.warmUpMs : -Infinity;
+    const warmsUpAnew = warmUpUntilMs > row.warmUpUntilMs + WARM_UP_STEP_MS && warmUpUntilMs > nowMs;
     if (
       row.draining === listed.draining &&
-      !row.gone &&
-      !cold &&
+      !row.removed &&
+      !warmsUpAnew &&
       row.address === listed.address &&
       row.slots === listed.slots
     )
       return;
     row.draining = listed.draining;
-    row.gone = false;
+    row.removed = false;
     row.address = listed.address;
     row.slots = listed.slots;
-    if (cold) row.coldUntilMs = coldUntilMs;
-    this.changed(row);
+    if (warmsUpAnew) row.warmUpUntilMs = warmUpUntilMs;
+    this.touch(row);
   }
 }
--- a/packages/router/src/retry-budgets.ts
+++ b/packages/router/src/retry-budgets.ts
@@ -28,7 +28,7 @@
 
   /** A new request earns its part of a retry. */
   recordFirstAttempt(request: RoutedRequest): void {
-    this.#budget(request).first(this.#dependencies.retries.ratio);
+    this.#budget(request).recordFirstAttempt(this.#dependencies.retries.ratio);
   }
 
   /** Reserves a retry; false if the budget has none left. */
@@ -49,7 +49,7 @@
 
   /** Whether this edge's part of the allowance can ever pay for a retry. */
   canEverRetry(request: RoutedRequest): boolean {
-    return this.#budget(request).bearsRetries;
+    return this.#budget(request).canEverRetry;
   }
 
   #budget(request: RoutedRequest): RetryBudget {
@@ -60,7 +60,10 @@
       this.#byService.set(name, budget);
     }
     const { retries } = this.#dependencies;
-    budget.allot(this.#dependencies.incarnation(), retries.extra / Math.max(1, this.#dependencies.edges()));
+    budget.setAllowance(
+      this.#dependencies.incarnation(),
+      retries.extra / Math.max(1, this.#dependencies.edges()),
+    );
     return budget;
   }
 }
--- a/packages/simulator/src/metrics.ts
+++ b/packages/simulator/src/metrics.ts
@@ -31,7 +31,7 @@
 );
 
 const DAY_S = 40;
-const STILL: SiteLoops = { weights: { ...LOOP_SETTINGS, least: 1, most: 1 } };
+const STILL: SiteLoops = { weights: { ...LOOP_SETTINGS, min: 1, max: 1 } };
 const UNPLACED: SiteLoops = { placement: { ...SPEC_PLACER_SETTINGS, steps: 0 } };
 
 function callsOf(text: string): readonly Call[] {
