--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,6 +1,9 @@
 export * from './feedback-loop.js';
 export * from './spec-order-sender.js';
 export * from './spec-placer.js';
+export * from './spec-placer-settings.js';
+export type { SpecModelDemand } from './spec-placement-needs.js';
+export type { SpecPlacerWorker } from './spec-worker-plan.js';
 export * from './worker-table.js';
 export * from './engine.js';
 export { copyOf, type Holdings } from './holdings.js';
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -5,12 +5,10 @@
 import { Result } from 'true-myth';
 import { Loop } from './feedback-loop.js';
 import { SpecOrderSender, sizeMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
-import {
-  SpecPlacer,
-  SPEC_PLACER_SETTINGS,
-  type SpecModelDemand,
-  type SpecPlacerWorker,
-} from './spec-placer.js';
+import { SpecPlacer } from './spec-placer.js';
+import type { SpecModelDemand } from './spec-placement-needs.js';
+import { SPEC_PLACER_SETTINGS } from './spec-placer-settings.js';
+import type { SpecPlacerWorker } from './spec-worker-plan.js';
 
 function specOf(models: number, pullsPerMinute = 6000): Spec {
   const read = readSpec(
--- /dev/null
+++ b/packages/placement/src/spec-placement-needs.ts
@@ -0,0 +1,170 @@
+/** What the placement of the research groups' deployment lacks, and how urgently. */
+import type { Spec } from '@rainrun/configuration';
+import type { SpecPlacerSettings } from './spec-placer-settings.js';
+import type { WorkerPlan } from './spec-worker-plan.js';
+import { UnservedDemand } from './unserved-demand.js';
+
+/** Smoothed demand for one model, with the adapters requested. */
+export interface SpecModelDemand {
+  arrivalsPerS: number;
+  backlog: number;
+  /** Arrivals a second by adapter. */
+  readonly adapters: Map<string, number>;
+}
+
+/** A copy of a model, or an adapter at one, that is to be placed. */
+export interface PlacementNeed {
+  readonly model: string;
+  readonly adapter?: string;
+  /** Decides which need is met first. */
+  readonly urgency: number;
+  /** The pressure that it relieves: compared with the value of a copy that is evicted for it. */
+  readonly gain: number;
+  /** The same, grown by how long its model was requested without being served. */
+  readonly agedGain?: number;
+  readonly why: string;
+  /** Only in a zone that has none yet, so that it outlives the loss of a zone. */
+  readonly elsewhere?: boolean;
+}
+
+/** Demand by model. */
+export type SpecDemands = ReadonlyMap<string, SpecModelDemand>;
+
+/** Least demand for an adapter that counts, in arrivals a second. */
+const MIN_ADAPTER_PER_S = 0.01;
+
+/** Urgencies, besides the pressure; needs below 0 only fill free room. */
+const URGENCY = { missingModel: 10, missingAdapter: 5, secondZone: -0.5, adapterSecondZone: -0.6, spare: -1 };
+
+const NO_ADAPTERS = new Map<string, number>();
+
+/**
+ * Finds what is to be placed.
+ * @example
+ * const needs = new SpecPlacementNeeds(settings).find(spec, plans, demands, nowMs);
+ */
+export class SpecPlacementNeeds {
+  #settings: SpecPlacerSettings;
+  /** Models that are requested and loaded nowhere. */
+  #unserved = new UnservedDemand();
+
+  constructor(settings: SpecPlacerSettings) {
+    this.#settings = settings;
+  }
+
+  /** All needs, the most urgent first. */
+  find(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): PlacementNeed[] {
+    const turnMs = this.#turnMs(spec, plans, demands, nowMs);
+    const needs: PlacementNeed[] = [];
+    for (const { name: model } of spec.models) {
+      const demand = demands.get(model);
+      const copies = copiesOf(model, plans);
+      needs.push(...this.#copyNeeds(model, demand, copies, this.#unserved.ageMs(model, nowMs) / turnMs));
+      needs.push(...this.#adapterNeeds(model, demand, copies));
+    }
+    needs.push(...spareNeeds(spec, plans));
+    return needs.sort((one, other) => other.urgency - one.urgency);
+  }
+
+  /** The demand for a model in multiples of what its copies should carry. */
+  pressure(demand: SpecModelDemand | undefined, copies: readonly WorkerPlan[]): number {
+    if (demand === undefined) return 0;
+    const slots = copies.reduce(
+      (sum, plan) => sum + plan.worker.slots / Math.max(1, plan.holdings.size / 2),
+      0,
+    );
+    return (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.perSlotPerS * Math.max(1, slots));
+  }
+
+  /** @param turns - for how many turns the model was requested and not served */
+  #copyNeeds(
+    model: string,
+    demand: SpecModelDemand | undefined,
+    copies: readonly WorkerPlan[],
+    turns: number,
+  ): PlacementNeed[] {
+    const needs: PlacementNeed[] = [];
+    const pressure = this.pressure(demand, copies);
+    if (copies.length === 0)
+      needs.push({
+        model,
+        urgency: demand === undefined ? 0 : URGENCY.missingModel + pressure + turns,
+        gain: pressure,
+        agedGain: pressure * (1 + turns),
+        why: 'no copy',
+      });
+    else if (pressure > this.#settings.above)
+      needs.push({ model, urgency: pressure, gain: pressure, why: `pressure ${pressure.toFixed(2)}` });
+    if (demand !== undefined && isInOneZone(copies))
+      needs.push({ model, urgency: URGENCY.secondZone, gain: 0, why: 'one zone only', elsewhere: true });
+    return needs;
+  }
+
+  #adapterNeeds(
+    model: string,
+    demand: SpecModelDemand | undefined,
+    copies: readonly WorkerPlan[],
+  ): PlacementNeed[] {
+    const needs: PlacementNeed[] = [];
+    for (const [adapter, perS] of demand?.adapters ?? []) {
+      if (perS < MIN_ADAPTER_PER_S) continue;
+      const loaded = copies.filter((plan) => plan.holdings.get(model)?.has(adapter));
+      if (isInOneZone(loaded))
+        needs.push({
+          model,
+          adapter,
+          urgency: URGENCY.adapterSecondZone,
+          gain: 0,
+          why: `adapter ${adapter} in one zone only`,
+          elsewhere: true,
+        });
+      if (copies.length === 0 || loaded.length > 0) continue;
+      needs.push({
+        model,
+        adapter,
+        urgency: URGENCY.missingAdapter + perS,
+        gain: this.pressure({ arrivalsPerS: perS, backlog: 0, adapters: NO_ADAPTERS }, []),
+        why: `adapter ${adapter} asked for`,
+      });
+    }
+    return needs;
+  }
+
+  /** Records what is loaded nowhere; how long one turn lasts, so that all of it can be pulled meanwhile. */
+  #turnMs(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): number {
+    this.#unserved.expire(nowMs);
+    let missing = 0;
+    for (const { name: model } of spec.models) {
+      if (copiesOf(model, plans).length > 0) this.#unserved.recordServed(model);
+      else if (demands.has(model)) {
+        this.#unserved.recordRequested(model, nowMs);
+        missing += 1;
+      }
+    }
+    return Math.max(this.#settings.restMs, missing * msPerPull(spec));
+  }
+}
+
+/** Adapters that no copy of their model has, to fill free room. */
+function spareNeeds(spec: Spec, plans: readonly WorkerPlan[]): PlacementNeed[] {
+  const needs: PlacementNeed[] = [];
+  for (const { name: adapter, model } of spec.adapters) {
+    const copies = copiesOf(model, plans);
+    if (copies.length > 0 && !copies.some((plan) => plan.holdings.get(model)?.has(adapter)))
+      needs.push({ model, adapter, urgency: URGENCY.spare, gain: 0, why: 'room for an adapter' });
+  }
+  return needs;
+}
+
+/** Usable workers that are to have a model. */
+function copiesOf(model: string, plans: readonly WorkerPlan[]): WorkerPlan[] {
+  return plans.filter((plan) => plan.worker.usable && plan.holdings.has(model));
+}
+
+function msPerPull(spec: Spec): number {
+  return 60_000 / spec.store.pullsPerMinute;
+}
+
+function isInOneZone(plans: readonly WorkerPlan[]): boolean {
+  return new Set(plans.map((plan) => plan.worker.zone)).size === 1;
+}
