--- a/packages/gateway/src/backlog.ts
+++ b/packages/gateway/src/backlog.ts
@@ -1,13 +1,15 @@
-/** One waiting visit, by its key in the slab. */
+/** Requests of the research groups that wait for a worker, shared fairly between the groups. */
+
+/** One waiting request, by its key in the slab. */
 export interface Waiting {
   readonly key: number;
   readonly group: number;
-  /** When its first piece ought to come. */
+  /** When its first chunk should come. */
   readonly dueMs: number;
 }
 
 /**
- * Visits that wait for a worker, shared fairly: the group that has had least
+ * Requests that wait for a worker, shared fairly: the group that has had least
  * for its weight goes first; within a group, whoever is due first.
  * @example
  * const backlog = new Backlog();
--- a/packages/gateway/src/catalogue.ts
+++ b/packages/gateway/src/catalogue.ts
@@ -1,9 +1,10 @@
+/** A spec of the research groups' deployment, indexed for the gateway. */
 import type { Spec, SpecGroup } from '@rainrun/configuration';
 
 type Route = Spec['routes'][number];
 
 /**
- * A spec as the door reads it: by name and by path, whatever its size.
+ * A spec indexed by name and by path.
  * @example
  * const catalogue = new Catalogue(spec);
  * catalogue.route('/v1/lookup/turbines/7')?.pool; // 'specifications'
--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -1,3 +1,4 @@
+/** What the gateway of the research groups' deployment is given by its node. */
 import type { Spec } from '@rainrun/configuration';
 import type { RandomSource, Clock, FaultKind } from '@rainrun/common';
 import type { Sender } from './sender.js';
@@ -30,12 +31,13 @@
   edges(): readonly string[];
   /** This node's incarnation in the group. */
   incarnation(): string;
+  /** Whether this node holds a lease and may admit requests. */
   hasLease(): boolean;
   /** The weight of a group now, from its share and its loop. */
   weight(group: string): number;
 }
 
-/** What a visitor asked, as read from HTTP. */
+/** A client's request, as read from HTTP. */
 export interface GatewayRequestInit {
   readonly id: string;
   readonly path: string;
@@ -47,7 +49,7 @@
   readonly prefix: number;
   readonly streamed: boolean;
   readonly body: Uint8Array | undefined;
-  /** How long the visitor is ready to wait, from now; undefined without a wish. */
+  /** How long the client will wait from now, in milliseconds; undefined if it names no deadline. */
   readonly deadlineMs: number | undefined;
 }
 
--- a/packages/gateway/src/drain-rate.ts
+++ b/packages/gateway/src/drain-rate.ts
@@ -1,15 +1,18 @@
+/** When rejected clients of the research groups' gateway should retry. */
+
+/** Half-life of the rate. */
 const HALF_LIFE_MS = 5000;
-const LEAST_S = 1;
-const MOST_S = 60;
+const MIN_RETRY_AFTER_S = 1;
+const MAX_RETRY_AFTER_S = 60;
 
 /**
- * How fast a group's backlog drains at this edge, and from it when a refused
- * visitor should come back: once those who wait now are gone, and spread over
+ * How fast a group's backlog drains at this edge, and from it when a rejected
+ * client should retry: once those who wait now are gone, and spread over
  * as long again, so that a crowd does not return as one.
  * @example
- * const pace = new DrainRate();
- * pace.sent(nowMs);
- * pace.returnS(40, 0.5, nowMs); // seconds
+ * const rate = new DrainRate();
+ * rate.sent(nowMs);
+ * rate.retryAfterS(40, 0.5, nowMs); // seconds
  */
 export class DrainRate {
   #perS = 0;
@@ -17,19 +20,19 @@
 
   /** One of the group's requests has left for a worker. */
   sent(nowMs: number): void {
-    this.#fade(nowMs);
+    this.#decay(nowMs);
     this.#perS += (Math.LN2 / HALF_LIFE_MS) * 1000;
   }
 
   /** `chance` in [0, 1) spreads those who are told at the same moment. */
   retryAfterS(waiting: number, chance: number, nowMs: number): number {
-    this.#fade(nowMs);
-    const drainS = waiting === 0 ? LEAST_S : waiting / Math.max(this.#perS, 0.01);
-    const spreadS = Math.min(MOST_S, Math.max(LEAST_S, drainS)) * (1 + chance);
+    this.#decay(nowMs);
+    const drainS = waiting === 0 ? MIN_RETRY_AFTER_S : waiting / Math.max(this.#perS, 0.01);
+    const spreadS = Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, drainS)) * (1 + chance);
     return Math.ceil(spreadS);
   }
 
-  #fade(nowMs: number): void {
+  #decay(nowMs: number): void {
     this.#perS *= 0.5 ** ((nowMs - this.#atMs) / HALF_LIFE_MS);
     this.#atMs = nowMs;
   }
--- a/packages/gateway/src/gateway-request.ts
+++ b/packages/gateway/src/gateway-request.ts
@@ -1,22 +1,23 @@
+/** A request at the gateway of the research groups' deployment, and where its response goes. */
 import type { Fault } from '@rainrun/common';
 
-/** The visitor's end of a request. Each answer is given once. */
+/** Where the response to a request goes. Each request gets one response. */
 export interface GatewayResponseSink {
-  /** A whole answer. */
+  /** A complete response. */
   respond(status: number, contentType: string, body: Uint8Array): void;
-  /** A refusal or failure from the table of kinds. */
+  /** A rejection or failure, by the table of fault kinds. */
   reject(fault: Fault): void;
-  /** Opens a streamed answer. */
+  /** Starts a streamed response. */
   open(contentType: string): void;
-  /** One more piece; false asks to pause until `resume`. */
+  /** One more chunk; false asks to pause until `resume`. */
   write(bytes: Uint8Array, resume: () => void): boolean;
-  /** Ends a stream that is whole. */
+  /** Ends a stream as complete. */
   close(): void;
-  /** Ends a stream so that the visitor sees that it was cut. */
+  /** Ends a stream so that the client sees that it is incomplete. */
   abort(): void;
 }
 
-/** What a visitor asks for, in dense indices. */
+/** A request in the gateway; names as dense indices, times on the monotonic clock. */
 export interface GatewayRequest {
   readonly id: string;
   readonly sink: GatewayResponseSink;
@@ -35,7 +36,7 @@
   readonly targetMs: number;
   readonly maxWaitMs: number;
   readonly deadlineMs: number;
-  /** Set once the visitor has gone. */
+  /** Set once the client has left. */
   clientLeft: boolean;
   attempts: number;
   /** Set once its first byte has left for a worker. */
@@ -46,6 +47,6 @@
   worker: string;
   cancel: (() => void) | undefined;
   firstChunkMs: number | undefined;
-  /** Where the request went and why, for `explain`. */
+  /** Where the request was sent and why, for `explain`. */
   readonly decisions: string[];
 }
--- a/packages/gateway/src/gateway.test.ts
+++ b/packages/gateway/src/gateway.test.ts
@@ -516,11 +516,11 @@
   });
 
   it('tells who is refused to come back as the backlog drains, and not all at once', () => {
-    const pace = new DrainRate();
-    const idle = pace.retryAfterS(0, 0, 0);
-    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) pace.sent(nowMs);
-    const told = [0, 0.5, 0.99].map((chance) => pace.retryAfterS(40, chance, 60_000));
-    expect([idle, told, pace.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
+    const rate = new DrainRate();
+    const idle = rate.retryAfterS(0, 0, 0);
+    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.sent(nowMs);
+    const told = [0, 0.5, 0.99].map((chance) => rate.retryAfterS(40, chance, 60_000));
+    expect([idle, told, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
   it('a stream watch knows a whole stream', () => {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,3 +1,4 @@
+/** The data plane of an edge of the research groups' deployment: admission, backlog, sends and their ends. */
 import { EventEmitter } from 'eventemitter3';
 import type { Spec, SpecGroup } from '@rainrun/configuration';
 import { fault, NameIndex, Slab, type Fault } from '@rainrun/common';
@@ -17,10 +18,14 @@
   ended: (record: EndRecord) => void;
 }
 
-type Filter = (visit: GatewayRequest) => Fault | undefined;
+/** A check on admission; returns why a request is rejected. */
+type Filter = (request: GatewayRequest) => Fault | undefined;
 
+/** Deadline of a request that names none, from its arrival. */
 const DEADLINE_MS = 120_000;
+/** A send fails after this time without a byte from the worker. */
 const STALL_MS = 15_000;
+/** The same for lookups, which can be sent again. */
 const LOOKUP_SEND_MS = 1500;
 
 /**
@@ -29,7 +34,7 @@
  * Work that may not be repeated is sent once.
  * @example
  * const gateway = new Gateway(dependencies);
- * const leave = gateway.admit(ask, port);
+ * const clientLeft = gateway.admit(init, sink);
  * gateway.tick(); // every 20 ms and after each change
  */
 export class Gateway extends EventEmitter<GatewayEvents> {
@@ -59,7 +64,7 @@
     this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
     this.#selector = new WorkerSelector(dependencies.name, dependencies.zone);
     this.#unconfirmed = new UnconfirmedSends(dependencies.sender);
-    this.#filters = [(visit) => this.#checkAdmitting(visit), (visit) => this.#checkKnown(visit)];
+    this.#filters = [(request) => this.#checkAdmitting(request), (request) => this.#checkKnown(request)];
   }
 
   get inFlight(): number {
@@ -81,49 +86,49 @@
       for (const { key } of [...lane]) this.#giveUp(key, fault('draining', 'this node is stopping'));
   }
 
-  /** Lets a visitor in; the returned function says that the visitor has left. */
-  admit(ask: GatewayRequestInit, port: GatewayResponseSink): () => void {
+  /** Admits or rejects a request; the returned function is to be called when the client leaves. */
+  admit(init: GatewayRequestInit, sink: GatewayResponseSink): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
-    const visit = this.#newRequest(ask, port, nowMs);
+    const request = this.#newRequest(init, sink, nowMs);
     this.#count('entered');
     for (const filter of this.#filters) {
-      const refused = filter(visit);
+      const refused = filter(request);
       if (refused === undefined) continue;
-      this.#reject(visit, refused);
+      this.#reject(request, refused);
       return () => undefined;
     }
-    this.#noteArrival(visit, nowMs);
-    const key = this.#wait(visit);
+    this.#noteArrival(request, nowMs);
+    const key = this.#wait(request);
     this.tick();
-    const crowded = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(visit);
-    if (crowded !== undefined) this.#giveUp(key, crowded);
-    return () => this.#onClientLeft(visit);
+    const overBacklog = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(request);
+    if (overBacklog !== undefined) this.#giveUp(key, overBacklog);
+    return () => this.#onClientLeft(request);
   }
 
-  /** A request with its names as indices; what the spec does not know stands as the empty name. */
-  #newRequest(ask: GatewayRequestInit, port: GatewayResponseSink, nowMs: number): GatewayRequest {
+  /** A request with its names as indices; names that the spec does not know become the empty name. */
+  #newRequest(init: GatewayRequestInit, sink: GatewayResponseSink, nowMs: number): GatewayRequest {
     const catalogue = this.#catalogue();
-    const route = catalogue?.route(ask.path);
-    const group = catalogue?.group(ask.group);
-    const kind = kindOf(group, ask.kind);
+    const route = catalogue?.route(init.path);
+    const group = catalogue?.group(init.group);
+    const kind = kindOf(group, init.kind);
     return {
-      id: ask.id,
-      sink: port,
+      id: init.id,
+      sink,
       group: this.#groups.index(group?.name ?? ''),
       kind: this.#kinds.index(kind?.name ?? ''),
-      model: this.#models.index(ask.model),
-      adapter: this.#adapters.index(ask.adapter),
-      prefix: ask.prefix,
+      model: this.#models.index(init.model),
+      adapter: this.#adapters.index(init.adapter),
+      prefix: init.prefix,
       idempotent: route?.serve === 'lookup',
-      streamed: ask.streamed,
-      path: ask.path,
-      method: ask.method,
-      body: ask.body,
+      streamed: init.streamed,
+      path: init.path,
+      method: init.method,
+      body: init.body,
       pool: route?.pool ?? '',
       arrivedMs: nowMs,
       targetMs: kind?.targetMs ?? 0,
       maxWaitMs: kind?.patienceMs ?? 0,
-      deadlineMs: nowMs + (ask.deadlineMs ?? DEADLINE_MS),
+      deadlineMs: nowMs + (init.deadlineMs ?? DEADLINE_MS),
       clientLeft: false,
       attempts: 0,
       started: false,
@@ -135,18 +140,18 @@
     };
   }
 
-  /** Gives up what has waited too long, and sends what can be sent now. */
+  /** Rejects what has waited too long, and sends what can be sent now. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const lane of this.#backlog.order()) {
       for (const { key } of [...lane]) {
-        const visit = this.#slab.get(key);
-        if (visit === undefined) continue;
-        const waitedMs = nowMs - visit.arrivedMs;
-        if (nowMs > visit.deadlineMs)
+        const request = this.#slab.get(key);
+        if (request === undefined) continue;
+        const waitedMs = nowMs - request.arrivedMs;
+        if (nowMs > request.deadlineMs)
           this.#giveUp(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
-        else if (waitedMs > visit.maxWaitMs)
-          this.#giveUp(key, fault('no-worker', visit.decisions.at(-1) ?? 'no worker came free in time'));
+        else if (waitedMs > request.maxWaitMs)
+          this.#giveUp(key, fault('no-worker', request.decisions.at(-1) ?? 'no worker came free in time'));
       }
     }
     for (const send of [...this.#sends]) if (nowMs > send.deadlineMs) send.expire();
@@ -160,9 +165,9 @@
     const backlogs = new Map<string, number>();
     for (const lane of this.#backlog.order()) {
       for (const { key } of lane) {
-        const visit = this.#slab.get(key);
-        if (visit === undefined || visit.idempotent) continue;
-        const name = this.#demandKey(visit);
+        const request = this.#slab.get(key);
+        if (request === undefined || request.idempotent) continue;
+        const name = this.#demandKey(request);
         backlogs.set(name, (backlogs.get(name) ?? 0) + 1);
       }
     }
@@ -180,12 +185,12 @@
 
   // Filters.
 
-  #checkAdmitting(visit: GatewayRequest): Fault | undefined {
+  #checkAdmitting(request: GatewayRequest): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
     if (!this.#dependencies.hasLease())
       return fault('not-admitting', 'this node is cut off from most others');
     if (this.#dependencies.spec() === undefined) return fault('not-admitting', 'no spec has been agreed yet');
-    return visit.deadlineMs <= visit.arrivedMs
+    return request.deadlineMs <= request.arrivedMs
       ? fault('deadline-past', 'the deadline has passed')
       : undefined;
   }
@@ -198,52 +203,52 @@
     return this.#catalogued?.catalogue;
   }
 
-  #checkKnown(visit: GatewayRequest): Fault | undefined {
+  #checkKnown(request: GatewayRequest): Fault | undefined {
     const catalogue = this.#catalogue();
-    if (visit.pool === '') return fault('not-found', `no route for ${visit.path}`);
-    const name = this.#groups.name(visit.group);
+    if (request.pool === '') return fault('not-found', `no route for ${request.path}`);
+    const name = this.#groups.name(request.group);
     const group = catalogue?.group(name);
     if (catalogue === undefined || group === undefined)
       return fault('unknown-group', 'the group is not in the spec');
-    if (this.#kinds.name(visit.kind) === '')
+    if (this.#kinds.name(request.kind) === '')
       return fault('bad-request', `group ${name} has no such kind of work`);
-    if (visit.idempotent) return undefined;
-    const model = this.#models.name(visit.model);
+    if (request.idempotent) return undefined;
+    const model = this.#models.name(request.model);
     if (!catalogue.serves(group, model)) {
       return fault('unknown-model', `group ${name} has no model "${model}"`);
     }
-    const adapter = this.#adapters.name(visit.adapter);
+    const adapter = this.#adapters.name(request.adapter);
     return adapter === '' || catalogue.hasAdapter(model, adapter)
       ? undefined
       : fault('unknown-model', `model ${model} has no adapter "${adapter}"`);
   }
 
   /** A group may not have more waiting than its share; what can be sent at once does not wait. */
-  #overBacklog(visit: GatewayRequest): Fault | undefined {
-    const most = this.#shares.mostWaiting(visit.group);
-    if (this.#backlog.countOf(visit.group) <= most) return undefined;
+  #overBacklog(request: GatewayRequest): Fault | undefined {
+    const maxWaiting = this.#shares.mostWaiting(request.group);
+    if (this.#backlog.countOf(request.group) <= maxWaiting) return undefined;
     return fault(
       'over-share',
-      `${most} requests of group ${this.#groups.name(visit.group)} wait here already`,
+      `${maxWaiting} requests of group ${this.#groups.name(request.group)} wait here already`,
     );
   }
 
   // Waiting and sending.
 
-  #wait(visit: GatewayRequest): number {
-    const key = this.#slab.put(visit);
-    visit.cancel = () => {
-      if (this.#slab.take(key) !== undefined) this.#backlog.remove(key, visit.group);
+  #wait(request: GatewayRequest): number {
+    const key = this.#slab.put(request);
+    request.cancel = () => {
+      if (this.#slab.take(key) !== undefined) this.#backlog.remove(key, request.group);
     };
-    this.#backlog.put({ key, group: visit.group, dueMs: visit.arrivedMs + visit.targetMs });
+    this.#backlog.put({ key, group: request.group, dueMs: request.arrivedMs + request.targetMs });
     return key;
   }
 
   #giveUp(key: number, why: Fault): void {
-    const visit = this.#slab.take(key);
-    if (visit === undefined) return;
-    this.#backlog.remove(key, visit.group);
-    this.#reject(visit, why);
+    const request = this.#slab.take(key);
+    if (request === undefined) return;
+    this.#backlog.remove(key, request.group);
+    this.#reject(request, why);
   }
 
   #sendNext(nowMs: number): boolean {
@@ -252,79 +257,81 @@
     const nowhere = new Set<string>();
     for (const lane of this.#backlog.order()) {
       for (const { key, group } of lane) {
-        const visit = this.#slab.get(key);
-        if (visit === undefined) continue;
-        if (!visit.idempotent && this.#shares.isHeldBack(group)) continue;
-        const wanted = this.#need(visit);
-        const need = `${visit.pool}/${this.#demandKey(visit)}/${wanted.overShare}`;
+        const request = this.#slab.get(key);
+        if (request === undefined) continue;
+        if (!request.idempotent && this.#shares.isHeldBack(group)) continue;
+        const wanted = this.#need(request);
+        const need = `${request.pool}/${this.#demandKey(request)}/${wanted.overShare}`;
         if (nowhere.has(need)) continue;
         const assignment = this.#selector.select(wanted, workers, edges, nowMs);
-        if (visit.decisions.at(-1) !== assignment.why) visit.decisions.push(assignment.why);
+        if (request.decisions.at(-1) !== assignment.why) request.decisions.push(assignment.why);
         if (assignment.worker === undefined) {
           nowhere.add(need);
           continue;
         }
         this.#slab.take(key);
         this.#backlog.remove(key, group);
-        this.#send(visit, assignment.worker);
+        this.#send(request, assignment.worker);
         return true;
       }
     }
     return false;
   }
 
-  #need(visit: GatewayRequest): WorkerRequirement {
+  #need(request: GatewayRequest): WorkerRequirement {
     return {
-      pool: visit.pool,
-      model: visit.idempotent ? '' : this.#models.name(visit.model),
-      adapter: visit.idempotent ? '' : this.#adapters.name(visit.adapter),
-      prefix: visit.prefix,
+      pool: request.pool,
+      model: request.idempotent ? '' : this.#models.name(request.model),
+      adapter: request.idempotent ? '' : this.#adapters.name(request.adapter),
+      prefix: request.prefix,
       overShare:
-        !visit.idempotent && this.#shares.hasItsPart(visit.group) && this.#shares.shareOf(visit.group) < 1,
+        !request.idempotent &&
+        this.#shares.hasItsPart(request.group) &&
+        this.#shares.shareOf(request.group) < 1,
     };
   }
 
-  #send(visit: GatewayRequest, worker: GatewayWorker): void {
+  #send(request: GatewayRequest, worker: GatewayWorker): void {
     const { clock, sender } = this.#dependencies;
     const nowMs = clock.nowMs();
-    visit.attempts += 1;
-    visit.worker = worker.name;
-    this.#selector.sendStarted(worker.name, visit.prefix);
-    this.#backlog.charge(visit.group, this.#dependencies.weight(this.#groups.name(visit.group)));
-    this.#shares.begun(visit.group);
-    this.#drainRate(visit.group).sent(nowMs);
+    request.attempts += 1;
+    request.worker = worker.name;
+    this.#selector.sendStarted(worker.name, request.prefix);
+    this.#backlog.charge(request.group, this.#dependencies.weight(this.#groups.name(request.group)));
+    this.#shares.begun(request.group);
+    this.#drainRate(request.group).sent(nowMs);
     this.#count('sends');
-    const send = new Send(visit, worker, {
+    const send = new Send(request, worker, {
       nowMs: () => clock.nowMs(),
-      mayStart: () => this.#mayStart(visit, worker) && this.#retries.pay(visit),
-      over: (end) => {
+      mayStart: () => this.#mayStart(request, worker) && this.#retries.pay(request),
+      onEnd: (end) => {
         this.#sends.delete(send);
-        this.#onSendEnd(visit, worker, end);
+        this.#onSendEnd(request, worker, end);
       },
     });
     this.#sends.add(send);
-    const stallMs = visit.idempotent ? LOOKUP_SEND_MS : STALL_MS;
+    const stallMs = request.idempotent ? LOOKUP_SEND_MS : STALL_MS;
     const sending = sender.send(
       {
         address: worker.address,
-        method: visit.method,
-        path: visit.path,
-        headers: { 'content-type': 'application/json', 'rainrun-id': visit.id },
-        body: visit.body,
-        stallMs: Math.max(1, Math.min(stallMs, visit.deadlineMs - nowMs)),
+        method: request.method,
+        path: request.path,
+        headers: { 'content-type': 'application/json', 'rainrun-id': request.id },
+        body: request.body,
+        stallMs: Math.max(1, Math.min(stallMs, request.deadlineMs - nowMs)),
       },
       send,
     );
     send.attach(sending);
-    visit.cancel = () => send.leave();
+    request.cancel = () => send.clientLeft();
   }
 
-  /** The last look before the first byte. */
-  #mayStart(visit: GatewayRequest, worker: GatewayWorker): boolean {
+  /** The last check before the first byte. */
+  #mayStart(request: GatewayRequest, worker: GatewayWorker): boolean {
     if (
-      visit.clientLeft ||
+      request.clientLeft ||
       !this.#dependencies.hasLease() ||
-      this.#dependencies.clock.nowMs() > visit.deadlineMs
+      this.#dependencies.clock.nowMs() > request.deadlineMs
     )
       return false;
     return mayServe(this.#dependencies.workers(), worker);
@@ -345,49 +352,49 @@
     );
   }
 
-  #onSendEnd(visit: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
+  #onSendEnd(request: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#shares.ended(visit.group);
+    this.#shares.ended(request.group);
     this.#selector.sendEnded(worker.name, end.succeeded, nowMs);
-    if (end.done === undefined && end.tried && !visit.clientLeft)
+    if (end.done === undefined && end.tried && !request.clientLeft)
       this.#selector.recordRestartRisk(worker.name, nowMs);
     if (!end.succeeded) this.#measures.failed(worker.name);
-    visit.cancel = undefined;
-    if (visit.clientLeft) return this.#ended(visit, 'visitor-left');
-    const mayRetry = end.done === undefined && !this.#draining && this.#retries.mayRetry(visit, end, nowMs);
-    if (mayRetry) this.#wait(visit);
-    else if (end.done === undefined) this.#reject(visit, end.fault);
+    request.cancel = undefined;
+    if (request.clientLeft) return this.#ended(request, 'visitor-left');
+    const mayRetry = end.done === undefined && !this.#draining && this.#retries.mayRetry(request, end, nowMs);
+    if (mayRetry) this.#wait(request);
+    else if (end.done === undefined) this.#reject(request, end.fault);
     else {
-      if (end.done === 'served') this.#measureServed(visit, nowMs);
-      this.#ended(visit, end.done);
+      if (end.done === 'served') this.#measureServed(request, nowMs);
+      this.#ended(request, end.done);
     }
     this.tick();
   }
 
-  #onClientLeft(visit: GatewayRequest): void {
-    if (visit.clientLeft) return;
-    visit.clientLeft = true;
-    const cancel = visit.cancel;
-    const waiting = visit.attempts === 0;
-    visit.cancel = undefined;
+  #onClientLeft(request: GatewayRequest): void {
+    if (request.clientLeft) return;
+    request.clientLeft = true;
+    const cancel = request.cancel;
+    const waiting = request.attempts === 0;
+    request.cancel = undefined;
     cancel?.();
-    if (cancel !== undefined && waiting) this.#ended(visit, 'visitor-left');
+    if (cancel !== undefined && waiting) this.#ended(request, 'visitor-left');
   }
 
   // Counting.
 
-  #reject(visit: GatewayRequest, why: Fault): void {
-    visit.sink.reject(this.#withRetryAfter(visit, why));
-    this.#measures.refused(this.#groups.name(visit.group), this.#kinds.name(visit.kind));
-    visit.decisions.push(`${why.kind}: ${why.detail}`);
-    this.#ended(visit, why.kind);
+  #reject(request: GatewayRequest, why: Fault): void {
+    request.sink.reject(this.#withRetryAfter(request, why));
+    this.#measures.refused(this.#groups.name(request.group), this.#kinds.name(request.kind));
+    request.decisions.push(`${why.kind}: ${why.detail}`);
+    this.#ended(request, why.kind);
   }
 
-  /** Who is refused for want of room is told when to come back: as the group's backlog drains. */
-  #withRetryAfter(visit: GatewayRequest, why: Fault): Fault {
+  /** A request rejected for want of capacity gets a time to retry after: as the group's backlog drains. */
+  #withRetryAfter(request: GatewayRequest, why: Fault): Fault {
     if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
-    const waiting = this.#backlog.countOf(visit.group);
-    const returnS = this.#drainRate(visit.group).retryAfterS(
+    const waiting = this.#backlog.countOf(request.group);
+    const returnS = this.#drainRate(request.group).retryAfterS(
       waiting,
       this.#dependencies.chance.next(),
       this.#dependencies.clock.nowMs(),
@@ -399,26 +406,26 @@
     return (this.#drainRates[group] ??= new DrainRate());
   }
 
-  #ended(visit: GatewayRequest, outcome: EndRecord['outcome']): void {
+  #ended(request: GatewayRequest, outcome: EndRecord['outcome']): void {
     this.#count(outcome);
-    this.#retries.release(visit);
+    this.#retries.release(request);
     this.emit('ended', {
-      id: visit.id,
-      group: this.#groups.name(visit.group),
-      kind: this.#kinds.name(visit.kind),
-      model: this.#models.name(visit.model),
-      adapter: this.#adapters.name(visit.adapter),
-      path: visit.path,
-      stream: visit.streamed,
-      prefix: visit.prefix,
-      body: visit.body,
-      worker: visit.worker,
+      id: request.id,
+      group: this.#groups.name(request.group),
+      kind: this.#kinds.name(request.kind),
+      model: this.#models.name(request.model),
+      adapter: this.#adapters.name(request.adapter),
+      path: request.path,
+      stream: request.streamed,
+      prefix: request.prefix,
+      body: request.body,
+      worker: request.worker,
       outcome,
-      arrivedMs: visit.arrivedMs,
-      firstPieceMs: visit.firstChunkMs,
+      arrivedMs: request.arrivedMs,
+      firstPieceMs: request.firstChunkMs,
       endedMs: this.#dependencies.clock.nowMs(),
-      sends: visit.attempts,
-      trail: visit.decisions,
+      sends: request.attempts,
+      trail: request.decisions,
     });
   }
 
@@ -426,24 +433,24 @@
     this.#counts.set(name, (this.#counts.get(name) ?? 0) + 1);
   }
 
-  #measureServed(visit: GatewayRequest, nowMs: number): void {
-    const waitMs = (visit.firstChunkMs ?? nowMs) - visit.arrivedMs;
+  #measureServed(request: GatewayRequest, nowMs: number): void {
+    const waitMs = (request.firstChunkMs ?? nowMs) - request.arrivedMs;
     this.#measures.served(
-      this.#groups.name(visit.group),
-      this.#kinds.name(visit.kind),
+      this.#groups.name(request.group),
+      this.#kinds.name(request.kind),
       waitMs,
-      visit.targetMs,
+      request.targetMs,
     );
   }
 
-  #demandKey(visit: GatewayRequest): string {
-    return demandKey(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
+  #demandKey(request: GatewayRequest): string {
+    return demandKey(this.#models.name(request.model), this.#adapters.name(request.adapter));
   }
 
-  #noteArrival(visit: GatewayRequest, nowMs: number): void {
-    this.#shares.asked(visit.group, nowMs);
-    if (!visit.idempotent)
-      this.#measures.arrived(this.#models.name(visit.model), this.#adapters.name(visit.adapter));
+  #noteArrival(request: GatewayRequest, nowMs: number): void {
+    this.#shares.asked(request.group, nowMs);
+    if (!request.idempotent)
+      this.#measures.arrived(this.#models.name(request.model), this.#adapters.name(request.adapter));
   }
 }
 
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -5,14 +5,14 @@
 import type { GatewayRequest } from './gateway-request.js';
 
 /** A request leaves so often at most. */
-const SENDS_MOST = 4;
+const MAX_ATTEMPTS = 4;
 
 /**
  * This edge's retries: first sends earn a part of one, each further send
  * costs one. A retry is reserved when a send has failed, and spent when the
  * request leaves again.
  * @example
- * if (retries.mayRetry(visit, end, nowMs)) wait(visit);
+ * if (retries.mayRetry(request, end, nowMs)) wait(request);
  */
 export class Retries {
   #dependencies: GatewayDependencies;
@@ -25,17 +25,17 @@
   }
 
   /** Whether a failed send may be followed by another. */
-  mayRetry(visit: GatewayRequest, end: SendEnd, nowMs: number): boolean {
-    if (nowMs > visit.deadlineMs || visit.attempts >= SENDS_MOST) return false;
-    if (end.sent && !visit.idempotent) return false;
+  mayRetry(request: GatewayRequest, end: SendEnd, nowMs: number): boolean {
+    if (nowMs > request.deadlineMs || request.attempts >= MAX_ATTEMPTS) return false;
+    if (end.sent && !request.idempotent) return false;
     if (!end.sent && !end.tried) {
-      visit.attempts -= 1;
-      return visit.retry !== 'lost';
+      request.attempts -= 1;
+      return request.retry !== 'lost';
     }
     this.#allot();
-    if (visit.retry === 'reserved') this.#budget.spend();
-    visit.retry = this.#budget.reserve() ? 'reserved' : 'lost';
-    if (visit.retry === 'lost') {
+    if (request.retry === 'reserved') this.#budget.spend();
+    request.retry = this.#budget.reserve() ? 'reserved' : 'lost';
+    if (request.retry === 'lost') {
       this.#count('retries-refused');
       return false;
     }
@@ -44,20 +44,20 @@
   }
 
   /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
-  pay(visit: GatewayRequest): boolean {
+  pay(request: GatewayRequest): boolean {
     this.#allot();
-    if (visit.retry === 'reserved') {
-      visit.retry = this.#budget.spend() ? 'none' : 'lost';
-      return visit.retry === 'none';
+    if (request.retry === 'reserved') {
+      request.retry = this.#budget.spend() ? 'none' : 'lost';
+      return request.retry === 'none';
     }
-    if (!visit.started) this.#budget.recordFirstAttempt(this.#dependencies.spec()?.retries.ratio ?? 0);
-    visit.started = true;
+    if (!request.started) this.#budget.recordFirstAttempt(this.#dependencies.spec()?.retries.ratio ?? 0);
+    request.started = true;
     return true;
   }
 
   /** A request has ended: a retry that it did not use is given back. */
-  release(visit: GatewayRequest): void {
-    if (visit.retry === 'reserved') this.#budget.release();
+  release(request: GatewayRequest): void {
+    if (request.retry === 'reserved') this.#budget.release();
   }
 
   /** The allowance is parted among the edges of the view; outside of it there is none. */
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,12 +1,14 @@
+/** One send of a request to one worker of the research groups' deployment. */
 import { fault, type Fault } from '@rainrun/common';
 import { StreamWatch } from './stream.js';
 import type { GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
 import type { GatewayRequest } from './gateway-request.js';
 
-const WHOLE_MAX_BYTES = 8 * 1024 * 1024;
+/** Largest plain response that is buffered. */
+const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** How a send ended; `done` is set when the visitor has had an answer. */
+/** How a send ended; `done` is set when the client has had a response. */
 export interface SendEnd {
   readonly done: 'served' | 'cut' | undefined;
   readonly succeeded: boolean;
@@ -21,54 +23,55 @@
 export interface SendContext {
   nowMs(): number;
   mayStart(): boolean;
-  over(end: SendEnd): void;
+  /** Called once. */
+  onEnd(end: SendEnd): void;
 }
 
 const NO_FAULT = fault('outcome-unknown', '');
 
 /**
- * One send: takes the worker's reply apart and passes it on to the visitor.
+ * One send: checks the worker's response and forwards it to the client.
  * @example
- * const send = new Send(visit, worker, context);
+ * const send = new Send(request, worker, context);
  * send.attach(sender.send(request, send));
  */
 export class Send implements SendHandler {
-  #visit: GatewayRequest;
+  #request: GatewayRequest;
   #worker: GatewayWorker;
   #context: SendContext;
   #sending: Sending | undefined;
   #status = 0;
   #contentType = '';
-  #watch: StreamWatch | undefined;
-  #whole: Buffer[] = [];
-  #wholeBytes = 0;
+  #stream: StreamWatch | undefined;
+  #body: Buffer[] = [];
+  #bodyBytes = 0;
   #opened = false;
   #started = false;
   #withheld = false;
-  #over = false;
+  #ended = false;
 
-  constructor(visit: GatewayRequest, worker: GatewayWorker, context: SendContext) {
-    this.#visit = visit;
+  constructor(request: GatewayRequest, worker: GatewayWorker, context: SendContext) {
+    this.#request = request;
     this.#worker = worker;
     this.#context = context;
   }
 
   attach(sending: Sending): void {
     this.#sending = sending;
-    if (this.#over) sending.abort();
+    if (this.#ended) sending.abort();
   }
 
   get worker(): GatewayWorker {
     return this.#worker;
   }
 
-  /** Sent, and no word of the worker yet. */
+  /** Sent, and no response of the worker yet. */
   get silent(): boolean {
-    return this.#started && this.#status === 0 && !this.#over;
+    return this.#started && this.#status === 0 && !this.#ended;
   }
 
   get deadlineMs(): number {
-    return this.#visit.deadlineMs;
+    return this.#request.deadlineMs;
   }
 
   /** The deadline has passed while the worker was at it. */
@@ -84,14 +87,14 @@
     this.#sending?.abort();
   }
 
-  /** The visitor has left: the worker's connection is closed. */
-  leave(): void {
-    this.#finish({ done: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+  /** The client has left: the worker's connection is closed. */
+  clientLeft(): void {
+    this.#end({ done: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
     this.#sending?.abort();
   }
 
   mayStart(): boolean {
-    if (this.#over) return false;
+    if (this.#ended) return false;
     this.#started = this.#context.mayStart();
     this.#withheld = !this.#started;
     return this.#started;
@@ -101,49 +104,49 @@
     this.#status = status;
     this.#contentType = contentType;
     const streaming = status === 200 && contentType.startsWith('text/event-stream');
-    if (status === 200 && streaming !== this.#visit.streamed)
-      return this.#nonsense(`${contentType} instead of what was asked`);
-    if (streaming) this.#watch = new StreamWatch();
+    if (status === 200 && streaming !== this.#request.streamed)
+      return this.#abort(`${contentType} instead of what was asked`);
+    if (streaming) this.#stream = new StreamWatch();
   }
 
   chunk(bytes: Buffer): void {
-    if (this.#over) return;
-    if (this.#watch === undefined) {
-      this.#wholeBytes += bytes.length;
-      if (this.#wholeBytes > WHOLE_MAX_BYTES) return this.#nonsense('an answer without end');
-      this.#whole.push(bytes);
+    if (this.#ended) return;
+    if (this.#stream === undefined) {
+      this.#bodyBytes += bytes.length;
+      if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('an answer without end');
+      this.#body.push(bytes);
       return;
     }
-    const step = this.#watch.take(bytes);
-    if ('nonsense' in step) return this.#nonsense(step.nonsense);
-    if (step.events.length > 0) this.#pass(step.events);
+    const step = this.#stream.take(bytes);
+    if ('nonsense' in step) return this.#abort(step.nonsense);
+    if (step.events.length > 0) this.#forward(step.events);
   }
 
   end(): void {
-    if (this.#over) return;
-    if (this.#watch !== undefined) return this.#endStream(this.#watch);
-    const body = Buffer.concat(this.#whole);
+    if (this.#ended) return;
+    if (this.#stream !== undefined) return this.#endStream(this.#stream);
+    const body = Buffer.concat(this.#body);
     if (this.#status === 429 || this.#status === 503) {
       return this.#fail(
         true,
         fault('no-worker', `${this.#worker.name} took no more`),
-        !this.#visit.idempotent,
+        !this.#request.idempotent,
       );
     }
     if (this.#status >= 500 || this.#status < 200)
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
     if (!isJson(body))
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
-    this.#visit.firstChunkMs ??= this.#context.nowMs();
-    this.#visit.sink.respond(this.#status, this.#contentType, body);
-    this.#finish({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#request.firstChunkMs ??= this.#context.nowMs();
+    this.#request.sink.respond(this.#status, this.#contentType, body);
+    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
   failed(sent: boolean, why: string): void {
-    if (this.#over) return;
+    if (this.#ended) return;
     if (!sent) {
       const tried = !this.#withheld;
-      this.#finish({
+      this.#end({
         done: undefined,
         succeeded: !tried,
         sent: false,
@@ -153,7 +156,7 @@
       return;
     }
     if (this.#opened) return this.#cut();
-    const late = this.#context.nowMs() >= this.#visit.deadlineMs;
+    const late = this.#context.nowMs() >= this.#request.deadlineMs;
     this.#fail(
       true,
       late
@@ -162,14 +165,14 @@
     );
   }
 
-  #pass(events: Buffer): void {
-    const { sink: port } = this.#visit;
+  #forward(events: Buffer): void {
+    const { sink: sink } = this.#request;
     if (!this.#opened) {
       this.#opened = true;
-      this.#visit.firstChunkMs ??= this.#context.nowMs();
-      port.open(this.#contentType);
+      this.#request.firstChunkMs ??= this.#context.nowMs();
+      sink.open(this.#contentType);
     }
-    if (!port.write(events, () => this.#sending?.resume())) this.#sending?.pause();
+    if (!sink.write(events, () => this.#sending?.resume())) this.#sending?.pause();
   }
 
   #endStream(watch: StreamWatch): void {
@@ -177,30 +180,30 @@
       if (this.#opened) return this.#cut();
       return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended early`));
     }
-    this.#pass(watch.closing);
-    this.#visit.sink.close();
-    this.#finish({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#forward(watch.closing);
+    this.#request.sink.close();
+    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  #nonsense(why: string): void {
+  #abort(why: string): void {
     if (this.#opened) this.#cut();
     else this.#fail(true, fault('worker-nonsense', `${this.#worker.name}: ${why}`));
     this.#sending?.abort();
   }
 
   #cut(): void {
-    this.#visit.sink.abort();
-    this.#finish({ done: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
+    this.#request.sink.abort();
+    this.#end({ done: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
   }
 
   #fail(sent: boolean, why: Fault, well = false): void {
-    this.#finish({ done: undefined, succeeded: well, sent, tried: true, fault: why });
+    this.#end({ done: undefined, succeeded: well, sent, tried: true, fault: why });
   }
 
-  #finish(end: SendEnd): void {
-    if (this.#over) return;
-    this.#over = true;
-    this.#context.over(end);
+  #end(end: SendEnd): void {
+    if (this.#ended) return;
+    this.#ended = true;
+    this.#context.onEnd(end);
   }
 }
 
--- a/packages/gateway/src/stream.ts
+++ b/packages/gateway/src/stream.ts
@@ -1,11 +1,14 @@
+/** Checks event streams of workers, for the research groups' gateway. */
+
+/** The closing event. */
 const DONE = 'data: [DONE]';
-const EVENT_MAX = 1024 * 1024;
+const MAX_EVENT_BYTES = 1024 * 1024;
 
 /** What became of a chunk. */
 export type StreamStep = { readonly events: Buffer } | { readonly nonsense: string };
 
 /**
- * Watches a stream of server-sent events: passes on whole events only, and
+ * Watches a stream of server-sent events: forwards complete events only, and
  * keeps the closing one back until the worker has really ended there.
  * @example
  * const watch = new StreamWatch();
@@ -28,7 +31,7 @@
   take(chunk: Uint8Array): StreamStep {
     if (this.#done) return { nonsense: 'more after the closing event' };
     this.#rest = Buffer.concat([this.#rest, chunk]);
-    const whole: Buffer[] = [];
+    const complete: Buffer[] = [];
     for (;;) {
       const end = this.#rest.indexOf('\n\n');
       if (end < 0) break;
@@ -39,9 +42,9 @@
         if (this.#rest.length > 0) return { nonsense: 'more after the closing event' };
         break;
       }
-      whole.push(event);
+      complete.push(event);
     }
-    if (this.#rest.length > EVENT_MAX) return { nonsense: 'an event without end' };
-    return { events: Buffer.concat(whole) };
+    if (this.#rest.length > MAX_EVENT_BYTES) return { nonsense: 'an event without end' };
+    return { events: Buffer.concat(complete) };
   }
 }
--- a/packages/gateway/src/unconfirmed-sends.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -1,3 +1,4 @@
+/** Gives up sends of the research groups' gateway whose bytes may be held up on the way to a worker. */
 import type { Send } from './send.js';
 import type { Sender } from './sender.js';
 
@@ -12,13 +13,13 @@
 
 /**
  * Sends whose worker may get no more work, or of which this node cannot know
- * whether it may, and which have had no word from the worker yet: their bytes
+ * whether it may, and which have had no response from the worker yet: their bytes
  * may still be held up on the way. Each such worker is probed for a
  * connection; where two probes in a row find no way, its silent sends are
  * given up and their connections reset, so that nothing arrives there late.
  * @example
- * const doubt = new UnconfirmedSends(sender);
- * doubt.tick(sends, (send) => isLeaving(send.worker), nowMs);
+ * const unconfirmed = new UnconfirmedSends(sender);
+ * unconfirmed.tick(sends, (send) => isDraining(send.worker), nowMs);
  */
 export class UnconfirmedSends {
   #sender: Sender;
@@ -28,32 +29,32 @@
     this.#sender = sender;
   }
 
-  tick(sends: Iterable<Send>, isDoubtful: (send: Send) => boolean, nowMs: number): void {
+  tick(sends: Iterable<Send>, isUnconfirmed: (send: Send) => boolean, nowMs: number): void {
     const silent = new Map<string, Send[]>();
     for (const send of sends) {
-      if (!send.silent || !isDoubtful(send)) continue;
+      if (!send.silent || !isUnconfirmed(send)) continue;
       const { address } = send.worker;
       silent.set(address, [...(silent.get(address) ?? []), send]);
     }
     for (const address of this.#probed.keys()) if (!silent.has(address)) this.#probed.delete(address);
-    for (const [address, unheard] of silent) {
-      const doubted = this.#probed.get(address) ?? {
+    for (const [address, unanswered] of silent) {
+      const probed = this.#probed.get(address) ?? {
         failedProbes: 0,
         probeInFlight: false,
         notBeforeMs: -Infinity,
       };
-      this.#probed.set(address, doubted);
-      if (doubted.failedProbes >= PROBES_FAILED) for (const send of unheard) send.abandon();
-      else if (!doubted.probeInFlight && nowMs >= doubted.notBeforeMs) this.#probe(address, doubted, nowMs);
+      this.#probed.set(address, probed);
+      if (probed.failedProbes >= PROBES_FAILED) for (const send of unanswered) send.abandon();
+      else if (!probed.probeInFlight && nowMs >= probed.notBeforeMs) this.#probe(address, probed, nowMs);
     }
   }
 
-  #probe(address: string, doubted: ProbedWorker, nowMs: number): void {
-    doubted.probeInFlight = true;
-    doubted.notBeforeMs = nowMs + PROBE_GAP_MS;
+  #probe(address: string, probed: ProbedWorker, nowMs: number): void {
+    probed.probeInFlight = true;
+    probed.notBeforeMs = nowMs + PROBE_GAP_MS;
     this.#sender.probe(address, (reached) => {
-      doubted.probeInFlight = false;
-      doubted.failedProbes = reached ? 0 : doubted.failedProbes + 1;
+      probed.probeInFlight = false;
+      probed.failedProbes = reached ? 0 : probed.failedProbes + 1;
     });
   }
 }
--- a/packages/gateway/src/worker-selection.ts
+++ b/packages/gateway/src/worker-selection.ts
@@ -1,3 +1,4 @@
+/** Chooses the worker for a request of the research groups' deployment. */
 import { hashText } from '@rainrun/common';
 import type { GatewayWorker } from './dependencies.js';
 
@@ -8,7 +9,7 @@
 const BACKOFF_FIRST_MS = 500;
 const BACKOFF_MAX_MS = 8000;
 
-/** What the assigner keeps for each worker. */
+/** What the selector keeps for each worker. */
 interface WorkerStatus {
   inFlight: number;
   failures: number;
@@ -17,7 +18,7 @@
   failedMs: number;
 }
 
-/** What is asked of a worker. */
+/** What a request requires of a worker. */
 export interface WorkerRequirement {
   readonly pool: string;
   readonly model: string;
@@ -41,8 +42,8 @@
  * slot free; then the prefix kept, the own zone and the load decide. While a
  * copy is warming, the whole fleet sends it only a few at a time.
  * @example
- * const assigner = new Assigner('edge-1', 'north');
- * assigner.assign(need, workers, edges, nowMs);
+ * const selector = new WorkerSelector('edge-1', 'north');
+ * selector.select(need, workers, edges, nowMs);
  */
 export class WorkerSelector {
   #self: string;
