--- /dev/null
+++ b/packages/gateway/src/components.test.ts
@@ -0,0 +1,91 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { Backlog } from './backlog.js';
+import { Catalogue } from './catalogue.js';
+import { DrainRate } from './drain-rate.js';
+import { RetryBudget } from './retry-budget.js';
+import { StreamWatch } from './stream.js';
+import { specOf } from './testing/gateway-harness.js';
+
+describe('components of the gateway', () => {
+  it('a backlog serves groups by weight, and who is due first within a group', () => {
+    const backlog = new Backlog();
+    for (let key = 0; key < 40; key += 1) backlog.put({ key, group: key % 2, dueMs: 100 - key });
+    const served = [0, 0];
+    for (let turn = 0; turn < 16; turn += 1) {
+      const next = backlog.order()[0]?.[0];
+      if (next === undefined) break;
+      backlog.remove(next.key, next.group);
+      backlog.charge(next.group, next.group === 0 ? 3 : 1);
+      served[next.group] = (served[next.group] ?? 0) + 1;
+    }
+    expect(served).toEqual([12, 4]);
+  });
+
+  it('a retry budget earns a fifth of the first sends, holds its part, and begins each incarnation with nothing', () => {
+    const budget = new RetryBudget();
+    function taken(): number {
+      let count = 0;
+      while (budget.reserve()) count += Number(budget.spend());
+      return count;
+    }
+    budget.setAllowance('incarnation-1', 3);
+    const atFirst = taken();
+    for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
+    const earned = taken();
+    for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
+    budget.setAllowance('incarnation-1', 2);
+    budget.setAllowance('incarnation-1', 4);
+    const held = taken();
+    for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
+    budget.setAllowance('incarnation-2', 4);
+    expect([atFirst, earned, held, taken()]).toEqual([0, 1, 2, 0]);
+  });
+
+  it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
+    const budget = new RetryBudget();
+    budget.setAllowance('incarnation-1', 2);
+    for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
+    const promises = [budget.reserve(), budget.reserve()];
+    budget.release();
+    promises.push(budget.reserve());
+    budget.setAllowance('incarnation-2', 2);
+    expect([promises, budget.spend()]).toEqual([[true, false, true], false]);
+  });
+
+  it('a catalogue finds a path, or for lookups the nearest above it', () => {
+    const spec = {
+      ...specOf(),
+      routes: [
+        { path: '/look', serve: 'lookup' as const, pool: 'a' },
+        { path: '/look/far', serve: 'lookup' as const, pool: 'b' },
+        { path: '/chat', serve: 'chat' as const, pool: 'c' },
+      ],
+    };
+    const catalogue = new Catalogue(spec);
+    const paths = ['/look', '/look/1/2?x=/chat', '/look/far/1', '/looks', '/chat', '/chat/1', '/'];
+    expect(paths.map((path) => catalogue.route(path)?.pool)).toEqual([
+      'a',
+      'a',
+      'b',
+      undefined,
+      'c',
+      undefined,
+      undefined,
+    ]);
+  });
+
+  it('tells who is refused to come back as the backlog drains, and not all at once', () => {
+    const rate = new DrainRate();
+    const idle = rate.retryAfterS(0, 0, 0);
+    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.sent(nowMs);
+    const told = [0, 0.5, 0.99].map((chance) => rate.retryAfterS(40, chance, 60_000));
+    expect([idle, told, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
+  });
+
+  it('a stream watch knows a whole stream', () => {
+    const watch = new StreamWatch();
+    watch.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
+    expect(watch.finished).toEqual(true);
+  });
+});
--- /dev/null
+++ b/packages/gateway/src/non-idempotent.test.ts
@@ -0,0 +1,81 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import { GatewayHarness } from './testing/gateway-harness.js';
+
+describe('a non-idempotent request', () => {
+  it('is sent once; without an answer its outcome is unknown', () => {
+    const harness = new GatewayHarness();
+    const { sink } = harness.ask();
+    harness.last().handler.mayStart();
+    harness.last().handler.failed(true, 'reset');
+    harness.gateway.tick();
+    expect([harness.sent.length, sink.seen]).toEqual([1, ['outcome-unknown']]);
+  });
+
+  it('is sent elsewhere only when provably no byte left, and within the budget', () => {
+    const harness = new GatewayHarness();
+    harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
+    const early = harness.ask().sink;
+    harness.last().handler.failed(false, 'ECONNREFUSED');
+    harness.earn();
+    const before = harness.sent.length;
+    const { sink } = harness.ask();
+    harness.last().handler.failed(false, 'ECONNREFUSED');
+    harness.reply(harness.last(), 200, '{}');
+    expect([early.seen, sink.seen, harness.sent.length - before]).toEqual([['no-worker'], ['200 {}'], 2]);
+  });
+
+  it('is not started when the grant ends, or the worker is marked as leaving, before the first byte', () => {
+    const harness = new GatewayHarness();
+    harness.ask();
+    harness.granted = false;
+    expect(harness.last().handler.mayStart()).toEqual(false);
+    harness.granted = true;
+    harness.workers = harness.workers.map((worker) => ({ ...worker, draining: true }));
+    expect(harness.last().handler.mayStart()).toEqual(false);
+  });
+
+  it('is given up, and its connection reset, when its worker is leaving and no way there is found', () => {
+    const harness = new GatewayHarness();
+    harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
+    const { sink } = harness.ask();
+    harness.last().handler.mayStart();
+    const name = harness.last().request.address;
+    function pass(cut: boolean): unknown {
+      harness.cut = cut;
+      for (let place = 0; place < 4; place += 1) {
+        harness.nowMs += 250;
+        harness.gateway.tick();
+      }
+      return [harness.probed.length > 0, [...sink.seen], harness.last().aborted];
+    }
+    const usual = pass(true);
+    harness.workers = harness.workers.map((worker) => ({ ...worker, draining: worker.name === name }));
+    const reached = pass(false);
+    expect([usual, reached, pass(true)]).toEqual([
+      [false, [], false],
+      [true, [], false],
+      [true, ['outcome-unknown'], true],
+    ]);
+  });
+
+  it('waits again, unsent, when the last look forbade it', () => {
+    const harness = new GatewayHarness();
+    const { sink } = harness.ask();
+    harness.granted = false;
+    harness.last().handler.mayStart();
+    harness.last().handler.failed(false, 'not started');
+    expect([harness.sent.length, sink.seen]).toEqual([1, []]);
+    harness.granted = true;
+    harness.gateway.tick();
+    harness.reply(harness.last(), 200, '{}');
+    expect([harness.sent.length, sink.seen]).toEqual([2, ['200 {}']]);
+  });
+
+  it('is refused at once when a worker takes no more, and not sent again', () => {
+    const harness = new GatewayHarness();
+    const { sink } = harness.ask();
+    harness.reply(harness.last(), 503, '{}');
+    expect([harness.sent.length, sink.seen]).toEqual([1, ['no-worker']]);
+  });
+});
--- /dev/null
+++ b/packages/gateway/src/streams.test.ts
@@ -0,0 +1,66 @@
+import { describe, it } from 'node:test';
+import { expect } from 'earl';
+import type { SendHandler } from './sender.js';
+import { GatewayHarness, SSE } from './testing/gateway-harness.js';
+
+describe('streams', () => {
+  function streamed(act: (handler: SendHandler) => void): { seen: string[]; aborted: boolean } {
+    const harness = new GatewayHarness();
+    const { sink } = harness.ask({ streamed: true });
+    const sent = harness.last();
+    sent.handler.mayStart();
+    sent.handler.start(200, SSE);
+    act(sent.handler);
+    return { seen: sink.seen, aborted: sent.aborted };
+  }
+
+  it('pass on whole events and end as whole only when the worker did', () => {
+    const { seen } = streamed((handler) => {
+      handler.chunk(Buffer.from('data: 1\n'));
+      handler.chunk(Buffer.from('\ndata: 2\n\ndata: [DO'));
+      handler.chunk(Buffer.from('NE]\n\n'));
+      handler.end();
+    });
+    expect(seen).toEqual(['open', 'data: 1\n\ndata: 2', 'data: [DONE]', 'close']);
+  });
+
+  it('end visibly cut when the worker ends early or is lost', () => {
+    const early = streamed((handler) => {
+      handler.chunk(Buffer.from('data: 1\n\n'));
+      handler.end();
+    });
+    const lost = streamed((handler) => {
+      handler.chunk(Buffer.from('data: 1\n\n'));
+      handler.failed(true, 'reset');
+    });
+    expect([early.seen.at(-1), lost.seen.at(-1)]).toEqual(['cut', 'cut']);
+  });
+
+  it('are cut when the worker sends more than its closing event', () => {
+    const { seen, aborted } = streamed((handler) => {
+      handler.chunk(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
+      handler.chunk(Buffer.from('data: 2\n\n'));
+      handler.end();
+    });
+    expect([seen.at(-1), aborted]).toEqual(['cut', true]);
+  });
+
+  it('have a definite error when nothing came, or something else did', () => {
+    expect(streamed((handler) => handler.end()).seen).toEqual(['outcome-unknown']);
+    const harness = new GatewayHarness();
+    const { sink } = harness.ask({ streamed: true });
+    harness.reply(harness.last(), 200, 'hello', 'text/html');
+    expect(sink.seen).toEqual(['worker-nonsense']);
+  });
+
+  it('close the worker when the visitor leaves', () => {
+    const harness = new GatewayHarness();
+    const { leave } = harness.ask({ streamed: true });
+    leave();
+    expect([
+      harness.last().aborted,
+      harness.gateway.inFlight,
+      harness.gateway.counts['visitor-left'],
+    ]).toEqual([true, 0, 1]);
+  });
+});
--- /dev/null
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -0,0 +1,182 @@
+/** A gateway under test: fake sender, sink and workers of the research groups' deployment. */
+import { readSpec, type Spec } from '@rainrun/configuration';
+import type { GatewayRequestInit, GatewayWorker } from '../dependencies.js';
+import type { GatewayResponseSink } from '../gateway-request.js';
+import { Gateway } from '../gateway.js';
+import type { SendHandler, Sender, Sending, SendRequest } from '../sender.js';
+
+const SPEC_TEXT = JSON.stringify({
+  deployment: 'd',
+  zones: ['z1', 'z2'],
+  store: { pullsPerMinute: 60, concurrentPulls: 2 },
+  workers: { roomMb: 1000, slots: 2 },
+  models: [{ name: 'm', sizeMb: 400 }],
+  adapters: [],
+  groups: [
+    { name: 'g', share: 3, kinds: [{ name: 'k', targetMs: 100, patienceMs: 1000 }], models: ['*'] },
+    { name: 'h', share: 1, kinds: [{ name: 'k', targetMs: 100, patienceMs: 1000 }], models: ['*'] },
+  ],
+  routes: [
+    { path: '/chat', serve: 'chat' },
+    { path: '/look', serve: 'lookup', pool: 'desks' },
+  ],
+});
+
+/** The spec in force in these tests. */
+export function specOf(): Spec {
+  const read = readSpec(SPEC_TEXT);
+  return read.isOk ? read.value : ({} as Spec);
+}
+
+/** One send, at which a test plays the worker. */
+export class SentRequest implements Sending {
+  readonly request: SendRequest;
+  readonly handler: SendHandler;
+  aborted = false;
+  constructor(request: SendRequest, handler: SendHandler) {
+    this.request = request;
+    this.handler = handler;
+  }
+  abort(): void {
+    this.aborted = true;
+  }
+  pause(): void {
+    this.aborted ||= false;
+  }
+  resume(): void {
+    this.aborted ||= false;
+  }
+}
+
+/** A client that records what it is answered. */
+export class RecordingSink implements GatewayResponseSink {
+  readonly seen: string[] = [];
+  respond(status: number, _type: string, body: Uint8Array): void {
+    this.seen.push(`${status} ${Buffer.from(body).toString()}`);
+  }
+  reject(why: { kind: string }): void {
+    this.seen.push(why.kind);
+  }
+  open(): void {
+    this.seen.push('open');
+  }
+  write(bytes: Uint8Array): boolean {
+    this.seen.push(Buffer.from(bytes).toString().trim());
+    return true;
+  }
+  close(): void {
+    this.seen.push('close');
+  }
+  abort(): void {
+    this.seen.push('cut');
+  }
+}
+
+/** A gateway with a clock, workers and a sender that a test controls. */
+export class GatewayHarness implements Sender {
+  nowMs = 0;
+  granted = true;
+  spec = specOf();
+  edges = ['edge'];
+  incarnation = 'incarnation-1';
+  workers: GatewayWorker[] = [
+    this.worker('w1', 'models'),
+    this.worker('d1', 'desks'),
+    this.worker('d2', 'desks'),
+  ];
+  readonly sent: SentRequest[] = [];
+  readonly probed: string[] = [];
+  cut = false;
+  readonly gateway = new Gateway({
+    name: 'edge',
+    zone: 'z1',
+    clock: { nowMs: () => this.nowMs },
+    chance: { next: () => 0.5 },
+    sender: this,
+    spec: () => this.spec,
+    workers: () => this.workers,
+    edges: () => this.edges,
+    incarnation: () => this.incarnation,
+    hasLease: () => this.granted,
+    weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
+  });
+
+  worker(name: string, pool: string): GatewayWorker {
+    return {
+      name,
+      address: name,
+      zone: 'z1',
+      pool,
+      draining: false,
+      evacuated: false,
+      reachable: true,
+      slots: 2,
+      holdings: [{ model: 'm', adapters: [] }],
+      sinceMs: new Map([['m', -1e9]]),
+      othersInFlight: 0,
+    };
+  }
+
+  send(request: SendRequest, handler: SendHandler): Sending {
+    const sent = new SentRequest(request, handler);
+    this.sent.push(sent);
+    return sent;
+  }
+
+  probe(address: string, done: (reached: boolean) => void): void {
+    this.probed.push(address);
+    done(!this.cut);
+  }
+
+  ask(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; leave: () => void } {
+    const sink = new RecordingSink();
+    const ask: GatewayRequestInit = {
+      id: `id-${this.sent.length}`,
+      path: '/chat',
+      method: 'POST',
+      group: 'g',
+      kind: 'k',
+      model: 'm',
+      adapter: '',
+      prefix: 0,
+      streamed: false,
+      body: new Uint8Array(),
+      deadlineMs: undefined,
+      ...change,
+    };
+    return { sink, leave: this.gateway.admit(ask, sink) };
+  }
+
+  /** Five requests served earn one extra send. */
+  earn(): void {
+    for (let place = 0; place < 5; place += 1) {
+      this.ask();
+      this.reply(this.last(), 200, '{}');
+    }
+  }
+
+  look(): RecordingSink {
+    return this.ask({ path: '/look/1', method: 'GET', model: '' }).sink;
+  }
+
+  last(): SentRequest {
+    const sent = this.sent.at(-1);
+    return (
+      sent ??
+      new SentRequest(
+        { address: '', method: 'GET', path: '', headers: {}, body: undefined, stallMs: 0 },
+        {} as SendHandler,
+      )
+    );
+  }
+
+  reply(sent: SentRequest, status: number, text: string, type = 'application/json'): void {
+    sent.handler.mayStart();
+    sent.handler.start(status, type);
+    sent.handler.chunk(Buffer.from(text));
+    sent.handler.end();
+  }
+}
+
+/** Media type of event streams. */
+export const SSE = 'text/event-stream';
