--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -72,14 +72,14 @@
       edges: () => 1,
       incarnation: () => 'incarnation-1',
       region: () => 'west',
-      missing: () => undefined,
-      waits: () => undefined,
+      onModelMissing: () => undefined,
+      onWaiting: () => undefined,
     });
   }
 
   /** Asks; what is returned says that the client has left. */
   ask(target: string): () => void {
-    return this.router.take(
+    return this.router.submit(
       {
         id: REQUEST_ID,
         method: 'POST',
@@ -256,7 +256,7 @@
       workers: () => (this.isWorkerListed ? [this.#worker()] : []),
       edges: () => ['edge-1'],
       incarnation: () => 'incarnation-1',
-      granted: () => this.granted,
+      hasLease: () => this.granted,
       weight: () => 1,
     });
   }
