--- a/packages/cluster-node/src/spec-placement-loop.ts
+++ b/packages/cluster-node/src/spec-placement-loop.ts
@@ -62,7 +62,7 @@
     this.#orderSender = new SpecOrderSender({
       singletonEpoch: () => dependencies.singletonEpoch(),
       order: (order, done) => this.#order(order, done),
-      learned: (worker, known) => dependencies.onWorkerState(worker, known),
+      onWorkerState: (worker, known) => dependencies.onWorkerState(worker, known),
     });
   }
 
@@ -92,7 +92,7 @@
 
   #isDecisionDue(epoch: number, staying: readonly DirectoryWorker[], nowMs: number): boolean {
     if (this.#leaseStart?.epoch !== epoch) this.#leaseStart = { epoch, atMs: nowMs };
-    const haveAllReported = staying.every((worker) => this.#orderSender.known(worker.name) !== undefined);
+    const haveAllReported = staying.every((worker) => this.#orderSender.workerState(worker.name) !== undefined);
     if (!haveAllReported && nowMs - this.#leaseStart.atMs < REPORTS_TIMEOUT_MS) return false;
     return nowMs - this.#placedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
   }
@@ -127,14 +127,14 @@
   }
 
   #isReachable(worker: string): boolean {
-    return this.#orderSender.known(worker)?.reachable ?? false;
+    return this.#orderSender.workerState(worker)?.reachable ?? false;
   }
 
   /** Models and adapters that some reachable worker has loaded, as it reported itself. */
   #loadedParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
     const parts = new Set<string>();
     for (const { name } of workers) {
-      const known = this.#orderSender.known(name);
+      const known = this.#orderSender.workerState(name);
       if (known?.reachable !== true) continue;
       for (const { model, adapters } of known.holdings) {
         parts.add(`${model}/`);
--- a/packages/cluster-node/src/update-publisher.ts
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -149,7 +149,7 @@
 }
 
 function rowOf(worker: WorkerRecord, nowMs: number): WorkerRow {
-  const { number, id, service, address, zone, draining, gone, slots, coldUntilMs, models, limits } = worker;
+  const { number, id, service, address, zone, draining, removed, slots, warmUpUntilMs, models, limits } = worker;
   return create(WorkerRowSchema, {
     number,
     id,
@@ -157,9 +157,9 @@
     address,
     zone,
     draining,
-    removed: gone,
+    removed,
     slots,
-    warmUpMs: Math.max(0, Math.round(coldUntilMs - nowMs)),
+    warmUpMs: Math.max(0, Math.round(warmUpUntilMs - nowMs)),
     loadedModels: [...models].map(([model, adapters]) => ({
       $typeName: 'rainrun.v1.LoadedModel' as const,
       model,
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -3,14 +3,12 @@
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
-import { Loop } from './loop.js';
+import { Loop } from './feedback-loop.js';
 import { SpecOrderSender, sizeMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
-import {
-  SpecPlacer,
-  SPEC_PLACER_SETTINGS,
-  type SpecModelDemand,
-  type SpecPlacerWorker,
-} from './spec-placer.js';
+import { SpecPlacer } from './spec-placer.js';
+import type { SpecModelDemand } from './spec-placement-needs.js';
+import { SPEC_PLACER_SETTINGS } from './spec-placer-settings.js';
+import type { SpecPlacerWorker } from './spec-worker-plan.js';
 
 function specOf(models: number, pullsPerMinute = 6000): Spec {
   const read = readSpec(
@@ -31,7 +29,7 @@
 }
 
 describe('loop', () => {
-  const settings = { gain: 0.5, integralPerS: 0.2, least: 0.25, most: 4, stepPerS: 0.5, deadBand: 0.05 };
+  const settings = { gain: 0.5, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 };
 
   it('moves in bounded steps and stays within its bounds', () => {
     const loop = new Loop(settings);
@@ -181,7 +179,7 @@
       this.orders.push(order);
       this.waiting.push(() => done(this.#reply(order)));
     },
-    learned: () => undefined,
+    onWorkerState: () => undefined,
   });
 
   #reply(order: SpecOrder): Result<SpecOrderReply, Fault> {
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -1,72 +1,73 @@
+/** Requests that reach an edge of the platform system before its first configuration. */
 import type { ClientRequest, ResponseSink } from './request.js';
+import { ADMISSION_POLICY } from './routing-policy.js';
 
 /** A request that came before any configuration was known. */
 interface EarlyRequest {
-  readonly ask: ClientRequest;
-  readonly port: ResponseSink;
-  readonly bornMs: number;
+  readonly request: ClientRequest;
+  readonly sink: ResponseSink;
+  readonly arrivedMs: number;
   readonly endMs: number;
-  leave: (() => void) | undefined;
+  cancel: (() => void) | undefined;
 }
 
-/** What becomes of an early request: it is taken with the time that it has left, or refused. */
+/** What becomes of an early request: it is submitted with the time that it has left, or rejected. */
 export interface EarlyRequestContext {
-  take(ask: ClientRequest, port: ResponseSink): () => void;
-  refuse(port: ResponseSink): void;
+  submit(request: ClientRequest, sink: ResponseSink): () => void;
+  reject(sink: ResponseSink): void;
 }
 
-const HELD_MS = 1500;
-
 /**
  * Requests that come just after a start, before this node knows any configuration: they wait a moment for it.
  * @example
- * const leave = early.hold(ask, port, nowMs);
- * early.release(true, nowMs); // a configuration is known: all of them are taken
+ * const clientLeft = early.add(clientRequest, sink, nowMs);
+ * early.release(true, nowMs); // a configuration is known: all of them are submitted
  */
 export class EarlyRequests {
-  #desk: EarlyRequestContext;
-  #held = new Set<EarlyRequest>();
+  #context: EarlyRequestContext;
+  #pending = new Set<EarlyRequest>();
 
-  constructor(desk: EarlyRequestContext) {
-    this.#desk = desk;
+  constructor(context: EarlyRequestContext) {
+    this.#context = context;
   }
 
   get size(): number {
-    return this.#held.size;
+    return this.#pending.size;
   }
 
-  /** The returned function says that the client has left. */
-  hold(ask: ClientRequest, port: ResponseSink, nowMs: number): () => void {
-    const endMs = nowMs + Math.min(HELD_MS, ask.deadlineMs ?? HELD_MS);
-    const early: EarlyRequest = { ask, port, bornMs: nowMs, endMs, leave: undefined };
-    this.#held.add(early);
+  /** The returned function is to be called when the client leaves. */
+  add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
+    const { configurationWaitMs } = ADMISSION_POLICY;
+    const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
+    const early: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
+    this.#pending.add(early);
     return () => {
-      this.#held.delete(early);
-      early.leave?.();
+      this.#pending.delete(early);
+      early.cancel?.();
     };
   }
 
-  /** Takes all that wait where a configuration is known, and else refuses those that have waited long enough. */
+  /** Submits all that wait where a configuration is known, and else rejects those that have waited long enough. */
   release(isKnown: boolean, nowMs: number): void {
-    for (const early of this.#held) {
+    for (const early of this.#pending) {
       if (!isKnown && nowMs < early.endMs) continue;
-      this.#held.delete(early);
-      if (isKnown) early.leave = this.#desk.take(withTimeLeft(early, nowMs), early.port);
-      else this.#desk.refuse(early.port);
+      this.#pending.delete(early);
+      if (isKnown) early.cancel = this.#context.submit(withTimeLeft(early, nowMs), early.sink);
+      else this.#context.reject(early.sink);
     }
   }
 
-  /** Refuses all of them. */
+  /** Rejects all of them. */
   close(): void {
-    for (const { port } of this.#held) this.#desk.refuse(port);
-    this.#held.clear();
+    for (const { sink } of this.#pending) this.#context.reject(sink);
+    this.#pending.clear();
   }
 }
 
-function withTimeLeft({ ask, bornMs }: EarlyRequest, nowMs: number): ClientRequest {
-  const { deadlineMs } = ask;
+function withTimeLeft({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
+  const { deadlineMs } = request;
   return {
-    ...ask,
-    deadlineMs: deadlineMs === undefined ? undefined : Math.max(0, deadlineMs - (nowMs - bornMs)),
+    ...request,
+    deadlineMs: deadlineMs === undefined ? undefined : Math.max(0, deadlineMs - (nowMs - arrivedMs)),
   };
 }
