--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -4,7 +4,7 @@
 import { FAULT_RESPONSES, fault, isFaultKind, type RandomSource, type FaultKind } from '@rainrun/common';
 import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
 import { DIALECT } from '@rainrun/platform/dialect';
-import { visit } from '@rainrun/runtime';
+import { handleChatRequest } from '@rainrun/runtime';
 
 /** In the order of their names: the order of the table is not public. */
 const KINDS = Object.keys(FAULT_RESPONSES).filter(isFaultKind).sort();
@@ -65,7 +65,7 @@
       return () => undefined;
     },
   };
-  visit(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
+  handleChatRequest(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
   return response.record;
 }
 
--- a/packages/compatibility/src/node-samples.ts
+++ b/packages/compatibility/src/node-samples.ts
@@ -5,8 +5,8 @@
 import type { Fault } from '@rainrun/common';
 import { DIALECT } from '@rainrun/platform/dialect';
 import { soleNodeSettings } from '@rainrun/platform/testing/settings-samples';
-import { CoreNode, EdgeNode, Node, readSettings, type Log, type Role } from '@rainrun/runtime';
-import type { SystemSettings } from '@rainrun/runtime/system';
+import { CoreNode, EdgeNode, SpecNode, readSettings, type Log, type Role } from '@rainrun/runtime';
+import type { PlatformSettings } from '@rainrun/runtime/platform';
 import { inNewFolder } from './data-folders.js';
 import { fail } from './scripted-group.js';
 
@@ -62,13 +62,13 @@
   }
 }
 
-async function start(role: Role, flags: Readonly<Record<string, unknown>>): Promise<Node> {
+async function start(role: Role, flags: Readonly<Record<string, unknown>>): Promise<SpecNode> {
   const settings = readSettings(
     { deployment: 'site', zone: 'coast', seeds: CORE.bind, logLevel: 'silent', drainMs: '0', ...flags },
     role,
   );
   if (settings.isErr) throw new Error(settings.error.map(({ detail }) => detail).join('\n'));
-  const started = await Node.start(settings.value, role, fail);
+  const started = await SpecNode.start(settings.value, role, fail);
   return started.unwrapOrElse(fail);
 }
 
@@ -175,7 +175,7 @@
   }
 }
 
-function settingsOf(folder: string): SystemSettings {
+function settingsOf(folder: string): PlatformSettings {
   return DIALECT.readSettings(soleNodeSettings(`${NETWORK}.3`, folder)).unwrapOrElse((faults: Fault[]) =>
     fail(faults[0] as Fault),
   );
--- a/packages/runtime/src/answers-clients.test.ts
+++ b/packages/runtime/src/answers-clients.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
-import { Trial } from './testing/trial.js';
+import { RoutingTrial } from './testing/routing-trial.js';
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: Trial;
+let trial: RoutingTrial;
 
 afterEach(() => trial.close());
 
@@ -13,13 +13,13 @@
     'control safety, point 5: pipelined requests get their own answers in order, whichever worker is first',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const first = trial.client.textOf({ id: 'a', path: '/once/x' });
       const second = trial.client.textOf({ id: 'b', path: '/often/x' });
       trial.client.send(first + second);
       const calls = [await trial.next(), await trial.next()];
-      calls.find((call) => call.id === 'b')?.answer();
-      calls.find((call) => call.id === 'a')?.answer();
+      calls.find((call) => call.id === 'b')?.respond();
+      calls.find((call) => call.id === 'a')?.respond();
       const answers = [await trial.client.next(), await trial.client.next()];
       expect(answers.map(({ body }) => body)).toEqual(['of a', 'of b']);
     },
@@ -29,13 +29,13 @@
     "control safety, point 5: what cannot be read behind a request gets no answer before that request's",
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       trial.client.send(`${trial.client.textOf({ id: 'a', path: '/once/x' })}no request at all\r\n\r\n`);
       const call = await trial.next();
       const other = await trial.edge.connect();
-      other.ask({ id: 'other', path: '/missing/x' });
+      other.request({ id: 'other', path: '/missing/x' });
       await other.next();
-      call.answer();
+      call.respond();
       const answer = await trial.client.next();
       const end = await trial.client.next();
       expect([answer.status, answer.body, end.status, trial.client.rest]).toEqual([200, 'of a', 0, '']);
@@ -46,15 +46,15 @@
     'control safety, point 5: what cannot be read behind a stream does not break into it',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
-      trial.client.ask({ id: 'a', path: '/tell/x' });
+      trial = await RoutingTrial.open(1);
+      trial.client.request({ id: 'a', path: '/tell/x' });
       const call = await trial.next();
       call.openStream();
       call.event(1);
       await trial.client.until('id: 1');
       trial.client.send('no request at all\r\n\r\n');
       const other = await trial.edge.connect();
-      other.ask({ id: 'other', path: '/missing/x' });
+      other.request({ id: 'other', path: '/missing/x' });
       await other.next();
       call.event(2);
       call.endStream();
@@ -67,7 +67,7 @@
     'control safety, point 5: a stream that breaks behind an answer that is due is cut behind that answer',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const first = trial.client.textOf({ id: 'a', path: '/once/x' });
       const second = trial.client.textOf({ id: 'b', path: '/tell/x' });
       trial.client.send(first + second);
@@ -79,7 +79,7 @@
       stream?.reset();
       await stream?.closed;
       await trial.roundTrip();
-      calls.find((call) => call.id === 'a')?.answer();
+      calls.find((call) => call.id === 'a')?.respond();
       const answer = await trial.client.next();
       const cut = await trial.client.next();
       expect([answer.body, cut.whole, trial.client.ended]).toEqual(['of a', false, true]);
@@ -87,26 +87,26 @@
   );
 
   it('control safety, point 5: an id that is under way here is not sent a second time', LIMIT, async () => {
-    trial = await Trial.open(2);
-    trial.client.ask({ id: 'a', path: '/once/x' });
+    trial = await RoutingTrial.open(2);
+    trial.client.request({ id: 'a', path: '/once/x' });
     const call = await trial.next();
     const other = await trial.edge.connect();
-    other.ask({ id: 'a', path: '/once/x' });
+    other.request({ id: 'a', path: '/once/x' });
     const second = await other.next();
-    call.answer();
+    call.respond();
     const first = await trial.client.next();
-    expect([first.body, second.status, trial.runs('a')]).toEqual(['of a', 502, 1]);
+    expect([first.body, second.status, trial.calls('a')]).toEqual(['of a', 502, 1]);
   });
 
   it(
     'control safety, point 5: a request with two ids or two hosts is refused and reaches no worker',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
-      trial.client.ask({ id: 'a', path: '/once/x', headers: ['Call-Id: b'] });
+      trial = await RoutingTrial.open(1);
+      trial.client.request({ id: 'a', path: '/once/x', headers: ['Call-Id: b'] });
       const twoIds = await trial.client.next();
       const other = await trial.edge.connect();
-      other.ask({ id: 'c', path: '/once/x', headers: ['Host: b.example'] });
+      other.request({ id: 'c', path: '/once/x', headers: ['Host: b.example'] });
       const twoHosts = await other.next();
       const third = await trial.edge.connect();
       const next = await trial.after('w0', third);
@@ -129,9 +129,9 @@
       `control safety, point 5: ${moment}: its worker's connection ends, and nobody else gets the rest`,
       LIMIT,
       async () => {
-        trial = await Trial.open(1);
+        trial = await RoutingTrial.open(1);
         const id = trial.idFor('w0');
-        trial.client.ask({ id, path: moment === 'within a stream' ? '/tell/x' : '/once/x' });
+        trial.client.request({ id, path: moment === 'within a stream' ? '/tell/x' : '/once/x' });
         const call = await trial.next();
         if (moment === 'within a plain answer') call.write(call.textOf({}).slice(0, -2));
         if (moment === 'within an answer that closes')
@@ -143,9 +143,9 @@
         }
         trial.client.reset();
         await call.closed;
-        call.answer();
+        call.respond();
         const next = await trial.after('w0', await trial.edge.connect());
-        expect([next.status, next.body.startsWith('of r'), trial.runs(id)]).toEqual([200, true, 1]);
+        expect([next.status, next.body.startsWith('of r'), trial.calls(id)]).toEqual([200, true, 1]);
       },
     );
 });
@@ -155,8 +155,8 @@
     'control safety, point 5: lets answers that are under way go out whole, and closes behind them',
     LIMIT,
     async () => {
-      trial = await Trial.open(1, { graceMs: 3000 });
-      trial.client.ask({ id: 'a', path: '/tell/x' });
+      trial = await RoutingTrial.open(1, { graceMs: 3000 });
+      trial.client.request({ id: 'a', path: '/tell/x' });
       const call = await trial.next();
       call.openStream();
       call.event(1);
@@ -179,12 +179,12 @@
     'control safety, point 5: gives a complete answer to what is unanswered at the end of its grace',
     LIMIT,
     async () => {
-      trial = await Trial.open(1, { graceMs: 1000 });
-      trial.client.ask({ id: 'a', path: '/once/x' });
+      trial = await RoutingTrial.open(1, { graceMs: 1000 });
+      trial.client.request({ id: 'a', path: '/once/x' });
       await trial.next();
       await trial.edge.core.list([]);
       const waiting = await trial.edge.connect();
-      waiting.ask({ id: 'b', path: '/once/x' });
+      waiting.request({ id: 'b', path: '/once/x' });
       const stopped = trial.edge.node.stop();
       const answers = [await trial.client.next(), await waiting.next()];
       await stopped;
@@ -201,16 +201,16 @@
     'control safety, point 5: thawed after the time of a request, it gives 504, and the late answer reaches nobody',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       trial.edge.clockJumpMs += 60_000;
       const answer = await trial.client.next();
       await call.closed;
-      call.answer();
+      call.respond();
       const next = await trial.after('w0');
-      expect([answer.status, answer.whole, next.body.startsWith('of r'), trial.runs(id)]).toEqual([
+      expect([answer.status, answer.whole, next.body.startsWith('of r'), trial.calls(id)]).toEqual([
         504,
         true,
         true,
@@ -223,13 +223,13 @@
     'control safety, point 5: thawed before the time of a request, it passes its own answer on',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       trial.edge.clockJumpMs += 4000;
-      await trial.edge.beat();
-      call.answer();
+      await trial.edge.nextTick();
+      call.respond();
       expect((await trial.client.next()).body).toEqual(`of ${id}`);
     },
   );
--- a/packages/runtime/src/answers-streams.test.ts
+++ b/packages/runtime/src/answers-streams.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
 import type { WorkerCall } from './testing/stand-in-worker.js';
-import { Trial } from './testing/trial.js';
+import { RoutingTrial } from './testing/routing-trial.js';
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: Trial;
+let trial: RoutingTrial;
 
 afterEach(() => trial.close());
 
@@ -15,7 +15,7 @@
   ['ends within an event', (call) => halfEvent(call, (one) => one.endStream())],
   ['is closed within an event', (call) => halfEvent(call, (one) => one.close())],
   ['goes on with a chunk without a length', (call) => call.write('zz\r\nid: 2\ndata: e2\n\n\r\n')],
-  ['goes on with another answer', (call) => call.answer({ body: 'surplus' })],
+  ['goes on with another answer', (call) => call.respond({ body: 'surplus' })],
 ];
 
 function halfEvent(call: WorkerCall, end: (call: WorkerCall) => void): void {
@@ -26,7 +26,7 @@
 /** Asks for a stream at w0 and waits until its first event has reached the client. */
 async function begin(kind: 'tell' | 'talk'): Promise<{ id: string; call: WorkerCall }> {
   const id = trial.idFor('w0');
-  trial.client.ask({ id, path: `/${kind}/x` });
+  trial.client.request({ id, path: `/${kind}/x` });
   const call = await trial.next();
   call.openStream('first');
   call.event(1);
@@ -43,16 +43,13 @@
       `control safety, point 5: a stream that may not be resumed and ${what} is visibly cut, run once`,
       LIMIT,
       async () => {
-        trial = await Trial.open(2);
+        trial = await RoutingTrial.open(2);
         const { id, call } = await begin('tell');
         act(call);
         const answer = await trial.client.next();
-        expect([answer.whole, answer.status, answer.body.includes(ONE.slice(0, 5)), trial.runs(id)]).toEqual([
-          false,
-          200,
-          true,
-          1,
-        ]);
+        expect([answer.whole, answer.status, answer.body.includes(ONE.slice(0, 5)), trial.calls(id)]).toEqual(
+          [false, 200, true, 1],
+        );
         expect(trial.client.text.includes('id: 2')).toEqual(false);
       },
     );
@@ -61,7 +58,7 @@
       `control safety, point 5: a stream that may be resumed and ${what} goes on after its last whole event`,
       LIMIT,
       async () => {
-        trial = await Trial.open(2);
+        trial = await RoutingTrial.open(2);
         const { id, call } = await begin('talk');
         act(call);
         const second = await trial.next();
@@ -70,13 +67,13 @@
         second.endStream();
         const answer = await trial.client.next();
         expect([answer.whole, answer.body, answer.headers.get('mark')]).toEqual([true, ONE + TWO, 'first']);
-        expect([second.headers.get('last-event-id'), second.worker, trial.runs(id)]).toEqual(['1', 'w1', 2]);
+        expect([second.headers.get('last-event-id'), second.worker, trial.calls(id)]).toEqual(['1', 'w1', 2]);
       },
     );
   }
 
   it("control safety, point 5: a worker's events after a surplus beginning are nobody's", LIMIT, async () => {
-    trial = await Trial.open(1);
+    trial = await RoutingTrial.open(1);
     const { id, call } = await begin('tell');
     call.endStream();
     const answer = await trial.client.next();
@@ -84,7 +81,7 @@
     call.event(7);
     await call.closed;
     const next = await trial.after('w0');
-    expect([answer.body, next.status, trial.client.text.includes('id: 7'), trial.runs(id)]).toEqual([
+    expect([answer.body, next.status, trial.client.text.includes('id: 7'), trial.calls(id)]).toEqual([
       ONE,
       200,
       false,
@@ -98,7 +95,7 @@
     'control safety, point 5: is taken up again at a worker that it was sent to before, not cut',
     LIMIT,
     async () => {
-      trial = await Trial.open(3);
+      trial = await RoutingTrial.open(3);
       await trial.earn(6);
       const { id, call } = await begin('talk');
       call.reset();
@@ -110,12 +107,12 @@
       fourth.endStream();
       const answer = await trial.client.next();
       const sentTo = new Set(trial.workers.filter(({ received }) => received.some((one) => one.id === id)));
-      expect([answer.whole, answer.body, trial.runs(id), sentTo.size]).toEqual([true, ONE + TWO, 4, 3]);
+      expect([answer.whole, answer.body, trial.calls(id), sentTo.size]).toEqual([true, ONE + TWO, 4, 3]);
     },
   );
 
   it('control safety, point 5: never goes to more workers than its route allows', LIMIT, async () => {
-    trial = await Trial.open(5);
+    trial = await RoutingTrial.open(5);
     await trial.earn(6);
     const { id, call } = await begin('talk');
     call.reset();
@@ -130,7 +127,7 @@
   });
 
   it('control safety, point 5: is cut once the client bears its silence no longer', LIMIT, async () => {
-    trial = await Trial.open(1);
+    trial = await RoutingTrial.open(1);
     const { call } = await begin('talk');
     trial.worker('w0').close();
     call.reset();
@@ -146,9 +143,9 @@
     'control safety, point 5: gets a complete answer when its worker breaks off and the next refuses',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/talk/x' });
+      trial.client.request({ id, path: '/talk/x' });
       const first = await trial.next();
       first.openStream('first');
       first.chunk('id: 1\nda');
@@ -163,22 +160,22 @@
     'control safety, point 5: gets a complete answer when it may run once and its worker breaks off',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/tell/x' });
+      trial.client.request({ id, path: '/tell/x' });
       const first = await trial.next();
       first.openStream('first');
       first.reset();
       const answer = await trial.client.next();
-      expect([answer.status, answer.whole, trial.runs(id)]).toEqual([502, true, 1]);
+      expect([answer.status, answer.whole, trial.calls(id)]).toEqual([502, true, 1]);
     },
   );
 
   it('control safety, point 5: is refused at once with a promise when all decline', LIMIT, async () => {
-    trial = await Trial.open(3);
+    trial = await RoutingTrial.open(3);
     await trial.earn(3);
     const id = trial.idFor('w0');
-    trial.client.ask({ id, path: '/tell/x' });
+    trial.client.request({ id, path: '/tell/x' });
     for (let turn = 0; turn < 3; turn += 1) (await trial.next()).decline();
     const answer = await trial.client.next();
     expect([answer.status, answer.whole, answer.headers.has('retry-after')]).toEqual([503, true, true]);
@@ -190,17 +187,17 @@
     'control safety, point 5: keeps a stream that no other worker can take, and its next event is passed on',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const { id, call } = await begin('talk');
       trial.edge.clockJumpMs += 1500;
       const other = await trial.edge.connect();
-      other.ask({ id: trial.idFor('w0'), path: '/missing/x' });
+      other.request({ id: trial.idFor('w0'), path: '/missing/x' });
       await other.next();
-      await trial.edge.beat();
+      await trial.edge.nextTick();
       call.event(2);
       call.endStream();
       const answer = await trial.client.next();
-      expect([answer.whole, answer.body, trial.runs(id)]).toEqual([true, ONE + TWO, 1]);
+      expect([answer.whole, answer.body, trial.calls(id)]).toEqual([true, ONE + TWO, 1]);
     },
   );
 
@@ -208,7 +205,7 @@
     'control safety, point 5: loses a stream that may be resumed to a worker that takes it',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const { call } = await begin('talk');
       trial.edge.clockJumpMs += 1500;
       const second = await trial.next();
@@ -225,8 +222,8 @@
     'control safety, point 5: loses a plain request that may be repeated, which gets a complete answer where no worker takes it',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
-      trial.client.ask({ id: trial.idFor('w0'), path: '/often/x' });
+      trial = await RoutingTrial.open(1);
+      trial.client.request({ id: trial.idFor('w0'), path: '/often/x' });
       const call = await trial.next();
       trial.edge.clockJumpMs += 1500;
       const answer = await trial.client.next();
@@ -239,17 +236,17 @@
     'control safety, point 5: keeps a request that may run once until its time is over, then 504',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       trial.edge.clockJumpMs += 4000;
-      await trial.edge.beat();
+      await trial.edge.nextTick();
       const waited = trial.client.text;
       trial.edge.clockJumpMs += 1500;
       const answer = await trial.client.next();
       await call.closed;
-      expect([waited, answer.status, answer.whole, trial.runs(id)]).toEqual(['', 504, true, 1]);
+      expect([waited, answer.status, answer.whole, trial.calls(id)]).toEqual(['', 504, true, 1]);
     },
   );
 });
--- a/packages/runtime/src/answers.test.ts
+++ b/packages/runtime/src/answers.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
 import type { ConnectionFault, WorkerCall } from './testing/stand-in-worker.js';
-import { Trial } from './testing/trial.js';
+import { RoutingTrial } from './testing/routing-trial.js';
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: Trial;
+let trial: RoutingTrial;
 
 afterEach(() => trial.close());
 
@@ -13,10 +13,10 @@
 const UNCLEAR_ENDS: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
   ['resets the connection', (call) => call.reset()],
   ['closes the connection', (call) => call.close()],
-  ['answers another request', (call) => call.answer({ id: 'another', body: 'of another' })],
-  ['answers without an id', (call) => call.answer({ id: null })],
-  ['fails without an id', (call) => call.answer({ id: null, status: 500 })],
-  ['answers without a signature', (call) => call.answer({ signature: null })],
+  ['answers another request', (call) => call.respond({ id: 'another', body: 'of another' })],
+  ['answers without an id', (call) => call.respond({ id: null })],
+  ['fails without an id', (call) => call.respond({ id: null, status: 500 })],
+  ['answers without a signature', (call) => call.respond({ signature: null })],
   ['sends bytes that are no answer', (call) => call.write('what is this\r\n\r\n')],
   ['answers in an unheard protocol', (call) => call.write('HTTP/9.7 200 OK\r\nContent-Length: 0\r\n\r\n')],
   ['breaks a plain answer off with a close', (call) => half(call, (one) => one.close())],
@@ -24,17 +24,17 @@
   ['breaks a chunked answer off with a close', (call) => halfChunked(call, (one) => one.close())],
   ['breaks a chunked answer off with a reset', (call) => halfChunked(call, (one) => one.reset())],
   ['sends a chunk without a length', (call) => badChunk(call)],
-  ['gives two lengths', (call) => call.answer({ headers: ['Content-Length: 1'] })],
+  ['gives two lengths', (call) => call.respond({ headers: ['Content-Length: 1'] })],
   ['answers without a length and closes', (call) => unframed(call, (one) => one.close())],
   ['answers without a length and resets', (call) => unframed(call, (one) => one.reset())],
   ['declines without an id', (call) => call.decline({ id: null })],
   ['declines another request', (call) => call.decline({ id: 'another' })],
   [
     'says of another request that it belongs elsewhere',
-    (call) => call.answer({ id: 'another', status: 421 }),
+    (call) => call.respond({ id: 'another', status: 421 }),
   ],
-  ['says without an id that it belongs elsewhere', (call) => call.answer({ id: null, status: 421 })],
-  ['answers well and says that it has not run it', (call) => call.answer({ headers: ['Unrun: 1'] })],
+  ['says without an id that it belongs elsewhere', (call) => call.respond({ id: null, status: 421 })],
+  ['answers well and says that it has not run it', (call) => call.respond({ headers: ['Unrun: 1'] })],
   ['wants to upgrade', (call) => call.write('HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n')],
 ];
 
@@ -70,16 +70,16 @@
           `control safety, point 5: ${what} leaves a ${kind} request run once and failed (${connection})`,
           LIMIT,
           async () => {
-            trial = await Trial.open(2);
+            trial = await RoutingTrial.open(2);
             if (connection === 'reused') await trial.warm('w0');
             const id = trial.idFor('w0');
-            trial.client.ask({ id, path: `/${kind}/x` });
+            trial.client.request({ id, path: `/${kind}/x` });
             const call = await trial.next();
             act(call);
             const answer = await trial.client.next();
             await call.closed;
             const next = await trial.after('w1');
-            expect([answer.status, answer.whole, trial.runs(id), next.status]).toEqual([502, true, 1, 200]);
+            expect([answer.status, answer.whole, trial.calls(id), next.status]).toEqual([502, true, 1, 200]);
           },
         );
 
@@ -88,17 +88,17 @@
           `control safety, point 5: ${what} leaves a ${kind} request to another worker (${connection})`,
           LIMIT,
           async () => {
-            trial = await Trial.open(2);
+            trial = await RoutingTrial.open(2);
             if (connection === 'reused') await trial.warm('w0');
             const id = trial.idFor('w0');
-            trial.client.ask({ id, path: `/${kind}/x` });
+            trial.client.request({ id, path: `/${kind}/x` });
             const first = await trial.next();
             act(first);
             const second = await trial.next();
-            second.answer();
+            second.respond();
             const answer = await trial.client.next();
             await first.closed;
-            expect([answer.status, answer.body, second.worker, trial.runs(id)]).toEqual([
+            expect([answer.status, answer.body, second.worker, trial.calls(id)]).toEqual([
               200,
               `of ${id}`,
               'w1',
@@ -115,26 +115,26 @@
   for (const fault of faults)
     for (const kind of ['once', 'often'] as const)
       it(`control safety, point 5: ${fault}, ${kind}: sent again only where it may be`, LIMIT, async () => {
-        trial = await Trial.open(2);
+        trial = await RoutingTrial.open(2);
         trial.worker('w0').fault = fault;
         const id = trial.idFor('w0');
-        trial.client.ask({ id, path: `/${kind}/x`, body: 'b'.repeat(200_000) });
-        if (kind === 'often') (await trial.next()).answer();
+        trial.client.request({ id, path: `/${kind}/x`, body: 'b'.repeat(200_000) });
+        if (kind === 'often') (await trial.next()).respond();
         const answer = await trial.client.next();
-        expect([answer.status, trial.runs(id)]).toEqual(kind === 'often' ? [200, 1] : [502, 0]);
+        expect([answer.status, trial.calls(id)]).toEqual(kind === 'often' ? [200, 1] : [502, 0]);
       });
 
   it(
     'control safety, point 5: reset on accept: sent again only if the reset came before the first byte',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       trial.worker('w0').fault = 'reset on accept';
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
-      void trial.next().then((call) => call.answer());
+      trial.client.request({ id, path: '/once/x' });
+      void trial.next().then((call) => call.respond());
       const { status } = await trial.client.next();
-      expect([status, trial.runs(id)]).toEqual(status === 502 ? [502, 0] : [200, 1]);
+      expect([status, trial.calls(id)]).toEqual(status === 502 ? [502, 0] : [200, 1]);
     },
   );
 
@@ -142,14 +142,14 @@
     'control safety, point 5: a kept connection that its worker forgot: a once request fails, others go on',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       await trial.warm('w0');
       trial.worker('w0').fault = 'reset on bytes';
-      trial.client.ask({ id: trial.idFor('w0'), path: '/once/x' });
+      trial.client.request({ id: trial.idFor('w0'), path: '/once/x' });
       const once = await trial.client.next();
       const often = trial.idFor('w1');
-      trial.client.ask({ id: often, path: '/often/x' });
-      (await trial.next()).answer();
+      trial.client.request({ id: often, path: '/often/x' });
+      (await trial.next()).respond();
       expect([once.status, (await trial.client.next()).body]).toEqual([502, `of ${often}`]);
     },
   );
@@ -158,12 +158,12 @@
     'control safety, point 5: a worker that cannot be reached has run nothing: the request goes to another',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       trial.worker('w0').close();
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
-      call.answer();
+      call.respond();
       expect([(await trial.client.next()).body, call.worker]).toEqual([`of ${id}`, 'w1']);
     },
   );
@@ -174,9 +174,9 @@
     "control safety, point 5: a surplus answer behind the first, in the same write, is nobody's",
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       call.write(call.textOf({}) + call.textOf({ body: 'surplus' }));
       const answer = await trial.client.next();
@@ -195,13 +195,13 @@
     "control safety, point 5: a surplus answer on an idle connection closes it and is nobody's",
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
-      call.answer();
+      call.respond();
       await trial.client.next();
-      call.answer({ body: 'surplus' });
+      call.respond({ body: 'surplus' });
       await call.closed;
       const next = await trial.after('w0');
       expect([next.status, trial.worker('w0').connections, trial.client.rest]).toEqual([200, 2, '']);
@@ -212,9 +212,9 @@
     'control safety, point 5: bytes beyond the length of an answer close its connection',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       call.write(`${call.textOf({})}more than there should be`);
       const answer = await trial.client.next();
@@ -228,30 +228,33 @@
       `control safety, point 5: the surplus answer of the request before is not taken for a ${kind} request`,
       LIMIT,
       async () => {
-        trial = await Trial.open(2);
+        trial = await RoutingTrial.open(2);
         const first = trial.idFor('w0');
-        trial.client.ask({ id: first, path: '/once/x' });
-        (await trial.next()).answer();
+        trial.client.request({ id: first, path: '/once/x' });
+        (await trial.next()).respond();
         await trial.client.next();
         const second = trial.idFor('w0');
-        trial.client.ask({ id: second, path: `/${kind}/x` });
+        trial.client.request({ id: second, path: `/${kind}/x` });
         const call = await trial.next();
         call.write(call.textOf({ id: first, body: 'surplus' }) + call.textOf({}));
-        if (kind === 'often') (await trial.next()).answer();
+        if (kind === 'often') (await trial.next()).respond();
         const answer = await trial.client.next();
-        expect([call.connection, answer.status, answer.body.includes('surplus'), trial.runs(second)]).toEqual(
-          kind === 'often' ? [0, 200, false, 2] : [0, 502, false, 1],
-        );
+        expect([
+          call.connection,
+          answer.status,
+          answer.body.includes('surplus'),
+          trial.calls(second),
+        ]).toEqual(kind === 'often' ? [0, 200, false, 2] : [0, 502, false, 1]);
       },
     );
 
   it('control safety, point 5: a late answer after the time-out reaches nobody', LIMIT, async () => {
-    trial = await Trial.open(1);
-    trial.client.ask({ id: trial.idFor('w0'), path: '/brief/x' });
+    trial = await RoutingTrial.open(1);
+    trial.client.request({ id: trial.idFor('w0'), path: '/brief/x' });
     const call = await trial.next();
     const answer = await trial.client.next();
     await call.closed;
-    call.answer({ body: 'late' });
+    call.respond({ body: 'late' });
     const next = await trial.after('w0');
     expect([answer.status, next.status, next.body.startsWith('of r'), trial.client.rest]).toEqual([
       504,
@@ -265,28 +268,28 @@
     'control safety, point 5: a worker declines twice: the second word does not stand for a run that goes on',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       await trial.warm('w0');
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const first = await trial.next();
       first.decline();
       const second = await trial.next();
       first.decline();
-      second.answer();
+      second.respond();
       const answer = await trial.client.next();
-      expect([answer.status, answer.body, trial.runs(id)]).toEqual([200, `of ${id}`, 2]);
+      expect([answer.status, answer.body, trial.calls(id)]).toEqual([200, `of ${id}`, 2]);
     },
   );
 });
 
 describe('control safety, point 5: what a worker did not run', () => {
   it('control safety, point 5: declined, the request goes to another worker', LIMIT, async () => {
-    trial = await Trial.open(2);
+    trial = await RoutingTrial.open(2);
     const id = trial.idFor('w0');
-    trial.client.ask({ id, path: '/once/x' });
+    trial.client.request({ id, path: '/once/x' });
     (await trial.next()).decline();
-    (await trial.next()).answer();
+    (await trial.next()).respond();
     expect((await trial.client.next()).body).toEqual(`of ${id}`);
   });
 
@@ -294,14 +297,14 @@
     'control safety, point 5: an address that another service reuses answers 421, and the request goes on',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const first = await trial.next();
       const wanted = first.headers.get('only');
-      first.answer({ status: 421, body: '' });
+      first.respond({ status: 421, body: '' });
       const second = await trial.next();
-      second.answer();
+      second.respond();
       expect([wanted, second.headers.get('only'), (await trial.client.next()).body]).toEqual([
         'w0',
         'w1',
@@ -314,13 +317,13 @@
     'control safety, point 5: declined by all, it is refused at once with a promise and a time',
     LIMIT,
     async () => {
-      trial = await Trial.open(3);
+      trial = await RoutingTrial.open(3);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       (await trial.next()).decline();
       (await trial.next()).decline();
       const answer = await trial.client.next();
-      expect([answer.status, answer.headers.has('retry-after'), trial.runs(id)]).toEqual([503, true, 2]);
+      expect([answer.status, answer.headers.has('retry-after'), trial.calls(id)]).toEqual([503, true, 2]);
     },
   );
 
@@ -328,9 +331,9 @@
     'control safety, point 5: declined after another worker may have run it, it is failed without a promise',
     LIMIT,
     async () => {
-      trial = await Trial.open(2);
+      trial = await RoutingTrial.open(2);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/often/x' });
+      trial.client.request({ id, path: '/often/x' });
       (await trial.next()).reset();
       (await trial.next()).decline();
       const answer = await trial.client.next();
@@ -344,12 +347,12 @@
     'control safety, point 5: interim answers are left out, and the answer is passed on',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
+      trial.client.request({ id, path: '/once/x' });
       const call = await trial.next();
       call.write('HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n');
-      call.answer();
+      call.respond();
       const answer = await trial.client.next();
       expect([answer.status, answer.body, trial.client.text.startsWith('HTTP/1.1 200')]).toEqual([
         200,
@@ -363,10 +366,10 @@
     'control safety, point 5: an answer that closes its connection is whole, and the next goes on another',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x' });
-      (await trial.next()).answer({ headers: ['Connection: close'] });
+      trial.client.request({ id, path: '/once/x' });
+      (await trial.next()).respond({ headers: ['Connection: close'] });
       const answer = await trial.client.next();
       const next = await trial.after('w0');
       expect([answer.body, next.status, trial.worker('w0').connections]).toEqual([`of ${id}`, 200, 2]);
@@ -377,10 +380,10 @@
     "control safety, point 5: 204 and 304 come without a body, and the next answer is the next request's",
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       for (const status of [204, 304]) {
         const id = trial.idFor('w0');
-        trial.client.ask({ id, path: '/once/x' });
+        trial.client.request({ id, path: '/once/x' });
         const call = await trial.next();
         call.write(`HTTP/1.1 ${status} X\r\nCall-Id: ${id}\r\nMark: s\r\n\r\n`);
         const answer = await trial.client.next();
@@ -399,9 +402,9 @@
     'control safety, point 5: the answer to HEAD keeps the length that its worker gave, and has no body',
     LIMIT,
     async () => {
-      trial = await Trial.open(1);
+      trial = await RoutingTrial.open(1);
       const id = trial.idFor('w0');
-      trial.client.ask({ id, path: '/once/x', method: 'HEAD', body: '' });
+      trial.client.request({ id, path: '/once/x', method: 'HEAD', body: '' });
       const call = await trial.next();
       call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${id}\r\nMark: s\r\nContent-Length: 5\r\n\r\n`);
       const answer = await trial.client.next();
@@ -411,9 +414,9 @@
   );
 
   it('control safety, point 5: a head whose body comes later is passed on whole', LIMIT, async () => {
-    trial = await Trial.open(1);
+    trial = await RoutingTrial.open(1);
     const id = trial.idFor('w0');
-    trial.client.ask({ id, path: '/once/x' });
+    trial.client.request({ id, path: '/once/x' });
     const call = await trial.next();
     const text = call.textOf({});
     call.write(text.slice(0, -3));
--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -34,7 +34,7 @@
   res.end(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran: row.ran, id } }));
 }
 
-class HttpPort implements GatewayResponseSink {
+class ChatResponse implements GatewayResponseSink {
   #res: ServerResponse;
   #id: string;
 
@@ -74,7 +74,7 @@
     this.#res.end();
   }
 
-  /** The chunked body is left without its end, so that the visitor sees the cut. */
+  /** The chunked body is left without its end, so that the client sees that it is incomplete. */
   abort(): void {
     this.#res.destroy();
   }
@@ -85,7 +85,7 @@
   return typeof value === 'string' ? value : '';
 }
 
-function readAsk(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
+function readGatewayRequest(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
   const wish = header(req, 'rainrun-deadline-ms');
   const deadlineMs = wish === '' ? undefined : Number(wish);
   if (deadlineMs !== undefined && !Number.isFinite(deadlineMs))
@@ -132,11 +132,11 @@
 }
 
 /**
- * Takes a visitor's request from HTTP to the gateway.
+ * Takes a client's request from HTTP to the gateway.
  * @example
  * visit(gateway, 'edge-1', chance, req, res);
  */
-export function visit(
+export function handleChatRequest(
   gateway: Gateway,
   edge: string,
   chance: RandomSource,
@@ -144,10 +144,10 @@
   res: ServerResponse,
 ): void {
   const id = `${edge}.${randomId(chance)}`;
-  const ask = readAsk(req, id);
-  if (ask.isErr) return sendFault(res, ask.error, id);
-  const leave = gateway.admit(ask.value, new HttpPort(res, id));
+  const request = readGatewayRequest(req, id);
+  if (request.isErr) return sendFault(res, request.error, id);
+  const cancel = gateway.admit(request.value, new ChatResponse(res, id));
   res.on('close', () => {
-    if (!res.writableFinished) leave();
+    if (!res.writableFinished) cancel();
   });
 }
--- a/packages/runtime/src/client-connections.ts
+++ b/packages/runtime/src/client-connections.ts
@@ -4,7 +4,7 @@
 
 interface Connection {
   readonly socket: Socket;
-  /** Requests whose head was read and whose answer has not gone out whole. */
+  /** Requests whose head was read and whose response has not been sent completely. */
   readonly open: Set<IncomingMessage>;
   ending: 'no' | 'when closed' | 'when answered';
 }
@@ -27,7 +27,7 @@
   }
 
   /** The head of a request was read; false: its connection is at its end, and the request is not taken. */
-  opened(request: IncomingMessage): boolean {
+  requestStarted(request: IncomingMessage): boolean {
     const connection = this.#connections.get(request.socket);
     if (connection === undefined || connection.ending === 'when answered' || !request.socket.writable)
       return false;
@@ -36,25 +36,25 @@
   }
 
   /** The answer to a request has gone out, or its connection is lost. */
-  closed(request: IncomingMessage): void {
+  responseClosed(request: IncomingMessage): void {
     const connection = this.#connections.get(request.socket);
     if (connection === undefined) return;
     connection.open.delete(request);
-    endIfDue(connection);
+    closeIfDue(connection);
   }
 
-  /** Whether the answer to a request that came whole is still due. */
-  owesAnswer(socket: Duplex): boolean {
+  /** Whether the response to a completely received request is still pending. */
+  hasPendingResponse(socket: Duplex): boolean {
     const connection = this.#connections.get(socket);
-    return connection !== undefined && owesAnswer(connection);
+    return connection !== undefined && hasPendingResponse(connection);
   }
 
   /** What follows on this connection cannot be read: it ends behind the answers that are due. */
-  endWhenAnswered(socket: Duplex): void {
+  closeAfterPendingResponses(socket: Duplex): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined) return;
     connection.ending = 'when answered';
-    endIfDue(connection);
+    closeIfDue(connection);
   }
 
   /** Ends every connection, now or behind its last answer. */
@@ -62,18 +62,18 @@
     this.#draining = true;
     for (const connection of this.#connections.values()) {
       if (connection.ending === 'no') connection.ending = 'when closed';
-      endIfDue(connection);
+      closeIfDue(connection);
     }
   }
 }
 
-function owesAnswer(connection: Connection): boolean {
+function hasPendingResponse(connection: Connection): boolean {
   return [...connection.open].some((request) => request.complete);
 }
 
-function endIfDue(connection: Connection): void {
+function closeIfDue(connection: Connection): void {
   const due =
     (connection.ending === 'when closed' && connection.open.size === 0) ||
-    (connection.ending === 'when answered' && !owesAnswer(connection));
+    (connection.ending === 'when answered' && !hasPendingResponse(connection));
   if (due) connection.socket.destroySoon();
 }
--- a/packages/runtime/src/front.test.ts
+++ b/packages/runtime/src/client-server.test.ts
@@ -45,10 +45,10 @@
     port.respond(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
   readonly front = new ClientServer({
-    words: WORDS,
+    headerNames: WORDS,
     limits: () => ({ ...DEFAULT_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
-    leaving: () => this.leaving,
-    take: (ask, port) => {
+    isDraining: () => this.leaving,
+    onRequest: (ask, port) => {
       this.taken.push({ ask, port });
       this.onTake(ask, port);
       return () => {
@@ -170,7 +170,7 @@
       setImmediate(() => port.respond(200, [], Buffer.from('late')));
     };
     const answer = await bench.ask({ 'x-id': '1' });
-    expect([answer.status, answer.body, answer.headers.connection, front.open]).toEqual([
+    expect([answer.status, answer.body, answer.headers.connection, front.openRequests]).toEqual([
       200,
       'late',
       'close',
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -8,53 +8,53 @@
 import type { ClientHeaderNames } from './dialect.js';
 import { splitAddress } from './peer-transport.js';
 
-const HEADERS_MOST = 128 * 1024;
+const HEADERS_MAX_BYTES = 128 * 1024;
 /** The answer to what cannot be read, by the code of node's error. */
 const UNREADABLE_STATUS: ReadonlyMap<string, string> = new Map([
   ['ERR_HTTP_REQUEST_TIMEOUT', '408 Request Timeout'],
   ['HPE_HEADER_OVERFLOW', '431 Request Header Fields Too Large'],
 ]);
 
-/** What the front door needs of its node. */
-export interface FrontDependencies {
-  readonly words: ClientHeaderNames;
+/** What the client server needs of its node. */
+export interface ClientServerDependencies {
+  readonly headerNames: ClientHeaderNames;
   limits(): Limits | undefined;
   /** Whether connections are to be closed after their answer. */
-  leaving(): boolean;
-  take(ask: ClientRequest, port: ResponseSink): () => void;
+  isDraining(): boolean;
+  onRequest(request: ClientRequest, port: ResponseSink): () => void;
 }
 
 /**
  * Where clients come in: reads each request whole within the limits in force
  * and hands it on.
  * @example
- * const front = new ClientServer(dependencies);
- * await front.listen('10.0.0.4:8000');
+ * const clientServer = new ClientServer(dependencies);
+ * await clientServer.listen('10.0.0.4:8000');
  */
 export class ClientServer {
-  #dependencies: FrontDependencies;
+  #dependencies: ClientServerDependencies;
   #server: Server;
   #connections = new ClientConnections();
-  #open = 0;
+  #openRequests = 0;
 
-  constructor(dependencies: FrontDependencies) {
+  constructor(dependencies: ClientServerDependencies) {
     this.#dependencies = dependencies;
     this.#server = createServer(
-      { maxHeaderSize: HEADERS_MOST, connectionsCheckingInterval: 500, noDelay: true },
+      { maxHeaderSize: HEADERS_MAX_BYTES, connectionsCheckingInterval: 500, noDelay: true },
       (req, res) => this.#receive(req, res),
     );
     this.#server.on('connection', (socket) => this.#connections.add(socket));
     this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) =>
-      this.#refuseUnreadable(thrown, socket),
+      this.#rejectMalformed(thrown, socket),
     );
     // What node calls idle includes answers that are still being written out.
     this.#server.closeIdleConnections = () => this.#connections.drain();
     this.applyLimits();
   }
 
-  /** Requests that have not had their whole answer. */
-  get open(): number {
-    return this.#open;
+  /** Requests without a complete response. */
+  get openRequests(): number {
+    return this.#openRequests;
   }
 
   /** Takes over the limits in force. */
@@ -79,7 +79,7 @@
   }
 
   /** Ends every connection, with or without an answer. */
-  tear(): void {
+  closeAllConnections(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
@@ -89,32 +89,33 @@
    * it may be written only where no other is due on the connection: the client
    * would take it for that one.
    */
-  #refuseUnreadable(thrown: NodeJS.ErrnoException, socket: Duplex): void {
+  #rejectMalformed(thrown: NodeJS.ErrnoException, socket: Duplex): void {
     if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
-    if (this.#connections.owesAnswer(socket)) return this.#connections.endWhenAnswered(socket);
+    if (this.#connections.hasPendingResponse(socket))
+      return this.#connections.closeAfterPendingResponses(socket);
     const status = UNREADABLE_STATUS.get(thrown.code ?? '') ?? '400 Bad Request';
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 
   #receive(req: IncomingMessage, res: ServerResponse): void {
-    if (!this.#connections.opened(req)) return;
-    this.#open += 1;
+    if (!this.#connections.requestStarted(req)) return;
+    this.#openRequests += 1;
     res.on('close', () => {
-      this.#open -= 1;
-      this.#connections.closed(req);
+      this.#openRequests -= 1;
+      this.#connections.responseClosed(req);
     });
     const limits = this.#dependencies.limits() ?? DEFAULT_LIMITS;
-    const port = new HttpPort(res, () => this.#dependencies.leaving());
+    const port = new ClientResponse(res, () => this.#dependencies.isDraining());
     const headerBytes = req.rawHeaders.reduce(
       (sum, text) => sum + text.length + 2,
       (req.url ?? '').length + 12,
     );
     if (headerBytes > limits.headerBytes)
       return port.end(431, fault('too-large', `headers of ${headerBytes} bytes`), true);
-    const id = one(req.headers[this.#dependencies.words.requestId]);
+    const id = firstValue(req.headers[this.#dependencies.headerNames.requestId]);
     if (id === undefined || id === '')
       return port.end(400, fault('bad-request', 'a request without an id'), true);
-    if (this.#standsTwice(req, this.#dependencies.words.requestId) || this.#standsTwice(req, 'host'))
+    if (this.#standsTwice(req, this.#dependencies.headerNames.requestId) || this.#standsTwice(req, 'host'))
       return port.end(400, fault('bad-request', 'a request with two ids or two hosts'), true);
     if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
       return port.end(413, fault('too-large', 'the body is too large'), true);
@@ -132,9 +133,9 @@
     req.on('error', () => undefined);
     req.on('end', () => {
       if (refused || !req.complete || res.destroyed) return;
-      const leave = this.#dependencies.take(this.#ask(req, id, Buffer.concat(parts)), port);
+      const cancel = this.#dependencies.onRequest(this.#toClientRequest(req, id, Buffer.concat(parts)), port);
       res.on('close', () => {
-        if (!res.writableFinished) leave();
+        if (!res.writableFinished) cancel();
       });
     });
   }
@@ -143,16 +144,18 @@
     return (req.headersDistinct[header]?.length ?? 0) > 1;
   }
 
-  #ask(req: IncomingMessage, id: string, body: Buffer): ClientRequest {
-    const { words } = this.#dependencies;
+  #toClientRequest(req: IncomingMessage, id: string, body: Buffer): ClientRequest {
+    const { headerNames } = this.#dependencies;
     const headers: Header[] = [];
     for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
       const name = req.rawHeaders[at] ?? '';
       if (!isHop(name) && name.toLowerCase() !== 'expect') headers.push([name, req.rawHeaders[at + 1] ?? '']);
     }
-    const [model = '', adapter = ''] = (one(req.headers[words.model]) ?? '').split('/');
-    const parts = (one(req.headers[words.prefix]) ?? '').split(',').filter((part) => part !== '');
-    const deadlineMs = Number(one(req.headers[words.deadlineMs]) ?? NaN);
+    const [model = '', adapter = ''] = (firstValue(req.headers[headerNames.model]) ?? '').split('/');
+    const parts = (firstValue(req.headers[headerNames.prefix]) ?? '')
+      .split(',')
+      .filter((part) => part !== '');
+    const deadlineMs = Number(firstValue(req.headers[headerNames.deadlineMs]) ?? NaN);
     return {
       id,
       method: req.method ?? 'GET',
@@ -164,8 +167,8 @@
       model,
       adapter,
       prefix: parts.slice(0, -1).map((part) => part.split(':')[0] ?? ''),
-      promptTokens: Number((one(req.headers[words.tokens]) ?? '0').split(',')[0]) || 0,
-      lastEventId: one(req.headers[words.lastEventId]),
+      promptTokens: Number((firstValue(req.headers[headerNames.tokens]) ?? '0').split(',')[0]) || 0,
+      lastEventId: firstValue(req.headers[headerNames.lastEventId]),
     };
   }
 }
@@ -177,17 +180,17 @@
   ];
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
-class HttpPort implements ResponseSink {
+class ClientResponse implements ResponseSink {
   #res: ServerResponse;
-  #leaving: () => boolean;
+  #isDraining: () => boolean;
 
-  constructor(res: ServerResponse, leaving: () => boolean) {
+  constructor(res: ServerResponse, isDraining: () => boolean) {
     this.#res = res;
-    this.#leaving = leaving;
+    this.#isDraining = isDraining;
   }
 
   respond(status: number, headers: readonly Header[], body: Buffer): void {
@@ -244,7 +247,7 @@
   }
 
   #head(status: number, headers: readonly Header[]): void {
-    if (this.#leaving()) this.#res.shouldKeepAlive = false;
+    if (this.#isDraining()) this.#res.shouldKeepAlive = false;
     if (headers.some(([name]) => name.toLowerCase() === 'date')) this.#res.sendDate = false;
     this.#res.writeHead(status, headers.flat());
   }
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -14,25 +14,25 @@
 } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
-import type { Dialect, SystemSettings } from './dialect.js';
+import type { Dialect, PlatformSettings } from './dialect.js';
 import type { Log } from './log.js';
-import { WORKER_LINK } from './links.js';
+import { WORKER_CONNECTION_TIMES } from './worker-connections.js';
 import { OperatorServer } from './operator-server.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
-const HEARTBEAT_MS = 25;
+const TICK_MS = 25;
 /** A core that does not coordinate heartbeats at every second one. */
-const SELDOM = 2;
-const LIST_MS = 500;
-const LIST_WAIT_MS = 900;
-const ORDER_WAIT_MS = 800;
-const COUNTERS_MS = 10_000;
+const NON_COORDINATOR_TICK_DIVISOR = 2;
+const LIST_INTERVAL_MS = 500;
+const LIST_TIMEOUT_MS = 900;
+const ORDER_TIMEOUT_MS = 800;
+const COUNTERS_INTERVAL_MS = 10_000;
 
 const CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: RandomSource = { next: () => Math.random() };
 
 /** The answer of a worker. */
-interface Reply {
+interface WorkerReply {
   readonly status: number;
   readonly body: string;
 }
@@ -42,31 +42,31 @@
  * a disk; answers operators, and while it coordinates reads the platform's
  * list and orders the workers.
  * @example
- * const node = await CoreNode.open(settings, dialect, log, broken);
+ * const node = await CoreNode.open(settings, dialect, log, onFatal);
  * if (node.isOk) await node.value.start();
  */
 export class CoreNode {
-  #settings: SystemSettings;
+  #settings: PlatformSettings;
   #dialect: Dialect;
   #log: Log;
-  #wire: PeerTransport;
+  #transport: PeerTransport;
   #replica: CoreReplica;
-  #link = new PoolLink(WORKER_LINK);
+  #link = new PoolLink(WORKER_CONNECTION_TIMES);
   #operators: OperatorService;
   #operatorServer: OperatorServer;
   #timers: NodeJS.Timeout[] = [];
-  #listing = false;
-  #listFaults = 0;
+  #isListing = false;
+  #listFailures = 0;
   #listedMs = -Infinity;
   #stopping = false;
-  #led = false;
-  #heartbeats = 0;
+  #wasCoordinator = false;
+  #ticks = 0;
 
-  private constructor(settings: SystemSettings, dialect: Dialect, log: Log, acceptor: Acceptor) {
+  private constructor(settings: PlatformSettings, dialect: Dialect, log: Log, acceptor: Acceptor) {
     this.#settings = settings;
     this.#dialect = dialect;
     this.#log = log;
-    this.#wire = new PeerTransport('system', (frame) => this.#replica.receive(frame));
+    this.#transport = new PeerTransport('system', (frame) => this.#replica.receive(frame));
     const seeds = settings.seeds.map((host) => `${host}:${settings.ports[0]}`);
     this.#replica = new CoreReplica({
       name: settings.name,
@@ -75,15 +75,15 @@
       deployment: 'system',
       seeds,
       founders: settings.founding ? seeds : [],
-      desiredVoterCount: 2 * settings.lossesBorne + 1,
+      desiredVoterCount: 2 * settings.toleratedLosses + 1,
       clock: CLOCK,
       chance: CHANCE,
       times: PLATFORM_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
-      send: (address, frame) => this.#wire.post(address, frame),
-      order: (row, order, done) => this.#order(row, order, done),
-      report: (row, done) => this.#report(row, done),
+      send: (address, frame) => this.#transport.send(address, frame),
+      order: (row, order, done) => this.#sendOrder(row, order, done),
+      report: (row, done) => this.#requestReport(row, done),
       onStateChange: (state) =>
         log.info({ edition: state.edition, revision: state.revision, evacuated: state.evacuated }, 'agreed'),
       onNewIncarnation: (incarnation) => log.warn({ incarnation }, 'dropped from the view; joining anew'),
@@ -101,29 +101,29 @@
 
   /** Opens the disk; a fault says why it cannot be used. */
   static async open(
-    settings: SystemSettings,
+    settings: PlatformSettings,
     dialect: Dialect,
     log: Log,
-    broken: (why: Fault) => void,
+    onFatal: (why: Fault) => void,
   ): Promise<Result<CoreNode, Fault>> {
     const opened = await RecordStore.open(settings.folder);
     if (opened.isErr) return Result.err(opened.error);
     const { recordStore, records } = opened.value;
     return readRecords(records, randomId(CHANCE)).map((opening) => {
-      const acceptor = new Acceptor(opening, recordStore, 'system', broken);
+      const acceptor = new Acceptor(opening, recordStore, 'system', onFatal);
       if (records.disk === undefined) acceptor.writeDiskRecord();
       return new CoreNode(settings, dialect, log, acceptor);
     });
   }
 
   async start(): Promise<void> {
-    const { host, ports, listen } = this.#settings;
-    const bound = await this.#wire.listen(`${host}:${ports[0]}`);
+    const { host, ports, listenAddresses: listen } = this.#settings;
+    const bound = await this.#transport.listen(`${host}:${ports[0]}`);
     if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the other nodes');
     this.#operatorServer.listen(host, splitAddress(listen.operators).port);
     this.#timers.push(
-      setInterval(() => this.#tick(), HEARTBEAT_MS),
-      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
+      setInterval(() => this.#tick(), TICK_MS),
+      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_INTERVAL_MS),
     );
     this.#log.info({ operators: listen.operators, founding: this.#settings.founding }, 'started');
   }
@@ -139,45 +139,45 @@
   }
 
   #tick(): void {
-    this.#heartbeats += 1;
+    this.#ticks += 1;
     this.#operators.tick();
     const { isCoordinator: leading } = this.#replica.group;
-    if (!leading && this.#heartbeats % SELDOM !== 0) return;
+    if (!leading && this.#ticks % NON_COORDINATOR_TICK_DIVISOR !== 0) return;
     this.#replica.tick();
-    if (leading !== this.#led) {
-      this.#led = leading;
+    if (leading !== this.#wasCoordinator) {
+      this.#wasCoordinator = leading;
       this.#listedMs = -Infinity;
       this.#log.info({ leading, epoch: this.#replica.group.epoch }, 'coordination');
     }
-    if (leading && CLOCK.nowMs() - this.#listedMs >= LIST_MS) void this.#list();
+    if (leading && CLOCK.nowMs() - this.#listedMs >= LIST_INTERVAL_MS) void this.#pollWorkerList();
   }
 
   // The platform's list.
 
-  async #list(): Promise<void> {
-    if (this.#listing) return;
-    this.#listing = true;
+  async #pollWorkerList(): Promise<void> {
+    if (this.#isListing) return;
+    this.#isListing = true;
     this.#listedMs = CLOCK.nowMs();
-    const list = await this.#readList();
-    this.#listing = false;
+    const list = await this.#readWorkerList();
+    this.#isListing = false;
     if (list.isOk) {
-      this.#listFaults = 0;
+      this.#listFailures = 0;
       this.#replica.learnList(list.value);
     } else {
-      if (this.#listFaults === 0)
+      if (this.#listFailures === 0)
         this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
-      this.#listFaults += 1;
+      this.#listFailures += 1;
     }
   }
 
-  async #readList(): Promise<Result<ListedWorker[], Fault>> {
+  async #readWorkerList(): Promise<Result<ListedWorker[], Fault>> {
     const workers: ListedWorker[] = [];
     let next: string | undefined;
     try {
       do {
         const { statusCode, body } = await request(
           `http://${this.#settings.provider.address}${this.#dialect.listPath(next)}`,
-          { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS },
+          { headersTimeout: LIST_TIMEOUT_MS, bodyTimeout: LIST_TIMEOUT_MS },
         );
         const text = await body.text();
         if (statusCode !== 200)
@@ -195,7 +195,7 @@
 
   // Orders.
 
-  #order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
+  #sendOrder(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
     const body = this.#dialect.writeOrder(order, this.#replica.group.self.incarnation);
     this.#call(
       row,
@@ -210,7 +210,7 @@
     );
   }
 
-  #report(row: WorkerRecord, done: (reply: ReportReply) => void): void {
+  #requestReport(row: WorkerRecord, done: (reply: ReportReply) => void): void {
     this.#call(
       row,
       'GET',
@@ -223,19 +223,19 @@
     );
   }
 
-  /** One call to a worker; `done` comes once, with nothing where there was no whole answer. */
+  /** One call to a worker; `done` comes once, with nothing where there was no complete response. */
   #call(
     row: WorkerRecord,
     method: string,
     target: string,
     body: string,
     mayStart: () => boolean,
-    done: (reply: Reply | undefined) => void,
+    done: (reply: WorkerReply | undefined) => void,
   ): void {
     let open = true;
     let status = 0;
     const parts: Buffer[] = [];
-    function finish(reply: Reply | undefined): void {
+    function finish(reply: WorkerReply | undefined): void {
       if (!open) return;
       open = false;
       clearTimeout(timer);
@@ -247,7 +247,7 @@
     ];
     if (body !== '') headers.push(['content-type', 'application/json']);
     const send = this.#link.send(
-      { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_WAIT_MS },
+      { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_TIMEOUT_MS },
       {
         mayStart: () => open && mayStart(),
         head: (code) => {
@@ -261,11 +261,11 @@
     const timer = setTimeout(() => {
       send.abort();
       finish(undefined);
-    }, ORDER_WAIT_MS + 100);
+    }, ORDER_TIMEOUT_MS + 100);
   }
 
   #counters(): Record<string, number> {
-    const { group, planner, subscriberCount: followers, workerTable: book } = this.#replica;
+    const { group, planner, subscriberCount: followers, workerTable } = this.#replica;
     const { user, system } = process.cpuUsage();
     return {
       version: group.state?.number ?? 0,
@@ -274,10 +274,10 @@
       leading: group.isCoordinator ? 1 : 0,
       granted: group.holdsLease() ? 1 : 0,
       followers,
-      rows: book.number,
+      rows: workerTable.number,
       ...planner.counts,
-      framesIn: this.#wire.counts.framesIn,
-      bytesOut: this.#wire.counts.bytesOut,
+      framesIn: this.#transport.counts.framesIn,
+      bytesOut: this.#transport.counts.bytesOut,
       cpuMs: Math.round((user + system) / 1000),
       heldMb: Math.round(process.memoryUsage.rss() / 2 ** 20),
     };
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -7,7 +7,7 @@
 export type { OperatorCall } from '@rainrun/cluster-node';
 
 /** The settings of a node that runs on a platform, in our terms. */
-export interface SystemSettings {
+export interface PlatformSettings {
   readonly name: string;
   readonly zone: string;
   /** Region of each zone. */
@@ -22,16 +22,20 @@
   readonly founding: boolean;
   readonly folder: string;
   /** So many machines with a disk may be lost at once. */
-  readonly lossesBorne: number;
+  readonly toleratedLosses: number;
   /** Addresses IP:PORT; empty where this node does not serve them. */
-  readonly listen: { readonly clients: string; readonly readiness: string; readonly operators: string };
+  readonly listenAddresses: {
+    readonly clients: string;
+    readonly readiness: string;
+    readonly operators: string;
+  };
   readonly provider: { readonly address: string; readonly callsPerS: number; readonly lagMs: number };
   readonly retries: { readonly ratio: number; readonly extra: number };
   readonly graceMs: number;
   readonly memoryMb: number;
 }
 
-/** Names of headers that the door reads, lower case. */
+/** Names of the headers that an edge reads from its clients, lower case. */
 export interface ClientHeaderNames {
   readonly requestId: string;
   readonly deadlineMs: string;
@@ -58,7 +62,7 @@
 export interface Dialect extends EdgeDialect, OperatorFormat {
   readonly orderPath: string;
   readonly reportPath: string;
-  readSettings(text: string): Result<SystemSettings, Fault[]>;
+  readSettings(text: string): Result<PlatformSettings, Fault[]>;
   readCall(
     method: string,
     path: string,
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -6,61 +6,61 @@
 import { EdgeReplica } from '@rainrun/cluster-node';
 import type { RandomSource, Clock } from '@rainrun/common';
 import { Router } from '@rainrun/router';
-import type { EdgeDialect, SystemSettings } from './dialect.js';
+import type { EdgeDialect, PlatformSettings } from './dialect.js';
 import { ClientServer } from './client-server.js';
-import { WORKER_LINK } from './links.js';
+import { WORKER_CONNECTION_TIMES } from './worker-connections.js';
 import type { Log } from './log.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
 /** Between two looks at what waits, and at the cores while this edge cannot serve yet. */
-const HEARTBEAT_MS = 50;
+const TICK_MS = 50;
 /** The same while nothing waits here: each wake-up of a process costs more than the look itself. */
-const RESTING_HEARTBEAT_MS = 100;
+const IDLE_TICK_MS = 100;
 /** A model that stands nowhere is asked for after this, with what else came meanwhile. */
-const HASTE_MS = 7;
-const COUNTERS_MS = 10_000;
+const URGENT_REQUEST_DELAY_MS = 7;
+const COUNTERS_INTERVAL_MS = 10_000;
 /** The platform asks every second and believes the second miss: so long new connections still come. */
-const STILL_COMING_MS = 3000;
-const GRACE_LEFT_MS = 700;
+const DEREGISTRATION_LAG_MS = 3000;
+const GRACE_RESERVE_MS = 700;
 /** The last answers of our own get so long to leave. */
-const LAST_ANSWERS_MS = 300;
+const FINAL_RESPONSES_MS = 300;
 /** So does the word to the cores that this edge goes. */
-const LAST_WORD_MS = 30;
+const GOODBYE_FLUSH_MS = 30;
 
-const MONOTONIC: Clock = { nowMs: () => performance.now() };
+const MONOTONIC_CLOCK: Clock = { nowMs: () => performance.now() };
 const CHANCE: RandomSource = { next: () => Math.random() };
 
 /**
  * An edge on a platform: clients come in, requests go out to workers; what it
- * knows it is told by the cores that it follows.
+ * knows comes from the cores that it subscribes to.
  * @example
  * const node = new EdgeNode(settings, dialect, log);
  * await node.start();
  */
 export class EdgeNode {
-  #settings: SystemSettings;
+  #settings: PlatformSettings;
   #clock: Clock;
   #log: Log;
-  #wire: PeerTransport;
-  #follower: EdgeReplica;
-  #link = new PoolLink(WORKER_LINK);
+  #transport: PeerTransport;
+  #replica: EdgeReplica;
+  #link = new PoolLink(WORKER_CONNECTION_TIMES);
   #router: Router;
-  #front: ClientServer;
+  #clientServer: ClientServer;
   #readiness: Server;
   #timers: NodeJS.Timeout[] = [];
   #stopping = false;
   #wasReady = false;
-  #heartbeat: NodeJS.Timeout | undefined;
-  #beatAtMs = 0;
+  #tickTimer: NodeJS.Timeout | undefined;
+  #nextTickMs = 0;
   #closed = false;
-  #haste: NodeJS.Timeout | undefined;
+  #urgentRequestTimer: NodeJS.Timeout | undefined;
 
-  constructor(settings: SystemSettings, dialect: EdgeDialect, log: Log, clock = MONOTONIC) {
+  constructor(settings: PlatformSettings, dialect: EdgeDialect, log: Log, clock = MONOTONIC_CLOCK) {
     this.#settings = settings;
     this.#clock = clock;
     this.#log = log;
-    this.#wire = new PeerTransport('system', (frame) => this.#follower.receive(frame));
-    this.#follower = new EdgeReplica({
+    this.#transport = new PeerTransport('system', (frame) => this.#replica.receive(frame));
+    this.#replica = new EdgeReplica({
       name: settings.name,
       zone: settings.zone,
       address: `${settings.host}:${settings.ports[0] + 1}`,
@@ -68,10 +68,10 @@
       seeds: settings.seeds.map((host) => `${host}:${settings.ports[0]}`),
       clock,
       chance: CHANCE,
-      send: (address, frame) => this.#wire.post(address, frame),
-      demands: () => this.#wants(),
+      send: (address, frame) => this.#transport.send(address, frame),
+      demands: () => this.#demands(),
       outcomes: () => this.#router.takeOutcomes().map((one) => create(WorkerOutcomesSchema, one)),
-      onChange: (what) => this.#changed(what),
+      onChange: (what) => this.#onReplicaChange(what),
     });
     this.#router = new Router({
       zone: settings.zone,
@@ -79,38 +79,38 @@
       link: this.#link,
       headerNames: dialect.workerHeaderNames,
       retries: settings.retries,
-      configuration: () => this.#follower.configuration,
-      evacuated: () => this.#follower.state.evacuated,
-      workers: () => this.#follower.workers,
-      edges: () => this.#follower.edgeCount,
-      incarnation: () => this.#follower.incarnation,
+      configuration: () => this.#replica.configuration,
+      evacuated: () => this.#replica.state.evacuated,
+      workers: () => this.#replica.workers,
+      edges: () => this.#replica.edgeCount,
+      incarnation: () => this.#replica.incarnation,
       region: (zone) => settings.regions[zone] ?? '',
-      missing: () => this.#hasten(),
-      waits: () => this.#beatWithin(HEARTBEAT_MS),
+      missing: () => this.#requestUpdateSoon(),
+      waits: () => this.#tickWithin(TICK_MS),
     });
-    this.#front = new ClientServer({
-      words: dialect.clientHeaderNames,
-      limits: () => this.#follower.configuration?.limits ?? undefined,
-      leaving: () => this.#stopping,
-      take: (ask, port) => this.#router.take(ask, port),
+    this.#clientServer = new ClientServer({
+      headerNames: dialect.clientHeaderNames,
+      limits: () => this.#replica.configuration?.limits ?? undefined,
+      isDraining: () => this.#stopping,
+      onRequest: (request, port) => this.#router.take(request, port),
     });
     this.#readiness = createServer((req, res) => {
-      const ready = req.url === dialect.readinessPath && this.#follower.ready && !this.#stopping;
+      const ready = req.url === dialect.readinessPath && this.#replica.ready && !this.#stopping;
       res.writeHead(ready ? 200 : 503, { 'content-length': '0' });
       res.end();
     });
   }
 
   async start(): Promise<void> {
-    const { host, ports, listen } = this.#settings;
-    const bound = await this.#wire.listen(`${host}:${ports[0] + 1}`);
+    const { host, ports, listenAddresses: listen } = this.#settings;
+    const bound = await this.#transport.listen(`${host}:${ports[0] + 1}`);
     if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the cores');
-    await this.#front.listen(listen.clients);
+    await this.#clientServer.listen(listen.clients);
     this.#readiness.listen(splitAddress(listen.readiness).port, host);
     this.#timers.push(
-      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
+      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_INTERVAL_MS),
     );
-    this.#beat();
+    this.#tick();
     this.#log.info({ clients: listen.clients }, 'started');
   }
 
@@ -119,16 +119,16 @@
     if (this.#stopping) return;
     this.#stopping = true;
     const startMs = this.#clock.nowMs();
-    const endMs = startMs + this.#settings.graceMs - GRACE_LEFT_MS;
-    this.#log.info({ open: this.#front.open }, 'stopping');
-    await pause(Math.min(STILL_COMING_MS, this.#settings.graceMs / 2));
-    this.#front.close();
-    while (this.#front.open > 0 && this.#clock.nowMs() < endMs) await pause(25);
+    const endMs = startMs + this.#settings.graceMs - GRACE_RESERVE_MS;
+    this.#log.info({ open: this.#clientServer.openRequests }, 'stopping');
+    await pause(Math.min(DEREGISTRATION_LAG_MS, this.#settings.graceMs / 2));
+    this.#clientServer.close();
+    while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < endMs) await pause(25);
     this.#router.close();
-    this.#follower.leave();
-    const lastMs = this.#clock.nowMs() + LAST_ANSWERS_MS;
-    do await pause(LAST_WORD_MS);
-    while (this.#front.open > 0 && this.#clock.nowMs() < lastMs);
+    this.#replica.leave();
+    const lastMs = this.#clock.nowMs() + FINAL_RESPONSES_MS;
+    do await pause(GOODBYE_FLUSH_MS);
+    while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < lastMs);
     this.#log.info({ counters: this.#counters() }, 'stopped');
     await this.close();
   }
@@ -137,66 +137,66 @@
   async close(): Promise<void> {
     this.#closed = true;
     for (const timer of this.#timers) clearInterval(timer);
-    clearTimeout(this.#heartbeat);
-    clearTimeout(this.#haste);
-    this.#front.tear();
+    clearTimeout(this.#tickTimer);
+    clearTimeout(this.#urgentRequestTimer);
+    this.#clientServer.closeAllConnections();
     this.#readiness.close();
-    this.#wire.close();
+    this.#transport.close();
     await this.#link.close();
   }
 
-  #beat(): void {
-    this.#heartbeat = undefined;
-    this.#follower.tick();
+  #tick(): void {
+    this.#tickTimer = undefined;
+    this.#replica.tick();
     this.#router.tick();
-    this.#noteReady();
-    const isResting = this.#follower.ready && this.#router.waiting === 0;
-    this.#beatWithin(isResting ? RESTING_HEARTBEAT_MS : HEARTBEAT_MS);
+    this.#logReadiness();
+    const isResting = this.#replica.ready && this.#router.waiting === 0;
+    this.#tickWithin(isResting ? IDLE_TICK_MS : TICK_MS);
   }
 
   /** Lets the next heartbeat come in this time at the latest. */
-  #beatWithin(waitMs: number): void {
+  #tickWithin(waitMs: number): void {
     if (this.#closed) return;
     const atMs = this.#clock.nowMs() + waitMs;
-    if (this.#heartbeat !== undefined && this.#beatAtMs <= atMs) return;
-    clearTimeout(this.#heartbeat);
-    this.#beatAtMs = atMs;
-    this.#heartbeat = setTimeout(() => this.#beat(), waitMs);
+    if (this.#tickTimer !== undefined && this.#nextTickMs <= atMs) return;
+    clearTimeout(this.#tickTimer);
+    this.#nextTickMs = atMs;
+    this.#tickTimer = setTimeout(() => this.#tick(), waitMs);
   }
 
-  #hasten(): void {
-    this.#follower.requestUpdateSoon();
-    this.#haste ??= setTimeout(() => {
-      this.#haste = undefined;
-      this.#follower.tick();
-    }, HASTE_MS);
+  #requestUpdateSoon(): void {
+    this.#replica.requestUpdateSoon();
+    this.#urgentRequestTimer ??= setTimeout(() => {
+      this.#urgentRequestTimer = undefined;
+      this.#replica.tick();
+    }, URGENT_REQUEST_DELAY_MS);
   }
 
-  #noteReady(): void {
-    if (this.#follower.ready === this.#wasReady) return;
-    this.#wasReady = this.#follower.ready;
+  #logReadiness(): void {
+    if (this.#replica.ready === this.#wasReady) return;
+    this.#wasReady = this.#replica.ready;
     this.#log.info(
       {
         ready: this.#wasReady,
-        revision: this.#follower.state.revision,
-        workers: this.#follower.workers.size,
+        revision: this.#replica.state.revision,
+        workers: this.#replica.workers.size,
       },
       'readiness',
     );
   }
 
-  #changed(what: 'state' | 'workers'): void {
+  #onReplicaChange(what: 'state' | 'workers'): void {
     if (what === 'state') {
-      this.#front.applyLimits();
+      this.#clientServer.applyLimits();
       this.#log.info(
-        { revision: this.#follower.state.revision, evacuated: this.#follower.state.evacuated },
+        { revision: this.#replica.state.revision, evacuated: this.#replica.state.evacuated },
         'configuration',
       );
-    } else this.#link.keepOnly(new Set([...this.#follower.workers.values()].map((worker) => worker.address)));
+    } else this.#link.keepOnly(new Set([...this.#replica.workers.values()].map((worker) => worker.address)));
     this.#router.tick();
   }
 
-  #wants(): ModelDemand[] {
+  #demands(): ModelDemand[] {
     return this.#router.asked().map((asked) => create(ModelDemandSchema, asked));
   }
 
@@ -206,11 +206,11 @@
       ...this.#router.counts,
       inFlight: this.#router.inFlight,
       waiting: this.#router.waiting,
-      edges: this.#follower.edgeCount,
-      workers: this.#follower.workers.size,
-      edition: this.#follower.state.edition,
-      framesIn: this.#wire.counts.framesIn,
-      bytesIn: this.#wire.counts.bytesIn,
+      edges: this.#replica.edgeCount,
+      workers: this.#replica.workers.size,
+      edition: this.#replica.state.edition,
+      framesIn: this.#transport.counts.framesIn,
+      bytesIn: this.#transport.counts.bytesIn,
       cpuMs: Math.round((user + system) / 1000),
       heldMb: Math.round(process.memoryUsage.rss() / 2 ** 20),
     };
--- a/packages/runtime/src/graceful-http-server.ts
+++ b/packages/runtime/src/graceful-http-server.ts
@@ -14,17 +14,17 @@
  * The HTTP server of a node, and its orderly end: once it drains, every answer
  * asks the caller to close the connection, and a connection that is still open
  * goes on being answered until its caller has closed it or a bound has passed.
- * So a caller that nobody told meets a definite answer, not a reset.
+ * So a caller that was not notified gets a definite response, not a reset.
  * @example
- * const door = new Door(limits);
- * const server = door.create(handler);
- * door.drain();
- * await door.empty(5000);
+ * const httpServer = new GracefulHttpServer(limits);
+ * const server = httpServer.create(handler);
+ * httpServer.drain();
+ * await httpServer.waitUntilIdle(5000);
  */
 export class GracefulHttpServer {
   #limits: HttpServerLimits;
   #server: Server | undefined;
-  #live = new Set<ServerResponse>();
+  #openResponses = new Set<ServerResponse>();
   #connections = 0;
   #draining = false;
 
@@ -32,11 +32,11 @@
     this.#limits = limits;
   }
 
-  /** Our own limits, checked every second: a visitor may not hold a connection by never ending its headers. */
+  /** Our own limits, checked every second: a client may not hold a connection by never ending its headers. */
   create(handler: RequestListener): Server {
     const server = createServer({ ...this.#limits, connectionsCheckingInterval: 1000 }, (req, res) => {
-      this.#live.add(res);
-      res.on('close', () => this.#live.delete(res));
+      this.#openResponses.add(res);
+      res.on('close', () => this.#openResponses.delete(res));
       if (this.#draining) res.shouldKeepAlive = false;
       handler(req, res);
     });
@@ -52,18 +52,18 @@
 
   drain(): void {
     this.#draining = true;
-    for (const res of this.#live) res.shouldKeepAlive = false;
+    for (const res of this.#openResponses) res.shouldKeepAlive = false;
   }
 
   /** Resolves once no caller is connected any more, or after a while. */
-  async empty(waitMs: number): Promise<void> {
+  async waitUntilIdle(waitMs: number): Promise<void> {
     const endMs = performance.now() + waitMs;
     while (this.#connections > 0 && performance.now() < endMs) await pause(POLL_MS);
     this.#server?.closeIdleConnections();
   }
 
-  /** Ends whatever is still open. */
-  tear(): void {
+  /** Closes every connection that is still open. */
+  closeAllConnections(): void {
     this.#server?.closeAllConnections();
   }
 }
--- a/packages/runtime/src/operator-server.test.ts
+++ b/packages/runtime/src/operator-server.test.ts
@@ -9,7 +9,7 @@
 import type { Dialect } from './dialect.js';
 import { jsonDepth } from './json-depth.js';
 import type { Log } from './log.js';
-import { BODY_MOST_BYTES, OperatorServer } from './operator-server.js';
+import { BODY_MAX_BYTES, OperatorServer } from './operator-server.js';
 
 function readCall(
   _method: string,
@@ -54,8 +54,8 @@
     const depth = 200_000;
     const statuses = [
       await send(address, '/', '{"a":1}'),
-      await send(address, '/', ' '.repeat(BODY_MOST_BYTES + 1)),
-      await send(address, '/', ' '.repeat(3 * BODY_MOST_BYTES)),
+      await send(address, '/', ' '.repeat(BODY_MAX_BYTES + 1)),
+      await send(address, '/', ' '.repeat(3 * BODY_MAX_BYTES)),
       await send(address, '/', `{"routes":${'['.repeat(depth)}${']'.repeat(depth)}}`),
       await send(address, '/', Buffer.from([0x7b, 0x22, 0xff, 0x22, 0x3a, 0x31, 0x7d])),
       await send(address, '/', '{"a":"[[[[\\"[["}'),
--- a/packages/runtime/src/operator-server.ts
+++ b/packages/runtime/src/operator-server.ts
@@ -10,8 +10,8 @@
 import type { Log } from './log.js';
 
 /** A configuration is 3 MiB at most; its JSON text may be written with more space than ours. */
-export const BODY_MOST_BYTES = 4 * 1024 * 1024;
-const DEPTH_MOST = 64;
+export const BODY_MAX_BYTES = 4 * 1024 * 1024;
+const DEPTH_MAX = 64;
 
 /** What the server needs of the operators' side. */
 export type OperatorAnswers = Pick<OperatorService, 'answer' | 'failure'>;
@@ -75,20 +75,20 @@
     const call = body.andThen((text) =>
       this.#dialect.readCall(req.method ?? '', req.url ?? '', req.headers, text),
     );
-    const reply = call.isOk ? await this.#carryOut(call.value, req) : this.#answers.failure(call.error);
+    const reply = call.isOk ? await this.#execute(call.value, req) : this.#answers.failure(call.error);
     this.#log.info(
-      call.isOk ? logged(call.value, reply) : { refused: call.error, status: reply.status },
+      call.isOk ? logFields(call.value, reply) : { refused: call.error, status: reply.status },
       'operator',
     );
     return reply;
   }
 
-  #carryOut(call: OperatorCall, req: IncomingMessage): Promise<OperatorReply> {
+  #execute(call: OperatorCall, req: IncomingMessage): Promise<OperatorReply> {
     return new Promise((resolve) => this.#answers.answer(call, resolve, () => isCallerGone(req)));
   }
 }
 
-function logged(call: OperatorCall, { status }: OperatorReply): Record<string, unknown> {
+function logFields(call: OperatorCall, { status }: OperatorReply): Record<string, unknown> {
   return { call: call.kind, base: 'base' in call ? call.base : undefined, status };
 }
 
@@ -102,13 +102,13 @@
 
 /** The body of a call as text. What is too large is read on and let go, so that the caller meets the answer and not a reset. */
 function readBody(req: IncomingMessage): Promise<Result<string, Fault>> {
-  const tooLarge = fault('too-large', `the body is larger than ${BODY_MOST_BYTES} bytes`);
+  const tooLarge = fault('too-large', `the body is larger than ${BODY_MAX_BYTES} bytes`);
   return new Promise((resolve) => {
     const parts: Buffer[] = [];
     let bytes = 0;
     req.on('data', (part: Buffer) => {
       bytes += part.length;
-      if (bytes <= BODY_MOST_BYTES) {
+      if (bytes <= BODY_MAX_BYTES) {
         parts.push(part);
         return;
       }
@@ -125,8 +125,8 @@
     () => fault('bad-request', 'the body is not UTF-8 text'),
     () => new TextDecoder('utf-8', { fatal: true }).decode(bytes),
   ).andThen((text) =>
-    jsonDepth(text) > DEPTH_MOST
-      ? Result.err<string, Fault>(fault('bad-request', `the body is nested deeper than ${DEPTH_MOST}`))
+    jsonDepth(text) > DEPTH_MAX
+      ? Result.err<string, Fault>(fault('bad-request', `the body is nested deeper than ${DEPTH_MAX}`))
       : Result.ok<string, Fault>(text),
   );
 }
--- a/packages/runtime/src/peer-transport.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -4,15 +4,15 @@
 import { Result, type Unit } from 'true-myth';
 
 const BACKLOG_MAX_BYTES = 16 * 1024 * 1024;
-const AGAIN_MS = 100;
-/** A line on which nothing was acknowledged for so long, though something is due, is given up. */
-const SILENT_MS = 1000;
+const RECONNECT_DELAY_MS = 100;
+/** A connection whose sent frames stay unacknowledged for so long is reset. */
+const ACK_TIMEOUT_MS = 1000;
 const ACK = Buffer.from([1]);
-/** Acknowledgements wait this long for more to acknowledge: well below the silence that ends a line. */
+/** Acknowledgements wait this long for more to acknowledge: well below the time-out of the sender. */
 const ACK_DELAY_MS = 200;
 
-/** Counters of the wire. */
-export interface WireCounts {
+/** Counters of the transport. */
+export interface TransportCounts {
   framesIn: number;
   framesOut: number;
   bytesIn: number;
@@ -22,13 +22,13 @@
   dropped: number;
 }
 
-interface Line {
+interface PeerConnection {
   socket: Socket;
   open: boolean;
   /** Since when something is unacknowledged; the other end says so by a byte for each lot that it read. */
-  dueMs: number | undefined;
+  unacknowledgedSinceMs: number | undefined;
   /** Whether the other end acknowledges at all: earlier builds do not. */
-  acks: boolean;
+  acknowledges: boolean;
 }
 
 /**
@@ -36,19 +36,19 @@
  * owns its sockets; what cannot be sent now is dropped, as the channels above
  * expect of a network.
  * @example
- * const wire = new Wire('vejsargs', (frame) => clusterNode.receive(frame));
- * await wire.listen('127.0.0.1:7001');
+ * const transport = new PeerTransport('vejsargs', (frame) => clusterNode.receive(frame));
+ * await transport.listen('127.0.0.1:7001');
  */
 export class PeerTransport {
   #deployment: string;
   #host = '';
-  #take: (frame: Frame) => void;
+  #onFrame: (frame: Frame) => void;
   #server: Server | undefined;
-  #lines = new Map<string, Line>();
+  #connections = new Map<string, PeerConnection>();
   #failedMs = new Map<string, number>();
-  #guests = new Set<Socket>();
+  #acceptedSockets = new Set<Socket>();
   #closed = false;
-  readonly counts: WireCounts = {
+  readonly counts: TransportCounts = {
     framesIn: 0,
     framesOut: 0,
     bytesIn: 0,
@@ -60,7 +60,7 @@
 
   constructor(deployment: string, take: (frame: Frame) => void) {
     this.#deployment = deployment;
-    this.#take = take;
+    this.#onFrame = take;
   }
 
   /** The port it listens on. */
@@ -72,7 +72,7 @@
   listen(address: string): Promise<Result<Unit, Fault>> {
     const { host, port } = splitAddress(address);
     this.#host = host;
-    const server = createServer((socket) => this.#guest(socket));
+    const server = createServer((socket) => this.#accept(socket));
     this.#server = server;
     return new Promise((resolve) => {
       server.once('error', (thrown) =>
@@ -82,17 +82,17 @@
     });
   }
 
-  post(address: string, frame: Frame): void {
-    const line = this.#line(address);
-    if (line === undefined || line.socket.writableLength > BACKLOG_MAX_BYTES) {
+  send(address: string, frame: Frame): void {
+    const connection = this.#connectionTo(address);
+    if (connection === undefined || connection.socket.writableLength > BACKLOG_MAX_BYTES) {
       this.counts.dropped += 1;
       return;
     }
-    line.dueMs ??= performance.now();
+    connection.unacknowledgedSinceMs ??= performance.now();
     const bytes = encodeFrame(frame);
     const head = Buffer.alloc(4);
     head.writeUInt32BE(bytes.length);
-    line.socket.write(Buffer.concat([head, bytes]));
+    connection.socket.write(Buffer.concat([head, bytes]));
     this.counts.framesOut += 1;
     this.counts.bytesOut += bytes.length + 4;
   }
@@ -100,39 +100,45 @@
   close(): void {
     this.#closed = true;
     this.#server?.close();
-    for (const { socket } of this.#lines.values()) socket.destroy();
-    for (const socket of this.#guests) socket.destroy();
+    for (const { socket } of this.#connections.values()) socket.destroy();
+    for (const socket of this.#acceptedSockets) socket.destroy();
   }
 
-  #line(address: string): Line | undefined {
+  #connectionTo(address: string): PeerConnection | undefined {
     const nowMs = performance.now();
-    const known = this.#lines.get(address);
-    if (known !== undefined && !isSilent(known, nowMs)) return known;
+    const known = this.#connections.get(address);
+    if (known !== undefined && !isAckOverdue(known, nowMs)) return known;
     if (known !== undefined) {
-      this.#lines.delete(address);
+      this.#connections.delete(address);
       known.socket.resetAndDestroy();
     }
-    if (this.#closed || nowMs - (this.#failedMs.get(address) ?? -Infinity) < AGAIN_MS) return undefined;
+    if (this.#closed || nowMs - (this.#failedMs.get(address) ?? -Infinity) < RECONNECT_DELAY_MS)
+      return undefined;
     const socket = createConnection({ ...splitAddress(address), localAddress: this.#host, noDelay: true });
-    const line: Line = { socket, open: false, dueMs: undefined, acks: false };
-    this.#lines.set(address, line);
+    const connection: PeerConnection = {
+      socket,
+      open: false,
+      unacknowledgedSinceMs: undefined,
+      acknowledges: false,
+    };
+    this.#connections.set(address, connection);
     socket.on('connect', () => {
-      line.open = true;
+      connection.open = true;
     });
     socket.on('data', () => {
-      line.acks = true;
-      line.dueMs = undefined;
+      connection.acknowledges = true;
+      connection.unacknowledgedSinceMs = undefined;
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      if (this.#lines.get(address) !== line) return;
-      this.#lines.delete(address);
+      if (this.#connections.get(address) !== connection) return;
+      this.#connections.delete(address);
       this.#failedMs.set(address, performance.now());
     });
-    return line;
+    return connection;
   }
 
-  #guest(socket: Socket): void {
+  #accept(socket: Socket): void {
     let rest: Buffer = Buffer.alloc(0);
     let acking: NodeJS.Timeout | undefined;
     function acknowledgeSoon(): void {
@@ -141,12 +147,12 @@
         if (!socket.destroyed) socket.write(ACK);
       }, ACK_DELAY_MS);
     }
-    this.#guests.add(socket);
+    this.#acceptedSockets.add(socket);
     socket.setNoDelay(true);
     socket.on('error', () => undefined);
     socket.on('close', () => {
       clearTimeout(acking);
-      this.#guests.delete(socket);
+      this.#acceptedSockets.delete(socket);
     });
     socket.on('data', (chunk: Buffer) => {
       rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
@@ -166,26 +172,30 @@
         }
         const bytes = rest.subarray(4, 4 + length);
         rest = rest.subarray(4 + length);
-        this.#frame(bytes);
+        this.#receive(bytes);
         taken = true;
       }
     });
   }
 
-  #frame(bytes: Buffer): void {
+  #receive(bytes: Buffer): void {
     const frame = decodeFrame(bytes, this.#deployment);
     if (frame.isOk) {
       this.counts.framesIn += 1;
       this.counts.bytesIn += bytes.length + 4;
-      this.#take(frame.value);
+      this.#onFrame(frame.value);
     } else if (frame.error.kind === 'foreign') this.counts.foreign += 1;
     else this.counts.malformed += 1;
   }
 }
 
 /** A cut holds bytes up without a word, and TCP tries again ever more seldom: a new connection finds the way sooner. */
-function isSilent(line: Line, nowMs: number): boolean {
-  return line.dueMs !== undefined && nowMs - line.dueMs > SILENT_MS && (line.acks || !line.open);
+function isAckOverdue(connection: PeerConnection, nowMs: number): boolean {
+  return (
+    connection.unacknowledgedSinceMs !== undefined &&
+    nowMs - connection.unacknowledgedSinceMs > ACK_TIMEOUT_MS &&
+    (connection.acknowledges || !connection.open)
+  );
 }
 
 /**
--- a/packages/runtime/src/system.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -3,16 +3,16 @@
 import { pino } from 'pino';
 import { tryOrElse } from 'true-myth/result';
 import { CoreNode } from './core-node.js';
-import type { Dialect, SystemSettings } from './dialect.js';
+import type { Dialect, PlatformSettings } from './dialect.js';
 import { EdgeNode } from './edge-node.js';
 import type { Log } from './log.js';
 
 /** Exit codes of the programs on a platform. */
-const EXITS = { well: 0, badSetting: 2, badDisk: 3 } as const;
+const EXIT_CODES = { well: 0, badSetting: 2, badDisk: 3 } as const;
 
 /** A program's settings, and the log that it writes to. */
 interface ProgramSetup {
-  readonly settings: SystemSettings;
+  readonly settings: PlatformSettings;
   readonly log: Log;
 }
 
@@ -38,10 +38,10 @@
   const setup = setUp(dialect, path);
   if (setup === undefined) return;
   const opened = await CoreNode.open(setup.settings, dialect, setup.log, (why) => {
-    end(EXITS.badDisk, [why]);
+    end(EXIT_CODES.badDisk, [why]);
   });
   if (opened.isErr) {
-    end(EXITS.badDisk, [opened.error]);
+    end(EXIT_CODES.badDisk, [opened.error]);
     return;
   }
   onStop(() => opened.value.stop());
@@ -57,7 +57,7 @@
     () => readFileSync(path, 'utf8'),
   ).andThen((text) => dialect.readSettings(text));
   if (read.isErr) {
-    end(EXITS.badSetting, read.error);
+    end(EXIT_CODES.badSetting, read.error);
     return undefined;
   }
   const settings = read.value;
@@ -70,7 +70,7 @@
 
 function onStop(stop: () => Promise<void>): void {
   function handle(): void {
-    void stop().then(() => process.exit(EXITS.well));
+    void stop().then(() => process.exit(EXIT_CODES.well));
   }
   process.on('SIGTERM', handle);
   process.on('SIGINT', handle);
--- a/packages/runtime/src/recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -51,10 +51,10 @@
 /**
  * Records an edge's day up to a bound.
  * @example
- * const recorder = new Recorder(settings, nowMs);
- * gateway.on('ended', (record) => recorder.take(record));
+ * const recorder = new RequestRecorder(settings, nowMs);
+ * gateway.on('ended', (record) => recorder.record(record));
  */
-export class Recorder {
+export class RequestRecorder {
   #settings: RecorderSettings;
   #startMs: number;
   #file: WriteStream;
@@ -74,7 +74,7 @@
     return this.#bytes;
   }
 
-  take(record: EndRecord): void {
+  record(record: EndRecord): void {
     this.#write(callLine(toCall(record, this.#startMs, this.#settings.recordContents)));
   }
 
--- a/packages/runtime/src/runtime.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -94,7 +94,7 @@
   const before = await ask();
   door.drain();
   const after = await ask();
-  await door.empty(2000);
+  await door.waitUntilIdle(2000);
   server.close();
   expect([before, after]).toEqual(['200 keep-alive', '200 close']);
 });
--- a/packages/runtime/src/node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -12,22 +12,22 @@
 import { pino, type Logger } from 'pino';
 import { Result, type Unit } from 'true-myth';
 import { GracefulHttpServer } from './graceful-http-server.js';
-import { Operators, type OperatorReply } from './operators.js';
-import { Recorder } from './recorder.js';
-import { readList, sendOrder } from './platform.js';
+import { SpecOperatorService, type OperatorReply } from './spec-operator-service.js';
+import { RequestRecorder } from './request-recorder.js';
+import { readSpecWorkerList, sendSpecOrder } from './spec-platform-client.js';
 import type { Settings } from './settings.js';
-import { sendFault, visit, type ChatRequest } from './chat-completions.js';
+import { sendFault, handleChatRequest, type ChatRequest } from './chat-completions.js';
 import { PeerTransport } from './peer-transport.js';
 
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
 const GROUP_TICK_MS = 50;
 const GATEWAY_TICK_MS = 20;
-const LIST_MS = 500;
-const COUNTERS_MS = 10_000;
-const SPEC_BODY = '3mb';
-const HEADERS_MS = 10_000;
-const EXPLAINED = 2000;
+const LIST_INTERVAL_MS = 500;
+const COUNTERS_INTERVAL_MS = 10_000;
+const SPEC_BODY_MAX = '3mb';
+const HEADERS_TIMEOUT_MS = 10_000;
+const EXPLAINED_REQUESTS_MAX = 2000;
 /** A stopping node answers callers that keep their connections for so long. */
 const LINGER_MS = 5000;
 
@@ -67,49 +67,50 @@
  * const started = await Node.start(settings, 'edge');
  * if (started.isOk) await started.value.stop();
  */
-export class Node {
+export class SpecNode {
   #settings: Settings;
   #role: Role;
   #log: Logger;
-  #broken: (why: Fault) => void;
-  #wire: PeerTransport;
+  #onFatal: (why: Fault) => void;
+  #transport: PeerTransport;
   #clusterNode: ClusterNode;
   #edge: SpecEdge | undefined;
   #sender = new UndiciSender();
-  #door = new GracefulHttpServer({
-    headersTimeout: HEADERS_MS,
-    requestTimeout: 3 * HEADERS_MS,
+  #httpServer = new GracefulHttpServer({
+    headersTimeout: HEADERS_TIMEOUT_MS,
+    requestTimeout: 3 * HEADERS_TIMEOUT_MS,
     keepAliveTimeout: 65_000,
   });
-  #operators: Operators;
+  #operators: SpecOperatorService;
   #broker = new ServiceBroker({ logger: false, transporter: null, skipProcessEventRegistration: true });
   #timers: NodeJS.Timeout[] = [];
-  #ends = new Map<string, Omit<EndRecord, 'body'>>();
-  #recorder: Recorder | undefined;
-  #listing = false;
-  #listFaults = 0;
+  #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
+  #recorder: RequestRecorder | undefined;
+  #isListing = false;
+  #listFailures = 0;
 
   private constructor(
     settings: Settings,
     role: Role,
     acceptor: Acceptor | undefined,
     log: Logger,
-    broken: (why: Fault) => void,
+    onFatal: (why: Fault) => void,
   ) {
-    this.#broken = broken;
+    this.#onFatal = onFatal;
     this.#settings = settings;
     this.#role = role;
     this.#log = log;
-    this.#wire = new PeerTransport(settings.deployment, (frame) => this.#clusterNode.receive(frame));
+    this.#transport = new PeerTransport(settings.deployment, (frame) => this.#clusterNode.receive(frame));
     this.#clusterNode = this.#makeClusterNode(acceptor);
     if (role === 'edge') this.#edge = this.#makeEdge();
-    if (role === 'edge' && settings.recordFile !== '') this.#recorder = new Recorder(settings, CLOCK.nowMs());
-    this.#operators = new Operators({
+    if (role === 'edge' && settings.recordFile !== '')
+      this.#recorder = new RequestRecorder(settings, CLOCK.nowMs());
+    this.#operators = new SpecOperatorService({
       clusterNode: this.#clusterNode,
       chance: CHANCE,
       clock: CLOCK,
       counters: () => this.#counters(),
-      explain: (id) => this.#ends.get(id),
+      explain: (id) => this.#endRecords.get(id),
     });
   }
 
@@ -117,13 +118,13 @@
   static async start(
     settings: Settings,
     role: Role,
-    broken: (why: Fault) => void,
-  ): Promise<Result<Node, Fault>> {
+    onFatal: (why: Fault) => void,
+  ): Promise<Result<SpecNode, Fault>> {
     const log = pino({ level: settings.logLevel, base: { node: settings.name } });
     const acceptor =
-      role === 'core' ? await openDisk(settings, broken) : Result.ok<undefined, Fault>(undefined);
+      role === 'core' ? await openDisk(settings, onFatal) : Result.ok<undefined, Fault>(undefined);
     if (acceptor.isErr) return Result.err(acceptor.error);
-    const node = new Node(settings, role, acceptor.value, log, broken);
+    const node = new SpecNode(settings, role, acceptor.value, log, onFatal);
     const open = await node.#open();
     return open.map(() => node);
   }
@@ -132,19 +133,19 @@
   async stop(): Promise<void> {
     this.#log.info('stopping');
     this.#edge?.gateway.drain();
-    this.#door.drain();
+    this.#httpServer.drain();
     const endMs = CLOCK.nowMs() + this.#settings.drainMs;
     while ((this.#edge?.gateway.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
-    await this.#door.empty(Math.min(LINGER_MS, this.#settings.drainMs));
+    await this.#httpServer.waitUntilIdle(Math.min(LINGER_MS, this.#settings.drainMs));
     for (const timer of this.#timers) clearInterval(timer);
     this.#log.info({ counters: this.#counters() }, 'stopped');
-    setTimeout(() => this.#door.tear(), 500).unref();
+    setTimeout(() => this.#httpServer.closeAllConnections(), 500).unref();
     await this.#broker.stop();
     await this.#recorder?.close();
     await this.#sender.close();
-    this.#wire.close();
+    this.#transport.close();
   }
 
   #makeClusterNode(acceptor: Acceptor | undefined): ClusterNode {
@@ -160,15 +161,15 @@
       chance: CHANCE,
       times: GROUP_TIMES,
       acceptor,
-      send: (address, frame) => this.#wire.post(address, frame),
+      send: (address, frame) => this.#transport.send(address, frame),
       order: (address, order, done) => {
-        void sendOrder(address, order).then(done);
+        void sendSpecOrder(address, order).then(done);
       },
-      onStateChange: (held, entry) => this.#changed(held, entry),
+      onStateChange: (held, entry) => this.#onStateChange(held, entry),
       onCast: () => undefined,
       protocolLevels: PROTOCOL_LEVELS,
       answerQuery: (kind, text) => this.#operators.answer(kind, text),
-      onJoinRejected: (why) => this.#broken(fault('unbridged', why)),
+      onJoinRejected: (why) => this.#onFatal(fault('unbridged', why)),
       onNewIncarnation: (incarnation) =>
         this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
     });
@@ -183,13 +184,14 @@
 
   #remember(record: EndRecord): void {
     const { body: _, ...rest } = record;
-    this.#ends.set(record.id, rest);
-    this.#recorder?.take(record);
-    const oldest = this.#ends.keys().next();
-    if (this.#ends.size > EXPLAINED && oldest.done !== true) this.#ends.delete(oldest.value);
+    this.#endRecords.set(record.id, rest);
+    this.#recorder?.record(record);
+    const oldest = this.#endRecords.keys().next();
+    if (this.#endRecords.size > EXPLAINED_REQUESTS_MAX && oldest.done !== true)
+      this.#endRecords.delete(oldest.value);
   }
 
-  #changed(held: GroupState<SpecState>, entry: Entry | undefined): void {
+  #onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void {
     if (entry === undefined || entry.view !== undefined) {
       const { epoch, number, members } = held.view;
       this.#log.info(
@@ -201,19 +203,19 @@
   }
 
   async #open(): Promise<Result<Unit, Fault>> {
-    const listening = await this.#wire.listen(this.#settings.bind);
+    const listening = await this.#transport.listen(this.#settings.bind);
     if (listening.isErr) return listening;
     for (const schema of this.#services()) this.#broker.createService(schema);
     try {
       await this.#broker.start();
     } catch (thrown) {
-      this.#wire.close();
+      this.#transport.close();
       return Result.err(fault('bad-setting', `http ${this.#settings.http}: ${String(thrown)}`));
     }
     this.#timers.push(
       setInterval(() => this.#clusterNode.tick(), GROUP_TICK_MS),
-      setInterval(() => void this.#list(), LIST_MS),
-      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_MS),
+      setInterval(() => void this.#pollWorkerList(), LIST_INTERVAL_MS),
+      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_INTERVAL_MS),
     );
     const edge = this.#edge;
     if (edge !== undefined) {
@@ -226,20 +228,20 @@
     return Result.ok();
   }
 
-  async #list(): Promise<void> {
-    if (this.#listing || this.#settings.platform === '') return;
-    this.#listing = true;
-    const list = await readList(this.#settings.platform);
-    this.#listing = false;
+  async #pollWorkerList(): Promise<void> {
+    if (this.#isListing || this.#settings.platform === '') return;
+    this.#isListing = true;
+    const list = await readSpecWorkerList(this.#settings.platform);
+    this.#isListing = false;
     if (list.isOk) {
-      if (this.#listFaults > 0) this.#log.info('the platform can be read again');
-      this.#listFaults = 0;
+      if (this.#listFailures > 0) this.#log.info('the platform can be read again');
+      this.#listFailures = 0;
       this.#clusterNode.learnList(list.value);
       this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
     } else {
-      if (this.#listFaults === 0)
+      if (this.#listFailures === 0)
         this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
-      this.#listFaults += 1;
+      this.#listFailures += 1;
     }
   }
 
@@ -248,7 +250,7 @@
     const { user, system } = process.cpuUsage();
     return {
       ...this.#edge?.gateway.counts,
-      ...this.#wire.counts,
+      ...this.#transport.counts,
       inFlight: this.#edge?.gateway.inFlight ?? 0,
       backlog: this.#edge?.gateway.backlogCount ?? 0,
       version: group.state?.number ?? 0,
@@ -297,8 +299,8 @@
         ),
         workers: action(() => operators.fromCoordinator('workers', '')),
         groups: action(() => operators.fromCoordinator('groups', '')),
-        counters: action((params) => operators.rows('counters', text(params['node']))),
-        status: action((params) => operators.rows('status', text(params['node']))),
+        counters: action((params) => operators.rowsOfNodes('counters', text(params['node']))),
+        status: action((params) => operators.rowsOfNodes('status', text(params['node']))),
         ready: action(() => operators.ready()),
         explain: action((params) => operators.explain(text(params['id']))),
         explainModel: action((params) => operators.fromCoordinator('explainModel', text(params['model']))),
@@ -314,7 +316,7 @@
 
   #api(): ServiceSchema {
     const gateway = this.#edge?.gateway;
-    const door = this.#door;
+    const httpServer = this.#httpServer;
     const { name } = this.#settings;
     const { host, port } = {
       host: this.#settings.http.split(':')[0] ?? '',
@@ -322,7 +324,7 @@
     };
     function visitor(req: ChatRequest, res: ServerResponse): void {
       if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
-      else visit(gateway, name, CHANCE, req, res);
+      else handleChatRequest(gateway, name, CHANCE, req, res);
     }
     return {
       name: 'api',
@@ -339,7 +341,7 @@
           {
             path: '/rainrun/v1',
             mergeParams: true,
-            bodyParsers: { json: { limit: SPEC_BODY } },
+            bodyParsers: { json: { limit: SPEC_BODY_MAX } },
             aliases: OPERATOR_ALIASES,
           },
           {
@@ -351,7 +353,7 @@
       },
       methods: {
         createServer(this: { server: Server; isHTTPS: boolean; httpHandler: RequestListener }): void {
-          this.server = door.create(this.httpHandler);
+          this.server = httpServer.create(this.httpHandler);
           this.isHTTPS = false;
         },
       },
@@ -372,7 +374,7 @@
   else sendFault(res, fault('bad-request', thrown.message), '');
 }
 
-async function openDisk(settings: Settings, broken: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
+async function openDisk(settings: Settings, onFatal: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
   const opened = await RecordStore.open(settings.folder);
   if (opened.isErr) return Result.err(opened.error);
   const { recordStore, records } = opened.value;
@@ -387,7 +389,7 @@
       ),
     );
   }
-  const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, broken);
+  const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, onFatal);
   if (records.disk === undefined) acceptor.writeDiskRecord();
   return Result.ok(acceptor);
 }
--- a/packages/runtime/src/operators.ts
+++ b/packages/runtime/src/spec-operator-service.ts
@@ -25,7 +25,7 @@
 const OPERATION_ID = /^[A-Za-z0-9._-]{1,64}$/;
 
 /** What the operators' side needs of a node. */
-export interface OperatorDependencies {
+export interface SpecOperatorDependencies {
   readonly clusterNode: ClusterNode;
   readonly chance: RandomSource;
   readonly clock: Clock;
@@ -38,7 +38,7 @@
   return { status: row.status, body: { error: { kind, message, ran: row.ran, ...more } } };
 }
 
-function decided(answer: Answer): OperatorReply {
+function operationReply(answer: Answer): OperatorReply {
   const { id, kind, detail, number } = answer;
   if (isFaultKind(kind)) return failure(kind, detail, { id, number });
   return { status: 200, body: { id, outcome: kind, detail, number } };
@@ -50,10 +50,10 @@
  * const operators = new Operators(dependencies);
  * const reply = await operators.submit('zone.empty', { zone: 'north' }, '');
  */
-export class Operators {
-  #dependencies: OperatorDependencies;
+export class SpecOperatorService {
+  #dependencies: SpecOperatorDependencies;
 
-  constructor(dependencies: OperatorDependencies) {
+  constructor(dependencies: SpecOperatorDependencies) {
     this.#dependencies = dependencies;
   }
 
@@ -62,14 +62,14 @@
    * that every node answers alike; one that cannot know says so.
    */
   async fresh(read: () => OperatorReply): Promise<OperatorReply> {
-    const informed = await this.#informed();
+    const informed = await this.#waitUntilCurrent();
     const { status, body } = read();
     return informed
       ? { status, body }
       : { status, body: { ...(body as Record<string, unknown>), stale: true } };
   }
 
-  async #informed(): Promise<boolean> {
+  async #waitUntilCurrent(): Promise<boolean> {
     const { group } = this.#dependencies.clusterNode;
     const askedMs = this.#dependencies.clock.nowMs();
     while (group.currentAsOfMs() < askedMs) {
@@ -128,7 +128,7 @@
   /** How an operation ended; one that is chosen and not yet agreed is waited for a little. */
   async operation(id: string): Promise<OperatorReply> {
     const { group } = this.#dependencies.clusterNode;
-    await this.#informed();
+    await this.#waitUntilCurrent();
     const endMs = this.#dependencies.clock.nowMs() + FRESH_WAIT_MS;
     while (
       group.state?.answers.some((answer) => answer.id === id) === true &&
@@ -141,7 +141,7 @@
     const answer = group.operationResult(id);
     return answer === undefined
       ? failure('not-found', `nothing agreed is known of operation ${id}`, { id })
-      : decided(answer);
+      : operationReply(answer);
   }
 
   zones(): OperatorReply {
@@ -301,7 +301,7 @@
     }
   }
 
-  #ask(incarnation: string, kind: string, text: string): Promise<OperatorReply | undefined> {
+  #query(incarnation: string, kind: string, text: string): Promise<OperatorReply | undefined> {
     const { clusterNode } = this.#dependencies;
     if (incarnation === clusterNode.group.self.incarnation) return Promise.resolve(this.answer(kind, text));
     return new Promise((resolve) => clusterNode.query(incarnation, kind, text, resolve));
@@ -309,14 +309,14 @@
 
   /** What the coordinator knows; it hears every measure and decides every placement. */
   async fromCoordinator(kind: string, text: string): Promise<OperatorReply> {
-    await this.#informed();
+    await this.#waitUntilCurrent();
     const { group } = this.#dependencies.clusterNode;
     const incarnation = group.coordinatorIncarnation;
     const name = group.view?.members.find((member) => member.incarnation === incarnation)?.name ?? '';
     if (incarnation === undefined)
       return failure('unreached', 'no coordinator can be reached from here, and only it knows');
     return (
-      (await this.#ask(incarnation, kind, text)) ??
+      (await this.#query(incarnation, kind, text)) ??
       failure('unreached', `${name} coordinates, and did not answer`)
     );
   }
@@ -328,13 +328,13 @@
     if (name === '') return failure('bad-request', `"${id}" is no id of a request: EDGE.WORD`);
     if (member === undefined) return failure('unreached', `${name} is not in the view, and only it knows`);
     return (
-      (await this.#ask(member.incarnation, 'explain', id)) ??
+      (await this.#query(member.incarnation, 'explain', id)) ??
       failure('unreached', `${name} did not answer, and only it knows`)
     );
   }
 
   /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
-  async rows(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
+  async rowsOfNodes(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
     const members = this.#dependencies.clusterNode.group.view?.members ?? [
       this.#dependencies.clusterNode.group.self,
     ];
@@ -343,7 +343,7 @@
     const rows = await Promise.all(
       asked.map(
         async (member) =>
-          (await this.#ask(member.incarnation, kind, ''))?.body ?? {
+          (await this.#query(member.incarnation, kind, ''))?.body ?? {
             node: member.name,
             error: 'did not answer',
           },
@@ -362,7 +362,7 @@
    * wins and the other is told.
    */
   async put(text: string, base: number | undefined, wishedId: string): Promise<OperatorReply> {
-    return this.submit('spec.put', { base: base ?? (await this.#newest()), text }, wishedId);
+    return this.submit('spec.put', { base: base ?? (await this.#currentVersion()), text }, wishedId);
   }
 
   /** Makes a change: an edit that names its entries, or a merge patch. */
@@ -371,12 +371,12 @@
     if (!isEdit(data)) return this.submit('spec.change', { ...based, patch: data }, wishedId);
     const read = readEdit(data);
     if (read.isErr) return failure('bad-request', 'the change has faults', { faults: read.error });
-    return this.submit('spec.edit', { ...based, seen: await this.#newest(), edit: data }, wishedId);
+    return this.submit('spec.edit', { ...based, seen: await this.#currentVersion(), edit: data }, wishedId);
   }
 
   /** The version in force now, all that was agreed before the question included. */
-  async #newest(): Promise<number> {
-    await this.#informed();
+  async #currentVersion(): Promise<number> {
+    await this.#waitUntilCurrent();
     return this.#dependencies.clusterNode.state.spec?.version ?? 0;
   }
 
@@ -400,7 +400,7 @@
       );
       const sent = this.#dependencies.clusterNode.submit(id, kind, JSON.stringify(data), (answer) => {
         clearTimeout(timer);
-        resolve(decided(answer));
+        resolve(operationReply(answer));
       });
       if (sent.isOk) return;
       clearTimeout(timer);
--- a/packages/runtime/src/platform.test.ts
+++ b/packages/runtime/src/spec-platform-client.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { it } from 'node:test';
 import { expect } from 'earl';
-import { readList, sendOrder } from './platform.js';
+import { readSpecWorkerList, sendSpecOrder } from './spec-platform-client.js';
 
 const LIST = { generation: 3, workers: [{ name: 'w', address: '127.0.0.1:1', zone: 'z', kind: 'model' }] };
 
@@ -13,7 +13,11 @@
   const [good, bad] = [join(folder, 'good.json'), join(folder, 'bad.json')];
   await writeFile(good, JSON.stringify(LIST));
   await writeFile(bad, JSON.stringify({ ...LIST, workers: [{ name: 'w' }] }));
-  const read = [await readList(good), await readList(bad), await readList(join(folder, 'none.json'))];
+  const read = [
+    await readSpecWorkerList(good),
+    await readSpecWorkerList(bad),
+    await readSpecWorkerList(join(folder, 'none.json')),
+  ];
   await rm(folder, { recursive: true });
   const [list] = read;
   expect(
@@ -36,13 +40,13 @@
   const address = `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
   const order = { worker: 'w', epoch: 1, sequence: 1, action: 'inventory', model: '', adapter: '' } as const;
   const replies = [
-    await sendOrder(address, order),
-    await sendOrder(address, order),
-    await sendOrder(address, order),
+    await sendSpecOrder(address, order),
+    await sendSpecOrder(address, order),
+    await sendSpecOrder(address, order),
   ];
   server.closeAllConnections();
   server.close();
-  const late = await sendOrder('127.0.0.1:1', order);
+  const late = await sendSpecOrder('127.0.0.1:1', order);
   expect([...replies, late].map((reply) => (reply.isOk ? 'taken' : reply.error.kind))).toEqual([
     'taken',
     'worker-nonsense',
--- a/packages/runtime/src/platform.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -47,7 +47,7 @@
  * @example
  * const list = await readList('http://127.0.0.1:9000/workers');
  */
-export async function readList(source: string): Promise<Result<WorkerList, Fault>> {
+export async function readSpecWorkerList(source: string): Promise<Result<WorkerList, Fault>> {
   try {
     const text = source.startsWith('http://')
       ? await readBody(
@@ -79,7 +79,10 @@
  * @example
  * const reply = await sendOrder('127.0.0.1:9101', order);
  */
-export async function sendOrder(address: string, order: SpecOrder): Promise<Result<SpecOrderReply, Fault>> {
+export async function sendSpecOrder(
+  address: string,
+  order: SpecOrder,
+): Promise<Result<SpecOrderReply, Fault>> {
   const waitMs = order.action === 'load' ? LOAD_WAIT_MS : INVENTORY_WAIT_MS;
   try {
     const { statusCode, body } = await request(`http://${address}/orders`, {
--- a/packages/runtime/src/program.ts
+++ b/packages/runtime/src/spec-program.ts
@@ -1,9 +1,9 @@
 import meow from 'meow';
-import { Node, type Role } from './node.js';
+import { SpecNode, type Role } from './spec-node.js';
 import { readSettings } from './settings.js';
 
 /** Exit codes of the daemons. */
-export const EXIT = { well: 0, failed: 1, badSetting: 2, badDisk: 3, refused: 4 } as const;
+export const EXIT_CODES = { well: 0, failed: 1, badSetting: 2, badDisk: 3, refused: 4 } as const;
 
 const HELP = `
   Usage
@@ -33,7 +33,7 @@
 `;
 
 /** Flags with a value; each may be given once, which the settings check. */
-const WORD_FLAGS = [
+const STRING_FLAGS = [
   'settings',
   'name',
   'deployment',
@@ -62,7 +62,9 @@
     importMeta,
     allowUnknownFlags: false,
     flags: {
-      ...Object.fromEntries(WORD_FLAGS.map((name) => [name, { type: 'string', isMultiple: true } as const])),
+      ...Object.fromEntries(
+        STRING_FLAGS.map((name) => [name, { type: 'string', isMultiple: true } as const]),
+      ),
       recordContents: { type: 'boolean', default: false },
       check: { type: 'boolean', default: false },
     },
@@ -70,27 +72,27 @@
   const settings = readSettings(cli.flags, role);
   if (settings.isErr) {
     for (const { detail } of settings.error) console.error(`${program}: ${detail}`);
-    process.exit(EXIT.badSetting);
+    process.exit(EXIT_CODES.badSetting);
   }
   if (cli.flags.check) {
     console.log(`${program}: settings are sound`);
-    process.exit(EXIT.well);
+    process.exit(EXIT_CODES.well);
   }
-  const started = await Node.start(settings.value, role, (why) => {
+  const started = await SpecNode.start(settings.value, role, (why) => {
     console.error(`${program}: ${why.kind}: ${why.detail}`);
-    process.exit(why.kind === 'unbridged' ? EXIT.refused : EXIT.badDisk);
+    process.exit(why.kind === 'unbridged' ? EXIT_CODES.refused : EXIT_CODES.badDisk);
   });
   if (started.isErr) {
     const { kind, detail } = started.error;
     console.error(`${program}: ${kind}: ${detail}`);
-    process.exit(kind === 'bad-setting' ? EXIT.badSetting : EXIT.badDisk);
+    process.exit(kind === 'bad-setting' ? EXIT_CODES.badSetting : EXIT_CODES.badDisk);
   }
   const node = started.value;
   let stopping = false;
   function stop(): void {
     if (stopping) return;
     stopping = true;
-    void node.stop().then(() => process.exit(EXIT.well));
+    void node.stop().then(() => process.exit(EXIT_CODES.well));
   }
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
--- a/packages/runtime/src/testing/waiters.ts
+++ b/packages/runtime/src/testing/async-queue.ts
@@ -5,12 +5,12 @@
  * waiters.put(1);
  * await waiters.next(); // 1
  */
-export class Waiters<Item> {
+export class AsyncQueue<Item> {
   #items: Item[] = [];
-  #waiting: ((item: Item) => void)[] = [];
+  #receivers: ((item: Item) => void)[] = [];
 
   put(item: Item): void {
-    const waiter = this.#waiting.shift();
+    const waiter = this.#receivers.shift();
     if (waiter === undefined) this.#items.push(item);
     else waiter(item);
   }
@@ -18,6 +18,6 @@
   next(): Promise<Item> {
     const item = this.#items.shift();
     if (item !== undefined) return Promise.resolve(item);
-    return new Promise((resolve) => this.#waiting.push(resolve));
+    return new Promise((resolve) => this.#receivers.push(resolve));
   }
 }
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -13,7 +13,7 @@
 } from '@rainrun/messages';
 import type { EdgeDialect } from '../dialect.js';
 import { EdgeNode } from '../edge-node.js';
-import type { SystemSettings } from '../dialect.js';
+import type { PlatformSettings } from '../dialect.js';
 import type { Log } from '../log.js';
 import { PeerTransport } from '../peer-transport.js';
 import { TEST_NAMES } from './stand-in-names.js';
@@ -43,7 +43,7 @@
 };
 
 /** A log that tells when a line of this text is written. */
-class ExpectantLog implements Log {
+class AwaitingLog implements Log {
   #expected: string;
   #seen: () => void = () => undefined;
   readonly seen: Promise<void>;
@@ -89,22 +89,22 @@
  * core.list([{ id: 'w1', address: '127.0.0.1:8001' }]);
  */
 export class StandInCore {
-  #wire: PeerTransport;
+  #transport: PeerTransport;
   #address: string;
   #state: Uint8Array;
   #row = 0;
   #workers: readonly ListedStandIn[] = [];
-  #knowing: (() => void)[] = [];
+  #onKnown: (() => void)[] = [];
 
   private constructor(port: number, document: Readonly<Record<string, unknown>>) {
     this.#address = `127.0.0.1:${port}`;
     this.#state = encodeDeployment({ ...EMPTY_DEPLOYMENT, edition: 1, revision: 1, document });
-    this.#wire = new PeerTransport('system', (frame) => this.#receive(frame));
+    this.#transport = new PeerTransport('system', (frame) => this.#receive(frame));
   }
 
   static async open(port: number, document: Readonly<Record<string, unknown>>): Promise<StandInCore> {
     const core = new StandInCore(port, document);
-    await core.#wire.listen(core.#address);
+    await core.#transport.listen(core.#address);
     return core;
   }
 
@@ -112,24 +112,24 @@
   list(workers: readonly ListedStandIn[]): Promise<void> {
     this.#workers = workers;
     this.#row += 1;
-    return new Promise((resolve) => this.#knowing.push(resolve));
+    return new Promise((resolve) => this.#onKnown.push(resolve));
   }
 
   close(): void {
-    this.#wire.close();
+    this.#transport.close();
   }
 
   #receive(frame: Frame): void {
     if (frame.body.case !== 'subscribe') return;
     const follow = frame.body.value;
     if (follow.tableRow === this.#row && follow.edition === 1) {
-      for (const resolve of this.#knowing) resolve();
-      this.#knowing = [];
+      for (const resolve of this.#onKnown) resolve();
+      this.#onKnown = [];
     }
-    this.#tell(follow);
+    this.#sendUpdate(follow);
   }
 
-  #tell(follow: Subscribe): void {
+  #sendUpdate(follow: Subscribe): void {
     const seat = create(MemberSchema, {
       name: 'core',
       incarnation: CORE_INCARNATION,
@@ -168,7 +168,7 @@
       to: follow.subscriber?.incarnation ?? '',
     });
     frame.body = { case: 'stateUpdate', value };
-    this.#wire.post(follow.subscriber?.address ?? '', frame);
+    this.#transport.send(follow.subscriber?.address ?? '', frame);
   }
 }
 
@@ -268,7 +268,7 @@
   static async open(workers: readonly StandInWorker[], options: EdgeOptions = {}): Promise<EdgeUnderTest> {
     const ports = await freePorts();
     const core = await StandInCore.open(ports.core, testDocument());
-    const ready = new ExpectantLog('readiness');
+    const ready = new AwaitingLog('readiness');
     const edge = new EdgeUnderTest(core, ports, options, ready);
     void core.list(workers.map(({ name, address }) => ({ id: name, address })));
     await edge.node.start();
@@ -283,7 +283,7 @@
   }
 
   /** Resolves once the edge has had two of its heartbeats, at which it ends what is past its time. */
-  async beat(): Promise<void> {
+  async nextTick(): Promise<void> {
     const from = this.#clockReads;
     // Each heartbeat reads the clock; the follower and the router both do.
     while (this.#clockReads < from + 4) await new Promise((resolve) => setImmediate(resolve));
@@ -296,7 +296,7 @@
   }
 }
 
-function testSettings(ports: EdgePorts, { graceMs = 3000 }: EdgeOptions): SystemSettings {
+function testSettings(ports: EdgePorts, { graceMs = 3000 }: EdgeOptions): PlatformSettings {
   return {
     name: 'edge-1',
     zone: 'north',
@@ -306,8 +306,8 @@
     seeds: ['127.0.0.1'],
     founding: false,
     folder: '',
-    lossesBorne: 1,
-    listen: {
+    toleratedLosses: 1,
+    listenAddresses: {
       clients: `127.0.0.1:${ports.clients}`,
       readiness: `127.0.0.1:${ports.readiness}`,
       operators: '127.0.0.1:0',
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -1,9 +1,9 @@
 import { createConnection, type Socket } from 'node:net';
 import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
-import { Waiters } from './waiters.js';
+import { AsyncQueue } from './async-queue.js';
 
 /** An answer as it came over the wire. */
-export interface ClientAnswer {
+export interface ClientResponse {
   /** 0 where the connection ended before an answer began. */
   readonly status: number;
   readonly headers: ReadonlyMap<string, string>;
@@ -21,14 +21,14 @@
   readonly body?: string;
 }
 
-const NOTHING: ClientAnswer = { status: 0, headers: new Map(), body: '', whole: false };
+const NOTHING: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
 
 /**
  * A client that speaks raw TCP: it may send several requests at once or half
  * ones, and sees every byte that comes back.
  * @example
  * const client = await RawClient.connect(8000);
- * client.ask({ id: 'r1', path: '/often/x' });
+ * client.request({ id: 'r1', path: '/often/x' });
  * (await client.next()).status; // 200
  */
 export class RawClient {
@@ -38,7 +38,7 @@
   /** The next answer is not whole before so many characters stand in the rest. */
   #needed = 0;
   #methods: string[] = [];
-  #answers = new Waiters<ClientAnswer>();
+  #responses = new AsyncQueue<ClientResponse>();
   #texts: { text: string; found: () => void }[] = [];
   #ended = false;
   /** All that came. */
@@ -48,7 +48,7 @@
     this.#socket = socket;
     this.#names = names;
     socket.on('error', () => undefined);
-    socket.on('data', (bytes: Buffer) => this.#take(bytes.toString('latin1')));
+    socket.on('data', (bytes: Buffer) => this.#receive(bytes.toString('latin1')));
     socket.on('close', () => this.#close());
   }
 
@@ -73,7 +73,7 @@
     this.#socket.write(text);
   }
 
-  ask(request: ClientRequest): void {
+  request(request: ClientRequest): void {
     this.send(this.textOf(request));
   }
 
@@ -91,8 +91,8 @@
   }
 
   /** The next answer; one with status 0 or not whole where the connection ends first. */
-  next(): Promise<ClientAnswer> {
-    return this.#answers.next();
+  next(): Promise<ClientResponse> {
+    return this.#responses.next();
   }
 
   /** Resolves once this text has come. */
@@ -117,11 +117,11 @@
     this.#socket.destroy();
   }
 
-  #take(text: string): void {
+  #receive(text: string): void {
     this.text += text;
     this.#rest += text;
     for (let answer = this.#readAnswer(); answer !== undefined; answer = this.#readAnswer())
-      this.#answers.put(answer);
+      this.#responses.put(answer);
     for (const waiting of this.#texts.filter((one) => this.text.includes(one.text))) waiting.found();
     this.#texts = this.#texts.filter((one) => !this.text.includes(one.text));
   }
@@ -129,14 +129,14 @@
   #close(): void {
     this.#ended = true;
     const headEnd = this.#rest.indexOf('\r\n\r\n');
-    this.#answers.put(
+    this.#responses.put(
       headEnd < 0
         ? NOTHING
         : { ...readHead(this.#rest.slice(0, headEnd)), body: this.#rest.slice(headEnd + 4), whole: false },
     );
   }
 
-  #readAnswer(): ClientAnswer | undefined {
+  #readAnswer(): ClientResponse | undefined {
     if (this.#rest.length < this.#needed) return undefined;
     const headEnd = this.#rest.indexOf('\r\n\r\n');
     if (headEnd < 0) return undefined;
@@ -163,7 +163,7 @@
   }
 }
 
-function readHead(text: string): Pick<ClientAnswer, 'status' | 'headers'> {
+function readHead(text: string): Pick<ClientResponse, 'status' | 'headers'> {
   const [first = '', ...lines] = text.split('\r\n');
   const headers = new Map(
     lines.map((line) => {
--- a/packages/runtime/src/testing/trial.ts
+++ b/packages/runtime/src/testing/routing-trial.ts
@@ -1,28 +1,28 @@
 import { spread } from '@rainrun/common';
 import { EdgeUnderTest, type EdgeOptions } from './edge-under-test.js';
-import type { ClientAnswer, RawClient } from './raw-client.js';
+import type { ClientResponse, RawClient } from './raw-client.js';
 import { StandInWorker, type WorkerCall } from './stand-in-worker.js';
-import { Waiters } from './waiters.js';
+import { AsyncQueue } from './async-queue.js';
 
 /**
  * An edge under test with stand-in workers and one client.
  * @example
  * const trial = await Trial.open(2);
- * trial.client.ask({ id: trial.idFor('w1'), path: '/once/x' });
+ * trial.client.request({ id: trial.idFor('w1'), path: '/once/x' });
  * (await trial.next()).answer();
  */
-export class Trial {
+export class RoutingTrial {
   readonly edge: EdgeUnderTest;
   readonly client: RawClient;
   readonly workers: readonly StandInWorker[];
-  #calls: Waiters<WorkerCall>;
-  #asked = 0;
+  #calls: AsyncQueue<WorkerCall>;
+  #requestCount = 0;
 
   private constructor(
     edge: EdgeUnderTest,
     client: RawClient,
     workers: readonly StandInWorker[],
-    calls: Waiters<WorkerCall>,
+    calls: AsyncQueue<WorkerCall>,
   ) {
     this.edge = edge;
     this.client = client;
@@ -30,12 +30,12 @@
     this.#calls = calls;
   }
 
-  static async open(workerCount: number, options: EdgeOptions = {}): Promise<Trial> {
-    const calls = new Waiters<WorkerCall>();
+  static async open(workerCount: number, options: EdgeOptions = {}): Promise<RoutingTrial> {
+    const calls = new AsyncQueue<WorkerCall>();
     const names = Array.from({ length: workerCount }, (_, place) => `w${place}`);
     const workers = await Promise.all(names.map((name) => StandInWorker.open(name, calls)));
     const edge = await EdgeUnderTest.open(workers, options);
-    return new Trial(edge, await edge.connect(), workers, calls);
+    return new RoutingTrial(edge, await edge.connect(), workers, calls);
   }
 
   worker(name: string): StandInWorker {
@@ -50,8 +50,8 @@
   /** A new request id that the balancer sends to this worker while all are alike. */
   idFor(name: string): string {
     for (;;) {
-      this.#asked += 1;
-      const id = `r${this.#asked}`;
+      this.#requestCount += 1;
+      const id = `r${this.#requestCount}`;
       const [first] = [...this.workers].sort(
         (one, other) => spread(`${id} ${other.name}`) - spread(`${id} ${one.name}`),
       );
@@ -60,14 +60,14 @@
   }
 
   /** How often workers received this request whole. */
-  runs(id: string): number {
+  calls(id: string): number {
     return this.workers.flatMap(({ received }) => received).filter((call) => call.id === id).length;
   }
 
   /** A request that is answered well at this worker, so that connections are there to be reused. */
   async warm(name: string): Promise<void> {
-    this.client.ask({ id: this.idFor(name), path: '/once/warm' });
-    (await this.next()).answer();
+    this.client.request({ id: this.idFor(name), path: '/once/warm' });
+    (await this.next()).respond();
     await this.client.next();
   }
 
@@ -79,15 +79,15 @@
   /** Another client asks and is answered: the edge has meanwhile taken in what was on its way to it. */
   async roundTrip(): Promise<void> {
     const other = await this.edge.connect();
-    other.ask({ id: 'round-trip', path: '/missing/x' });
+    other.request({ id: 'round-trip', path: '/missing/x' });
     await other.next();
   }
 
   /** Asks on the same client connection, to the same worker, and answers well; gives what the client got. */
-  async after(name: string, client = this.client): Promise<ClientAnswer> {
+  async after(name: string, client = this.client): Promise<ClientResponse> {
     const id = this.idFor(name);
-    client.ask({ id, path: '/once/after' });
-    (await this.next()).answer();
+    client.request({ id, path: '/once/after' });
+    (await this.next()).respond();
     return client.next();
   }
 
--- a/packages/runtime/src/testing/stand-in-worker.ts
+++ b/packages/runtime/src/testing/stand-in-worker.ts
@@ -1,9 +1,9 @@
 import { createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
-import { Waiters } from './waiters.js';
+import { AsyncQueue } from './async-queue.js';
 
 /** What a stand-in worker writes as one answer; everything that is left out is as a sound worker has it. */
-export interface WorkerAnswer {
+export interface WorkerResponse {
   readonly status?: number;
   readonly body?: string;
   /** The id that is echoed; `null` leaves the header out. */
@@ -58,17 +58,17 @@
     this.#socket.write(text);
   }
 
-  answer(answer: WorkerAnswer = {}): void {
+  respond(answer: WorkerResponse = {}): void {
     this.write(this.textOf(answer));
   }
 
   /** The worker says that it has not run the request. */
-  decline(answer: WorkerAnswer = {}): void {
-    this.answer({ status: 503, body: '', headers: [`${this.#names.notRun}: 1`], ...answer });
+  decline(answer: WorkerResponse = {}): void {
+    this.respond({ status: 503, body: '', headers: [`${this.#names.notRun}: 1`], ...answer });
   }
 
   /** The text of one whole answer. */
-  textOf({ status = 200, body = `of ${this.id}`, id, signature, headers = [] }: WorkerAnswer): string {
+  textOf({ status = 200, body = `of ${this.id}`, id, signature, headers = [] }: WorkerResponse): string {
     return `${this.#head(status, id, signature, [...headers, `Content-Length: ${body.length}`])}${body}`;
   }
 
@@ -133,7 +133,7 @@
 export class StandInWorker {
   #server: Server;
   #sockets: Socket[] = [];
-  #calls: Waiters<WorkerCall>;
+  #calls: AsyncQueue<WorkerCall>;
   readonly name: string;
   readonly names: StandInNames;
   /** Every whole request, in order of arrival. */
@@ -141,7 +141,7 @@
   /** How requests on connections that come, or that are kept, are met from now on. */
   fault: ConnectionFault = 'none';
 
-  private constructor(name: string, calls: Waiters<WorkerCall>, names: StandInNames) {
+  private constructor(name: string, calls: AsyncQueue<WorkerCall>, names: StandInNames) {
     this.name = name;
     this.names = names;
     this.#calls = calls;
@@ -151,7 +151,7 @@
   /** Whole requests are put into `calls`, which workers may share. */
   static open(
     name: string,
-    calls: Waiters<WorkerCall>,
+    calls: AsyncQueue<WorkerCall>,
     names: StandInNames = TEST_NAMES,
   ): Promise<StandInWorker> {
     const worker = new StandInWorker(name, calls, names);
@@ -193,12 +193,12 @@
         return;
       }
       rest += bytes.toString('latin1');
-      rest = this.#take(rest, connection, socket);
+      rest = this.#receive(rest, connection, socket);
     });
   }
 
   /** Takes whole requests from what has come, and returns what is left. */
-  #take(text: string, connection: number, socket: Socket): string {
+  #receive(text: string, connection: number, socket: Socket): string {
     const headEnd = text.indexOf('\r\n\r\n');
     if (headEnd < 0) return text;
     if (this.fault === 'reset on head') {
@@ -212,6 +212,6 @@
     const call = new WorkerCall(head, text.slice(bodyStart, bodyStart + length), this, connection, socket);
     this.received.push(call);
     this.#calls.put(call);
-    return this.#take(text.slice(bodyStart + length), connection, socket);
+    return this.#receive(text.slice(bodyStart + length), connection, socket);
   }
 }
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -1,4 +1,4 @@
-import type { Dialect, ListPage, OperatorCall, SystemSettings } from '@rainrun/runtime/system';
+import type { Dialect, ListPage, OperatorCall, PlatformSettings } from '@rainrun/runtime/platform';
 import { fault, type Fault } from '@rainrun/common';
 import type { Holdings, ReportReply, WorkerOrder, WorkerOrderReply } from '@rainrun/placement';
 import { Result } from 'true-myth';
@@ -127,7 +127,7 @@
   readSettings: (text) =>
     readJson(text)
       .mapErr((why) => [why])
-      .map((data) => data as SystemSettings),
+      .map((data) => data as PlatformSettings),
   readCall,
   writeDocument: (document) => JSON.stringify(document),
   statusOf: () => undefined,
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -217,7 +217,7 @@
   #post(address: string, frame: Frame): void {
     if (this.#cut) return;
     const before = this.#wire.counts.bytesOut;
-    this.#wire.post(address, frame);
+    this.#wire.send(address, frame);
     const traffic = this.#traffic(address === this.#leader);
     traffic.follows += 1;
     traffic.followBytes += this.#wire.counts.bytesOut - before;
--- a/tools/scale/src/system-child.ts
+++ b/tools/scale/src/system-child.ts
@@ -1,4 +1,4 @@
-import { runCore, runEdge } from '@rainrun/runtime/system';
+import { runCore, runEdge } from '@rainrun/runtime/platform';
 import { DIALECT } from './dialect.js';
 
 const [, , role, path = ''] = process.argv;
