--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -119,7 +119,8 @@
   async start(): Promise<void> {
     const { host, ports, listenAddresses: listen } = this.#settings;
     const bound = await this.#transport.listen(`${host}:${ports[0]}`);
-    if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the other nodes');
+    if (bound.isErr)
+      this.#log.error({ kind: bound.error.kind, detail: bound.error.detail }, 'peer listener failed');
     this.#operatorServer.listen(host, splitAddress(listen.operators).port);
     this.#timers.push(
       setInterval(() => this.#tick(), TICK_MS),
@@ -165,7 +166,7 @@
       this.#replica.learnList(list.value);
     } else {
       if (this.#listFailures === 0)
-        this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
+        this.#log.warn({ kind: list.error.kind, detail: list.error.detail }, 'worker list unavailable');
       this.#listFailures += 1;
     }
   }
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -104,7 +104,8 @@
   async start(): Promise<void> {
     const { host, ports, listenAddresses: listen } = this.#settings;
     const bound = await this.#transport.listen(`${host}:${ports[0] + 1}`);
-    if (bound.isErr) this.#log.error({ detail: bound.error.detail }, 'cannot listen for the cores');
+    if (bound.isErr)
+      this.#log.error({ kind: bound.error.kind, detail: bound.error.detail }, 'peer listener failed');
     await this.#clientServer.listen(listen.clients);
     this.#readiness.listen(splitAddress(listen.readiness).port, host);
     this.#timers.push(
--- a/packages/runtime/src/operator-server.ts
+++ b/packages/runtime/src/operator-server.ts
@@ -35,7 +35,7 @@
     this.#log = log;
     this.#server = createServer((req, res) => {
       this.#receive(req, res).catch((thrown: unknown) => {
-        log.error({ detail: String(thrown) }, 'a call could not be answered');
+        log.error({ err: thrown, detail: String(thrown) }, 'operator call failed');
         res.destroy();
       });
     });
--- a/packages/runtime/src/platform-program.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -63,7 +63,7 @@
   const settings = read.value;
   const log = pino({ base: { node: settings.name } });
   process.on('SIGHUP', () => {
-    log.info('settings may have changed; they count from the next start');
+    log.info({ signal: 'SIGHUP' }, 'settings may have changed; they count from the next start');
   });
   return { settings, log };
 }
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -131,7 +131,7 @@
 
   /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
   async stop(): Promise<void> {
-    this.#log.info('stopping');
+    this.#log.info({ inFlight: this.#edge?.gateway.inFlight ?? 0 }, 'stopping');
     this.#edge?.gateway.drain();
     this.#httpServer.drain();
     const endMs = CLOCK.nowMs() + this.#settings.drainMs;
@@ -234,13 +234,14 @@
     const list = await readSpecWorkerList(this.#settings.platform);
     this.#isListing = false;
     if (list.isOk) {
-      if (this.#listFailures > 0) this.#log.info('the platform can be read again');
+      if (this.#listFailures > 0)
+        this.#log.info({ failures: this.#listFailures }, 'worker list available again');
       this.#listFailures = 0;
       this.#clusterNode.learnList(list.value);
       this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
     } else {
       if (this.#listFailures === 0)
-        this.#log.warn({ detail: list.error.detail }, 'the platform cannot be read');
+        this.#log.warn({ kind: list.error.kind, detail: list.error.detail }, 'worker list unavailable');
       this.#listFailures += 1;
     }
   }
