--- /dev/null
+++ b/packages/runtime/src/client-request.ts
@@ -0,0 +1,105 @@
+/** Checks the head of a client's HTTP request and translates the request into the router's terms. */
+import type { IncomingMessage } from 'node:http';
+import type { Limits } from '@rainrun/configuration';
+import { fault, type Fault } from '@rainrun/common';
+import type { Header } from '@rainrun/gateway';
+import { isHop, type ClientRequest } from '@rainrun/router';
+import type { ClientHeaderNames } from './dialect.js';
+
+/** Why a request is answered without being read further, and with which HTTP status. */
+export interface HeadRejection {
+  readonly status: number;
+  readonly why: Fault;
+}
+
+/**
+ * Checks the size of the head, the one id and host, and the announced size of the body.
+ * @example
+ * checkHead(req, headerNames, DEFAULT_LIMITS)?.status; // 413 where the body is announced as too large
+ */
+export function checkHead(
+  req: IncomingMessage,
+  headerNames: ClientHeaderNames,
+  limits: Limits,
+): HeadRejection | undefined {
+  const bytes = headBytes(req);
+  if (bytes > limits.headerBytes)
+    return { status: 431, why: fault('too-large', `headers of ${bytes} bytes`) };
+  if (requestId(req, headerNames) === '')
+    return { status: 400, why: fault('bad-request', 'a request without an id') };
+  if (isRepeated(req, headerNames.requestId) || isRepeated(req, 'host'))
+    return { status: 400, why: fault('bad-request', 'a request with two ids or two hosts') };
+  if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
+    return { status: 413, why: fault('too-large', 'the body is too large') };
+  return undefined;
+}
+
+/**
+ * The request as the router takes it; times are in milliseconds.
+ * @example
+ * const request = toClientRequest(req, headerNames, body);
+ */
+export function toClientRequest(
+  req: IncomingMessage,
+  headerNames: ClientHeaderNames,
+  body: Buffer,
+): ClientRequest {
+  const [model = '', adapter = ''] = headerText(req, headerNames.model).split('/');
+  return {
+    id: requestId(req, headerNames),
+    method: req.method ?? 'GET',
+    target: req.url ?? '/',
+    host: (req.headers.host ?? '').replace(/:\d+$/, ''),
+    headers: endToEndHeaders(req.rawHeaders),
+    body,
+    deadlineMs: readDeadlineMs(firstValue(req.headers[headerNames.deadlineMs])),
+    model,
+    adapter,
+    prefix: readPrefix(headerText(req, headerNames.prefix)),
+    promptTokens: Number(headerText(req, headerNames.tokens).split(',')[0]) || 0,
+    lastEventId: firstValue(req.headers[headerNames.lastEventId]),
+  };
+}
+
+/** The headers that go on to the worker: neither hop-by-hop nor `Expect`. */
+function endToEndHeaders(rawHeaders: readonly string[]): Header[] {
+  const headers: Header[] = [];
+  for (let at = 0; at + 1 < rawHeaders.length; at += 2) {
+    const name = rawHeaders[at] ?? '';
+    if (!isHop(name) && name.toLowerCase() !== 'expect') headers.push([name, rawHeaders[at + 1] ?? '']);
+  }
+  return headers;
+}
+
+/** Milliseconds that the client still waits; undefined where it does not say so in a number from 0. */
+function readDeadlineMs(text: string | undefined): number | undefined {
+  const deadlineMs = Number(text ?? NaN);
+  return Number.isFinite(deadlineMs) && deadlineMs >= 0 ? deadlineMs : undefined;
+}
+
+/** Names of the prompt's blocks without their lengths; the last block is the request's own and left out. */
+function readPrefix(text: string): string[] {
+  const blocks = text.split(',').filter((block) => block !== '');
+  return blocks.slice(0, -1).map((block) => block.split(':')[0] ?? '');
+}
+
+function headerText(req: IncomingMessage, name: string): string {
+  return firstValue(req.headers[name]) ?? '';
+}
+
+function requestId(req: IncomingMessage, headerNames: ClientHeaderNames): string {
+  return headerText(req, headerNames.requestId);
+}
+
+/** Bytes of the head as it was sent, within a few. */
+function headBytes(req: IncomingMessage): number {
+  return req.rawHeaders.reduce((sum, text) => sum + text.length + 2, (req.url ?? '').length + 12);
+}
+
+function isRepeated(req: IncomingMessage, header: string): boolean {
+  return (req.headersDistinct[header]?.length ?? 0) > 1;
+}
+
+function firstValue(value: string | string[] | undefined): string | undefined {
+  return Array.isArray(value) ? value[0] : value;
+}
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -1,10 +1,12 @@
+/** The HTTP server of an edge on the platform, where clients connect. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { DEFAULT_LIMITS, type Limits } from '@rainrun/configuration';
-import { FAULT_RESPONSES, fault, type Fault } from '@rainrun/common';
-import type { Header } from '@rainrun/gateway';
-import { isHop, type ClientRequest, type ResponseSink } from '@rainrun/router';
+import { fault } from '@rainrun/common';
+import type { ClientRequest, ResponseSink } from '@rainrun/router';
 import { ClientConnections } from './client-connections.js';
+import { checkHead, toClientRequest } from './client-request.js';
+import { ClientResponse } from './client-response.js';
 import type { ClientHeaderNames } from './dialect.js';
 import { splitAddress } from './peer-transport.js';
 
@@ -105,150 +107,44 @@
       this.#connections.responseClosed(req);
     });
     const limits = this.#dependencies.limits() ?? DEFAULT_LIMITS;
-    const port = new ClientResponse(res, () => this.#dependencies.isDraining());
-    const headerBytes = req.rawHeaders.reduce(
-      (sum, text) => sum + text.length + 2,
-      (req.url ?? '').length + 12,
-    );
-    if (headerBytes > limits.headerBytes)
-      return port.end(431, fault('too-large', `headers of ${headerBytes} bytes`), true);
-    const id = firstValue(req.headers[this.#dependencies.headerNames.requestId]);
-    if (id === undefined || id === '')
-      return port.end(400, fault('bad-request', 'a request without an id'), true);
-    if (this.#standsTwice(req, this.#dependencies.headerNames.requestId) || this.#standsTwice(req, 'host'))
-      return port.end(400, fault('bad-request', 'a request with two ids or two hosts'), true);
-    if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
-      return port.end(413, fault('too-large', 'the body is too large'), true);
-    const parts: Buffer[] = [];
+    const response = new ClientResponse(res, () => this.#dependencies.isDraining());
+    const rejection = checkHead(req, this.#dependencies.headerNames, limits);
+    if (rejection !== undefined) return response.end(rejection.status, rejection.why, true);
+    this.#readBody(req, limits.bodyBytes, response, (body) => {
+      if (!res.destroyed) this.#handOn(req, res, body, response);
+    });
+  }
+
+  /** Reads the body; one above the bound is rejected at once, and the rest of it is dropped. */
+  #readBody(
+    req: IncomingMessage,
+    maxBytes: number,
+    response: ClientResponse,
+    complete: (body: Buffer) => void,
+  ): void {
+    const chunks: Buffer[] = [];
     let bytes = 0;
-    let refused = false;
-    req.on('data', (part: Buffer) => {
-      if (refused) return;
-      bytes += part.length;
-      parts.push(part);
-      if (bytes <= limits.bodyBytes) return;
-      refused = true;
-      port.end(413, fault('too-large', 'the body is too large'), true);
+    let rejected = false;
+    req.on('data', (chunk: Buffer) => {
+      if (rejected) return;
+      bytes += chunk.length;
+      chunks.push(chunk);
+      if (bytes <= maxBytes) return;
+      rejected = true;
+      response.end(413, fault('too-large', 'the body is too large'), true);
     });
+    // A connection that breaks is seen by the response's own 'close'.
     req.on('error', () => undefined);
     req.on('end', () => {
-      if (refused || !req.complete || res.destroyed) return;
-      const cancel = this.#dependencies.onRequest(this.#toClientRequest(req, id, Buffer.concat(parts)), port);
-      res.on('close', () => {
-        if (!res.writableFinished) cancel();
-      });
+      if (!rejected && req.complete) complete(Buffer.concat(chunks));
     });
   }
 
-  #standsTwice(req: IncomingMessage, header: string): boolean {
-    return (req.headersDistinct[header]?.length ?? 0) > 1;
-  }
-
-  #toClientRequest(req: IncomingMessage, id: string, body: Buffer): ClientRequest {
+  #handOn(req: IncomingMessage, res: ServerResponse, body: Buffer, response: ClientResponse): void {
     const { headerNames } = this.#dependencies;
-    const headers: Header[] = [];
-    for (let at = 0; at + 1 < req.rawHeaders.length; at += 2) {
-      const name = req.rawHeaders[at] ?? '';
-      if (!isHop(name) && name.toLowerCase() !== 'expect') headers.push([name, req.rawHeaders[at + 1] ?? '']);
-    }
-    const [model = '', adapter = ''] = (firstValue(req.headers[headerNames.model]) ?? '').split('/');
-    const parts = (firstValue(req.headers[headerNames.prefix]) ?? '')
-      .split(',')
-      .filter((part) => part !== '');
-    const deadlineMs = Number(firstValue(req.headers[headerNames.deadlineMs]) ?? NaN);
-    return {
-      id,
-      method: req.method ?? 'GET',
-      target: req.url ?? '/',
-      host: (req.headers.host ?? '').replace(/:\d+$/, ''),
-      headers,
-      body,
-      deadlineMs: Number.isFinite(deadlineMs) && deadlineMs >= 0 ? deadlineMs : undefined,
-      model,
-      adapter,
-      prefix: parts.slice(0, -1).map((part) => part.split(':')[0] ?? ''),
-      promptTokens: Number((firstValue(req.headers[headerNames.tokens]) ?? '0').split(',')[0]) || 0,
-      lastEventId: firstValue(req.headers[headerNames.lastEventId]),
-    };
-  }
-}
-
-function withLength(headers: readonly Header[], length: number): Header[] {
-  return [
-    ...headers.filter(([name]) => name.toLowerCase() !== 'content-length'),
-    ['Content-Length', String(length)],
-  ];
-}
-
-function firstValue(value: string | string[] | undefined): string | undefined {
-  return Array.isArray(value) ? value[0] : value;
-}
-
-class ClientResponse implements ResponseSink {
-  #res: ServerResponse;
-  #isDraining: () => boolean;
-
-  constructor(res: ServerResponse, isDraining: () => boolean) {
-    this.#res = res;
-    this.#isDraining = isDraining;
-  }
-
-  respond(status: number, headers: readonly Header[], body: Buffer): void {
-    if (this.#res.destroyed) return;
-    this.#head(status, this.#bodiless(status) ? headers : withLength(headers, body.length));
-    this.#res.end(body);
-  }
-
-  reject(why: Fault): void {
-    this.end(FAULT_RESPONSES[why.kind].status, why, false);
-  }
-
-  /** An answer of our own. */
-  end(status: number, why: Fault, close: boolean): void {
-    if (this.#res.destroyed || this.#res.headersSent) return;
-    const { retryAfterS, ran } = FAULT_RESPONSES[why.kind];
-    const body = Buffer.from(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran } }));
-    const headers: Header[] = [
-      ['Content-Type', 'application/json'],
-      ['Content-Length', String(body.length)],
-    ];
-    const returnS = why.retryAfterS ?? retryAfterS;
-    if (returnS > 0) headers.push(['Retry-After', String(returnS)]);
-    if (close) this.#res.shouldKeepAlive = false;
-    this.#head(status, headers);
-    this.#res.end(body);
-  }
-
-  open(status: number, headers: readonly Header[]): void {
-    if (this.#res.destroyed) return;
-    this.#head(status, headers);
-    this.#res.flushHeaders();
-  }
-
-  write(bytes: Buffer, drained: () => void): boolean {
-    if (this.#res.destroyed) return true;
-    const more = this.#res.write(bytes);
-    if (!more) this.#res.once('drain', drained);
-    return more;
-  }
-
-  close(): void {
-    if (!this.#res.destroyed) this.#res.end();
-  }
-
-  /** Also where the answer still waits behind another one on its connection. */
-  abort(): void {
-    this.#res.destroy();
-  }
-
-  /** These have no body, and a length of 0 would not be the worker's. */
-  #bodiless(status: number): boolean {
-    return status === 204 || status === 304 || this.#res.req.method === 'HEAD';
-  }
-
-  #head(status: number, headers: readonly Header[]): void {
-    if (this.#isDraining()) this.#res.shouldKeepAlive = false;
-    if (headers.some(([name]) => name.toLowerCase() === 'date')) this.#res.sendDate = false;
-    this.#res.writeHead(status, headers.flat());
+    const cancel = this.#dependencies.onRequest(toClientRequest(req, headerNames, body), response);
+    res.on('close', () => {
+      if (!res.writableFinished) cancel();
+    });
   }
 }
