--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -1,10 +1,13 @@
 #!/usr/bin/env node
+/** The command line of operators: one call to one node, its answer on the screen. */
 import meow from 'meow';
-import { readFile } from 'node:fs/promises';
 import { request } from 'undici';
+import { callOf, UsageError, type Call } from './commands.js';
 import { show } from './show.js';
 
-const EXIT = { well: 0, refused: 1, usage: 2, unknown: 3, unreached: 4, notCurrent: 5 } as const;
+const EXIT_CODES = { success: 0, rejected: 1, usage: 2, unknown: 3, unreached: 4, notCurrent: 5 } as const;
+
+const ANSWER_TIMEOUT_MS = 10_000;
 
 const cli = meow(
   `
@@ -52,91 +55,40 @@
   },
 );
 
-interface Call {
-  readonly method: 'GET' | 'POST' | 'PUT' | 'PATCH';
-  readonly path: string;
-  readonly body?: unknown;
-}
-
-function usage(message: string): never {
-  console.error(`rainrun: ${message}; see rainrun --help`);
-  process.exit(EXIT.usage);
+/** A node's answer, or what kept it from being read. */
+interface Answer {
+  readonly status: number;
+  readonly body: unknown;
 }
 
-function need(word: string | undefined, what: string): string {
-  return word ?? usage(`${what} is missing`);
-}
+/** The node gave no answer; `outcomeUnknown` where the call may still have taken effect. */
+class UnreachedError extends Error {
+  readonly code = 'unreached';
+  readonly outcomeUnknown: boolean;
 
-async function read(path: string | undefined): Promise<string> {
-  try {
-    return await readFile(need(path, 'the file'), 'utf8');
-  } catch (thrown) {
-    return usage(thrown instanceof Error ? thrown.message : String(thrown));
+  constructor(message: string, outcomeUnknown: boolean, options: ErrorOptions) {
+    super(message, options);
+    this.name = 'UnreachedError';
+    this.outcomeUnknown = outcomeUnknown;
   }
 }
 
-function options(): Record<string, unknown> {
-  const { base, id } = cli.flags;
-  return { ...(base === undefined ? {} : { base }), ...(id === undefined ? {} : { id }) };
-}
-
-function patchOf(text: string): unknown {
+async function send(call: Call, node: string): Promise<Answer> {
   try {
-    return JSON.parse(text) as unknown;
+    const reply = await request(`http://${node}/rainrun/v1/${call.path}`, {
+      method: call.method,
+      headers: { 'content-type': 'application/json' },
+      body: call.body === undefined ? null : JSON.stringify(call.body),
+      headersTimeout: ANSWER_TIMEOUT_MS,
+      bodyTimeout: ANSWER_TIMEOUT_MS,
+    });
+    return { status: reply.statusCode, body: await reply.body.json() };
   } catch (thrown) {
-    return usage(`the change is not JSON: ${String(thrown)}`);
-  }
-}
-
-async function specCall(verb: string | undefined, file: string | undefined): Promise<Call> {
-  switch (verb) {
-    case 'get':
-      return { method: 'GET', path: 'spec' };
-    case 'history':
-      return { method: 'GET', path: 'spec/history' };
-    case 'check':
-      return { method: 'POST', path: 'spec/check', body: { text: await read(file) } };
-    case 'apply':
-      return { method: 'PUT', path: 'spec', body: { text: await read(file), ...options() } };
-    case 'change':
-      return { method: 'PATCH', path: 'spec', body: { patch: patchOf(await read(file)), ...options() } };
-    default:
-      return usage(`unknown command "spec ${verb ?? ''}"`);
-  }
-}
-
-async function callOf(words: readonly string[]): Promise<Call> {
-  const [command, second, third] = words;
-  switch (command) {
-    case 'view':
-    case 'workers':
-    case 'groups':
-      return { method: 'GET', path: command };
-    case 'status':
-    case 'counters':
-      return {
-        method: 'GET',
-        path: second === undefined ? command : `${command}?node=${encodeURIComponent(second)}`,
-      };
-    case 'spec':
-      return specCall(second, third);
-    case 'zones':
-      if (second === undefined) return { method: 'GET', path: 'zones' };
-      if (second !== 'empty' && second !== 'restore') return usage(`unknown command "zones ${second}"`);
-      return {
-        method: 'POST',
-        path: `zones/${encodeURIComponent(need(third, 'the zone'))}/${second}`,
-        body: options(),
-      };
-    case 'operation':
-      return { method: 'GET', path: `operations/${encodeURIComponent(need(second, 'the id'))}` };
-    case 'explain':
-      if (second !== 'request' && second !== 'model') return usage('explain what: request or model');
-      return { method: 'GET', path: `explain/${second}s/${encodeURIComponent(need(third, 'the name'))}` };
-    case 'forget':
-      return { method: 'POST', path: `forget/${encodeURIComponent(need(second, 'the name'))}` };
-    default:
-      return usage(command === undefined ? 'no command' : `unknown command "${command}"`);
+    const outcomeUnknown = call.method !== 'GET' && !/ECONNREFUSED|Connect Timeout/.test(String(thrown));
+    const advice = outcomeUnknown ? '; the outcome is unknown, ask by id' : '';
+    throw new UnreachedError(`${node} not reached: ${String(thrown)}${advice}`, outcomeUnknown, {
+      cause: thrown,
+    });
   }
 }
 
@@ -146,37 +98,34 @@
   return stale !== true && lastKnown === undefined;
 }
 
+function exitCodeOf({ status, body }: Answer): number {
+  if (!isCurrent(body)) return EXIT_CODES.notCurrent;
+  if (status >= 200 && status < 300) return EXIT_CODES.success;
+  return status === 504 ? EXIT_CODES.unknown : EXIT_CODES.rejected;
+}
+
 async function run(): Promise<number> {
-  const call = await callOf(cli.input);
-  let status: number;
-  let body: unknown;
-  try {
-    const reply = await request(`http://${cli.flags.node}/rainrun/v1/${call.path}`, {
-      method: call.method,
-      headers: { 'content-type': 'application/json' },
-      body: call.body === undefined ? null : JSON.stringify(call.body),
-      headersTimeout: 10_000,
-      bodyTimeout: 10_000,
-    });
-    status = reply.statusCode;
-    body = await reply.body.json();
-  } catch (thrown) {
-    const sent = call.method !== 'GET' && !/ECONNREFUSED|Connect Timeout/.test(String(thrown));
-    console.error(
-      `rainrun: ${cli.flags.node} not reached: ${String(thrown)}${sent ? '; the outcome is unknown, ask by id' : ''}`,
-    );
-    return sent ? EXIT.unknown : EXIT.unreached;
-  }
-  const current = isCurrent(body);
-  const well = status >= 200 && status < 300 && current;
+  const answer = await send(await callOf(cli.input, cli.flags), cli.flags.node);
   const text = cli.flags.json
-    ? JSON.stringify(body, undefined, 2)
-    : show(cli.input.slice(0, 2).join(' '), body);
-  if (well) console.log(text);
+    ? JSON.stringify(answer.body, undefined, 2)
+    : show(cli.input.slice(0, 2).join(' '), answer.body);
+  const exitCode = exitCodeOf(answer);
+  if (exitCode === EXIT_CODES.success) console.log(text);
   else console.error(text);
-  if (well) return EXIT.well;
-  if (!current) return EXIT.notCurrent;
-  return status === 504 ? EXIT.unknown : EXIT.refused;
+  return exitCode;
+}
+
+/** Prints why nothing can be shown; anything unforeseen is thrown on. */
+function reportFailure(thrown: unknown): number {
+  if (thrown instanceof UsageError) {
+    console.error(`rainrun: ${thrown.message}; see rainrun --help`);
+    return EXIT_CODES.usage;
+  }
+  if (thrown instanceof UnreachedError) {
+    console.error(`rainrun: ${thrown.message}`);
+    return thrown.outcomeUnknown ? EXIT_CODES.unknown : EXIT_CODES.unreached;
+  }
+  throw thrown;
 }
 
-process.exitCode = await run();
+process.exitCode = await run().catch(reportFailure);
