--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,10 +1,10 @@
+/** A core on the platform (the programs under `platform/`): its sockets, timers, disk and calls to workers. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
-import { Acceptor, PLATFORM_TIMES, readRecords } from '@rainrun/process-group';
+import { PLATFORM_TIMES, type Acceptor } from '@rainrun/process-group';
 import { PoolLink, type Header } from '@rainrun/gateway';
 import { CoreReplica, coreStatus, OperatorService } from '@rainrun/cluster-node';
-import { RecordStore } from '@rainrun/storage';
-import { fault, randomId, type RandomSource, type Clock, type Fault } from '@rainrun/common';
+import { fault, type Fault } from '@rainrun/common';
 import type {
   WorkerRecord,
   ListedWorker,
@@ -14,9 +14,11 @@
 } from '@rainrun/placement';
 import { Result } from 'true-myth';
 import { request } from 'undici';
+import { openAcceptor } from './acceptor-disk.js';
 import type { Dialect, PlatformSettings } from './dialect.js';
 import type { Log } from './log.js';
 import { WORKER_CONNECTION_TIMES } from './worker-connections.js';
+import { MONOTONIC_CLOCK, processUsage, SYSTEM_RANDOM } from './process-environment.js';
 import { OperatorServer } from './operator-server.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
@@ -28,9 +30,6 @@
 const ORDER_TIMEOUT_MS = 800;
 const COUNTERS_INTERVAL_MS = 10_000;
 
-const CLOCK: Clock = { nowMs: () => performance.now() };
-const CHANCE: RandomSource = { next: () => Math.random() };
-
 /** The answer of a worker. */
 interface WorkerReply {
   readonly status: number;
@@ -76,8 +75,8 @@
       seeds,
       founders: settings.founding ? seeds : [],
       desiredVoterCount: 2 * settings.toleratedLosses + 1,
-      clock: CLOCK,
-      chance: CHANCE,
+      clock: MONOTONIC_CLOCK,
+      chance: SYSTEM_RANDOM,
       times: PLATFORM_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
@@ -92,7 +91,7 @@
     });
     this.#operators = new OperatorService({
       replica: this.#replica,
-      clock: CLOCK,
+      clock: MONOTONIC_CLOCK,
       format: dialect,
       status: () => coreStatus(this.#replica),
     });
@@ -106,14 +105,13 @@
     log: Log,
     onFatal: (why: Fault) => void,
   ): Promise<Result<CoreNode, Fault>> {
-    const opened = await RecordStore.open(settings.folder);
-    if (opened.isErr) return Result.err(opened.error);
-    const { recordStore, records } = opened.value;
-    return readRecords(records, randomId(CHANCE)).map((opening) => {
-      const acceptor = new Acceptor(opening, recordStore, 'system', onFatal);
-      if (records.disk === undefined) acceptor.writeDiskRecord();
-      return new CoreNode(settings, dialect, log, acceptor);
+    const acceptor = await openAcceptor({
+      folder: settings.folder,
+      deployment: 'system',
+      random: SYSTEM_RANDOM,
+      onFatal,
     });
+    return acceptor.map((opened) => new CoreNode(settings, dialect, log, opened));
   }
 
   async start(): Promise<void> {
@@ -150,7 +148,7 @@
       this.#listedMs = -Infinity;
       this.#log.info({ leading, epoch: this.#replica.group.epoch }, 'coordination');
     }
-    if (leading && CLOCK.nowMs() - this.#listedMs >= LIST_INTERVAL_MS) void this.#pollWorkerList();
+    if (leading && MONOTONIC_CLOCK.nowMs() - this.#listedMs >= LIST_INTERVAL_MS) void this.#pollWorkerList();
   }
 
   // The platform's list.
@@ -158,7 +156,7 @@
   async #pollWorkerList(): Promise<void> {
     if (this.#isListing) return;
     this.#isListing = true;
-    this.#listedMs = CLOCK.nowMs();
+    this.#listedMs = MONOTONIC_CLOCK.nowMs();
     const list = await this.#readWorkerList();
     this.#isListing = false;
     if (list.isOk) {
@@ -267,7 +265,6 @@
 
   #counters(): Record<string, number> {
     const { group, planner, subscriberCount: followers, workerTable } = this.#replica;
-    const { user, system } = process.cpuUsage();
     return {
       version: group.state?.number ?? 0,
       members: group.view?.members.length ?? 0,
@@ -279,8 +276,7 @@
       ...planner.counts,
       framesIn: this.#transport.counts.framesIn,
       bytesOut: this.#transport.counts.bytesOut,
-      cpuMs: Math.round((user + system) / 1000),
-      heldMb: Math.round(process.memoryUsage.rss() / 2 ** 20),
+      ...processUsage(),
     };
   }
 }
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -1,15 +1,17 @@
+/** An edge on the platform (the programs under `platform/`): its sockets, timers and connections. */
 import { createServer, type Server } from 'node:http';
 import { setTimeout as pause } from 'node:timers/promises';
 import { create } from '@bufbuild/protobuf';
 import { ModelDemandSchema, WorkerOutcomesSchema, type ModelDemand } from '@rainrun/messages';
 import { PoolLink } from '@rainrun/gateway';
 import { EdgeReplica } from '@rainrun/cluster-node';
-import type { RandomSource, Clock } from '@rainrun/common';
+import type { Clock } from '@rainrun/common';
 import { Router } from '@rainrun/router';
 import type { EdgeDialect, PlatformSettings } from './dialect.js';
 import { ClientServer } from './client-server.js';
 import { WORKER_CONNECTION_TIMES } from './worker-connections.js';
 import type { Log } from './log.js';
+import { MONOTONIC_CLOCK, processUsage, SYSTEM_RANDOM } from './process-environment.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
 /** Between two looks at what waits, and at the cores while this edge cannot serve yet. */
@@ -27,9 +29,6 @@
 /** So does the word to the cores that this edge goes. */
 const GOODBYE_FLUSH_MS = 30;
 
-const MONOTONIC_CLOCK: Clock = { nowMs: () => performance.now() };
-const CHANCE: RandomSource = { next: () => Math.random() };
-
 /**
  * An edge on a platform: clients come in, requests go out to workers; what it
  * knows comes from the cores that it subscribes to.
@@ -67,7 +66,7 @@
       deployment: 'system',
       seeds: settings.seeds.map((host) => `${host}:${settings.ports[0]}`),
       clock,
-      chance: CHANCE,
+      chance: SYSTEM_RANDOM,
       send: (address, frame) => this.#transport.send(address, frame),
       demands: () => this.#demands(),
       outcomes: () => this.#router.takeOutcomes().map((one) => create(WorkerOutcomesSchema, one)),
@@ -202,7 +201,6 @@
   }
 
   #counters(): Record<string, number> {
-    const { user, system } = process.cpuUsage();
     return {
       ...this.#router.counts,
       inFlight: this.#router.inFlight,
@@ -212,8 +210,7 @@
       edition: this.#replica.state.edition,
       framesIn: this.#transport.counts.framesIn,
       bytesIn: this.#transport.counts.bytesIn,
-      cpuMs: Math.round((user + system) / 1000),
-      heldMb: Math.round(process.memoryUsage.rss() / 2 ** 20),
+      ...processUsage(),
     };
   }
 }
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -1,62 +1,35 @@
+/** A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and services. */
 import { setTimeout as pause } from 'node:timers/promises';
-import { createRequire } from 'node:module';
-import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
+import type { ServerResponse } from 'node:http';
 import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
-import { Acceptor, GROUP_TIMES, readRecords, type GroupState } from '@rainrun/process-group';
+import { GROUP_TIMES, type Acceptor, type GroupState } from '@rainrun/process-group';
 import { UndiciSender, type EndRecord } from '@rainrun/gateway';
 import { SpecEdge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
-import { RecordStore } from '@rainrun/storage';
 import type { SpecState } from '@rainrun/configuration';
-import { fault, randomId, type RandomSource, type Clock, type Fault } from '@rainrun/common';
-import { ServiceBroker, type Context, type ServiceSchema } from 'moleculer';
+import { fault, type Fault } from '@rainrun/common';
+import { ServiceBroker, type ServiceSchema } from 'moleculer';
 import { pino, type Logger } from 'pino';
 import { Result, type Unit } from 'true-myth';
+import { openAcceptor } from './acceptor-disk.js';
 import { GracefulHttpServer } from './graceful-http-server.js';
-import { SpecOperatorService, type OperatorReply } from './spec-operator-service.js';
+import { MONOTONIC_CLOCK, processUsage, SYSTEM_RANDOM } from './process-environment.js';
+import { apiService, operatorActions } from './spec-http-services.js';
+import { SpecOperatorService } from './spec-operator-service.js';
 import { RequestRecorder } from './request-recorder.js';
 import { readSpecWorkerList, sendSpecOrder } from './spec-platform-client.js';
 import type { Settings } from './settings.js';
 import { sendFault, handleChatRequest, type ChatRequest } from './chat-completions.js';
 import { PeerTransport } from './peer-transport.js';
 
-const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
-
 const GROUP_TICK_MS = 50;
 const GATEWAY_TICK_MS = 20;
 const LIST_INTERVAL_MS = 500;
 const COUNTERS_INTERVAL_MS = 10_000;
-const SPEC_BODY_MAX = '3mb';
 const HEADERS_TIMEOUT_MS = 10_000;
 const EXPLAINED_REQUESTS_MAX = 2000;
 /** A stopping node answers callers that keep their connections for so long. */
 const LINGER_MS = 5000;
 
-/** Operators' paths, and the actions that answer them. */
-const OPERATOR_ALIASES = {
-  'GET view': 'operator.view',
-  'GET spec': 'operator.spec',
-  'PUT spec': 'operator.put',
-  'PATCH spec': 'operator.change',
-  'POST spec/check': 'operator.check',
-  'GET spec/history': 'operator.history',
-  'GET operations/:id': 'operator.operation',
-  'GET zones': 'operator.zones',
-  'POST zones/:zone/empty': 'operator.empty',
-  'POST zones/:zone/restore': 'operator.restore',
-  'GET workers': 'operator.workers',
-  'GET groups': 'operator.groups',
-  'GET counters': 'operator.counters',
-  'GET status': 'operator.status',
-  'GET ready': 'operator.ready',
-  'GET metrics': 'operator.metrics',
-  'GET explain/requests/:id': 'operator.explain',
-  'GET explain/models/:model': 'operator.explainModel',
-  'POST forget/:name': 'operator.forget',
-} as const;
-
-const CLOCK: Clock = { nowMs: () => performance.now() };
-const CHANCE: RandomSource = { next: () => Math.random() };
-
 /** What kind of node a program runs. */
 export type Role = 'edge' | 'core';
 
@@ -64,7 +37,7 @@
  * A node as a process: the deterministic parts put together with sockets,
  * disk, clock and services.
  * @example
- * const started = await Node.start(settings, 'edge');
+ * const started = await SpecNode.start(settings, 'edge');
  * if (started.isOk) await started.value.stop();
  */
 export class SpecNode {
@@ -104,11 +77,11 @@
     this.#clusterNode = this.#makeClusterNode(acceptor);
     if (role === 'edge') this.#edge = this.#makeEdge();
     if (role === 'edge' && settings.recordFile !== '')
-      this.#recorder = new RequestRecorder(settings, CLOCK.nowMs());
+      this.#recorder = new RequestRecorder(settings, MONOTONIC_CLOCK.nowMs());
     this.#operators = new SpecOperatorService({
       clusterNode: this.#clusterNode,
-      chance: CHANCE,
-      clock: CLOCK,
+      chance: SYSTEM_RANDOM,
+      clock: MONOTONIC_CLOCK,
       counters: () => this.#counters(),
       explain: (id) => this.#endRecords.get(id),
     });
@@ -134,8 +107,8 @@
     this.#log.info({ inFlight: this.#edge?.gateway.inFlight ?? 0 }, 'stopping');
     this.#edge?.gateway.drain();
     this.#httpServer.drain();
-    const endMs = CLOCK.nowMs() + this.#settings.drainMs;
-    while ((this.#edge?.gateway.inFlight ?? 0) > 0 && CLOCK.nowMs() < endMs) await pause(50);
+    const endMs = MONOTONIC_CLOCK.nowMs() + this.#settings.drainMs;
+    while ((this.#edge?.gateway.inFlight ?? 0) > 0 && MONOTONIC_CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
     await this.#httpServer.waitUntilIdle(Math.min(LINGER_MS, this.#settings.drainMs));
@@ -157,8 +130,8 @@
       seeds,
       founders: this.#role === 'core' ? founders : [],
       address: reach ?? bind,
-      clock: CLOCK,
-      chance: CHANCE,
+      clock: MONOTONIC_CLOCK,
+      chance: SYSTEM_RANDOM,
       times: GROUP_TIMES,
       acceptor,
       send: (address, frame) => this.#transport.send(address, frame),
@@ -177,7 +150,7 @@
 
   #makeEdge(): SpecEdge {
     const { name, zone } = this.#settings;
-    const edge = new SpecEdge(this.#clusterNode, name, zone, CLOCK, CHANCE, this.#sender);
+    const edge = new SpecEdge(this.#clusterNode, name, zone, MONOTONIC_CLOCK, SYSTEM_RANDOM, this.#sender);
     edge.gateway.on('ended', (record) => this.#remember(record));
     return edge;
   }
@@ -248,7 +221,6 @@
 
   #counters(): Record<string, number> {
     const { group } = this.#clusterNode;
-    const { user, system } = process.cpuUsage();
     return {
       ...this.#edge?.gateway.counts,
       ...this.#transport.counts,
@@ -261,136 +233,37 @@
       leading: group.isCoordinator ? 1 : 0,
       contextBytes: group.contextBytes,
       unstableCasts: group.unstableCount,
-      cpuMs: Math.round((user + system) / 1000),
-      heldMb: Math.round(process.memoryUsage().rss / 2 ** 20),
+      ...processUsage(),
     };
   }
 
   #services(): ServiceSchema[] {
-    const operators = this.#operators;
-    function text(value: unknown): string {
-      return typeof value === 'string' ? value : value === undefined ? '' : JSON.stringify(value);
-    }
-    function base(params: Record<string, unknown>): number | undefined {
-      return params['base'] === undefined ? undefined : Number(params['base']);
-    }
-    function action(run: (params: Record<string, unknown>) => OperatorReply | Promise<OperatorReply>) {
-      return async (ctx: Context<Record<string, unknown>, { $statusCode?: number }>): Promise<unknown> => {
-        const reply = await run(ctx.params);
-        ctx.meta.$statusCode = reply.status;
-        return reply.body;
-      };
-    }
-    const operator: ServiceSchema = {
-      name: 'operator',
-      actions: {
-        view: action(() => operators.fresh(() => operators.view())),
-        spec: action(() => operators.fresh(() => operators.spec())),
-        history: action(() => operators.fresh(() => operators.history())),
-        check: action((params) => operators.check(text(params['text']))),
-        put: action((params) => operators.put(text(params['text']), base(params), text(params['id']))),
-        change: action((params) => operators.change(params['patch'] ?? {}, base(params), text(params['id']))),
-        operation: action((params) => operators.operation(text(params['id']))),
-        zones: action(() => operators.fresh(() => operators.zones())),
-        empty: action((params) =>
-          operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id'])),
-        ),
-        restore: action((params) =>
-          operators.submit('zone.restore', { zone: text(params['zone']) }, text(params['id'])),
-        ),
-        workers: action(() => operators.fromCoordinator('workers', '')),
-        groups: action(() => operators.fromCoordinator('groups', '')),
-        counters: action((params) => operators.rowsOfNodes('counters', text(params['node']))),
-        status: action((params) => operators.rowsOfNodes('status', text(params['node']))),
-        ready: action(() => operators.ready()),
-        explain: action((params) => operators.explain(text(params['id']))),
-        explainModel: action((params) => operators.fromCoordinator('explainModel', text(params['model']))),
-        forget: action((params) => operators.fromCoordinator('forget', text(params['name']))),
-        metrics(ctx: Context<unknown, { $responseType?: string }>) {
-          ctx.meta.$responseType = 'text/plain; version=0.0.4';
-          return operators.metrics();
-        },
-      },
-    };
-    return [operator, this.#api()];
+    const api = apiService({
+      address: this.#settings.http,
+      httpServer: this.#httpServer,
+      bodyMaxBytes: this.#settings.bodyMaxBytes,
+      onClientRequest: (req, res) => this.#onClientRequest(req, res),
+    });
+    return [operatorActions(this.#operators), api];
   }
 
-  #api(): ServiceSchema {
+  #onClientRequest(req: ChatRequest, res: ServerResponse): void {
     const gateway = this.#edge?.gateway;
-    const httpServer = this.#httpServer;
-    const { name } = this.#settings;
-    const { host, port } = {
-      host: this.#settings.http.split(':')[0] ?? '',
-      port: Number(this.#settings.http.split(':')[1]),
-    };
-    function visitor(req: ChatRequest, res: ServerResponse): void {
-      if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
-      else handleChatRequest(gateway, name, CHANCE, req, res);
-    }
-    return {
-      name: 'api',
-      mixins: [ApiGateway],
-      settings: {
-        ip: host,
-        port,
-        logRequest: null,
-        logRequestParams: null,
-        logResponse: null,
-        logRouteRegistration: null,
-        onError: answerError,
-        routes: [
-          {
-            path: '/rainrun/v1',
-            mergeParams: true,
-            bodyParsers: { json: { limit: SPEC_BODY_MAX } },
-            aliases: OPERATOR_ALIASES,
-          },
-          {
-            path: '/',
-            bodyParsers: { raw: { type: () => true, limit: this.#settings.bodyMaxBytes } },
-            aliases: { ':rest(.*)': visitor },
-          },
-        ],
-      },
-      methods: {
-        createServer(this: { server: Server; isHTTPS: boolean; httpHandler: RequestListener }): void {
-          this.server = httpServer.create(this.httpHandler);
-          this.isHTTPS = false;
-        },
-      },
-    };
+    if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
+    else handleChatRequest(gateway, this.#settings.name, SYSTEM_RANDOM, req, res);
   }
 }
 
-/** Answers a request that the HTTP layer could not read or find. */
-function answerError(
-  _req: IncomingMessage,
-  res: ServerResponse,
-  thrown: Error & { type?: string; code?: number | string },
-): void {
-  if (thrown.type === 'entity.too.large') sendFault(res, fault('too-large', 'the body is too large'), '');
-  else if (thrown.type === 'entity.parse.failed')
-    sendFault(res, fault('bad-request', 'the body is not JSON'), '');
-  else if (thrown.code === 404) sendFault(res, fault('not-found', 'nothing is served here'), '');
-  else sendFault(res, fault('bad-request', thrown.message), '');
-}
-
-async function openDisk(settings: Settings, onFatal: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
-  const opened = await RecordStore.open(settings.folder);
-  if (opened.isErr) return Result.err(opened.error);
-  const { recordStore, records } = opened.value;
-  const opening = readRecords(records, randomId(CHANCE));
-  if (opening.isErr) return Result.err(opening.error);
-  const { deployment } = opening.value;
-  if (deployment !== '' && deployment !== settings.deployment) {
-    return Result.err(
-      fault(
-        'foreign',
-        `${settings.folder} belongs to deployment "${deployment}", not "${settings.deployment}"`,
-      ),
-    );
-  }
-  const acceptor = new Acceptor(opening.value, recordStore, settings.deployment, onFatal);
-  if (records.disk === undefined) acceptor.writeDiskRecord();
-  return Result.ok(acceptor);
+function openDisk(settings: Settings, onFatal: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
+  const { folder, deployment } = settings;
+  return openAcceptor({
+    folder,
+    deployment,
+    random: SYSTEM_RANDOM,
+    onFatal,
+    check: (opening) =>
+      opening.deployment === '' || opening.deployment === deployment
+        ? undefined
+        : fault('foreign', `${folder} belongs to deployment "${opening.deployment}", not "${deployment}"`),
+  });
 }
