--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,6 @@
 export * from './spec-node.js';
+export * from './operator-reply.js';
+export * from './spec-node-queries.js';
 export * from './spec-operator-service.js';
 export * from './spec-platform-client.js';
 export * from './spec-program.js';
--- a/packages/runtime/src/spec-http-services.ts
+++ b/packages/runtime/src/spec-http-services.ts
@@ -5,7 +5,8 @@
 import type { Context, ServiceSchema } from 'moleculer';
 import { sendFault, type ChatRequest } from './chat-completions.js';
 import type { GracefulHttpServer } from './graceful-http-server.js';
-import type { OperatorReply, SpecOperatorService } from './spec-operator-service.js';
+import type { OperatorReply } from './operator-reply.js';
+import type { SpecOperatorService } from './spec-operator-service.js';
 import { splitAddress } from './peer-transport.js';
 
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
@@ -47,14 +48,14 @@
   return {
     name: 'operator',
     actions: {
-      view: action(() => operators.fresh(() => operators.view())),
-      spec: action(() => operators.fresh(() => operators.spec())),
-      history: action(() => operators.fresh(() => operators.history())),
+      view: action(() => operators.fresh(() => operators.queries.view())),
+      spec: action(() => operators.fresh(() => operators.queries.spec())),
+      history: action(() => operators.fresh(() => operators.queries.history())),
       check: action((params) => operators.check(text(params['text']))),
       put: action((params) => operators.put(text(params['text']), base(params), text(params['id']))),
       change: action((params) => operators.change(params['patch'] ?? {}, base(params), text(params['id']))),
       operation: action((params) => operators.operation(text(params['id']))),
-      zones: action(() => operators.fresh(() => operators.zones())),
+      zones: action(() => operators.fresh(() => operators.queries.zones())),
       empty: action((params) =>
         operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id'])),
       ),
@@ -65,13 +66,13 @@
       groups: action(() => operators.fromCoordinator('groups', '')),
       counters: action((params) => operators.rowsOfNodes('counters', text(params['node']))),
       status: action((params) => operators.rowsOfNodes('status', text(params['node']))),
-      ready: action(() => operators.ready()),
+      ready: action(() => operators.queries.ready()),
       explain: action((params) => operators.explain(text(params['id']))),
       explainModel: action((params) => operators.fromCoordinator('explainModel', text(params['model']))),
       forget: action((params) => operators.fromCoordinator('forget', text(params['name']))),
       metrics(ctx: Context<unknown, { $responseType?: string }>) {
         ctx.meta.$responseType = 'text/plain; version=0.0.4';
-        return operators.metrics();
+        return operators.queries.metrics();
       },
     },
   };
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -141,7 +141,7 @@
       onStateChange: (held, entry) => this.#onStateChange(held, entry),
       onCast: () => undefined,
       protocolLevels: PROTOCOL_LEVELS,
-      answerQuery: (kind, text) => this.#operators.answer(kind, text),
+      answerQuery: (kind, text) => this.#operators.queries.answer(kind, text),
       onJoinRejected: (why) => this.#onFatal(fault('unbridged', why)),
       onNewIncarnation: (incarnation) =>
         this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
--- a/packages/runtime/src/spec-operator-service.ts
+++ b/packages/runtime/src/spec-operator-service.ts
@@ -1,23 +1,11 @@
+/** What operators may ask and order at any node of the research groups' system. */
 import { setTimeout as pause } from 'node:timers/promises';
-import type { Answer, Member } from '@rainrun/messages';
-import type { EndRecord } from '@rainrun/gateway';
-import type { ClusterNode } from '@rainrun/cluster-node';
+import type { Member } from '@rainrun/messages';
 import { RETAINED_ANSWERS_MAX } from '@rainrun/process-group';
 import { isEdit, readEdit, readSpec } from '@rainrun/configuration';
-import {
-  FAULT_RESPONSES,
-  isFaultKind,
-  randomId,
-  type RandomSource,
-  type Clock,
-  type FaultKind,
-} from '@rainrun/common';
-
-/** An answer to an operator. */
-export interface OperatorReply {
-  readonly status: number;
-  readonly body: unknown;
-}
+import { randomId, type RandomSource, type Clock } from '@rainrun/common';
+import { failure, operationReply, type OperatorReply } from './operator-reply.js';
+import { SpecNodeQueries, type NodeQueryDependencies } from './spec-node-queries.js';
 
 const ANSWER_WAIT_MS = 5000;
 const FRESH_WAIT_MS = 1500;
@@ -25,36 +13,25 @@
 const OPERATION_ID = /^[A-Za-z0-9._-]{1,64}$/;
 
 /** What the operators' side needs of a node. */
-export interface SpecOperatorDependencies {
-  readonly clusterNode: ClusterNode;
+export interface SpecOperatorDependencies extends NodeQueryDependencies {
   readonly chance: RandomSource;
   readonly clock: Clock;
-  counters(): Record<string, number>;
-  explain(id: string): Omit<EndRecord, 'body'> | undefined;
-}
-
-function failure(kind: FaultKind, message: string, more: Record<string, unknown> = {}): OperatorReply {
-  const row = FAULT_RESPONSES[kind];
-  return { status: row.status, body: { error: { kind, message, ran: row.ran, ...more } } };
-}
-
-function operationReply(answer: Answer): OperatorReply {
-  const { id, kind, detail, number } = answer;
-  if (isFaultKind(kind)) return failure(kind, detail, { id, number });
-  return { status: 200, body: { id, outcome: kind, detail, number } };
 }
 
 /**
  * What operators may ask and order. Every node answers the same.
  * @example
- * const operators = new Operators(dependencies);
+ * const operators = new SpecOperatorService(dependencies);
  * const reply = await operators.submit('zone.empty', { zone: 'north' }, '');
  */
 export class SpecOperatorService {
   #dependencies: SpecOperatorDependencies;
+  /** What this node answers by itself. */
+  readonly queries: SpecNodeQueries;
 
   constructor(dependencies: SpecOperatorDependencies) {
     this.#dependencies = dependencies;
+    this.queries = new SpecNodeQueries(dependencies);
   }
 
   /**
@@ -80,45 +57,6 @@
     return true;
   }
 
-  view(): OperatorReply {
-    const { group } = this.#dependencies.clusterNode;
-    const held = group.state;
-    return {
-      status: 200,
-      body: {
-        disk: group.self.disk,
-        self: { name: group.self.name, incarnation: group.self.incarnation, zone: group.self.zone },
-        admitting: group.holdsLease(),
-        coordinator:
-          held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ??
-          null,
-        epoch: group.epoch,
-        number: held?.number ?? 0,
-        level: held?.level ?? 0,
-        agreed: group.committedVersion,
-        view: group.view === undefined ? null : { epoch: group.view.epoch, number: group.view.number },
-        members: (group.view?.members ?? []).map(({ name, zone, address, disk, maxLevel: speaks }) => ({
-          name,
-          zone,
-          address,
-          core: disk !== '',
-          speaks: Math.max(1, speaks),
-        })),
-        voters: (held?.voters ?? []).map(({ name, disk }) => ({ name, disk })),
-      },
-    };
-  }
-
-  spec(): OperatorReply {
-    const record = this.#dependencies.clusterNode.state.spec;
-    if (record === undefined) return failure('not-found', 'no spec has been agreed yet');
-    return { status: 200, body: { version: record.version, operation: record.operation, text: record.text } };
-  }
-
-  history(): OperatorReply {
-    return { status: 200, body: { history: this.#dependencies.clusterNode.state.history } };
-  }
-
   check(text: string): OperatorReply {
     const read = readSpec(text);
     if (read.isErr) return failure('bad-spec', 'the spec has faults', { faults: read.error });
@@ -144,166 +82,10 @@
       : operationReply(answer);
   }
 
-  zones(): OperatorReply {
-    const { state: stage } = this.#dependencies.clusterNode;
-    const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
-      zone,
-      emptied: stage.evacuatedZones.includes(zone),
-    }));
-    return { status: 200, body: { zones } };
-  }
-
-  #workers(): OperatorReply {
-    const { clusterNode } = this.#dependencies;
-    const workers = clusterNode.workers().map((worker) => ({
-      name: worker.name,
-      address: worker.address,
-      zone: worker.zone,
-      kind: worker.kind,
-      pool: worker.pool,
-      status: worker.draining
-        ? 'leaving'
-        : worker.evacuated
-          ? 'emptied'
-          : worker.reachable
-            ? 'ready'
-            : 'unreached',
-      target: clusterNode.state.placement[worker.name] ?? [],
-      holdings: worker.holdings,
-    }));
-    return { status: 200, body: { workers } };
-  }
-
-  #groups(): OperatorReply {
-    const { clusterNode } = this.#dependencies;
-    const measured = clusterNode.groups;
-    const groups = (clusterNode.state.spec?.spec.groups ?? []).flatMap((group) =>
-      group.kinds.map((kind) => {
-        const picture = measured.find((known) => known.group === group.name && known.kind === kind.name);
-        const { served = 0, refused = 0, prompt = 0, waitMs = 0, inFlight = 0, backlog = 0 } = picture ?? {};
-        return {
-          group: group.name,
-          kind: kind.name,
-          share: group.share,
-          targetMs: kind.targetMs,
-          measuredMs: Math.round(waitMs),
-          prompt: served === 0 ? null : Number((prompt / served).toFixed(4)),
-          served,
-          refused,
-          inFlight,
-          backlog,
-        };
-      }),
-    );
-    return { status: 200, body: { groups } };
-  }
-
-  metrics(): string {
-    const lines: string[] = [];
-    for (const [name, value] of Object.entries(this.#dependencies.counters())) {
-      lines.push(`rainrun_${name.replace(/[^A-Za-z0-9]/g, '_')} ${value}`);
-    }
-    return `${lines.join('\n')}\n`;
-  }
-
-  ready(): OperatorReply {
-    const admitting =
-      this.#dependencies.clusterNode.group.holdsLease() &&
-      this.#dependencies.clusterNode.state.spec !== undefined;
-    return { status: admitting ? 200 : 503, body: { admitting } };
-  }
-
-  #explain(id: string): OperatorReply {
-    const record = this.#dependencies.explain(id);
-    const { name } = this.#dependencies.clusterNode.group.self;
-    return record === undefined
-      ? failure('not-found', `${name} does not remember request ${id}`)
-      : { status: 200, body: { edge: name, ...record } };
-  }
-
-  #explainModel(model: string): OperatorReply {
-    const { clusterNode } = this.#dependencies;
-    if (clusterNode.state.spec?.spec.models.some((known) => known.name === model) !== true)
-      return failure('not-found', `no model "${model}" in the spec`);
-    const copies = Object.entries(clusterNode.state.placement)
-      .filter(([, holdings]) => holdings.some((holding) => holding.model === model))
-      .map(([worker]) => worker);
-    return {
-      status: 200,
-      body: {
-        model,
-        copies,
-        reason: clusterNode.reason(model) ?? 'decided before the present coordinator led',
-        placedBy: clusterNode.state.placedBy,
-      },
-    };
-  }
-
-  #forget(name: string): OperatorReply {
-    if (this.#dependencies.clusterNode.group.excludeNode(name))
-      return { status: 200, body: { outcome: 'noted', name } };
-    return failure(
-      'conflict',
-      `${this.#dependencies.clusterNode.group.self.name} coordinates no more; ask again`,
-    );
-  }
-
-  #status(): OperatorReply {
-    const { group } = this.#dependencies.clusterNode;
-    const { inFlight = 0, backlog = 0 } = this.#dependencies.counters();
-    const { name, zone } = group.self;
-    const shared = {
-      admitting: group.holdsLease(),
-      leading: group.isCoordinator,
-      epoch: group.epoch,
-      number: group.state?.number ?? 0,
-    };
-    return {
-      status: 200,
-      body: {
-        node: name,
-        zone,
-        ...shared,
-        view: group.view?.number ?? 0,
-        level: group.state?.level ?? 0,
-        inFlight,
-        backlog,
-      },
-    };
-  }
-
-  #counters(): OperatorReply {
-    return {
-      status: 200,
-      body: { node: this.#dependencies.clusterNode.group.self.name, ...this.#dependencies.counters() },
-    };
-  }
-
-  /** Answers a question for the node at which an operator asked it. */
-  answer(kind: string, text: string): OperatorReply {
-    switch (kind) {
-      case 'workers':
-        return this.#workers();
-      case 'groups':
-        return this.#groups();
-      case 'explain':
-        return this.#explain(text);
-      case 'explainModel':
-        return this.#explainModel(text);
-      case 'forget':
-        return this.#forget(text);
-      case 'status':
-        return this.#status();
-      case 'counters':
-        return this.#counters();
-      default:
-        return failure('bad-request', `no question "${kind}"`);
-    }
-  }
-
   #query(incarnation: string, kind: string, text: string): Promise<OperatorReply | undefined> {
     const { clusterNode } = this.#dependencies;
-    if (incarnation === clusterNode.group.self.incarnation) return Promise.resolve(this.answer(kind, text));
+    if (incarnation === clusterNode.group.self.incarnation)
+      return Promise.resolve(this.queries.answer(kind, text));
     return new Promise((resolve) => clusterNode.query(incarnation, kind, text, resolve));
   }
 
