--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -1,3 +1,4 @@
+/** Chat completions over HTTP at an edge of the research groups' system. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, fault, hashText, randomId, type RandomSource, type Fault } from '@rainrun/common';
@@ -11,6 +12,11 @@
   messages: v.pipe(v.array(v.looseObject({ role: v.string(), content: v.string() })), v.minLength(1)),
 });
 
+const ChatBodySchema = v.pipe(v.string(), v.parseJson(), ChatSchema);
+
+type Chat = v.InferOutput<typeof ChatSchema>;
+
+/** Characters of the first message that tell prompts with a common prefix. */
 const PREFIX_CHARS = 256;
 
 /** A request as moleculer-web hands it on, its body read. */
@@ -112,23 +118,22 @@
   if (req.method !== 'POST') return Result.err(fault('bad-request', `method ${req.method ?? ''}`));
   if (!Buffer.isBuffer(req.body)) return Result.err(fault('bad-request', 'no body'));
   const body = req.body;
-  let data: unknown;
-  try {
-    data = JSON.parse(body.toString('utf8'));
-  } catch {
-    return Result.err(fault('bad-request', 'the body is not JSON'));
-  }
-  const chat = v.safeParse(ChatSchema, data);
-  if (!chat.success)
-    return Result.err(
-      fault(
-        'bad-request',
-        chat.issues.map((issue) => `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`).join('; '),
-      ),
-    );
-  const { model, adapter, stream, messages } = chat.output;
-  const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
-  return Result.ok({ ...shared, method: 'POST', model, adapter, prefix, streamed: stream, body });
+  return readChat(body).map(({ model, adapter, stream, messages }) => {
+    const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
+    return { ...shared, method: 'POST', model, adapter, prefix, streamed: stream, body };
+  });
+}
+
+/** A chat completion from its JSON body; the fault names each field that is wrong. */
+function readChat(body: Buffer): Result<Chat, Fault> {
+  const parsed = v.safeParse(ChatBodySchema, body.toString('utf8'));
+  if (parsed.success) return Result.ok(parsed.output);
+  const details = parsed.issues.map((issue) =>
+    issue.type === 'parse_json'
+      ? 'the body is not JSON'
+      : `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`,
+  );
+  return Result.err(fault('bad-request', details.join('; ')));
 }
 
 /**
--- a/packages/runtime/src/client-connections.ts
+++ b/packages/runtime/src/client-connections.ts
@@ -1,3 +1,4 @@
+/** Connections of clients to an edge on the platform, and when each may be closed. */
 import type { IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -23,7 +23,7 @@
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
 const TICK_MS = 25;
-/** A core that does not coordinate heartbeats at every second one. */
+/** A core that does not coordinate acts at every second tick only. */
 const NON_COORDINATOR_TICK_DIVISOR = 2;
 const LIST_INTERVAL_MS = 500;
 const LIST_TIMEOUT_MS = 900;
@@ -114,6 +114,7 @@
     return acceptor.map((opened) => new CoreNode(settings, dialect, log, opened));
   }
 
+  /** Listens and begins to take part in the group. */
   async start(): Promise<void> {
     const { host, ports, listenAddresses: listen } = this.#settings;
     const bound = await this.#transport.listen(`${host}:${ports[0]}`);
@@ -127,6 +128,7 @@
     this.#log.info({ operators: listen.operators, founding: this.#settings.founding }, 'started');
   }
 
+  /** Graceful shutdown: rejects operators, takes leave of the group and stops its timers; the process is to exit then. */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -1,3 +1,4 @@
+/** The interface between the programs and the platform that they run on: settings, names and formats. */
 import type { OperatorCall, OperatorFormat } from '@rainrun/cluster-node';
 import type { Fault } from '@rainrun/common';
 import type { HeaderNames } from '@rainrun/router';
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -14,19 +14,19 @@
 import { MONOTONIC_CLOCK, processUsage, SYSTEM_RANDOM } from './process-environment.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
-/** Between two looks at what waits, and at the cores while this edge cannot serve yet. */
+/** Interval of ticks while requests wait here, and while this edge is not ready. */
 const TICK_MS = 50;
-/** The same while nothing waits here: each wake-up of a process costs more than the look itself. */
+/** The same while nothing waits here: waking the process costs more than the tick itself. */
 const IDLE_TICK_MS = 100;
-/** A model that stands nowhere is asked for after this, with what else came meanwhile. */
+/** A model without a worker is reported to the cores after this, together with what else came meanwhile. */
 const URGENT_REQUEST_DELAY_MS = 7;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** The platform asks every second and believes the second miss: so long new connections still come. */
+/** The platform checks readiness every second and acts on the second miss: so long new connections still come. */
 const DEREGISTRATION_LAG_MS = 3000;
 const GRACE_RESERVE_MS = 700;
-/** The last answers of our own get so long to leave. */
+/** The last responses of our own get so long to be sent. */
 const FINAL_RESPONSES_MS = 300;
-/** So does the word to the cores that this edge goes. */
+/** So long the goodbye to the cores gets to be sent. */
 const GOODBYE_FLUSH_MS = 30;
 
 /**
@@ -100,6 +100,7 @@
     });
   }
 
+  /** Listens for cores, clients and readiness checks, and begins to subscribe. */
   async start(): Promise<void> {
     const { host, ports, listenAddresses: listen } = this.#settings;
     const bound = await this.#transport.listen(`${host}:${ports[0] + 1}`);
@@ -114,7 +115,7 @@
     this.#log.info({ clients: listen.clients }, 'started');
   }
 
-  /** Lets the platform send others elsewhere, answers what is under way, and goes. */
+  /** Graceful shutdown: not ready any more, then no new connections, then responses in flight within the grace period. */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
@@ -154,7 +155,7 @@
     this.#tickWithin(isResting ? IDLE_TICK_MS : TICK_MS);
   }
 
-  /** Lets the next heartbeat come in this time at the latest. */
+  /** Lets the next tick come within this time at the latest. */
   #tickWithin(waitMs: number): void {
     if (this.#closed) return;
     const atMs = this.#clock.nowMs() + waitMs;
--- a/packages/runtime/src/graceful-http-server.ts
+++ b/packages/runtime/src/graceful-http-server.ts
@@ -1,3 +1,4 @@
+/** HTTP server with graceful shutdown, of a node of the research groups' system. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { createServer, type RequestListener, type Server, type ServerResponse } from 'node:http';
 
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -1,3 +1,4 @@
+/** The log as the platform's nodes see it. */
 /** What nodes log through; pino has this shape. */
 export interface Log {
   debug(data: object, text: string): void;
--- a/packages/runtime/src/peer-transport.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -1,3 +1,4 @@
+/** Frames between nodes over TCP, for both systems. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { FRAME_MAX_BYTES, encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import { fault, type Fault } from '@rainrun/common';
@@ -69,6 +70,7 @@
     return typeof bound === 'object' && bound !== null ? bound.port : 0;
   }
 
+  /** Listens for peers at IP:PORT; connections to them come from the same IP. Fault: `bad-setting`. */
   listen(address: string): Promise<Result<Unit, Fault>> {
     const { host, port } = splitAddress(address);
     this.#host = host;
@@ -82,6 +84,7 @@
     });
   }
 
+  /** Sends a frame, or drops and counts it where the peer is not connected or its backlog is full. */
   send(address: string, frame: Frame): void {
     const connection = this.#connectionTo(address);
     if (connection === undefined || connection.socket.writableLength > BACKLOG_MAX_BYTES) {
@@ -97,6 +100,7 @@
     this.counts.bytesOut += bytes.length + 4;
   }
 
+  /** Closes the listener and every connection; what was not sent yet is lost. */
   close(): void {
     this.#closed = true;
     this.#server?.close();
--- a/packages/runtime/src/platform-program.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -1,3 +1,4 @@
+/** The programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
 import { readFileSync } from 'node:fs';
 import { fault, type Fault } from '@rainrun/common';
 import { pino } from 'pino';
@@ -8,7 +9,7 @@
 import type { Log } from './log.js';
 
 /** Exit codes of the programs on a platform. */
-const EXIT_CODES = { well: 0, badSetting: 2, badDisk: 3 } as const;
+const EXIT_CODES = { success: 0, badSetting: 2, badDisk: 3 } as const;
 
 /** A program's settings, and the log that it writes to. */
 interface ProgramSetup {
@@ -70,7 +71,7 @@
 
 function onStop(stop: () => Promise<void>): void {
   function handle(): void {
-    void stop().then(() => process.exit(EXIT_CODES.well));
+    void stop().then(() => process.exit(EXIT_CODES.success));
   }
   process.on('SIGTERM', handle);
   process.on('SIGINT', handle);
--- a/packages/runtime/src/request-recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -1,9 +1,14 @@
+/** Records the requests of an edge of the research groups' system, to be replayed later. */
 import { createWriteStream, type WriteStream } from 'node:fs';
 import type { EndRecord } from '@rainrun/gateway';
 import { callLine, headLine, type Call } from '@rainrun/workloads';
 import * as v from 'valibot';
 
-const PromptSchema = v.object({ messages: v.array(v.object({ content: v.string() })) });
+const PromptSchema = v.pipe(
+  v.string(),
+  v.parseJson(),
+  v.object({ messages: v.array(v.object({ content: v.string() })) }),
+);
 
 /** What is recorded, and how much of it. */
 export interface RecorderSettings {
@@ -13,14 +18,11 @@
   readonly recordContents: boolean;
 }
 
+/** The text of a request's messages; empty where its body is no chat completion. */
 function promptIn(body: Uint8Array | undefined): string {
   if (body === undefined) return '';
-  try {
-    const read = v.safeParse(PromptSchema, JSON.parse(Buffer.from(body).toString('utf8')));
-    return read.success ? read.output.messages.map((message) => message.content).join('\n') : '';
-  } catch {
-    return '';
-  }
+  const read = v.safeParse(PromptSchema, Buffer.from(body).toString('utf8'));
+  return read.success ? read.output.messages.map((message) => message.content).join('\n') : '';
 }
 
 /**
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -1,3 +1,4 @@
+/** Settings of a node of the research groups' system, from a file and from flags. */
 import { readFileSync } from 'node:fs';
 import { isIPv4 } from 'node:net';
 import { fault, type Fault } from '@rainrun/common';
--- a/packages/runtime/src/spec-platform-client.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -1,3 +1,4 @@
+/** What a node of the research groups' system reads from its platform and orders of its workers. */
 import { readFile } from 'node:fs/promises';
 import { create } from '@bufbuild/protobuf';
 import { WorkerListSchema, type WorkerList } from '@rainrun/messages';
--- a/packages/runtime/src/spec-program.ts
+++ b/packages/runtime/src/spec-program.ts
@@ -1,9 +1,10 @@
+/** The programs `edge` and `core` of the research groups' system: flags, settings, signals, exit codes. */
 import meow from 'meow';
 import { SpecNode, type Role } from './spec-node.js';
 import { readSettings } from './settings.js';
 
 /** Exit codes of the daemons. */
-export const EXIT_CODES = { well: 0, failed: 1, badSetting: 2, badDisk: 3, refused: 4 } as const;
+export const EXIT_CODES = { success: 0, failed: 1, badSetting: 2, badDisk: 3, rejected: 4 } as const;
 
 const HELP = `
   Usage
@@ -76,11 +77,11 @@
   }
   if (cli.flags.check) {
     console.log(`${program}: settings are sound`);
-    process.exit(EXIT_CODES.well);
+    process.exit(EXIT_CODES.success);
   }
   const started = await SpecNode.start(settings.value, role, (why) => {
     console.error(`${program}: ${why.kind}: ${why.detail}`);
-    process.exit(why.kind === 'unbridged' ? EXIT_CODES.refused : EXIT_CODES.badDisk);
+    process.exit(why.kind === 'unbridged' ? EXIT_CODES.rejected : EXIT_CODES.badDisk);
   });
   if (started.isErr) {
     const { kind, detail } = started.error;
@@ -92,7 +93,7 @@
   function stop(): void {
     if (stopping) return;
     stopping = true;
-    void node.stop().then(() => process.exit(EXIT_CODES.well));
+    void node.stop().then(() => process.exit(EXIT_CODES.success));
   }
   process.on('SIGTERM', stop);
   process.on('SIGINT', stop);
--- a/packages/runtime/src/worker-connections.ts
+++ b/packages/runtime/src/worker-connections.ts
@@ -1,3 +1,4 @@
+/** Times of connections from edges and cores on the platform to workers. */
 import type { LinkTimes } from '@rainrun/gateway';
 
 /** Connections to workers on a platform: new ones are dear, so they are kept as long as a worker keeps them. */
