--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -92,8 +92,8 @@
 }
 
 function readGatewayRequest(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
-  const wish = header(req, 'rainrun-deadline-ms');
-  const deadlineMs = wish === '' ? undefined : Number(wish);
+  const deadlineText = header(req, 'rainrun-deadline-ms');
+  const deadlineMs = deadlineText === '' ? undefined : Number(deadlineText);
   if (deadlineMs !== undefined && !Number.isFinite(deadlineMs))
     return Result.err(fault('bad-request', 'rainrun-deadline-ms is not a number'));
   const path = req.originalUrl ?? req.url ?? '/';
--- a/packages/simulator/src/connections.ts
+++ b/packages/simulator/src/connections.ts
@@ -1,5 +1,5 @@
 import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gateway';
-import type { SimulationContext, SimWorker, WorkerLine } from './simulation-context.js';
+import type { SimulationContext, SimWorker, WorkerConnection } from './simulation-context.js';
 
 /** The edge process that a sender belongs to: runs an act there, when it is awake, or never if it has died. */
 export type AtEdge = (act: () => void) => void;
@@ -38,7 +38,7 @@
   }
 
   #move(): void {
-    const { time, dice } = this.#grounds;
+    const { time, random: dice } = this.#grounds;
     time.after(0.2 + dice.next() * 2, () => {
       if (this.#isCut()) {
         if (!this.#isPowered()) this.drop();
@@ -62,7 +62,7 @@
   #back: Pipe;
   #over = false;
   #heardMs = 0;
-  #line: WorkerLine | undefined;
+  #line: WorkerConnection | undefined;
 
   constructor(
     grounds: SimulationContext,
@@ -103,7 +103,7 @@
   }
 
   #connect(isCut: () => boolean): void {
-    const { time, dice } = this.#grounds;
+    const { time, random: dice } = this.#grounds;
     const open = dice.next() < KEPT_RATIO;
     time.after(0.2 + dice.next() * 2, () => {
       if (!this.#worker.up) return this.#fail(false, 'refused');
@@ -186,7 +186,7 @@
   }
 
   probe(address: string, done: (reached: boolean) => void): void {
-    const { time, dice, isCut } = this.#grounds;
+    const { time, random: dice, isCut } = this.#grounds;
     const cut = isCut(this.#edge, address) || isCut(address, this.#edge);
     time.after(cut ? PROBE_MS : 0.2 + dice.next() * 2, () => this.#atEdge(() => done(!cut)));
   }
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -101,10 +101,10 @@
     for (const id of ['twice', 'before', 'after']) oracle.asked(id, false);
     oracle.ran('twice', 'w', 'z', 0);
     oracle.ran('twice', 'w', 'z', 1);
-    oracle.toldRefused('before', 'no-worker', 2);
+    oracle.requestRejected('before', 'no-worker', 2);
     oracle.ran('before', 'w', 'z', 3);
     oracle.ran('after', 'w', 'z', 4);
-    oracle.toldRefused('after', 'no-worker', 5);
+    oracle.requestRejected('after', 'no-worker', 5);
     expect(rules(oracle)).toEqual(['never run twice', 'refused never runs', 'refused never runs']);
   });
 
@@ -120,7 +120,7 @@
     oracle.whole('c', 0);
     oracle.whole('d', 0);
     oracle.piece('c', { ...piece, id: 'c', place: 1 }, 0);
-    oracle.toldRefused('e', 'no-worker', 0);
+    oracle.requestRejected('e', 'no-worker', 0);
     oracle.whole('e', 0);
     expect(rules(oracle)).toEqual([
       "nobody else's answer",
@@ -163,7 +163,7 @@
 
   it('one holder of the duty, one node orders a worker', () => {
     const oracle = new Oracle();
-    oracle.duty(['core-0', 'core-1'], 0);
+    oracle.checkSingletonLease(['core-0', 'core-1'], 0);
     oracle.orderBegins('w', 'core-0', 1, 0);
     oracle.orderBegins('w', 'core-1', 2, 0);
     expect(rules(oracle)).toEqual(['one holder of the duty', 'one node orders a worker']);
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -38,7 +38,7 @@
 const RETRY_ALLOWANCE = 10;
 
 /** A visitor's request as the oracle follows it. */
-interface VisitNote {
+interface RequestRecord {
   readonly repeatable: boolean;
   sends: number;
   runs: number;
@@ -91,7 +91,7 @@
   #counts = new Map<string, Map<string, number>>();
   #early = new Map<string, EarlyNote[]>();
   #answers = new Map<string, string>();
-  #visits = new Map<string, VisitNote>();
+  #requests = new Map<string, RequestRecord>();
   #leavingMs = new Map<string, number>();
   #emptiedMs = new Map<string, { number: number; atMs: number }>();
   #firsts: number[] = [];
@@ -124,13 +124,13 @@
     if (number <= before)
       this.breach('versions never go back', `${incarnation} went from ${before} to ${number}`, atMs);
     this.#newest.set(incarnation, number);
-    this.#judgeMarks(held, atMs);
+    this.#checkAgreedMarks(held, atMs);
     for (const [zone, emptied] of this.#emptiedMs) {
       if (number > emptied.number && !held.application.evacuatedZones.includes(zone))
         this.#emptiedMs.delete(zone);
     }
     if (!whole) this.#closeViews(incarnation, held.view.number, atMs);
-    this.#judgeEarly(incarnation, held);
+    this.#checkCausalOrder(incarnation, held);
   }
 
   /** An operator asks for an edit of an entry: until it is answered, nobody can say what stands there. */
@@ -146,7 +146,7 @@
     } else if (number >= (this.#marks.get(name)?.number ?? 0)) this.#marks.set(name, { mark, number });
   }
 
-  #judgeMarks(held: GroupState<SpecState>, atMs: number): void {
+  #checkAgreedMarks(held: GroupState<SpecState>, atMs: number): void {
     const adapters = held.application.spec?.spec.adapters ?? [];
     for (const { name, sizeMb } of adapters) {
       if (name.startsWith('race-') && this.#refusedMarks.has(sizeMb))
@@ -166,7 +166,7 @@
 
   /** A visitor's request enters an edge. */
   asked(id: string, repeatable: boolean): void {
-    this.#visits.set(id, {
+    this.#requests.set(id, {
       repeatable,
       sends: 0,
       runs: 0,
@@ -180,7 +180,7 @@
 
   /** A visitor is given a piece of an answer. */
   piece(id: string, piece: Piece, atMs: number): void {
-    const visit = this.#visits.get(id);
+    const visit = this.#requests.get(id);
     if (visit === undefined) return;
     if (piece.id !== id) this.breach("nobody else's answer", `${id} was given a piece of ${piece.id}`, atMs);
     if (visit.whole)
@@ -200,7 +200,7 @@
 
   /** A visitor is told that its answer is whole. */
   whole(id: string, atMs: number): void {
-    const visit = this.#visits.get(id);
+    const visit = this.#requests.get(id);
     if (visit === undefined) return;
     this.served += 1;
     if (visit.whole || visit.told !== undefined)
@@ -216,7 +216,7 @@
 
   /** A request leaves an edge for a worker. */
   sent(id: string, atMs: number): void {
-    const visit = this.#visits.get(id);
+    const visit = this.#requests.get(id);
     if (visit === undefined) return;
     visit.sends += 1;
     (visit.sends === 1 ? this.#firsts : this.#extras).push(atMs);
@@ -233,7 +233,7 @@
 
   /** A worker runs a request. */
   ran(id: string, worker: string, zone: string, atMs: number): void {
-    const visit = this.#visits.get(id);
+    const visit = this.#requests.get(id);
     if (visit === undefined) return;
     visit.runs += 1;
     if (visit.runs > 1 && !visit.repeatable)
@@ -257,8 +257,8 @@
   }
 
   /** A visitor was told that its request has not run and never will. */
-  toldRefused(id: string, kind: string, atMs: number): void {
-    const visit = this.#visits.get(id);
+  requestRejected(id: string, kind: string, atMs: number): void {
+    const visit = this.#requests.get(id);
     if (visit === undefined) return;
     if (visit.whole || visit.pieces > 0)
       this.breach('one end', `${id} was refused as ${kind} after ${visit.pieces} pieces`, atMs);
@@ -287,7 +287,7 @@
       this.breach('the store is not asked too often', `${this.#pulls.length} pulls in a minute`, atMs);
   }
 
-  #judgeEarly(incarnation: string, held: GroupState<SpecState>): void {
+  #checkCausalOrder(incarnation: string, held: GroupState<SpecState>): void {
     const members = new Set(held.view.members.map((member) => member.incarnation));
     for (const { view, other, detail, atMs } of this.#early.get(incarnation) ?? []) {
       if (held.view.number === view || members.has(other)) this.breach('causal order', detail, atMs);
@@ -378,7 +378,7 @@
     this.#agreed = this.#agreed.slice(-8);
   }
 
-  duty(holders: readonly string[], atMs: number): void {
+  checkSingletonLease(holders: readonly string[], atMs: number): void {
     if (holders.length > 1) this.breach('one holder of the duty', holders.join(' and '), atMs);
   }
 
--- a/packages/simulator/src/simulation-context.ts
+++ b/packages/simulator/src/simulation-context.ts
@@ -15,18 +15,18 @@
 export interface SimulationContext {
   readonly time: VirtualTime;
   readonly oracle: Oracle;
-  readonly dice: RandomSource;
+  readonly random: RandomSource;
   spec(): Spec | undefined;
   /** Whether nothing gets through now from one name to another. */
   isCut(from: string, to: string): boolean;
   /** What a request asks for. */
-  wish(id: string): Wish;
+  requestPlan(id: string): RequestPlan;
   /** A load or unload is begun. */
   ordered(action: string): void;
 }
 
 /** What a simulated visitor asked for. */
-export interface Wish {
+export interface RequestPlan {
   readonly model: string;
   readonly streamed: boolean;
   /** What it costs, where a day says so; else the worker throws dice. */
@@ -50,7 +50,7 @@
 }
 
 /** A request at a worker; `left` says that the edge has closed the connection. */
-export interface WorkerLine {
+export interface WorkerConnection {
   left(): void;
 }
 
@@ -119,7 +119,7 @@
   }
 
   order(by: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
-    const { time, oracle, dice, isCut } = this.#grounds;
+    const { time, oracle, random: dice, isCut } = this.#grounds;
     if (!this.up || this.dark || isCut(by, this.name))
       return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
     if (order.epoch === this.#epoch && order.sequence <= this.#sequence)
@@ -155,11 +155,11 @@
   }
 
   /** Serves a request; the reply may never come. */
-  serve(id: string, reply: Reply): WorkerLine {
-    const { time, oracle, dice } = this.#grounds;
-    const { model, streamed, work: cost } = this.#grounds.wish(id);
+  serve(id: string, reply: Reply): WorkerConnection {
+    const { time, oracle, random: dice } = this.#grounds;
+    const { model, streamed, work: cost } = this.#grounds.requestPlan(id);
     const work: Work = { model, over: false, reply };
-    const line: WorkerLine = {
+    const line: WorkerConnection = {
       left: () => {
         work.over = true;
         this.#works.delete(work);
@@ -252,7 +252,7 @@
     const acts = pieces.map((piece, place) => () => {
       if (place === 0) reply.start(200, SSE);
       const event = `data: ${piece}\n\n`;
-      const middle = Math.floor(event.length * this.#grounds.dice.next());
+      const middle = Math.floor(event.length * this.#grounds.random.next());
       reply.chunk(event.slice(0, middle));
       reply.chunk(event.slice(middle));
       if (this.mood !== 'early' || place !== 1) return;
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -15,7 +15,7 @@
 import { SeededRandom, randomId, type Fault } from '@rainrun/common';
 import type { LoopSettings, SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
 import type { Result } from 'true-myth';
-import { SimWorker, type SimulationContext, type SimWork, type Wish } from './simulation-context.js';
+import { SimWorker, type SimulationContext, type SimWork, type RequestPlan } from './simulation-context.js';
 import { SimSender } from './connections.js';
 import { Oracle } from './oracle.js';
 import { SimVisitor, type Ended } from './visitor.js';
@@ -100,7 +100,7 @@
   readonly orders: { readonly atMs: number; readonly action: string }[] = [];
   #loops: SiteLoops;
   #pool: string;
-  #wishes = new Map<string, Wish>();
+  #wishes = new Map<string, RequestPlan>();
   #grounds: SimulationContext;
   #dice: SeededRandom;
   #list: WorkerList;
@@ -119,11 +119,11 @@
     this.#grounds = {
       time: this.time,
       oracle: this.oracle,
-      dice: this.#dice,
+      random: this.#dice,
       spec: () => this.#newestSpec(),
       isCut: (from, to) => this.net.isCut(from, to),
       ordered: (action) => this.orders.push({ atMs: this.time.nowMs(), action }),
-      wish: (id) => this.#wishes.get(id) ?? { model: '', streamed: false },
+      requestPlan: (id) => this.#wishes.get(id) ?? { model: '', streamed: false },
     };
     this.#zones = size.zones;
     for (let place = 0; place < size.cores + size.edges; place += 1) {
@@ -457,7 +457,7 @@
         !other.running.frozen &&
         other.running.clusterNode.group.singletonEpoch() !== undefined,
     );
-    this.oracle.duty(
+    this.oracle.checkSingletonLease(
       holders.map((other) => other.name),
       this.time.nowMs(),
     );
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -255,8 +255,8 @@
       () => this.#crashLookups(),
       () => this.#cutWorker(),
       () => this.#cutWorker(),
-      () => this.#moodyWorker(),
-      () => this.#moodyWorker(),
+      () => this.#faultyWorker(),
+      () => this.#faultyWorker(),
       () => this.#powerAtAnswer(),
       () => this.#killInStep(),
       () => this.#killInStep(),
@@ -382,7 +382,7 @@
     );
   }
 
-  #moodyWorker(): void {
+  #faultyWorker(): void {
     const worker = this.#pick(this.#site.workers);
     worker.mood = this.#pick(['early', 'more', 'nonsense'] as const);
     this.#fault(`${worker.name} answers ${worker.mood}`);
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -42,7 +42,8 @@
   }
 
   reject(why: Fault): void {
-    if (FAULT_RESPONSES[why.kind].ran === 'no') this.#oracle.toldRefused(this.#id, why.kind, this.#nowMs());
+    if (FAULT_RESPONSES[why.kind].ran === 'no')
+      this.#oracle.requestRejected(this.#id, why.kind, this.#nowMs());
     else this.#oracle.unknown += 1;
     this.#ended(why.kind, this.#nowMs(), '');
   }
--- a/tools/stand-in-workers/src/stand-in-workers.ts
+++ b/tools/stand-in-workers/src/stand-in-workers.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { Book, type Report } from './report.js';
-import { StandInWorker, type Mood, type WorkerSetup } from './worker.js';
+import { StandInWorker, type FaultMode, type WorkerSetup } from './worker.js';
 
 /** How a standIns is set up: where its list is served, and its workers. */
 export interface StandInWorkersSetup {
@@ -82,7 +82,7 @@
       this.#generation += 1;
     } else if (what === 'emptied') worker.zoneEmptied(performance.now());
     else if (what === 'restored') worker.zoneEmptied(undefined);
-    else worker.mood = what as Mood;
+    else worker.mood = what as FaultMode;
     return true;
   }
 
--- a/tools/stand-in-workers/src/worker.ts
+++ b/tools/stand-in-workers/src/worker.ts
@@ -31,7 +31,7 @@
 }
 
 /** Ways in which a stand-in worker can be made to misbehave. */
-export type Mood = 'well' | 'dark' | 'nonsense' | 'early' | 'more' | 'slow';
+export type FaultMode = 'well' | 'dark' | 'nonsense' | 'early' | 'more' | 'slow';
 
 const WARM_MS = 500;
 const LEAVING_GRACE_MS = 3000;
@@ -62,7 +62,7 @@
   #epoch = 0;
   #sequence = 0;
   #running = 0;
-  #mood: Mood = 'well';
+  #mood: FaultMode = 'well';
   #leavingMs: number | undefined;
   #emptiedMs: number | undefined;
   #runs = 0;
@@ -80,7 +80,7 @@
     return this.#leavingMs !== undefined;
   }
 
-  set mood(mood: Mood) {
+  set mood(mood: FaultMode) {
     this.#mood = mood;
   }
 
