--- a/packages/runtime/src/client-response.ts
+++ b/packages/runtime/src/client-response.ts
@@ -39,7 +39,7 @@
       ['Content-Type', 'application/json'],
       ['Content-Length', String(body.length)],
     ];
-    const returnS = why.returnS ?? retryAfterS;
+    const returnS = why.retryAfterS ?? retryAfterS;
     if (returnS > 0) headers.push(['Retry-After', String(returnS)]);
     if (close) this.#res.shouldKeepAlive = false;
     this.#head(status, headers);
--- a/packages/runtime/src/spec-node-queries.ts
+++ b/packages/runtime/src/spec-node-queries.ts
@@ -67,7 +67,7 @@
     const { state: stage } = this.#dependencies.clusterNode;
     const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
       zone,
-      emptied: stage.emptied.includes(zone),
+      emptied: stage.evacuatedZones.includes(zone),
     }));
     return { status: 200, body: { zones } };
   }
