--- a/packages/cluster-node/src/spec-placement-loop.ts
+++ b/packages/cluster-node/src/spec-placement-loop.ts
@@ -92,7 +92,9 @@
 
   #isDecisionDue(epoch: number, staying: readonly DirectoryWorker[], nowMs: number): boolean {
     if (this.#leaseStart?.epoch !== epoch) this.#leaseStart = { epoch, atMs: nowMs };
-    const haveAllReported = staying.every((worker) => this.#orderSender.workerState(worker.name) !== undefined);
+    const haveAllReported = staying.every(
+      (worker) => this.#orderSender.workerState(worker.name) !== undefined,
+    );
     if (!haveAllReported && nowMs - this.#leaseStart.atMs < REPORTS_TIMEOUT_MS) return false;
     return nowMs - this.#placedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
   }
--- a/packages/cluster-node/src/update-publisher.ts
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -149,7 +149,8 @@
 }
 
 function rowOf(worker: WorkerRecord, nowMs: number): WorkerRow {
-  const { number, id, service, address, zone, draining, removed, slots, warmUpUntilMs, models, limits } = worker;
+  const { number, id, service, address, zone, draining, removed, slots, warmUpUntilMs, models, limits } =
+    worker;
   return create(WorkerRowSchema, {
     number,
     id,
--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -1,3 +1,4 @@
+/** Chat completions over HTTP at an edge of the research groups' system. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, fault, hashText, randomId, type RandomSource, type Fault } from '@rainrun/common';
@@ -11,6 +12,11 @@
   messages: v.pipe(v.array(v.looseObject({ role: v.string(), content: v.string() })), v.minLength(1)),
 });
 
+const ChatBodySchema = v.pipe(v.string(), v.parseJson(), ChatSchema);
+
+type Chat = v.InferOutput<typeof ChatSchema>;
+
+/** Characters of the first message that tell prompts with a common prefix. */
 const PREFIX_CHARS = 256;
 
 /** A request as moleculer-web hands it on, its body read. */
@@ -34,7 +40,7 @@
   res.end(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran: row.ran, id } }));
 }
 
-class HttpPort implements GatewayResponseSink {
+class ChatResponse implements GatewayResponseSink {
   #res: ServerResponse;
   #id: string;
 
@@ -74,7 +80,7 @@
     this.#res.end();
   }
 
-  /** The chunked body is left without its end, so that the visitor sees the cut. */
+  /** The chunked body is left without its end, so that the client sees that it is incomplete. */
   abort(): void {
     this.#res.destroy();
   }
@@ -85,9 +91,9 @@
   return typeof value === 'string' ? value : '';
 }
 
-function readAsk(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
-  const wish = header(req, 'rainrun-deadline-ms');
-  const deadlineMs = wish === '' ? undefined : Number(wish);
+function readGatewayRequest(req: ChatRequest, id: string): Result<GatewayRequestInit, Fault> {
+  const deadlineText = header(req, 'rainrun-deadline-ms');
+  const deadlineMs = deadlineText === '' ? undefined : Number(deadlineText);
   if (deadlineMs !== undefined && !Number.isFinite(deadlineMs))
     return Result.err(fault('bad-request', 'rainrun-deadline-ms is not a number'));
   const path = req.originalUrl ?? req.url ?? '/';
@@ -112,31 +118,30 @@
   if (req.method !== 'POST') return Result.err(fault('bad-request', `method ${req.method ?? ''}`));
   if (!Buffer.isBuffer(req.body)) return Result.err(fault('bad-request', 'no body'));
   const body = req.body;
-  let data: unknown;
-  try {
-    data = JSON.parse(body.toString('utf8'));
-  } catch {
-    return Result.err(fault('bad-request', 'the body is not JSON'));
-  }
-  const chat = v.safeParse(ChatSchema, data);
-  if (!chat.success)
-    return Result.err(
-      fault(
-        'bad-request',
-        chat.issues.map((issue) => `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`).join('; '),
-      ),
-    );
-  const { model, adapter, stream, messages } = chat.output;
-  const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
-  return Result.ok({ ...shared, method: 'POST', model, adapter, prefix, streamed: stream, body });
+  return readChat(body).map(({ model, adapter, stream, messages }) => {
+    const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
+    return { ...shared, method: 'POST', model, adapter, prefix, streamed: stream, body };
+  });
+}
+
+/** A chat completion from its JSON body; the fault names each field that is wrong. */
+function readChat(body: Buffer): Result<Chat, Fault> {
+  const parsed = v.safeParse(ChatBodySchema, body.toString('utf8'));
+  if (parsed.success) return Result.ok(parsed.output);
+  const details = parsed.issues.map((issue) =>
+    issue.type === 'parse_json'
+      ? 'the body is not JSON'
+      : `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`,
+  );
+  return Result.err(fault('bad-request', details.join('; ')));
 }
 
 /**
- * Takes a visitor's request from HTTP to the gateway.
+ * Takes a client's request from HTTP to the gateway.
  * @example
  * visit(gateway, 'edge-1', chance, req, res);
  */
-export function visit(
+export function handleChatRequest(
   gateway: Gateway,
   edge: string,
   chance: RandomSource,
@@ -144,10 +149,10 @@
   res: ServerResponse,
 ): void {
   const id = `${edge}.${randomId(chance)}`;
-  const ask = readAsk(req, id);
-  if (ask.isErr) return sendFault(res, ask.error, id);
-  const leave = gateway.admit(ask.value, new HttpPort(res, id));
+  const request = readGatewayRequest(req, id);
+  if (request.isErr) return sendFault(res, request.error, id);
+  const cancel = gateway.admit(request.value, new ChatResponse(res, id));
   res.on('close', () => {
-    if (!res.writableFinished) leave();
+    if (!res.writableFinished) cancel();
   });
 }
--- a/packages/runtime/src/system.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -1,18 +1,19 @@
+/** The programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
 import { readFileSync } from 'node:fs';
 import { fault, type Fault } from '@rainrun/common';
 import { pino } from 'pino';
 import { tryOrElse } from 'true-myth/result';
 import { CoreNode } from './core-node.js';
-import type { Dialect, SystemSettings } from './dialect.js';
+import type { Dialect, PlatformSettings } from './dialect.js';
 import { EdgeNode } from './edge-node.js';
 import type { Log } from './log.js';
 
 /** Exit codes of the programs on a platform. */
-const EXITS = { well: 0, badSetting: 2, badDisk: 3 } as const;
+const EXIT_CODES = { success: 0, badSetting: 2, badDisk: 3 } as const;
 
 /** A program's settings, and the log that it writes to. */
 interface ProgramSetup {
-  readonly settings: SystemSettings;
+  readonly settings: PlatformSettings;
   readonly log: Log;
 }
 
@@ -38,10 +39,10 @@
   const setup = setUp(dialect, path);
   if (setup === undefined) return;
   const opened = await CoreNode.open(setup.settings, dialect, setup.log, (why) => {
-    end(EXITS.badDisk, [why]);
+    end(EXIT_CODES.badDisk, [why]);
   });
   if (opened.isErr) {
-    end(EXITS.badDisk, [opened.error]);
+    end(EXIT_CODES.badDisk, [opened.error]);
     return;
   }
   onStop(() => opened.value.stop());
@@ -57,20 +58,20 @@
     () => readFileSync(path, 'utf8'),
   ).andThen((text) => dialect.readSettings(text));
   if (read.isErr) {
-    end(EXITS.badSetting, read.error);
+    end(EXIT_CODES.badSetting, read.error);
     return undefined;
   }
   const settings = read.value;
   const log = pino({ base: { node: settings.name } });
   process.on('SIGHUP', () => {
-    log.info('settings may have changed; they count from the next start');
+    log.info({ signal: 'SIGHUP' }, 'settings may have changed; they count from the next start');
   });
   return { settings, log };
 }
 
 function onStop(stop: () => Promise<void>): void {
   function handle(): void {
-    void stop().then(() => process.exit(EXITS.well));
+    void stop().then(() => process.exit(EXIT_CODES.success));
   }
   process.on('SIGTERM', handle);
   process.on('SIGINT', handle);
--- /dev/null
+++ b/packages/runtime/src/spec-node.ts
@@ -0,0 +1,269 @@
+/** A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and services. */
+import { setTimeout as pause } from 'node:timers/promises';
+import type { ServerResponse } from 'node:http';
+import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
+import { GROUP_TIMES, type Acceptor, type GroupState } from '@rainrun/process-group';
+import { UndiciSender, type EndRecord } from '@rainrun/gateway';
+import { SpecEdge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
+import type { SpecState } from '@rainrun/configuration';
+import { fault, type Fault } from '@rainrun/common';
+import { ServiceBroker, type ServiceSchema } from 'moleculer';
+import { pino, type Logger } from 'pino';
+import { Result, type Unit } from 'true-myth';
+import { openAcceptor } from './acceptor-disk.js';
+import { GracefulHttpServer } from './graceful-http-server.js';
+import { MONOTONIC_CLOCK, processUsage, SYSTEM_RANDOM } from './process-environment.js';
+import { apiService, operatorActions } from './spec-http-services.js';
+import { SpecOperatorService } from './spec-operator-service.js';
+import { RequestRecorder } from './request-recorder.js';
+import { readSpecWorkerList, sendSpecOrder } from './spec-platform-client.js';
+import type { Settings } from './settings.js';
+import { sendFault, handleChatRequest, type ChatRequest } from './chat-completions.js';
+import { PeerTransport } from './peer-transport.js';
+
+const GROUP_TICK_MS = 50;
+const GATEWAY_TICK_MS = 20;
+const LIST_INTERVAL_MS = 500;
+const COUNTERS_INTERVAL_MS = 10_000;
+const HEADERS_TIMEOUT_MS = 10_000;
+const EXPLAINED_REQUESTS_MAX = 2000;
+/** A stopping node answers callers that keep their connections for so long. */
+const LINGER_MS = 5000;
+
+/** What kind of node a program runs. */
+export type Role = 'edge' | 'core';
+
+/**
+ * A node as a process: the deterministic parts put together with sockets,
+ * disk, clock and services.
+ * @example
+ * const started = await SpecNode.start(settings, 'edge');
+ * if (started.isOk) await started.value.stop();
+ */
+export class SpecNode {
+  #settings: Settings;
+  #role: Role;
+  #log: Logger;
+  #onFatal: (why: Fault) => void;
+  #transport: PeerTransport;
+  #clusterNode: ClusterNode;
+  #edge: SpecEdge | undefined;
+  #sender = new UndiciSender();
+  #httpServer = new GracefulHttpServer({
+    headersTimeout: HEADERS_TIMEOUT_MS,
+    requestTimeout: 3 * HEADERS_TIMEOUT_MS,
+    keepAliveTimeout: 65_000,
+  });
+  #operators: SpecOperatorService;
+  #broker = new ServiceBroker({ logger: false, transporter: null, skipProcessEventRegistration: true });
+  #timers: NodeJS.Timeout[] = [];
+  #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
+  #recorder: RequestRecorder | undefined;
+  #isListing = false;
+  #listFailures = 0;
+
+  private constructor(
+    settings: Settings,
+    role: Role,
+    acceptor: Acceptor | undefined,
+    log: Logger,
+    onFatal: (why: Fault) => void,
+  ) {
+    this.#onFatal = onFatal;
+    this.#settings = settings;
+    this.#role = role;
+    this.#log = log;
+    this.#transport = new PeerTransport(settings.deployment, (frame) => this.#clusterNode.receive(frame));
+    this.#clusterNode = this.#makeClusterNode(acceptor);
+    if (role === 'edge') this.#edge = this.#makeEdge();
+    if (role === 'edge' && settings.recordFile !== '')
+      this.#recorder = new RequestRecorder(settings, MONOTONIC_CLOCK.nowMs());
+    this.#operators = new SpecOperatorService({
+      clusterNode: this.#clusterNode,
+      chance: SYSTEM_RANDOM,
+      clock: MONOTONIC_CLOCK,
+      counters: () => this.#counters(),
+      explain: (id) => this.#endRecords.get(id),
+    });
+  }
+
+  /** Starts a node; a fault means that nothing was left open. */
+  static async start(
+    settings: Settings,
+    role: Role,
+    onFatal: (why: Fault) => void,
+  ): Promise<Result<SpecNode, Fault>> {
+    const log = pino({ level: settings.logLevel, base: { node: settings.name } });
+    const acceptor =
+      role === 'core' ? await openDisk(settings, onFatal) : Result.ok<undefined, Fault>(undefined);
+    if (acceptor.isErr) return Result.err(acceptor.error);
+    const node = new SpecNode(settings, role, acceptor.value, log, onFatal);
+    const open = await node.#open();
+    return open.map(() => node);
+  }
+
+  /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
+  async stop(): Promise<void> {
+    this.#log.info({ inFlight: this.#edge?.gateway.inFlight ?? 0 }, 'stopping');
+    this.#edge?.gateway.drain();
+    this.#httpServer.drain();
+    const endMs = MONOTONIC_CLOCK.nowMs() + this.#settings.drainMs;
+    while ((this.#edge?.gateway.inFlight ?? 0) > 0 && MONOTONIC_CLOCK.nowMs() < endMs) await pause(50);
+    this.#clusterNode.group.leave();
+    await pause(200);
+    await this.#httpServer.waitUntilIdle(Math.min(LINGER_MS, this.#settings.drainMs));
+    for (const timer of this.#timers) clearInterval(timer);
+    this.#log.info({ counters: this.#counters() }, 'stopped');
+    setTimeout(() => this.#httpServer.closeAllConnections(), 500).unref();
+    await this.#broker.stop();
+    await this.#recorder?.close();
+    await this.#sender.close();
+    this.#transport.close();
+  }
+
+  #makeClusterNode(acceptor: Acceptor | undefined): ClusterNode {
+    const { name, zone, deployment, seeds, founders, bind, reach } = this.#settings;
+    return new ClusterNode({
+      name,
+      zone,
+      deployment,
+      seeds,
+      founders: this.#role === 'core' ? founders : [],
+      address: reach ?? bind,
+      clock: MONOTONIC_CLOCK,
+      chance: SYSTEM_RANDOM,
+      times: GROUP_TIMES,
+      acceptor,
+      send: (address, frame) => this.#transport.send(address, frame),
+      order: (address, order, done) => {
+        void sendSpecOrder(address, order).then(done);
+      },
+      onStateChange: (held, entry) => this.#onStateChange(held, entry),
+      onCast: () => undefined,
+      protocolLevels: PROTOCOL_LEVELS,
+      answerQuery: (kind, text) => this.#operators.queries.answer(kind, text),
+      onJoinRejected: (why) => this.#onFatal(fault('unbridged', why)),
+      onNewIncarnation: (incarnation) =>
+        this.#log.warn({ incarnation }, 'dropped from the view, joining as new'),
+    });
+  }
+
+  #makeEdge(): SpecEdge {
+    const { name, zone } = this.#settings;
+    const edge = new SpecEdge(this.#clusterNode, name, zone, MONOTONIC_CLOCK, SYSTEM_RANDOM, this.#sender);
+    edge.gateway.on('ended', (record) => this.#remember(record));
+    return edge;
+  }
+
+  #remember(record: EndRecord): void {
+    const { body: _, ...rest } = record;
+    this.#endRecords.set(record.id, rest);
+    this.#recorder?.record(record);
+    const oldest = this.#endRecords.keys().next();
+    if (this.#endRecords.size > EXPLAINED_REQUESTS_MAX && oldest.done !== true)
+      this.#endRecords.delete(oldest.value);
+  }
+
+  #onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void {
+    if (entry === undefined || entry.view !== undefined) {
+      const { epoch, number, members } = held.view;
+      this.#log.info(
+        { epoch, view: number, members: members.map((member) => member.name), version: held.number },
+        'view',
+      );
+    }
+    this.#edge?.gateway.tick();
+  }
+
+  async #open(): Promise<Result<Unit, Fault>> {
+    const listening = await this.#transport.listen(this.#settings.bind);
+    if (listening.isErr) return listening;
+    for (const schema of this.#services()) this.#broker.createService(schema);
+    try {
+      await this.#broker.start();
+    } catch (thrown) {
+      this.#transport.close();
+      return Result.err(fault('bad-setting', `http ${this.#settings.http}: ${String(thrown)}`));
+    }
+    this.#timers.push(
+      setInterval(() => this.#clusterNode.tick(), GROUP_TICK_MS),
+      setInterval(() => void this.#pollWorkerList(), LIST_INTERVAL_MS),
+      setInterval(() => this.#log.info({ counters: this.#counters() }, 'counters'), COUNTERS_INTERVAL_MS),
+    );
+    const edge = this.#edge;
+    if (edge !== undefined) {
+      this.#timers.push(
+        setInterval(() => edge.gateway.tick(), GATEWAY_TICK_MS),
+        setInterval(() => edge.observe(), OBSERVE_MS),
+      );
+    }
+    this.#log.info({ role: this.#role, bind: this.#settings.bind, http: this.#settings.http }, 'started');
+    return Result.ok();
+  }
+
+  async #pollWorkerList(): Promise<void> {
+    if (this.#isListing || this.#settings.platform === '') return;
+    this.#isListing = true;
+    const list = await readSpecWorkerList(this.#settings.platform);
+    this.#isListing = false;
+    if (list.isOk) {
+      if (this.#listFailures > 0)
+        this.#log.info({ failures: this.#listFailures }, 'worker list available again');
+      this.#listFailures = 0;
+      this.#clusterNode.learnList(list.value);
+      this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
+    } else {
+      if (this.#listFailures === 0)
+        this.#log.warn({ kind: list.error.kind, detail: list.error.detail }, 'worker list unavailable');
+      this.#listFailures += 1;
+    }
+  }
+
+  #counters(): Record<string, number> {
+    const { group } = this.#clusterNode;
+    return {
+      ...this.#edge?.gateway.counts,
+      ...this.#transport.counts,
+      inFlight: this.#edge?.gateway.inFlight ?? 0,
+      backlog: this.#edge?.gateway.backlogCount ?? 0,
+      version: group.state?.number ?? 0,
+      viewNumber: group.view?.number ?? 0,
+      members: group.view?.members.length ?? 0,
+      admitting: group.holdsLease() ? 1 : 0,
+      leading: group.isCoordinator ? 1 : 0,
+      contextBytes: group.contextBytes,
+      unstableCasts: group.unstableCount,
+      ...processUsage(),
+    };
+  }
+
+  #services(): ServiceSchema[] {
+    const api = apiService({
+      address: this.#settings.http,
+      httpServer: this.#httpServer,
+      bodyMaxBytes: this.#settings.bodyMaxBytes,
+      onClientRequest: (req, res) => this.#onClientRequest(req, res),
+    });
+    return [operatorActions(this.#operators), api];
+  }
+
+  #onClientRequest(req: ChatRequest, res: ServerResponse): void {
+    const gateway = this.#edge?.gateway;
+    if (gateway === undefined) sendFault(res, fault('not-found', 'this node serves operators only'), '');
+    else handleChatRequest(gateway, this.#settings.name, SYSTEM_RANDOM, req, res);
+  }
+}
+
+function openDisk(settings: Settings, onFatal: (why: Fault) => void): Promise<Result<Acceptor, Fault>> {
+  const { folder, deployment } = settings;
+  return openAcceptor({
+    folder,
+    deployment,
+    random: SYSTEM_RANDOM,
+    onFatal,
+    check: (opening) =>
+      opening.deployment === '' || opening.deployment === deployment
+        ? undefined
+        : fault('foreign', `${folder} belongs to deployment "${opening.deployment}", not "${deployment}"`),
+  });
+}
