--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -7,9 +7,9 @@
 import { Result } from 'true-myth';
 import type { CoreStatus } from './core-status.js';
 import {
-  ANSWER_WAIT_MS,
+  ANSWER_TIMEOUT_MS,
   OperatorService,
-  ZONE_WAIT_MS,
+  ZONE_ORDER_DELAY_MS,
   type OperatorCall,
   type OperatorReply,
   type OperatorReplica,
@@ -44,14 +44,14 @@
   readonly done: (answer: Answer) => void;
 }
 
-/** A replica whose group agrees when the test says so, and hears a majority when the test says so. */
+/** A replica whose group agrees when the test says so, and confirms a quorum when the test says so. */
 class StandInReplica implements OperatorReplica {
   state: Deployment = EMPTY_DEPLOYMENT;
-  heardMs = -Infinity;
+  currentAsOfMs = -Infinity;
   coordinated = true;
   readonly submitted: Submitted[] = [];
-  readonly forgotten: string[] = [];
-  readonly group = { currentAsOfMs: () => this.heardMs };
+  readonly abandoned: string[] = [];
+  readonly group = { currentAsOfMs: () => this.currentAsOfMs };
 
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
     if (!this.coordinated) return Result.err(fault('unreached', 'no coordinator'));
@@ -61,7 +61,7 @@
   }
 
   abandon(id: string): void {
-    this.forgotten.push(id);
+    this.abandoned.push(id);
   }
 
   agree(place: number): void {
@@ -111,9 +111,9 @@
       kind: 'configuration.put',
       payload: JSON.stringify(VALID),
     }).state;
-    bench.replica.heardMs = bench.nowMs - 1;
+    bench.replica.currentAsOfMs = bench.nowMs - 1;
     const read = bench.ask({ kind: 'read' });
-    bench.pass(ANSWER_WAIT_MS - 1);
+    bench.pass(ANSWER_TIMEOUT_MS - 1);
     const early = [...read];
     bench.pass(25);
     expect([early.length, ...statuses(read), bench.nowMs < 5000 + 1000]).toEqual([0, [503], true]);
@@ -124,7 +124,7 @@
     const none = bench.ask({ kind: 'read' });
     bench.pass(100);
     const before = [...none];
-    bench.replica.heardMs = 5000;
+    bench.replica.currentAsOfMs = 5000;
     bench.pass(25);
     bench.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
       kind: 'configuration.put',
@@ -133,7 +133,7 @@
     const read = bench.ask({ kind: 'read' });
     bench.pass(25);
     const early = [...read];
-    bench.replica.heardMs = bench.nowMs;
+    bench.replica.currentAsOfMs = bench.nowMs;
     bench.pass(25);
     expect([before.length, early.length, ...statuses(none, read)]).toEqual([0, 0, [404], [200]]);
     expect(read[0]?.body).toEqual(JSON.stringify(DOCUMENT));
@@ -142,8 +142,8 @@
   it('shows how its group stands only as what it knew last', () => {
     const bench = new Bench();
     const view = bench.ask({ kind: 'status' });
-    bench.pass(ANSWER_WAIT_MS);
-    bench.replica.heardMs = Infinity;
+    bench.pass(ANSWER_TIMEOUT_MS);
+    bench.replica.currentAsOfMs = Infinity;
     const current = bench.ask({ kind: 'status' });
     const [stale, fresh] = [view, current].map((replies) => JSON.parse(replies[0]?.body ?? '{}') as object);
     expect(statuses(view, current)).toEqual([[503], [200]]);
@@ -159,7 +159,7 @@
       { kind: 'return', zone: 'west' },
     ] as const;
     const replies = orders.map((order) => bench.ask(order));
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     expect(statuses(...replies)).toEqual([[503], [503], [503], [503]]);
     expect(bench.replica.submitted.map(({ kind }) => kind)).toEqual([
       'configuration.put',
@@ -167,14 +167,14 @@
       'zone.evacuate',
       'zone.return',
     ]);
-    expect(bench.replica.forgotten).toEqual(['o0', 'o1', 'o2', 'o3']);
+    expect(bench.replica.abandoned).toEqual(['o0', 'o1', 'o2', 'o3']);
   });
 
   it('answers at once with 503 where no coordinator is known', () => {
     const bench = new Bench();
     bench.replica.coordinated = false;
     const replies = [bench.ask(VALID), bench.ask({ kind: 'evacuate', zone: 'west' })];
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     expect(statuses(...replies)).toEqual([[503], [503]]);
   });
 
@@ -198,7 +198,7 @@
     const other = bench.ask({ ...VALID, document: { ...DOCUMENT, more: 1 } });
     for (const place of [0, 1, 2]) bench.replica.agree(place);
     const late = bench.ask(VALID);
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     bench.replica.agree(3);
     expect(statuses(taken, again, other, late)).toEqual([[200], [200], [412], [503]]);
   });
@@ -207,7 +207,7 @@
     const bench = new Bench();
     const order = bench.ask(VALID);
     bench.service.drain();
-    bench.replica.heardMs = Infinity;
+    bench.replica.currentAsOfMs = Infinity;
     const late = [bench.ask(VALID), bench.ask({ kind: 'read' })];
     bench.replica.agree(0);
     expect(statuses(order, ...late)).toEqual([[200], [503], [503]]);
@@ -219,10 +219,10 @@
     const bench = new Bench();
     const first = bench.ask({ kind: 'evacuate', zone: 'west' });
     const heldUp = bench.ask({ kind: 'evacuate', zone: 'west' });
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     bench.replica.agree(0);
     const back = bench.ask({ kind: 'return', zone: 'west' });
-    bench.pass(ZONE_WAIT_MS);
+    bench.pass(ZONE_ORDER_DELAY_MS);
     bench.replica.agree(2);
     bench.replica.agree(1);
     expect([...statuses(first, back, heldUp), bench.replica.state.evacuated]).toEqual([
@@ -245,7 +245,7 @@
     const bench = new Bench();
     for (const kind of ['evacuate', 'return'] as const) {
       bench.ask({ kind, zone: 'west' });
-      bench.pass(ZONE_WAIT_MS);
+      bench.pass(ZONE_ORDER_DELAY_MS);
       bench.replica.agree(bench.replica.submitted.length - 1);
     }
     let gone = false;
@@ -254,9 +254,9 @@
       () => undefined,
       () => gone,
     );
-    bench.pass(ZONE_WAIT_MS / 2);
+    bench.pass(ZONE_ORDER_DELAY_MS / 2);
     gone = true;
-    bench.pass(ANSWER_WAIT_MS);
+    bench.pass(ANSWER_TIMEOUT_MS);
     expect([bench.replica.submitted.length, bench.replica.state.evacuated]).toEqual([2, []]);
   });
 });
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,10 +1,12 @@
 export * from './errors.js';
+export * from './backoff.js';
 export * from './random.js';
 export * from './hash.js';
 export * from './slab.js';
 export * from './name-index.js';
 
-/** A clock that never goes back. */
+/** A monotonic clock. */
 export interface Clock {
+  /** Milliseconds since an arbitrary moment. */
   nowMs(): number;
 }
--- a/packages/process-group/src/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -8,41 +8,55 @@
   type Submit,
   type Version,
 } from '@rainrun/messages';
-import { Coordinator, type CoordinatorContext } from './coordinator.js';
-import type { GroupParts } from './group-parts.js';
-import { fromVersion } from './play.js';
+import { Coordinator } from './coordinator.js';
+import type { CoordinatorContext } from './coordinator-context.js';
+import type { CoordinatorWatch } from './coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from './versions.js';
+import type { ViewChange } from '../membership/view-change.js';
+import type { Voters } from './voters.js';
+import { fromVersion } from './group-state.js';
 
-type CoordinationParts<S> = Pick<
-  GroupParts<S>,
-  | 'coordinatorWatch'
-  | 'dependencies'
-  | 'directory'
-  | 'discovery'
-  | 'election'
-  | 'leases'
-  | 'liveness'
-  | 'local'
-  | 'transport'
-  | 'versions'
-  | 'viewChange'
-  | 'voters'
->;
+/** What a coordinator's term needs. */
+interface CoordinationCollaborators<S> {
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly discovery: Discovery<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly viewChange: ViewChange<S>;
+  readonly voters: Voters<S>;
+  /** Notes proposals that were seen, and the end of this node's own term. */
+  readonly election: {
+    readonly candidacy: { noteProposal(): void; onResigned(): void } | undefined;
+  };
+}
 
 /**
  * Holds the coordinator while this node is it, and ends its term when a newer
- * epoch is heard of or a majority has granted nothing for too long.
+ * epoch is heard of or a majority has not renewed its lease for too long.
  * @example
  * coordination.start(3, version); // a majority promised epoch 3
  * coordination.coordinator?.epoch; // 3
  */
 export class Coordination<S> {
-  #parts: CoordinationParts<S>;
+  #collaborators: CoordinationCollaborators<S>;
   #coordinator: Coordinator<S> | undefined;
-  #unableUntilMs = -Infinity;
-  #grantLostMs: number | undefined;
+  #ineligibleUntilMs = -Infinity;
+  #leaseLostMs: number | undefined;
 
-  constructor(parts: CoordinationParts<S>) {
-    this.#parts = parts;
+  constructor(collaborators: CoordinationCollaborators<S>) {
+    this.#collaborators = collaborators;
   }
 
   /** The coordinator, while this node is it. */
@@ -51,18 +65,18 @@
   }
 
   /** Whether this node had to resign so lately that it should not be elected again. */
-  isUnable(nowMs: number): boolean {
-    return nowMs < this.#unableUntilMs;
+  isIneligible(nowMs: number): boolean {
+    return nowMs < this.#ineligibleUntilMs;
   }
 
-  /** Drives the coordinator; resigns when a majority has granted nothing for too long. */
+  /** Drives the coordinator; resigns when a majority has not renewed its lease for too long. */
   tick(nowMs: number): void {
-    const { dependencies, leases, local } = this.#parts;
+    const { dependencies, leases, local } = this.#collaborators;
     const { resignMs } = dependencies.times;
-    if (!local.inView || leases.isGranted()) this.#grantLostMs = undefined;
-    else this.#grantLostMs ??= nowMs;
-    if (this.#grantLostMs !== undefined && nowMs - this.#grantLostMs > resignMs) {
-      this.#unableUntilMs = nowMs + 2 * resignMs;
+    if (!local.inView || leases.isHeld()) this.#leaseLostMs = undefined;
+    else this.#leaseLostMs ??= nowMs;
+    if (this.#leaseLostMs !== undefined && nowMs - this.#leaseLostMs > resignMs) {
+      this.#ineligibleUntilMs = nowMs + 2 * resignMs;
       return this.#resign();
     }
     this.#coordinator?.tick(nowMs);
@@ -70,13 +84,13 @@
 
   /** A majority promised an epoch: this node coordinates from this version on. */
   start(epoch: number, version: Version): void {
-    const { coordinatorWatch, dependencies, leases, local } = this.#parts;
+    const { coordinatorWatch, dependencies, leases, local } = this.#collaborators;
     const base = fromVersion(dependencies.stateMachine, version);
     if (base.isErr) return;
     this.#leaveIfBehind(base.value.number);
     local.learnEpoch(epoch);
-    this.#grantLostMs = undefined;
-    leases.startDuty();
+    this.#leaseLostMs = undefined;
+    leases.restartSingleton();
     this.#coordinator = new Coordinator(
       this.#context(),
       epoch,
@@ -92,10 +106,10 @@
   /**
    * A member that lacks more than the version before its base cannot deliver
    * what it is about to propose, and nobody could send it what is missing: it
-   * goes on outside the view and takes the whole state with the next one.
+   * goes on outside the view and takes a snapshot with the next one.
    */
   #leaveIfBehind(baseNumber: number): void {
-    const { local, viewChange } = this.#parts;
+    const { local, viewChange } = this.#collaborators;
     if (local.inView && (local.state?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
   }
 
@@ -111,49 +125,50 @@
 
   /** Takes an operation that a member, or this node itself, submits. */
   onSubmit(from: string, submit: Submit): void {
-    const { local } = this.#parts;
-    const seat =
+    const { local } = this.#collaborators;
+    const member =
       from === local.incarnation
         ? local.self
-        : local.view?.members.find((member) => member.incarnation === from);
-    if (submit.operation !== undefined && seat !== undefined)
-      this.#coordinator?.submit(submit.operation, seat);
+        : local.view?.members.find((known) => known.incarnation === from);
+    if (submit.operation !== undefined && member !== undefined)
+      this.#coordinator?.submit(submit.operation, member);
   }
 
   /** Hands a proposal of a coordinator to this node's disk, if it votes. */
   onPropose(from: string, propose: Propose): void {
-    const { dependencies, directory, election, local, transport } = this.#parts;
+    const { dependencies, directory, election, local, transport } = this.#collaborators;
     const { acceptor } = dependencies;
-    const seat = directory.seat(from);
+    const member = directory.member(from);
     const { version } = propose;
-    if (acceptor === undefined || seat === undefined || version === undefined) return;
+    if (acceptor === undefined || member === undefined || version === undefined) return;
     const isVoter = version.state?.voters.some((voter) => voter.disk === acceptor.disk) ?? false;
     if (!isVoter && acceptor.accepted === undefined) return;
     this.resignIfBefore(version.epoch);
-    if (version.epoch >= local.epoch) election.candidacy?.courted();
-    acceptor.accept(propose, (accepted) => transport.post(seat, { case: 'accepted', value: accepted }));
+    if (version.epoch >= local.epoch) election.candidacy?.noteProposal();
+    acceptor.accept(propose, (accepted) => transport.send(member, { case: 'accepted', value: accepted }));
   }
 
   /** Takes a vote on this coordinator's proposal. */
   onAccepted(accepted: Accepted): void {
     if (this.#coordinator !== undefined && accepted.seenEpoch > this.#coordinator.epoch) {
-      this.#parts.local.learnEpoch(accepted.seenEpoch);
+      this.#collaborators.local.learnEpoch(accepted.seenEpoch);
       return this.#resign();
     }
-    this.#coordinator?.accepted(accepted);
+    this.#coordinator?.onAccepted(accepted);
   }
 
   #resign(): void {
     this.#coordinator = undefined;
-    this.#parts.election.candidacy?.resigned();
-    this.#parts.coordinatorWatch.unfollowSelf();
+    this.#collaborators.election.candidacy?.onResigned();
+    this.#collaborators.coordinatorWatch.unfollowSelf();
   }
 
   #context(): CoordinatorContext<S> {
-    const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } = this.#parts;
-    const { stateMachine: play, times, acceptor } = dependencies;
+    const { dependencies, discovery, liveness, local, transport, versions, viewChange, voters } =
+      this.#collaborators;
+    const { stateMachine, times, acceptor } = dependencies;
     return {
-      stateMachine: play,
+      stateMachine,
       times,
       disk: acceptor?.disk ?? '',
       desiredVoterCount: dependencies.desiredVoterCount ?? 0,
@@ -163,15 +178,15 @@
       isLive: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
       isReported: (incarnation) => liveness.isReported(incarnation),
       joiners: () => discovery.joiners(),
-      memberOfVoter: (disk) => voters.seat(disk),
-      send: (seat, body) => transport.post(seat, body),
-      sendOrdered: (seat, body) => transport.parcel(seat, body),
+      memberOfVoter: (disk) => voters.memberOf(disk),
+      send: (member, body) => transport.send(member, body),
+      sendOrdered: (member, body) => transport.sendOrdered(member, body),
       vote: (version) => {
         const value = create(ProposeSchema, { disk: acceptor?.disk ?? '', version });
         acceptor?.accept(value, (accepted) => this.onAccepted(accepted));
       },
       flushSelf: (change, staying) => viewChange.flush(local.epoch, change, staying).unstableCasts,
-      deliverSelf: (version) => versions.take(local.incarnation, version),
+      deliverSelf: (version) => versions.receive(local.incarnation, version),
     };
   }
 }
--- /dev/null
+++ b/packages/process-group/src/agreement/election.ts
@@ -0,0 +1,130 @@
+/** Decides when this node becomes a candidate for the next epoch. */
+import type { Acceptor } from './acceptor.js';
+import { Candidacy, type CandidacyContext } from './candidacy.js';
+import type { Coordination } from './coordination.js';
+import type { CoordinatorWatch } from './coordinator-watch.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from '../membership/directory.js';
+import type { Discovery } from '../membership/discovery.js';
+import type { Founding } from './founding.js';
+import type { Liveness } from '../membership/liveness.js';
+import type { LocalMember } from '../membership/local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Voters } from './voters.js';
+
+/** What elections need. */
+interface ElectionCollaborators<S> {
+  readonly coordination: Coordination<S>;
+  readonly coordinatorWatch: CoordinatorWatch<S>;
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly discovery: Discovery<S>;
+  readonly founding: Founding<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly voters: Voters<S>;
+}
+
+/**
+ * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when
+ * no coordinator is heard and no voter that comes before it can be reached.
+ * @example
+ * election.tick(nowMs); // while this node does not coordinate
+ */
+export class Election<S> {
+  #collaborators: ElectionCollaborators<S>;
+  #candidacy: Candidacy | undefined;
+
+  constructor(collaborators: ElectionCollaborators<S>) {
+    this.#collaborators = collaborators;
+    const { acceptor } = collaborators.dependencies;
+    this.#candidacy = acceptor === undefined ? undefined : new Candidacy(this.#candidacyContext(acceptor));
+  }
+
+  /** This node's candidacy and its answers to other candidates; only on a node with a disk. */
+  get candidacy(): Candidacy | undefined {
+    return this.#candidacy;
+  }
+
+  /** Founds the group, drives the candidacy under way, or begins one if this node is the next in order. */
+  tick(nowMs: number): void {
+    const { coordination, dependencies, founding } = this.#collaborators;
+    const { acceptor } = dependencies;
+    const candidacy = this.#candidacy;
+    if (acceptor === undefined || candidacy === undefined) return;
+    if (founding.mayFound()) return founding.tick();
+    if (candidacy.isUnderWay) return candidacy.tick(nowMs);
+    if (!candidacy.isDue(nowMs) && !this.#isEveryVoterOutside(acceptor)) return;
+    if (coordination.isIneligible(nowMs) || acceptor.busy) return;
+    if (!candidacy.isCoordinated(undefined, nowMs) && this.#isNext(acceptor.disk, nowMs))
+      candidacy.begin(nowMs);
+  }
+
+  /** Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited for. */
+  #isEveryVoterOutside(acceptor: Acceptor): boolean {
+    const { discovery, local, voters } = this.#collaborators;
+    const known = voters.list();
+    if (local.inView || known.length === 0) return false;
+    const outside = discovery.freshContacts().filter((contact) => !contact.inView);
+    return known.every(
+      ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.member.disk === disk),
+    );
+  }
+
+  /**
+   * Whether no voter of lower rank can be reached. Members come first, in the
+   * view's order; a voter that is back under a new incarnation comes after them.
+   * Outside a view nobody waits for a voter with an older version: that one may
+   * know too little of the voters to be elected.
+   */
+  #isNext(disk: string, nowMs: number): boolean {
+    const { local, voters } = this.#collaborators;
+    const disks = voters.list().map((voter) => voter.disk);
+    if (!disks.includes(disk)) return false;
+    return local.inView ? this.#isFirstMember(disks, nowMs) : this.#isFirstOutside(disks, disk);
+  }
+
+  #isFirstMember(disks: readonly string[], nowMs: number): boolean {
+    const { liveness, local } = this.#collaborators;
+    const first = local.view?.members.find(
+      ({ disk, incarnation }) =>
+        incarnation === local.incarnation ||
+        (disks.includes(disk) && liveness.isLive(incarnation, nowMs) && !liveness.isResigning(incarnation)),
+    );
+    return first?.incarnation === local.incarnation;
+  }
+
+  #isFirstOutside(disks: readonly string[], ownDisk: string): boolean {
+    const { discovery, local } = this.#collaborators;
+    const contacts = discovery.freshContacts();
+    if (contacts.some((contact) => contact.inView && disks.includes(contact.member.disk))) return false;
+    const number = Math.max(1, local.newestVersion);
+    const first = disks.find(
+      (disk) =>
+        disk === ownDisk ||
+        contacts.some((contact) => contact.newestVersion >= number && contact.member.disk === disk),
+    );
+    return first === ownDisk;
+  }
+
+  #candidacyContext(acceptor: Acceptor): CandidacyContext {
+    const { coordination, coordinatorWatch, dependencies, directory, local, transport, voters } =
+      this.#collaborators;
+    const { times, chance: random } = dependencies;
+    return {
+      acceptor,
+      times,
+      random,
+      nowMs: () => local.nowMs(),
+      voters: () => voters.sets(),
+      memberOfVoter: (disk) => voters.memberOf(disk),
+      member: (incarnation) => directory.member(incarnation),
+      send: (member, body) => transport.send(member, body),
+      followedCoordinator: () => coordinatorWatch.live()?.incarnation,
+      epoch: () => local.epoch,
+      learnEpoch: (epoch) => local.learnEpoch(epoch),
+      becomeCoordinator: (epoch, version) => coordination.start(epoch, version),
+    };
+  }
+}
--- a/packages/process-group/src/lone-voter.test.ts
+++ b/packages/process-group/src/agreement/lone-voter.test.ts
@@ -6,12 +6,12 @@
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
-import { Group } from './group.js';
-import type { StateMachine } from './play.js';
-import { GROUP_TIMES } from './times.js';
+import { Group } from '../group.js';
+import type { StateMachine } from './state-machine.js';
+import { GROUP_TIMES } from '../times.js';
 
 const TICK_MS = 20;
-const SETTLED_MS = 6000;
+const STABLE_AFTER_MS = 6000;
 const ADDRESS = '127.0.0.1:1';
 
 const NO_STATE: StateMachine<undefined> = {
@@ -23,7 +23,7 @@
 };
 
 /** A disk that syncs at once and outlives its node. */
-class PromptVault implements RecordWriter {
+class ImmediateDisk implements RecordWriter {
   records: Records = {};
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -37,10 +37,10 @@
 }
 
 /** Starts the only core on a disk and runs it for long enough to coordinate. */
-function start(vault: PromptVault): Group<undefined> {
+function start(records: ImmediateDisk): Group<undefined> {
   let nowMs = 0;
   let seed = 7;
-  const opening = readRecords(vault.records, 'disk-a').unwrapOrElse(failed);
+  const opening = readRecords(records.records, 'disk-a').unwrapOrElse(failed);
   const group = new Group<undefined>({
     name: 'core-1',
     address: ADDRESS,
@@ -53,7 +53,7 @@
     chance: { next: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647 },
     times: GROUP_TIMES,
     stateMachine: NO_STATE,
-    acceptor: new Acceptor(opening, vault, 'site', failed),
+    acceptor: new Acceptor(opening, records, 'site', failed),
     protocolLevels: PROTOCOL_LEVELS,
     listener: {
       onVersion: () => undefined,
@@ -65,16 +65,16 @@
     },
     send: () => undefined,
   });
-  for (; nowMs < SETTLED_MS; nowMs += TICK_MS) group.tick();
+  for (; nowMs < STABLE_AFTER_MS; nowMs += TICK_MS) group.tick();
   return group;
 }
 
 describe('a group of one voter', () => {
   it('coordinates again after its core was restarted', () => {
-    const vault = new PromptVault();
-    const founded = start(vault);
+    const records = new ImmediateDisk();
+    const founded = start(records);
     expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
-    const restarted = start(vault);
+    const restarted = start(records);
     expect([restarted.isCoordinator, restarted.epoch]).toEqual([true, 2]);
     expect(restarted.holdsLease()).toEqual(true);
   });
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -12,16 +12,16 @@
 import type { RecordKind, RecordWriter } from '@rainrun/storage';
 import { expect } from 'earl';
 import { Result, type Unit } from 'true-myth';
-import { Acceptor, readRecords } from './acceptor.js';
+import { Acceptor, readRecords } from './agreement/acceptor.js';
 import { Group } from './group.js';
-import type { StateMachine } from './play.js';
+import type { StateMachine } from './agreement/state-machine.js';
 import { GROUP_TIMES } from './times.js';
 
 const NAMES = ['a', 'b', 'c'];
 const TICK_MS = 20;
 
 /** A disk that has synced as soon as it is asked to. */
-class QuickVault implements RecordWriter {
+class ImmediateDisk implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
@@ -34,7 +34,7 @@
     application: new TextEncoder().encode(String(state)),
     applicationExtension: new Uint8Array(),
   }),
-  decode: ({ application: play }) => Result.ok(Number(new TextDecoder().decode(play))),
+  decode: ({ application: bytes }) => Result.ok(Number(new TextDecoder().decode(bytes))),
   apply: (state, { payload }) => ({
     state: state + payload.length,
     outcome: { kind: 'agreed', detail: '' },
@@ -52,7 +52,7 @@
   #frames: { to: string; frame: Frame }[] = [];
 
   constructor() {
-    const dice = new SeededRandom(3);
+    const random = new SeededRandom(3);
     for (const name of NAMES) {
       const opening = readRecords({}, `disk-${name}`);
       if (opening.isErr) continue;
@@ -64,10 +64,10 @@
         seeds: NAMES,
         founders: NAMES,
         clock: { nowMs: () => this.nowMs },
-        chance: dice,
+        chance: random,
         times: GROUP_TIMES,
         stateMachine: COUNT,
-        acceptor: new Acceptor(opening.value, new QuickVault(), 'd', () => undefined),
+        acceptor: new Acceptor(opening.value, new ImmediateDisk(), 'd', () => undefined),
         protocolLevels: PROTOCOL_LEVELS,
         listener: {
           onVersion: () => undefined,
--- /dev/null
+++ b/packages/process-group/src/membership/discovery.ts
@@ -0,0 +1,229 @@
+/** How nodes find each other: greetings, contacts, and what is known of nodes outside the view. */
+import { create } from '@bufbuild/protobuf';
+import { randomId } from '@rainrun/common';
+import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { Directory } from './directory.js';
+import type { Leases } from '../leases/leases.js';
+import type { Liveness } from './liveness.js';
+import type { LocalMember } from './local-member.js';
+import type { Transport } from '../transport/transport.js';
+import type { Versions } from '../agreement/versions.js';
+import { rankOf } from './members.js';
+import { levelMismatch } from './protocol-levels.js';
+
+/** A node that was lately in touch, as it described itself. */
+export interface Contact {
+  readonly member: Member;
+  readonly atMs: number;
+  readonly inView: boolean;
+  /** Newest version that it holds or has accepted. */
+  readonly newestVersion: number;
+  /** Whether it is a founder with an empty disk. */
+  readonly founding: boolean;
+}
+
+/** A contact counts for so long. */
+const CONTACT_FRESH_MS = 1200;
+
+/** Contacts older than so many times `CONTACT_MS` are dropped. */
+const CONTACT_RETENTION_FACTOR = 10;
+
+/** What discovery needs. */
+interface DiscoveryCollaborators<S> {
+  readonly dependencies: GroupDependencies<S>;
+  readonly directory: Directory<S>;
+  readonly leases: Leases<S>;
+  readonly liveness: Liveness<S>;
+  readonly local: LocalMember<S>;
+  readonly transport: Transport<S>;
+  readonly versions: Versions<S>;
+  readonly founding: { mayFound(): boolean };
+  readonly viewChange: { rejoin(): void };
+}
+
+/**
+ * Greets the addresses known while this node is outside a view or has lost
+ * its majority, and answers the greetings of others. A node counts as there
+ * only after it has echoed a greeting of ours: so a path in one direction
+ * alone makes no contact.
+ * @example
+ * discovery.tick(nowMs);
+ * discovery.joiners(); // the coordinator lets these in
+ */
+export class Discovery<S> {
+  #collaborators: DiscoveryCollaborators<S>;
+  #contacts = new Map<string, Contact>();
+  /** What others gave us to echo, by incarnation. */
+  #receivedGreetings = new Map<string, string>();
+  /** What we gave others to echo, by incarnation. */
+  #sentGreetings = new Map<string, string>();
+  #welcomedMs = new Map<string, number>();
+  #lastHelloMs = -Infinity;
+
+  constructor(collaborators: DiscoveryCollaborators<S>) {
+    this.#collaborators = collaborators;
+  }
+
+  /** Greets every address known, when it is time and there is a reason to. */
+  tick(nowMs: number): void {
+    const { dependencies, leases, local } = this.#collaborators;
+    if (nowMs - this.#lastHelloMs < dependencies.times.helloMs) return;
+    this.#lastHelloMs = nowMs;
+    if (local.leaving || (local.inView && leases.isHeld())) return;
+    this.#dropOldContacts(nowMs);
+    this.#sendHellos();
+  }
+
+  /** The nodes that were in touch lately. */
+  freshContacts(): Contact[] {
+    const nowMs = this.#collaborators.local.nowMs();
+    return [...this.#contacts.values()].filter((contact) => isFresh(contact, nowMs));
+  }
+
+  /** Live nodes that ask to join; this node too while it is in no view. */
+  joiners(): Member[] {
+    const { local } = this.#collaborators;
+    const joiners = this.freshContacts()
+      .filter((contact) => !contact.inView)
+      .map((contact) => contact.member);
+    const view = local.view;
+    if (view === undefined) return [local.self, ...joiners];
+    return joiners.filter((member) => rankOf(view, member.incarnation) < 0);
+  }
+
+  /** Whether this incarnation was in touch within `CONTACT_FRESH_MS`. */
+  hasFreshContact(incarnation: string, nowMs: number): boolean {
+    const contact = this.#contacts.get(incarnation);
+    return contact !== undefined && isFresh(contact, nowMs);
+  }
+
+  /** Answers a greeting; its sender counts as a contact once it echoes what this node gave it. */
+  onHello(hello: Hello): void {
+    const { directory, liveness, local } = this.#collaborators;
+    const member = hello.sender;
+    if (member === undefined || member.incarnation === local.incarnation) return;
+    const nowMs = local.nowMs();
+    directory.learn(member);
+    const greeting = this.#greetingFor(member.incarnation);
+    if (hello.echo === greeting) {
+      const { newestVersion: number, founding } = hello;
+      liveness.answered(member.incarnation, nowMs);
+      this.#contacts.set(member.incarnation, {
+        member,
+        atMs: nowMs,
+        inView: false,
+        newestVersion: number,
+        founding,
+      });
+    }
+    if (hello.echo !== '') this.#welcomeMember(member, nowMs);
+    this.#answerHello(member, greeting);
+  }
+
+  /** Takes the answer to a greeting; rejoins if the group went on without this node. */
+  onHelloAck(ack: HelloAck): void {
+    const { dependencies, directory, liveness, local, viewChange } = this.#collaborators;
+    const member = ack.sender;
+    if (member === undefined || member.incarnation === local.incarnation) return;
+    const nowMs = local.nowMs();
+    directory.learn(member);
+    this.#receivedGreetings.set(member.incarnation, ack.greeting);
+    liveness.answered(member.incarnation, nowMs);
+    const { inView, newestVersion: number, founding } = ack;
+    if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
+    this.#contacts.set(member.incarnation, { member, atMs: nowMs, inView, newestVersion: number, founding });
+    for (const known of ack.known)
+      if (known.incarnation !== local.incarnation) directory.learnAddress(known.address);
+    const listed = ack.known.some((known) => known.incarnation === local.incarnation);
+    if (local.inView && inView && !listed && number > local.newestVersion) viewChange.rejoin();
+  }
+
+  /** Drops what is known of an incarnation. */
+  remove(incarnation: string): void {
+    this.#contacts.delete(incarnation);
+    this.#sentGreetings.delete(incarnation);
+    this.#welcomedMs.delete(incarnation);
+    this.#receivedGreetings.delete(incarnation);
+  }
+
+  /** This node goes on under another incarnation: greetings to the old one do not count. */
+  clearGreetings(): void {
+    this.#receivedGreetings.clear();
+  }
+
+  #dropOldContacts(nowMs: number): void {
+    for (const [incarnation, contact] of this.#contacts) {
+      if (nowMs - contact.atMs > CONTACT_RETENTION_FACTOR * CONTACT_FRESH_MS)
+        this.#contacts.delete(incarnation);
+    }
+  }
+
+  #sendHellos(): void {
+    const { dependencies, directory, founding, local, transport } = this.#collaborators;
+    const greetings = this.#greetingsByAddress();
+    for (const address of new Set([...dependencies.seeds, ...directory.addresses])) {
+      if (address === local.self.address) continue;
+      const value = create(HelloSchema, {
+        sender: local.self,
+        founding: founding.mayFound(),
+        newestVersion: local.newestVersion,
+        echo: local.inView ? '' : (greetings.get(address) ?? ''),
+      });
+      transport.sendToAddress(address, '', { case: 'hello', value });
+    }
+  }
+
+  #greetingsByAddress(): Map<string, string> {
+    const greetings = new Map<string, string>();
+    for (const [incarnation, greeting] of this.#receivedGreetings) {
+      const address = this.#collaborators.directory.member(incarnation)?.address;
+      if (address !== undefined) greetings.set(address, greeting);
+    }
+    return greetings;
+  }
+
+  #greetingFor(incarnation: string): string {
+    const known = this.#sentGreetings.get(incarnation);
+    if (known !== undefined) return known;
+    const greeting = randomId(this.#collaborators.dependencies.chance);
+    this.#sentGreetings.set(incarnation, greeting);
+    return greeting;
+  }
+
+  /** Sends a snapshot to a member that does not know yet that it is one. */
+  #welcomeMember(member: Member, nowMs: number): void {
+    const { dependencies, local, versions } = this.#collaborators;
+    const view = local.view;
+    if (view === undefined || rankOf(view, member.incarnation) < 0) return;
+    const sinceMs = nowMs - (this.#welcomedMs.get(member.incarnation) ?? -Infinity);
+    if (sinceMs <= 2 * dependencies.times.helloMs) return;
+    this.#welcomedMs.set(member.incarnation, nowMs);
+    versions.sendSnapshot(member);
+  }
+
+  #answerHello(member: Member, greeting: string): void {
+    const { founding, local, transport } = this.#collaborators;
+    const view = local.view;
+    const isMember = view !== undefined && rankOf(view, member.incarnation) >= 0;
+    const members = view?.members ?? [];
+    const contacts = this.freshContacts().map((contact) => contact.member);
+    const value = create(HelloAckSchema, {
+      sender: local.self,
+      greeting,
+      known: [
+        ...members.filter((other) => other.incarnation !== member.incarnation || isMember),
+        ...contacts.filter((other) => other.incarnation !== member.incarnation),
+      ],
+      inView: local.inView,
+      newestVersion: local.newestVersion,
+      founding: founding.mayFound(),
+      rejection: (view === undefined || isMember ? undefined : levelMismatch(member, view.members)) ?? '',
+    });
+    transport.send(member, { case: 'helloAck', value });
+  }
+}
+
+function isFresh(contact: Contact, nowMs: number): boolean {
+  return nowMs - contact.atMs < CONTACT_FRESH_MS;
+}
--- a/packages/process-group/src/local-member.ts
+++ b/packages/process-group/src/membership/local-member.ts
@@ -2,12 +2,13 @@
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { MemberSchema, type Member, type View } from '@rainrun/messages';
-import type { GroupDependencies } from './group-dependencies.js';
-import { withNewIncarnation, type GroupState } from './play.js';
+import type { GroupDependencies } from '../group-dependencies.js';
+import type { GroupState } from '../agreement/group-state.js';
+import { withNewIncarnation } from './members.js';
 
 /**
  * This node as a member: who it is, which version it holds, whether it is in
- * a view, and the newest epoch and agreed version that it has heard of.
+ * a view, and the newest epoch and committed version that it has heard of.
  * @example
  * const local = new LocalMember(dependencies);
  * local.view; // undefined until a view has let this node in
@@ -18,7 +19,7 @@
   #state: GroupState<S> | undefined;
   #inView = false;
   #epochSeen = 0;
-  #agreedSeen = 0;
+  #committedSeen = 0;
   #leaving = false;
 
   constructor(dependencies: GroupDependencies<S>) {
@@ -71,10 +72,10 @@
     return Math.max(this.#epochSeen, this.#dependencies.acceptor?.promisedEpoch ?? 0);
   }
 
-  /** Newest version that this node knows to be agreed. */
+  /** Newest version that this node knows to be committed. */
   get committedVersion(): number {
     const number = this.#state?.number ?? 0;
-    return Math.max(Math.min(this.#agreedSeen, number), number - 1);
+    return Math.max(Math.min(this.#committedSeen, number), number - 1);
   }
 
   /** Whether this node has said goodbye. */
@@ -96,18 +97,18 @@
   }
 
   learnCommitted(number: number): void {
-    this.#agreedSeen = Math.max(this.#agreedSeen, number);
+    this.#committedSeen = Math.max(this.#committedSeen, number);
   }
 
-  setState(held: GroupState<S>): void {
-    this.#state = held;
+  setState(state: GroupState<S>): void {
+    this.#state = state;
   }
 
   enterView(): void {
     this.#inView = true;
   }
 
-  /** Leaves the view and goes on under a new incarnation; the state held is kept. */
+  /** Leaves the view and goes on under a new incarnation; its state is kept. */
   renewIncarnation(): void {
     this.#self = withNewIncarnation(this.#self, randomId(this.#dependencies.chance));
     this.#inView = false;
--- a/packages/router/src/request-completion.ts
+++ b/packages/router/src/request-completion.ts
@@ -94,6 +94,6 @@
 
   /** No worker has run the request, so the client may send it again. */
   #rejectAsUnserved(request: RoutedRequest, why: string): void {
-    request.sink.reject({ ...fault('no-worker', why), returnS: ADMISSION_POLICY.noWorkerRetryAfterS });
+    request.sink.reject({ ...fault('no-worker', why), retryAfterS: ADMISSION_POLICY.noWorkerRetryAfterS });
   }
 }
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -155,7 +155,7 @@
     if (this.#queue.size >= ADMISSION_POLICY.maxWaitingRequests)
       return this.#reject(sink, {
         ...fault('over-share', 'too many requests wait here'),
-        returnS: ADMISSION_POLICY.queueFullRetryAfterS,
+        retryAfterS: ADMISSION_POLICY.queueFullRetryAfterS,
       });
     if (!this.#completion.register(request))
       return this.#reject(sink, fault('outcome-unknown', 'a request with this id is under way here'));
