--- a/packages/compatibility/src/scripted-group.ts
+++ b/packages/compatibility/src/scripted-group.ts
@@ -130,7 +130,7 @@
     const vault = new MemoryRecords();
     const opening = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
     const acceptor = new Acceptor(opening, vault, this.#deployment, fail);
-    if (records.disk === undefined) acceptor.mark();
+    if (records.disk === undefined) acceptor.writeDiskRecord();
     const node = this.#makeNode({
       name,
       address: addressOf(name),
