--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -1,5 +1,5 @@
 import { hashText } from '@rainrun/common';
-import type { Piece } from './visitor.js';
+import type { SimulatedChunk } from './simulated-chunk.js';
 import { toVersion, type GroupState, type StateMachine } from '@rainrun/process-group';
 import { EMPTY_SPEC_STATE, encodeSpecState, type SpecState } from '@rainrun/configuration';
 import { EntrySchema, StateSchema } from '@rainrun/messages';
@@ -179,7 +179,7 @@
   }
 
   /** A visitor is given a piece of an answer. */
-  piece(id: string, piece: Piece, atMs: number): void {
+  piece(id: string, piece: SimulatedChunk, atMs: number): void {
     const visit = this.#requests.get(id);
     if (visit === undefined) return;
     if (piece.id !== id) this.breach("nobody else's answer", `${id} was given a piece of ${piece.id}`, atMs);
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -1,14 +1,8 @@
+/** A client of the simulated deployment: the end of one request, as the oracle is told of it. */
 import type { GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import type { Oracle } from './oracle.js';
-
-/** One piece of a simulated answer: whose it is, of which run, which of how many. */
-export interface Piece {
-  readonly id: string;
-  readonly run: string;
-  readonly place: number;
-  readonly of: number;
-}
+import type { SimulatedChunk } from './simulated-chunk.js';
 
 /** Told once how a call ended: outcome, when its first piece came, and the worker that ran it. */
 export type Ended = (outcome: string, firstMs: number | undefined, worker: string) => void;
@@ -35,7 +29,7 @@
   }
 
   respond(_status: number, _contentType: string, body: Uint8Array): void {
-    const pieces = JSON.parse(Buffer.from(body).toString()) as Piece[];
+    const pieces = JSON.parse(Buffer.from(body).toString()) as SimulatedChunk[];
     for (const piece of pieces) this.#take(piece);
     this.#oracle.whole(this.#id, this.#nowMs());
     this.#ended('served', this.#nowMs(), this.#worker);
@@ -56,7 +50,7 @@
     this.#firstMs ??= this.#nowMs();
     for (const event of Buffer.from(bytes).toString().split('\n\n')) {
       if (event === '' || event === 'data: [DONE]') continue;
-      this.#take(JSON.parse(event.slice(6)) as Piece);
+      this.#take(JSON.parse(event.slice(6)) as SimulatedChunk);
     }
     return true;
   }
@@ -66,7 +60,7 @@
     this.#ended('served', this.#firstMs, this.#worker);
   }
 
-  #take(piece: Piece): void {
+  #take(piece: SimulatedChunk): void {
     this.#worker = piece.run.slice(0, piece.run.lastIndexOf('-'));
     this.#oracle.piece(this.#id, piece, this.#nowMs());
   }
