--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -75,7 +75,7 @@
   evaluate(table: WorkerTable, nowMs: number): void {
     if (nowMs - this.#evaluatedMs < EVALUATION_INTERVAL_MS) return;
     this.#evaluatedMs = nowMs;
-    this.#forget(table);
+    this.#removeUnlisted(table);
     const services = new Map<string, WorkerRecord[]>();
     for (const row of table.rows)
       if (!row.removed) services.set(row.service, [...(services.get(row.service) ?? []), row]);
@@ -154,7 +154,7 @@
     table.touch(row);
   }
 
-  #forget(table: WorkerTable): void {
+  #removeUnlisted(table: WorkerTable): void {
     for (const known of [this.#tallies, this.#ejections])
       for (const worker of known.keys()) if (table.row(worker) === undefined) known.delete(worker);
   }
--- a/packages/failure-detector/src/failure-detector.ts
+++ b/packages/failure-detector/src/failure-detector.ts
@@ -44,7 +44,7 @@
   }
 
   /** Stops watching an incarnation, and drops what was reported of it. */
-  forget(incarnation: string): void {
+  remove(incarnation: string): void {
     this.#answeredMs.delete(incarnation);
     this.#reported.delete(incarnation);
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -448,7 +448,7 @@
   }
 
   #noteArrival(request: GatewayRequest, nowMs: number): void {
-    this.#shares.asked(request.group, nowMs);
+    this.#shares.recordRequest(request.group, nowMs);
     if (!request.idempotent)
       this.#measures.arrived(this.#models.name(request.model), this.#adapters.name(request.adapter));
   }
--- a/packages/gateway/src/group-shares.ts
+++ b/packages/gateway/src/group-shares.ts
@@ -31,7 +31,7 @@
     return this.#inFlight[group] ?? 0;
   }
 
-  asked(group: number, nowMs: number): void {
+  recordRequest(group: number, nowMs: number): void {
     this.#seenMs[group] = nowMs;
   }
 
--- a/packages/placement/src/serving.test.ts
+++ b/packages/placement/src/serving.test.ts
@@ -83,7 +83,7 @@
   it('serves in time whatever is asked for again and again', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
-      fleet.play(PLAY_MS, KINDS);
+      fleet.run(PLAY_MS, KINDS);
       expect(fleet.wrong).toEqual([]);
       expect(fleet.neverServed()).toEqual([]);
       expect([fleet.share(isRare) > 0.85, fleet.share(isOften) > 0.93]).toEqual([true, true]);
@@ -95,7 +95,7 @@
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
       for (let change = 0; change < 4; change += 1) {
-        fleet.play(PLAY_MS / 4, KINDS);
+        fleet.run(PLAY_MS / 4, KINDS);
         fleet.replaceCoordinator();
       }
       expect(fleet.wrong).toEqual([]);
@@ -106,7 +106,7 @@
   it('serves nearly all of it with half the store', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, { ...SHAPE, loadsPerS: SHAPE.loadsPerS / 2 });
-      fleet.play(PLAY_MS, KINDS);
+      fleet.run(PLAY_MS, KINDS);
       expect(fleet.wrong).toEqual([]);
       expect(fleet.neverServed().length <= boundOf(fleet)).toEqual(true);
     }
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -100,7 +100,7 @@
   loadsFromDisk = 0;
   #shape: FleetShape;
   #engine: Engine;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   #table = new WorkerTable();
   #planner: PlacementPlanner;
   #workers = new Map<string, FleetWorker>();
@@ -108,7 +108,7 @@
 
   constructor(seed: number, shape: FleetShape) {
     this.#shape = shape;
-    this.#dice = new SeededRandom(seed);
+    this.#random = new SeededRandom(seed);
     const names = Array.from({ length: shape.models }, (_, place) => `m${place}`);
     this.#engine = {
       service: SERVICE,
@@ -143,7 +143,7 @@
   }
 
   /** Requests arrive for a while. */
-  play(forMs: number, kinds: readonly RequestKind[]): void {
+  run(forMs: number, kinds: readonly RequestKind[]): void {
     for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += HEARTBEAT_MS) {
       for (const kind of kinds) this.#arrive(kind);
       this.#endRuns();
@@ -213,8 +213,8 @@
   #arrive({ perS, patienceMs, runMs, pick }: RequestKind): void {
     let due = (perS * HEARTBEAT_MS) / 1000;
     for (; due > 0; due -= 1) {
-      if (due < 1 && this.#dice.next() >= due) return;
-      const [model, adapter] = pick(this.#dice, this.nowMs);
+      if (due < 1 && this.#random.next() >= due) return;
+      const [model, adapter] = pick(this.#random, this.nowMs);
       this.#waiting.push({ model, adapter, bornMs: this.nowMs, endMs: this.nowMs + patienceMs, runMs });
       for (const name of namesOf(model, adapter)) {
         const known = this.served.get(name);
--- a/packages/placement/src/unserved-demand.ts
+++ b/packages/placement/src/unserved-demand.ts
@@ -7,7 +7,7 @@
 }
 
 /** Nobody has asked for it for so long: the next request begins anew. */
-const FORGET_MS = 30_000;
+const UNSERVED_RETENTION_MS = 30_000;
 
 /**
  * Remembers since when models and adapters were asked for and could be had
@@ -40,6 +40,6 @@
   /** Forgets what nobody has asked for lately. */
   expire(nowMs: number): void {
     for (const [key, { lastRequestedMs }] of this.#spans)
-      if (nowMs - lastRequestedMs > FORGET_MS) this.#spans.delete(key);
+      if (nowMs - lastRequestedMs > UNSERVED_RETENTION_MS) this.#spans.delete(key);
   }
 }
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -36,7 +36,7 @@
 }
 
 /** A row is dropped so long after its worker was removed, in milliseconds. */
-const FORGET_MS = 30_000;
+const REMOVED_ROW_RETENTION_MS = 30_000;
 /** The end of the warm-up must move by more than this to count as a new one, in milliseconds. */
 const WARM_UP_STEP_MS = 400;
 
@@ -111,7 +111,7 @@
         row.removed = true;
         row.removedMs = nowMs;
         this.touch(row);
-      } else if (row.removed && nowMs - row.removedMs > FORGET_MS) this.#rows.delete(row.id);
+      } else if (row.removed && nowMs - row.removedMs > REMOVED_ROW_RETENTION_MS) this.#rows.delete(row.id);
     }
     return added;
   }
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -97,7 +97,7 @@
 
   /** Ceases to watch an incarnation. */
   remove(incarnation: string): void {
-    this.#detector.forget(incarnation);
+    this.#detector.remove(incarnation);
   }
 
   /** A new view: what was said of members of the old one does not count. */
--- a/packages/router/src/balancer.test.ts
+++ b/packages/router/src/balancer.test.ts
@@ -11,9 +11,9 @@
       worker('other', { service: 'assist' }),
     ]);
     harness.evacuated = ['east'];
-    harness.ask('/often/x');
+    harness.submit('/often/x');
     harness.put(worker('fine'));
-    const { sink } = harness.ask('/home/x');
+    const { sink } = harness.submit('/home/x');
     harness.put(worker('home', { zone: 'south-a' }));
     harness.later(1);
     expect(harness.link.sent.map((sent) => sent.request.address)).toEqual(['fine:80', 'home:80']);
@@ -23,7 +23,7 @@
   it('is checked once more before the first byte: draining, gone and evacuated workers get nothing', () => {
     for (const change of ['leaves', 'gone', 'evacuated'] as const) {
       const harness = new RouterHarness([worker('w1')]);
-      const { sink } = harness.ask('/once/x');
+      const { sink } = harness.submit('/once/x');
       const sent = harness.last();
       if (change === 'leaves') harness.put(worker('w1', { draining: true }));
       if (change === 'gone') harness.workers.delete('w1');
@@ -50,7 +50,7 @@
       const atMs: number[] = [];
       for (let heartbeat = 0; heartbeat < 200; heartbeat += 1) {
         const before = harness.link.sent.length;
-        harness.ask('/often/x');
+        harness.submit('/often/x');
         harness.later(25);
         for (const sent of harness.link.sent.slice(before)) {
           if (!sent.start()) continue;
@@ -83,9 +83,9 @@
       worker('w1', { service: 'assist', models: new Map([['m1', new Set<string>()]]) }),
       worker('w2', { service: 'assist', models: new Map([['m1', new Set(['a1'])]]) }),
     ]);
-    harness.ask('/model/x', { model: 'm1', adapter: 'a1' });
+    harness.submit('/model/x', { model: 'm1', adapter: 'a1' });
     const address = harness.last().request.address;
-    harness.ask('/model/x', { model: 'm2' });
+    harness.submit('/model/x', { model: 'm2' });
     expect([address, harness.link.sent.length, harness.missed > 0]).toEqual(['w2:80', 1, true]);
     expect(
       harness.router
@@ -96,7 +96,7 @@
 
   it('reports a missing model once, however often the request is dispatched meanwhile', () => {
     const harness = new RouterHarness([worker('w1', { service: 'assist', models: new Map() })]);
-    harness.ask('/model/x', { model: 'm1' });
+    harness.submit('/model/x', { model: 'm1' });
     for (let turn = 0; turn < 20; turn += 1) harness.router.tick();
     expect(harness.missed).toEqual(1);
     expect(harness.waits).toEqual(1);
@@ -106,19 +106,19 @@
     const models = new Map([['m1', new Set<string>()]]);
     const harness = new RouterHarness([worker('w1', { service: 'assist', models })], { ratio: 1, extra: 20 });
     harness.earn(0);
-    const { sink } = harness.ask('/model/x', { model: 'm1' });
+    const { sink } = harness.submit('/model/x', { model: 'm1' });
     harness.last().start();
     harness.last().handler.head(421, [[HEADER_NAMES.requestId, harness.last().id]]);
     harness.later(100);
     const sends = harness.link.sent.length;
     harness.put(worker('w1', { service: 'assist', models, number: 2 }));
     harness.later(600);
-    harness.ask('/model/x', { model: 'm1' });
+    harness.submit('/model/x', { model: 'm1' });
     expect([sends, harness.link.sent.length > sends, sink.status === 200]).toEqual([1, true, false]);
   });
 
   it('answers 404 where there is no route', () => {
-    const { sink } = new RouterHarness([worker('w1')]).ask('/unheard/x');
+    const { sink } = new RouterHarness([worker('w1')]).submit('/unheard/x');
     expect(sink.seen).toEqual(['refuse 404']);
   });
 });
@@ -155,7 +155,7 @@
 /** One step of an edge whose sends are served at once; how many started. */
 function requestAndServe(edge: RouterHarness, isBusy: boolean): number {
   const before = edge.link.sent.length;
-  if (isBusy && edge.router.waiting < 2) edge.ask('/often/x');
+  if (isBusy && edge.router.waiting < 2) edge.submit('/often/x');
   edge.router.tick();
   let started = 0;
   for (const sent of edge.link.sent.slice(before)) {
--- a/packages/router/src/idempotent.test.ts
+++ b/packages/router/src/idempotent.test.ts
@@ -7,7 +7,7 @@
     const harness = new RouterHarness(['w1', 'w2', 'w3', 'w4'].map((id) => worker(id)));
     harness.earn(10);
     const sends = harness.link.sent.length;
-    const { sink } = harness.ask('/often/x');
+    const { sink } = harness.submit('/often/x');
     for (let turn = 0; turn < 5; turn += 1) {
       const sent = harness.last();
       if (sent.start()) sent.handler.failed(true, 'reset');
@@ -22,7 +22,7 @@
     for (const end of ['declined', 'budget gone', 'no worker'] as const) {
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
       harness.earn(end === 'budget gone' ? 1 : 5);
-      const { sink } = harness.ask('/often/x');
+      const { sink } = harness.submit('/often/x');
       harness.last().start();
       if (end === 'no worker') harness.workers.delete('w1');
       if (end === 'no worker') harness.workers.delete('w2');
@@ -40,7 +40,7 @@
   it('is not answered with what belongs to another request, but sent again', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
-    const { sink } = harness.ask('/often/x');
+    const { sink } = harness.submit('/often/x');
     const first = harness.last();
     first.start();
     first.handler.head(200, [
@@ -58,7 +58,7 @@
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
     const sends = harness.link.sent.length;
-    const { sink } = harness.ask('/single/x');
+    const { sink } = harness.submit('/single/x');
     harness.last().start();
     harness.last().handler.failed(true, 'reset');
     harness.later(200);
--- a/packages/router/src/non-idempotent.test.ts
+++ b/packages/router/src/non-idempotent.test.ts
@@ -6,7 +6,7 @@
 describe('a non-idempotent request', () => {
   it('is passed on with method, path, id, body and other headers as they came, and to that instance only', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x?a=1');
+    const { sink } = harness.submit('/once/x?a=1');
     const { request } = harness.last();
     harness.last().start();
     harness.last().answer(201, 'made');
@@ -26,7 +26,7 @@
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
       harness.earn(5);
       const sends = harness.link.sent.length;
-      const { sink } = harness.ask('/once/x');
+      const { sink } = harness.submit('/once/x');
       const sent = harness.last();
       sent.start();
       if (end === 'reset') sent.handler.failed(true, 'reset');
@@ -51,7 +51,7 @@
 
   it('is sent to another worker when no byte left', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     const first = harness.last();
     first.handler.failed(false, 'refused');
     const second = harness.last();
@@ -63,7 +63,7 @@
   it('is sent to another worker when the first says that it has not run it, each time with what time is left', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     const first = harness.last();
     first.start();
     harness.nowMs += 400;
@@ -81,7 +81,7 @@
   it('is retried after 421, which says that it has not run', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.last().start();
     harness.last().handler.head(421, [[HEADER_NAMES.requestId, harness.last().id]]);
     harness.last().start();
@@ -91,7 +91,7 @@
 
   it('is not rejected as retryable while it may run, at its time-out or at a silent worker', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.last().start();
     harness.later(2500);
     expect([sink.seen, harness.last().aborted]).toEqual([['refuse 504'], true]);
@@ -99,21 +99,21 @@
 
   it('is rejected as retryable if it waited until its deadline', () => {
     const harness = new RouterHarness([]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.later(1600);
     expect(sink.seen).toEqual(['refuse 503 again']);
   });
 
   it('is rejected as retryable if it was handed to a connection and never started', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.later(1600);
     expect(sink.seen).toEqual(['refuse 503 again']);
   });
 
   it('does not start after it was answered', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     const sent = harness.last();
     harness.later(1600);
     expect([sink.seen.length, sent.start(), sent.aborted]).toEqual([1, false, true]);
@@ -121,7 +121,7 @@
 
   it('is forwarded to the client complete, also when the worker failed it itself', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.last().start();
     harness.last().answer(500, 'broken');
     expect([sink.seen, harness.link.sent.length]).toEqual([['answer 500 broken'], 1]);
@@ -129,7 +129,7 @@
 
   it('control safety, point 5: is not begun after a freeze that outlasted its time, and is refused with a promise', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     const sent = harness.last();
     harness.nowMs += 60_000;
     const started = sent.start();
@@ -139,7 +139,7 @@
 
   it('control safety, point 5: is not begun after a freeze in which its worker began to leave', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     const sent = harness.last();
     harness.nowMs += 500;
     harness.put(worker(sent.request.address.slice(0, 2), { draining: true }));
@@ -152,7 +152,7 @@
 
   it('is not begun for a client that has left, and is broken off', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink, leave } = harness.ask('/once/x');
+    const { sink, leave } = harness.submit('/once/x');
     const sent = harness.last();
     leave();
     expect([sent.start(), sent.aborted, sink.seen]).toEqual([false, true, []]);
--- a/packages/router/src/retry-budgets.test.ts
+++ b/packages/router/src/retry-budgets.test.ts
@@ -12,7 +12,7 @@
   ): { atMs: number; further: boolean }[] {
     const seen: { atMs: number; further: boolean }[] = [];
     for (let turn = 0; turn < count; turn += 1) {
-      harness.ask('/often/x');
+      harness.submit('/often/x');
       for (let send = 0; send < 4; send += 1) {
         const sent = harness.last();
         if (!sent.start()) break;
@@ -57,14 +57,14 @@
     const harness = new RouterHarness([worker('w1')], { ratio: 1, extra: 5 });
     harness.earn(20);
     for (let turn = 0; turn < 10; turn += 1) {
-      const { leave } = harness.ask('/often/x');
+      const { leave } = harness.submit('/often/x');
       harness.last().start();
       harness.last().handler.failed(true, 'reset');
       leave();
       harness.later(10_000);
     }
     harness.put(worker('w2'), worker('w3'));
-    const { sink } = harness.ask('/often/x');
+    const { sink } = harness.submit('/often/x');
     harness.last().start();
     harness.last().handler.failed(true, 'reset');
     harness.last().start();
@@ -76,7 +76,7 @@
     const harness = new RouterHarness([worker('w1')], { ratio: 1, extra: 5 });
     harness.earn(20);
     for (let turn = 0; turn < 10; turn += 1) {
-      harness.ask('/often/x');
+      harness.submit('/often/x');
       harness.last().start();
       harness.last().handler.failed(true, 'reset');
       harness.workers.delete('w1');
@@ -84,7 +84,7 @@
       harness.put(worker('w1'));
     }
     harness.put(worker('w2'), worker('w3'));
-    const { sink } = harness.ask('/often/x');
+    const { sink } = harness.submit('/often/x');
     harness.last().start();
     harness.last().handler.failed(true, 'reset');
     harness.last().start();
--- a/packages/router/src/streams.test.ts
+++ b/packages/router/src/streams.test.ts
@@ -6,7 +6,7 @@
 describe('a stream', () => {
   it('is forwarded event by event, with no byte of an incomplete one', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/tell/x');
+    const { sink } = harness.submit('/tell/x');
     const sent = harness.last();
     sent.start();
     sent.openStream('s1');
@@ -25,7 +25,7 @@
   it('that may be resumed goes on at another worker after the last complete event, under its first head', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
-    const { sink } = harness.ask('/talk/x');
+    const { sink } = harness.submit('/talk/x');
     const first = harness.last();
     first.start();
     first.openStream('s1');
@@ -48,7 +48,7 @@
 
   it('that may be resumed begins after the event that the client names', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.ask('/talk/x', { lastEventId: '12' });
+    harness.submit('/talk/x', { lastEventId: '12' });
     expect(valueOf(harness.last().request.headers, HEADER_NAMES.lastEventId)).toEqual('12');
   });
 
@@ -57,7 +57,7 @@
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
       harness.earn(5);
       const sends = harness.link.sent.length;
-      const { sink } = harness.ask('/tell/x');
+      const { sink } = harness.submit('/tell/x');
       const sent = harness.last();
       sent.start();
       sent.openStream('s1');
@@ -76,7 +76,7 @@
 
   it('that may be resumed is visibly cut when nothing can go on with it', () => {
     const harness = new RouterHarness([worker('w1')], { ratio: 0, extra: 0 });
-    const { sink } = harness.ask('/talk/x');
+    const { sink } = harness.submit('/talk/x');
     const sent = harness.last();
     sent.start();
     sent.openStream('s1');
@@ -89,7 +89,7 @@
   it('takes nothing from a worker that answers otherwise than with a stream where one was to go on', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(1);
-    const { sink } = harness.ask('/talk/x');
+    const { sink } = harness.submit('/talk/x');
     const first = harness.last();
     first.start();
     first.openStream('s1');
@@ -104,7 +104,7 @@
 
   it('pauses its worker while the client reads slowly', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/tell/x');
+    const { sink } = harness.submit('/tell/x');
     sink.slow = true;
     const sent = harness.last();
     sent.start();
@@ -119,7 +119,7 @@
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
     const sends = harness.link.sent.length;
-    const { sink } = harness.ask('/talk/x', { deadlineMs: 9000 });
+    const { sink } = harness.submit('/talk/x', { deadlineMs: 9000 });
     const sent = harness.last();
     sent.start();
     sent.openStream('s1');
@@ -143,7 +143,7 @@
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earn(5);
     const sends = harness.link.sent.length;
-    const { leave } = harness.ask('/talk/x');
+    const { leave } = harness.submit('/talk/x');
     const sent = harness.last();
     sent.start();
     sent.openStream('s1');
--- a/packages/router/src/testing/router-harness.ts
+++ b/packages/router/src/testing/router-harness.ts
@@ -253,7 +253,7 @@
     for (const one of workers) this.workers.set(one.id, one);
   }
 
-  ask(target: string, change: Partial<ClientRequest> = {}): { sink: RecordingSink; leave: () => void } {
+  submit(target: string, change: Partial<ClientRequest> = {}): { sink: RecordingSink; leave: () => void } {
     this.#asked += 1;
     const id = change.id ?? `q${this.#asked}`;
     const sink = new RecordingSink();
@@ -281,7 +281,7 @@
   /** Earns budget with requests that are served at once. */
   earn(count: number): void {
     for (let done = 0; done < count; done += 1) {
-      this.ask('/once/x');
+      this.submit('/once/x');
       const sent = this.last();
       sent.start();
       sent.answer(200, 'ok');
--- a/packages/router/src/worker-outcomes.test.ts
+++ b/packages/router/src/worker-outcomes.test.ts
@@ -5,7 +5,7 @@
 describe('a worker that fails its requests', () => {
   it('is reported by its errors, also where the client has its answer and the request may not be repeated', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.ask('/once/x');
+    const { sink } = harness.submit('/once/x');
     harness.last().start();
     harness.last().answer(500, 'broken');
     expect(sink.seen).toEqual(['answer 500 broken']);
@@ -15,11 +15,11 @@
 
   it('is reported when a client leaves after a long silence, and not when it leaves at once', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const patient = harness.ask('/once/x');
+    const patient = harness.submit('/once/x');
     harness.last().start();
     harness.later(1300);
     patient.leave();
-    const hasty = harness.ask('/once/x');
+    const hasty = harness.submit('/once/x');
     harness.last().start();
     harness.later(50);
     hasty.leave();
@@ -28,7 +28,7 @@
 
   it('is not reported for what it rejects, as a full worker does', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.ask('/once/x');
+    harness.submit('/once/x');
     harness.last().start();
     harness.last().decline(503);
     expect(harness.router.takeOutcomes()).toEqual([]);
@@ -36,14 +36,14 @@
 
   it('gets no request here while others can take it and this edge is not to send to it', () => {
     const harness = new RouterHarness([worker('w1', { sharePercent: 0 }), worker('w2')]);
-    for (let nth = 0; nth < 4; nth += 1) harness.ask('/once/x');
+    for (let nth = 0; nth < 4; nth += 1) harness.submit('/once/x');
     expect(harness.link.sent.map(({ request }) => request.address)).toEqual([
       'w2:80',
       'w2:80',
       'w2:80',
       'w2:80',
     ]);
-    harness.ask('/once/x');
+    harness.submit('/once/x');
     expect(harness.last().request.address).toEqual('w1:80');
   });
 
@@ -55,7 +55,7 @@
         undefined,
         `incarnation-${edge}`,
       );
-      harness.ask('/once/x');
+      harness.submit('/once/x');
       if (harness.last().request.address === 'w1:80') tried += 1;
     }
     expect(tried > 2 && tried < 25).toEqual(true);
--- a/packages/simulator/src/connections.ts
+++ b/packages/simulator/src/connections.ts
@@ -165,7 +165,7 @@
 
 /** Carries requests from one simulated edge process to the workers, over connections that can be cut. */
 export class SimSender implements Sender {
-  #grounds: SimulationContext;
+  #context: SimulationContext;
   #edge: string;
   #workers: readonly SimWorker[];
   #atEdge: AtEdge;
@@ -179,14 +179,14 @@
     isPowered: () => boolean,
   ) {
     this.#isPowered = isPowered;
-    this.#grounds = grounds;
+    this.#context = grounds;
     this.#edge = edge;
     this.#workers = workers;
     this.#atEdge = atEdge;
   }
 
   probe(address: string, done: (reached: boolean) => void): void {
-    const { time, random: dice, isCut } = this.#grounds;
+    const { time, random: dice, isCut } = this.#context;
     const cut = isCut(this.#edge, address) || isCut(address, this.#edge);
     time.after(cut ? PROBE_MS : 0.2 + dice.next() * 2, () => this.#atEdge(() => done(!cut)));
   }
@@ -195,7 +195,7 @@
     const worker = this.#workers.find((known) => known.name === request.address);
     if (worker !== undefined)
       return new SimFlight(
-        this.#grounds,
+        this.#context,
         this.#edge,
         worker,
         request,
@@ -203,7 +203,7 @@
         this.#atEdge,
         this.#isPowered,
       );
-    this.#grounds.time.after(1, () => this.#atEdge(() => handler.failed(false, 'no such address')));
+    this.#context.time.after(1, () => this.#atEdge(() => handler.failed(false, 'no such address')));
     return { abort: () => undefined, pause: () => undefined, resume: () => undefined };
   }
 }
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -98,7 +98,7 @@
 
   it('never run twice, refused never runs in either order', () => {
     const oracle = new Oracle();
-    for (const id of ['twice', 'before', 'after']) oracle.asked(id, false);
+    for (const id of ['twice', 'before', 'after']) oracle.requestSent(id, false);
     oracle.ran('twice', 'w', 'z', 0);
     oracle.ran('twice', 'w', 'z', 1);
     oracle.requestRejected('before', 'no-worker', 2);
@@ -111,17 +111,17 @@
   it('whose answer, in what order, of one run, whole only at its end', () => {
     const oracle = new Oracle();
     const piece = { id: 'a', run: 'w-1', place: 0, of: 3 };
-    for (const id of ['a', 'b', 'c', 'd', 'e']) oracle.asked(id, false);
-    oracle.piece('b', piece, 0);
-    oracle.piece('a', piece, 0);
-    oracle.piece('a', { ...piece, place: 2 }, 0);
-    oracle.piece('a', { ...piece, run: 'w-2', place: 3 }, 0);
-    oracle.piece('c', { ...piece, id: 'c' }, 0);
-    oracle.whole('c', 0);
-    oracle.whole('d', 0);
-    oracle.piece('c', { ...piece, id: 'c', place: 1 }, 0);
+    for (const id of ['a', 'b', 'c', 'd', 'e']) oracle.requestSent(id, false);
+    oracle.chunkReceived('b', piece, 0);
+    oracle.chunkReceived('a', piece, 0);
+    oracle.chunkReceived('a', { ...piece, place: 2 }, 0);
+    oracle.chunkReceived('a', { ...piece, run: 'w-2', place: 3 }, 0);
+    oracle.chunkReceived('c', { ...piece, id: 'c' }, 0);
+    oracle.responseCompleted('c', 0);
+    oracle.responseCompleted('d', 0);
+    oracle.chunkReceived('c', { ...piece, id: 'c', place: 1 }, 0);
     oracle.requestRejected('e', 'no-worker', 0);
-    oracle.whole('e', 0);
+    oracle.responseCompleted('e', 0);
     expect(rules(oracle)).toEqual([
       "nobody else's answer",
       'no piece skipped or repeated',
@@ -136,9 +136,9 @@
 
   it('no work to a leaving worker or an emptied zone', () => {
     const oracle = new Oracle();
-    for (const id of ['a', 'b', 'c']) oracle.asked(id, false);
+    for (const id of ['a', 'b', 'c']) oracle.requestSent(id, false);
     oracle.learnedLeaving(new Set(['w']), 0);
-    oracle.zoneEmptied('z', 1, 0);
+    oracle.zoneEvacuated('z', 1, 0);
     oracle.ran('a', 'w', 'z', 2900);
     oracle.ran('b', 'w', 'y', 3100);
     oracle.ran('c', 'v', 'z', 5100);
@@ -148,7 +148,7 @@
   it('retries and pulls stay within their bounds', () => {
     const oracle = new Oracle();
     for (let place = 0; place < 12; place += 1) {
-      oracle.asked(`id-${place}`, true);
+      oracle.requestSent(`id-${place}`, true);
       oracle.sent(`id-${place}`, place);
       oracle.sent(`id-${place}`, place);
     }
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -13,44 +13,44 @@
 }
 
 /** A cast delivered before one that it follows: right only if that one's sender left with the view. */
-interface EarlyNote {
+interface EarlyDelivery {
   readonly view: number;
   readonly other: string;
   readonly detail: string;
   readonly atMs: number;
 }
 
-interface AgreedNote {
+interface AgreedVersion {
   readonly number: number;
   readonly atMs: number;
 }
 
 /** What a process has delivered in one view. */
-interface ViewNote {
+interface ViewDeliveries {
   readonly casts: string[];
 }
 
 const IN_FORCE_MS = 2000;
 const LEAVING_MS = 3000;
-const EMPTIED_MS = 5000;
+const EVACUATED_MS = 5000;
 const RETRY_WINDOW_MS = 10_000;
 /** Extra sends allowed in a window beside a fifth of the first ones, in the whole fleet. */
 const RETRY_ALLOWANCE = 10;
 
 /** A visitor's request as the oracle follows it. */
 interface RequestRecord {
-  readonly repeatable: boolean;
+  readonly idempotent: boolean;
   sends: number;
   runs: number;
-  told: string | undefined;
+  rejection: string | undefined;
   /** The pieces that its visitor has seen, all of one run. */
   run: string;
-  pieces: number;
+  chunks: number;
   of: number;
-  whole: boolean;
+  complete: boolean;
 }
 
-const NO_PLAY: StateMachine<SpecState> = {
+const ENCODE_ONLY: StateMachine<SpecState> = {
   empty: () => EMPTY_SPEC_STATE,
   encode: encodeSpecState,
   decode: () => {
@@ -61,7 +61,7 @@
 };
 
 function digestOf(held: GroupState<SpecState>): string {
-  const state = toVersion(NO_PLAY, held, create(EntrySchema)).state ?? create(StateSchema);
+  const state = toVersion(ENCODE_ONLY, held, create(EntrySchema)).state ?? create(StateSchema);
   return hashText(Buffer.from(toBinary(StateSchema, state)).toString('latin1')).toString(16);
 }
 
@@ -85,15 +85,15 @@
   casts = 0;
   #digests = new Map<number, { digest: string; by: string }>();
   #newest = new Map<string, number>();
-  #agreed: AgreedNote[] = [];
+  #agreed: AgreedVersion[] = [];
   #cutSets = new Map<number, { casts: string; by: string }>();
-  #open = new Map<string, Map<number, ViewNote>>();
+  #open = new Map<string, Map<number, ViewDeliveries>>();
   #counts = new Map<string, Map<string, number>>();
-  #early = new Map<string, EarlyNote[]>();
+  #early = new Map<string, EarlyDelivery[]>();
   #answers = new Map<string, string>();
   #requests = new Map<string, RequestRecord>();
   #leavingMs = new Map<string, number>();
-  #emptiedMs = new Map<string, { number: number; atMs: number }>();
+  #evacuatedMs = new Map<string, { number: number; atMs: number }>();
   #firsts: number[] = [];
   #extras: number[] = [];
   #pulls: number[] = [];
@@ -125,9 +125,9 @@
       this.breach('versions never go back', `${incarnation} went from ${before} to ${number}`, atMs);
     this.#newest.set(incarnation, number);
     this.#checkAgreedMarks(held, atMs);
-    for (const [zone, emptied] of this.#emptiedMs) {
+    for (const [zone, emptied] of this.#evacuatedMs) {
       if (number > emptied.number && !held.application.evacuatedZones.includes(zone))
-        this.#emptiedMs.delete(zone);
+        this.#evacuatedMs.delete(zone);
     }
     if (!whole) this.#closeViews(incarnation, held.view.number, atMs);
     this.#checkCausalOrder(incarnation, held);
@@ -165,53 +165,53 @@
   }
 
   /** A visitor's request enters an edge. */
-  asked(id: string, repeatable: boolean): void {
+  requestSent(id: string, repeatable: boolean): void {
     this.#requests.set(id, {
-      repeatable,
+      idempotent: repeatable,
       sends: 0,
       runs: 0,
-      told: undefined,
+      rejection: undefined,
       run: '',
-      pieces: 0,
+      chunks: 0,
       of: 0,
-      whole: false,
+      complete: false,
     });
   }
 
   /** A visitor is given a piece of an answer. */
-  piece(id: string, piece: SimulatedChunk, atMs: number): void {
+  chunkReceived(id: string, piece: SimulatedChunk, atMs: number): void {
     const visit = this.#requests.get(id);
     if (visit === undefined) return;
     if (piece.id !== id) this.breach("nobody else's answer", `${id} was given a piece of ${piece.id}`, atMs);
-    if (visit.whole)
+    if (visit.complete)
       this.breach('nothing after the end', `${id} was given piece ${piece.place} after its end`, atMs);
-    if (visit.pieces > 0 && visit.run !== piece.run)
+    if (visit.chunks > 0 && visit.run !== piece.run)
       this.breach('one run in an answer', `${id} was given ${piece.run} after ${visit.run}`, atMs);
-    if (piece.place !== visit.pieces)
+    if (piece.place !== visit.chunks)
       this.breach(
         'no piece skipped or repeated',
-        `${id} was given piece ${piece.place} after ${visit.pieces} pieces`,
+        `${id} was given piece ${piece.place} after ${visit.chunks} pieces`,
         atMs,
       );
     visit.run = piece.run;
     visit.of = piece.of;
-    visit.pieces = piece.place + 1;
+    visit.chunks = piece.place + 1;
   }
 
   /** A visitor is told that its answer is whole. */
-  whole(id: string, atMs: number): void {
+  responseCompleted(id: string, atMs: number): void {
     const visit = this.#requests.get(id);
     if (visit === undefined) return;
     this.served += 1;
-    if (visit.whole || visit.told !== undefined)
+    if (visit.complete || visit.rejection !== undefined)
       this.breach('one end', `${id} was told of a second end`, atMs);
-    if (visit.pieces === 0 || visit.pieces < visit.of)
+    if (visit.chunks === 0 || visit.chunks < visit.of)
       this.breach(
         'a cut answer does not look whole',
-        `${id} ended as whole after ${visit.pieces} of ${visit.of} pieces`,
+        `${id} ended as whole after ${visit.chunks} of ${visit.of} pieces`,
         atMs,
       );
-    visit.whole = true;
+    visit.complete = true;
   }
 
   /** A request leaves an edge for a worker. */
@@ -236,10 +236,10 @@
     const visit = this.#requests.get(id);
     if (visit === undefined) return;
     visit.runs += 1;
-    if (visit.runs > 1 && !visit.repeatable)
+    if (visit.runs > 1 && !visit.idempotent)
       this.breach('never run twice', `${id} ran ${visit.runs} times`, atMs);
-    if (visit.told !== undefined && !visit.repeatable)
-      this.breach('refused never runs', `${id} was refused as ${visit.told} and ran`, atMs);
+    if (visit.rejection !== undefined && !visit.idempotent)
+      this.breach('refused never runs', `${id} was refused as ${visit.rejection} and ran`, atMs);
     const leavingMs = atMs - (this.#leavingMs.get(worker) ?? Infinity);
     if (leavingMs > LEAVING_MS)
       this.breach(
@@ -247,8 +247,8 @@
         `${worker}, ${leavingMs.toFixed(0)} ms after it was known`,
         atMs,
       );
-    const emptiedMs = atMs - (this.#emptiedMs.get(zone)?.atMs ?? Infinity);
-    if (emptiedMs > EMPTIED_MS)
+    const emptiedMs = atMs - (this.#evacuatedMs.get(zone)?.atMs ?? Infinity);
+    if (emptiedMs > EVACUATED_MS)
       this.breach(
         'no work to an emptied zone',
         `${worker} in ${zone}, ${emptiedMs.toFixed(0)} ms after it was agreed`,
@@ -260,12 +260,12 @@
   requestRejected(id: string, kind: string, atMs: number): void {
     const visit = this.#requests.get(id);
     if (visit === undefined) return;
-    if (visit.whole || visit.pieces > 0)
-      this.breach('one end', `${id} was refused as ${kind} after ${visit.pieces} pieces`, atMs);
+    if (visit.complete || visit.chunks > 0)
+      this.breach('one end', `${id} was refused as ${kind} after ${visit.chunks} pieces`, atMs);
     this.refused += 1;
     this.refusals[kind] = (this.refusals[kind] ?? 0) + 1;
-    visit.told = kind;
-    if (visit.runs > 0 && !visit.repeatable)
+    visit.rejection = kind;
+    if (visit.runs > 0 && !visit.idempotent)
       this.breach('refused never runs', `${id} ran and was refused as ${kind}`, atMs);
   }
 
@@ -276,8 +276,8 @@
   }
 
   /** An operator was told that a zone is emptied. */
-  zoneEmptied(zone: string, number: number, atMs: number): void {
-    if (!this.#emptiedMs.has(zone)) this.#emptiedMs.set(zone, { number, atMs });
+  zoneEvacuated(zone: string, number: number, atMs: number): void {
+    if (!this.#evacuatedMs.has(zone)) this.#evacuatedMs.set(zone, { number, atMs });
   }
 
   pulled(perMinute: number, atMs: number): void {
@@ -314,7 +314,7 @@
 
   /** Opens a view at an incarnation, so that an empty set counts too. */
   enter(incarnation: string, view: number): void {
-    const views = this.#open.get(incarnation) ?? new Map<number, ViewNote>();
+    const views = this.#open.get(incarnation) ?? new Map<number, ViewDeliveries>();
     this.#open.set(incarnation, views);
     if (!views.has(view)) {
       views.set(view, { casts: [] });
--- a/packages/simulator/src/placement-orders.test.ts
+++ b/packages/simulator/src/placement-orders.test.ts
@@ -19,7 +19,7 @@
 
 /** A few models, others at each call; half of them with an adapter. */
 function shiftDemand(system: System): void {
-  const { dice } = system;
+  const { random: dice } = system;
   const first = Math.floor(dice.next() * SIZE.models);
   system.needs = [0, 1, 2, 3, 4].flatMap((step) => {
     const model = `m${(first + step * 3) % SIZE.models}`;
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -142,7 +142,7 @@
         worker.dark = verb === 'dark';
         return undefined;
       case 'answers':
-        worker.mood = word as FaultMode;
+        worker.faultMode = word as FaultMode;
         return undefined;
       case 'unheard':
         this.#cut(name, (_, to) => to === name);
--- a/packages/simulator/src/simulation-context.ts
+++ b/packages/simulator/src/simulation-context.ts
@@ -74,12 +74,12 @@
   holdings: HoldingTarget[] = [];
   up = true;
   dark = false;
-  mood: FaultMode = 'well';
+  faultMode: FaultMode = 'well';
   /** How often a prompt's prefix was kept here, and what that saved. */
   readonly prefill = { hits: 0, misses: 0, savedMs: 0 };
   #prefixes = new Set<string>();
   #runs = 0;
-  #grounds: SimulationContext;
+  #context: SimulationContext;
   #loadedMs = new Map<string, number>();
   #busyUntilMs = 0;
   #epoch = 0;
@@ -95,7 +95,7 @@
     kind: 'model' | 'lookup',
     slots: number,
   ) {
-    this.#grounds = grounds;
+    this.#context = grounds;
     this.name = name;
     this.zone = zone;
     this.kind = kind;
@@ -110,7 +110,7 @@
     this.#loadedMs.clear();
     this.#busyUntilMs = 0;
     this.#sequence = 0;
-    this.#grounds.oracle.orderEnds(this.name);
+    this.#context.oracle.orderEnds(this.name);
     for (const work of this.#works) {
       work.over = true;
       work.reply.fail();
@@ -119,13 +119,13 @@
   }
 
   order(by: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
-    const { time, oracle, random: dice, isCut } = this.#grounds;
+    const { time, oracle, random: dice, isCut } = this.#context;
     if (!this.up || this.dark || isCut(by, this.name))
       return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
     if (order.epoch === this.#epoch && order.sequence <= this.#sequence)
       return time.after(1, () => done(Result.err(fault('worker-nonsense', 'late'))));
     const acts = order.action !== 'inventory';
-    const spec = this.#grounds.spec();
+    const spec = this.#context.spec();
     if (spec !== undefined) this.#heldMb(spec);
     if (acts) oracle.orderBegins(this.name, by, order.epoch, time.nowMs());
     if (order.epoch < this.#epoch)
@@ -137,12 +137,12 @@
     if (order.epoch >= this.#epoch) this.#sequence = order.sequence;
     this.#epoch = Math.max(this.#epoch, order.epoch);
     const busy = time.nowMs() < this.#busyUntilMs;
-    if (acts && !busy) this.#grounds.ordered(order.action);
+    if (acts && !busy) this.#context.ordered(order.action);
     if (acts && busy) oracle.breach('no order to a busy worker', this.name, time.nowMs());
     const workMs = order.action === 'load' && !busy ? 300 + dice.next() * 500 : 1;
     if (workMs > 1) {
       this.#busyUntilMs = time.nowMs() + workMs;
-      oracle.pulled(this.#grounds.spec()?.store.pullsPerMinute ?? Infinity, time.nowMs());
+      oracle.pulled(this.#context.spec()?.store.pullsPerMinute ?? Infinity, time.nowMs());
     }
     const boots = this.#boots;
     time.after(workMs, () => {
@@ -156,8 +156,8 @@
 
   /** Serves a request; the reply may never come. */
   serve(id: string, reply: Reply): WorkerConnection {
-    const { time, oracle, random: dice } = this.#grounds;
-    const { model, streamed, work: cost } = this.#grounds.requestPlan(id);
+    const { time, oracle, random: dice } = this.#context;
+    const { model, streamed, work: cost } = this.#context.requestPlan(id);
     const work: Work = { model, over: false, reply };
     const line: WorkerConnection = {
       left: () => {
@@ -214,7 +214,7 @@
   #run(work: Work, gapMs: number, acts: readonly (() => void)[]): void {
     const [act, ...later] = acts;
     if (act === undefined) return;
-    this.#grounds.time.after(gapMs, () => {
+    this.#context.time.after(gapMs, () => {
       if (work.over) return;
       if (this.dark) return this.#run(work, gapMs, acts);
       act();
@@ -233,8 +233,8 @@
       () => {
         this.#done(work);
         work.reply.start(200, 'application/json');
-        work.reply.chunk(this.mood === 'nonsense' ? '<html>' : body.slice(0, body.length / 2));
-        if (this.mood === 'early') return work.reply.fail();
+        work.reply.chunk(this.faultMode === 'nonsense' ? '<html>' : body.slice(0, body.length / 2));
+        if (this.faultMode === 'early') return work.reply.fail();
         work.reply.chunk(body.slice(body.length / 2));
         work.reply.end();
       },
@@ -244,7 +244,7 @@
   /** One event after another, each in two chunks, and the closing event. */
   #stream(work: Work, pieces: readonly string[], gapMs: number): void {
     const { reply } = work;
-    if (this.mood === 'nonsense') {
+    if (this.faultMode === 'nonsense') {
       this.#done(work);
       reply.start(200, 'text/html');
       return reply.end();
@@ -252,10 +252,10 @@
     const acts = pieces.map((piece, place) => () => {
       if (place === 0) reply.start(200, SSE);
       const event = `data: ${piece}\n\n`;
-      const middle = Math.floor(event.length * this.#grounds.random.next());
+      const middle = Math.floor(event.length * this.#context.random.next());
       reply.chunk(event.slice(0, middle));
       reply.chunk(event.slice(middle));
-      if (this.mood !== 'early' || place !== 1) return;
+      if (this.faultMode !== 'early' || place !== 1) return;
       this.#done(work);
       reply.end();
     });
@@ -264,7 +264,7 @@
       () => {
         this.#done(work);
         reply.chunk('data: [DONE]\n\n');
-        if (this.mood === 'more') reply.chunk(`data: ${pieces[0] ?? ''}\n\n`);
+        if (this.faultMode === 'more') reply.chunk(`data: ${pieces[0] ?? ''}\n\n`);
         reply.end();
       },
     ]);
@@ -288,15 +288,15 @@
     if (order.action === 'unload') this.holdings = adapter === '' ? others : [...others, { model, adapters }];
     if (order.action !== 'load') return;
     this.holdings = [...others, { model, adapters: adapter === '' ? adapters : [...adapters, adapter] }];
-    if (adapter === '') this.#loadedMs.set(model, this.#grounds.time.nowMs());
-    const spec = this.#grounds.spec();
+    if (adapter === '') this.#loadedMs.set(model, this.#context.time.nowMs());
+    const spec = this.#context.spec();
     if (spec === undefined || this.kind === 'lookup') return;
     const heldMb = this.#heldMb(spec);
     if (heldMb > spec.workers.roomMb)
-      this.#grounds.oracle.breach(
+      this.#context.oracle.breach(
         'room is kept',
         `${this.name} was told to hold ${heldMb} MB`,
-        this.#grounds.time.nowMs(),
+        this.#context.time.nowMs(),
       );
   }
 }
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -101,8 +101,8 @@
   #loops: SiteLoops;
   #pool: string;
   #wishes = new Map<string, RequestPlan>();
-  #grounds: SimulationContext;
-  #dice: SeededRandom;
+  #context: SimulationContext;
+  #random: SeededRandom;
   #list: WorkerList;
   #listGeneration = 1;
   #sequences = new Map<string, number>();
@@ -114,12 +114,12 @@
   constructor(seed: number, size: SiteSize, lossRatio: number, loops: SiteLoops = {}) {
     this.#loops = loops;
     this.#pool = size.pool ?? 'desks';
-    this.#dice = new SeededRandom(seed);
-    this.net = new Net(this.time, this.#dice, lossRatio);
-    this.#grounds = {
+    this.#random = new SeededRandom(seed);
+    this.net = new Net(this.time, this.#random, lossRatio);
+    this.#context = {
       time: this.time,
       oracle: this.oracle,
-      random: this.#dice,
+      random: this.#random,
       spec: () => this.#newestSpec(),
       isCut: (from, to) => this.net.isCut(from, to),
       ordered: (action) => this.orders.push({ atMs: this.time.nowMs(), action }),
@@ -129,7 +129,7 @@
     for (let place = 0; place < size.cores + size.edges; place += 1) {
       const core = place < size.cores;
       const name = core ? `core-${place}` : `edge-${place - size.cores}`;
-      const disk = core ? new SimDisk(this.time, this.#dice) : undefined;
+      const disk = core ? new SimDisk(this.time, this.#random) : undefined;
       const zone = size.zones[place % size.zones.length] ?? '';
       this.machines.push({
         name,
@@ -145,17 +145,17 @@
     this.#founders = this.machines.slice(0, size.cores).map((machine) => machine.name);
     for (let place = 0; place < size.workers; place += 1) {
       const zone = size.zones[place % size.zones.length] ?? '';
-      this.workers.push(new SimWorker(this.#grounds, `worker-${place}`, zone, 'model', size.slots ?? SLOTS));
+      this.workers.push(new SimWorker(this.#context, `worker-${place}`, zone, 'model', size.slots ?? SLOTS));
     }
     for (let place = 0; place < 3; place += 1) {
       const zone = size.zones[place % size.zones.length] ?? '';
-      this.workers.push(new SimWorker(this.#grounds, `lookup-${place}`, zone, 'lookup', LOOKUP_SLOTS));
+      this.workers.push(new SimWorker(this.#context, `lookup-${place}`, zone, 'lookup', LOOKUP_SLOTS));
     }
     this.#list = this.#makeList(new Set());
   }
 
   get dice(): SeededRandom {
-    return this.#dice;
+    return this.#random;
   }
 
   get zones(): readonly string[] {
@@ -176,7 +176,7 @@
     if (machine.running !== undefined) return;
     machine.boots += 1;
     const opening =
-      machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#dice));
+      machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#random));
     if (opening?.isErr === true) {
       this.oracle.breach('disk reads back', `${machine.name}: ${opening.error.detail}`, this.time.nowMs());
       return;
@@ -186,7 +186,7 @@
       opening === undefined || machine.disk === undefined
         ? undefined
         : new Acceptor(opening.value, machine.disk, 'park', (failed) => this.#diskFailed(machine, failed));
-    const skewMs = this.#dice.next() * 1e6;
+    const skewMs = this.#random.next() * 1e6;
     const running: Running = {
       clusterNode: this.#clusterNode(machine, acceptor, skewMs),
       address: machine.address,
@@ -203,7 +203,7 @@
     if (machine.disk === undefined) running.edge = this.#edge(machine, running);
     this.net.open(machine.address, machine.name, (frame) => this.#take(machine, running, frame));
     if (fresh) acceptor?.writeDiskRecord();
-    this.time.after(this.#dice.next() * HEARTBEAT_MS, () => this.#tick(machine, running));
+    this.time.after(this.#random.next() * HEARTBEAT_MS, () => this.#tick(machine, running));
   }
 
   kill(machine: Machine): void {
@@ -231,7 +231,7 @@
     payload: unknown,
     told: (answer: Answer) => void = () => undefined,
   ): string {
-    const id = randomId(this.#dice);
+    const id = randomId(this.#random);
     const sent = machine.running?.clusterNode.submit(id, kind, JSON.stringify(payload), (answer: Answer) => {
       this.oracle.answered(id, answer.kind, answer.number, this.time.nowMs());
       this.note(machine.name, `${kind} ${answer.kind}@${answer.number}`);
@@ -239,7 +239,7 @@
       this.atAnswer?.();
       const zone = (payload as { zone?: string }).zone;
       if (kind === 'zone.empty' && answer.kind === 'agreed' && zone !== undefined)
-        this.oracle.zoneEmptied(zone, answer.number, this.time.nowMs());
+        this.oracle.zoneEvacuated(zone, answer.number, this.time.nowMs());
     });
     return sent?.isOk === true ? id : '';
   }
@@ -278,7 +278,7 @@
       seeds: this.seeds.map((seed) => seed.address),
       founders: machine.disk === undefined ? [] : this.#founders,
       clock: { nowMs: () => this.time.nowMs() + skewMs },
-      chance: this.#dice,
+      chance: this.#random,
       times: GROUP_TIMES,
       acceptor,
       send: (to, frame) => {
@@ -328,7 +328,7 @@
 
   #tick(machine: Machine, running: Running): void {
     if (machine.running !== running) return;
-    this.time.after(HEARTBEAT_MS * (0.9 + this.#dice.next() * 0.2), () => this.#tick(machine, running));
+    this.time.after(HEARTBEAT_MS * (0.9 + this.#random.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     running.clusterNode.tick();
     const { isCoordinator: leading, epoch } = running.clusterNode.group;
@@ -337,13 +337,13 @@
     this.#probe(machine, running);
     running.heartbeats += 1;
     if (running.heartbeats % LIST_BEATS === 0) this.#readList(running);
-    if (this.notes && this.#dice.next() < 0.1) this.#castNote(running);
+    if (this.notes && this.#random.next() < 0.1) this.#castNote(running);
     if (running.edge === undefined) return;
     running.edge.gateway.tick();
     if (running.heartbeats % LIST_BEATS === 0) running.edge.observe();
-    if (!this.visitors || this.#dice.next() >= 0.4) return;
-    const lookup = this.#dice.next() < 0.4;
-    this.visit(running.edge, lookup, lookup ? '' : `model-${Math.floor(8 * this.#dice.next() ** 2)}`);
+    if (!this.visitors || this.#random.next() >= 0.4) return;
+    const lookup = this.#random.next() < 0.4;
+    this.visit(running.edge, lookup, lookup ? '' : `model-${Math.floor(8 * this.#random.next() ** 2)}`);
   }
 
   #readList(running: Running): void {
@@ -384,7 +384,7 @@
   #edge(machine: Machine, running: Running): SpecEdge {
     const clock = { nowMs: () => this.time.nowMs() + running.skewMs };
     const sender = new SimSender(
-      this.#grounds,
+      this.#context,
       machine.name,
       this.workers,
       (act) => this.#atNode(machine, running, act),
@@ -395,7 +395,7 @@
       machine.name,
       machine.zone,
       clock,
-      this.#dice,
+      this.#random,
       sender,
       this.#loops.weights,
     );
@@ -403,9 +403,9 @@
 
   /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
   visit(edge: SpecEdge, lookup: boolean, model: string): void {
-    const streamed = !lookup && this.#dice.next() < 0.6;
+    const streamed = !lookup && this.#random.next() < 0.6;
     const path = lookup ? '/lookup/1' : '/v1/chat/completions';
-    const prefix = Math.floor(this.#dice.next() * 8);
+    const prefix = Math.floor(this.#random.next() * 8);
     const leave = this.call(edge, {
       path,
       group: 'technicians',
@@ -415,16 +415,16 @@
       prefix,
       streamed,
     });
-    if (this.#dice.next() < LEAVES_RATIO) this.time.after(this.#dice.next() * 400, leave);
+    if (this.#random.next() < LEAVES_RATIO) this.time.after(this.#random.next() * 400, leave);
   }
 
   /** A visitor makes a call; the returned function says that it has left. */
   call(edge: SpecEdge, call: SimCall, ended?: Ended): () => void {
-    const id = randomId(this.#dice);
+    const id = randomId(this.#random);
     const { path, group, kind, model, adapter, prefix, streamed, work } = call;
     const lookup = model === '';
     this.#wishes.set(id, { model, streamed, ...(work === undefined ? {} : { work }) });
-    this.oracle.asked(id, lookup);
+    this.oracle.requestSent(id, lookup);
     const ask = {
       id,
       path,
@@ -498,7 +498,7 @@
     const worker = this.workers.find((known) => known.name === to);
     const running = machine.running;
     if (worker === undefined || running?.clusterNode !== clusterNode) return;
-    this.time.after(this.#dice.next() * CLOSED_MS, () =>
+    this.time.after(this.#random.next() * CLOSED_MS, () =>
       worker.order(machine.name, order, (reply) => this.#atNode(machine, running, () => done(reply))),
     );
   }
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -184,13 +184,13 @@
   }
 
   #roll(most: number): number {
-    return Math.floor(this.system.dice.next() * most);
+    return Math.floor(this.system.random.next() * most);
   }
 
   #draw(): Act {
     const weights = Object.entries(WEIGHTS[this.#profile]) as [Act, number][];
     const sum = weights.reduce((total, [, weight]) => total + weight, 0);
-    let left = this.system.dice.next() * sum;
+    let left = this.system.random.next() * sum;
     return weights.find(([, weight]) => (left -= weight) < 0)?.[0] ?? 'order';
   }
 
@@ -255,7 +255,7 @@
       const model = `m${this.#roll(this.system.size.models)}`;
       if (needs.some((need) => need.model === model)) continue;
       needs.push({ model, adapter: '', count: 1 + this.#roll(4) });
-      if (this.system.dice.next() < 0.6) needs.push({ model, adapter: `a${this.#roll(4)}`, count: 1 });
+      if (this.system.random.next() < 0.6) needs.push({ model, adapter: `a${this.#roll(4)}`, count: 1 });
     }
     this.system.needs = needs;
   }
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -39,7 +39,7 @@
  */
 export class System {
   readonly time = new VirtualTime();
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly size: SystemSize;
   readonly network: Network;
   readonly workers: WorkerPool;
@@ -54,7 +54,7 @@
   #directory: CoreDirectory;
   #processes: Processes;
   #invariants: Invariants;
-  #born = 0;
+  #created = 0;
   #told = new Set<string>();
 
   constructor(seed: number, size: SystemSize) {
@@ -62,7 +62,7 @@
     const dice = new SeededRandom(seed);
     const note = (node: string, text: string): void => this.note(node, text);
     const breach = (rule: string, detail: string): void => this.breach(rule, detail);
-    this.dice = dice;
+    this.random = dice;
     this.size = size;
     const network = new Network(time, dice, () => this.machines);
     const workers = new WorkerPool(time, dice, breach, size.workers, size.zones);
@@ -131,9 +131,9 @@
 
   /** A further core, empty, at an address of its own. */
   addCore(zone = this.size.zones[this.cores.length % this.size.zones.length] ?? ''): Machine {
-    const name = `core-${this.#born}`;
-    this.#born += 1;
-    const core = new Machine(name, zone, `${name}:1`, new SimDisk(this.time, this.dice));
+    const name = `core-${this.#created}`;
+    this.#created += 1;
+    const core = new Machine(name, zone, `${name}:1`, new SimDisk(this.time, this.random));
     this.cores.push(core);
     return core;
   }
@@ -144,7 +144,7 @@
     this.#directory.open();
     this.#processes.found(this.cores);
     for (const machine of this.machines)
-      this.time.after(this.dice.next() * FIRST_START_SPREAD_MS, () => this.boot(machine, true));
+      this.time.after(this.random.next() * FIRST_START_SPREAD_MS, () => this.boot(machine, true));
     this.#invariants.open();
   }
 
--- a/packages/simulator/src/system/core-directory.ts
+++ b/packages/simulator/src/system/core-directory.ts
@@ -13,13 +13,13 @@
  */
 export class CoreDirectory {
   #time: VirtualTime;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   #cores: () => readonly Machine[];
   #samples: { readonly atMs: number; readonly cores: readonly Machine[] }[] = [];
 
   constructor(time: VirtualTime, dice: SeededRandom, cores: () => readonly Machine[]) {
     this.#time = time;
-    this.#dice = dice;
+    this.#random = dice;
     this.#cores = cores;
   }
 
@@ -32,7 +32,7 @@
   }
 
   list(): readonly Machine[] {
-    const wantedMs = this.#time.nowMs() - this.#dice.next() * BOUNDS.seedLagMs;
+    const wantedMs = this.#time.nowMs() - this.#random.next() * BOUNDS.seedLagMs;
     const sample = this.#samples.findLast((known) => known.atMs <= wantedMs) ?? this.#samples[0];
     return sample?.cores ?? this.#cores();
   }
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -52,7 +52,7 @@
   /** What was injected, for reports. */
   readonly injected: string[] = [];
   #system: System;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   /** Until when each core counts as lost. */
   #lostUntilMs = new Map<Machine, number>();
   /** Of those, the ones whose disk was lost as well. */
@@ -61,11 +61,11 @@
 
   constructor(system: System) {
     this.#system = system;
-    this.#dice = system.dice;
+    this.#random = system.random;
   }
 
   #roll(most: number): number {
-    return Math.floor(this.#dice.next() * most);
+    return Math.floor(this.#random.next() * most);
   }
 
   #pick<T>(list: readonly T[]): T | undefined {
@@ -114,7 +114,7 @@
     const { cores } = this.#system;
     const whole = cores.filter((core) => core.running !== undefined && !this.#lostUntilMs.has(core));
     const leader = this.#system.leader();
-    if (leader !== undefined && whole.includes(leader) && this.#dice.next() < 0.5) return leader;
+    if (leader !== undefined && whole.includes(leader) && this.#random.next() < 0.5) return leader;
     return this.#pick(whole);
   }
 
@@ -278,7 +278,7 @@
   /** All cores lose power as soon as the next order is acknowledged; at times all disks are slow before. */
   powerAfterAcknowledgement(send: () => void): void {
     const { operators, cores } = this.#system;
-    const slowMs = this.#dice.next() < 0.5 ? SLOWEST_DISK_MS * this.#dice.next() : 0;
+    const slowMs = this.#random.next() < 0.5 ? SLOWEST_DISK_MS * this.#random.next() : 0;
     for (const core of cores) if (core.disk !== undefined) core.disk.slowMs = slowMs;
     operators.onAnswer = (kind) => {
       if (kind !== 'agreed') return;
@@ -386,10 +386,10 @@
     if (workerCalls.faults !== SOUND_CALLS) return;
     this.#inject('unsound calls to workers');
     workerCalls.faults = {
-      delayed: MOST_CALLS_DELAYED * this.#dice.next(),
-      answerLost: MOST_CALLS_FAILED * this.#dice.next(),
-      refused: MOST_CALLS_FAILED * this.#dice.next(),
-      unreadable: this.#dice.next(),
+      delayed: MOST_CALLS_DELAYED * this.#random.next(),
+      answerLost: MOST_CALLS_FAILED * this.#random.next(),
+      refused: MOST_CALLS_FAILED * this.#random.next(),
+      unreadable: this.#random.next(),
     };
     this.#after(1000 + this.#roll(6000), () => {
       workerCalls.faults = SOUND_CALLS;
@@ -401,7 +401,7 @@
     const { operators } = this.#system;
     if (operators.answerLossRatio > 0) return;
     this.#inject('answers lost');
-    operators.answerLossRatio = 0.2 + this.#dice.next() * 0.5;
+    operators.answerLossRatio = 0.2 + this.#random.next() * 0.5;
     this.#after(2000 + this.#roll(8000), () => {
       operators.answerLossRatio = 0;
     });
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -20,14 +20,14 @@
   /** Share of frames that are lost. */
   lossRatio = 0.002;
   #time: VirtualTime;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   #machines: () => readonly Machine[];
   #cuts = new Set<Cut>();
   #arrivals = new Map<string, number>();
 
   constructor(time: VirtualTime, dice: SeededRandom, machines: () => readonly Machine[]) {
     this.#time = time;
-    this.#dice = dice;
+    this.#random = dice;
     this.#machines = machines;
   }
 
@@ -55,11 +55,11 @@
     const target = this.#machines().find((known) => known.address === address);
     if (sender.running === undefined || target === undefined) return;
     const bytes = encodeFrame(frame);
-    if (this.#dice.next() < this.lossRatio) return;
+    if (this.#random.next() < this.lossRatio) return;
     const nowMs = this.#time.nowMs();
     const direction = `${sender.name} ${address}`;
-    const slowMs = this.#dice.next() < SLOW_SHARE ? SLOW_MS : 0;
-    const latencyMs = LEAST_LATENCY_MS + this.#dice.next() * JITTER_MS + slowMs;
+    const slowMs = this.#random.next() < SLOW_SHARE ? SLOW_MS : 0;
+    const latencyMs = LEAST_LATENCY_MS + this.#random.next() * JITTER_MS + slowMs;
     const atMs = Math.max(this.#arrivals.get(direction) ?? 0, nowMs + latencyMs);
     this.#arrivals.set(direction, atMs);
     this.#time.after(atMs - nowMs, () => this.#arrive(sender, target, bytes));
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -82,7 +82,7 @@
 
   /** Orders one after the other, as many at once as may be. */
   storm(everyMs: number, forMs: number): void {
-    const { time, dice } = this.#system;
+    const { time, random: dice } = this.#system;
     const endMs = time.nowMs() + forMs;
     const next = (): void => {
       if (time.nowMs() > endMs) return;
@@ -101,7 +101,7 @@
   race(): void {
     const base = Math.max(...this.#beliefs.map((belief) => belief.revision));
     const ends: OrderEnd[] = [];
-    const sameNumber = this.#system.dice.next() < 0.5 ? this.#nextRevision(base) : undefined;
+    const sameNumber = this.#system.random.next() < 0.5 ? this.#nextRevision(base) : undefined;
     for (const belief of this.#beliefs) {
       belief.revision = base;
       this.#change(belief, this.#roll(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
@@ -120,7 +120,7 @@
   }
 
   #roll(most: number): number {
-    return Math.floor(this.#system.dice.next() * most);
+    return Math.floor(this.#system.random.next() * most);
   }
 
   #belief(): Belief {
@@ -163,7 +163,7 @@
 
   /** The same order once more: what was taken is acknowledged again. */
   #repeatLater(request: OperatorRequest): void {
-    const { time, dice } = this.#system;
+    const { time, random: dice } = this.#system;
     time.after(dice.next() * REPEAT_WITHIN_MS, () => this.#system.order(request, true));
   }
 
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -384,10 +384,10 @@
 
   #faultyWorker(): void {
     const worker = this.#pick(this.#site.workers);
-    worker.mood = this.#pick(['early', 'more', 'nonsense'] as const);
-    this.#fault(`${worker.name} answers ${worker.mood}`);
+    worker.faultMode = this.#pick(['early', 'more', 'nonsense'] as const);
+    this.#fault(`${worker.name} answers ${worker.faultMode}`);
     this.#later(this.#upTo(4000), () => {
-      worker.mood = 'well';
+      worker.faultMode = 'well';
     });
   }
 
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -31,7 +31,7 @@
   respond(_status: number, _contentType: string, body: Uint8Array): void {
     const pieces = JSON.parse(Buffer.from(body).toString()) as SimulatedChunk[];
     for (const piece of pieces) this.#take(piece);
-    this.#oracle.whole(this.#id, this.#nowMs());
+    this.#oracle.responseCompleted(this.#id, this.#nowMs());
     this.#ended('served', this.#nowMs(), this.#worker);
   }
 
@@ -56,13 +56,13 @@
   }
 
   close(): void {
-    this.#oracle.whole(this.#id, this.#nowMs());
+    this.#oracle.responseCompleted(this.#id, this.#nowMs());
     this.#ended('served', this.#firstMs, this.#worker);
   }
 
   #take(piece: SimulatedChunk): void {
     this.#worker = piece.run.slice(0, piece.run.lastIndexOf('-'));
-    this.#oracle.piece(this.#id, piece, this.#nowMs());
+    this.#oracle.chunkReceived(this.#id, piece, this.#nowMs());
   }
 
   abort(): void {
--- a/tools/fleet/src/bad-requests.ts
+++ b/tools/fleet/src/bad-requests.ts
@@ -18,7 +18,7 @@
   return JSON.stringify({ model, messages: [{ role: 'user', content: 'how high' }] });
 }
 
-const VISITOR_CASES: readonly Case[] = [
+const BAD_REQUESTS: readonly Case[] = [
   {
     name: 'not JSON',
     method: 'POST',
@@ -151,11 +151,11 @@
  * @example
  * const faults = await tryManners(fleet);
  */
-export async function tryManners(fleet: Fleet): Promise<string[]> {
+export async function tryBadRequests(fleet: Fleet): Promise<string[]> {
   const faults: string[] = [];
   const edge = fleet.edges[0]?.http ?? '';
   const endless = tryEndlessHeaders(edge);
-  for (const one of VISITOR_CASES)
+  for (const one of BAD_REQUESTS)
     faults.push(...[await tryCase(edge, one)].filter((fault) => fault !== undefined));
   for (const one of OPERATOR_CASES) {
     for (const { http } of [fleet.nodes[0], fleet.edges[0]].filter((node) => node !== undefined)) {
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -8,7 +8,7 @@
 import type { Report } from '@rainrun/stand-in-workers';
 import { tryEverywhere } from './everywhere.js';
 import { Fleet } from './fleet.js';
-import { tryManners } from './bad-requests.js';
+import { tryBadRequests } from './bad-requests.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
 import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
@@ -211,7 +211,7 @@
     console.log(
       `every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`,
     );
-    const manners = await tryManners(fleet);
+    const manners = await tryBadRequests(fleet);
     console.log(
       `bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`,
     );
--- a/tools/stand-in-workers/src/report.ts
+++ b/tools/stand-in-workers/src/report.ts
@@ -11,7 +11,7 @@
  * book.ran('id-1');
  * book.report().runs['id-1']; // 1
  */
-export class Book {
+export class RequestLog {
   #breaches: string[] = [];
   #runs = new Map<string, number>();
   #counts = new Map<string, number>();
--- a/tools/stand-in-workers/src/stand-in-workers.ts
+++ b/tools/stand-in-workers/src/stand-in-workers.ts
@@ -1,5 +1,5 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-import { Book, type Report } from './report.js';
+import { RequestLog, type Report } from './report.js';
 import { StandInWorker, type FaultMode, type WorkerSetup } from './worker.js';
 
 /** How a standIns is set up: where its list is served, and its workers. */
@@ -18,7 +18,7 @@
  */
 export class StandInWorkers {
   #setup: StandInWorkersSetup;
-  #book: Book;
+  #book: RequestLog;
   #workers = new Map<string, StandInWorker>();
   #pools = new Map<string, string>();
   #generation = 1;
@@ -26,7 +26,7 @@
 
   constructor(setup: StandInWorkersSetup) {
     this.#setup = setup;
-    this.#book = new Book(setup.pullsPerMinute);
+    this.#book = new RequestLog(setup.pullsPerMinute);
     for (const worker of setup.workers) {
       this.#workers.set(worker.name, new StandInWorker(worker, this.#book));
       this.#pools.set(worker.name, worker.pool);
--- a/tools/stand-in-workers/src/worker.ts
+++ b/tools/stand-in-workers/src/worker.ts
@@ -1,7 +1,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { digest, piece, pieceCount } from './answers.js';
-import type { Book } from './report.js';
+import type { RequestLog } from './report.js';
 
 interface Holding {
   readonly model: string;
@@ -54,7 +54,7 @@
 /** A stand-in worker: serves models by published protocols and watches for what must not happen. */
 export class StandInWorker {
   readonly setup: WorkerSetup;
-  #book: Book;
+  #book: RequestLog;
   #server: Server;
   #holdings = new Map<string, Set<string>>();
   #loadedMs = new Map<string, number>();
@@ -67,7 +67,7 @@
   #emptiedMs: number | undefined;
   #runs = 0;
 
-  constructor(setup: WorkerSetup, book: Book) {
+  constructor(setup: WorkerSetup, book: RequestLog) {
     this.setup = setup;
     this.#book = book;
     this.#server = createServer((req, res) => {
