--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -16,7 +16,7 @@
   extends Omit<GroupDependencies<Deployment>, 'stateMachine' | 'listener'>, PlacementEffects {
   /** Called when another edition came into force here. */
   onStateChange(state: Deployment): void;
-  /** Called when this node joins, or rejoins, as a new incarnation. */
+  /** Called when this node was dropped from the view and goes on as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
   /** Called when the group rejects this node, with the reason. */
   onJoinRejected(why: string): void;
--- a/packages/cluster-node/src/core-selection.ts
+++ b/packages/cluster-node/src/core-selection.ts
@@ -4,7 +4,7 @@
 
 /** A core that did not answer for so long is forgotten, unless it is a seed. */
 const CORE_EXPIRY_MS = 10_000;
-/** Subscriptions to cores beside the coordinator's. */
+/** So many cores that hold a lease are subscribed to; the coordinator is always one more where it is not among them. */
 const CORES_MAX = 3;
 /** A core that did not answer for so long counts as unreachable. */
 const CORE_TIMEOUT_MS = 1500;
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -25,6 +25,7 @@
   | 'disk'
   | 'damaged'
   | 'foreign'
+  /** No level of the protocol is common to this node and the group. */
   | 'unbridged'
   | 'wire';
 
--- a/packages/gateway/src/retry-budget.ts
+++ b/packages/gateway/src/retry-budget.ts
@@ -9,8 +9,8 @@
  * leaves, so that those which wait cannot pile up.
  * @example
  * const budget = new RetryBudget();
- * budget.allot('incarnation-1', 1);
- * for (let sent = 0; sent < 5; sent += 1) budget.first(0.2);
+ * budget.setAllowance('incarnation-1', 1);
+ * for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
  * budget.reserve(); // true: five requests earned one extra send
  * budget.spend(); // true: it leaves now
  */
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -33,7 +33,7 @@
 }
 
 /**
- * Follows the use of perCopy model, and says how many copies it needs.
+ * Follows the use of each model, and says how many copies it needs.
  * @example
  * copies.targetOf(engine, 'model-1', demand, nowMs).wanted;
  */
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -28,7 +28,7 @@
 const ADAPTER_MS = 14;
 /** So long a worker takes to let a model go that nobody uses. */
 const UNLOAD_MS = 35;
-/** A worker has seen a newer coordinator: this one will have lost the duty by then, or gets a newer epoch. */
+/** A worker has seen a newer coordinator: this one will have lost the singleton lease by then, or gets a newer epoch. */
 const FENCED_RETRY_MS = 1000;
 /** A worker that leaves so many questions in a row unanswered is taken for silent. */
 const UNRESPONSIVE_REPORTS = 2;
@@ -52,7 +52,7 @@
  * @example
  * const sender = new OrderSender(table, dependencies);
  * sender.state(row).add(newStep('load', 'model-1', '', nowMs));
- * sender.pursue(engine, row, nowMs);
+ * sender.sendDue(engine, row, nowMs);
  */
 export class OrderSender {
   readonly counts = { loads: 0, unloads: 0, orders: 0, busy: 0, unanswered: 0, reports: 0, reread: 0 };
--- a/packages/placement/src/orders.ts
+++ b/packages/placement/src/orders.ts
@@ -25,7 +25,7 @@
   | 'held'
   /** Another order is being done, or the sequence differs. */
   | 'busy'
-  /** A higher fence was seen. */
+  /** A higher fencing token was seen. */
   | 'fenced'
   /** The worker at this address is another one, or lacks what the order builds on. */
   | 'wrong-worker'
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -43,7 +43,7 @@
  * Whether the demand for a model was watched for long enough to know how many copies it needs. At the start of
  * traffic, and under a new coordinator, few copies seem to be needed of any.
  * @example
- * isWatched(round, 'model-1');
+ * isObserved(round, 'model-1');
  */
 export function isObserved({ engine, observedMs }: PlacementRound, model: string): boolean {
   return observedMs >= PLACEMENT_POLICY.eviction.observationLoads * (engine.models.get(model)?.loadMs ?? 0);
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -207,7 +207,7 @@
 
   it('lets go what can be loaded again in time, before what was unused longer and cannot wait', () => {
     const bench = new Bench(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
-    const busy = { ...want('m2', 0, 1), patienceMs: 100 };
+    const busy = { ...want('m2', 0, 1), meanTargetMs: 100 };
     bench.run(1000, () => [busy, { ...want('m0', 0, 1), meanTargetMs: 100 }]);
     bench.run(1000, () => [busy, { ...want('m1', 0, 1), meanTargetMs: 5000 }]);
     bench.run(1000, () => [busy]);
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -17,27 +17,27 @@
 
 /** What the planner needs of its node. */
 export interface PlannerDependencies extends OrderDependencies {
-  /** Called for perCopy decision, for the logs. */
+  /** Called for each decision, for the logs. */
   onDecision(text: string): void;
 }
 
 /** Copies that are wanted: the most urgent first. */
 type Needs = Readonly<Record<LoadPurpose, CopyNeed[]>>;
 
-/** What an edge asked for is forgotten after so long without a word from it. */
+/** The demand of an edge expires after so long without an update from it. */
 const DEMAND_TTL_MS = 2000;
 
 /**
  * Decides which worker holds which model, and orders it, while this node has
- * the duty. A model that is asked for and stands nowhere is loaded in the place
- * of what has been unused longest; models in demand stand as often as their
- * concurrency needs. Loads from the store are shared between the two, and the
- * longer a model was asked for in vain, the sooner its turn comes.
+ * the singleton lease. A model that is requested and loaded nowhere is loaded in
+ * the place of what has been unused longest; models in demand have as many copies
+ * as their concurrency needs. Loads from the store are shared between the two, and the
+ * longer a model was requested and not served, the sooner its turn comes.
  * @example
  * const planner = new PlacementPlanner(table, dependencies);
- * planner.want('incarnation-1', demands, nowMs);
+ * planner.updateDemand('incarnation-1', demands, nowMs);
  * planner.plan(engines, evacuated, nowMs);
- * planner.pursue(engines, nowMs);
+ * planner.sendDueOrders(engines, nowMs);
  */
 export class PlacementPlanner {
   #table: WorkerTable;
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Sends the orders that are due, in what was decision before. */
+  /** Sends the orders that are due, of what was decided before. */
   sendDueOrders(engines: ReadonlyMap<string, Engine>, nowMs: number): void {
     for (const engine of engines.values())
       for (const row of this.#rowsOf(engine)) this.#sender.sendDue(engine, row, nowMs);
@@ -172,7 +172,7 @@
   }
 
   /**
-   * What perCopy request waits for counts, and how long the model was asked for in vain: so its turn comes. Requests
+   * What each waiting request is worth counts, and how long the model was requested and not served: so its turn comes. Requests
    * that cannot wait as long as a load takes are lost until it is done, those that are still to come too.
    */
   #firstCopy({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
--- a/packages/router/src/worker-status.ts
+++ b/packages/router/src/worker-status.ts
@@ -37,7 +37,7 @@
  * @example
  * const statuses = new WorkerStatusTable(dependencies);
  * statuses.recordFailure(worker);
- * statuses.isBackedOff(worker.id, nowMs); // true
+ * statuses.status(worker.id).backoffUntilMs; // later than now
  */
 export class WorkerStatusTable {
   #dependencies: WorkerStatusDependencies;
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -274,6 +274,7 @@
       leading: group.isCoordinator ? 1 : 0,
       granted: group.holdsLease() ? 1 : 0,
       followers,
+      // The number of the table's last change, not a count of rows; the metric keeps its name.
       rows: workerTable.number,
       ...planner.counts,
       framesIn: this.#transport.counts.framesIn,
--- a/packages/runtime/src/peer-transport.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -193,7 +193,7 @@
   }
 }
 
-/** A cut holds bytes up without a word, and TCP tries again ever more seldom: a new connection finds the way sooner. */
+/** A partition delays bytes without an error, and TCP retransmits at growing intervals: a new connection recovers sooner. */
 function isAckOverdue(connection: PeerConnection, nowMs: number): boolean {
   return (
     connection.unacknowledgedSinceMs !== undefined &&
--- a/packages/runtime/src/spec-platform-client.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -46,7 +46,7 @@
 /**
  * Reads the platform's list of workers from an http address or a file.
  * @example
- * const list = await readList('http://127.0.0.1:9000/workers');
+ * const list = await readSpecWorkerList('http://127.0.0.1:9000/workers');
  */
 export async function readSpecWorkerList(source: string): Promise<Result<WorkerList, Fault>> {
   try {
@@ -78,7 +78,7 @@
 /**
  * Sends one order to a worker and reads its reply.
  * @example
- * const reply = await sendOrder('127.0.0.1:9101', order);
+ * const reply = await sendSpecOrder('127.0.0.1:9101', order);
  */
 export async function sendSpecOrder(
   address: string,
