--- a/packages/process-group/src/agreement/acceptor.test.ts
+++ b/packages/process-group/src/agreement/acceptor.test.ts
@@ -6,7 +6,7 @@
   ProposeSchema,
   VersionSchema,
   type Accepted,
-  type Promise as Promised,
+  type Promise as PromiseMessage,
 } from '@rainrun/messages';
 import type { RecordKind, RecordWriter } from '@rainrun/storage';
 import type { Fault } from '@rainrun/common';
@@ -14,13 +14,13 @@
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 
-class SlowDisk implements RecordWriter {
-  readonly waiting: (() => void)[] = [];
+class ManualSyncDisk implements RecordWriter {
+  readonly unsynced: (() => void)[] = [];
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
-    this.waiting.push(() => done(Result.ok()));
+    this.unsynced.push(() => done(Result.ok()));
   }
   sync(): void {
-    for (const done of this.waiting.splice(0)) done();
+    for (const done of this.unsynced.splice(0)) done();
   }
 }
 
@@ -36,7 +36,7 @@
   );
 }
 
-function version(epoch: number, number: number) {
+function proposal(epoch: number, number: number) {
   return create(ProposeSchema, {
     disk: 'leader',
     version: create(VersionSchema, { epoch, number, entry: create(EntrySchema) }),
@@ -45,18 +45,18 @@
 
 describe('voter', () => {
   it('answers only after the sync', () => {
-    const disk = new SlowDisk();
-    const answers: (Promised | Accepted)[] = [];
+    const disk = new ManualSyncDisk();
+    const answers: (PromiseMessage | Accepted)[] = [];
     const acceptor = acceptorOn(disk);
     acceptor.prepare(create(PrepareSchema, { epoch: 3, disk: 'leader' }), (promise) => answers.push(promise));
-    acceptor.accept(version(3, 1), (accepted) => answers.push(accepted));
+    acceptor.accept(proposal(3, 1), (accepted) => answers.push(accepted));
     expect(answers.length).toEqual(0);
     disk.sync();
     expect(answers.length).toEqual(2);
   });
 
   it('promises an epoch to one candidate and rejects what is older', () => {
-    const disk = new SlowDisk();
+    const disk = new ManualSyncDisk();
     const acceptor = acceptorOn(disk);
     const granted: boolean[] = [];
     const rejected: boolean[] = [];
@@ -69,24 +69,24 @@
     acceptor.prepare(create(PrepareSchema, { epoch: 2, disk: 'leader' }), (promise) =>
       granted.push(promise.granted),
     );
-    acceptor.accept(version(2, 9), (accepted) => rejected.push(accepted.rejected));
+    acceptor.accept(proposal(2, 9), (accepted) => rejected.push(accepted.rejected));
     disk.sync();
     expect(granted).toEqual([false, false, true]);
     expect(rejected).toEqual([true]);
   });
 
   it('is rejected when its disk has lost the state it once held', () => {
-    const disk = new SlowDisk();
+    const disk = new ManualSyncDisk();
     const acceptor = acceptorOn(disk);
     const records: Uint8Array[] = [];
-    const replica: RecordWriter = {
+    const recorder: RecordWriter = {
       store: (kind, bytes, done) => {
         if (kind === 'disk') records.push(bytes);
         done(Result.ok());
       },
     };
-    const kept = acceptorOn(replica);
-    kept.accept(version(1, 1), () => undefined);
+    const recording = acceptorOn(recorder);
+    recording.accept(proposal(1, 1), () => undefined);
     const opening = readRecords({ disk: records[0] ?? new Uint8Array() }, 'fresh');
     expect(acceptor.disk).toEqual('disk-1');
     expect(opening.isErr && opening.error.kind).toEqual('damaged');
--- a/packages/process-group/src/agreement/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -8,7 +8,7 @@
   VersionSchema,
   type Accepted,
   type Prepare,
-  type Promise as Promised,
+  type Promise as PromiseMessage,
   type Propose,
   type Version,
 } from '@rainrun/messages';
@@ -74,9 +74,9 @@
   #promisedTo: string;
   #accepted: Version | undefined;
   #founders: readonly string[];
-  #storing: { epoch: number; number: number } | undefined;
+  #writingVersion: { epoch: number; number: number } | undefined;
   #pendingWrites = 0;
-  #syncs = 0;
+  #syncCount = 0;
 
   constructor(
     opened: OpenedDisk,
@@ -122,7 +122,7 @@
 
   /** Writes synced so far. */
   get syncs(): number {
-    return this.#syncs;
+    return this.#syncCount;
   }
 
   /** Writes the disk's own record, before anything else is written. */
@@ -146,7 +146,7 @@
    * one for another candidate, is promised. The promise is synced before `reply`:
    * a restart must not forget it. A promise brings the newest accepted version.
    */
-  prepare(prepare: Prepare, reply: (promise: Promised) => void): void {
+  prepare(prepare: Prepare, reply: (promise: PromiseMessage) => void): void {
     const { epoch, disk: candidate } = prepare;
     const stale =
       epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && candidate !== this.#promisedTo);
@@ -178,10 +178,10 @@
     const accepted = this.#accepted;
     if (accepted?.epoch === epoch && accepted.number >= number)
       return reply(this.#acceptedReply(version, false));
-    if (this.#storing?.epoch === epoch && this.#storing.number >= number) return;
+    if (this.#writingVersion?.epoch === epoch && this.#writingVersion.number >= number) return;
     this.#promisedEpoch = epoch;
     this.#promisedTo = propose.disk;
-    this.#storing = { epoch, number };
+    this.#writingVersion = { epoch, number };
     this.#store('version', toBinary(VersionSchema, version), () => {
       if (this.#accepted === undefined || isLater(version, this.#accepted)) this.#accepted = version;
       if (!this.#hasDeploymentRecord) {
@@ -203,7 +203,7 @@
     });
   }
 
-  #promise(epoch: number, granted: boolean): Promised {
+  #promise(epoch: number, granted: boolean): PromiseMessage {
     const promise = create(PromiseSchema, {
       epoch,
       disk: this.#disk,
@@ -218,7 +218,7 @@
     this.#pendingWrites += 1;
     this.#writer.store(kind, bytes, (result) => {
       this.#pendingWrites -= 1;
-      this.#syncs += 1;
+      this.#syncCount += 1;
       if (result.isOk) done();
       else this.#onFailure(result.error);
     });
--- a/packages/process-group/src/agreement/candidacy.ts
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -5,7 +5,7 @@
   PromiseSchema,
   type Prepare,
   type Frame,
-  type Promise as Promised,
+  type Promise as PromiseMessage,
   type Member,
   type Version,
 } from '@rainrun/messages';
@@ -54,7 +54,7 @@
   /** Voters that hear a coordinator, and so refuse. */
   readonly refusers: Set<string>;
   isPreVote: boolean;
-  readonly promises: Map<string, Promised>;
+  readonly promises: Map<string, PromiseMessage>;
 }
 
 /**
@@ -68,17 +68,17 @@
 export class Candidacy {
   #context: CandidacyContext;
   #round: PrepareRound | undefined;
-  #afterMs: number;
-  #proposalSeenMs = -Infinity;
+  #nextAttemptMs: number;
+  #lastProposalMs = -Infinity;
   /** The candidate that was promised an epoch last, and when. */
-  #promised: { readonly candidate: string; readonly atMs: number } | undefined;
+  #lastPromise: { readonly candidate: string; readonly atMs: number } | undefined;
   #hasFailed = false;
   #jitter: number;
 
   constructor(context: CandidacyContext) {
     this.#context = context;
     this.#jitter = context.random.next();
-    this.#afterMs = context.nowMs() + context.times.suspectMs + this.#jitter * START_JITTER_MS;
+    this.#nextAttemptMs = context.nowMs() + context.times.suspectMs + this.#jitter * START_JITTER_MS;
   }
 
   /** From 0 to 1, drawn anew after each attempt: what keeps two voters from trying at the same time. */
@@ -107,12 +107,12 @@
 
   /** Whether this node has waited long enough to become a candidate. */
   isDue(nowMs: number): boolean {
-    return nowMs >= this.#afterMs;
+    return nowMs >= this.#nextAttemptMs;
   }
 
   /** The process was suspended: it listens for a coordinator before it becomes a candidate. */
-  onWake(nowMs: number): void {
-    this.#afterMs = Math.max(this.#afterMs, nowMs + this.#context.times.suspectMs);
+  onResume(nowMs: number): void {
+    this.#nextAttemptMs = Math.max(this.#nextAttemptMs, nowMs + this.#context.times.suspectMs);
   }
 
   /** This node has ceased to coordinate. */
@@ -120,12 +120,12 @@
     const { times, random } = this.#context;
     this.#hasFailed = true;
     this.#jitter = random.next();
-    this.#afterMs = this.#context.nowMs() + times.suspectMs + this.#jitter * 500;
+    this.#nextAttemptMs = this.#context.nowMs() + times.suspectMs + this.#jitter * 500;
   }
 
   /** A coordinator of the newest epoch has proposed something. */
   noteProposal(): void {
-    this.#proposalSeenMs = this.#context.nowMs();
+    this.#lastProposalMs = this.#context.nowMs();
   }
 
   /** Gives up the candidacy under way, if any. */
@@ -135,18 +135,18 @@
 
   /** Whether a coordinator other than the candidate is at work as far as this node can see; a candidate against it gets no promise. */
   isCoordinated(candidate: string | undefined, nowMs: number): boolean {
-    const following = this.#context.followedCoordinator();
-    if (following !== undefined && following !== candidate) return true;
+    const followed = this.#context.followedCoordinator();
+    if (followed !== undefined && followed !== candidate) return true;
     const { suspectMs } = this.#context.times;
     const ownDelayMs = candidate === undefined ? this.#jitter * START_JITTER_MS : 0;
-    return nowMs - this.#proposalSeenMs < suspectMs + ownDelayMs;
+    return nowMs - this.#lastProposalMs < suspectMs + ownDelayMs;
   }
 
   /** Whether another candidate was promised an epoch so lately that it is left time to make something of it. */
   isHoldingPromise(candidate: string | undefined, nowMs: number): boolean {
-    const promised = this.#promised;
-    if (promised === undefined || promised.candidate === candidate) return false;
-    return nowMs - promised.atMs < this.#context.times.suspectMs * PROMISE_HOLD_FRACTION;
+    const lastPromise = this.#lastPromise;
+    if (lastPromise === undefined || lastPromise.candidate === candidate) return false;
+    return nowMs - lastPromise.atMs < this.#context.times.suspectMs * PROMISE_HOLD_FRACTION;
   }
 
   /** Starts a candidacy for the epoch after the newest known: the pre-vote, then the prepare phase. */
@@ -191,7 +191,7 @@
     this.#round = undefined;
     this.#hasFailed = true;
     this.#jitter = this.#context.random.next();
-    this.#afterMs = nowMs + 200 + this.#jitter * 800;
+    this.#nextAttemptMs = nowMs + 200 + this.#jitter * 800;
   }
 
   /** Answers another candidate. A pre-vote is answered without a promise and without a write. */
@@ -200,10 +200,10 @@
     const member = this.#context.member(from);
     if (member === undefined) return;
     const nowMs = this.#context.nowMs();
-    const taken = this.isCoordinated(from, nowMs);
-    if (taken || prepare.preVote) {
-      const isFree = !taken && !this.isHoldingPromise(from, nowMs);
-      const granted = isFree && prepare.epoch > acceptor.promisedEpoch;
+    const isCoordinated = this.isCoordinated(from, nowMs);
+    if (isCoordinated || prepare.preVote) {
+      const mayGrant = !isCoordinated && !this.isHoldingPromise(from, nowMs);
+      const granted = mayGrant && prepare.epoch > acceptor.promisedEpoch;
       const { epoch, preVote: isPreVote } = prepare;
       const value = create(PromiseSchema, {
         epoch,
@@ -215,20 +215,20 @@
       return this.#context.send(member, { case: 'promise', value });
     }
     acceptor.prepare(prepare, (promise) => {
-      if (promise.granted) this.#promised = { candidate: from, atMs: this.#context.nowMs() };
+      if (promise.granted) this.#lastPromise = { candidate: from, atMs: this.#context.nowMs() };
       this.#context.send(member, { case: 'promise', value: promise });
     });
   }
 
   /** Takes the answer to this node's own pre-vote or prepare. */
-  onPromise(promise: Promised): void {
+  onPromise(promise: PromiseMessage): void {
     const round = this.#round;
     this.#context.learnEpoch(promise.granted ? 0 : promise.seenEpoch);
     if (round === undefined || promise.epoch !== round.epoch) return;
     if (!promise.granted) return this.#onRefusal(round, promise);
     if (promise.preVote) return this.#addSupporter(round, promise.disk);
     round.promises.set(promise.disk, promise);
-    this.#conclude(round);
+    this.#completeIfPromised(round);
   }
 
   /**
@@ -236,21 +236,21 @@
    * epoch to another candidate, does not as long as the others are a quorum: a coordinator at work is
    * heard by more than one.
    */
-  #onRefusal(round: PrepareRound, { disk, seenEpoch }: Promised): void {
+  #onRefusal(round: PrepareRound, { disk, seenEpoch }: PromiseMessage): void {
     round.refusers.add(disk);
-    if (seenEpoch > round.epoch || !this.#mayFindQuorum(round)) this.#backOff(this.#context.nowMs());
+    if (seenEpoch > round.epoch || !this.#canReachQuorum(round)) this.#backOff(this.#context.nowMs());
   }
 
   /** Whether the voters that are in touch and have not refused are a quorum. */
-  #mayFindQuorum(round: PrepareRound): boolean {
+  #canReachQuorum(round: PrepareRound): boolean {
     const { acceptor } = this.#context;
     const voters = this.#context.voters();
-    const open = [...disksOf(voters)].filter(
+    const reachable = [...disksOf(voters)].filter(
       (disk) =>
         !round.refusers.has(disk) &&
         (disk === acceptor.disk || this.#context.memberOfVoter(disk) !== undefined),
     );
-    return isQuorum(voters, new Set(open));
+    return isQuorum(voters, new Set(reachable));
   }
 
   /**
@@ -258,20 +258,20 @@
    * among them: after a crash it would otherwise prepare the same epoch again,
    * and coordinate in it a second time.
    */
-  #conclude(round: PrepareRound): void {
+  #completeIfPromised(round: PrepareRound): void {
     const { promises, epoch } = round;
     const { disk } = this.#context.acceptor;
-    const best = bestOf(round);
+    const best = newestAccepted(round);
     if (best?.state === undefined || !promises.has(disk)) return;
     if (!isQuorum(best.state, promises) || !isQuorum(this.#context.voters(), promises)) return;
     this.#round = undefined;
     if (best.state.voters.some((voter) => voter.disk === disk)) this.#context.becomeCoordinator(epoch, best);
-    else this.#onNotVoting();
+    else this.#backOffAsNonVoter();
   }
 
-  #onNotVoting(): void {
+  #backOffAsNonVoter(): void {
     this.#hasFailed = true;
-    this.#afterMs = this.#context.nowMs() + NON_VOTER_WAIT_FACTOR * this.#context.times.suspectMs;
+    this.#nextAttemptMs = this.#context.nowMs() + NON_VOTER_WAIT_FACTOR * this.#context.times.suspectMs;
   }
 
   #addSupporter(round: PrepareRound, disk: string): void {
@@ -284,7 +284,7 @@
 }
 
 /** The newest version that a voter accepted, of those that promised. */
-function bestOf(round: PrepareRound): Version | undefined {
+function newestAccepted(round: PrepareRound): Version | undefined {
   let best: Version | undefined;
   for (const { accepted } of round.promises.values()) {
     if (accepted !== undefined && (best === undefined || isLater(accepted, best))) best = accepted;
--- a/packages/process-group/src/agreement/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -59,7 +59,7 @@
   #ineligibleUntilMs = -Infinity;
   #leaseLostMs: number | undefined;
   /** What the term has come to, and since when, while it waits for a version. */
-  #stalled: { readonly progress: number; readonly sinceMs: number } | undefined;
+  #lastProgress: { readonly progress: number; readonly sinceMs: number } | undefined;
   /** Terms in a row that ended without progress. */
   #stalledTerms = 0;
 
@@ -110,14 +110,14 @@
     const { local } = this.#collaborators;
     const coordinator = this.#coordinator;
     if (coordinator === undefined || (local.inView && !coordinator.isProposing)) {
-      this.#stalled = undefined;
+      this.#lastProgress = undefined;
       if (coordinator !== undefined) this.#stalledTerms = 0;
       return false;
     }
     const { progress } = coordinator;
-    if (this.#stalled?.progress !== progress) this.#stalled = { progress, sinceMs: nowMs };
+    if (this.#lastProgress?.progress !== progress) this.#lastProgress = { progress, sinceMs: nowMs };
     const factor = local.inView ? STALL_FACTOR_IN_VIEW : 1;
-    return nowMs - this.#stalled.sinceMs > factor * this.#stallMaxMs();
+    return nowMs - this.#lastProgress.sinceMs > factor * this.#stallMaxMs();
   }
 
   /** Grows with the terms that came to nothing: disks and links may be slow everywhere. */
@@ -215,7 +215,7 @@
   #endTerm(): void {
     this.#coordinator = undefined;
     this.#leaseLostMs = undefined;
-    this.#stalled = undefined;
+    this.#lastProgress = undefined;
   }
 
   #resign(): void {
--- a/packages/process-group/src/agreement/coordinator-wait.test.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.test.ts
@@ -3,7 +3,7 @@
 import { TestCluster } from '../testing/test-cluster.js';
 import { WaitPhase } from './coordinator-wait.js';
 
-function founded(): TestCluster {
+function foundedCluster(): TestCluster {
   const cluster = new TestCluster(['a', 'b', 'c'], 1);
   cluster.found();
   return cluster;
@@ -11,7 +11,7 @@
 
 describe('what a core without a coordinator waits for', () => {
   it('is nothing while a coordinator commits', () => {
-    const waits = founded().running.map(({ group }) => group.coordinatorWait());
+    const waits = foundedCluster().running.map(({ group }) => group.coordinatorWait());
     expect(waits).toEqual([undefined, undefined, undefined]);
   });
 
@@ -29,7 +29,7 @@
   });
 
   it('is the supporters of a voter that is alone', () => {
-    const cluster = founded();
+    const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     cluster.restart('b');
     cluster.run(1500);
@@ -42,7 +42,7 @@
   });
 
   it('is its own disk, and for how long', () => {
-    const cluster = founded();
+    const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     for (const name of ['a', 'b']) cluster.restart(name);
     for (const name of ['a', 'b']) cluster.node(name).stalled = true;
@@ -56,7 +56,7 @@
   });
 
   it('is, as a coordinator that is cut off, the members that do not renew its lease', () => {
-    const cluster = founded();
+    const cluster = foundedCluster();
     const leader = cluster.leader()?.name ?? '';
     cluster.setIsolated(leader, true);
     cluster.run(1800);
--- a/packages/process-group/src/agreement/coordinator-wait.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.ts
@@ -82,7 +82,7 @@
 }
 
 /** A phase, and who is missing in it: disks, unless they are names already. */
-interface Waiting {
+interface CurrentWait {
   readonly phase: WaitPhase;
   readonly missing: readonly string[];
 }
@@ -111,11 +111,11 @@
   report(nowMs: number): CoordinatorWait | undefined {
     if (this.#sinceMs === undefined) return undefined;
     const { diskWatch, local } = this.#collaborators;
-    const { phase, missing } = this.#waiting(nowMs);
+    const { phase, missing } = this.#currentWait(nowMs);
     return {
       phase,
       waitedMs: Math.round(nowMs - this.#sinceMs),
-      missing: missing.map((who) => this.#nameOf(who)),
+      missing: missing.map((nameOrDisk) => this.#nameOf(nameOrDisk)),
       diskMs: Math.round(diskWatch.waitMs(nowMs)),
       epoch: local.epoch,
       newestVersion: local.newestVersion,
@@ -131,10 +131,10 @@
     return coordinatorWatch.live() !== undefined;
   }
 
-  #waiting(nowMs: number): Waiting {
+  #currentWait(nowMs: number): CurrentWait {
     const { coordination, dependencies, election, founding } = this.#collaborators;
     const { coordinator } = coordination;
-    if (coordinator !== undefined) return this.#waitingAsCoordinator(coordinator, nowMs);
+    if (coordinator !== undefined) return this.#waitAsCoordinator(coordinator, nowMs);
     const { acceptor } = dependencies;
     if (acceptor === undefined) return { phase: WaitPhase.Discovery, missing: [] };
     const attempt = election.candidacy?.missing();
@@ -142,18 +142,18 @@
       return { phase: attempt.isPreVote ? WaitPhase.PreVote : WaitPhase.Prepare, missing: attempt.disks };
     if (acceptor.busy) return { phase: WaitPhase.Disk, missing: [acceptor.disk] };
     if (founding.mayFound()) return { phase: WaitPhase.Founding, missing: this.#missingFounders() };
-    return this.#waitingForElection(acceptor, nowMs);
+    return this.#waitForElection(acceptor, nowMs);
   }
 
-  #waitingAsCoordinator(coordinator: Pick<Coordinator<S>, 'pendingStep'>, nowMs: number): Waiting {
+  #waitAsCoordinator(coordinator: Pick<Coordinator<S>, 'pendingStep'>, nowMs: number): CurrentWait {
     const step = coordinator.pendingStep();
     if (step !== undefined) return { phase: STEP_PHASES[step.step], missing: step.missing };
     const { liveness, local } = this.#collaborators;
-    const silent = local.others().filter((member) => !liveness.isLive(member.incarnation, nowMs));
-    return { phase: WaitPhase.Lease, missing: silent.map((member) => member.name) };
+    const notLive = local.others().filter((member) => !liveness.isLive(member.incarnation, nowMs));
+    return { phase: WaitPhase.Lease, missing: notLive.map((member) => member.name) };
   }
 
-  #waitingForElection(acceptor: Acceptor, nowMs: number): Waiting {
+  #waitForElection(acceptor: Acceptor, nowMs: number): CurrentWait {
     const { coordination, election, voters } = this.#collaborators;
     if (!voters.list().some((voter) => voter.disk === acceptor.disk))
       return { phase: WaitPhase.Discovery, missing: voters.list().map((voter) => voter.disk) };
@@ -168,12 +168,14 @@
       .freshContacts()
       .filter((contact) => contact.founding)
       .flatMap(({ member }) => [member.name, member.address]);
-    const own = [dependencies.name, dependencies.address];
-    return dependencies.founders.filter((founder) => !own.includes(founder) && !present.includes(founder));
+    const ownNames = [dependencies.name, dependencies.address];
+    return dependencies.founders.filter(
+      (founder) => !ownNames.includes(founder) && !present.includes(founder),
+    );
   }
 
-  #nameOf(who: string): string {
-    return this.#collaborators.voters.list().find((voter) => voter.disk === who)?.name ?? who;
+  #nameOf(nameOrDisk: string): string {
+    return this.#collaborators.voters.list().find((voter) => voter.disk === nameOrDisk)?.name ?? nameOrDisk;
   }
 
   #voterContacts(nowMs: number): VoterContact[] {
--- a/packages/process-group/src/agreement/election.test.ts
+++ b/packages/process-group/src/agreement/election.test.ts
@@ -27,7 +27,7 @@
   });
 }
 
-function diskWith(disk: string, version: Version): Records {
+function recordsOf(disk: string, version: Version): Records {
   return {
     disk: toBinary(DiskRecordSchema, create(DiskRecordSchema, { disk, deployment: 'test' })),
     version: toBinary(VersionSchema, version),
@@ -39,9 +39,9 @@
     const before = versionOf(4, ['a', 'b', 'c', 'f', 'g']);
     const after = versionOf(5, ['a', 'b', 'd', 'f', 'g']);
     const cluster = new TestCluster(['a', 'b', 'c', 'd', 'f', 'g'], 2);
-    cluster.start('b', diskWith('b', before));
-    cluster.start('d', diskWith('d', after));
-    cluster.start('g', diskWith('g', after));
+    cluster.start('b', recordsOf('b', before));
+    cluster.start('d', recordsOf('d', after));
+    cluster.start('g', recordsOf('g', after));
     const tookMs = cluster.runUntil(() => cluster.leader() !== undefined, 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 5000);
   });
--- a/packages/process-group/src/agreement/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -46,7 +46,7 @@
   #collaborators: ElectionCollaborators<S>;
   #candidacy: Candidacy | undefined;
   /** When this voter goes without regard to the voters before it, while no coordinator is heard. */
-  #turnEndMs: number | undefined;
+  #turnDeadlineMs: number | undefined;
 
   constructor(collaborators: ElectionCollaborators<S>) {
     this.#collaborators = collaborators;
@@ -67,7 +67,7 @@
     if (acceptor === undefined || candidacy === undefined) return;
     if (founding.mayFound()) return founding.tick();
     if (candidacy.isUnderWay) return candidacy.tick(nowMs);
-    if (coordinatorWatch.live() !== undefined) this.#turnEndMs = undefined;
+    if (coordinatorWatch.live() !== undefined) this.#turnDeadlineMs = undefined;
     if (!candidacy.isDue(nowMs) && !this.#mayStartEarly(candidacy, acceptor)) return;
     if (coordination.isIneligible(nowMs) || acceptor.busy) return;
     if (!this.#isTurn(candidacy, acceptor.disk, nowMs)) return;
@@ -81,15 +81,15 @@
     const disks = voters.list().map((voter) => voter.disk);
     const ownDisk = dependencies.acceptor?.disk ?? '';
     const first = local.inView
-      ? this.#firstMember(disks, local.nowMs())?.disk
-      : this.#firstOutside(disks, ownDisk);
+      ? this.#firstMemberInOrder(disks, local.nowMs())?.disk
+      : this.#firstContactInOrder(disks, ownDisk);
     return first === ownDisk ? undefined : first;
   }
 
   /** The process was suspended: the voters before this one get their time anew. */
-  onWake(nowMs: number): void {
-    this.#turnEndMs = undefined;
-    this.#candidacy?.onWake(nowMs);
+  onResume(nowMs: number): void {
+    this.#turnDeadlineMs = undefined;
+    this.#candidacy?.onResume(nowMs);
   }
 
   /** Whether this node is the next in order, or has waited long enough for those before it. */
@@ -98,8 +98,8 @@
     if (coordinatorWatch.live() !== undefined || !voters.list().some((voter) => voter.disk === disk))
       return false;
     const { suspectMs } = dependencies.times;
-    this.#turnEndMs ??= nowMs + suspectMs * (TURN_WAIT_FRACTION + candidacy.jitter);
-    return nowMs >= this.#turnEndMs || this.#isNext(disk, nowMs);
+    this.#turnDeadlineMs ??= nowMs + suspectMs * (TURN_WAIT_FRACTION + candidacy.jitter);
+    return nowMs >= this.#turnDeadlineMs || this.#isNext(disk, nowMs);
   }
 
   /**
@@ -108,10 +108,10 @@
    */
   #mayStartEarly(candidacy: Candidacy, acceptor: Acceptor): boolean {
     const { discovery, local, voters } = this.#collaborators;
-    const known = voters.list();
-    if (candidacy.hasFailed || local.inView || known.length === 0) return false;
+    const knownVoters = voters.list();
+    if (candidacy.hasFailed || local.inView || knownVoters.length === 0) return false;
     const outside = discovery.freshContacts().filter((contact) => !contact.inView);
-    return known.every(
+    return knownVoters.every(
       ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.member.disk === disk),
     );
   }
@@ -125,11 +125,11 @@
   #isNext(disk: string, nowMs: number): boolean {
     const { local, voters } = this.#collaborators;
     const disks = voters.list().map((voter) => voter.disk);
-    if (!local.inView) return this.#firstOutside(disks, disk) === disk;
-    return this.#firstMember(disks, nowMs)?.incarnation === local.incarnation;
+    if (!local.inView) return this.#firstContactInOrder(disks, disk) === disk;
+    return this.#firstMemberInOrder(disks, nowMs)?.incarnation === local.incarnation;
   }
 
-  #firstMember(disks: readonly string[], nowMs: number): Member | undefined {
+  #firstMemberInOrder(disks: readonly string[], nowMs: number): Member | undefined {
     const { liveness, local } = this.#collaborators;
     return local.view?.members.find(
       ({ disk, incarnation }) =>
@@ -138,16 +138,16 @@
     );
   }
 
-  #firstOutside(disks: readonly string[], ownDisk: string): string | undefined {
+  #firstContactInOrder(disks: readonly string[], ownDisk: string): string | undefined {
     const { discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
     const member = contacts.find((contact) => contact.inView && disks.includes(contact.member.disk));
     if (member !== undefined) return member.member.disk;
-    const number = Math.max(1, local.newestVersion);
+    const minVersion = Math.max(1, local.newestVersion);
     return disks.find(
       (disk) =>
         disk === ownDisk ||
-        contacts.some((contact) => contact.newestVersion >= number && contact.member.disk === disk),
+        contacts.some((contact) => contact.newestVersion >= minVersion && contact.member.disk === disk),
     );
   }
 
--- a/packages/process-group/src/agreement/founding.ts
+++ b/packages/process-group/src/agreement/founding.ts
@@ -49,11 +49,11 @@
   tick(): void {
     const { coordination, dependencies } = this.#collaborators;
     const { acceptor, founders, stateMachine } = dependencies;
-    const own = this.#founderName();
-    if (acceptor === undefined || own === undefined || [...founders].sort()[0] !== own) return;
-    const members = this.#founderMembers(own);
+    const ownName = this.#founderName();
+    if (acceptor === undefined || ownName === undefined || [...founders].sort()[0] !== ownName) return;
+    const members = this.#founderMembers(ownName);
     if (members === undefined || acceptor.busy) return;
-    const state = this.#firstVersion(acceptor, members);
+    const state = this.#initialState(acceptor, members);
     const { epoch, view } = state;
     acceptor.prepare(create(PrepareSchema, { epoch, disk: acceptor.disk }), (promise) => {
       if (!promise.granted || coordination.coordinator !== undefined || !this.mayFound()) return;
@@ -68,13 +68,13 @@
   }
 
   /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
-  #founderMembers(own: string): Member[] | undefined {
+  #founderMembers(ownName: string): Member[] | undefined {
     const { dependencies, discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
     if (contacts.some((contact) => contact.inView || contact.newestVersion > 0)) return undefined;
     const members = [local.self];
     for (const founder of dependencies.founders) {
-      if (founder === own) continue;
+      if (founder === ownName) continue;
       const contact = contacts.find(
         ({ member, founding }) =>
           (member.name === founder || member.address === founder) && founding && member.disk !== '',
@@ -85,7 +85,7 @@
     return members;
   }
 
-  #firstVersion(acceptor: Acceptor, members: readonly Member[]): GroupState<S> {
+  #initialState(acceptor: Acceptor, members: readonly Member[]): GroupState<S> {
     const { deployment, stateMachine } = this.#collaborators.dependencies;
     const epoch = acceptor.promisedEpoch + 1;
     return {
--- a/packages/process-group/src/agreement/group-state.test.ts
+++ b/packages/process-group/src/agreement/group-state.test.ts
@@ -19,7 +19,7 @@
         ? { state: state + 1, outcome: { kind: 'agreed', detail: '' } }
         : { state, outcome: fault('bad-request', 'no such kind') },
   };
-  const start: GroupState<number> = {
+  const initial: GroupState<number> = {
     epoch: 1,
     number: 1,
     deployment: 'd',
@@ -37,10 +37,10 @@
     const operations = ['x', 'x', 'y'].map((id) =>
       create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }),
     );
-    const once = advance(counter, start, 1, create(EntrySchema, { operations }));
-    const again = advance(counter, once, 1, create(EntrySchema, { operations }));
-    expect([once.application, again.application, again.number]).toEqual([1, 1, 3]);
-    expect(again.answers.map((answer) => `${answer.id} ${answer.kind}@${answer.number}`)).toEqual([
+    const first = advance(counter, initial, 1, create(EntrySchema, { operations }));
+    const second = advance(counter, first, 1, create(EntrySchema, { operations }));
+    expect([first.application, second.application, second.number]).toEqual([1, 1, 3]);
+    expect(second.answers.map((answer) => `${answer.id} ${answer.kind}@${answer.number}`)).toEqual([
       'x agreed@2',
       'y bad-request@2',
     ]);
@@ -64,12 +64,15 @@
         }),
       );
     }
-    let state = add(start, 'first', 5);
-    for (let place = 0; place < 600; place += 1) state = add(state, `place-${place}`, 900, true);
-    const soon = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900);
-    const late = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900 + 1);
-    expect([state.application, soon.application, late.application, state.answers.length]).toEqual([
-      601, 601, 602, 65,
-    ]);
+    let state = add(initial, 'first', 5);
+    for (let index = 0; index < 600; index += 1) state = add(state, `place-${index}`, 900, true);
+    const withinRetention = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900);
+    const afterRetention = add(state, 'first', ANSWER_RETENTION_MS - 600 * 900 + 1);
+    expect([
+      state.application,
+      withinRetention.application,
+      afterRetention.application,
+      state.answers.length,
+    ]).toEqual([601, 601, 602, 65]);
   });
 });
--- a/packages/process-group/src/agreement/group-state.ts
+++ b/packages/process-group/src/agreement/group-state.ts
@@ -62,10 +62,10 @@
 function retainedAnswers(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
   if (level === 1) return answers.slice(-LEVEL1_ANSWERS_MAX);
   const transient = answers.filter((answer) => answer.transient).slice(-TRANSIENT_ANSWERS_MAX);
-  const kept = answers.filter((answer) =>
+  const retained = answers.filter((answer) =>
     answer.transient ? transient.includes(answer) : clockMs - answer.clockMs <= ANSWER_RETENTION_MS,
   );
-  return kept.length === answers.length ? answers : kept;
+  return retained.length === answers.length ? answers : retained;
 }
 
 /**
@@ -118,9 +118,9 @@
  * const version = toVersion(stateMachine, state, entry);
  */
 export function toVersion<S>(stateMachine: StateMachine<S>, state: GroupState<S>, entry: Entry): Version {
-  const { application: bytes, applicationExtension: extra } = stateMachine.encode(state.application);
+  const { application: bytes, applicationExtension: extension } = stateMachine.encode(state.application);
   const encoded = create(StateSchema, {
-    applicationExtension: extra,
+    applicationExtension: extension,
     clockMs: state.clockMs,
     deployment: state.deployment,
     view: state.view,
@@ -143,7 +143,7 @@
   version: Version,
 ): Result<GroupState<S>, Fault> {
   const state: State = version.state ?? create(StateSchema);
-  return stateMachine.decode(state).map((own) => ({
+  return stateMachine.decode(state).map((decoded) => ({
     epoch: version.epoch,
     number: version.number,
     deployment: state.deployment,
@@ -151,7 +151,7 @@
     previousView: state.previousView,
     voters: state.voters,
     previousVoters: state.previousVoters,
-    application: own,
+    application: decoded,
     answers: state.answers,
     level: Math.max(1, version.entry?.level ?? 0),
     clockMs: state.clockMs,
--- a/packages/process-group/src/agreement/lone-voter.test.ts
+++ b/packages/process-group/src/agreement/lone-voter.test.ts
@@ -32,15 +32,15 @@
   }
 }
 
-function failed(why: Fault): never {
-  throw new Error(`${why.kind}: ${why.detail}`);
+function throwFault(reason: Fault): never {
+  throw new Error(`${reason.kind}: ${reason.detail}`);
 }
 
 /** Starts the only core on a disk and runs it for long enough to coordinate. */
-function start(records: ImmediateDisk): Group<undefined> {
+function startCore(records: ImmediateDisk): Group<undefined> {
   let nowMs = 0;
   let seed = 7;
-  const opening = readRecords(records.records, 'disk-a').unwrapOrElse(failed);
+  const opening = readRecords(records.records, 'disk-a').unwrapOrElse(throwFault);
   const group = new Group<undefined>({
     name: 'core-1',
     address: ADDRESS,
@@ -53,7 +53,7 @@
     chance: { next: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647 },
     times: GROUP_TIMES,
     stateMachine: NO_STATE,
-    acceptor: new Acceptor(opening, records, 'site', failed),
+    acceptor: new Acceptor(opening, records, 'site', throwFault),
     protocolLevels: PROTOCOL_LEVELS,
     listener: {
       onVersion: () => undefined,
@@ -72,9 +72,9 @@
 describe('a group of one voter', () => {
   it('coordinates again after its core was restarted', () => {
     const records = new ImmediateDisk();
-    const founded = start(records);
+    const founded = startCore(records);
     expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
-    const restarted = start(records);
+    const restarted = startCore(records);
     expect([restarted.isCoordinator, restarted.epoch]).toEqual([true, 2]);
     expect(restarted.holdsLease()).toEqual(true);
   });
--- a/packages/process-group/src/agreement/operation-queue.ts
+++ b/packages/process-group/src/agreement/operation-queue.ts
@@ -27,15 +27,16 @@
 
   /** Takes the operations for the version after `state`: as many as their answers can be retained. */
   takeBatch(state: Parameters<typeof retainedAnswerCount>[0]): Operation[] {
-    let room = RETAINED_ANSWERS_MAX - retainedAnswerCount(state);
+    let freeAnswers = RETAINED_ANSWERS_MAX - retainedAnswerCount(state);
     const batch: Operation[] = [];
     const remaining: Operation[] = [];
     let bytes = 0;
     for (const operation of this.#operations) {
-      const small = batch.length === 0 || bytes + operation.payload.length <= BATCH_MAX_BYTES;
-      const fits = small && batch.length < BATCH_MAX_OPERATIONS && (operation.transient || room > 0);
+      const fitsInBytes = batch.length === 0 || bytes + operation.payload.length <= BATCH_MAX_BYTES;
+      const fits =
+        fitsInBytes && batch.length < BATCH_MAX_OPERATIONS && (operation.transient || freeAnswers > 0);
       if (fits) bytes += operation.payload.length;
-      if (fits && !operation.transient) room -= 1;
+      if (fits && !operation.transient) freeAnswers -= 1;
       (fits ? batch : remaining).push(operation);
     }
     this.#operations = remaining;
--- a/packages/process-group/src/agreement/restart.test.ts
+++ b/packages/process-group/src/agreement/restart.test.ts
@@ -16,7 +16,7 @@
 const TRIAL_SEEDS = 200;
 
 /** Six cores with five voters that have all been killed and started again, with the links given as `FROM TO` cut. */
-function restartedWith(cutLinks: readonly string[]): TestCluster {
+function restartedCluster(cutLinks: readonly string[]): TestCluster {
   const cluster = new TestCluster(CORES, 2);
   cluster.found();
   for (const link of cutLinks) cluster.severedLinks.add(link);
@@ -26,49 +26,51 @@
 
 describe('a restart of all cores', () => {
   it('ends in a coordinator though the first voter reaches a quorum of voters, but no majority of the view', () => {
-    const took = CORES.map((first) => {
+    const recoveryTimesMs = CORES.map((first) => {
       const others = CORES.filter((name) => name !== first);
       const unreached = others.slice(2).map((name) => `${first} ${name}`);
-      return restartedWith(unreached).recover(20_000);
+      return restartedCluster(unreached).recover(20_000);
     });
-    for (const ms of took) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
+    for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('ends in a coordinator though the first voter hears everybody and nobody hears it', () => {
-    const took = CORES.map((first) => restartedWith(CORES.map((name) => `${first} ${name}`)).recover(20_000));
-    for (const ms of took) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
+    const recoveryTimesMs = CORES.map((first) =>
+      restartedCluster(CORES.map((name) => `${first} ${name}`)).recover(20_000),
+    );
+    for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('ends in a coordinator though the disk of any one core hangs from its start on', () => {
-    const took = CORES.map((name) => {
-      const cluster = restartedWith([]);
+    const recoveryTimesMs = CORES.map((name) => {
+      const cluster = restartedCluster([]);
       cluster.node(name).stalled = true;
       return cluster.recover(20_000);
     });
-    for (const ms of took) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
+    for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('ends in a coordinator though all but one are killed again just after its election', () => {
-    const took = CORES.map((_, delay) => {
-      const cluster = restartedWith([]);
+    const recoveryTimesMs = CORES.map((_, delay) => {
+      const cluster = restartedCluster([]);
       cluster.runUntil(() => cluster.running.some(({ group }) => group.isCoordinator), 10_000);
       cluster.run(delay * 25);
       const elected = cluster.running.find(({ group }) => group.isCoordinator)?.name;
       for (const name of CORES) if (name !== elected) cluster.restart(name);
       return cluster.recover(30_000);
     });
-    for (const ms of took) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
+    for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('goes on with a founding that it interrupted, at any moment of it', () => {
-    const took = [0, 5, 25, 50, 100, 150, 200, 300, 500, 1000].map((afterMs) => {
+    const recoveryTimesMs = [0, 5, 25, 50, 100, 150, 200, 300, 500, 1000].map((afterMs) => {
       const cluster = new TestCluster(CORES, 2);
       cluster.startFirst();
       cluster.run(10 + afterMs);
       for (const name of CORES) cluster.restart(name);
       return cluster.recover(20_000);
     });
-    for (const ms of took) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
+    for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('recovers within the bound over drawn trials, with all that was acknowledged', () => {
@@ -86,7 +88,7 @@
     cluster.found();
     const epoch = (cluster.leader()?.group.epoch ?? 0) + 1;
     const stopped = cluster.stop('c');
-    cluster.start('c', withPromiseToItself(stopped.records, stopped.group.self.disk, epoch));
+    cluster.start('c', withPromiseToSelf(stopped.records, stopped.group.self.disk, epoch));
     cluster.setIsolated('c', true);
     for (const name of ['a', 'b']) cluster.restart(name);
     cluster.runUntil(() => cluster.leader() !== undefined, 10_000);
@@ -98,7 +100,7 @@
   });
 });
 
-function withPromiseToItself(records: Records, disk: string, epoch: number): Records {
+function withPromiseToSelf(records: Records, disk: string, epoch: number): Records {
   const promise = create(PromiseRecordSchema, { epoch, candidate: disk });
   return { ...records, promise: toBinary(PromiseRecordSchema, promise) };
 }
--- a/packages/process-group/src/agreement/submissions.ts
+++ b/packages/process-group/src/agreement/submissions.ts
@@ -40,7 +40,7 @@
   }
 
   /** Whether no further answer to an operator can be retained now. */
-  get isFull(): boolean {
+  get isRetentionFull(): boolean {
     const { state } = this.#collaborators.local;
     return state !== undefined && retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX;
   }
--- a/packages/process-group/src/agreement/versions.ts
+++ b/packages/process-group/src/agreement/versions.ts
@@ -120,12 +120,12 @@
 
   #installSnapshot(version: Version): void {
     const { dependencies, heartbeats, local, viewChange } = this.#collaborators;
-    const read = fromVersion(dependencies.stateMachine, version);
-    if (read.isErr || rankOf(read.value.view, local.incarnation) < 0) return;
-    local.setState(read.value);
+    const decoded = fromVersion(dependencies.stateMachine, version);
+    if (decoded.isErr || rankOf(decoded.value.view, local.incarnation) < 0) return;
+    local.setState(decoded.value);
     this.#appendToLog(version);
-    viewChange.enter(read.value.view);
-    dependencies.listener.onVersion(read.value, undefined);
+    viewChange.enter(decoded.value.view);
+    dependencies.listener.onVersion(decoded.value, undefined);
     viewChange.open();
     heartbeats.send(local.nowMs());
   }
--- a/packages/process-group/src/agreement/voter-replacement.ts
+++ b/packages/process-group/src/agreement/voter-replacement.ts
@@ -69,10 +69,10 @@
 
   #lostVoter(voters: readonly Voter[], spares: readonly Member[], nowMs: number): Voter | undefined {
     const missing = voters.filter((voter) => this.#missingSinceMs.has(voter.disk));
-    const succeeded = missing.find((voter) => spares.some((member) => member.name === voter.name));
+    const returned = missing.find((voter) => spares.some((member) => member.name === voter.name));
     const { voterReplacementMs } = this.#context.times;
     return (
-      succeeded ??
+      returned ??
       missing.find((voter) => nowMs - (this.#missingSinceMs.get(voter.disk) ?? nowMs) >= voterReplacementMs)
     );
   }
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -28,7 +28,7 @@
 }
 
 /** A state that counts the bytes of the operations that were applied. */
-const COUNT: StateMachine<number> = {
+const BYTE_COUNTER: StateMachine<number> = {
   empty: () => 0,
   encode: (state) => ({
     application: new TextEncoder().encode(String(state)),
@@ -45,9 +45,9 @@
 /** Three cores on a network without delay, in virtual time. */
 class Cluster {
   nowMs = 1000;
-  mostBytes = 0;
+  maxFrameBytes = 0;
   readonly answers: Answer[] = [];
-  readonly cuts = new Set<string>();
+  readonly cutLinks = new Set<string>();
   readonly groups = new Map<string, Group<number>>();
   #frames: { to: string; frame: Frame }[] = [];
 
@@ -66,7 +66,7 @@
         clock: { nowMs: () => this.nowMs },
         chance: random,
         times: GROUP_TIMES,
-        stateMachine: COUNT,
+        stateMachine: BYTE_COUNTER,
         acceptor: new Acceptor(opening.value, new ImmediateDisk(), 'd', () => undefined),
         protocolLevels: PROTOCOL_LEVELS,
         listener: {
@@ -77,7 +77,7 @@
           onFrame: () => undefined,
           onJoinRejected: () => undefined,
         },
-        send: (to, frame) => this.#post(name, to, frame),
+        send: (to, frame) => this.#enqueue(name, to, frame),
       });
       this.groups.set(name, group);
     }
@@ -98,13 +98,13 @@
     }
   }
 
-  cut(one: string, other: string): void {
-    this.cuts.add(`${one} ${other}`).add(`${other} ${one}`);
+  cutLink(one: string, other: string): void {
+    this.cutLinks.add(`${one} ${other}`).add(`${other} ${one}`);
   }
 
-  #post(from: string, to: string, frame: Frame): void {
-    this.mostBytes = Math.max(this.mostBytes, encodeFrame(frame).length);
-    if (!this.cuts.has(`${from} ${to}`)) this.#frames.push({ to, frame });
+  #enqueue(from: string, to: string, frame: Frame): void {
+    this.maxFrameBytes = Math.max(this.maxFrameBytes, encodeFrame(frame).length);
+    if (!this.cutLinks.has(`${from} ${to}`)) this.#frames.push({ to, frame });
   }
 
   #deliver(): void {
@@ -120,12 +120,12 @@
     const { coordinator } = cluster;
     const [leaving, cutOff] = NAMES.filter((name) => name !== coordinator) as [string, string];
     const before = NAMES.map((name) => cluster.group(name).holdsLease());
-    cluster.cut(coordinator, cutOff);
+    cluster.cutLink(coordinator, cutOff);
     cluster.group(leaving).leave();
     const leftMs = cluster.nowMs;
     cluster.run(150);
-    const informed = [leaving, cutOff].map((name) => cluster.group(name).currentAsOfMs() > leftMs);
-    expect([before, informed]).toEqual([
+    const isCurrent = [leaving, cutOff].map((name) => cluster.group(name).currentAsOfMs() > leftMs);
+    expect([before, isCurrent]).toEqual([
       [true, true, true],
       [false, false],
     ]);
@@ -136,18 +136,20 @@
   it('are agreed in versions that a message between nodes can carry', () => {
     const cluster = new Cluster();
     cluster.run(3000);
-    const bytes = 2 * 1024 * 1024;
-    for (let place = 0; place < 8; place += 1) {
+    const payloadBytes = 2 * 1024 * 1024;
+    for (let index = 0; index < 8; index += 1) {
       const operation = create(OperationSchema, {
-        id: `o${place}`,
+        id: `o${index}`,
         kind: 'k',
-        payload: new Uint8Array(bytes),
+        payload: new Uint8Array(payloadBytes),
         transient: true,
       });
       expect(cluster.group('b').submit(operation)).toEqual(true);
     }
     cluster.run(3000);
-    expect([cluster.answers.length, cluster.mostBytes < FRAME_MAX_BYTES]).toEqual([8, true]);
-    expect(NAMES.map((name) => cluster.group(name).state?.application)).toEqual(NAMES.map(() => 8 * bytes));
+    expect([cluster.answers.length, cluster.maxFrameBytes < FRAME_MAX_BYTES]).toEqual([8, true]);
+    expect(NAMES.map((name) => cluster.group(name).state?.application)).toEqual(
+      NAMES.map(() => 8 * payloadBytes),
+    );
   });
 });
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -138,7 +138,7 @@
 
   /** Whether no further answer to an operator can be retained now. */
   get isFull(): boolean {
-    return this.#wiring.submissions.isFull;
+    return this.#wiring.submissions.isRetentionFull;
   }
 
   /** An operator's statement that a name will not come back. Only the coordinator can use it. */
@@ -166,7 +166,7 @@
     if (isDiskStalled && local.inView) viewChange.rejoin();
     heartbeats.tick(nowMs);
     if (!isDiskStalled) discovery.tick(nowMs);
-    if (!isDiskStalled && !local.leaving) this.#coordinate(nowMs);
+    if (!isDiskStalled && !local.leaving) this.#driveCoordination(nowMs);
     leases.tick(nowMs);
     submissions.sendDue();
     transport.tick(nowMs);
@@ -187,14 +187,14 @@
   /** A process that was suspended does not count its own silence against the others. */
   #noteSuspension(nowMs: number): void {
     const { diskWatch, election, liveness, transport } = this.#wiring;
-    const awayMs = liveness.tick(nowMs);
-    if (awayMs <= 0) return;
-    election.onWake(nowMs);
-    transport.onSleep(awayMs);
-    diskWatch.onSleep(awayMs);
+    const suspendedMs = liveness.tick(nowMs);
+    if (suspendedMs <= 0) return;
+    election.onResume(nowMs);
+    transport.onSleep(suspendedMs);
+    diskWatch.onSleep(suspendedMs);
   }
 
-  #coordinate(nowMs: number): void {
+  #driveCoordination(nowMs: number): void {
     const { coordination, election } = this.#wiring;
     if (coordination.coordinator !== undefined) coordination.tick(nowMs);
     else election.tick(nowMs);
