--- a/packages/process-group/src/agreement/acceptor.test.ts
+++ b/packages/process-group/src/agreement/acceptor.test.ts
@@ -14,6 +14,7 @@
 import { Result, type Unit } from 'true-myth';
 import { Acceptor, readRecords } from './acceptor.js';
 
+/** A disk that completes its writes only when `sync` is called. */
 class ManualSyncDisk implements RecordWriter {
   readonly unsynced: (() => void)[] = [];
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -43,8 +44,8 @@
   });
 }
 
-describe('voter', () => {
-  it('answers only after the sync', () => {
+describe('the acceptor of a voter', () => {
+  it('answers a prepare and a proposal only after their sync', () => {
     const disk = new ManualSyncDisk();
     const answers: (PromiseMessage | Accepted)[] = [];
     const acceptor = acceptorOn(disk);
@@ -55,7 +56,7 @@
     expect(answers.length).toEqual(2);
   });
 
-  it('promises an epoch to one candidate and rejects what is older', () => {
+  it('promises an epoch to only one candidate, and rejects prepares and proposals of older epochs', () => {
     const disk = new ManualSyncDisk();
     const acceptor = acceptorOn(disk);
     const granted: boolean[] = [];
@@ -75,7 +76,7 @@
     expect(rejected).toEqual([true]);
   });
 
-  it('is rejected when its disk has lost the state it once held', () => {
+  it('is not opened from a disk that has lost the state it once held', () => {
     const disk = new ManualSyncDisk();
     const acceptor = acceptorOn(disk);
     const records: Uint8Array[] = [];
--- a/packages/process-group/src/agreement/coordinator-wait.test.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.test.ts
@@ -9,13 +9,13 @@
   return cluster;
 }
 
-describe('what a core without a coordinator waits for', () => {
-  it('is nothing while a coordinator commits', () => {
+describe('the wait report of a core without a coordinator', () => {
+  it('is undefined while a coordinator commits', () => {
     const waits = foundedCluster().running.map(({ group }) => group.coordinatorWait());
     expect(waits).toEqual([undefined, undefined, undefined]);
   });
 
-  it('is the founder that is not there', () => {
+  it('names the founder that is missing before the group is founded', () => {
     const cluster = new TestCluster(['a', 'b', 'c'], 1);
     cluster.startFirst();
     cluster.stop('c');
@@ -28,7 +28,7 @@
     ]);
   });
 
-  it('is the supporters of a voter that is alone', () => {
+  it('names the voters whose support a lone voter lacks in its pre-vote', () => {
     const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     cluster.restart('b');
@@ -41,7 +41,7 @@
     ]);
   });
 
-  it('is its own disk, and for how long', () => {
+  it('shows how long the sync of its own disk has been outstanding', () => {
     const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     for (const name of ['a', 'b']) cluster.restart(name);
@@ -55,7 +55,7 @@
     );
   });
 
-  it('is, as a coordinator that is cut off, the members that do not renew its lease', () => {
+  it('names the members that do not renew the lease of an isolated coordinator', () => {
     const cluster = foundedCluster();
     const leader = cluster.leader()?.name ?? '';
     cluster.setIsolated(leader, true);
--- a/packages/process-group/src/agreement/election.test.ts
+++ b/packages/process-group/src/agreement/election.test.ts
@@ -34,8 +34,8 @@
   };
 }
 
-describe('control safety, point 3: an election after losses', () => {
-  it('elects a coordinator though its first voter missed the last change of voters', () => {
+describe('an election after the loss of voters', () => {
+  it('elects a coordinator although the first voter missed the last change of voters', () => {
     const before = versionOf(4, ['a', 'b', 'c', 'f', 'g']);
     const after = versionOf(5, ['a', 'b', 'd', 'f', 'g']);
     const cluster = new TestCluster(['a', 'b', 'c', 'd', 'f', 'g'], 2);
@@ -46,7 +46,7 @@
     expect(tookMs).toSatisfy((ms: number) => ms < 5000);
   });
 
-  it('elects the next voter where the disk of the first one stalls', () => {
+  it('elects the next voter in order if the disk of the first one stalls', () => {
     const cluster = new TestCluster(['a', 'b', 'c', 'd', 'e'], 2);
     cluster.found();
     const leader = cluster.leader();
--- a/packages/process-group/src/agreement/group-state.test.ts
+++ b/packages/process-group/src/agreement/group-state.test.ts
@@ -8,7 +8,7 @@
 import { advance, ANSWER_RETENTION_MS, type GroupState } from './group-state.js';
 import type { StateMachine } from './state-machine.js';
 
-describe('agreed operations', () => {
+describe('the answers of agreed operations', () => {
   const counter: StateMachine<number> = {
     empty: () => 0,
     encode: (state) => ({ application: new Uint8Array([state]), applicationExtension: new Uint8Array() }),
@@ -33,7 +33,7 @@
     clockMs: 0,
   };
 
-  it('take effect once for each id, and a rejected one never', () => {
+  it('ensure that an operation takes effect once for each id, and a rejected one never', () => {
     const operations = ['x', 'x', 'y'].map((id) =>
       create(OperationSchema, { id, kind: id === 'y' ? 'no' : 'add' }),
     );
@@ -46,7 +46,7 @@
     ]);
   });
 
-  it("are retained by their ids for ten minutes of the group's clock, placements for less", () => {
+  it("are retained for ten minutes of the group's clock, and those of transient operations for less", () => {
     function add(
       state: GroupState<number>,
       id: string,
--- a/packages/process-group/src/agreement/lone-voter.test.ts
+++ b/packages/process-group/src/agreement/lone-voter.test.ts
@@ -1,4 +1,4 @@
-/** A group of one voter: what a deployment has that is to bear no loss. */
+/** A group of one voter, as in a deployment that need not tolerate the loss of a node. */
 import { describe, it } from 'node:test';
 import type { Fault } from '@rainrun/common';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
@@ -22,7 +22,7 @@
   withoutExtension: () => undefined,
 };
 
-/** A disk that syncs at once and outlives its node. */
+/** A disk that syncs at once and keeps its records when its node stops. */
 class ImmediateDisk implements RecordWriter {
   records: Records = {};
 
@@ -36,7 +36,7 @@
   throw new Error(`${reason.kind}: ${reason.detail}`);
 }
 
-/** Starts the only core on a disk and runs it for long enough to coordinate. */
+/** Starts the only core on a disk, and runs it long enough for it to become coordinator. */
 function startCore(records: ImmediateDisk): Group<undefined> {
   let nowMs = 0;
   let seed = 7;
@@ -70,7 +70,7 @@
 }
 
 describe('a group of one voter', () => {
-  it('coordinates again after its core was restarted', () => {
+  it('has its core as coordinator again, in a newer epoch, after a restart', () => {
     const records = new ImmediateDisk();
     const founded = startCore(records);
     expect([founded.isCoordinator, founded.epoch]).toEqual([true, 1]);
--- a/packages/process-group/src/agreement/restart.test.ts
+++ b/packages/process-group/src/agreement/restart.test.ts
@@ -1,4 +1,4 @@
-/** Restarts of all cores at once: the group must find a coordinator again, whichever links and disks fail meanwhile. */
+/** Restarts of all cores at once: the group must elect a coordinator again while links and disks fail. */
 import { describe, it } from 'node:test';
 import { create, toBinary } from '@bufbuild/protobuf';
 import { PromiseRecordSchema } from '@rainrun/messages';
@@ -9,13 +9,13 @@
 
 const CORES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-/** From the last start to an acknowledged change; twice the bound of a single failure, since two fail here. */
+/** Bound from the last start to an acknowledged operation: twice that of one failure, as two occur here. */
 const RECOVERY_MAX_MS = 5000;
 
-/** Drawn trials here; the command restart-seeds plays more. */
+/** Number of random trials in this test; the restart-seeds command runs more. */
 const TRIAL_SEEDS = 200;
 
-/** Six cores with five voters that have all been killed and started again, with the links given as `FROM TO` cut. */
+/** Six cores, five of them voters, all killed and started again, with the links given as `FROM TO` cut. */
 function restartedCluster(cutLinks: readonly string[]): TestCluster {
   const cluster = new TestCluster(CORES, 2);
   cluster.found();
@@ -24,8 +24,8 @@
   return cluster;
 }
 
-describe('a restart of all cores', () => {
-  it('ends in a coordinator though the first voter reaches a quorum of voters, but no majority of the view', () => {
+describe('a group whose cores have all restarted', () => {
+  it('elects a coordinator although the first voter reaches a quorum but no majority of the view', () => {
     const recoveryTimesMs = CORES.map((first) => {
       const others = CORES.filter((name) => name !== first);
       const unreached = others.slice(2).map((name) => `${first} ${name}`);
@@ -34,14 +34,14 @@
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
-  it('ends in a coordinator though the first voter hears everybody and nobody hears it', () => {
+  it('elects a coordinator although the first voter hears all others and none of them hears it', () => {
     const recoveryTimesMs = CORES.map((first) =>
       restartedCluster(CORES.map((name) => `${first} ${name}`)).recover(20_000),
     );
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
-  it('ends in a coordinator though the disk of any one core hangs from its start on', () => {
+  it('elects a coordinator although the disk of any one core stalls from its start on', () => {
     const recoveryTimesMs = CORES.map((name) => {
       const cluster = restartedCluster([]);
       cluster.node(name).stalled = true;
@@ -50,7 +50,7 @@
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
-  it('ends in a coordinator though all but one are killed again just after its election', () => {
+  it('elects a coordinator although all other cores are killed again just after the election', () => {
     const recoveryTimesMs = CORES.map((_, delay) => {
       const cluster = restartedCluster([]);
       cluster.runUntil(() => cluster.running.some(({ group }) => group.isCoordinator), 10_000);
@@ -62,7 +62,7 @@
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
-  it('goes on with a founding that it interrupted, at any moment of it', () => {
+  it('completes a founding that the restart interrupted, at any moment of it', () => {
     const recoveryTimesMs = [0, 5, 25, 50, 100, 150, 200, 300, 500, 1000].map((afterMs) => {
       const cluster = new TestCluster(CORES, 2);
       cluster.startFirst();
@@ -73,7 +73,7 @@
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
-  it('recovers within the bound over drawn trials, with all that was acknowledged', () => {
+  it('recovers within the bound in random trials, without loss of an acknowledged operation', () => {
     for (let seed = 1; seed <= TRIAL_SEEDS; seed += 1) {
       const { events, lost, recoveredMs } = runRestartTrial(seed);
       const outcome = `seed ${seed}: ${recoveredMs} ms, lost ${lost.length}; ${events.join('; ')}`;
@@ -82,8 +82,8 @@
   });
 });
 
-describe('a coordinator that lacks one vote', () => {
-  it('gives way to a newer epoch where that voter promised this one to another candidate', () => {
+describe('a coordinator that lacks the vote of one voter', () => {
+  it('resigns for a newer epoch if that voter has promised the epoch to another candidate', () => {
     const cluster = new TestCluster(['a', 'b', 'c'], 1);
     cluster.found();
     const epoch = (cluster.leader()?.group.epoch ?? 0) + 1;
--- a/packages/process-group/src/group-orders.test.ts
+++ b/packages/process-group/src/group-orders.test.ts
@@ -20,14 +20,14 @@
 const NAMES = ['a', 'b', 'c'];
 const TICK_MS = 20;
 
-/** A disk that has synced as soon as it is asked to. */
+/** A disk that syncs every write at once. */
 class ImmediateDisk implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
 }
 
-/** A state that counts the bytes of the operations that were applied. */
+/** A state machine that counts the payload bytes of the operations applied. */
 const BYTE_COUNTER: StateMachine<number> = {
   empty: () => 0,
   encode: (state) => ({
@@ -113,8 +113,8 @@
   }
 }
 
-describe('control safety, point 1: a member that has said goodbye', () => {
-  it('vouches for nobody, itself included: the others agree without it', () => {
+describe('a member that has said goodbye', () => {
+  it('renews neither its own lease nor that of a member that can reach only it', () => {
     const cluster = new Cluster();
     cluster.run(3000);
     const { coordinator } = cluster;
@@ -132,8 +132,8 @@
   });
 });
 
-describe('control safety, point 2: large orders at once', () => {
-  it('are agreed in versions that a message between nodes can carry', () => {
+describe('large operations submitted at once', () => {
+  it('are agreed in versions that each fit into one frame', () => {
     const cluster = new Cluster();
     cluster.run(3000);
     const payloadBytes = 2 * 1024 * 1024;
