--- a/packages/process-group/src/agreement/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -1,4 +1,4 @@
-/** The acceptor of Paxos: a voter's promises and accepted versions, and their records on its disk. */
+/** The Paxos acceptor: a voter's promises and accepted versions, and their records on its disk. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
   AcceptedSchema,
@@ -18,19 +18,20 @@
 import { tryOrElse } from 'true-myth/result';
 import { isLater } from './quorum.js';
 
-/** What a voter's disk holds when the node opens it. */
+/** What a voter's disk holds when the node opens it, decoded. */
 export interface OpenedDisk {
   readonly disk: string;
   readonly deployment: string;
   readonly promisedEpoch: number;
   readonly promisedTo: string;
   readonly accepted: Version | undefined;
-  /** The founding cores, on the disk of one of them that holds no agreed state yet; else empty. */
+  /** The founding cores, if this is the disk of one of them and holds no agreed state yet; else empty. */
   readonly founders: readonly string[];
 }
 
 /**
- * Reads the records of a disk. A disk that has lost the replicated state it once held is rejected (`damaged`).
+ * Decodes the records of a disk. A disk that has lost the replicated state that it once held is rejected
+ * (`damaged`).
  * @example
  * const opened = readRecords({}, 'fresh-id'); // an empty disk with a new id
  */
@@ -52,14 +53,16 @@
     },
   ).andThen((opened) =>
     opened.deployment !== '' && opened.accepted === undefined
-      ? Result.err(fault('damaged', `disk ${opened.disk} of ${opened.deployment} has lost its version`))
+      ? Result.err(
+          fault('damaged', `disk ${opened.disk} of ${opened.deployment} has lost its accepted version`),
+        )
       : Result.ok(opened),
   );
 }
 
 /**
- * The acceptor of a voter (as in Paxos). It promises each epoch to one candidate and accepts
- * versions of its promised epoch; both count only once they are synced.
+ * The Paxos acceptor of a voter. It promises each epoch to one candidate and accepts versions
+ * of the epoch it has promised. Promises and acceptances are sent only once they are synced to disk.
  * @example
  * const acceptor = new Acceptor(opened, writer, 'vejsargs', (fault) => stopNode(fault));
  * acceptor.prepare(prepare, (promise) => reply(promise));
@@ -95,7 +98,7 @@
     this.#founders = opened.founders;
   }
 
-  /** Id of the disk: the identity of the voter. */
+  /** Id of the disk, which identifies the voter. */
   get disk(): string {
     return this.#disk;
   }
@@ -105,7 +108,7 @@
     return this.#founders;
   }
 
-  /** The newest epoch that was promised or accepted in, whether it is synced yet or not. */
+  /** The newest epoch that was promised or in which a version was accepted, whether synced yet or not. */
   get promisedEpoch(): number {
     return this.#promisedEpoch;
   }
@@ -115,17 +118,17 @@
     return this.#accepted;
   }
 
-  /** True while a write has been asked for and not yet synced. */
+  /** Whether a write is waiting for its sync. */
   get busy(): boolean {
     return this.#pendingWrites > 0;
   }
 
-  /** Writes synced so far. */
+  /** Number of writes completed so far, failed ones included. */
   get syncs(): number {
     return this.#syncCount;
   }
 
-  /** Writes the disk's own record, before anything else is written. */
+  /** Writes the record that names the disk and, once it holds agreed state, its deployment. */
   writeDiskRecord(): void {
     this.#store(
       'disk',
@@ -142,9 +145,9 @@
   }
 
   /**
-   * Phase 1 of Paxos: promises an epoch to a candidate unless a newer epoch, or this
-   * one for another candidate, is promised. The promise is synced before `reply`:
-   * a restart must not forget it. A promise brings the newest accepted version.
+   * Phase 1 of Paxos: promises an epoch to a candidate unless a newer epoch is promised, or this
+   * epoch to another candidate. The promise is synced before `reply`, since it must survive a
+   * restart. A promise carries the newest accepted version.
    */
   prepare(prepare: Prepare, reply: (promise: PromiseMessage) => void): void {
     const { epoch, disk: candidate } = prepare;
@@ -164,8 +167,8 @@
   }
 
   /**
-   * Phase 2 of Paxos: accepts a version unless a newer epoch is promised. The
-   * version is synced before `reply`, since the acceptance counts towards a quorum.
+   * Phase 2 of Paxos: accepts a version unless a newer epoch is promised, or this epoch to another
+   * candidate. The version is synced before `reply`, since the acceptance counts towards a quorum.
    */
   accept(propose: Propose, reply: (accepted: Accepted) => void): void {
     const version = propose.version;
--- a/packages/process-group/src/agreement/answer-dispatcher.ts
+++ b/packages/process-group/src/agreement/answer-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Answers to the members that submitted operations. */
+/** Sends the answers of operations to the members that submitted them. */
 import type { Answer, Member } from '@rainrun/messages';
 import type { CoordinatorContext } from './coordinator-context.js';
 
@@ -16,11 +16,12 @@
     this.#context = context;
   }
 
-  /** Notes who submitted an operation; the latest submitter gets the answer. */
+  /** Records who submitted an operation; the latest submitter gets the answer. */
   expect(id: string, submitter: Member): void {
     this.#submitters.set(id, submitter);
   }
 
+  /** Sends an answer to the submitter of its operation, unless that has been done. */
   send(answer: Answer): void {
     const submitter = this.#submitters.get(answer.id);
     if (submitter === undefined) return;
--- a/packages/process-group/src/agreement/applied-versions.ts
+++ b/packages/process-group/src/agreement/applied-versions.ts
@@ -1,8 +1,8 @@
-/** Which version each member has applied, as far as the coordinator has heard. */
+/** Which version each member has applied, as far as the coordinator knows. */
 
 /**
- * The newest version that each incarnation is known to have applied; 0 for one
- * that was not heard of.
+ * The newest version that each incarnation is known to have applied; 0 for an incarnation
+ * that has reported none.
  * @example
  * applied.learn('incarnation-2', 7);
  * applied.of('incarnation-2'); // 7
@@ -10,12 +10,12 @@
 export class AppliedVersions {
   #numbers = new Map<string, number>();
 
-  /** Notes a version that a member reports; reports may arrive out of order. */
+  /** Records the version that a member reports; reports may arrive out of order. */
   learn(incarnation: string, number: number): void {
     if (number > this.of(incarnation)) this.#numbers.set(incarnation, number);
   }
 
-  /** Sets what this node itself has applied: 0 again once it is outside a view. */
+  /** Sets the version that this node itself has applied, which falls to 0 when it leaves its view. */
   set(incarnation: string, number: number): void {
     this.#numbers.set(incarnation, number);
   }
--- a/packages/process-group/src/agreement/candidacy.ts
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -14,16 +14,16 @@
 import { disksOf, isQuorum, isLater, type VoterSets } from './quorum.js';
 import type { GroupTimes } from '../times.js';
 
-/** Voters that lose a coordinator at the same moment become candidates within this time of one another. */
+/** Upper bound of the random delay that keeps voters that lose a coordinator together from competing. */
 const START_JITTER_MS = 300;
 
-/** The part of `suspectMs` for which a voter that promised an epoch leaves the candidate time to make something of it. */
+/** Fraction of `suspectMs` for which a voter supports no other candidate after it has promised an epoch. */
 const PROMISE_HOLD_FRACTION = 1 / 2;
 
-/** A disk that learns in its candidacy that it votes no longer waits so many times `suspectMs` before the next one. */
+/** Multiple of `suspectMs` to wait after a candidacy in which this node learned that it no longer votes. */
 const NON_VOTER_WAIT_FACTOR = 5;
 
-/** What a candidacy needs of the node that it runs in. */
+/** What a candidacy needs from the node that it runs in. */
 export interface CandidacyContext {
   readonly acceptor: Acceptor;
   readonly times: GroupTimes;
@@ -31,27 +31,27 @@
   nowMs(): number;
   /** The voters of the newest version that this node knows of. */
   voters(): VoterSets;
-  /** Where the voter with this disk is now, if it is known. */
+  /** The member that holds this voter's disk now, if it is reachable. */
   memberOfVoter(disk: string): Member | undefined;
   member(incarnation: string): Member | undefined;
   send(member: Member, body: Frame['body']): void;
-  /** Incarnation of the coordinator that this node follows, if one is heard. */
+  /** Incarnation of the live coordinator that this node follows, if any. */
   followedCoordinator(): string | undefined;
   /** Newest epoch that this node knows of. */
   epoch(): number;
   learnEpoch(epoch: number): void;
-  /** A majority promised an epoch: this node coordinates from this version on. */
+  /** Called once a quorum has promised the epoch; this node coordinates from `version` on. */
   becomeCoordinator(epoch: number, version: Version): void;
 }
 
-/** One candidacy under way. */
+/** The state of one candidacy in progress. */
 interface PrepareRound {
   readonly epoch: number;
   readonly startedMs: number;
   sentMs: number;
-  /** Voters that said in the pre-vote that they would promise; the prepare phase begins once they are a majority. */
+  /** Voters that granted the pre-vote; the prepare phase begins once they are a quorum. */
   readonly supporters: Set<string>;
-  /** Voters that hear a coordinator, and so refuse. */
+  /** Voters that refused, for example because they hear a coordinator. */
   readonly refusers: Set<string>;
   isPreVote: boolean;
   readonly promises: Map<string, PromiseMessage>;
@@ -59,8 +59,8 @@
 
 /**
  * A voter's candidacy for the next epoch (the prepare phase of Paxos), and its
- * answers to the candidacies of others. A pre-vote asks first whether a majority
- * would promise, so that a candidate does not depose a coordinator at work.
+ * answers to the candidacies of others. A pre-vote asks first whether a quorum
+ * would promise, so that a candidate does not depose a working coordinator.
  * @example
  * const candidacy = new Candidacy(context);
  * if (candidacy.isDue(nowMs) && !candidacy.isCoordinated(undefined, nowMs)) candidacy.begin(nowMs);
@@ -70,7 +70,7 @@
   #round: PrepareRound | undefined;
   #nextAttemptMs: number;
   #lastProposalMs = -Infinity;
-  /** The candidate that was promised an epoch last, and when. */
+  /** The candidate to which this voter last promised an epoch, and when. */
   #lastPromise: { readonly candidate: string; readonly atMs: number } | undefined;
   #hasFailed = false;
   #jitter: number;
@@ -81,22 +81,22 @@
     this.#nextAttemptMs = context.nowMs() + context.times.suspectMs + this.#jitter * START_JITTER_MS;
   }
 
-  /** From 0 to 1, drawn anew after each attempt: what keeps two voters from trying at the same time. */
+  /** A random number from 0 to 1, drawn after each attempt, so that two voters rarely try together. */
   get jitter(): number {
     return this.#jitter;
   }
 
-  /** Whether a pre-vote or a prepare phase of this node is under way. */
+  /** Whether a pre-vote or a prepare phase of this node is in progress. */
   get isUnderWay(): boolean {
     return this.#round !== undefined;
   }
 
-  /** Whether a candidacy of this node, or a term that it won, has ended in vain. */
+  /** Whether a candidacy of this node has failed or a term of it has ended since the node started. */
   get hasFailed(): boolean {
     return this.#hasFailed;
   }
 
-  /** Disks whose answer the attempt under way waits for, and in which phase; undefined while there is none. */
+  /** Phase of the candidacy in progress and the disks that have not answered; undefined if there is none. */
   missing(): { readonly isPreVote: boolean; readonly disks: readonly string[] } | undefined {
     const round = this.#round;
     if (round === undefined) return undefined;
@@ -105,17 +105,17 @@
     return { isPreVote, disks: [...disksOf(this.#context.voters())].filter((disk) => !answered.has(disk)) };
   }
 
-  /** Whether this node has waited long enough to become a candidate. */
+  /** Whether the wait before the next attempt is over. */
   isDue(nowMs: number): boolean {
     return nowMs >= this.#nextAttemptMs;
   }
 
-  /** The process was suspended: it listens for a coordinator before it becomes a candidate. */
+  /** Called after a suspension of the process: postpones the next attempt to listen for a coordinator. */
   onResume(nowMs: number): void {
     this.#nextAttemptMs = Math.max(this.#nextAttemptMs, nowMs + this.#context.times.suspectMs);
   }
 
-  /** This node has ceased to coordinate. */
+  /** Called when this node has resigned as coordinator: postpones its next attempt. */
   onResigned(): void {
     const { times, random } = this.#context;
     this.#hasFailed = true;
@@ -123,17 +123,17 @@
     this.#nextAttemptMs = this.#context.nowMs() + times.suspectMs + this.#jitter * 500;
   }
 
-  /** A coordinator of the newest epoch has proposed something. */
+  /** Records that a coordinator of the newest epoch has proposed a version. */
   noteProposal(): void {
     this.#lastProposalMs = this.#context.nowMs();
   }
 
-  /** Gives up the candidacy under way, if any. */
+  /** Gives up the candidacy in progress, if any. */
   abandon(): void {
     this.#round = undefined;
   }
 
-  /** Whether a coordinator other than the candidate is at work as far as this node can see; a candidate against it gets no promise. */
+  /** Whether this node hears a coordinator other than the candidate; the candidate then gets no promise. */
   isCoordinated(candidate: string | undefined, nowMs: number): boolean {
     const followed = this.#context.followedCoordinator();
     if (followed !== undefined && followed !== candidate) return true;
@@ -142,14 +142,14 @@
     return nowMs - this.#lastProposalMs < suspectMs + ownDelayMs;
   }
 
-  /** Whether another candidate was promised an epoch so lately that it is left time to make something of it. */
+  /** Whether another candidate was promised an epoch less than `PROMISE_HOLD_FRACTION` of `suspectMs` ago. */
   isHoldingPromise(candidate: string | undefined, nowMs: number): boolean {
     const lastPromise = this.#lastPromise;
     if (lastPromise === undefined || lastPromise.candidate === candidate) return false;
     return nowMs - lastPromise.atMs < this.#context.times.suspectMs * PROMISE_HOLD_FRACTION;
   }
 
-  /** Starts a candidacy for the epoch after the newest known: the pre-vote, then the prepare phase. */
+  /** Starts a candidacy for the epoch after the newest known one: the pre-vote, then the prepare phase. */
   begin(nowMs: number): void {
     const { acceptor } = this.#context;
     const epoch = this.#context.epoch() + 1;
@@ -167,7 +167,7 @@
     this.#addSupporter(round, acceptor.disk);
   }
 
-  /** Sends the prepare again while answers are missing, or gives up after `suspectMs`. */
+  /** Resends the prepare to voters that have not answered; gives the candidacy up after `suspectMs`. */
   tick(nowMs: number): void {
     if (this.#round !== undefined) this.#sendPrepares(this.#round, nowMs);
   }
@@ -194,7 +194,7 @@
     this.#nextAttemptMs = nowMs + 200 + this.#jitter * 800;
   }
 
-  /** Answers another candidate. A pre-vote is answered without a promise and without a write. */
+  /** Answers another candidate's prepare. A pre-vote is answered without a promise or a disk write. */
   onPrepare(from: string, prepare: Prepare): void {
     const { acceptor } = this.#context;
     const member = this.#context.member(from);
@@ -220,7 +220,7 @@
     });
   }
 
-  /** Takes the answer to this node's own pre-vote or prepare. */
+  /** Handles an answer to this node's own pre-vote or prepare. */
   onPromise(promise: PromiseMessage): void {
     const round = this.#round;
     this.#context.learnEpoch(promise.granted ? 0 : promise.seenEpoch);
@@ -232,16 +232,16 @@
   }
 
   /**
-   * A voter that knows a newer epoch ends the round. One that hears a coordinator, or promised this
-   * epoch to another candidate, does not as long as the others are a quorum: a coordinator at work is
-   * heard by more than one.
+   * Ends the round if the refusing voter knows a newer epoch. A voter that hears a coordinator, or that
+   * promised this epoch to another candidate, does not end it as long as the other voters are a quorum:
+   * a working coordinator is heard by more than one voter.
    */
   #onRefusal(round: PrepareRound, { disk, seenEpoch }: PromiseMessage): void {
     round.refusers.add(disk);
     if (seenEpoch > round.epoch || !this.#canReachQuorum(round)) this.#backOff(this.#context.nowMs());
   }
 
-  /** Whether the voters that are in touch and have not refused are a quorum. */
+  /** Whether the voters that are reachable and have not refused are a quorum. */
   #canReachQuorum(round: PrepareRound): boolean {
     const { acceptor } = this.#context;
     const voters = this.#context.voters();
@@ -254,8 +254,8 @@
   }
 
   /**
-   * Takes the epoch once a quorum promised it. This node's own disk must be
-   * among them: after a crash it would otherwise prepare the same epoch again,
+   * Becomes coordinator once a quorum has promised the epoch. This node's own disk must be
+   * part of that quorum: after a crash it could otherwise prepare the same epoch again
    * and coordinate in it a second time.
    */
   #completeIfPromised(round: PrepareRound): void {
@@ -283,7 +283,7 @@
   }
 }
 
-/** The newest version that a voter accepted, of those that promised. */
+/** The newest version that any of the promising voters has accepted. */
 function newestAccepted(round: PrepareRound): Version | undefined {
   let best: Version | undefined;
   for (const { accepted } of round.promises.values()) {
--- a/packages/process-group/src/agreement/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -1,4 +1,4 @@
-/** This node's term as coordinator: beginning, resigning, and what the coordinator is given. */
+/** This node's term as coordinator: its start, its end, and the context passed to the coordinator. */
 import { create } from '@bufbuild/protobuf';
 import {
   EntrySchema,
@@ -24,10 +24,10 @@
 import type { Voters } from './voters.js';
 import { fromVersion } from './group-state.js';
 
-/** In a view a term may stand still for longer: its members have a coordinator, and slow disks are the usual cause. */
+/** Multiplies the stall limit in a view: members have a coordinator, and slow disks are the usual cause. */
 const STALL_FACTOR_IN_VIEW = 2;
 
-/** What a coordinator's term needs. */
+/** What a coordinator's term needs from the other parts of the group. */
 interface CoordinationCollaborators<S> {
   readonly coordinatorWatch: CoordinatorWatch<S>;
   readonly dependencies: GroupDependencies<S>;
@@ -40,15 +40,15 @@
   readonly versions: Versions<S>;
   readonly viewChange: ViewChange<S>;
   readonly voters: Voters<S>;
-  /** Notes proposals that were seen, and the end of this node's own term. */
+  /** Informed of proposals that arrive and of the end of this node's term. */
   readonly election: {
     readonly candidacy: { noteProposal(): void; onResigned(): void } | undefined;
   };
 }
 
 /**
- * Holds the coordinator while this node is it, and ends its term when a newer
- * epoch is heard of or a majority has not renewed its lease for too long.
+ * Holds the coordinator object while this node coordinates. Ends the term when a newer epoch
+ * is heard of, when no majority renews the lease for too long, or when the term makes no progress.
  * @example
  * coordination.start(3, version); // a majority promised epoch 3
  * coordination.coordinator?.epoch; // 3
@@ -58,28 +58,28 @@
   #coordinator: Coordinator<S> | undefined;
   #ineligibleUntilMs = -Infinity;
   #leaseLostMs: number | undefined;
-  /** What the term has come to, and since when, while it waits for a version. */
+  /** The last progress of the term and when it was made, while the term waits for a version. */
   #lastProgress: { readonly progress: number; readonly sinceMs: number } | undefined;
-  /** Terms in a row that ended without progress. */
+  /** Number of consecutive terms that ended without progress. */
   #stalledTerms = 0;
 
   constructor(collaborators: CoordinationCollaborators<S>) {
     this.#collaborators = collaborators;
   }
 
-  /** The coordinator, while this node is it. */
+  /** The coordinator object; undefined while this node does not coordinate. */
   get coordinator(): Coordinator<S> | undefined {
     return this.#coordinator;
   }
 
-  /** Whether this node had to resign so lately that it should not be elected again. */
+  /** Whether this node has resigned and still leaves elections to others. */
   isIneligible(nowMs: number): boolean {
     return nowMs < this.#ineligibleUntilMs;
   }
 
   /**
-   * Whether this coordinator has been without its majority for so long that it says so in its heartbeats:
-   * a member that still hears it does not follow it then, and supports another candidate.
+   * Whether this coordinator has had no lease for more than `suspectMs`. Its heartbeats then say so, and
+   * members that still hear it stop following it and support another candidate.
    */
   isUnsupported(nowMs: number): boolean {
     const { suspectMs } = this.#collaborators.dependencies.times;
@@ -88,7 +88,7 @@
 
   /**
    * Drives the coordinator. It resigns when a majority of its view has not renewed its lease for
-   * too long, and when its term makes no progress.
+   * `resignMs`, when its term makes no progress, and when a voter's rejection blocks its proposal.
    */
   tick(nowMs: number): void {
     const { dependencies, leases, local } = this.#collaborators;
@@ -103,8 +103,9 @@
   }
 
   /**
-   * Whether this term has gone without a chosen or committed version for too long, though it is in no view or a
-   * proposal is under way. A lease does not tell: the members that renew it need not be the voters that are missing.
+   * Whether this term has chosen and committed no version for too long although it is in no view or has a
+   * proposal open. The lease does not show this: the members that renew it need not be the voters whose
+   * answers are missing.
    */
   #isStalled(nowMs: number): boolean {
     const { local } = this.#collaborators;
@@ -120,7 +121,7 @@
     return nowMs - this.#lastProgress.sinceMs > factor * this.#stallMaxMs();
   }
 
-  /** Grows with the terms that came to nothing: disks and links may be slow everywhere. */
+  /** The stall limit. It grows with each consecutive stalled term: disks and links may be slow everywhere. */
   #stallMaxMs(): number {
     const { resignMs, suspectMs } = this.#collaborators.dependencies.times;
     return backoffMs({ firstMs: suspectMs, maxMs: 2 * resignMs }, this.#stalledTerms);
@@ -131,13 +132,13 @@
     this.#stalledTerms += 1;
   }
 
-  /** Resigns, and leaves the next elections to others for this long. */
+  /** Resigns, and stands for no election for `ineligibleMs`. */
   #resignFor(ineligibleMs: number, nowMs: number): void {
     this.#ineligibleUntilMs = nowMs + ineligibleMs;
     this.#resign();
   }
 
-  /** A majority promised an epoch: this node coordinates from this version on. */
+  /** Starts a term after a quorum has promised the epoch; this node coordinates from `version` on. */
   start(epoch: number, version: Version): void {
     const { coordinatorWatch, dependencies, leases, local } = this.#collaborators;
     const base = fromVersion(dependencies.stateMachine, version);
@@ -159,26 +160,26 @@
   }
 
   /**
-   * A member that lacks more than the version before its base cannot deliver
-   * what it is about to propose, and nobody could send it what is missing: it
-   * goes on outside the view and takes a snapshot with the next one.
+   * Leaves the view if this node lacks more than the base version itself. It could not deliver what it
+   * is about to propose, and no other member could send it the missing versions. It continues outside
+   * the view and installs a snapshot with the next view.
    */
   #leaveIfBehind(baseNumber: number): void {
     const { local, viewChange } = this.#collaborators;
     if (local.inView && (local.state?.number ?? 0) < baseNumber - 1) viewChange.rejoin();
   }
 
-  /** Ends this node's term if a newer epoch than its own has been heard of. */
+  /** Resigns if `epoch` is newer than the epoch of this node's term. */
   resignIfBefore(epoch: number): void {
     if (this.#coordinator !== undefined && epoch > this.#coordinator.epoch) this.#resign();
   }
 
-  /** Ends this node's term without more ado: it goes on as a new member. */
+  /** Ends this node's term without informing the election; the node rejoins under a new incarnation. */
   drop(): void {
     this.#endTerm();
   }
 
-  /** Takes an operation that a member, or this node itself, submits. */
+  /** Handles an operation submitted by a member or by this node itself. */
   onSubmit(from: string, submit: Submit): void {
     const { local } = this.#collaborators;
     const member =
@@ -189,7 +190,7 @@
       this.#coordinator?.submit(submit.operation, member);
   }
 
-  /** Hands a proposal of a coordinator to this node's disk, if it votes. */
+  /** Passes a coordinator's proposal to this node's acceptor, if it votes or has voted. */
   onPropose(from: string, propose: Propose): void {
     const { dependencies, directory, election, local, transport } = this.#collaborators;
     const { acceptor } = dependencies;
@@ -203,7 +204,7 @@
     acceptor.accept(propose, (accepted) => transport.send(member, { case: 'accepted', value: accepted }));
   }
 
-  /** Takes a vote on this coordinator's proposal. */
+  /** Handles a voter's reply to this coordinator's proposal. */
   onAccepted(accepted: Accepted): void {
     if (this.#coordinator !== undefined && accepted.seenEpoch > this.#coordinator.epoch) {
       this.#collaborators.local.learnEpoch(accepted.seenEpoch);
--- a/packages/process-group/src/agreement/coordinator-context.ts
+++ b/packages/process-group/src/agreement/coordinator-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the coordinator need from the node that they run in. */
+/** The interface between the coordinator's parts and the node that they run in. */
 import type { Cast, Frame, Member, SequencedMessage, Version } from '@rainrun/messages';
 import type { GroupTimes } from '../times.js';
 import type { StateMachine } from './state-machine.js';
@@ -7,25 +7,28 @@
 export interface CoordinatorContext<S> {
   readonly stateMachine: StateMachine<S>;
   readonly times: GroupTimes;
+  /** Id of this node's disk. */
   readonly disk: string;
-  /** So many voters there should be, as far as there are disks. */
+  /** How many voters there should be, as far as enough members have a disk. */
   readonly desiredVoterCount: number;
   self(): Member;
-  /** Newest version in force in this node. */
+  /** The newest version that this node has applied. */
   appliedVersion(): number;
   isLive(incarnation: string): boolean;
   /** Whether this incarnation has said goodbye. */
   hasLeft(incarnation: string): boolean;
-  /** Whether most members say that they cannot reach this incarnation. */
+  /** Whether a majority of the view reports that it cannot reach this incarnation. */
   isReported(incarnation: string): boolean;
-  /** Live nodes that ask to join; this node too while it is in no view. */
+  /** Live nodes that ask to join, including this node while it is in no view. */
   joiners(): readonly Member[];
-  /** Where the voter with this disk is now, if it is known. */
+  /** The member that holds this voter's disk now, if it is reachable. */
   memberOfVoter(disk: string): Member | undefined;
   send(member: Member, body: Frame['body']): void;
   sendOrdered(member: Member, body: SequencedMessage['body']): void;
-  /** This node's own vote on a proposal. */
+  /** Proposes a version to this node's own acceptor. */
   vote(version: Version): void;
+  /** Stops this node's casts for a view change, and returns those that are not stable. */
   flushSelf(change: number, staying: readonly string[]): readonly Cast[];
+  /** Delivers a chosen version to this node. */
   deliverSelf(version: Version): void;
 }
--- a/packages/process-group/src/agreement/coordinator-wait.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.ts
@@ -1,4 +1,4 @@
-/** Why this node knows no coordinator that commits: what it waits for at this moment, for logs and operators. */
+/** Reports to logs and operators what a node that knows no committing coordinator is waiting for. */
 import type { Acceptor } from './acceptor.js';
 import type { Coordinator } from './coordinator.js';
 import type { CoordinatorWatch } from './coordinator-watch.js';
@@ -12,50 +12,50 @@
 import type { LocalMember } from '../membership/local-member.js';
 import type { Voters } from './voters.js';
 
-/** What a node without a coordinator waits for. */
+/** What a node that knows no committing coordinator is waiting for. */
 export enum WaitPhase {
-  /** A write to its own disk. */
+  /** The sync of a write to its own disk. */
   Disk = 'disk',
-  /** The other founders. */
+  /** The other founders, to found the group. */
   Founding = 'founding',
-  /** A group: this node's disk does not vote, so that only others can be elected. */
+  /** Contact with the group: this node's disk does not vote, so only other nodes can be elected. */
   Discovery = 'discovery',
-  /** The time after a term that ended in vain, in which others go first. */
+  /** The end of the time after a resignation in which elections are left to other voters. */
   Ineligible = 'ineligible',
-  /** The voters before it in order, or its own back-off. */
+  /** The voters that precede it in order, or its own back-off. */
   Turn = 'turn',
-  /** Supporters in the pre-vote. */
+  /** Support of more voters in the pre-vote. */
   PreVote = 'pre-vote',
-  /** Promises. */
+  /** Promises of more voters in the prepare phase. */
   Prepare = 'prepare',
-  /** As coordinator: voters that accept the version proposed. */
+  /** As coordinator: acceptance of the proposed version by a quorum of voters. */
   Proposal = 'proposal',
-  /** As coordinator: members that apply the version chosen. */
+  /** As coordinator: application of the chosen version by a majority of the view. */
   Commit = 'commit',
-  /** As coordinator: members that flush for the next view. */
+  /** As coordinator: the flush replies of members for the next view. */
   Flush = 'flush',
-  /** As coordinator: a majority of the view that renews its lease. */
+  /** As coordinator: renewal of its lease by a majority of the view. */
   Lease = 'lease',
 }
 
-/** A voter as this node sees it now. */
+/** What this node knows of a voter's reachability. */
 export interface VoterContact {
   readonly name: string;
   readonly disk: string;
-  /** How long ago it was in touch outside a view, in milliseconds; null where it is not, or is this node. */
+  /** Age of the last contact outside a view, in milliseconds; null if there is no fresh one. */
   readonly contactMsAgo: number | null;
-  /** Whether it counts as live in this node's view. */
+  /** Whether it is a live member of this node's view. */
   readonly live: boolean;
 }
 
-/** What a node that knows no coordinator waits for. */
+/** The report of a node that knows no committing coordinator. */
 export interface CoordinatorWait {
   readonly phase: WaitPhase;
-  /** For how long no coordinator that commits has been known, in milliseconds. */
+  /** How long no committing coordinator has been known, in milliseconds. */
   readonly waitedMs: number;
-  /** Whose answer is missing: names, or ids of disks whose names are not known. */
+  /** The nodes whose answer is missing, by name, or by disk id where the name is unknown. */
   readonly missing: readonly string[];
-  /** For how long this node's disk has synced nothing though writes wait, in milliseconds. */
+  /** How long this node's disk has synced nothing although writes wait, in milliseconds. */
   readonly diskMs: number;
   readonly epoch: number;
   readonly newestVersion: number;
@@ -63,7 +63,7 @@
   readonly voters: readonly VoterContact[];
 }
 
-/** What the report reads; it changes nothing. */
+/** The parts of the group that the report reads. */
 interface WaitCollaborators<S> {
   readonly coordinatorWatch: Pick<CoordinatorWatch<S>, 'live'>;
   readonly coordination: {
@@ -81,14 +81,14 @@
   readonly voters: Pick<Voters<S>, 'list'>;
 }
 
-/** A phase, and who is missing in it: disks, unless they are names already. */
+/** A phase and the nodes whose answer is missing in it, by name or disk id. */
 interface CurrentWait {
   readonly phase: WaitPhase;
   readonly missing: readonly string[];
 }
 
 /**
- * Notes since when no coordinator is known, and says what this node waits for.
+ * Measures how long no committing coordinator has been known, and reports what this node is waiting for.
  * @example
  * coordinatorWait.tick(nowMs);
  * coordinatorWait.report(nowMs)?.phase; // 'pre-vote'
@@ -101,13 +101,13 @@
     this.#collaborators = collaborators;
   }
 
-  /** To be called at every tick. */
+  /** Called at every tick; records since when no committing coordinator has been known. */
   tick(nowMs: number): void {
     if (this.#isCoordinated()) this.#sinceMs = undefined;
     else this.#sinceMs ??= nowMs;
   }
 
-  /** What this node waits for; undefined while it follows, or is, a coordinator that commits. */
+  /** What this node is waiting for; undefined while it follows a coordinator or is one that commits. */
   report(nowMs: number): CoordinatorWait | undefined {
     if (this.#sinceMs === undefined) return undefined;
     const { diskWatch, local } = this.#collaborators;
--- a/packages/process-group/src/agreement/coordinator-watch.ts
+++ b/packages/process-group/src/agreement/coordinator-watch.ts
@@ -1,18 +1,18 @@
-/** Whom this node takes for the coordinator. */
+/** Tracks which node this node follows as coordinator. */
 import type { GroupDependencies } from '../group-dependencies.js';
 import type { Liveness } from '../membership/liveness.js';
 import type { LocalMember } from '../membership/local-member.js';
 
-/** The coordinator as its last heartbeat showed it. */
+/** The coordinator, as of its last heartbeat. */
 export interface FollowedCoordinator {
   readonly incarnation: string;
   readonly epoch: number;
   readonly atMs: number;
-  /** It says itself that it cannot coordinate now. */
+  /** Whether it announced that it cannot coordinate now. */
   readonly resigning: boolean;
 }
 
-/** What the watch of the coordinator needs. */
+/** What tracking the coordinator needs from the other parts of the group. */
 interface CoordinatorWatchCollaborators<S> {
   readonly dependencies: GroupDependencies<S>;
   readonly liveness: Liveness<S>;
@@ -22,10 +22,10 @@
 }
 
 /**
- * Remembers the coordinator of the newest epoch that was heard, this node
- * itself included, and says whether it can be relied on now.
+ * Remembers the last coordinator that was heard, which may be this node itself, and decides
+ * whether it is live.
  * @example
- * coordinatorWatch.live()?.incarnation; // where operations are submitted
+ * coordinatorWatch.live()?.incarnation; // operations are submitted to this member
  */
 export class CoordinatorWatch<S> {
   #collaborators: CoordinatorWatchCollaborators<S>;
@@ -35,21 +35,22 @@
     this.#collaborators = collaborators;
   }
 
-  /** Notes the coordinator that was heard now. */
+  /** Records the coordinator that was just heard. */
   follow(incarnation: string, epoch: number, resigning: boolean): void {
     this.#followed = { incarnation, epoch, atMs: this.#collaborators.local.nowMs(), resigning: resigning };
   }
 
-  /** Ceases to follow this node itself: it has resigned. */
+  /** Stops following this node itself, after it has resigned. */
   unfollowSelf(): void {
     if (this.#followed?.incarnation === this.#collaborators.local.incarnation) this.#followed = undefined;
   }
 
+  /** Stops following any coordinator. */
   clear(): void {
     this.#followed = undefined;
   }
 
-  /** The coordinator, if it was heard lately, is live and of the newest epoch known. */
+  /** The coordinator, if it was heard within `suspectMs`, is live, and coordinates the newest known epoch. */
   live(): FollowedCoordinator | undefined {
     const { coordination, dependencies, liveness, local } = this.#collaborators;
     const followed = this.#followed;
--- a/packages/process-group/src/agreement/coordinator.ts
+++ b/packages/process-group/src/agreement/coordinator.ts
@@ -1,4 +1,4 @@
-/** The coordinator of an epoch: the order of its work, of which each step is a part of its own. */
+/** The coordinator of an epoch: the order of its steps, each of which has its own module. */
 import { create } from '@bufbuild/protobuf';
 import {
   EntrySchema,
@@ -19,7 +19,7 @@
 import { VersionProposer, type Proposal } from './version-proposer.js';
 import { VoterReplacement } from './voter-replacement.js';
 
-/** A step of a term, and who has not answered it: disks for a proposal, names of members for the others. */
+/** A step in progress and who has not answered: disks for a proposal, member names for the other steps. */
 export interface PendingStep {
   readonly step: 'proposal' | 'commit' | 'flush';
   readonly missing: readonly string[];
@@ -27,9 +27,9 @@
 
 /**
  * The one node that, in its epoch, changes the view and sequences the submitted
- * operations. One version at a time: chosen by a quorum of voters, then applied
- * by a majority of the view (of the old and the new one when the view changes);
- * only then is it committed and the next one begun.
+ * operations. It handles one version at a time: the version is chosen by a quorum of
+ * voters, then applied by a majority of the view (of both the old and the new view when
+ * the view changes). Only then is it committed and the next one begun.
  * @example
  * const coordinator = new Coordinator(context, 3, base, entry, nowMs, (number) => note(number));
  * coordinator.tick(nowMs);
@@ -48,7 +48,7 @@
   #voterReplacement: VoterReplacement;
 
   /**
-   * Begins an epoch that a quorum promised.
+   * Begins an epoch that a quorum has promised.
    * @param base the newest version that the quorum had accepted; it is proposed again in this epoch first
    * @param entry the entry that made `base`
    * @param onCommitted called with the number of each version that is committed
@@ -91,22 +91,22 @@
     return this.#commit.ready;
   }
 
-  /** Grows with each version that is chosen and with each that is committed: a term that does not move makes no progress. */
+  /** A number that grows whenever a version is chosen or committed, by which a stalled term is detected. */
   get progress(): number {
     return this.#state.number + this.#commit.committedVersion;
   }
 
-  /** Whether a version waits for a quorum of voters. */
+  /** Whether a proposed version has not yet been accepted by a quorum of voters. */
   get isProposing(): boolean {
     return this.#proposer.isProposing;
   }
 
-  /** Whether a voter that promised this epoch to another candidate keeps a proposal from a quorum for too long. */
+  /** Whether a proposal has lacked a quorum for too long while a voter rejects it in this epoch. */
   isOpposed(nowMs: number): boolean {
     return this.#proposer.isOpposed(nowMs);
   }
 
-  /** What the version or the view change under way waits for; undefined while this term is idle. */
+  /** What the version or view change in progress waits for; undefined while this term is idle. */
   pendingStep(): PendingStep | undefined {
     if (this.#proposer.isProposing) return { step: 'proposal', missing: this.#proposer.missingDisks() };
     if (this.#commit.isPending) return { step: 'commit', missing: this.#commit.missingMembers() };
@@ -114,7 +114,7 @@
     return undefined;
   }
 
-  /** Takes an operation; an id already decided or waiting is not taken twice. */
+  /** Queues an operation unless its id is already queued, proposed or decided; resends a committed answer. */
   submit(operation: Operation, from: Member): void {
     const { id } = operation;
     this.#answers.expect(id, from);
@@ -124,12 +124,12 @@
     if (!isPending && answer === undefined) this.#queue.push(operation);
   }
 
-  /** An operator states that the node of this name will not come back. */
+  /** Records an operator's statement that the node of this name will not come back. */
   exclude(name: string): void {
     this.#departed.exclude(name);
   }
 
-  /** Notes a version that a member reports to have applied. */
+  /** Records the version that a member reports to have applied. */
   learnApplied(incarnation: string, number: number): void {
     this.#applied.learn(incarnation, number);
   }
@@ -143,9 +143,9 @@
   }
 
   /**
-   * Does the next step. The order counts: nothing is begun before the version
-   * before it is committed, and the view comes first, since the voters and the
-   * operations need a majority of members that are there.
+   * Does the next step. The order matters: nothing is begun before the previous version is
+   * committed, and a view change comes first, since voter changes and operations need a majority
+   * of live members.
    */
   tick(nowMs: number): void {
     if (this.#proposer.isProposing) return this.#proposer.sendDue(nowMs);
@@ -159,7 +159,7 @@
     if (operations.length > 0) this.#proposeNext(create(EntrySchema, { operations }), nowMs);
   }
 
-  /** Whether the newest version changed the view or the voters: the next one records that the change is concluded. */
+  /** Whether the newest version changed the view or the voters, and the next one must conclude the change. */
   #mustConclude(): boolean {
     return this.#state.previousView !== undefined || this.#state.previousVoters.length > 0;
   }
@@ -168,7 +168,7 @@
     this.#proposer.proposeNext(this.#state, entry, nowMs);
   }
 
-  /** This node applies the version before the others hear of it: `tryCommit` counts what it has applied. */
+  /** Delivers a chosen version here before it is sent to others, since `tryCommit` counts this node too. */
   #onChosen(proposal: Proposal<S>): void {
     const { view: previousView } = this.#state;
     this.#state = proposal.state;
--- a/packages/process-group/src/agreement/departed-members.ts
+++ b/packages/process-group/src/agreement/departed-members.ts
@@ -1,4 +1,4 @@
-/** Incarnations that can take no further part, and majorities of a view that count them. */
+/** Incarnations that have left for good, and majorities of a view that count them. */
 import type { Member, View } from '@rainrun/messages';
 import { rankOf } from '../membership/members.js';
 import type { CoordinatorContext } from './coordinator-context.js';
@@ -7,9 +7,9 @@
 type DepartedContext = Pick<CoordinatorContext<unknown>, 'hasLeft' | 'isLive' | 'joiners'>;
 
 /**
- * Decides which incarnations have departed for good: an incarnation that said
- * goodbye, was succeeded under its name, or was excluded by an operator. None of
- * them can act on an older view, so that they count towards its majority.
+ * Decides which incarnations have departed for good: those that said goodbye, were replaced
+ * by a newer incarnation of the same name, or were excluded by an operator. A departed
+ * incarnation cannot act on an older view, so it counts towards the majority of that view.
  * @example
  * departed.exclude('core-3');
  * departed.hasMajority(view, (member) => acknowledged.has(member.incarnation));
@@ -25,16 +25,17 @@
     this.#currentView = currentView;
   }
 
-  /** An operator states that the node of this name will not come back. */
+  /** Records an operator's statement that the node of this name will not come back. */
   exclude(name: string): void {
     this.#excludedNames.add(name);
   }
 
+  /** Whether an operator has excluded the node of this name. */
   isExcluded(name: string): boolean {
     return this.#excludedNames.has(name);
   }
 
-  /** Whether a member has departed; once true, it stays true in this epoch. */
+  /** Whether a member has departed; once true, this stays true for the epoch. */
   has(member: Member): boolean {
     if (this.#departed.has(member.incarnation)) return true;
     const isDeparted =
@@ -46,7 +47,7 @@
     return isDeparted;
   }
 
-  /** Whether the members that count, with those that departed, are a majority of a view; an empty view has one. */
+  /** Whether the members that `counts` selects or that departed are a majority; true for an empty view. */
   hasMajority(view: View, counts: (member: Member) => boolean): boolean {
     if (view.members.length === 0) return true;
     return (
--- a/packages/process-group/src/agreement/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -14,12 +14,12 @@
 import type { Voters } from './voters.js';
 
 /**
- * How long a voter that could be a candidate waits for the voters before it, as a part of
- * `suspectMs`: half of it, and a random part of it beyond, so that two rarely try at once.
+ * Least time that a voter waits for the voters that precede it, as a fraction of `suspectMs`.
+ * A random fraction from 0 to 1 is added, so that two voters rarely try at the same time.
  */
 const TURN_WAIT_FRACTION = 1 / 2;
 
-/** What elections need. */
+/** What an election needs from the other parts of the group. */
 interface ElectionCollaborators<S> {
   readonly coordination: Coordination<S>;
   readonly coordinatorWatch: CoordinatorWatch<S>;
@@ -34,18 +34,18 @@
 }
 
 /**
- * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when
- * no coordinator is heard and no voter that comes before it can be reached. It waits for those
- * before it for a bounded time only: one that is in touch may still be unable to be elected,
- * for its disk, for links to others, or because it does not know itself for a voter. The
- * pre-vote keeps a voter that goes out of turn from deposing a coordinator at work.
+ * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when it
+ * hears no coordinator and can reach no voter that precedes it. It waits only a bounded time for
+ * the voters that precede it, since a reachable voter may still be unable to win: its disk may be
+ * slow, its links to others may be down, or it may not know that it is a voter. The pre-vote keeps
+ * a candidate that does not wait its turn from deposing a working coordinator.
  * @example
  * election.tick(nowMs); // while this node does not coordinate
  */
 export class Election<S> {
   #collaborators: ElectionCollaborators<S>;
   #candidacy: Candidacy | undefined;
-  /** When this voter goes without regard to the voters before it, while no coordinator is heard. */
+  /** When this voter stops waiting for the voters that precede it; undefined while a coordinator is heard. */
   #turnDeadlineMs: number | undefined;
 
   constructor(collaborators: ElectionCollaborators<S>) {
@@ -54,12 +54,12 @@
     this.#candidacy = acceptor === undefined ? undefined : new Candidacy(this.#candidacyContext(acceptor));
   }
 
-  /** This node's candidacy and its answers to other candidates; only on a node with a disk. */
+  /** This node's candidacies and its answers to other candidates; undefined on a node without a disk. */
   get candidacy(): Candidacy | undefined {
     return this.#candidacy;
   }
 
-  /** Founds the group, drives the candidacy under way, or begins one if this node is the next in order. */
+  /** Founds the group, drives the candidacy in progress, or begins one if it is this node's turn. */
   tick(nowMs: number): void {
     const { coordination, coordinatorWatch, dependencies, founding } = this.#collaborators;
     const { acceptor } = dependencies;
@@ -75,7 +75,7 @@
     candidacy.begin(nowMs);
   }
 
-  /** The disk of the voter that this node lets go first; undefined if it is itself the next. */
+  /** The disk of the voter that this node waits for; undefined if there is none or this node is next. */
   firstInOrder(): string | undefined {
     const { dependencies, local, voters } = this.#collaborators;
     const disks = voters.list().map((voter) => voter.disk);
@@ -86,13 +86,13 @@
     return first === ownDisk ? undefined : first;
   }
 
-  /** The process was suspended: the voters before this one get their time anew. */
+  /** Called after the process was suspended: restarts the wait for the voters that precede this one. */
   onResume(nowMs: number): void {
     this.#turnDeadlineMs = undefined;
     this.#candidacy?.onResume(nowMs);
   }
 
-  /** Whether this node is the next in order, or has waited long enough for those before it. */
+  /** Whether this voter is next in order, or has waited long enough for the voters that precede it. */
   #isTurn(candidacy: Candidacy, disk: string, nowMs: number): boolean {
     const { coordinatorWatch, dependencies, voters } = this.#collaborators;
     if (coordinatorWatch.live() !== undefined || !voters.list().some((voter) => voter.disk === disk))
@@ -103,8 +103,9 @@
   }
 
   /**
-   * Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited
-   * for. After a first attempt the back-off counts, lest candidates go on to depose one another.
+   * Whether every voter is reachable and none is in a view, as after a power failure of all cores. The
+   * initial wait is unnecessary then. After a failed attempt the back-off applies, so that candidates do
+   * not keep deposing one another.
    */
   #mayStartEarly(candidacy: Candidacy, acceptor: Acceptor): boolean {
     const { discovery, local, voters } = this.#collaborators;
@@ -117,10 +118,9 @@
   }
 
   /**
-   * Whether no voter of lower rank can be reached. Members come first, in the
-   * view's order; a voter that is back under a new incarnation comes after them.
-   * Outside a view nobody waits for a voter with an older version: that one may
-   * know too little of the voters to be elected.
+   * Whether no voter that precedes this one can be reached. Members of the view come first, in the view's
+   * order; a voter that has restarted under a new incarnation comes after them. A voter outside a view does
+   * not wait for one with an older version, which may know an outdated voter set and be unable to win.
    */
   #isNext(disk: string, nowMs: number): boolean {
     const { local, voters } = this.#collaborators;
--- a/packages/process-group/src/agreement/founding.ts
+++ b/packages/process-group/src/agreement/founding.ts
@@ -1,4 +1,4 @@
-/** The founding of a group: its first version, made once by the first of the founders. */
+/** The founding of a group: the first founder in sorted order creates its first version, once. */
 import { create } from '@bufbuild/protobuf';
 import {
   PrepareSchema,
@@ -14,7 +14,7 @@
 import type { LocalMember } from '../membership/local-member.js';
 import { toVersion, type GroupState } from './group-state.js';
 
-/** What founding needs. */
+/** What founding needs from the other parts of the group. */
 interface FoundingCollaborators<S> {
   readonly dependencies: GroupDependencies<S>;
   readonly discovery: Discovery<S>;
@@ -27,8 +27,8 @@
 }
 
 /**
- * Founds the group when all founders are there with empty disks and nobody
- * has heard of a group.
+ * Founds the group when all founders are reachable with empty disks and no contact knows of an
+ * existing group.
  * @example
  * if (founding.mayFound()) founding.tick();
  */
@@ -39,13 +39,13 @@
     this.#collaborators = collaborators;
   }
 
-  /** Whether this node is a founder whose disk has not accepted anything yet. */
+  /** Whether this node is a founder whose disk has not accepted any version yet. */
   mayFound(): boolean {
     const { acceptor } = this.#collaborators.dependencies;
     return acceptor !== undefined && this.#founderName() !== undefined && acceptor.accepted === undefined;
   }
 
-  /** Founds the group if this is the first of the founders and all the others are there. */
+  /** Founds the group if this node is the first founder in sorted order and all others are reachable. */
   tick(): void {
     const { coordination, dependencies } = this.#collaborators;
     const { acceptor, founders, stateMachine } = dependencies;
@@ -61,13 +61,13 @@
     });
   }
 
-  /** How the founders' list calls this node: by name or by address. */
+  /** This node's entry in the list of founders, which is its name or its address. */
   #founderName(): string | undefined {
     const { founders, name, address } = this.#collaborators.dependencies;
     return founders.find((founder) => founder === name || founder === address);
   }
 
-  /** All founders in the order of the list, this node first; undefined while one is missing or a group exists. */
+  /** All founders in list order, this node first; undefined while one is missing or a group exists. */
   #founderMembers(ownName: string): Member[] | undefined {
     const { dependencies, discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
--- a/packages/process-group/src/agreement/group-state.ts
+++ b/packages/process-group/src/agreement/group-state.ts
@@ -1,4 +1,4 @@
-/** The replicated state of the group at one version: how an entry advances it, and its form in messages and records. */
+/** The replicated state of the group: how an entry advances it, and its encoding in messages and records. */
 import { create } from '@bufbuild/protobuf';
 import {
   AnswerSchema,
@@ -17,48 +17,53 @@
 import type { Result } from 'true-myth';
 import type { StateMachine } from './state-machine.js';
 
-/** The replicated state in memory, at one version. Never changed in place. */
+/** The replicated state in memory at one version; it is never changed in place. */
 export interface GroupState<S> {
   readonly epoch: number;
   readonly number: number;
   readonly deployment: string;
   readonly view: View;
-  /** The view that this version ended, until the next version concludes the change. */
+  /** The view that this version replaced; undefined once the next version has concluded the change. */
   readonly previousView: View | undefined;
   readonly voters: readonly Voter[];
-  /** The voters before this version, if it changed them: until it is known to be chosen, elections and votes need a majority of both sets. */
+  /**
+   * The voters before this version, if it changed them. Until the version is known to be chosen, elections
+   * and votes need a majority of both sets.
+   */
   readonly previousVoters: readonly Voter[];
   readonly application: S;
   readonly answers: readonly Answer[];
-  /** The level of the protocol by which the newest entry was applied. */
+  /** The protocol level by whose rules the newest entry was applied. */
   readonly level: number;
-  /** The group's clock: it runs while a coordinator sequences, and never faster than time. */
+  /** The group's clock: it advances while a coordinator sequences, and never faster than real time. */
   readonly clockMs: number;
 }
 
-/** Answers retained at level 1, and transient ones retained at any. */
+/** Number of answers retained at protocol level 1. */
 const LEVEL1_ANSWERS_MAX = 512;
+
+/** Number of transient answers retained at level 2 and later. */
 const TRANSIENT_ANSWERS_MAX = 64;
 
-/** How long, by the group's clock, an answer to an operator is retained and its id applied no second time. */
+/** How long, by the group's clock, an answer to an operator is retained and its id is not applied again. */
 export const ANSWER_RETENTION_MS = 600_000;
 
-/** The most answers to operators that are retained; further operations wait or are rejected on admission. */
+/** Number of answers to operators retained at most; further operations wait or are rejected on admission. */
 export const RETAINED_ANSWERS_MAX = 2048;
 
-/** No detail of an answer is longer. */
+/** Length to which the detail of an answer is cut. */
 const DETAIL_MAX_CHARS = 600;
 
 /**
- * How many answers to operators are retained now.
+ * The number of answers to operators that a state retains.
  * @example
- * retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX; // true: no room for another operation
+ * retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX; // true: no further answer can be retained
  */
 export function retainedAnswerCount(state: { readonly answers: readonly Answer[] }): number {
   return state.answers.filter((answer) => !answer.transient).length;
 }
 
-/** The answers that stay: level 1 goes by their count, later levels by the group's clock. */
+/** The answers still to be retained: level 1 limits their number, later levels their age (group's clock). */
 function retainedAnswers(answers: readonly Answer[], level: number, clockMs: number): readonly Answer[] {
   if (level === 1) return answers.slice(-LEVEL1_ANSWERS_MAX);
   const transient = answers.filter((answer) => answer.transient).slice(-TRANSIENT_ANSWERS_MAX);
@@ -69,7 +74,7 @@
 }
 
 /**
- * The state that follows from an entry. The same on every node.
+ * Applies an entry to a state. The result is the same on every node.
  * @example
  * const next = advance(stateMachine, state, 2, create(EntrySchema, { operations: [operation] }));
  */
@@ -113,7 +118,7 @@
 }
 
 /**
- * A state as it goes to disks and joiners, with the entry that made it.
+ * Encodes a state, with the entry that produced it, for disks and for nodes that join.
  * @example
  * const version = toVersion(stateMachine, state, entry);
  */
@@ -134,7 +139,7 @@
 }
 
 /**
- * The state that a version carries.
+ * Decodes the state that a version carries.
  * @example
  * const state = fromVersion(stateMachine, version);
  */
@@ -159,7 +164,7 @@
 }
 
 /**
- * A version without its state, as it goes to members that have applied the one before.
+ * A version without its state, as sent to members that have applied the previous version.
  * @example
  * withoutState(version).state; // undefined
  */
--- a/packages/process-group/src/agreement/operation-queue.ts
+++ b/packages/process-group/src/agreement/operation-queue.ts
@@ -1,11 +1,11 @@
-/** Operations that wait to be sequenced, and how many go into one version. */
+/** The operations that wait to be sequenced, and the limits on how many go into one version. */
 import type { Operation } from '@rainrun/messages';
 import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './group-state.js';
 
-/** Operations of one version at most. */
+/** Number of operations in one version at most. */
 const BATCH_MAX_OPERATIONS = 64;
 
-/** Payload bytes of one version at most, but for a larger operation that goes alone: a proposal must fit into a frame. */
+/** Payload bytes in one version at most, unless one operation is larger: a proposal must fit into a frame. */
 const BATCH_MAX_BYTES = 1024 * 1024;
 
 /**
@@ -17,6 +17,7 @@
 export class OperationQueue {
   #operations: Operation[] = [];
 
+  /** Whether an operation with this id is queued. */
   has(id: string): boolean {
     return this.#operations.some((known) => known.id === id);
   }
@@ -25,7 +26,7 @@
     this.#operations.push(operation);
   }
 
-  /** Takes the operations for the version after `state`: as many as their answers can be retained. */
+  /** Removes and returns the operations of the next version, as many as `state` can retain answers for. */
   takeBatch(state: Parameters<typeof retainedAnswerCount>[0]): Operation[] {
     let freeAnswers = RETAINED_ANSWERS_MAX - retainedAnswerCount(state);
     const batch: Operation[] = [];
--- a/packages/process-group/src/agreement/quorum.ts
+++ b/packages/process-group/src/agreement/quorum.ts
@@ -1,8 +1,8 @@
-/** Majorities of a set, quorums of voters, and the order of versions: the rules of Paxos that every part shares. */
+/** The Paxos rules that several modules share: majorities, quorums of voters, and the order of versions. */
 import type { Voter } from '@rainrun/messages';
 
 /**
- * More than half of a set.
+ * The least number of elements that is more than half of a set of this size.
  * @example
  * majority(3); // 2
  */
@@ -10,15 +10,15 @@
   return Math.floor(size / 2) + 1;
 }
 
-/** The voters of a version, and those before it where it changed them. */
+/** The voters of a version, and the voters before it if it changed them. */
 export interface VoterSets {
   readonly voters: readonly Voter[];
   readonly previousVoters: readonly Voter[];
 }
 
 /**
- * Whether these disks are a majority of the voters, and of those before where a
- * version changed them.
+ * Whether these disks contain a majority of the voters, and of the previous voters too if the version
+ * changed them.
  * @example
  * isQuorum(state, new Set(['disk-1', 'disk-2']));
  */
@@ -32,7 +32,7 @@
 }
 
 /**
- * The disks of all voters of a version, and of those before it.
+ * The disks of all voters and previous voters of a version.
  * @example
  * disksOf(state); // Set { 'disk-1', 'disk-2', 'disk-3' }
  */
@@ -41,9 +41,9 @@
 }
 
 /**
- * Whether version `one` comes after `other`: the epoch decides before the number.
+ * Whether version `one` is later than `other`: epochs are compared first, then numbers.
  * @example
- * later({ epoch: 2, number: 1 }, { epoch: 1, number: 9 }); // true
+ * isLater({ epoch: 2, number: 1 }, { epoch: 1, number: 9 }); // true
  */
 export function isLater(
   one: { epoch: number; number: number },
--- a/packages/process-group/src/agreement/submissions.ts
+++ b/packages/process-group/src/agreement/submissions.ts
@@ -1,4 +1,4 @@
-/** Operations that this node has submitted and waits for. */
+/** The operations that this node has submitted and not yet seen answered. */
 import { create } from '@bufbuild/protobuf';
 import { SubmitSchema, type Answer, type Operation } from '@rainrun/messages';
 import type { CoordinatorWatch } from './coordinator-watch.js';
@@ -8,7 +8,7 @@
 import type { Transport } from '../transport/transport.js';
 import { RETAINED_ANSWERS_MAX, retainedAnswerCount } from './group-state.js';
 
-/** An operation that was not answered is sent again after so long. */
+/** Interval after which an unanswered operation is sent again. */
 const RESUBMIT_MS = 1000;
 
 interface Submission {
@@ -16,7 +16,7 @@
   sentMs: number;
 }
 
-/** What submissions need. */
+/** What submissions need from the other parts of the group. */
 interface SubmissionCollaborators<S> {
   readonly coordinatorWatch: CoordinatorWatch<S>;
   readonly dependencies: GroupDependencies<S>;
@@ -26,8 +26,8 @@
 }
 
 /**
- * Sends operations to the coordinator, again while no answer comes; the
- * operation's id makes sure that it is applied once.
+ * Sends operations to the coordinator and resends them until they are answered. The operation's id
+ * ensures that it is applied only once.
  * @example
  * if (!submissions.submit(operation)) answerUnavailable();
  */
@@ -39,13 +39,13 @@
     this.#collaborators = collaborators;
   }
 
-  /** Whether no further answer to an operator can be retained now. */
+  /** Whether the group retains as many answers to operators as it can, so that no further one fits. */
   get isRetentionFull(): boolean {
     const { state } = this.#collaborators.local;
     return state !== undefined && retainedAnswerCount(state) >= RETAINED_ANSWERS_MAX;
   }
 
-  /** Submits an operation under its id. False: there is no coordinator, and nothing was sent. */
+  /** Submits an operation under its id. Returns false, having sent nothing, if no coordinator is known. */
   submit(operation: Operation): boolean {
     const { coordinatorWatch, local } = this.#collaborators;
     if (!local.inView || coordinatorWatch.live() === undefined) return false;
@@ -54,7 +54,7 @@
     return true;
   }
 
-  /** Nobody waits for an operation any more: it is not sent again. */
+  /** Stops resending an operation that nobody waits for any longer. */
   withdraw(id: string): void {
     this.#pending.delete(id);
   }
@@ -66,11 +66,12 @@
     return answer !== undefined && answer.number <= local.committedVersion ? answer : undefined;
   }
 
+  /** Passes an answer to the listener, unless its operation was withdrawn or already answered. */
   onAnswer(answer: Answer): void {
     if (this.#pending.delete(answer.id)) this.#collaborators.dependencies.listener.onAnswer(answer);
   }
 
-  /** Sends the operations that are due, first ones and repeated ones. */
+  /** Sends the operations that are due, for the first time or again. */
   sendDue(): void {
     const { coordinatorWatch, directory, local, transport } = this.#collaborators;
     const coordinator = coordinatorWatch.live()?.incarnation ?? '';
--- a/packages/process-group/src/agreement/version-commit.ts
+++ b/packages/process-group/src/agreement/version-commit.ts
@@ -1,4 +1,4 @@
-/** From chosen to committed: a chosen version is sent to the view until a majority has applied it. */
+/** Commits chosen versions: sends each to the members of the view until a majority has applied it. */
 import { create } from '@bufbuild/protobuf';
 import { ChosenSchema, type Version, type View } from '@rainrun/messages';
 import { rankOf } from '../membership/members.js';
@@ -7,7 +7,7 @@
 import type { DepartedMembers } from './departed-members.js';
 import { withoutState, type GroupState } from './group-state.js';
 
-/** A chosen version, and the views of which a majority each must apply it. */
+/** A chosen version, and the views in each of which a majority must apply it. */
 interface PendingCommit {
   readonly number: number;
   readonly views: readonly View[];
@@ -16,9 +16,9 @@
 type CommitContext = Pick<CoordinatorContext<unknown>, 'appliedVersion' | 'self' | 'sendOrdered'>;
 
 /**
- * Tracks when a chosen version is committed: applied by a majority of the view,
- * and of the view before it where the version changed the view. A member that
- * renews its lease with such a majority has therefore missed nothing committed.
+ * Tracks when a chosen version is committed, that is, applied by a majority of the view, and of
+ * the previous view too if the version changed the view. A member whose lease is renewed by such
+ * a majority has therefore missed no committed version.
  * @example
  * commit.begin(state);
  * commit.disseminate(version, state.view, previousView);
@@ -49,7 +49,7 @@
     return this.#committedVersion;
   }
 
-  /** Whether a chosen version waits to be applied by its majorities. */
+  /** Whether a chosen version has not yet been applied by its majorities. */
   get isPending(): boolean {
     return this.#pending !== undefined;
   }
@@ -59,7 +59,7 @@
     return this.#ready;
   }
 
-  /** Members that have neither applied the chosen version nor departed, by name; empty while nothing waits. */
+  /** Names of members that have neither applied the pending version nor departed; empty if there is none. */
   missingMembers(): readonly string[] {
     const pending = this.#pending;
     if (pending === undefined) return [];
@@ -71,7 +71,7 @@
       .map((member) => member.name);
   }
 
-  /** Begins to commit a version that was chosen. */
+  /** Begins the commit of a version that was chosen. */
   begin(state: Pick<GroupState<unknown>, 'number' | 'previousView' | 'view'>): void {
     const before = state.previousView === undefined ? [] : [state.previousView];
     this.#pending = { number: state.number, views: [...before, state.view] };
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Commits the pending version, if there is one and its majorities have applied it. False while it is pending. */
+  /** Commits the pending version, if any, if its majorities have applied it; false while it stays pending. */
   tryCommit(): boolean {
     const pending = this.#pending;
     if (pending === undefined) return true;
--- a/packages/process-group/src/agreement/version-proposer.ts
+++ b/packages/process-group/src/agreement/version-proposer.ts
@@ -6,7 +6,7 @@
 import { advance, toVersion, type GroupState } from './group-state.js';
 import { disksOf, isQuorum } from './quorum.js';
 
-/** A version on its way to being chosen. */
+/** A version that has been proposed and not yet chosen. */
 export interface Proposal<S> {
   readonly state: GroupState<S>;
   readonly entry: Entry;
@@ -16,7 +16,7 @@
   /** When it was first sent. */
   startedMs: number | undefined;
   sentMs: number;
-  /** Whether a voter has rejected it in this epoch: it promised the epoch to another candidate and never accepts. */
+  /** Whether a voter has rejected it; one that promised the epoch to another candidate never accepts it. */
   isRejected: boolean;
 }
 
@@ -26,18 +26,18 @@
 >;
 
 /**
- * Proposes one version at a time. A version that changes the voters needs a
- * quorum of the old and of the new ones.
+ * Proposes one version at a time. A version that changes the voters needs a majority of the old
+ * voters and of the new ones.
  * @example
  * proposer.proposeNext(state, entry, nowMs);
- * proposer.onAccepted(accepted); // calls `onChosen` at a quorum
+ * proposer.onAccepted(accepted); // calls `onChosen` once there is a quorum
  */
 export class VersionProposer<S> {
   #context: ProposerContext<S>;
   #epoch: number;
   #onChosen: (proposal: Proposal<S>) => void;
   #proposal: Proposal<S> | undefined;
-  /** When the group's clock was last moved. */
+  /** When the group's clock was last advanced. */
   #clockAdvancedMs: number;
 
   constructor(
@@ -56,19 +56,19 @@
     return this.#proposal !== undefined;
   }
 
-  /** Disks that have not accepted the version on its way. */
+  /** Disks of voters that have not accepted the proposed version. */
   missingDisks(): readonly string[] {
     const proposal = this.#proposal;
     if (proposal === undefined) return [];
     return [...disksOf(proposal.state)].filter((disk) => !proposal.acks.has(disk));
   }
 
-  /** Whether the version on its way holds this operation. */
+  /** Whether the proposed version contains this operation. */
   hasOperation(id: string): boolean {
     return this.#proposal?.entry.operations.some((known) => known.id === id) ?? false;
   }
 
-  /** Proposes the version that follows from an entry. */
+  /** Applies an entry to a state and proposes the resulting version. */
   proposeNext(state: GroupState<S>, entry: Entry, nowMs: number): void {
     entry.level = levelOf(entry.view?.members ?? state.view.members);
     if (entry.level > 1) entry.elapsedMs = nowMs - this.#clockAdvancedMs;
@@ -77,7 +77,7 @@
     this.sendDue(nowMs);
   }
 
-  /** Takes a state and its entry for the version to propose; `sendDue` sends it. */
+  /** Sets the version to propose from a state and the entry that produced it; `sendDue` sends it. */
   propose(state: GroupState<S>, entry: Entry): void {
     const version = toVersion(this.#context.stateMachine, state, entry);
     this.#proposal = {
@@ -91,7 +91,7 @@
     };
   }
 
-  /** Sends the proposal, first and again every `resendMs`, to the voters that have not accepted it. */
+  /** Sends the proposal to the voters that have not accepted it, and again every `resendMs`. */
   sendDue(nowMs: number): void {
     const proposal = this.#proposal;
     if (proposal === undefined || nowMs - proposal.sentMs < this.#context.times.resendMs) return;
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Whether the proposal has gone without a quorum for `suspectMs` though a voter rejects it in this very epoch:
-   * that vote may be the one that is missing, and it comes in a newer epoch only.
+   * Whether the proposal has lacked a quorum for more than `suspectMs` and a voter rejects it in this epoch.
+   * That vote may be the missing one, and the voter can give it only in a newer epoch.
    */
   isOpposed(nowMs: number): boolean {
     const proposal = this.#proposal;
@@ -119,6 +119,7 @@
     return nowMs - proposal.startedMs > this.#context.times.suspectMs;
   }
 
+  /** Handles a voter's reply; the version is chosen once a quorum has accepted it. */
   onAccepted(accepted: Accepted): void {
     const proposal = this.#proposal;
     if (proposal === undefined) return;
--- a/packages/process-group/src/agreement/versions.ts
+++ b/packages/process-group/src/agreement/versions.ts
@@ -1,4 +1,4 @@
-/** Delivery of chosen versions in their order, and catching up on missed ones. */
+/** Delivers chosen versions in order and fetches missed ones. */
 import { create } from '@bufbuild/protobuf';
 import {
   ChosenSchema,
@@ -16,16 +16,16 @@
 import { advance, withoutState, fromVersion, toVersion, type GroupState } from './group-state.js';
 import { rankOf } from '../membership/members.js';
 
-/** Versions whose entries are kept for members that lag; others get a snapshot. */
+/** Number of newest versions whose entries are kept for members that lag; others get a snapshot. */
 const LOG_MAX_ENTRIES = 256;
 
-/** Payloads of the entries that go in one message; what is left is fetched after it. */
+/** Payload bytes after which a message of fetched entries ends; the receiver fetches the rest afterwards. */
 const FETCH_MAX_BYTES = 1024 * 1024;
 
 /** A node that cannot close a gap within this time rejoins under a new incarnation. */
 const GAP_MAX_MS = 2500;
 
-/** What the delivery of versions needs. */
+/** What the delivery of versions needs from the other parts of the group. */
 interface VersionCollaborators<S> {
   readonly casts: Casts<S>;
   readonly dependencies: GroupDependencies<S>;
@@ -37,8 +37,8 @@
 }
 
 /**
- * Applies versions one after the other. A gap is fetched from whoever holds
- * more; a node outside a view starts from a snapshot.
+ * Applies versions one after the other. Missing versions are fetched from a member that has them; a node
+ * outside a view starts from a snapshot.
  * @example
  * versions.receive('incarnation-2', version);
  */
@@ -53,13 +53,13 @@
     this.#collaborators = collaborators;
   }
 
-  /** Rejoins if a gap has stayed open for too long. */
+  /** Rejoins if versions have been missing for longer than `GAP_MAX_MS`. */
   tick(nowMs: number): void {
     if (this.#gapSinceMs !== undefined && nowMs - this.#gapSinceMs > GAP_MAX_MS)
       this.#collaborators.viewChange.rejoin();
   }
 
-  /** Asks a member for the versions after the one in force here. */
+  /** Asks a member for the versions after the newest one applied here. */
   fetch(from: string): void {
     const { dependencies, local, transport } = this.#collaborators;
     const nowMs = local.nowMs();
@@ -69,7 +69,10 @@
     transport.sendTo(from, { case: 'fetchVersions', value });
   }
 
-  /** Sends a member versions from `first` on: as entries, as many as a message takes, or as a snapshot if those are no longer kept. */
+  /**
+   * Sends a member the versions from `first` on: as entries, as many as one message takes, or as a snapshot
+   * if an entry is no longer kept.
+   */
   onFetch(from: string, first: number): void {
     const { directory, local, transport } = this.#collaborators;
     const member = directory.member(from);
@@ -94,7 +97,7 @@
     transport.sendOrdered(member, { case: 'chosen', value: create(ChosenSchema, { versions: [version] }) });
   }
 
-  /** Takes a version from a member or from the coordinator in this node. */
+  /** Handles a version from another member or from this node's own coordinator. */
   receive(from: string, version: Version): void {
     const { local } = this.#collaborators;
     const state = local.state;
@@ -113,7 +116,7 @@
     this.#deliver(state, version);
   }
 
-  /** No version is missing any more, or none of them matters in a new view. */
+  /** Called when no version is missing any longer, or when a change of view makes the gap irrelevant. */
   clearGap(): void {
     this.#gapSinceMs = undefined;
   }
--- a/packages/process-group/src/agreement/voter-replacement.ts
+++ b/packages/process-group/src/agreement/voter-replacement.ts
@@ -1,4 +1,4 @@
-/** Which voter the coordinator replaces, and by which member. */
+/** Decides which voter the coordinator replaces, and by which member. */
 import { create } from '@bufbuild/protobuf';
 import { VoterSchema, type Member, type Voter } from '@rainrun/messages';
 import type { AppliedVersions } from './applied-versions.js';
@@ -11,16 +11,15 @@
 >;
 
 /**
- * Keeps the voters at their number. One voter changes at a time: the quorums of
- * two successive voter sets then have a member in common, and the version that
- * changes them needs a quorum of both.
+ * Keeps the number of voters at its target. One voter changes at a time, so that quorums of two
+ * successive voter sets share a voter. The version that changes the voters needs a quorum of both sets.
  * @example
  * const voters = replacement.next(state, nowMs); // undefined: nothing to change
  */
 export class VoterReplacement {
   #context: ReplacementContext;
   #applied: AppliedVersions;
-  /** Since when a voter's disk cannot be reached. */
+  /** The time since which each unreachable voter has been missing, by disk. */
   #missingSinceMs = new Map<string, number>();
 
   constructor(context: ReplacementContext, applied: AppliedVersions) {
@@ -29,9 +28,9 @@
   }
 
   /**
-   * The voter set with one lost voter replaced by a member that already has
-   * applied the state: at once by the node that has its name, else after
-   * `voterReplacementMs`.
+   * The voter set with one voter added or one lost voter replaced, by a member that has already
+   * applied the newest version; undefined if there is nothing to change. A lost voter is replaced at once
+   * if a member has its name, otherwise after `voterReplacementMs`.
    */
   next(state: GroupState<unknown>, nowMs: number): Voter[] | undefined {
     const { voters } = state;
@@ -56,7 +55,7 @@
     }
   }
 
-  /** Live members with a disk that do not vote and have applied the newest version. */
+  /** Live members with a disk that is not a voter's and that have applied the newest version. */
   #spares({ number, view, voters }: GroupState<unknown>): Member[] {
     return view.members.filter(
       (member) =>
--- a/packages/process-group/src/agreement/voters.ts
+++ b/packages/process-group/src/agreement/voters.ts
@@ -1,4 +1,4 @@
-/** The voters of the replicated state: which disks vote, and where they are now. */
+/** The voters of the replicated state: which disks vote, and which members hold them now. */
 import type { Member, Voter } from '@rainrun/messages';
 import type { GroupDependencies } from '../group-dependencies.js';
 import type { Discovery } from '../membership/discovery.js';
@@ -6,7 +6,7 @@
 import type { LocalMember } from '../membership/local-member.js';
 import type { VoterSets } from './quorum.js';
 
-/** What the search for voters needs. */
+/** What finding the voters needs from the other parts of the group. */
 interface VoterCollaborators<S> {
   readonly dependencies: GroupDependencies<S>;
   readonly discovery: Discovery<S>;
@@ -15,10 +15,10 @@
 }
 
 /**
- * Finds the voters: from the state in force in a view, else from the version
- * that this node's disk accepted last.
+ * Finds the voters: in a view from the applied state, otherwise from the version that this node's disk
+ * accepted last.
  * @example
- * voters.memberOf(voters.list()[0].disk); // the member with that disk, if it is in touch
+ * voters.memberOf(voters.list()[0].disk); // the member with that disk, if it is reachable
  */
 export class Voters<S> {
   #collaborators: VoterCollaborators<S>;
@@ -27,12 +27,12 @@
     this.#collaborators = collaborators;
   }
 
-  /** The voters of the newest version known. */
+  /** The voters of the newest known version. */
   list(): readonly Voter[] {
     return this.sets().voters;
   }
 
-  /** The voters, and those before them while their change is not known to be chosen. */
+  /** The voters, with the previous ones while the change of voters is not known to be chosen. */
   sets(): VoterSets {
     const { dependencies, local } = this.#collaborators;
     const { state } = local;
@@ -40,7 +40,7 @@
     return state !== undefined && state.voters.length > 0 && local.inView ? state : accepted;
   }
 
-  /** Where the voter with this disk is now, if it is known. */
+  /** The member that holds this voter's disk now, if it is reachable. */
   memberOf(disk: string): Member | undefined {
     const { discovery, liveness, local } = this.#collaborators;
     const nowMs = local.nowMs();
