--- a/packages/process-group/src/group-dependencies.ts
+++ b/packages/process-group/src/group-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a group is given by its node, and how it notifies the rest of the node. */
+/** The dependencies that a node injects into its group, and the callbacks that the group calls. */
 import type { RandomSource, Clock } from '@rainrun/common';
 import type { Answer, Entry, Frame, Member, ProtocolLevels } from '@rainrun/messages';
 import type { Acceptor } from './agreement/acceptor.js';
@@ -8,39 +8,41 @@
 
 /** Callbacks by which the group notifies the rest of its node. */
 export interface GroupListener<S> {
-  /** A version has come into force here; `entry` is undefined when the state came as a snapshot. */
+  /** Called when a version has been applied here; `entry` is undefined when the state came as a snapshot. */
   onVersion(state: GroupState<S>, entry: Entry | undefined): void;
-  /** A causal cast of a member is delivered here. */
+  /** Called when a causal cast of a member is delivered here. */
   onCast(sender: Member, payload: Uint8Array): void;
-  /** An operation that this node submitted is committed or rejected. */
+  /** Called when an operation that this node submitted is committed or rejected. */
   onAnswer(answer: Answer): void;
-  /** This node was removed from the view and goes on under a new incarnation. */
+  /** Called when this node has left its view, or was removed from it, and goes on under a new incarnation. */
   onNewIncarnation(incarnation: string): void;
-  /** A frame that is not the group's own, such as gossip. */
+  /** Called for a frame that does not belong to the group, such as gossip. */
   onFrame(from: string, body: Frame['body']): void;
-  /** This node cannot join the group, and why. */
+  /** Called with the reason when the group rejects this node's attempt to join. */
   onJoinRejected(why: string): void;
 }
 
-/** Where a node stands and what it is given. */
+/** A node's identity and settings, and the services that its group uses. */
 export interface GroupDependencies<S> {
   readonly name: string;
   readonly address: string;
   readonly zone: string;
   readonly deployment: string;
+  /** Addresses at which to look for the group. */
   readonly seeds: readonly string[];
-  /** Names or addresses of the founding cores; empty on a node that never founds. */
+  /** Names or addresses of the founding cores; empty on a node that never founds a group. */
   readonly founders: readonly string[];
-  /** So many voters there should be, as far as there are disks; the founders alone without it. */
+  /** How many voters there should be, as far as enough members have a disk; if absent, none are added. */
   readonly desiredVoterCount?: number;
   readonly clock: Clock;
   readonly chance: RandomSource;
   readonly times: GroupTimes;
   readonly stateMachine: StateMachine<S>;
+  /** The acceptor on this node's disk; undefined on a node without a disk. */
   readonly acceptor: Acceptor | undefined;
-  /** Levels of the protocol that this program speaks. */
+  /** The protocol levels that this program supports. */
   readonly protocolLevels: ProtocolLevels;
   readonly listener: GroupListener<S>;
-  /** Sends a frame; it may be lost, late or doubled. */
+  /** Sends a frame, which may be lost, delayed or duplicated. */
   send(address: string, frame: Frame): void;
 }
--- a/packages/process-group/src/group-wiring.ts
+++ b/packages/process-group/src/group-wiring.ts
@@ -1,4 +1,4 @@
-/** Wires the parts of a group together; no part imports this module. */
+/** Constructs the parts of a group and connects them; no part imports this module. */
 import { Casts } from './multicast/casts.js';
 import { Coordination } from './agreement/coordination.js';
 import { CoordinatorWaitReport } from './agreement/coordinator-wait.js';
@@ -21,8 +21,8 @@
 import { Voters } from './agreement/voters.js';
 
 /**
- * Builds the parts of a group. Each part declares its collaborators in its own
- * module, those above it in the order of imports by the few calls that it makes.
+ * Builds the parts of a group. Each part declares the collaborators that it needs in its own module. Where
+ * importing a collaborator's class would create an import cycle, it declares only the members that it uses.
  * Collaborators are looked up at each call, since some are constructed later.
  * @example
  * const wiring = new GroupWiring(dependencies);
@@ -30,31 +30,31 @@
  */
 export class GroupWiring<S> {
   readonly dependencies: GroupDependencies<S>;
-  /** Identity, state in force, epochs seen. */
+  /** This node's identity, its applied state and the epochs that it knows of. */
   readonly local: LocalMember<S>;
-  /** Nodes and addresses known. */
+  /** The known nodes and addresses. */
   readonly directory: Directory<S>;
-  /** Frames and ordered messages to others. */
+  /** Sends frames and ordered messages to other nodes. */
   readonly transport: Transport<S>;
-  /** Dispatch of what comes from others. */
+  /** Dispatches frames that arrive from other nodes. */
   readonly receiver: Receiver<S>;
-  /** Failure detection. */
+  /** Detects failures of other members. */
   readonly liveness: Liveness<S>;
-  /** The own disk's health. */
+  /** Detects stalls of this node's own disk. */
   readonly diskWatch: DiskWatch;
-  /** Greetings and joiners. */
+  /** Finds other nodes and those that ask to join. */
   readonly discovery: Discovery<S>;
-  /** Heartbeats and their acknowledgements. */
+  /** Sends and handles heartbeats and their acknowledgements. */
   readonly heartbeats: Heartbeats<S>;
-  /** The right to admit and the right to act alone. */
+  /** The lease to admit work and the singleton lease. */
   readonly leases: Leases<S>;
-  /** Agreed versions and catch-up. */
+  /** Delivers chosen versions and fetches missed ones. */
   readonly versions: Versions<S>;
-  /** Stop, flush and the next view. */
+  /** A member's side of a view change: stopping, flushing and entering the next view. */
   readonly viewChange: ViewChange<S>;
   /** Causal multicast. */
   readonly casts: Casts<S>;
-  /** Operations under way. */
+  /** The operations that this node has submitted and not yet seen answered. */
   readonly submissions: Submissions<S>;
   /** The disks that vote. */
   readonly voters: Voters<S>;
@@ -64,9 +64,9 @@
   readonly coordination: Coordination<S>;
   /** The first version of a group. */
   readonly founding: Founding<S>;
-  /** Claims to the next epoch. */
+  /** Decides when this node becomes a candidate for the next epoch. */
   readonly election: Election<S>;
-  /** What this node waits for while it knows no coordinator. */
+  /** Reports what this node waits for while it knows no committing coordinator. */
   readonly coordinatorWait: CoordinatorWaitReport<S>;
 
   constructor(dependencies: GroupDependencies<S>) {
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -1,4 +1,4 @@
-/** The façade of the process group: what a node calls, and the order of work in a tick. */
+/** The façade of the process group: the interface for its node, and the order of work in a tick. */
 import { create } from '@bufbuild/protobuf';
 import {
   GoodbyeSchema,
@@ -14,13 +14,12 @@
 import type { GroupState } from './agreement/group-state.js';
 
 /**
- * A node's place in the process group: membership, views, causal and total
- * order, leases. Driven from outside by `receive` and `tick`; it owns no
- * socket, no timer and no file.
+ * A node's participation in the process group: membership, views, causal and total order, and leases.
+ * It is driven from outside by `receive` and `tick` and owns no socket, timer or file.
  * @example
  * const group = new Group(dependencies);
  * group.tick(); // every 50 ms
- * group.receive(frame); // for each frame that comes
+ * group.receive(frame); // for each frame that arrives
  */
 export class Group<S> {
   #wiring: GroupWiring<S>;
@@ -29,22 +28,22 @@
     this.#wiring = new GroupWiring(dependencies);
   }
 
-  /** This node as a member, under its present incarnation. */
+  /** This node as a member, under its current incarnation. */
   get self(): Member {
     return this.#wiring.local.self;
   }
 
-  /** The newest version that came into force here. */
+  /** The state of the newest version applied here; undefined before the first. */
   get state(): GroupState<S> | undefined {
     return this.#wiring.local.state;
   }
 
-  /** The view this node is a member of, or undefined while it is in none. */
+  /** The view that this node is a member of, or undefined while it is in none. */
   get view(): View | undefined {
     return this.#wiring.local.view;
   }
 
-  /** True while the view is being changed: casts wait. */
+  /** Whether a view change is in progress, during which casts are held back. */
   get isViewChanging(): boolean {
     return this.#wiring.casts.stopped;
   }
@@ -54,7 +53,7 @@
     return this.#wiring.coordination.coordinator !== undefined;
   }
 
-  /** Incarnation of the coordinator that this node follows, if one was heard lately. */
+  /** Incarnation of the live coordinator that this node follows, if any. */
   get coordinatorIncarnation(): string | undefined {
     return this.#wiring.coordinatorWatch.live()?.incarnation;
   }
@@ -64,19 +63,19 @@
     return this.#wiring.local.epoch;
   }
 
-  /** What this node waits for while it knows no coordinator that commits; undefined while it knows one. */
+  /** What this node waits for while it knows no committing coordinator; undefined while it knows one. */
   coordinatorWait(): CoordinatorWait | undefined {
     const { coordinatorWait, local } = this.#wiring;
     return coordinatorWait.report(local.nowMs());
   }
 
-  /** For how long this node's disk has synced nothing though writes wait, in milliseconds. */
+  /** How long this node's disk has synced nothing although writes wait, in milliseconds. */
   get diskWaitMs(): number {
     const { diskWatch, local } = this.#wiring;
     return diskWatch.waitMs(local.nowMs());
   }
 
-  /** Casts kept until all members are known to have them. */
+  /** Number of casts kept because not all members are known to have them yet. */
   get unstableCount(): number {
     return this.#wiring.casts.unstableCount;
   }
@@ -86,22 +85,22 @@
     return this.#wiring.casts.contextBytes;
   }
 
-  /** Newest version that this node knows to be committed. */
+  /** The newest version that this node knows to be committed. */
   get committedVersion(): number {
     return this.#wiring.local.committedVersion;
   }
 
-  /** When this node's lease to admit ends, in milliseconds of its clock; compare with the clock just before each act. */
+  /** When this node's lease to admit work ends, by its clock; compare with the clock just before each use. */
   leaseEndMs(): number {
     return this.#wiring.leases.leaseEndMs();
   }
 
-  /** This node has applied all that was committed before this moment. */
+  /** The time, by this node's clock, before which everything committed is known to have been applied here. */
   currentAsOfMs(): number {
     return this.leaseEndMs() - this.#wiring.dependencies.times.leaseMs;
   }
 
-  /** The version in force at another member when it last answered a heartbeat. */
+  /** The version that another member had applied when it last acknowledged a heartbeat. */
   versionAt(incarnation: string): number | undefined {
     return this.#wiring.leases.versionAt(incarnation);
   }
@@ -111,7 +110,7 @@
     return this.#wiring.leases.isHeld();
   }
 
-  /** The epoch in which this node may act alone for all, or undefined. Ends before the lease does. */
+  /** The epoch in which this node holds the singleton lease, if any; it ends before the lease to admit. */
   singletonEpoch(): number | undefined {
     return this.#wiring.leases.singletonEpoch();
   }
@@ -121,34 +120,37 @@
     this.#wiring.casts.cast(payload);
   }
 
-  /** Submits an operation under its id; the answer comes through the listener, once it is committed. False: nothing was sent. */
+  /** Submits an operation; the listener gets the answer once committed. Returns false if nothing was sent. */
   submit(operation: Operation): boolean {
     return this.#wiring.submissions.submit(operation);
   }
 
-  /** Nobody waits for an operation any more: it is not sent again, so that it cannot come to pass long after its caller has asked elsewhere. */
+  /**
+   * Stops resending an operation that nobody waits for any longer, so that it cannot take effect long after
+   * its caller has turned to another node.
+   */
   withdraw(id: string): void {
     this.#wiring.submissions.withdraw(id);
   }
 
-  /** What is known of an operation by its id. */
+  /** The committed answer to an operation, if it is retained. */
   operationResult(id: string): Answer | undefined {
     return this.#wiring.submissions.result(id);
   }
 
-  /** Whether no further answer to an operator can be retained now. */
+  /** Whether the group retains as many answers to operators as it can, so that no further one fits. */
   get isFull(): boolean {
     return this.#wiring.submissions.isRetentionFull;
   }
 
-  /** An operator's statement that a name will not come back. Only the coordinator can use it. */
+  /** Records an operator's statement that a node will not come back; false if this node is no coordinator. */
   excludeNode(name: string): boolean {
     const { coordinator } = this.#wiring.coordination;
     coordinator?.exclude(name);
     return coordinator !== undefined;
   }
 
-  /** Says goodbye, so that the view need not wait to suspect this node. */
+  /** Announces this node's departure, so that the others need not wait until they suspect it. */
   leave(): void {
     const { local, transport } = this.#wiring;
     local.startLeaving();
@@ -156,7 +158,7 @@
       transport.send(member, { case: 'goodbye', value: create(GoodbyeSchema) });
   }
 
-  /** Does what is due now. The order counts: each step sees what the ones before it changed. */
+  /** Does the work that is due. The order matters: each step sees the changes of the steps before it. */
   tick(): void {
     const { coordinatorWait, discovery, diskWatch, heartbeats, leases, local } = this.#wiring;
     const { submissions, transport, versions, viewChange } = this.#wiring;
@@ -174,7 +176,7 @@
     coordinatorWait.tick(nowMs);
   }
 
-  /** Takes a frame that came from another node. */
+  /** Handles a frame that arrived from another node. */
   receive(frame: Frame): void {
     this.#wiring.receiver.receive(frame);
   }
@@ -184,7 +186,7 @@
     this.#wiring.transport.sendTo(incarnation, body);
   }
 
-  /** A process that was suspended does not count its own silence against the others. */
+  /** Detects that this process was suspended, and excludes that time from the timeouts of its parts. */
   #noteSuspension(nowMs: number): void {
     const { diskWatch, election, liveness, transport } = this.#wiring;
     const suspendedMs = liveness.tick(nowMs);
--- a/packages/process-group/src/index.ts
+++ b/packages/process-group/src/index.ts
@@ -1,4 +1,4 @@
-/** The public items of the process group. */
+/** The public interface of the process group. */
 export * from './agreement/acceptor.js';
 export * from './multicast/causal-order.js';
 export * from './agreement/candidacy.js';
--- a/packages/process-group/src/times.ts
+++ b/packages/process-group/src/times.ts
@@ -1,28 +1,28 @@
-/** Timings of a group. */
+/** The timings of a group, and their default values. */
 
 /** Timings of the group, in milliseconds. */
 export interface GroupTimes {
-  /** Between two heartbeats to a member. */
+  /** Interval between heartbeats to a member. */
   readonly heartbeatMs: number;
-  /** Between two greetings of the known addresses. */
+  /** Interval between greetings to the known addresses. */
   readonly helloMs: number;
-  /** A member or coordinator not heard of for so long is suspected; a candidacy that takes longer is given up. */
+  /** Silence after which a member or coordinator is suspected; a candidacy that takes longer is given up. */
   readonly suspectMs: number;
-  /** A tick that comes so late means that this process was suspended. */
+  /** A longer gap between two ticks means that this process was suspended. */
   readonly pauseMs: number;
-  /** How long a lease lasts, from the moment the acknowledged heartbeat was sent. */
+  /** Duration of a lease, counted from the sending of the acknowledged heartbeat. */
   readonly leaseMs: number;
-  /** How long a view change is wanted before it starts, so that several changes go together. */
+  /** Delay before a pending view change starts, so that several changes are made together. */
   readonly graceMs: number;
-  /** How long members may take to flush; who takes longer is left out of the next view. */
+  /** Time that members have to flush; a member that takes longer is left out of the next view. */
   readonly flushMs: number;
-  /** Between two sends of a request that is not answered. */
+  /** Interval at which an unanswered request is sent again. */
   readonly resendMs: number;
-  /** A voter that cannot be reached for so long is replaced. */
+  /** Time after which an unreachable voter is replaced. */
   readonly voterReplacementMs: number;
-  /** A coordinator without a lease for so long resigns. */
+  /** Time without a lease after which a coordinator resigns. */
   readonly resignMs: number;
-  /** How long an ordered message may wait for its acknowledgement, or a member's disk for a sync. */
+  /** Time that an ordered message may wait for its acknowledgement, or a member's disk for a sync. */
   readonly maxLagMs: number;
 }
 
@@ -41,7 +41,7 @@
   maxLagMs: 4000,
 };
 
-/** The timings of cores on a platform, where a lost core is to be replaced within seconds. */
+/** The timings of cores on a platform, where a lost core has to be replaced within seconds. */
 export const PLATFORM_TIMES: GroupTimes = {
   ...GROUP_TIMES,
   voterReplacementMs: 1500,
