--- a/packages/process-group/src/agreement/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -61,10 +61,10 @@
 }
 
 /**
- * The Paxos acceptor of a voter. It promises each epoch to one candidate and accepts versions
- * of the epoch it has promised. Promises and acceptances are sent only once they are synced to disk.
+ * The Paxos acceptor of a voter. It promises each epoch to one candidate and accepts no version of an
+ * epoch older than its promise. Promises and acceptances are sent only once they are synced to disk.
  * @example
- * const acceptor = new Acceptor(opened, writer, 'vejsargs', (fault) => stopNode(fault));
+ * const acceptor = new Acceptor(opened, writer, 'site', (fault) => stopNode(fault));
  * acceptor.prepare(prepare, (promise) => reply(promise));
  */
 export class Acceptor {
--- a/packages/process-group/src/agreement/coordinator-wait.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.ts
@@ -20,7 +20,7 @@
   Founding = 'founding',
   /** Contact with the group: this node's disk does not vote, so only other nodes can be elected. */
   Discovery = 'discovery',
-  /** The end of the time after a resignation in which elections are left to other voters. */
+  /** The end of its time after a resignation, during which elections are left to other voters. */
   Ineligible = 'ineligible',
   /** The voters that precede it in order, or its own back-off. */
   Turn = 'turn',
