--- a/packages/router/src/admission.ts
+++ b/packages/router/src/admission.ts
@@ -1,7 +1,7 @@
 /** Turns a client's request into one that the router of the platform system can dispatch: finds route and service. */
 import type { Configuration } from '@rainrun/configuration';
 import type { ClientRequest, ResponseSink, RoutedRequest } from './request.js';
-import { RouteTable, type Target } from './route-table.js';
+import { RouteTable, type RouteTarget } from './route-table.js';
 import { ATTEMPT_POLICY } from './routing-policy.js';
 import type { Identity } from './tenant-access.js';
 
@@ -14,7 +14,7 @@
   #current: { readonly configuration: Configuration; readonly routes: RouteTable } | undefined;
 
   /** The route and service for a request; undefined if no route matches. */
-  resolve(configuration: Configuration, clientRequest: ClientRequest): Target | undefined {
+  resolve(configuration: Configuration, clientRequest: ClientRequest): RouteTarget | undefined {
     if (this.#current?.configuration !== configuration)
       this.#current = { configuration, routes: new RouteTable(configuration) };
     const { routes } = this.#current;
@@ -27,7 +27,7 @@
 export interface RoutedRequestInit {
   readonly clientRequest: ClientRequest;
   readonly sink: ResponseSink;
-  readonly target: Target;
+  readonly target: RouteTarget;
   readonly identity: Identity;
   /** Monotonic, in milliseconds. */
   readonly nowMs: number;
@@ -48,16 +48,16 @@
     sink,
     route,
     service,
-    key: `${service.name}/${clientRequest.model}/${clientRequest.adapter}`,
+    demandKey: `${service.name}/${clientRequest.model}/${clientRequest.adapter}`,
     arrivedMs: nowMs,
-    endMs: nowMs + Math.min(route.timeoutMs, clientRequest.deadlineMs ?? Infinity),
+    expiresMs: nowMs + Math.min(route.timeoutMs, clientRequest.deadlineMs ?? Infinity),
     idempotent: route.kind === 'idempotent' || (streamed && route.resumable),
     streamed,
     directory: identity.directory,
     tenant: identity.tenant,
     admitted: false,
     permit: undefined,
-    workerPriority: Math.min(ATTEMPT_POLICY.maxPriority, route.priority),
+    workerPriority: Math.min(ATTEMPT_POLICY.lowestPriority, route.priority),
     attemptsStarted: 0,
     sentTo: new Map(),
     excludedWorkers: new Set(),
--- a/packages/router/src/attempt.ts
+++ b/packages/router/src/attempt.ts
@@ -1,14 +1,14 @@
 /** One attempt of a request at one worker, in the router of the platform system. */
 import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { EventSplitter } from './event-splitter.js';
-import { attemptHeaders, endToEndHeaders, valueOf, type HeaderNames } from './headers.js';
+import { attemptHeaders, endToEndHeaders, headerValue, type HeaderNames } from './headers.js';
 import type { RoutedRequest, WorkerView } from './request.js';
-import { checkHead } from './response-check.js';
+import { checkResponseHead } from './response-check.js';
 import { ATTEMPT_POLICY } from './routing-policy.js';
 
 /** How an attempt ended. */
 export interface AttemptEnd {
-  readonly how:
+  readonly outcome:
     /** The client has the worker's response. */
     | 'served'
     /** The client has part of a response, and sees that it is incomplete; or it has left. */
@@ -23,7 +23,7 @@
     | 'misdirected'
     /** It may have run. */
     | 'failed';
-  readonly why: string;
+  readonly reason: string;
   /** How long the worker asks to be left alone, in milliseconds. */
   readonly retryAfterMs?: number;
   /** Whether the worker failed the request, though the client has its response or has left: an error, or a long silence. */
@@ -41,7 +41,7 @@
   /** A byte came from the worker now. */
   onHeard(): void;
   /** Whether the request can move to another worker now; a retry is then reserved for it. */
-  reserveMove(): boolean;
+  reserveFailover(): boolean;
   /** The worker is silent, and the request stays with it. */
   onSilent(): void;
   /** The head of a valid response came, so long after the attempt was made. */
@@ -84,7 +84,7 @@
   #ended = false;
   #createdMs: number;
   #lastActivityMs: number;
-  #lastMoveTriedMs = -Infinity;
+  #lastFailoverTryMs = -Infinity;
 
   constructor({ request, worker, headerNames, context }: AttemptOptions) {
     this.#request = request;
@@ -103,8 +103,8 @@
 
   /** What is to be sent to the worker. */
   linkRequest(nowMs: number): LinkRequest {
-    const { clientRequest, endMs, sentTo } = this.#request;
-    const remainingMs = Math.max(1, Math.floor(endMs - nowMs));
+    const { clientRequest, expiresMs, sentTo } = this.#request;
+    const remainingMs = Math.max(1, Math.floor(expiresMs - nowMs));
     return {
       address: this.#worker.address,
       method: clientRequest.method,
@@ -123,12 +123,13 @@
    */
   tick(nowMs: number): void {
     if (this.#ended) return;
-    if (nowMs >= this.#request.endMs) return this.#abandon('the time for it has passed');
+    if (nowMs >= this.#request.expiresMs) return this.#abandon('the time for it has passed');
     if (!this.#request.idempotent || !this.#started || this.#paused) return;
     if (nowMs - this.#lastActivityMs <= this.#maxSilenceMs(nowMs)) return;
-    if (nowMs - this.#lastMoveTriedMs < ATTEMPT_POLICY.moveIntervalMs) return;
-    this.#lastMoveTriedMs = nowMs;
-    if (!this.#request.responseStarted || this.#context.reserveMove()) this.#abandon('silent for too long');
+    if (nowMs - this.#lastFailoverTryMs < ATTEMPT_POLICY.failoverIntervalMs) return;
+    this.#lastFailoverTryMs = nowMs;
+    if (!this.#request.responseStarted || this.#context.reserveFailover())
+      this.#abandon('silent for too long');
     else this.#context.onSilent();
   }
 
@@ -142,7 +143,7 @@
     const silentMs = this.#context.nowMs() - this.#lastActivityMs;
     const maxSilentMs = Math.max(ATTEMPT_POLICY.silentMs, this.#request.route.targetMs);
     const workerFailed = this.#started && !this.#paused && silentMs > maxSilentMs;
-    this.#end({ how: 'cut', why: 'the client has left', workerFailed });
+    this.#end({ outcome: 'cut', reason: 'the client has left', workerFailed });
     this.#send?.abort();
   }
 
@@ -157,16 +158,16 @@
   head(status: number, headers: readonly Header[]): void {
     if (this.#ended) return;
     this.#recordActivity();
-    const verdict = checkHead(this.#request.clientRequest.id, this.#headerNames, status, headers);
-    if (verdict.kind === 'invalid') return this.#abandon(verdict.why);
-    if (verdict.kind === 'misdirected')
-      return this.#end({ how: 'misdirected', why: `${this.#worker.id} is not there` });
-    if (verdict.kind === 'not-run')
-      return this.#end({ how: 'not-run', why: `${this.#worker.id} took no more (${status})` });
+    const check = checkResponseHead(this.#request.clientRequest.id, this.#headerNames, status, headers);
+    if (check.kind === 'invalid') return this.#abandon(check.reason);
+    if (check.kind === 'misdirected')
+      return this.#end({ outcome: 'misdirected', reason: `${this.#worker.id} is not there` });
+    if (check.kind === 'not-run')
+      return this.#end({ outcome: 'not-run', reason: `${this.#worker.id} took no more (${status})` });
     this.#context.onResponseHead(this.#lastActivityMs - this.#createdMs);
     this.#status = status;
     this.#headers = endToEndHeaders(headers);
-    this.#acceptHead(status, valueOf(headers, 'content-type') ?? '');
+    this.#acceptHead(status, headerValue(headers, 'content-type') ?? '');
   }
 
   chunk(bytes: Buffer): void {
@@ -183,18 +184,18 @@
     const { sink } = this.#request;
     if (this.#splitter === undefined) {
       sink.respond(this.#status, this.#headers, Buffer.concat(this.#body));
-      return this.#end({ how: 'served', why: '', workerFailed: this.#status >= 500 });
+      return this.#end({ outcome: 'served', reason: '', workerFailed: this.#status >= 500 });
     }
     if (this.#splitter.incompleteBytes > 0) return this.#abandon('ended within an event');
     if (!this.#request.responseStarted) this.#startResponse();
     sink.close();
-    this.#end({ how: 'served', why: '' });
+    this.#end({ outcome: 'served', reason: '' });
   }
 
-  failed(sent: boolean, why: string): void {
+  failed(sent: boolean, reason: string): void {
     if (this.#ended) return;
-    if (sent) return this.#fail(why);
-    this.#end({ how: this.#withheld ? 'not-sent' : 'unreached', why });
+    if (sent) return this.#endAsFailed(reason);
+    this.#end({ outcome: this.#withheld ? 'not-sent' : 'unreached', reason });
   }
 
   #recordActivity(): void {
@@ -207,7 +208,7 @@
     if (this.#request.streamed && status < 300 && contentType.startsWith('text/event-stream'))
       this.#splitter = new EventSplitter();
     else if (this.#request.responseStarted) this.#abandon(`answered ${status} where a stream was to go on`);
-    else if (status >= 500 && this.#request.idempotent && this.#context.reserveMove())
+    else if (status >= 500 && this.#request.idempotent && this.#context.reserveFailover())
       this.#abandon(`answered ${status}`);
   }
 
@@ -255,14 +256,14 @@
     this.#send?.resume();
   }
 
-  #abandon(why: string): void {
-    if (this.#started) this.#fail(why);
-    else this.#end({ how: 'not-sent', why });
+  #abandon(reason: string): void {
+    if (this.#started) this.#endAsFailed(reason);
+    else this.#end({ outcome: 'not-sent', reason });
     this.#send?.abort();
   }
 
-  #fail(why: string): void {
-    this.#end({ how: 'failed', why: `${this.#worker.id}: ${why}` });
+  #endAsFailed(reason: string): void {
+    this.#end({ outcome: 'failed', reason: `${this.#worker.id}: ${reason}` });
   }
 
   #end(end: AttemptEnd): void {
--- a/packages/router/src/balancer.test.ts
+++ b/packages/router/src/balancer.test.ts
@@ -12,29 +12,29 @@
     ]);
     harness.evacuated = ['east'];
     harness.submit('/often/x');
-    harness.put(worker('fine'));
+    harness.putWorkers(worker('fine'));
     const { sink } = harness.submit('/home/x');
-    harness.put(worker('home', { zone: 'south-a' }));
-    harness.later(1);
+    harness.putWorkers(worker('home', { zone: 'south-a' }));
+    harness.advance(1);
     expect(harness.link.sent.map((sent) => sent.request.address)).toEqual(['fine:80', 'home:80']);
-    expect(sink.seen).toEqual([]);
+    expect(sink.calls).toEqual([]);
   });
 
   it('is checked once more before the first byte: draining, gone and evacuated workers get nothing', () => {
     for (const change of ['leaves', 'gone', 'evacuated'] as const) {
       const harness = new RouterHarness([worker('w1')]);
       const { sink } = harness.submit('/once/x');
-      const sent = harness.last();
-      if (change === 'leaves') harness.put(worker('w1', { draining: true }));
+      const sent = harness.lastSent();
+      if (change === 'leaves') harness.putWorkers(worker('w1', { draining: true }));
       if (change === 'gone') harness.workers.delete('w1');
       if (change === 'evacuated') harness.evacuated = ['north'];
       const started = sent.start();
       sent.handler.failed(false, 'not started');
-      harness.put(worker('w2', { zone: 'west' }));
-      harness.later(1);
-      harness.last().start();
-      harness.last().answer(200, 'ok');
-      expect([change, started, sink.seen, harness.last().request.address]).toEqual([
+      harness.putWorkers(worker('w2', { zone: 'west' }));
+      harness.advance(1);
+      harness.lastSent().start();
+      harness.lastSent().answer(200, 'ok');
+      expect([change, started, sink.calls, harness.lastSent().request.address]).toEqual([
         change,
         false,
         ['answer 200 ok'],
@@ -51,7 +51,7 @@
       for (let heartbeat = 0; heartbeat < 200; heartbeat += 1) {
         const before = harness.link.sent.length;
         harness.submit('/often/x');
-        harness.later(25);
+        harness.advance(25);
         for (const sent of harness.link.sent.slice(before)) {
           if (!sent.start()) continue;
           atMs.push(harness.nowMs);
@@ -84,9 +84,9 @@
       worker('w2', { service: 'assist', models: new Map([['m1', new Set(['a1'])]]) }),
     ]);
     harness.submit('/model/x', { model: 'm1', adapter: 'a1' });
-    const address = harness.last().request.address;
+    const address = harness.lastSent().request.address;
     harness.submit('/model/x', { model: 'm2' });
-    expect([address, harness.link.sent.length, harness.missed > 0]).toEqual(['w2:80', 1, true]);
+    expect([address, harness.link.sent.length, harness.modelMissingCount > 0]).toEqual(['w2:80', 1, true]);
     expect(
       harness.router
         .demands()
@@ -98,28 +98,28 @@
     const harness = new RouterHarness([worker('w1', { service: 'assist', models: new Map() })]);
     harness.submit('/model/x', { model: 'm1' });
     for (let turn = 0; turn < 20; turn += 1) harness.router.tick();
-    expect(harness.missed).toEqual(1);
-    expect(harness.waits).toEqual(1);
+    expect(harness.modelMissingCount).toEqual(1);
+    expect(harness.waitCount).toEqual(1);
   });
 
   it('does not fall again on a worker that lacks the model, until its row changes', () => {
     const models = new Map([['m1', new Set<string>()]]);
     const harness = new RouterHarness([worker('w1', { service: 'assist', models })], { ratio: 1, extra: 20 });
-    harness.earn(0);
+    harness.earnRetryBudget(0);
     const { sink } = harness.submit('/model/x', { model: 'm1' });
-    harness.last().start();
-    harness.last().handler.head(421, [[HEADER_NAMES.requestId, harness.last().id]]);
-    harness.later(100);
+    harness.lastSent().start();
+    harness.lastSent().handler.head(421, [[HEADER_NAMES.requestId, harness.lastSent().id]]);
+    harness.advance(100);
     const sends = harness.link.sent.length;
-    harness.put(worker('w1', { service: 'assist', models, number: 2 }));
-    harness.later(600);
+    harness.putWorkers(worker('w1', { service: 'assist', models, number: 2 }));
+    harness.advance(600);
     harness.submit('/model/x', { model: 'm1' });
     expect([sends, harness.link.sent.length > sends, sink.status === 200]).toEqual([1, true, false]);
   });
 
   it('answers 404 where there is no route', () => {
     const { sink } = new RouterHarness([worker('w1')]).submit('/unheard/x');
-    expect(sink.seen).toEqual(['refuse 404']);
+    expect(sink.calls).toEqual(['refuse 404']);
   });
 });
 
@@ -136,7 +136,7 @@
     for (const edge of edges) {
       edge.edges = edgeCount;
       edge.nowMs = nowMs;
-      if (nowMs === 2000 || nowMs === 22_000) edge.put(workerThatWarmsUp(nowMs));
+      if (nowMs === 2000 || nowMs === 22_000) edge.putWorkers(workerThatWarmsUp(nowMs));
       const started = requestAndServe(edge, nowMs < 26_000 || nowMs >= 32_000);
       if (isWarmingUp) for (let nth = 0; nth < started; nth += 1) atMs.push(nowMs);
     }
--- a/packages/router/src/balancer.ts
+++ b/packages/router/src/balancer.ts
@@ -46,17 +46,17 @@
     const nowMs = this.#dependencies.nowMs();
     const evacuated = this.#dependencies.evacuated();
     const maxInFlight = this.#maxInFlight(service.connections);
-    const able: WorkerView[] = [];
-    const limited: WorkerView[] = [];
+    const allowed: WorkerView[] = [];
+    const ejected: WorkerView[] = [];
     let reason: NoWorkerReason = 'none';
     for (const worker of workers) {
       if (!this.#isEligible(request, worker, evacuated)) continue;
-      const obstacle = this.#obstacle(request, worker, maxInFlight, nowMs);
-      if (obstacle === undefined) (this.#maySend(worker) ? able : limited).push(worker);
-      else if (obstacle !== 'model-not-loaded' || reason === 'none') reason = obstacle;
+      const unavailable = this.#unavailableReason(request, worker, maxInFlight, nowMs);
+      if (unavailable === undefined) (this.#isAllowedByShare(worker) ? allowed : ejected).push(worker);
+      else if (unavailable !== 'model-not-loaded' || reason === 'none') reason = unavailable;
     }
     // A worker that fails some of its requests is better than none.
-    const candidates = able.length > 0 ? able : limited;
+    const candidates = allowed.length > 0 ? allowed : ejected;
     if (candidates.length === 0) return reason;
     const ranked = rankWorkers(clientRequest, candidates, {
       zone: this.#dependencies.zone,
@@ -72,7 +72,7 @@
     if (model === '' || worker.models.size === 0) return model === '';
     const adapters = worker.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return false;
-    return !this.#statuses.isMissing(worker, model, adapter);
+    return !this.#statuses.lacksModel(worker, model, adapter);
   }
 
   /** Whether a worker may get requests of this service and route at all. */
@@ -83,7 +83,7 @@
   }
 
   /** Why an eligible worker cannot take a request now; undefined if it can. */
-  #obstacle(
+  #unavailableReason(
     { clientRequest, excludedWorkers }: RoutedRequest,
     worker: WorkerView,
     maxInFlight: number,
@@ -97,7 +97,7 @@
   }
 
   /** Whether this edge is among those that may send to a worker. */
-  #maySend({ id, sharePercent }: WorkerView): boolean {
+  #isAllowedByShare({ id, sharePercent }: WorkerView): boolean {
     if (sharePercent >= ALL_EDGES_PERCENT) return true;
     return spread(`${id} ${this.#dependencies.salt}`) % ALL_EDGES_PERCENT < sharePercent;
   }
--- a/packages/router/src/demand-meter.ts
+++ b/packages/router/src/demand-meter.ts
@@ -46,13 +46,13 @@
   recordArrival(request: RoutedRequest, nowMs: number): void {
     if (request.clientRequest.model === '') return;
     const { targetMs } = request.route;
-    const rate = this.#rates.get(request.key) ?? {
+    const rate = this.#rates.get(request.demandKey) ?? {
       perS: 0,
       waitToTargetRatio: 0,
       meanTargetMs: targetMs,
       atMs: nowMs,
     };
-    this.#rates.set(request.key, rate);
+    this.#rates.set(request.demandKey, rate);
     decay(rate, nowMs);
     rate.perS += Math.LN2 / HALF_LIFE_S;
     rate.meanTargetMs += (targetMs - rate.meanTargetMs) * TARGET_SMOOTHING;
@@ -68,7 +68,7 @@
 
   /** The head of a response came so long after the attempt was made. */
   recordResponseWait(request: RoutedRequest, waitMs: number): void {
-    const rate = this.#rates.get(request.key);
+    const rate = this.#rates.get(request.demandKey);
     if (rate === undefined || request.route.targetMs <= 0) return;
     const ratio = waitMs / request.route.targetMs;
     rate.waitToTargetRatio =
@@ -80,7 +80,8 @@
   /** The demand now. */
   demands(waitingRequests: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
-    for (const request of waitingRequests) waiting.set(request.key, (waiting.get(request.key) ?? 0) + 1);
+    for (const request of waitingRequests)
+      waiting.set(request.demandKey, (waiting.get(request.demandKey) ?? 0) + 1);
     const demands: EdgeDemand[] = [];
     for (const [key, rate] of this.#rates) {
       decay(rate, nowMs);
--- a/packages/router/src/dropped-key-served.test.ts
+++ b/packages/router/src/dropped-key-served.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { valueOf } from './headers.js';
+import { headerValue } from './headers.js';
 import { HEADER_NAMES, RouterHarness, worker, type SentRequest } from './testing/router-harness.js';
 
 const KEPT = { name: 'one', apiKeys: ['key-1'] };
@@ -8,7 +8,7 @@
 
 function withTenants(...workers: readonly string[]): RouterHarness {
   const harness = new RouterHarness(workers.map((id) => worker(id)));
-  harness.haveTenants([KEPT, DROPPED]);
+  harness.setTenants([KEPT, DROPPED]);
   return harness;
 }
 
@@ -16,23 +16,23 @@
 function earn(harness: RouterHarness): void {
   for (let done = 0; done < 5; done += 1) {
     harness.submit('/once/x', { apiKey: 'key-1' });
-    harness.last().start();
-    harness.last().answer(200, 'ok');
+    harness.lastSent().start();
+    harness.lastSent().answer(200, 'ok');
   }
 }
 
 function holderOf(sent: SentRequest): string | undefined {
-  return valueOf(sent.request.headers, HEADER_NAMES.tenant);
+  return headerValue(sent.request.headers, HEADER_NAMES.tenant);
 }
 
 describe('a request whose key is dropped', () => {
   it('is rejected with 401 when it comes after the configuration that drops it', () => {
     const harness = withTenants('w1');
     harness.submit('/once/x', { apiKey: 'key-2' });
-    harness.haveTenants([KEPT]);
+    harness.setTenants([KEPT]);
     expect([
-      harness.submit('/once/x', { apiKey: 'key-2' }).sink.seen,
-      harness.submit('/once/x', { apiKey: 'key-1' }).sink.seen,
+      harness.submit('/once/x', { apiKey: 'key-2' }).sink.calls,
+      harness.submit('/once/x', { apiKey: 'key-1' }).sink.calls,
     ]).toEqual([['refuse 401'], []]);
   });
 
@@ -40,32 +40,32 @@
     const harness = withTenants();
     const dropped = harness.submit('/once/x', { apiKey: 'key-2' }).sink;
     const kept = harness.submit('/once/x', { apiKey: 'key-1' }).sink;
-    harness.haveTenants([KEPT]);
-    const atOnce = [[...dropped.seen], [...kept.seen]];
-    harness.put(worker('w1'));
-    harness.later(20);
+    harness.setTenants([KEPT]);
+    const atOnce = [[...dropped.calls], [...kept.calls]];
+    harness.putWorkers(worker('w1'));
+    harness.advance(20);
     expect([atOnce, harness.link.sent.map(holderOf)]).toEqual([[['refuse 401'], []], ['one']]);
   });
 
   it('is not sent when it is dropped between the choice of a worker and the first byte', () => {
     const harness = withTenants('w1');
     const { sink } = harness.submit('/once/x', { apiKey: 'key-2' });
-    const sent = harness.last();
-    harness.haveTenants([KEPT]);
+    const sent = harness.lastSent();
+    harness.setTenants([KEPT]);
     const started = sent.start();
     sent.handler.failed(false, 'withheld');
-    expect([started, sink.seen, harness.router.inFlight]).toEqual([false, ['refuse 401'], 0]);
+    expect([started, sink.calls, harness.router.inFlight]).toEqual([false, ['refuse 401'], 0]);
   });
 
   it('goes on where a worker is at work on it', () => {
     const harness = withTenants('w1');
     const { sink } = harness.submit('/tell/x', { apiKey: 'key-2' });
-    harness.last().start();
-    harness.last().openStream('s1');
-    harness.haveTenants([KEPT]);
-    harness.last().events('id: 1\ndata: a\n\n');
-    harness.last().handler.end();
-    expect(sink.seen).toEqual(['open 200 s1', 'close']);
+    harness.lastSent().start();
+    harness.lastSent().openStream('s1');
+    harness.setTenants([KEPT]);
+    harness.lastSent().events('id: 1\ndata: a\n\n');
+    harness.lastSent().handler.end();
+    expect(sink.calls).toEqual(['open 200 s1', 'close']);
   });
 
   it('is not sent again after a failure: 502, since a worker may have run it', () => {
@@ -73,11 +73,11 @@
     earn(harness);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/often/x', { apiKey: 'key-2' });
-    harness.last().start();
-    harness.haveTenants([KEPT]);
-    harness.last().handler.failed(true, 'reset');
-    harness.later(100);
-    expect([harness.link.sent.length - sends, sink.seen]).toEqual([1, ['refuse 502']]);
+    harness.lastSent().start();
+    harness.setTenants([KEPT]);
+    harness.lastSent().handler.failed(true, 'reset');
+    harness.advance(100);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 502']]);
   });
 
   it('is not sent again after a worker that has not run it: 401', () => {
@@ -85,11 +85,11 @@
     earn(harness);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/often/x', { apiKey: 'key-2' });
-    harness.last().start();
-    harness.haveTenants([KEPT]);
-    harness.last().decline(503);
-    harness.later(100);
-    expect([harness.link.sent.length - sends, sink.seen]).toEqual([1, ['refuse 401']]);
+    harness.lastSent().start();
+    harness.setTenants([KEPT]);
+    harness.lastSent().rejectAsNotRun(503);
+    harness.advance(100);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 401']]);
   });
 
   it('is not resumed at another worker: its client sees that the stream is cut', () => {
@@ -97,29 +97,29 @@
     earn(harness);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/talk/x', { apiKey: 'key-2' });
-    harness.last().start();
-    harness.last().openStream('s1');
-    harness.last().events('id: 1\ndata: a\n\n');
-    harness.haveTenants([KEPT]);
-    harness.last().handler.failed(true, 'reset');
-    harness.later(300);
-    expect([harness.link.sent.length - sends, sink.seen]).toEqual([1, ['open 200 s1', 'cut']]);
+    harness.lastSent().start();
+    harness.lastSent().openStream('s1');
+    harness.lastSent().events('id: 1\ndata: a\n\n');
+    harness.setTenants([KEPT]);
+    harness.lastSent().handler.failed(true, 'reset');
+    harness.advance(300);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['open 200 s1', 'cut']]);
   });
 
   it('is served as nobody on a public route', () => {
     const harness = withTenants();
     harness.submit('/open/x', { apiKey: 'key-2' });
-    harness.haveTenants([KEPT]);
-    harness.put(worker('w1'));
-    harness.later(20);
+    harness.setTenants([KEPT]);
+    harness.putWorkers(worker('w1'));
+    harness.advance(20);
     expect(harness.link.sent.map(holderOf)).toEqual([undefined]);
   });
 
   it('is rejected with 401 also where keys are needed from now on and it has none', () => {
     const harness = new RouterHarness([]);
     const { sink } = harness.submit('/once/x');
-    harness.haveTenants([KEPT]);
-    expect(sink.seen).toEqual(['refuse 401']);
+    harness.setTenants([KEPT]);
+    expect(sink.calls).toEqual(['refuse 401']);
   });
 });
 
@@ -129,9 +129,9 @@
   it('is sent as that one from then on, also where it waited', () => {
     const harness = withTenants();
     harness.submit('/once/x', { apiKey: 'key-2' });
-    harness.haveTenants(MOVED);
-    harness.put(worker('w1'));
-    harness.later(20);
+    harness.setTenants(MOVED);
+    harness.putWorkers(worker('w1'));
+    harness.advance(20);
     harness.submit('/once/x', { apiKey: 'key-2' });
     expect(harness.link.sent.map(holderOf)).toEqual(['heir', 'heir']);
   });
@@ -139,11 +139,11 @@
   it('is not sent under the former name when it passes before the first byte', () => {
     const harness = withTenants('w1');
     harness.submit('/once/x', { apiKey: 'key-2' });
-    const first = harness.last();
-    harness.haveTenants(MOVED);
+    const first = harness.lastSent();
+    harness.setTenants(MOVED);
     const started = first.start();
     first.handler.failed(false, 'withheld');
-    const second = harness.last();
+    const second = harness.lastSent();
     expect([started, second === first, second.start(), holderOf(second)]).toEqual([
       false,
       false,
@@ -156,12 +156,12 @@
     const harness = withTenants('w1', 'w2');
     earn(harness);
     harness.submit('/talk/x', { apiKey: 'key-2' });
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
-    harness.haveTenants(MOVED);
+    harness.setTenants(MOVED);
     first.handler.failed(true, 'reset');
-    expect([holderOf(first), holderOf(harness.last())]).toEqual(['two', 'heir']);
+    expect([holderOf(first), holderOf(harness.lastSent())]).toEqual(['two', 'heir']);
   });
 });
--- a/packages/router/src/early-requests.test.ts
+++ b/packages/router/src/early-requests.test.ts
@@ -15,7 +15,7 @@
   it('refuses every request with 503, also one without a route, and sends none on', () => {
     const harness = unconfigured();
     const sinks = ['/once/x', '/often/x', '/tell/x', '/unheard/x'].map((path) => harness.submit(path).sink);
-    harness.later(LONG_MS);
+    harness.advance(LONG_MS);
     expect(sinks.map((sink) => sink.status)).toEqual([503, 503, 503, 503]);
     expect(harness.link.sent.length).toEqual(0);
   });
@@ -24,11 +24,11 @@
     const harness = unconfigured();
     const { sink } = harness.submit('/once/x');
     const unheard = harness.submit('/unheard/x').sink;
-    harness.later(100);
+    harness.advance(100);
     expect([sink.status, unheard.status]).toEqual([0, 0]);
     harness.configured = true;
-    harness.later(100);
-    expect(harness.last().request.headers.find(([, value]) => value === '1300')).not.toEqual(undefined);
+    harness.advance(100);
+    expect(harness.lastSent().request.headers.find(([, value]) => value === '1300')).not.toEqual(undefined);
     expect(unheard.status).toEqual(404);
   });
 });
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -39,21 +39,21 @@
   add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
     const { configurationWaitMs } = ADMISSION_POLICY;
     const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
-    const early: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
-    this.#pending.add(early);
+    const entry: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
+    this.#pending.add(entry);
     return () => {
-      this.#pending.delete(early);
-      early.cancel?.();
+      this.#pending.delete(entry);
+      entry.cancel?.();
     };
   }
 
   /** Submits all that wait where a configuration is known, and else rejects those that have waited long enough. */
-  release(isKnown: boolean, nowMs: number): void {
-    for (const early of this.#pending) {
-      if (!isKnown && nowMs < early.endMs) continue;
-      this.#pending.delete(early);
-      if (isKnown) early.cancel = this.#context.submit(withTimeLeft(early, nowMs), early.sink);
-      else this.#context.reject(early.sink);
+  release(isConfigured: boolean, nowMs: number): void {
+    for (const entry of this.#pending) {
+      if (!isConfigured && nowMs < entry.endMs) continue;
+      this.#pending.delete(entry);
+      if (isConfigured) entry.cancel = this.#context.submit(withRemainingTime(entry, nowMs), entry.sink);
+      else this.#context.reject(entry.sink);
     }
   }
 
@@ -64,7 +64,7 @@
   }
 }
 
-function withTimeLeft({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
+function withRemainingTime({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
   const { deadlineMs } = request;
   return {
     ...request,
--- a/packages/router/src/event-splitter.test.ts
+++ b/packages/router/src/event-splitter.test.ts
@@ -3,25 +3,29 @@
 import { EventSplitter } from './event-splitter.js';
 
 /** What is passed on of a stream that comes in these pieces, and what stays behind. */
-function taken(...pieces: readonly string[]): { lots: string[]; ids: (string | undefined)[]; rest: number } {
-  const cutter = new EventSplitter();
-  const lots: string[] = [];
+function split(...chunks: readonly string[]): {
+  batches: string[];
+  ids: (string | undefined)[];
+  rest: number;
+} {
+  const splitter = new EventSplitter();
+  const batches: string[] = [];
   const ids: (string | undefined)[] = [];
-  for (const piece of pieces) {
-    const events = cutter.take(Buffer.from(piece));
-    if (events === 'endless') lots.push('endless');
+  for (const chunk of chunks) {
+    const events = splitter.take(Buffer.from(chunk));
+    if (events === 'endless') batches.push('endless');
     else if (events.bytes.length > 0) {
-      lots.push(events.bytes.toString());
+      batches.push(events.bytes.toString());
       ids.push(events.lastId);
     }
   }
-  return { lots, ids, rest: cutter.incompleteBytes };
+  return { batches, ids, rest: splitter.incompleteBytes };
 }
 
 describe('events of a stream', () => {
   it('pass once they are whole, several at once, and the rest waits', () => {
-    expect(taken('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({
-      lots: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
+    expect(split('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({
+      batches: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
       ids: ['2'],
       rest: 5,
     });
@@ -31,23 +35,28 @@
     const text = 'id: 1\ndata: a\n\n: note\n\nid: 22\ndata: b\ndata: c\n\n';
     const wrong: number[] = [];
     for (let at = 0; at <= text.length; at += 1) {
-      const { lots, ids, rest } = taken(text.slice(0, at), text.slice(at));
-      if (lots.join('') !== text || ids.at(-1) !== '22' || rest !== 0) wrong.push(at);
+      const { batches, ids, rest } = split(text.slice(0, at), text.slice(at));
+      if (batches.join('') !== text || ids.at(-1) !== '22' || rest !== 0) wrong.push(at);
     }
-    const single = taken(...text.split(''));
-    expect([wrong, single.lots.join(''), single.ids.at(-1), single.lots.length]).toEqual([[], text, '22', 3]);
+    const single = split(...text.split(''));
+    expect([wrong, single.batches.join(''), single.ids.at(-1), single.batches.length]).toEqual([
+      [],
+      text,
+      '22',
+      3,
+    ]);
   });
 
   it('may end their lines with return and line end', () => {
     const text = 'id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n';
-    const single = taken(...text.split(''));
-    expect([single.lots.length, single.lots.join(''), single.ids]).toEqual([2, text, ['1', '2']]);
+    const single = split(...text.split(''));
+    expect([single.batches.length, single.batches.join(''), single.ids]).toEqual([2, text, ['1', '2']]);
   });
 
   it('have the last id among them, also without a blank after the colon, or none', () => {
-    expect(taken('id:7\ndata: a\n\ndata: no id\n\n').ids).toEqual(['7']);
-    expect(taken('data: a id: 9\n\n').ids).toEqual([undefined]);
-    expect(taken('data: x\nid: 4\n\n').ids).toEqual(['4']);
+    expect(split('id:7\ndata: a\n\ndata: no id\n\n').ids).toEqual(['7']);
+    expect(split('data: a id: 9\n\n').ids).toEqual([undefined]);
+    expect(split('data: x\nid: 4\n\n').ids).toEqual(['4']);
   });
 
   it('keep bytes that are no text as they are', () => {
@@ -57,7 +66,7 @@
   });
 
   it('do not gather without end', () => {
-    const lots = taken(...Array.from({ length: 20 }, () => 'x'.repeat(100_000))).lots;
-    expect(lots.includes('endless')).toEqual(true);
+    const batches = split(...Array.from({ length: 20 }, () => 'x'.repeat(100_000))).batches;
+    expect(batches.includes('endless')).toEqual(true);
   });
 });
--- a/packages/router/src/headers.ts
+++ b/packages/router/src/headers.ts
@@ -35,7 +35,7 @@
  * @example
  * isHop('Connection'); // true
  */
-export function isHop(name: string): boolean {
+export function isHopByHop(name: string): boolean {
   return HOP_BY_HOP.has(name.toLowerCase());
 }
 
@@ -50,7 +50,7 @@
     if (name.toLowerCase() !== 'connection') continue;
     for (const option of value.split(',')) named.add(option.trim().toLowerCase());
   }
-  return headers.filter(([name]) => !isHop(name) && !named.has(name.toLowerCase()));
+  return headers.filter(([name]) => !isHopByHop(name) && !named.has(name.toLowerCase()));
 }
 
 /**
@@ -58,7 +58,7 @@
  * @example
  * valueOf([['Retry-After', '1']], 'retry-after'); // '1'
  */
-export function valueOf(headers: readonly Header[], name: string): string | undefined {
+export function headerValue(headers: readonly Header[], name: string): string | undefined {
   const wanted = name.toLowerCase();
   return headers.find(([known]) => known.toLowerCase() === wanted)?.[1];
 }
@@ -86,7 +86,7 @@
     ].map((name) => name.toLowerCase()),
   );
   const headers: Header[] = clientRequest.headers.filter(
-    ([name]) => !isHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
+    ([name]) => !isHopByHop(name) && !own.has(name.toLowerCase()) && name.toLowerCase() !== 'content-length',
   );
   if (clientRequest.deadlineMs !== undefined) headers.push([names.deadlineMs, String(remainingMs)]);
   if (lastEventId !== undefined) headers.push([names.lastEventId, lastEventId]);
--- a/packages/router/src/idempotent.test.ts
+++ b/packages/router/src/idempotent.test.ts
@@ -5,43 +5,43 @@
 describe('an idempotent request', () => {
   it('is sent again after a failure, to another worker, as often as its route allows', () => {
     const harness = new RouterHarness(['w1', 'w2', 'w3', 'w4'].map((id) => worker(id)));
-    harness.earn(10);
+    harness.earnRetryBudget(10);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/often/x');
     for (let turn = 0; turn < 5; turn += 1) {
-      const sent = harness.last();
+      const sent = harness.lastSent();
       if (sent.start()) sent.handler.failed(true, 'reset');
-      harness.later(1);
+      harness.advance(1);
     }
     const addresses = harness.link.sent.slice(sends).map((sent) => sent.request.address);
-    expect([addresses.length, new Set(addresses).size, sink.seen]).toEqual([3, 3, ['refuse 502']]);
+    expect([addresses.length, new Set(addresses).size, sink.calls]).toEqual([3, 3, ['refuse 502']]);
   });
 
   it('is never rejected as retryable after a worker may have run it', () => {
     const wrong: string[] = [];
     for (const end of ['declined', 'budget gone', 'no worker'] as const) {
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
-      harness.earn(end === 'budget gone' ? 1 : 5);
+      harness.earnRetryBudget(end === 'budget gone' ? 1 : 5);
       const { sink } = harness.submit('/often/x');
-      harness.last().start();
+      harness.lastSent().start();
       if (end === 'no worker') harness.workers.delete('w1');
       if (end === 'no worker') harness.workers.delete('w2');
-      harness.last().handler.failed(true, 'reset');
+      harness.lastSent().handler.failed(true, 'reset');
       for (let turn = 0; turn < 4; turn += 1) {
-        const sent = harness.last();
-        if (sent.start()) sent.decline(503);
-        harness.later(600);
+        const sent = harness.lastSent();
+        if (sent.start()) sent.rejectAsNotRun(503);
+        harness.advance(600);
       }
-      if (sink.status === 503 || sink.status === 429) wrong.push(`${end}: ${sink.seen.join(', ')}`);
+      if (sink.status === 503 || sink.status === 429) wrong.push(`${end}: ${sink.calls.join(', ')}`);
     }
     expect(wrong).toEqual([]);
   });
 
   it('is not answered with what belongs to another request, but sent again', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     const { sink } = harness.submit('/often/x');
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.handler.head(200, [
       [HEADER_NAMES.requestId, 'another'],
@@ -49,19 +49,19 @@
     ]);
     first.handler.chunk(Buffer.from('of another'));
     first.handler.end();
-    harness.last().start();
-    harness.last().answer(200, 'own');
-    expect([first.aborted, sink.seen]).toEqual([true, ['answer 200 own']]);
+    harness.lastSent().start();
+    harness.lastSent().answer(200, 'own');
+    expect([first.aborted, sink.calls]).toEqual([true, ['answer 200 own']]);
   });
 
   it('goes to no second worker where its route allows one', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/single/x');
-    harness.last().start();
-    harness.last().handler.failed(true, 'reset');
-    harness.later(200);
-    expect([harness.link.sent.length - sends, sink.seen]).toEqual([1, ['refuse 502']]);
+    harness.lastSent().start();
+    harness.lastSent().handler.failed(true, 'reset');
+    harness.advance(200);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 502']]);
   });
 });
--- a/packages/router/src/permit-spent-twice.test.ts
+++ b/packages/router/src/permit-spent-twice.test.ts
@@ -5,11 +5,11 @@
 import { RouterHarness, worker, type SentRequest } from './testing/router-harness.js';
 
 const LIMITED = { name: 'one', apiKeys: ['key'], ratePerS: 10, burst: 5 };
-const FOR_EVER = { kind: 'granted', permit: { endMs: Infinity } } as const;
+const GRANTED_FOREVER = { kind: 'granted', permit: { endMs: Infinity } } as const;
 
 function withQuota(...workers: readonly string[]): RouterHarness {
   const harness = new RouterHarness(workers.map((id) => worker(id)));
-  harness.haveTenants([LIMITED]);
+  harness.setTenants([LIMITED]);
   return harness;
 }
 
@@ -20,10 +20,10 @@
 function earn(harness: RouterHarness): void {
   for (let done = 0; done < 5; done += 1) {
     submit(harness, '/once/x');
-    harness.last().start();
-    harness.last().answer(200, 'ok');
+    harness.lastSent().start();
+    harness.lastSent().answer(200, 'ok');
   }
-  harness.permits.asked.length = 0;
+  harness.permits.requests.length = 0;
 }
 
 /** How a worker ends an attempt without a response for the client. */
@@ -34,11 +34,11 @@
   },
   'not run': (sent) => {
     sent.start();
-    sent.decline(503);
+    sent.rejectAsNotRun(503);
   },
   misdirected: (sent) => {
     sent.start();
-    sent.decline(421);
+    sent.rejectAsNotRun(421);
   },
   unreached: (sent) => {
     sent.start();
@@ -56,17 +56,17 @@
 
   constructor(isAtOnce: boolean) {
     this.#isAtOnce = isAtOnce;
-    if (!isAtOnce) this.harness.permits.atOnce = undefined;
+    if (!isAtOnce) this.harness.permits.immediateAnswer = undefined;
   }
 
   /** Permits that were granted, or answers that said so, of which some came too late. */
   get granted(): number {
-    return this.#isAtOnce ? this.harness.permits.asked.length : this.#granted;
+    return this.#isAtOnce ? this.harness.permits.requests.length : this.#granted;
   }
 
   answer(answer: PermitAnswer): void {
     if (answer.kind === 'granted') this.#granted += 1;
-    this.harness.permits.asked.at(-1)?.answer(answer);
+    this.harness.permits.requests.at(-1)?.answer(answer);
   }
 
   /** The oldest send that was not played yet goes on like this. */
@@ -82,14 +82,14 @@
 
 const SCRIPT_STEPS: Readonly<Record<string, (script: PermitScript) => void>> = {
   submit: ({ harness }) => void submit(harness, '/often/x'),
-  later: ({ harness }) => harness.later(60),
-  grant: (script) => script.answer(FOR_EVER),
+  later: ({ harness }) => harness.advance(60),
+  grant: (script) => script.answer(GRANTED_FOREVER),
   'grant for a short time': (script) =>
     script.answer({ kind: 'granted', permit: { endMs: script.harness.nowMs + 50 } }),
   refuse: (script) => script.answer({ kind: 'over-quota', retryAfterMs: 30 }),
   serve: (script) => script.play((sent) => sent.answer(200, 'ok'), true),
   fail: (script) => script.play((sent) => sent.handler.failed(true, 'reset'), true),
-  decline: (script) => script.play((sent) => sent.decline(503), false),
+  decline: (script) => script.play((sent) => sent.rejectAsNotRun(503), false),
   miss: (script) => script.play((sent) => sent.handler.failed(false, 'refused'), false),
 };
 
@@ -97,25 +97,25 @@
   it('is not needed without a tenant, without a limit, or without a configured rate', () => {
     const harness = withQuota('w1');
     harness.submit('/open/x');
-    const started = [harness.last().start()];
+    const started = [harness.lastSent().start()];
     for (const tenants of [[{ name: 'free', apiKeys: ['key'] }], undefined]) {
-      harness.haveTenants(tenants);
+      harness.setTenants(tenants);
       submit(harness, '/once/x');
-      started.push(harness.last().start());
+      started.push(harness.lastSent().start());
     }
-    expect([started, harness.permits.asked.length]).toEqual([[true, true, true], 0]);
+    expect([started, harness.permits.requests.length]).toEqual([[true, true, true], 0]);
   });
 
   it('is asked for once, however often the request is looked at while it waits for its answer', () => {
     const harness = withQuota('w1');
-    harness.permits.atOnce = undefined;
+    harness.permits.immediateAnswer = undefined;
     const { sink } = submit(harness, '/once/x');
-    for (let turn = 0; turn < 5; turn += 1) harness.later(20);
-    const before = [harness.permits.asked.map(({ tenant }) => tenant), harness.link.sent.length];
-    harness.permits.asked[0]?.answer(FOR_EVER);
-    const started = harness.last().start();
-    harness.last().answer(200, 'ok');
-    expect([before, started, sink.seen]).toEqual([[['one'], 0], true, ['answer 200 ok']]);
+    for (let turn = 0; turn < 5; turn += 1) harness.advance(20);
+    const before = [harness.permits.requests.map(({ tenant }) => tenant), harness.link.sent.length];
+    harness.permits.requests[0]?.answer(GRANTED_FOREVER);
+    const started = harness.lastSent().start();
+    harness.lastSent().answer(200, 'ok');
+    expect([before, started, sink.calls]).toEqual([[['one'], 0], true, ['answer 200 ok']]);
   });
 
   it('pays for one attempt that may have run: the retry draws again, any other attempt uses it again', () => {
@@ -123,10 +123,10 @@
       const harness = withQuota('w1', 'w2');
       earn(harness);
       submit(harness, '/often/x');
-      const first = harness.last();
+      const first = harness.lastSent();
       end(first);
-      const second = harness.last();
-      return [name, second !== first && second.start(), harness.permits.asked.length];
+      const second = harness.lastSent();
+      return [name, second !== first && second.start(), harness.permits.requests.length];
     });
     expect(draws).toEqual([
       ['failed', true, 2],
@@ -140,38 +140,38 @@
     const harness = withQuota('w1', 'w2');
     earn(harness);
     submit(harness, '/talk/x');
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
-    harness.permits.atOnce = undefined;
+    harness.permits.immediateAnswer = undefined;
     first.handler.failed(true, 'reset');
     const sendsBefore = harness.link.sent.length;
-    harness.permits.asked.at(-1)?.answer(FOR_EVER);
-    expect([harness.permits.asked.length, harness.link.sent.length - sendsBefore]).toEqual([2, 1]);
+    harness.permits.requests.at(-1)?.answer(GRANTED_FOREVER);
+    expect([harness.permits.requests.length, harness.link.sent.length - sendsBefore]).toEqual([2, 1]);
   });
 
   it('is not wasted on a stream that waits to go on and finds no worker', () => {
     const harness = withQuota('w1', 'w2');
     earn(harness);
     submit(harness, '/talk/x', 9000);
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
-    for (const id of ['w1', 'w2']) harness.put(worker(id, { draining: true }));
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
+    for (const id of ['w1', 'w2']) harness.putWorkers(worker(id, { draining: true }));
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
     first.handler.failed(true, 'reset');
-    const drawn = harness.permits.asked.length;
+    const drawn = harness.permits.requests.length;
     for (let turn = 0; turn < 15; turn += 1) {
-      harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
-      harness.later(100);
+      harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
+      harness.advance(100);
     }
-    const whileNone = harness.permits.asked.length - drawn;
-    harness.permits.atOnce = FOR_EVER;
-    harness.put(worker('w3'));
-    for (let turn = 0; turn < 4; turn += 1) harness.later(100);
-    expect([whileNone, harness.permits.asked.length - drawn, harness.last() === first]).toEqual([
+    const whileNone = harness.permits.requests.length - drawn;
+    harness.permits.immediateAnswer = GRANTED_FOREVER;
+    harness.putWorkers(worker('w3'));
+    for (let turn = 0; turn < 4; turn += 1) harness.advance(100);
+    expect([whileNone, harness.permits.requests.length - drawn, harness.lastSent() === first]).toEqual([
       0,
       1,
       false,
@@ -180,15 +180,15 @@
 
   it('is not used after its end: nothing leaves, and a new one is drawn', () => {
     const harness = withQuota('w1');
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
     submit(harness, '/once/x');
-    const first = harness.last();
+    const first = harness.lastSent();
     harness.nowMs += 100;
-    harness.permits.atOnce = FOR_EVER;
+    harness.permits.immediateAnswer = GRANTED_FOREVER;
     const started = first.start();
     first.handler.failed(false, 'withheld');
-    const second = harness.last();
-    expect([started, second !== first && second.start(), harness.permits.asked.length]).toEqual([
+    const second = harness.lastSent();
+    expect([started, second !== first && second.start(), harness.permits.requests.length]).toEqual([
       false,
       true,
       2,
@@ -197,39 +197,39 @@
 
   it('that has ended when it comes is not asked for in a loop, but at the next look', () => {
     const harness = withQuota('w1');
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs } };
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs } };
     submit(harness, '/once/x');
-    harness.later(20);
-    expect([harness.permits.asked.length, harness.link.sent.length]).toEqual([2, 0]);
+    harness.advance(20);
+    expect([harness.permits.requests.length, harness.link.sent.length]).toEqual([2, 0]);
   });
 
   it('is given back by an attempt that did not run only while it has not ended', () => {
     const harness = withQuota('w1', 'w2');
     earn(harness);
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
     submit(harness, '/often/x');
-    harness.last().start();
+    harness.lastSent().start();
     harness.nowMs += 100;
-    harness.permits.atOnce = FOR_EVER;
-    harness.last().decline(503);
-    expect([harness.permits.asked.length, harness.last().start()]).toEqual([2, true]);
+    harness.permits.immediateAnswer = GRANTED_FOREVER;
+    harness.lastSent().rejectAsNotRun(503);
+    expect([harness.permits.requests.length, harness.lastSent().start()]).toEqual([2, true]);
   });
 
   it('is asked for no more when the client leaves, the request expires or its key is dropped', () => {
     const ends: Readonly<Record<string, (harness: RouterHarness, leave: () => void) => void>> = {
       left: (_harness, leave) => leave(),
-      expired: (harness) => harness.later(1600),
-      dropped: (harness) => harness.haveTenants([]),
+      expired: (harness) => harness.advance(1600),
+      dropped: (harness) => harness.setTenants([]),
       closed: (harness) => harness.router.close(),
     };
     const withdrawn = Object.entries(ends).map(([name, end]) => {
       const harness = withQuota('w1');
-      harness.permits.atOnce = undefined;
+      harness.permits.immediateAnswer = undefined;
       const { leave, sink } = submit(harness, '/once/x');
       end(harness, leave);
-      const [asked] = harness.permits.asked;
-      asked?.answer(FOR_EVER);
-      harness.later(20);
+      const [asked] = harness.permits.requests;
+      asked?.answer(GRANTED_FOREVER);
+      harness.advance(20);
       return [name, asked?.withdrawn, harness.link.sent.length, sink.status, harness.router.waiting];
     });
     expect(withdrawn).toEqual([
@@ -243,10 +243,10 @@
   it('of one tenant does not pay for a request that has become another tenant’s', () => {
     const harness = withQuota();
     submit(harness, '/once/x');
-    harness.haveTenants([{ ...LIMITED, name: 'heir' }]);
-    harness.put(worker('w1'));
-    harness.later(20);
-    expect([harness.permits.asked.map(({ tenant }) => tenant), harness.last().start()]).toEqual([
+    harness.setTenants([{ ...LIMITED, name: 'heir' }]);
+    harness.putWorkers(worker('w1'));
+    harness.advance(20);
+    expect([harness.permits.requests.map(({ tenant }) => tenant), harness.lastSent().start()]).toEqual([
       ['one', 'heir'],
       true,
     ]);
@@ -254,30 +254,30 @@
 
   it('is not wasted while no worker can take any request: none draws anew before one can', () => {
     const harness = withQuota();
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
     for (let count = 0; count < 10; count += 1) submit(harness, '/often/x');
-    const drawn = harness.permits.asked.length;
+    const drawn = harness.permits.requests.length;
     for (let turn = 0; turn < 4; turn += 1) {
-      harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
-      harness.later(100);
+      harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
+      harness.advance(100);
     }
-    expect([drawn, harness.permits.asked.length - drawn]).toEqual([10, 0]);
-    harness.put(worker('w1', { slots: 20 }));
-    harness.later(20);
-    expect([harness.permits.asked.length - drawn, harness.link.sent.length]).toEqual([10, 10]);
+    expect([drawn, harness.permits.requests.length - drawn]).toEqual([10, 0]);
+    harness.putWorkers(worker('w1', { slots: 20 }));
+    harness.advance(20);
+    expect([harness.permits.requests.length - drawn, harness.link.sent.length]).toEqual([10, 10]);
   });
 
   it('is not sent twice when the answer to another request brings its own too', () => {
     const harness = withQuota('w1');
-    harness.permits.atOnce = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
+    harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
     harness.workers.clear();
     submit(harness, '/often/first');
-    harness.permits.atOnce = undefined;
+    harness.permits.immediateAnswer = undefined;
     submit(harness, '/often/second');
-    const [, second] = harness.permits.asked;
-    harness.put(worker('w1'));
-    harness.permits.onAsk = () => second?.answer(FOR_EVER);
-    harness.later(100);
+    const [, second] = harness.permits.requests;
+    harness.putWorkers(worker('w1'));
+    harness.permits.onRequest = () => second?.answer(GRANTED_FOREVER);
+    harness.advance(100);
     expect(harness.link.sent.map(({ request }) => request.target)).toEqual(['/often/second']);
   });
 
--- a/packages/router/src/request-completion.ts
+++ b/packages/router/src/request-completion.ts
@@ -59,15 +59,15 @@
   }
 
   /** Rejects what was not admitted. */
-  reject(sink: ResponseSink, why: Fault): void {
-    this.#counters.increment(`refused ${why.kind}`);
-    sink.reject(why);
+  reject(sink: ResponseSink, reason: Fault): void {
+    this.#counters.increment(`refused ${reason.kind}`);
+    sink.reject(reason);
   }
 
   /** Rejects a request that was not admitted, though its route and its tenant are known. */
-  rejectNew(request: RoutedRequest, why: Fault): void {
+  rejectNew(request: RoutedRequest, reason: Fault): void {
     this.#tenantCounters.increment(request.tenant, 'refused');
-    this.reject(request.sink, why);
+    this.reject(request.sink, reason);
   }
 
   /** Rejects a request that its tenant's quota has no permit for. */
@@ -81,11 +81,11 @@
   }
 
   /** Rejects a request after its last attempt; nothing of a response went to the client. */
-  rejectAfter(request: RoutedRequest, end: AttemptEnd): void {
+  rejectAfterLastAttempt(request: RoutedRequest, end: AttemptEnd): void {
     this.unregister(request);
-    if (request.mayHaveRun) return this.#rejectAdmitted(request, fault('outcome-unknown', end.why));
+    if (request.mayHaveRun) return this.#rejectAdmitted(request, fault('outcome-unknown', end.reason));
     this.#counters.increment('refused full');
-    this.#rejectAsUnserved(request, end.why);
+    this.#rejectAsUnserved(request, end.reason);
   }
 
   /** Ends a request whose key no tenant holds any more. */
@@ -109,7 +109,7 @@
     this.unregister(request);
     if (request.mayHaveRun)
       this.#rejectAdmitted(request, fault('deadline-exceeded', 'the time for it has passed'));
-    else this.#rejectAsUnserved(request, whyUnserved(request));
+    else this.#rejectAsUnserved(request, unservedReason(request));
   }
 
   /** Resets the connection of a client that has part of a response. */
@@ -133,18 +133,18 @@
   }
 
   /** No worker has run the request, so the client may send it again. */
-  #rejectAsUnserved(request: RoutedRequest, why: string): void {
+  #rejectAsUnserved(request: RoutedRequest, reason: string): void {
     const { noWorkerRetryAfterS } = ADMISSION_POLICY;
-    this.#rejectAdmitted(request, fault('no-worker', why, { retryAfterS: noWorkerRetryAfterS }));
+    this.#rejectAdmitted(request, fault('no-worker', reason, { retryAfterS: noWorkerRetryAfterS }));
   }
 
-  #rejectAdmitted(request: RoutedRequest, why: Fault): void {
+  #rejectAdmitted(request: RoutedRequest, reason: Fault): void {
     this.#tenantCounters.increment(request.tenant, 'refused');
-    request.sink.reject(why);
+    request.sink.reject(reason);
   }
 }
 
-function whyUnserved({ waitReason }: RoutedRequest): string {
+function unservedReason({ waitReason }: RoutedRequest): string {
   return waitReason === 'no-permit'
     ? "no permit of its tenant's quota came in time"
     : 'no worker came free in time';
--- a/packages/router/src/request-permit.ts
+++ b/packages/router/src/request-permit.ts
@@ -6,12 +6,12 @@
   | { readonly kind: 'none' }
   | { readonly kind: 'asked'; withdraw: () => void }
   | { readonly kind: 'held'; readonly permit: Permit }
-  | { readonly kind: 'refused'; readonly retryAfterMs: number; readonly untilMs: number };
+  | { readonly kind: 'refused'; readonly retryAfterMs: number; readonly retryAtMs: number };
 
 /** What a request holds of its tenant's quota. */
 export interface RequestPermit {
   readonly tenant: string;
   next: NextPermit;
   /** The permit that the attempt in flight has consumed. */
-  spent: Permit | undefined;
+  consumed: Permit | undefined;
 }
--- a/packages/router/src/request-permits.ts
+++ b/packages/router/src/request-permits.ts
@@ -26,7 +26,12 @@
 const NONE: NextPermit = { kind: 'none' };
 
 /** Ends of attempts that certainly did not run, whose permits can be used again. */
-const NOT_RUN: ReadonlySet<AttemptEnd['how']> = new Set(['not-sent', 'unreached', 'not-run', 'misdirected']);
+const NOT_RUN: ReadonlySet<AttemptEnd['outcome']> = new Set([
+  'not-sent',
+  'unreached',
+  'not-run',
+  'misdirected',
+]);
 
 /**
  * Gets the permits of requests and consumes them. The first answer decides whether a request is admitted; after that
@@ -44,49 +49,49 @@
 
   /** Asks for a permit unless one is held or asked for, and says how the request stands. */
   obtain(request: RoutedRequest): PermitState {
-    const quota = this.#quotaOf(request);
-    const state = quota === undefined ? READY : this.#obtain(request, quota);
+    const requestPermit = this.#permitOf(request);
+    const state = requestPermit === undefined ? READY : this.#obtain(request, requestPermit);
     if (state === READY) request.admitted = true;
     return state;
   }
 
   /** Whether a request holds a permit that has not ended, or has asked for one, or needs none. */
   isHeld(request: RoutedRequest): boolean {
-    const quota = this.#quotaOf(request);
-    if (quota === undefined || quota.next.kind === 'asked') return true;
-    return quota.next.kind === 'held' && this.#isValid(quota.next.permit);
+    const requestPermit = this.#permitOf(request);
+    if (requestPermit === undefined || requestPermit.next.kind === 'asked') return true;
+    return requestPermit.next.kind === 'held' && this.#isValid(requestPermit.next.permit);
   }
 
   /** The last check before the first byte leaves: uses up the permit that is held, if it has not ended. */
   consume(request: RoutedRequest): boolean {
-    const quota = this.#quotaOf(request);
-    if (quota === undefined) return true;
-    const { next } = quota;
+    const requestPermit = this.#permitOf(request);
+    if (requestPermit === undefined) return true;
+    const { next } = requestPermit;
     if (next.kind !== 'held' || !this.#isValid(next.permit)) return false;
-    quota.next = NONE;
-    quota.spent = next.permit;
+    requestPermit.next = NONE;
+    requestPermit.consumed = next.permit;
     return true;
   }
 
   /** Gives the permit of an attempt that did not run back to its request. */
-  attemptEnded({ permit: quota }: RoutedRequest, how: AttemptEnd['how']): void {
-    if (quota?.spent === undefined) return;
-    const { spent, next } = quota;
-    quota.spent = undefined;
-    if (!NOT_RUN.has(how) || next.kind === 'held') return;
-    withdraw(quota);
-    quota.next = { kind: 'held', permit: spent };
+  attemptEnded({ permit: requestPermit }: RoutedRequest, outcome: AttemptEnd['outcome']): void {
+    if (requestPermit?.consumed === undefined) return;
+    const { consumed, next } = requestPermit;
+    requestPermit.consumed = undefined;
+    if (!NOT_RUN.has(outcome) || next.kind === 'held') return;
+    withdrawRequest(requestPermit);
+    requestPermit.next = { kind: 'held', permit: consumed };
   }
 
   /** The request has ended: no permit is asked for any more. */
   release(request: RoutedRequest): void {
     if (request.permit === undefined) return;
-    withdraw(request.permit);
+    withdrawRequest(request.permit);
     request.permit = undefined;
   }
 
   /** What a request holds of its tenant's quota; undefined where it needs no permit. */
-  #quotaOf(request: RoutedRequest): RequestPermit | undefined {
+  #permitOf(request: RoutedRequest): RequestPermit | undefined {
     const { tenant } = request;
     if (tenant === undefined || tenant.ratePerS <= 0) {
       this.release(request);
@@ -94,17 +99,17 @@
     }
     if (request.permit?.tenant !== tenant.name) {
       this.release(request);
-      request.permit = { tenant: tenant.name, next: NONE, spent: undefined };
+      request.permit = { tenant: tenant.name, next: NONE, consumed: undefined };
     }
     return request.permit;
   }
 
-  #obtain(request: RoutedRequest, quota: RequestPermit): PermitState {
-    const before = this.#stateOf(request, quota);
-    if (before !== undefined) return before;
-    this.#ask(request, quota);
+  #obtain(request: RoutedRequest, requestPermit: RequestPermit): PermitState {
+    const current = this.#stateOf(request, requestPermit);
+    if (current !== undefined) return current;
+    this.#ask(request, requestPermit);
     // A permit that has ended by the time it is given is asked for anew at the next look, not in a loop here.
-    return this.#stateOf(request, quota) ?? AWAITED;
+    return this.#stateOf(request, requestPermit) ?? AWAITED;
   }
 
   /** Undefined: a permit is to be asked for now. */
@@ -118,27 +123,27 @@
         return this.#isValid(next.permit) ? READY : undefined;
       case 'refused':
         if (!request.admitted) return { kind: 'over-quota', retryAfterMs: next.retryAfterMs };
-        return this.#dependencies.nowMs() < next.untilMs ? AWAITED : undefined;
+        return this.#dependencies.nowMs() < next.retryAtMs ? AWAITED : undefined;
     }
   }
 
-  #ask(request: RoutedRequest, quota: RequestPermit): void {
-    const asked: NextPermit = { kind: 'asked', withdraw: () => undefined };
-    quota.next = asked;
-    let isAsking = true;
-    asked.withdraw = this.#dependencies.source.acquire(quota.tenant, (answer) => {
-      if (quota.next !== asked) return;
-      quota.next = this.#answered(answer);
+  #ask(request: RoutedRequest, requestPermit: RequestPermit): void {
+    const pending: NextPermit = { kind: 'asked', withdraw: () => undefined };
+    requestPermit.next = pending;
+    let isAcquiring = true;
+    pending.withdraw = this.#dependencies.source.acquire(requestPermit.tenant, (answer) => {
+      if (requestPermit.next !== pending) return;
+      requestPermit.next = this.#fromAnswer(answer);
       if (answer.kind === 'granted') request.admitted = true;
-      if (!isAsking) this.#dependencies.onAnswer(request);
+      if (!isAcquiring) this.#dependencies.onAnswer(request);
     });
-    isAsking = false;
+    isAcquiring = false;
   }
 
-  #answered(answer: PermitAnswer): NextPermit {
+  #fromAnswer(answer: PermitAnswer): NextPermit {
     if (answer.kind === 'granted') return { kind: 'held', permit: answer.permit };
     const { retryAfterMs } = answer;
-    return { kind: 'refused', retryAfterMs, untilMs: this.#dependencies.nowMs() + retryAfterMs };
+    return { kind: 'refused', retryAfterMs, retryAtMs: this.#dependencies.nowMs() + retryAfterMs };
   }
 
   #isValid({ endMs }: Permit): boolean {
@@ -146,8 +151,8 @@
   }
 }
 
-function withdraw(quota: RequestPermit): void {
-  const { next } = quota;
-  quota.next = NONE;
+function withdrawRequest(requestPermit: RequestPermit): void {
+  const { next } = requestPermit;
+  requestPermit.next = NONE;
   if (next.kind === 'asked') next.withdraw();
 }
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -33,7 +33,7 @@
   /** A complete response of a worker. */
   respond(status: number, headers: readonly Header[], body: Buffer): void;
   /** A response of this node's own: what went wrong, and when to retry. */
-  reject(why: Fault): void;
+  reject(reason: Fault): void;
   /** Starts a response that is forwarded chunk by chunk. */
   open(status: number, headers: readonly Header[]): void;
   /** Writes a chunk. False: the client reads slowly, `drained` will be called once. */
@@ -76,10 +76,10 @@
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
   /** `service/model/adapter`: what its demand is counted under. */
-  readonly key: string;
+  readonly demandKey: string;
   readonly arrivedMs: number;
   /** When it expires. */
-  readonly endMs: number;
+  readonly expiresMs: number;
   /** Whether it may be sent again after a worker may have run it. */
   readonly idempotent: boolean;
   readonly streamed: boolean;
--- a/packages/router/src/retry-budgets.test.ts
+++ b/packages/router/src/retry-budgets.test.ts
@@ -14,14 +14,14 @@
     for (let turn = 0; turn < count; turn += 1) {
       harness.submit('/often/x');
       for (let send = 0; send < 4; send += 1) {
-        const sent = harness.last();
+        const sent = harness.lastSent();
         if (!sent.start()) break;
         seen.push({ atMs: harness.nowMs, further: send > 0 });
-        if (failing(turn)) sent.decline(503);
+        if (failing(turn)) sent.rejectAsNotRun(503);
         else sent.answer(200, 'ok');
-        if (harness.last() === sent) break;
+        if (harness.lastSent() === sent) break;
       }
-      harness.later(everyMs);
+      harness.advance(everyMs);
     }
     return seen;
   }
@@ -48,47 +48,47 @@
       { ratio: 0.2, extra: 6 },
     );
     harness.edges = 3;
-    harness.earn(200);
+    harness.earnRetryBudget(200);
     const seen = arrivals(harness, 0, 10, () => true);
     expect(seen.filter((one) => one.further).length <= 2 + 10 * 0.2).toEqual(true);
   });
 
   it('is not lost by clients that leave while their retry waits', () => {
     const harness = new RouterHarness([worker('w1')], { ratio: 1, extra: 5 });
-    harness.earn(20);
+    harness.earnRetryBudget(20);
     for (let turn = 0; turn < 10; turn += 1) {
       const { leave } = harness.submit('/often/x');
-      harness.last().start();
-      harness.last().handler.failed(true, 'reset');
+      harness.lastSent().start();
+      harness.lastSent().handler.failed(true, 'reset');
       leave();
-      harness.later(10_000);
+      harness.advance(10_000);
     }
-    harness.put(worker('w2'), worker('w3'));
+    harness.putWorkers(worker('w2'), worker('w3'));
     const { sink } = harness.submit('/often/x');
-    harness.last().start();
-    harness.last().handler.failed(true, 'reset');
-    harness.last().start();
-    harness.last().answer(200, 'ok');
-    expect(sink.seen).toEqual(['answer 200 ok']);
+    harness.lastSent().start();
+    harness.lastSent().handler.failed(true, 'reset');
+    harness.lastSent().start();
+    harness.lastSent().answer(200, 'ok');
+    expect(sink.calls).toEqual(['answer 200 ok']);
   });
 
   it('is not lost by requests that expire while their retry waits', () => {
     const harness = new RouterHarness([worker('w1')], { ratio: 1, extra: 5 });
-    harness.earn(20);
+    harness.earnRetryBudget(20);
     for (let turn = 0; turn < 10; turn += 1) {
       harness.submit('/often/x');
-      harness.last().start();
-      harness.last().handler.failed(true, 'reset');
+      harness.lastSent().start();
+      harness.lastSent().handler.failed(true, 'reset');
       harness.workers.delete('w1');
-      harness.later(10_000);
-      harness.put(worker('w1'));
+      harness.advance(10_000);
+      harness.putWorkers(worker('w1'));
     }
-    harness.put(worker('w2'), worker('w3'));
+    harness.putWorkers(worker('w2'), worker('w3'));
     const { sink } = harness.submit('/often/x');
-    harness.last().start();
-    harness.last().handler.failed(true, 'reset');
-    harness.last().start();
-    harness.last().answer(200, 'ok');
-    expect(sink.seen).toEqual(['answer 200 ok']);
+    harness.lastSent().start();
+    harness.lastSent().handler.failed(true, 'reset');
+    harness.lastSent().start();
+    harness.lastSent().answer(200, 'ok');
+    expect(sink.calls).toEqual(['answer 200 ok']);
   });
 });
--- a/packages/router/src/retry-budgets.ts
+++ b/packages/router/src/retry-budgets.ts
@@ -28,31 +28,31 @@
 
   /** A new request earns its part of a retry. */
   recordFirstAttempt(request: RoutedRequest): void {
-    this.#budget(request).recordFirstAttempt(this.#dependencies.retries.ratio);
+    this.#budgetFor(request).recordFirstAttempt(this.#dependencies.retries.ratio);
   }
 
   /** Reserves a retry; false if the budget has none left. */
   reserve(request: RoutedRequest): boolean {
-    return this.#budget(request).reserve();
+    return this.#budgetFor(request).reserve();
   }
 
   /** Gives back the retry that is reserved for a request, if one is. */
   release(request: RoutedRequest): void {
-    if (request.retryReserved) this.#budget(request).release();
+    if (request.retryReserved) this.#budgetFor(request).release();
     request.retryReserved = false;
   }
 
   /** Spends the retry that is reserved for a request; false if its token is gone. */
   spend(request: RoutedRequest): boolean {
-    return this.#budget(request).spend();
+    return this.#budgetFor(request).spend();
   }
 
   /** Whether this edge's part of the allowance can ever pay for a retry. */
   canEverRetry(request: RoutedRequest): boolean {
-    return this.#budget(request).canEverRetry;
+    return this.#budgetFor(request).canEverRetry;
   }
 
-  #budget(request: RoutedRequest): RetryBudget {
+  #budgetFor(request: RoutedRequest): RetryBudget {
     const { name } = request.service;
     let budget = this.#byService.get(name);
     if (budget === undefined) {
--- a/packages/router/src/route-table.ts
+++ b/packages/router/src/route-table.ts
@@ -3,7 +3,7 @@
 import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/configuration';
 
 /** A route with the service that one request of it goes to. */
-export interface Target {
+export interface RouteTarget {
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
 }
@@ -40,13 +40,13 @@
   }
 
   /** The service for one request: by the weights of the route's split, the same for the same id. */
-  target(route: RouteEntry, id: string): Target | undefined {
-    const service = this.#services.get(serviceOf(route, id));
+  target(route: RouteEntry, id: string): RouteTarget | undefined {
+    const service = this.#services.get(selectService(route, id));
     return service === undefined ? undefined : { route, service };
   }
 }
 
-function serviceOf(route: RouteEntry, id: string): string {
+function selectService(route: RouteEntry, id: string): string {
   const split = route.split ?? [];
   const sum = split.reduce((total, part) => total + part.weight, 0);
   if (sum <= 0) return route.service ?? '';
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -65,7 +65,7 @@
   #priorities = new WorkerPriorities();
   #queue = new WaitingQueue();
   #attempts = new Set<Attempt>();
-  #early = new EarlyRequests({
+  #earlyRequests = new EarlyRequests({
     submit: (clientRequest, sink) => this.submit(clientRequest, sink),
     reject: (sink) => this.#completion.reject(sink, UNCONFIGURED),
   });
@@ -130,13 +130,14 @@
     if (this.#closed) return this.#reject(sink, fault('draining', 'this node ends'));
     const configuration = this.#dependencies.configuration();
     if (configuration === undefined) {
-      if (this.#early.size >= ADMISSION_POLICY.maxWaitingRequests) return this.#reject(sink, UNCONFIGURED);
-      return this.#early.add(clientRequest, sink, this.#dependencies.clock.nowMs());
+      if (this.#earlyRequests.size >= ADMISSION_POLICY.maxWaitingRequests)
+        return this.#reject(sink, UNCONFIGURED);
+      return this.#earlyRequests.add(clientRequest, sink, this.#dependencies.clock.nowMs());
     }
     const target = this.#targets.resolve(configuration, clientRequest);
     const identity = this.#access.identify(clientRequest);
     // Before 404: a stranger is not told which routes there are. A holder of a known key is told the truth.
-    if (this.#access.isStranger(identity) && target?.route.public !== true)
+    if (this.#access.isUnauthenticated(identity) && target?.route.public !== true)
       return this.#reject(sink, UNAUTHENTICATED);
     if (target === undefined)
       return this.#reject(
@@ -150,7 +151,7 @@
   /** Responds to whatever has no response yet, and takes nothing more. */
   close(): void {
     this.#closed = true;
-    this.#early.close();
+    this.#earlyRequests.close();
     for (const attempt of [...this.#attempts]) attempt.shutDown();
     for (const request of [...this.#queue]) this.#completion.expire(request);
   }
@@ -159,7 +160,8 @@
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#balancer.statuses.retainOnly(this.#dependencies.workers());
-    if (this.#early.size > 0) this.#early.release(this.#dependencies.configuration() !== undefined, nowMs);
+    if (this.#earlyRequests.size > 0)
+      this.#earlyRequests.release(this.#dependencies.configuration() !== undefined, nowMs);
     const unservable = new Set<string>();
     for (const request of this.#queue.inOrder(nowMs)) this.#advance(request, unservable, nowMs);
     for (const attempt of [...this.#attempts]) attempt.tick(nowMs);
@@ -175,29 +177,29 @@
     return this.#outcomes.take();
   }
 
-  #reject(sink: ResponseSink, why: Fault): () => void {
-    this.#completion.reject(sink, why);
+  #reject(sink: ResponseSink, reason: Fault): () => void {
+    this.#completion.reject(sink, reason);
     return () => undefined;
   }
 
   #admit(request: RoutedRequest, nowMs: number): () => void {
     this.#tenantCounters.increment(request.tenant, 'taken');
-    const why = this.#obstacle(request);
-    if (why !== undefined) {
-      this.#completion.rejectNew(request, why);
+    const reason = this.#checkAdmission(request);
+    if (reason !== undefined) {
+      this.#completion.rejectNew(request, reason);
       return () => undefined;
     }
     const permit = this.#obtainPermit(request);
     if (permit === 'over-quota') return () => undefined;
     this.#budgets.recordFirstAttempt(request);
     this.#demand.recordArrival(request, nowMs);
-    if (request.directory !== undefined) this.#serveAhead(request, nowMs);
+    if (request.directory !== undefined) this.#dispatchMoreUrgent(request, nowMs);
     if (permit === 'ready') this.#dispatch(request, nowMs);
     return () => this.#completion.clientLeft(request);
   }
 
   /** Why a new request cannot be admitted here; registers its id if it can. */
-  #obstacle(request: RoutedRequest): Fault | undefined {
+  #checkAdmission(request: RoutedRequest): Fault | undefined {
     const { maxWaitingRequests, queueFullRetryAfterS: retryAfterS } = ADMISSION_POLICY;
     if (this.#queue.size >= maxWaitingRequests)
       return fault('over-share', 'too many requests wait here', { retryAfterS });
@@ -206,8 +208,8 @@
   }
 
   /** A new request takes no place that has just come free from one that goes before it. */
-  #serveAhead(newcomer: RoutedRequest, nowMs: number): void {
-    const ahead = this.#queue.size === 0 ? undefined : this.#queue.firstAhead(newcomer, nowMs);
+  #dispatchMoreUrgent(newRequest: RoutedRequest, nowMs: number): void {
+    const ahead = this.#queue.size === 0 ? undefined : this.#queue.mostUrgentAhead(newRequest, nowMs);
     if (ahead !== undefined) this.#advance(ahead, new Set(), nowMs);
   }
 
@@ -218,23 +220,23 @@
   #advance(request: RoutedRequest, unservable: Set<string>, nowMs: number): void {
     // Another request's turn, or the answer to it, may have been this one's too.
     if (!this.#queue.has(request)) return;
-    if (nowMs >= request.endMs) return this.#completion.expire(request);
-    if (this.#access.review(request) === 'denied') return this.#completion.revoke(request);
+    if (nowMs >= request.expiresMs) return this.#completion.expire(request);
+    if (this.#access.reauthenticate(request) === 'denied') return this.#completion.revoke(request);
     if (request.responseStarted && nowMs - request.lastByteMs >= maxClientSilenceMs(request.route))
       return this.#completion.abort(request);
     if (request.responseStarted && !request.retryReserved) return this.#resume(request, nowMs);
     if (nowMs < request.notBeforeMs) return;
-    if (request.excludedWorkers.size === 0 && unservable.has(request.key)) return;
-    const isSent = this.#mayObtainPermit(request) && this.#obtainAndDispatch(request, nowMs);
+    if (request.excludedWorkers.size === 0 && unservable.has(request.demandKey)) return;
+    const isSent = this.#shouldObtainPermit(request) && this.#obtainAndDispatch(request, nowMs);
     if (!isSent && request.waitReason !== 'no-permit' && request.excludedWorkers.size === 0)
-      unservable.add(request.key);
+      unservable.add(request.demandKey);
   }
 
   /** A permit ends soon: one that has ended is renewed only once a worker can take the request. */
-  #mayObtainPermit(request: RoutedRequest): boolean {
+  #shouldObtainPermit(request: RoutedRequest): boolean {
     if (!request.admitted || this.#permits.isHeld(request)) return true;
-    const choice = this.#choose(request);
-    if (typeof choice === 'string') this.#wait(request, choice);
+    const choice = this.#chooseWorker(request);
+    if (typeof choice === 'string') this.#enqueue(request, choice);
     return typeof choice !== 'string';
   }
 
@@ -246,15 +248,15 @@
   #obtainPermit(request: RoutedRequest): PermitState['kind'] {
     const permit = this.#permits.obtain(request);
     if (permit.kind === 'over-quota') this.#completion.rejectOverQuota(request, permit.retryAfterMs);
-    else if (permit.kind === 'awaited') this.#wait(request, 'no-permit');
+    else if (permit.kind === 'awaited') this.#enqueue(request, 'no-permit');
     return permit.kind;
   }
 
   /** Sends a request if a worker may take it now; false: it waits. */
   #dispatch(request: RoutedRequest, nowMs: number): boolean {
-    const choice = this.#choose(request);
+    const choice = this.#chooseWorker(request);
     if (typeof choice === 'string') {
-      this.#wait(request, choice);
+      this.#enqueue(request, choice);
       return false;
     }
     this.#queue.delete(request);
@@ -264,7 +266,7 @@
   }
 
   /** Once a request was sent to as many workers as its route allows, only these are left for it. */
-  #choose(request: RoutedRequest): WorkerView | NoWorkerReason {
+  #chooseWorker(request: RoutedRequest): WorkerView | NoWorkerReason {
     const workers = this.#dependencies.workers();
     if (request.sentTo.size < request.route.attempts) return this.#balancer.choose(request, workers.values());
     const known = [...request.sentTo.keys()].map((id) => workers.get(id));
@@ -274,7 +276,7 @@
     );
   }
 
-  #wait(request: RoutedRequest, reason: NoWorkerReason): void {
+  #enqueue(request: RoutedRequest, reason: NoWorkerReason): void {
     const isNewReason = request.waitReason !== reason;
     if (!this.#queue.has(request)) this.#dependencies.onWaiting();
     this.#queue.add(request);
@@ -291,13 +293,17 @@
 
   #send(request: RoutedRequest, worker: WorkerView, nowMs: number): void {
     if (request.streamed)
-      request.workerPriority = this.#priorities.of(request, this.#dependencies.configuration(), nowMs);
+      request.workerPriority = this.#priorities.priorityOf(
+        request,
+        this.#dependencies.configuration(),
+        nowMs,
+      );
     this.#balancer.statuses.attemptStarted(worker.id);
-    this.#demand.attemptStarted(request.key);
+    this.#demand.attemptStarted(request.demandKey);
     const { headerNames } = this.#dependencies;
     const context = this.#attemptContext(request, worker, (end) => {
       this.#attempts.delete(attempt);
-      this.#demand.attemptEnded(request.key);
+      this.#demand.attemptEnded(request.demandKey);
       this.#onAttemptEnd(request, worker, end);
     });
     const attempt = new Attempt({ request, worker, headerNames, context });
@@ -317,7 +323,7 @@
       mayStart: () => this.#mayStart(request, worker),
       lastHeardMs: () => statuses.lastHeardMs(worker.id),
       onHeard: () => statuses.recordHeard(worker.id),
-      reserveMove: () => this.#reserveMove(request, worker),
+      reserveFailover: () => this.#reserveFailover(request, worker),
       onSilent: () => statuses.recordFailure(worker.id),
       onResponseHead: (waitMs) => this.#demand.recordResponseWait(request, waitMs),
       onEnd,
@@ -334,9 +340,9 @@
       this.#dependencies.evacuated().includes(known.zone)
     )
       return false;
-    if (this.#dependencies.clock.nowMs() >= request.endMs) return false;
+    if (this.#dependencies.clock.nowMs() >= request.expiresMs) return false;
     // The head names the tenant that held the key when it was made.
-    if (this.#access.review(request) !== 'same' || !this.#permits.consume(request)) return false;
+    if (this.#access.reauthenticate(request) !== 'same' || !this.#permits.consume(request)) return false;
     request.retryDenied = request.retryReserved && !this.#budgets.spend(request);
     request.retryReserved = false;
     if (request.retryDenied) return false;
@@ -347,12 +353,12 @@
   }
 
   /** Whether a request can leave its worker for another one at once; if so, a retry is reserved and a permit held. */
-  #reserveMove(request: RoutedRequest, worker: WorkerView): boolean {
+  #reserveFailover(request: RoutedRequest, worker: WorkerView): boolean {
     if (request.attemptsStarted >= request.route.attempts) return false;
-    if (this.#access.review(request) === 'denied' || !this.#budgets.reserve(request)) return false;
+    if (this.#access.reauthenticate(request) === 'denied' || !this.#budgets.reserve(request)) return false;
     request.excludedWorkers.add(worker.id);
     request.retryReserved = true;
-    if (typeof this.#choose(request) !== 'string' && this.#permits.obtain(request).kind === 'ready')
+    if (typeof this.#chooseWorker(request) !== 'string' && this.#permits.obtain(request).kind === 'ready')
       return true;
     request.excludedWorkers.delete(worker.id);
     this.#budgets.release(request);
@@ -362,17 +368,17 @@
   #onAttemptEnd(request: RoutedRequest, worker: WorkerView, end: AttemptEnd): void {
     const nowMs = this.#dependencies.clock.nowMs();
     request.cancelAttempt = undefined;
-    this.#permits.attemptEnded(request, end.how);
+    this.#permits.attemptEnded(request, end.outcome);
     this.#recordOutcome(worker, end);
-    this.#counters.increment(end.how);
-    if (end.how === 'failed' || end.how === 'cut') request.mayHaveRun = true;
+    this.#counters.increment(end.outcome);
+    if (end.outcome === 'failed' || end.outcome === 'cut') request.mayHaveRun = true;
     this.#updateStatus(request, worker, end);
-    if (request.clientLeft || end.how === 'served' || end.how === 'cut')
+    if (request.clientLeft || end.outcome === 'served' || end.outcome === 'cut')
       return this.#completion.unregister(request);
-    if (nowMs >= request.endMs || this.#closed) return this.#completion.expire(request);
+    if (nowMs >= request.expiresMs || this.#closed) return this.#completion.expire(request);
     if (request.retryDenied) return this.#giveUp(request, end);
-    if (end.how === 'not-sent') return this.#retry(request, nowMs);
-    if (end.how === 'unreached' || this.#reserveRetry(request, end)) {
+    if (end.outcome === 'not-sent') return this.#retry(request, nowMs);
+    if (end.outcome === 'unreached' || this.#reserveRetry(request, end)) {
       request.excludedWorkers.add(worker.id);
       return this.#retry(request, nowMs);
     }
@@ -385,23 +391,23 @@
    * its health.
    */
   #recordOutcome(worker: WorkerView, end: AttemptEnd): void {
-    const isFailure = end.workerFailed === true || end.how === 'failed' || end.how === 'unreached';
-    this.#balancer.statuses.attemptEnded(worker.id, end.how === 'served' && !isFailure);
+    const isFailure = end.workerFailed === true || end.outcome === 'failed' || end.outcome === 'unreached';
+    this.#balancer.statuses.attemptEnded(worker.id, end.outcome === 'served' && !isFailure);
     if (isFailure) this.#outcomes.add(worker.id, false);
-    else if (end.how === 'served') this.#outcomes.add(worker.id, true);
+    else if (end.outcome === 'served') this.#outcomes.add(worker.id, true);
   }
 
   #updateStatus({ clientRequest }: RoutedRequest, worker: WorkerView, end: AttemptEnd): void {
     const { statuses } = this.#balancer;
-    if (end.how === 'misdirected')
+    if (end.outcome === 'misdirected')
       statuses.recordMissingModel(worker, clientRequest.model, clientRequest.adapter);
-    if (end.how === 'not-run') statuses.backOff(worker.id, end.retryAfterMs ?? BACKOFF_POLICY.fullMs);
-    if (end.how === 'failed' || end.how === 'unreached') statuses.recordFailure(worker.id);
+    if (end.outcome === 'not-run') statuses.backOff(worker.id, end.retryAfterMs ?? BACKOFF_POLICY.fullMs);
+    if (end.outcome === 'failed' || end.outcome === 'unreached') statuses.recordFailure(worker.id);
   }
 
   /** Whether a request may be retried after an attempt that had started; a retry is then reserved. */
   #reserveRetry(request: RoutedRequest, end: AttemptEnd): boolean {
-    const mayRepeat = end.how !== 'failed' || request.idempotent;
+    const mayRepeat = end.outcome !== 'failed' || request.idempotent;
     const hasAttemptsLeft = request.attemptsStarted < request.route.attempts;
     request.retryReserved ||= mayRepeat && hasAttemptsLeft && this.#budgets.reserve(request);
     return request.retryReserved;
@@ -409,14 +415,14 @@
 
   #retry(request: RoutedRequest, nowMs: number): void {
     request.notBeforeMs = nowMs;
-    if (this.#access.review(request) === 'denied') return this.#completion.revoke(request);
+    if (this.#access.reauthenticate(request) === 'denied') return this.#completion.revoke(request);
     if (this.#obtainPermit(request) === 'ready') this.#dispatch(request, nowMs);
   }
 
   /** No retry is possible now: a started stream waits to be resumed, anything else ends. */
   #giveUp(request: RoutedRequest, end: AttemptEnd): void {
     this.#budgets.release(request);
-    if (!request.responseStarted) return this.#completion.rejectAfter(request, end);
+    if (!request.responseStarted) return this.#completion.rejectAfterLastAttempt(request, end);
     if (!request.idempotent || !this.#budgets.canEverRetry(request)) return this.#completion.abort(request);
     request.excludedWorkers.clear();
     request.retryDenied = false;
@@ -443,7 +449,7 @@
   /** The worker at which a stream may go on, with a retry reserved for it; undefined: none now. */
   #reserveResumption(request: RoutedRequest): WorkerView | undefined {
     if (!this.#budgets.reserve(request)) return undefined;
-    const choice = this.#choose(request);
+    const choice = this.#chooseWorker(request);
     if (typeof choice !== 'string') return choice;
     this.#budgets.release(request);
     if (choice === 'none' && request.sentTo.size >= request.route.attempts) this.#completion.abort(request);
--- a/packages/router/src/routing-policy.ts
+++ b/packages/router/src/routing-policy.ts
@@ -18,8 +18,8 @@
 /** How requests of tenants are ordered; a priority of 0 is highest. */
 export const PRIORITY_POLICY = {
   /** Priority of tenants that name none, and of requests without a tenant on public routes: the middle of 0 to 9. */
-  middleTenant: 5,
-  highestTenant: 0,
+  defaultTenantPriority: 5,
+  highestTenantPriority: 0,
   /** Part of its time after which the priority of its tenant stops counting against a request. */
   ageingRatio: 0.25,
 } as const;
@@ -37,13 +37,13 @@
   /** Silence that a started stream bears from a worker at work, in multiples of its longest gap. */
   streamSilenceGaps: 4,
   /** How often a request at a silent worker looks for another one, in milliseconds. */
-  moveIntervalMs: 250,
+  failoverIntervalMs: 250,
   /** The link gives a send up this much after the request's deadline, in milliseconds. */
   stallMarginMs: 50,
   /** Largest plain response that is buffered, in bytes. */
   maxBufferedBytes: 16 * 1024 * 1024,
   /** Least urgent priority that is sent to workers. */
-  maxPriority: 9,
+  lowestPriority: 9,
 } as const;
 
 /** How a stream of which the client has a part is resumed. */
--- a/packages/router/src/starved-tenant.test.ts
+++ b/packages/router/src/starved-tenant.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { valueOf } from './headers.js';
+import { headerValue } from './headers.js';
 import {
   HEADER_NAMES,
   RouterHarness,
@@ -16,17 +16,17 @@
 const SLOTS = 2;
 
 function holderOf(sent: SentRequest): string {
-  return valueOf(sent.request.headers, HEADER_NAMES.tenant) ?? '';
+  return headerValue(sent.request.headers, HEADER_NAMES.tenant) ?? '';
 }
 
 function priorityOf(harness: RouterHarness, target: string, apiKey: string): string | undefined {
   harness.submit(target, { apiKey });
-  return valueOf(harness.last().request.headers, HEADER_NAMES.priority);
+  return headerValue(harness.lastSent().request.headers, HEADER_NAMES.priority);
 }
 
 function withTenants(tenants: readonly TestTenant[] | undefined): RouterHarness {
   const harness = new RouterHarness([worker('w1', { slots: SLOTS })]);
-  harness.haveTenants(tenants);
+  harness.setTenants(tenants);
   return harness;
 }
 
@@ -46,8 +46,8 @@
     harness.submit('/often/x', { apiKey: 'middle' });
     harness.submit('/often/x', { apiKey: 'high' });
     for (const sent of filling) sent.answer(200, 'ok');
-    harness.later(1);
-    harness.later(1);
+    harness.advance(1);
+    harness.advance(1);
     expect(harness.link.sent.slice(SLOTS).map(holderOf)).toEqual(['high', 'middle']);
   });
 
@@ -56,11 +56,11 @@
       const harness = withTenants(tenants);
       const filling = fill(harness, 'middle');
       harness.submit('/often/first', { apiKey: 'middle' });
-      harness.later(1);
+      harness.advance(1);
       harness.submit('/often/second', { apiKey: 'middle' });
       harness.submit('/tell/urgent', { apiKey: 'middle' });
       for (const sent of filling) sent.answer(200, 'ok');
-      harness.later(1);
+      harness.advance(1);
       expect(harness.link.sent.slice(SLOTS).map(({ request }) => request.target)).toEqual([
         '/tell/urgent',
         '/often/first',
@@ -81,10 +81,10 @@
       oldest?.start();
       oldest?.answer(200, 'ok');
       harness.submit('/often/high', { apiKey: 'high' });
-      harness.later(10);
+      harness.advance(10);
       if (harness.link.sent.some((sent) => holderOf(sent) === 'low')) servedMs = harness.nowMs - startMs;
     }
-    expect(low.sink.seen).toEqual([]);
+    expect(low.sink.calls).toEqual([]);
     expect([servedMs !== undefined, servedMs !== undefined && servedMs < 750]).toEqual([true, true]);
   });
 
@@ -102,7 +102,7 @@
   it('is the route’s where there are no tenants, or all are alike', () => {
     for (const tenants of [undefined, [MIDDLE, { ...LOW, priority: 5 }]]) {
       const harness = new RouterHarness([worker('w1', { slots: 9 })]);
-      harness.haveTenants(tenants);
+      harness.setTenants(tenants);
       expect([priorityOf(harness, '/tell/x', 'low'), priorityOf(harness, '/talk/x', 'low')]).toEqual([
         '2',
         '5',
@@ -112,7 +112,7 @@
 
   it('follows tenant, then route, in 0 to 9', () => {
     const harness = new RouterHarness([worker('w1', { slots: 99 })]);
-    harness.haveTenants([HIGH, LOW, MIDDLE]);
+    harness.setTenants([HIGH, LOW, MIDDLE]);
     const told = ['high', 'middle', 'low'].flatMap((key) =>
       ['/tell/x', '/talk/x'].map((target) => Number(priorityOf(harness, target, key))),
     );
@@ -122,7 +122,7 @@
   it('stays in 0 to 9 and in order where there are more pairs than that', () => {
     const harness = new RouterHarness([worker('w1', { slots: 99 })]);
     const names = Array.from({ length: 20 }, (_, priority) => `t${priority}`);
-    harness.haveTenants(names.map((name, priority) => ({ name, apiKeys: [name], priority })));
+    harness.setTenants(names.map((name, priority) => ({ name, apiKeys: [name], priority })));
     const told = names.flatMap((key) =>
       ['/tell/x', '/talk/x'].map((target) => Number(priorityOf(harness, target, key))),
     );
@@ -132,11 +132,11 @@
 
   it('is that of the highest tenant for a request that has waited for a quarter of its time', () => {
     const harness = new RouterHarness([]);
-    harness.haveTenants([HIGH, LOW, MIDDLE]);
+    harness.setTenants([HIGH, LOW, MIDDLE]);
     harness.submit('/tell/x', { apiKey: 'low', deadlineMs: 4000 });
-    harness.later(1000);
-    harness.put(worker('w1'));
-    harness.later(1);
-    expect(valueOf(harness.last().request.headers, HEADER_NAMES.priority)).toEqual('0');
+    harness.advance(1000);
+    harness.putWorkers(worker('w1'));
+    harness.advance(1);
+    expect(headerValue(harness.lastSent().request.headers, HEADER_NAMES.priority)).toEqual('0');
   });
 });
--- a/packages/router/src/streams.test.ts
+++ b/packages/router/src/streams.test.ts
@@ -1,20 +1,20 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { valueOf } from './headers.js';
+import { headerValue } from './headers.js';
 import { HEADER_NAMES, RouterHarness, worker } from './testing/router-harness.js';
 
 describe('a stream', () => {
   it('is forwarded event by event, with no byte of an incomplete one', () => {
     const harness = new RouterHarness([worker('w1')]);
     const { sink } = harness.submit('/tell/x');
-    const sent = harness.last();
+    const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     sent.events('id: 1\ndata: a\n\nid: 2\nda');
     const half = sink.text;
     sent.events('ta: b\n\n');
     sent.handler.end();
-    expect([half, sink.text, sink.seen, valueOf(sent.request.headers, HEADER_NAMES.priority)]).toEqual([
+    expect([half, sink.text, sink.calls, headerValue(sent.request.headers, HEADER_NAMES.priority)]).toEqual([
       'id: 1\ndata: a\n\n',
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
       ['open 200 s1', 'close'],
@@ -24,23 +24,23 @@
 
   it('that may be resumed goes on at another worker after the last complete event, under its first head', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     const { sink } = harness.submit('/talk/x');
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda');
     first.handler.failed(true, 'reset');
-    const second = harness.last();
+    const second = harness.lastSent();
     second.start();
     second.openStream('s2');
     second.events('id: 3\ndata: c\n\n');
     second.handler.end();
     expect([
-      valueOf(second.request.headers, HEADER_NAMES.lastEventId),
+      headerValue(second.request.headers, HEADER_NAMES.lastEventId),
       first.request.address === second.request.address,
     ]).toEqual(['2', false]);
-    expect([sink.text, sink.seen]).toEqual([
+    expect([sink.text, sink.calls]).toEqual([
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n',
       ['open 200 s1', 'close'],
     ]);
@@ -48,16 +48,16 @@
 
   it('that is taken up a second later is handed what is left of its time, not what there was', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     harness.submit('/talk/x', { deadlineMs: 2500 });
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
     harness.nowMs += 1000;
     first.handler.failed(true, 'reset');
-    const times = [first, harness.last()].map(({ request }) =>
-      valueOf(request.headers, HEADER_NAMES.deadlineMs),
+    const times = [first, harness.lastSent()].map(({ request }) =>
+      headerValue(request.headers, HEADER_NAMES.deadlineMs),
     );
     const atMost = [2500, 1500];
     expect(times.every((time, place) => Number(time) <= (atMost[place] ?? 0))).toEqual(true);
@@ -67,23 +67,23 @@
   it('that may be resumed begins after the event that the client names', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.submit('/talk/x', { lastEventId: '12' });
-    expect(valueOf(harness.last().request.headers, HEADER_NAMES.lastEventId)).toEqual('12');
+    expect(headerValue(harness.lastSent().request.headers, HEADER_NAMES.lastEventId)).toEqual('12');
   });
 
   it('that may not be resumed is visibly cut when its worker breaks off, ends within an event or belongs elsewhere', () => {
     for (const end of ['reset', 'half'] as const) {
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
-      harness.earn(5);
+      harness.earnRetryBudget(5);
       const sends = harness.link.sent.length;
       const { sink } = harness.submit('/tell/x');
-      const sent = harness.last();
+      const sent = harness.lastSent();
       sent.start();
       sent.openStream('s1');
       sent.events('id: 1\ndata: a\n\nid: 2\nda');
       if (end === 'reset') sent.handler.failed(true, 'reset');
       else sent.handler.end();
-      harness.later(100);
-      expect([end, sink.seen, sink.text, harness.link.sent.length - sends]).toEqual([
+      harness.advance(100);
+      expect([end, sink.calls, sink.text, harness.link.sent.length - sends]).toEqual([
         end,
         ['open 200 s1', 'cut'],
         'id: 1\ndata: a\n\n',
@@ -95,36 +95,36 @@
   it('that may be resumed is visibly cut when nothing can go on with it', () => {
     const harness = new RouterHarness([worker('w1')], { ratio: 0, extra: 0 });
     const { sink } = harness.submit('/talk/x');
-    const sent = harness.last();
+    const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     sent.events('id: 1\ndata: a\n\n');
     sent.handler.failed(true, 'reset');
-    harness.later(100);
-    expect(sink.seen).toEqual(['open 200 s1', 'cut']);
+    harness.advance(100);
+    expect(sink.calls).toEqual(['open 200 s1', 'cut']);
   });
 
   it('takes nothing from a worker that answers otherwise than with a stream where one was to go on', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(1);
+    harness.earnRetryBudget(1);
     const { sink } = harness.submit('/talk/x');
-    const first = harness.last();
+    const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
     first.handler.failed(true, 'reset');
-    const second = harness.last();
+    const second = harness.lastSent();
     second.start();
     second.answer(500, 'broken');
-    harness.later(9000);
-    expect([sink.text, sink.seen]).toEqual(['id: 1\ndata: a\n\n', ['open 200 s1', 'cut']]);
+    harness.advance(9000);
+    expect([sink.text, sink.calls]).toEqual(['id: 1\ndata: a\n\n', ['open 200 s1', 'cut']]);
   });
 
   it('pauses its worker while the client reads slowly', () => {
     const harness = new RouterHarness([worker('w1')]);
     const { sink } = harness.submit('/tell/x');
     sink.slow = true;
-    const sent = harness.last();
+    const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     sent.events('id: 1\ndata: a\n\n');
@@ -135,21 +135,21 @@
 
   it('control safety, point 5: is not taken from a worker that is held up by a slow client', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
     const { sink } = harness.submit('/talk/x', { deadlineMs: 9000 });
-    const sent = harness.last();
+    const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     sink.slow = true;
     sent.events('id: 1\ndata: a\n\n');
-    harness.later(3000);
+    harness.advance(3000);
     sink.slow = false;
     sink.drained?.();
-    harness.later(900);
+    harness.advance(900);
     sent.events('id: 2\ndata: b\n\n');
     sent.handler.end();
-    expect([sent.aborted, harness.link.sent.length - sends, sink.text, sink.seen]).toEqual([
+    expect([sent.aborted, harness.link.sent.length - sends, sink.text, sink.calls]).toEqual([
       false,
       1,
       'id: 1\ndata: a\n\nid: 2\ndata: b\n\n',
@@ -159,15 +159,15 @@
 
   it('of a client that has left is given up', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
-    harness.earn(5);
+    harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
     const { leave } = harness.submit('/talk/x');
-    const sent = harness.last();
+    const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     leave();
     sent.handler.failed(true, 'aborted');
-    harness.later(100);
+    harness.advance(100);
     expect([sent.aborted, harness.link.sent.length - sends, harness.router.inFlight]).toEqual([true, 1, 0]);
   });
 });
--- a/packages/router/src/tenant-access.ts
+++ b/packages/router/src/tenant-access.ts
@@ -11,7 +11,7 @@
 }
 
 /** What another look at the key of a request says, after another configuration may have come. */
-export type AccessVerdict =
+export type ReauthenticationResult =
   | 'same'
   /** It is served as another tenant's from now on, or as nobody's. */
   | 'other-tenant'
@@ -42,15 +42,15 @@
   }
 
   /** Whether a key is needed, and the request has none that a tenant holds. */
-  isStranger({ directory, tenant }: Identity): boolean {
+  isUnauthenticated({ directory, tenant }: Identity): boolean {
     return directory !== undefined && tenant === undefined;
   }
 
   /** Looks a request's key up again if another directory came into force, and takes over whose it is now. */
-  review(request: RoutedRequest): AccessVerdict {
+  reauthenticate(request: RoutedRequest): ReauthenticationResult {
     if (request.directory === this.#directory()) return 'same';
     const identity = this.identify(request.clientRequest);
-    if (this.isStranger(identity) && !request.route.public) return 'denied';
+    if (this.isUnauthenticated(identity) && !request.route.public) return 'denied';
     const isSameTenant = identity.tenant?.name === request.tenant?.name;
     request.directory = identity.directory;
     request.tenant = identity.tenant;
--- a/packages/router/src/tenant-counters.ts
+++ b/packages/router/src/tenant-counters.ts
@@ -12,7 +12,7 @@
 }
 
 /** Tenants that are counted; names come from configurations, which change. */
-const TENANTS_MAX = 1024;
+const MAX_TENANTS = 1024;
 
 /**
  * Counts requests by tenant, for the first tenants that send any up to a bound; those after them are not counted.
@@ -32,7 +32,7 @@
     if (tenant === undefined) return;
     let counts = this.#counts.get(tenant.name);
     if (counts === undefined) {
-      if (this.#counts.size >= TENANTS_MAX) return;
+      if (this.#counts.size >= MAX_TENANTS) return;
       counts = { taken: 0, sent: 0, refusedOverQuota: 0, refused: 0 };
       this.#counts.set(tenant.name, counts);
     }
--- a/packages/router/src/tenant-priority.ts
+++ b/packages/router/src/tenant-priority.ts
@@ -8,11 +8,13 @@
  * the highest from then on it goes before whatever arrives later, so a steady load of more urgent tenants starves
  * nobody.
  */
-function tenantPriority(request: RoutedRequest, nowMs: number): number {
-  const { directory, tenant, arrivedMs, endMs } = request;
-  if (directory === undefined) return PRIORITY_POLICY.middleTenant;
-  const isAged = nowMs - arrivedMs >= (endMs - arrivedMs) * PRIORITY_POLICY.ageingRatio;
-  return isAged ? PRIORITY_POLICY.highestTenant : (tenant?.priority ?? PRIORITY_POLICY.middleTenant);
+function effectiveTenantPriority(request: RoutedRequest, nowMs: number): number {
+  const { directory, tenant, arrivedMs, expiresMs } = request;
+  if (directory === undefined) return PRIORITY_POLICY.defaultTenantPriority;
+  const isAged = nowMs - arrivedMs >= (expiresMs - arrivedMs) * PRIORITY_POLICY.ageingRatio;
+  return isAged
+    ? PRIORITY_POLICY.highestTenantPriority
+    : (tenant?.priority ?? PRIORITY_POLICY.defaultTenantPriority);
 }
 
 /**
@@ -22,7 +24,7 @@
  */
 export function compareUrgency(one: RoutedRequest, other: RoutedRequest, nowMs: number): number {
   return (
-    tenantPriority(one, nowMs) - tenantPriority(other, nowMs) ||
+    effectiveTenantPriority(one, nowMs) - effectiveTenantPriority(other, nowMs) ||
     one.route.priority - other.route.priority ||
     one.arrivedMs - other.arrivedMs
   );
@@ -44,46 +46,47 @@
 export class WorkerPriorities {
   #current: { readonly configuration: Configuration; readonly scale: PriorityScale | undefined } | undefined;
 
-  of(request: RoutedRequest, configuration: Configuration | undefined, nowMs: number): number {
-    const scale = configuration === undefined ? undefined : this.#scale(configuration);
+  priorityOf(request: RoutedRequest, configuration: Configuration | undefined, nowMs: number): number {
+    const scale = configuration === undefined ? undefined : this.#scaleFor(configuration);
     const { priority } = request.route;
     if (scale === undefined || request.directory === undefined)
-      return Math.min(ATTEMPT_POLICY.maxPriority, priority);
-    return rank(scale, tenantPriority(request, nowMs), priority);
+      return Math.min(ATTEMPT_POLICY.lowestPriority, priority);
+    return priorityLevel(scale, effectiveTenantPriority(request, nowMs), priority);
   }
 
-  #scale(configuration: Configuration): PriorityScale | undefined {
+  #scaleFor(configuration: Configuration): PriorityScale | undefined {
     if (this.#current?.configuration !== configuration)
-      this.#current = { configuration, scale: scaleOf(configuration) };
+      this.#current = { configuration, scale: buildScale(configuration) };
     return this.#current.scale;
   }
 }
 
 /** Undefined where the tenants do not differ, or no route tells workers a priority. */
-function scaleOf({ tenants, routes }: Configuration): PriorityScale | undefined {
-  const { middleTenant } = PRIORITY_POLICY;
-  const ofTenants = (tenants ?? []).map(({ priority }) => priority ?? middleTenant);
-  const ofAnyone = routes.some((route) => route.public) ? [middleTenant] : [];
-  const priorities = ascending([...ofTenants, ...ofAnyone]);
+function buildScale({ tenants, routes }: Configuration): PriorityScale | undefined {
+  const { defaultTenantPriority } = PRIORITY_POLICY;
+  const tenantPriorities = (tenants ?? []).map(({ priority }) => priority ?? defaultTenantPriority);
+  const publicPriorities = routes.some((route) => route.public) ? [defaultTenantPriority] : [];
+  const priorities = sortedDistinct([...tenantPriorities, ...publicPriorities]);
   const streaming = routes.filter(({ kind }) => kind === 'streaming');
   if (priorities.length < 2 || streaming.length === 0) return undefined;
-  return { tenants: priorities, routes: ascending(streaming.map(({ priority }) => priority)) };
+  return { tenants: priorities, routes: sortedDistinct(streaming.map(({ priority }) => priority)) };
 }
 
-function ascending(values: readonly number[]): number[] {
+function sortedDistinct(values: readonly number[]): number[] {
   return [...new Set(values)].sort((one, other) => one - other);
 }
 
 /** The place of a pair among all pairs; several share one where there are more pairs than places. */
-function rank(scale: PriorityScale, ofTenant: number, ofRoute: number): number {
-  const places = ATTEMPT_POLICY.maxPriority + 1;
+function priorityLevel(scale: PriorityScale, tenantPriority: number, routePriority: number): number {
+  const levels = ATTEMPT_POLICY.lowestPriority + 1;
   const pairs = scale.tenants.length * scale.routes.length;
-  const place = placeIn(scale.tenants, ofTenant) * scale.routes.length + placeIn(scale.routes, ofRoute);
-  return pairs <= places ? place : Math.floor((place * places) / pairs);
+  const index =
+    indexIn(scale.tenants, tenantPriority) * scale.routes.length + indexIn(scale.routes, routePriority);
+  return pairs <= levels ? index : Math.floor((index * levels) / pairs);
 }
 
 /** The place of a value; of one that is not there, as after a change of the configuration, that of the next one. */
-function placeIn(values: readonly number[], value: number): number {
-  const place = values.findIndex((known) => known >= value);
-  return place < 0 ? values.length - 1 : place;
+function indexIn(values: readonly number[], value: number): number {
+  const index = values.findIndex((candidate) => candidate >= value);
+  return index < 0 ? values.length - 1 : index;
 }
--- a/packages/router/src/testing/router-harness.ts
+++ b/packages/router/src/testing/router-harness.ts
@@ -10,7 +10,7 @@
 import type { PermitAnswer, PermitSource } from '@rainrun/quotas';
 import { Router } from '../router.js';
 import type { ClientRequest, ResponseSink, WorkerView } from '../request.js';
-import { valueOf, type HeaderNames } from '../headers.js';
+import { headerValue, type HeaderNames } from '../headers.js';
 
 /** Names of the headers between router and workers in these tests. */
 export const HEADER_NAMES: HeaderNames = {
@@ -151,7 +151,7 @@
     return this.handler.mayStart();
   }
   get id(): string {
-    return valueOf(this.request.headers, HEADER_NAMES.requestId) ?? '';
+    return headerValue(this.request.headers, HEADER_NAMES.requestId) ?? '';
   }
   /** A whole answer of this worker. */
   answer(status: number, body: string, headers: readonly Header[] = []): void {
@@ -160,7 +160,7 @@
     this.handler.end();
   }
   /** It says that it has not run the request. */
-  decline(status: number): void {
+  rejectAsNotRun(status: number): void {
     this.handler.head(status, [
       [HEADER_NAMES.requestId, this.id],
       [HEADER_NAMES.notRun, '1'],
@@ -190,7 +190,7 @@
 }
 
 /** A request for a permit, which a test answers. */
-export interface AskedPermit {
+export interface PermitRequest {
   readonly tenant: string;
   withdrawn: boolean;
   answer(answer: PermitAnswer): void;
@@ -198,18 +198,18 @@
 
 /** Gives permits as a test says: at once, or when it answers what was asked. */
 export class ScriptedPermits implements PermitSource {
-  readonly asked: AskedPermit[] = [];
+  readonly requests: PermitRequest[] = [];
   /** The answer that is given at once; undefined: none. */
-  atOnce: PermitAnswer | undefined = { kind: 'granted', permit: { endMs: Infinity } };
+  immediateAnswer: PermitAnswer | undefined = { kind: 'granted', permit: { endMs: Infinity } };
 
   /** Called with each request for a permit. */
-  onAsk: () => void = () => undefined;
+  onRequest: () => void = () => undefined;
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
-    const asked: AskedPermit = { tenant, withdrawn: false, answer: done };
-    this.asked.push(asked);
-    this.onAsk();
-    if (this.atOnce !== undefined) done(this.atOnce);
+    const asked: PermitRequest = { tenant, withdrawn: false, answer: done };
+    this.requests.push(asked);
+    this.onRequest();
+    if (this.immediateAnswer !== undefined) done(this.immediateAnswer);
     return () => {
       asked.withdrawn = true;
     };
@@ -218,7 +218,7 @@
 
 /** A client that records what it is answered. */
 export class RecordingSink implements ResponseSink {
-  readonly seen: string[] = [];
+  readonly calls: string[] = [];
   status = 0;
   /** What it was rejected with; undefined if it was not. */
   rejection: Fault | undefined;
@@ -227,16 +227,16 @@
   drained: (() => void) | undefined;
   respond(status: number, _headers: readonly Header[], body: Buffer): void {
     this.status = status;
-    this.seen.push(`answer ${status} ${body.toString()}`);
+    this.calls.push(`answer ${status} ${body.toString()}`);
   }
-  reject(why: Fault): void {
-    this.rejection = why;
-    this.status = FAULT_RESPONSES[why.kind].status;
-    this.seen.push(`refuse ${this.status}${why.retryAfterS === undefined ? '' : ' again'}`);
+  reject(reason: Fault): void {
+    this.rejection = reason;
+    this.status = FAULT_RESPONSES[reason.kind].status;
+    this.calls.push(`refuse ${this.status}${reason.retryAfterS === undefined ? '' : ' again'}`);
   }
   open(status: number, headers: readonly Header[]): void {
     this.status = status;
-    this.seen.push(`open ${status} ${valueOf(headers, HEADER_NAMES.signature) ?? ''}`);
+    this.calls.push(`open ${status} ${headerValue(headers, HEADER_NAMES.signature) ?? ''}`);
   }
   write(bytes: Buffer, drained: () => void): boolean {
     this.text += bytes.toString();
@@ -244,10 +244,10 @@
     return !this.slow;
   }
   close(): void {
-    this.seen.push('close');
+    this.calls.push('close');
   }
   abort(): void {
-    this.seen.push('cut');
+    this.calls.push('cut');
   }
 }
 
@@ -274,8 +274,8 @@
   edges = 1;
   evacuated: string[] = [];
   workers = new Map<string, WorkerView>();
-  missed = 0;
-  waits = 0;
+  modelMissingCount = 0;
+  waitCount = 0;
   /** False: this edge knows no configuration yet. */
   configured = true;
   configuration = testConfiguration();
@@ -283,14 +283,14 @@
   readonly link = new RecordingLink();
   readonly permits = new ScriptedPermits();
   readonly router: Router;
-  #asked = 0;
+  #submittedCount = 0;
 
   constructor(
     workers: readonly WorkerView[],
     retries = { ratio: 1, extra: 20 },
     incarnation = 'incarnation-1',
   ) {
-    this.put(...workers);
+    this.putWorkers(...workers);
     this.router = new Router({
       zone: 'north',
       clock: { nowMs: () => this.nowMs },
@@ -306,32 +306,32 @@
       incarnation: () => incarnation,
       region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
       onModelMissing: () => {
-        this.missed += 1;
+        this.modelMissingCount += 1;
       },
       onWaiting: () => {
-        this.waits += 1;
+        this.waitCount += 1;
       },
     });
   }
 
   /** Puts a configuration with these tenants in force, and says so as an edge does. */
-  haveTenants(tenants: readonly TestTenant[] | undefined): void {
+  setTenants(tenants: readonly TestTenant[] | undefined): void {
     this.configuration = testConfiguration({ tenants });
-    const known = this.configuration.tenants;
+    const entries = this.configuration.tenants;
     this.tenants =
-      known === undefined || known === null ? undefined : new TenantDirectory(known, TEST_SECRET);
+      entries === undefined || entries === null ? undefined : new TenantDirectory(entries, TEST_SECRET);
     this.router.tick();
   }
 
-  put(...workers: readonly WorkerView[]): void {
+  putWorkers(...workers: readonly WorkerView[]): void {
     for (const one of workers) this.workers.set(one.id, one);
   }
 
   submit(target: string, change: Partial<ClientRequest> = {}): { sink: RecordingSink; leave: () => void } {
-    this.#asked += 1;
-    const id = change.id ?? `q${this.#asked}`;
+    this.#submittedCount += 1;
+    const id = change.id ?? `q${this.#submittedCount}`;
     const sink = new RecordingSink();
-    const ask: ClientRequest = {
+    const clientRequest: ClientRequest = {
       id,
       method: 'POST',
       target,
@@ -350,24 +350,24 @@
       apiKey: undefined,
       ...change,
     };
-    return { sink, leave: this.router.submit(ask, sink) };
+    return { sink, leave: this.router.submit(clientRequest, sink) };
   }
 
   /** Earns budget with requests that are served at once. */
-  earn(count: number): void {
+  earnRetryBudget(count: number): void {
     for (let done = 0; done < count; done += 1) {
       this.submit('/once/x');
-      const sent = this.last();
+      const sent = this.lastSent();
       sent.start();
       sent.answer(200, 'ok');
     }
   }
 
-  last(): SentRequest {
+  lastSent(): SentRequest {
     return this.link.sent.at(-1) as SentRequest;
   }
 
-  later(waitMs: number): void {
+  advance(waitMs: number): void {
     this.nowMs += waitMs;
     this.router.tick();
   }
--- a/packages/router/src/unknown-key-served.test.ts
+++ b/packages/router/src/unknown-key-served.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
-import { valueOf } from './headers.js';
+import { headerValue } from './headers.js';
 import { HEADER_NAMES, RouterHarness, worker, type SentRequest } from './testing/router-harness.js';
 
 const TENANTS = [
@@ -10,12 +10,12 @@
 
 function withTenants(): RouterHarness {
   const harness = new RouterHarness([worker('w1'), worker('w2')]);
-  harness.haveTenants(TENANTS);
+  harness.setTenants(TENANTS);
   return harness;
 }
 
 function holderOf(sent: SentRequest): string | undefined {
-  return valueOf(sent.request.headers, HEADER_NAMES.tenant);
+  return headerValue(sent.request.headers, HEADER_NAMES.tenant);
 }
 
 describe('a request without a known key', () => {
@@ -24,7 +24,7 @@
     const targets = ['/once/x', '/often/x', '/tell/x', '/talk/x'];
     const answers = targets.flatMap((target) =>
       [undefined, '', 'key-9', 'key-1 ', 'KEY-1'].map(
-        (apiKey) => harness.submit(target, { apiKey }).sink.seen,
+        (apiKey) => harness.submit(target, { apiKey }).sink.calls,
       ),
     );
     expect(answers.filter((seen) => seen.join() !== 'refuse 401')).toEqual([]);
@@ -34,15 +34,15 @@
 
   it('is rejected with 401 where the list of tenants is empty', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.haveTenants([]);
-    expect(harness.submit('/once/x', { apiKey: 'key-1' }).sink.seen).toEqual(['refuse 401']);
+    harness.setTenants([]);
+    expect(harness.submit('/once/x', { apiKey: 'key-1' }).sink.calls).toEqual(['refuse 401']);
   });
 
   it('is served on a public route, as nobody', () => {
     const harness = withTenants();
     const holders = [undefined, 'key-9', 'key-2'].map((apiKey) => {
       harness.submit('/open/x', { apiKey });
-      return holderOf(harness.last());
+      return holderOf(harness.lastSent());
     });
     expect(holders).toEqual([undefined, undefined, 'two']);
   });
@@ -60,9 +60,9 @@
     harness.configured = false;
     harness.tenants = undefined;
     const { sink } = harness.submit('/once/x', { apiKey: 'key-9', deadlineMs: 4000 });
-    const atOnce = [...sink.seen];
-    harness.later(2000);
-    expect([atOnce, sink.seen]).toEqual([[], ['refuse 503']]);
+    const atOnce = [...sink.calls];
+    harness.advance(2000);
+    expect([atOnce, sink.calls]).toEqual([[], ['refuse 503']]);
   });
 
   it('that came before the first configuration is judged by that one', () => {
@@ -71,8 +71,8 @@
     const known = harness.submit('/once/x', { apiKey: 'key-1' });
     const unknown = harness.submit('/once/x', { apiKey: 'key-9' });
     harness.configured = true;
-    harness.haveTenants(TENANTS);
-    expect([known.sink.seen, unknown.sink.seen, harness.link.sent.map(holderOf)]).toEqual([
+    harness.setTenants(TENANTS);
+    expect([known.sink.calls, unknown.sink.calls, harness.link.sent.map(holderOf)]).toEqual([
       [],
       ['refuse 401'],
       ['one'],
@@ -81,9 +81,9 @@
 
   it('is served where the configuration has no tenants', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.haveTenants(undefined);
+    harness.setTenants(undefined);
     harness.submit('/once/x', { apiKey: 'key-9' });
-    expect([harness.link.sent.length, holderOf(harness.last())]).toEqual([1, undefined]);
+    expect([harness.link.sent.length, holderOf(harness.lastSent())]).toEqual([1, undefined]);
   });
 });
 
@@ -97,7 +97,7 @@
       ['holder', 'three'],
     ] as const;
     harness.submit('/once/x', { id: 'q', apiKey: 'key-1b', headers });
-    const { headers: sent } = harness.last().request;
+    const { headers: sent } = harness.lastSent().request;
     const names = sent.filter(([name]) => ['key', 'holder'].includes(name.toLowerCase()));
     expect(names).toEqual([[HEADER_NAMES.tenant, 'one']]);
     expect(JSON.stringify(sent).includes('key-1b')).toEqual(false);
@@ -113,7 +113,7 @@
         ['X-Own', 'kept'],
       ],
     });
-    const names = harness.last().request.headers.map(([name]) => name.toLowerCase());
+    const names = harness.lastSent().request.headers.map(([name]) => name.toLowerCase());
     expect([names.includes('key'), names.includes('holder'), names.includes('x-own')]).toEqual([
       false,
       false,
--- a/packages/router/src/waiting-queue.ts
+++ b/packages/router/src/waiting-queue.ts
@@ -33,12 +33,16 @@
   }
 
   /** The most urgent of those that wait for the same workers as a new request, and go before it. */
-  firstAhead(newcomer: RoutedRequest, nowMs: number): RoutedRequest | undefined {
+  mostUrgentAhead(newRequest: RoutedRequest, nowMs: number): RoutedRequest | undefined {
     let first: RoutedRequest | undefined;
     for (const request of this.#requests) {
-      if (request.key !== newcomer.key || request.responseStarted || request.waitReason === 'no-permit')
+      if (
+        request.demandKey !== newRequest.demandKey ||
+        request.responseStarted ||
+        request.waitReason === 'no-permit'
+      )
         continue;
-      if (compareUrgency(request, first ?? newcomer, nowMs) < 0) first = request;
+      if (compareUrgency(request, first ?? newRequest, nowMs) < 0) first = request;
     }
     return first;
   }
--- a/packages/router/src/worker-outcomes.test.ts
+++ b/packages/router/src/worker-outcomes.test.ts
@@ -6,9 +6,9 @@
   it('is reported by its errors, also where the client has its answer and the request may not be repeated', () => {
     const harness = new RouterHarness([worker('w1')]);
     const { sink } = harness.submit('/once/x');
-    harness.last().start();
-    harness.last().answer(500, 'broken');
-    expect(sink.seen).toEqual(['answer 500 broken']);
+    harness.lastSent().start();
+    harness.lastSent().answer(500, 'broken');
+    expect(sink.calls).toEqual(['answer 500 broken']);
     expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
     expect(harness.router.takeOutcomes()).toEqual([]);
   });
@@ -16,12 +16,12 @@
   it('is reported when a client leaves after a long silence, and not when it leaves at once', () => {
     const harness = new RouterHarness([worker('w1')]);
     const patient = harness.submit('/once/x');
-    harness.last().start();
-    harness.later(1300);
+    harness.lastSent().start();
+    harness.advance(1300);
     patient.leave();
     const hasty = harness.submit('/once/x');
-    harness.last().start();
-    harness.later(50);
+    harness.lastSent().start();
+    harness.advance(50);
     hasty.leave();
     expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
   });
@@ -29,8 +29,8 @@
   it('is not reported for what it rejects, as a full worker does', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.submit('/once/x');
-    harness.last().start();
-    harness.last().decline(503);
+    harness.lastSent().start();
+    harness.lastSent().rejectAsNotRun(503);
     expect(harness.router.takeOutcomes()).toEqual([]);
   });
 
@@ -44,7 +44,7 @@
       'w2:80',
     ]);
     harness.submit('/once/x');
-    expect(harness.last().request.address).toEqual('w1:80');
+    expect(harness.lastSent().request.address).toEqual('w1:80');
   });
 
   it('is tried again by a part of the edges', () => {
@@ -56,7 +56,7 @@
         `incarnation-${edge}`,
       );
       harness.submit('/once/x');
-      if (harness.last().request.address === 'w1:80') tried += 1;
+      if (harness.lastSent().request.address === 'w1:80') tried += 1;
     }
     expect(tried > 2 && tried < 25).toEqual(true);
   });
--- a/packages/router/src/worker-status.ts
+++ b/packages/router/src/worker-status.ts
@@ -19,7 +19,7 @@
   backoffUntilMs: number;
   warmUp: WarmUpBucket | undefined;
   /** Models (`model/adapter`) that it said it lacks, with the version of the row that had claimed them. */
-  readonly missing: Map<string, number>;
+  readonly missingModels: Map<string, number>;
 }
 
 /** What the table needs of its edge. */
@@ -57,7 +57,7 @@
         failures: 0,
         backoffUntilMs: -Infinity,
         warmUp: undefined,
-        missing: new Map(),
+        missingModels: new Map(),
       };
       this.#statuses.set(id, status);
     }
@@ -112,13 +112,13 @@
 
   /** The worker lacks a model that this version of its row claims. */
   recordMissingModel(worker: WorkerView, model: string, adapter: string): void {
-    this.status(worker.id).missing.set(`${model}/${adapter}`, worker.number);
+    this.status(worker.id).missingModels.set(`${model}/${adapter}`, worker.number);
   }
 
   /** Whether the worker said that it lacks a model, and its row has not changed since. */
-  isMissing(worker: WorkerView, model: string, adapter: string): boolean {
-    const missing = this.#statuses.get(worker.id)?.missing;
-    return missing !== undefined && (missing.get(`${model}/${adapter}`) ?? -1) >= worker.number;
+  lacksModel(worker: WorkerView, model: string, adapter: string): boolean {
+    const missingModels = this.#statuses.get(worker.id)?.missingModels;
+    return missingModels !== undefined && (missingModels.get(`${model}/${adapter}`) ?? -1) >= worker.number;
   }
 
   /** Takes a token for a worker that warms up, at `perS` a second for the whole fleet; false if none is left. */
