--- a/packages/router/src/admission.ts
+++ b/packages/router/src/admission.ts
@@ -1,4 +1,4 @@
-/** Turns a client's request into one that the router of the platform system can dispatch: finds route and service. */
+/** Turns client requests into requests that the router can dispatch: finds the route and the service. */
 import type { Configuration } from '@rainrun/configuration';
 import type { ClientRequest, ResponseSink, RoutedRequest } from './request.js';
 import { RouteTable, type RouteTarget } from './route-table.js';
@@ -6,7 +6,7 @@
 import type { Identity } from './tenant-access.js';
 
 /**
- * Finds the target of requests; builds the route table once for each configuration.
+ * Finds the route and service of requests; builds the route table once for each configuration.
  * @example
  * const target = resolver.resolve(configuration, clientRequest);
  */
@@ -23,7 +23,7 @@
   }
 }
 
-/** What a new request is made of. */
+/** The parts of a routed request. */
 export interface RoutedRequestInit {
   readonly clientRequest: ClientRequest;
   readonly sink: ResponseSink;
@@ -33,7 +33,7 @@
   readonly nowMs: number;
 }
 
-/** A request that arrives now, before its first attempt. */
+/** Creates the state of a request that has just arrived. */
 export function newRoutedRequest({
   clientRequest,
   sink,
--- a/packages/router/src/attempt.ts
+++ b/packages/router/src/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt of a request at one worker, in the router of the platform system. */
+/** One attempt to send a request to one worker, in the router of the platform system. */
 import type { Header, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import { EventSplitter } from './event-splitter.js';
 import { attemptHeaders, endToEndHeaders, headerValue, type HeaderNames } from './headers.js';
@@ -9,48 +9,48 @@
 /** How an attempt ended. */
 export interface AttemptEnd {
   readonly outcome:
-    /** The client has the worker's response. */
+    /** The worker's complete response was forwarded to the client. */
     | 'served'
-    /** The client has part of a response, and sees that it is incomplete; or it has left. */
+    /** The client has left, or its connection was reset so that it sees that the response is incomplete. */
     | 'cut'
-    /** No byte left, and none was meant to. */
+    /** No byte was sent, because the router withheld or cancelled the attempt. */
     | 'not-sent'
-    /** No byte left: the worker could not be reached. */
+    /** No byte was sent, because the worker could not be reached. */
     | 'unreached'
-    /** The worker says that it has not run it. */
+    /** The worker says that it has not run the request. */
     | 'not-run'
-    /** The worker is another one, or does not have the model or adapter loaded. */
+    /** Another worker answers at this address, or the worker does not have the model or adapter loaded. */
     | 'misdirected'
-    /** It may have run. */
+    /** The worker may have run the request. */
     | 'failed';
   readonly reason: string;
-  /** How long the worker asks to be left alone, in milliseconds. */
+  /** Backoff that the worker asks for, in milliseconds. */
   readonly retryAfterMs?: number;
-  /** Whether the worker failed the request, though the client has its response or has left: an error, or a long silence. */
+  /** Whether the worker failed (error response or long silence) although the outcome is `served` or `cut`. */
   readonly workerFailed?: boolean;
 }
 
-/** What an attempt needs of its router. */
+/** What an attempt needs from its router. */
 export interface AttemptContext {
   /** Monotonic, in milliseconds. */
   nowMs(): number;
-  /** The last check before the first byte leaves. */
+  /** The last check before the first byte is sent. */
   mayStart(): boolean;
-  /** When this worker was last heard on any connection. */
+  /** When the last byte came from this worker on any connection. */
   lastHeardMs(): number;
-  /** A byte came from the worker now. */
+  /** Called whenever bytes come from the worker. */
   onHeard(): void;
-  /** Whether the request can move to another worker now; a retry is then reserved for it. */
+  /** Whether the request can fail over to another worker now; if so, a retry is reserved for it. */
   reserveFailover(): boolean;
-  /** The worker is silent, and the request stays with it. */
+  /** Called when the worker is silent for too long but the request stays with it. */
   onSilent(): void;
-  /** The head of a valid response came, so long after the attempt was made. */
+  /** Called with the head of a valid response; `waitMs` is the time since the attempt was created. */
   onResponseHead(waitMs: number): void;
-  /** Called once. */
+  /** Called exactly once, when the attempt ends. */
   onEnd(end: AttemptEnd): void;
 }
 
-/** What an attempt is made of. */
+/** Constructor options of an attempt. */
 export interface AttemptOptions {
   readonly request: RoutedRequest;
   readonly worker: WorkerView;
@@ -59,7 +59,7 @@
 }
 
 /**
- * One attempt of a request at one worker: checks the response and forwards it to the client.
+ * One attempt to send a request to one worker: checks the response and forwards it to the client.
  * @example
  * const attempt = new Attempt({ request, worker, headerNames, context });
  * attempt.attach(link.send(attempt.linkRequest(nowMs), attempt));
@@ -72,14 +72,14 @@
   #send: LinkSend | undefined;
   #status = 0;
   #headers: Header[] = [];
-  /** Set once the worker answers with an event stream. */
+  /** Set once the worker responds with an event stream. */
   #splitter: EventSplitter | undefined;
   #body: Buffer[] = [];
   #bodyBytes = 0;
   #started = false;
-  /** The last check before the first byte said no. */
+  /** Whether the last check before the first byte withheld the request. */
   #withheld = false;
-  /** The client reads too slowly, so reading from the worker is paused. */
+  /** Whether reading from the worker is paused because the client reads too slowly. */
   #paused = false;
   #ended = false;
   #createdMs: number;
@@ -95,13 +95,13 @@
     this.#lastActivityMs = this.#createdMs;
   }
 
-  /** Takes the send on the link, once there is one. */
+  /** Attaches the send on the link; aborts it if the attempt has ended by then. */
   attach(send: LinkSend): void {
     this.#send = send;
     if (this.#ended) send.abort();
   }
 
-  /** What is to be sent to the worker. */
+  /** The request to send to the worker. */
   linkRequest(nowMs: number): LinkRequest {
     const { clientRequest, expiresMs, sentTo } = this.#request;
     const remainingMs = Math.max(1, Math.floor(expiresMs - nowMs));
@@ -117,33 +117,33 @@
   }
 
   /**
-   * Ends what has expired, and what is silent for longer than its route
-   * bears. A stream of which the client has a part is abandoned only for a worker
-   * that can take it: silence alone cuts no response.
+   * Ends the attempt if the request has expired, or if the worker is silent for longer than the route allows.
+   * A stream of which the client already has a part is abandoned only if another worker can take it over:
+   * silence alone does not cut a response off.
    */
   tick(nowMs: number): void {
     if (this.#ended) return;
-    if (nowMs >= this.#request.expiresMs) return this.#abandon('the time for it has passed');
+    if (nowMs >= this.#request.expiresMs) return this.#abandon('the request expired');
     if (!this.#request.idempotent || !this.#started || this.#paused) return;
     if (nowMs - this.#lastActivityMs <= this.#maxSilenceMs(nowMs)) return;
     if (nowMs - this.#lastFailoverTryMs < ATTEMPT_POLICY.failoverIntervalMs) return;
     this.#lastFailoverTryMs = nowMs;
     if (!this.#request.responseStarted || this.#context.reserveFailover())
-      this.#abandon('silent for too long');
+      this.#abandon('no data within the silence limit');
     else this.#context.onSilent();
   }
 
-  /** This node shuts down. */
+  /** Ends the attempt because this node shuts down. */
   shutDown(): void {
     this.#abandon('this node ends');
   }
 
-  /** The client has left: the worker's connection is closed. */
+  /** Ends the attempt because the client has disconnected; closes the worker's connection. */
   clientLeft(): void {
     const silentMs = this.#context.nowMs() - this.#lastActivityMs;
     const maxSilentMs = Math.max(ATTEMPT_POLICY.silentMs, this.#request.route.targetMs);
     const workerFailed = this.#started && !this.#paused && silentMs > maxSilentMs;
-    this.#end({ outcome: 'cut', reason: 'the client has left', workerFailed });
+    this.#end({ outcome: 'cut', reason: 'the client disconnected', workerFailed });
     this.#send?.abort();
   }
 
@@ -175,7 +175,7 @@
     this.#recordActivity();
     if (this.#splitter === undefined) return this.#buffer(bytes);
     const events = this.#splitter.take(bytes);
-    if (events === 'endless') return this.#abandon('an event without end');
+    if (events === 'endless') return this.#abandon('an event exceeds the buffer limit');
     if (events.bytes.length > 0) this.#forward(events.bytes, events.lastId);
   }
 
@@ -186,7 +186,7 @@
       sink.respond(this.#status, this.#headers, Buffer.concat(this.#body));
       return this.#end({ outcome: 'served', reason: '', workerFailed: this.#status >= 500 });
     }
-    if (this.#splitter.incompleteBytes > 0) return this.#abandon('ended within an event');
+    if (this.#splitter.incompleteBytes > 0) return this.#abandon('the stream ended within an event');
     if (!this.#request.responseStarted) this.#startResponse();
     sink.close();
     this.#end({ outcome: 'served', reason: '' });
@@ -207,20 +207,22 @@
   #acceptHead(status: number, contentType: string): void {
     if (this.#request.streamed && status < 300 && contentType.startsWith('text/event-stream'))
       this.#splitter = new EventSplitter();
-    else if (this.#request.responseStarted) this.#abandon(`answered ${status} where a stream was to go on`);
+    else if (this.#request.responseStarted)
+      this.#abandon(`responded with ${status} instead of resuming the stream`);
     else if (status >= 500 && this.#request.idempotent && this.#context.reserveFailover())
-      this.#abandon(`answered ${status}`);
+      this.#abandon(`responded with ${status}`);
   }
 
   #buffer(bytes: Buffer): void {
     this.#bodyBytes += bytes.length;
-    if (this.#bodyBytes > ATTEMPT_POLICY.maxBufferedBytes) return this.#abandon('an answer without end');
+    if (this.#bodyBytes > ATTEMPT_POLICY.maxBufferedBytes)
+      return this.#abandon('the response exceeds the buffer limit');
     this.#body.push(bytes);
   }
 
   /**
-   * How long a worker may be silent on a request that can be repeated. One
-   * that is heard on other requests is at work: its prefill would be done again elsewhere.
+   * How long a worker may be silent on an idempotent request, in milliseconds. A worker that is active on
+   * other connections gets more time, since another worker would have to repeat its prefill.
    */
   #maxSilenceMs(nowMs: number): number {
     const { route, responseStarted, streamed } = this.#request;
@@ -249,7 +251,7 @@
     this.#send?.pause();
   }
 
-  /** The client reads again; while it did not, the worker could send nothing. */
+  /** Resumes reading. Restarts the silence timer, since the worker could send nothing during the pause. */
   #resumeReading(): void {
     this.#paused = false;
     this.#lastActivityMs = this.#context.nowMs();
--- a/packages/router/src/balancer.ts
+++ b/packages/router/src/balancer.ts
@@ -5,7 +5,7 @@
 import { rankWorkers } from './worker-ranking.js';
 import { WorkerStatusTable, type WorkerStatusDependencies } from './worker-status.js';
 
-/** What the balancer knows beyond the workers themselves. */
+/** What the balancer needs from its edge. */
 export interface BalancerDependencies extends WorkerStatusDependencies {
   /** The zone of this edge. */
   readonly zone: string;
@@ -19,9 +19,9 @@
 const ALL_EDGES_PERCENT = 100;
 
 /**
- * Chooses a worker for a request: one that has its model loaded, has capacity, and is
- * least loaded as far as this edge knows; prompts that share a long prefix go
- * where they went before, the same at every edge.
+ * Chooses the worker for a request: of those that have its model loaded and have capacity, the one least
+ * loaded by this edge. Prompts with a long shared prefix go to the workers that should have it cached, the
+ * same ones at every edge.
  * @example
  * const choice = balancer.choose(request, workers);
  * if (typeof choice === 'string') wait(choice);
@@ -35,12 +35,12 @@
     this.#statuses = new WorkerStatusTable(dependencies);
   }
 
-  /** What this edge experienced of each worker. */
+  /** The status of each worker, as observed by this edge. */
   get statuses(): WorkerStatusTable {
     return this.#statuses;
   }
 
-  /** The worker for a request, or why none can take it now. Takes a warm-up token of the worker that it returns. */
+  /** The worker for a request, or why none can take it now. Consumes a warm-up token of the chosen worker. */
   choose(request: RoutedRequest, workers: Iterable<WorkerView>): WorkerView | NoWorkerReason {
     const { clientRequest, service } = request;
     const nowMs = this.#dependencies.nowMs();
@@ -55,7 +55,7 @@
       if (unavailable === undefined) (this.#isAllowedByShare(worker) ? allowed : ejected).push(worker);
       else if (unavailable !== 'model-not-loaded' || reason === 'none') reason = unavailable;
     }
-    // A worker that fails some of its requests is better than none.
+    // A worker ejected as an outlier fails some of its requests, but is better than none.
     const candidates = allowed.length > 0 ? allowed : ejected;
     if (candidates.length === 0) return reason;
     const ranked = rankWorkers(clientRequest, candidates, {
@@ -67,7 +67,7 @@
     );
   }
 
-  /** Whether a worker has a model and an adapter of it loaded, by its row and by its own answers. */
+  /** Whether a worker has a model and its adapter loaded, according to its row and its 421 responses. */
   hasModel(worker: WorkerView, model: string, adapter: string): boolean {
     if (model === '' || worker.models.size === 0) return model === '';
     const adapters = worker.models.get(model);
@@ -75,7 +75,7 @@
     return !this.#statuses.lacksModel(worker, model, adapter);
   }
 
-  /** Whether a worker may get requests of this service and route at all. */
+  /** Whether a worker may get requests of this service and route, regardless of its current state. */
   #isEligible({ service, route }: RoutedRequest, worker: WorkerView, evacuated: readonly string[]): boolean {
     if (worker.service !== service.name || worker.draining || evacuated.includes(worker.zone)) return false;
     const regions = route.regions ?? [];
@@ -96,13 +96,13 @@
     return inFlight >= limit ? 'full' : undefined;
   }
 
-  /** Whether this edge is among those that may send to a worker. */
+  /** Whether this edge is in the share of edges that may send to a worker. */
   #isAllowedByShare({ id, sharePercent }: WorkerView): boolean {
     if (sharePercent >= ALL_EDGES_PERCENT) return true;
     return spread(`${id} ${this.#dependencies.salt}`) % ALL_EDGES_PERCENT < sharePercent;
   }
 
-  /** Requests that this edge may have in flight at one worker, by its part of the worker's connections. */
+  /** Most requests that this edge may have in flight at one worker: its share of the worker's connections. */
   #maxInFlight(connections: number): number {
     if (connections <= 0) return Infinity;
     const { connectionRatio, minInFlight } = BALANCER_POLICY;
--- a/packages/router/src/demand-meter.ts
+++ b/packages/router/src/demand-meter.ts
@@ -1,4 +1,4 @@
-/** Measures the demand at one edge of the platform system, which placement works by. */
+/** Measures the demand at one edge of the platform system, as input for placement. */
 import type { RoutedRequest } from './request.js';
 
 /** The demand for a model, or an adapter of it, at this edge. */
@@ -8,7 +8,7 @@
   readonly adapter: string;
   readonly waiting: number;
   readonly inFlight: number;
-  /** Arrivals a second, smoothed. */
+  /** Arrivals a second, exponentially smoothed. */
   readonly perS: number;
   /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
   readonly waitToTargetRatio: number;
@@ -18,11 +18,11 @@
 
 /** Half-life of the arrival rate, in seconds. */
 const HALF_LIFE_S = 4;
-/** Weight of the newest value in the mean of waits. */
+/** Weight of the newest value in the smoothed wait ratio. */
 const WAIT_SMOOTHING = 0.15;
-/** Weight of the newest value in the mean of targets. */
+/** Weight of the newest value in the mean target latency. */
 const TARGET_SMOOTHING = 0.15;
-/** Demand below this rate is forgotten, in arrivals a second. */
+/** Demand below this rate is dropped while nothing waits or runs, in arrivals a second. */
 const MIN_PER_S = 0.01;
 
 interface Rate {
@@ -66,7 +66,7 @@
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 1) - 1));
   }
 
-  /** The head of a response came so long after the attempt was made. */
+  /** Records the time between the start of an attempt and the head of its response. */
   recordResponseWait(request: RoutedRequest, waitMs: number): void {
     const rate = this.#rates.get(request.demandKey);
     if (rate === undefined || request.route.targetMs <= 0) return;
@@ -77,7 +77,7 @@
         : rate.waitToTargetRatio + (ratio - rate.waitToTargetRatio) * WAIT_SMOOTHING;
   }
 
-  /** The demand now. */
+  /** The current demand; drops keys whose rate has decayed and that have no requests. */
   demands(waitingRequests: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
     for (const request of waitingRequests)
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -1,8 +1,8 @@
-/** Requests that reach an edge of the platform system before its first configuration. */
+/** Requests that reach an edge of the platform system before its first configuration is known. */
 import type { ClientRequest, ResponseSink } from './request.js';
 import { ADMISSION_POLICY } from './routing-policy.js';
 
-/** A request that came before any configuration was known. */
+/** A request that arrived before any configuration was known. */
 interface EarlyRequest {
   readonly request: ClientRequest;
   readonly sink: ResponseSink;
@@ -11,14 +11,14 @@
   cancel: (() => void) | undefined;
 }
 
-/** What becomes of an early request: it is submitted with the time that it has left, or rejected. */
+/** How an early request ends: it is submitted with its remaining time, or rejected. */
 export interface EarlyRequestContext {
   submit(request: ClientRequest, sink: ResponseSink): () => void;
   reject(sink: ResponseSink): void;
 }
 
 /**
- * Requests that come just after a start, before this node knows any configuration: they wait a moment for it.
+ * Holds requests that arrive just after a start, before this node knows any configuration, for a short time.
  * @example
  * const clientLeft = early.add(clientRequest, sink, nowMs);
  * early.release(true, nowMs); // a configuration is known: all of them are submitted
@@ -35,7 +35,7 @@
     return this.#pending.size;
   }
 
-  /** The returned function is to be called when the client leaves. */
+  /** Holds a request; the returned function must be called when the client disconnects. */
   add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
     const { configurationWaitMs } = ADMISSION_POLICY;
     const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
@@ -47,7 +47,7 @@
     };
   }
 
-  /** Submits all that wait where a configuration is known, and else rejects those that have waited long enough. */
+  /** Submits all held requests once a configuration is known; until then, rejects those that have expired. */
   release(isConfigured: boolean, nowMs: number): void {
     for (const entry of this.#pending) {
       if (!isConfigured && nowMs < entry.endMs) continue;
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Rejects all of them. */
+  /** Rejects all held requests. */
   close(): void {
     for (const { sink } of this.#pending) this.#context.reject(sink);
     this.#pending.clear();
--- a/packages/router/src/event-splitter.test.ts
+++ b/packages/router/src/event-splitter.test.ts
@@ -3,29 +3,25 @@
 import { EventSplitter } from './event-splitter.js';
 
 /** What is passed on of a stream that comes in these pieces, and what stays behind. */
-function split(...chunks: readonly string[]): {
-  batches: string[];
-  ids: (string | undefined)[];
-  rest: number;
-} {
+function split(...chunks: readonly string[]): { parts: string[]; ids: (string | undefined)[]; rest: number } {
   const splitter = new EventSplitter();
-  const batches: string[] = [];
+  const parts: string[] = [];
   const ids: (string | undefined)[] = [];
   for (const chunk of chunks) {
     const events = splitter.take(Buffer.from(chunk));
-    if (events === 'endless') batches.push('endless');
+    if (events === 'endless') parts.push('endless');
     else if (events.bytes.length > 0) {
-      batches.push(events.bytes.toString());
+      parts.push(events.bytes.toString());
       ids.push(events.lastId);
     }
   }
-  return { batches, ids, rest: splitter.incompleteBytes };
+  return { parts, ids, rest: splitter.incompleteBytes };
 }
 
 describe('events of a stream', () => {
   it('pass once they are whole, several at once, and the rest waits', () => {
     expect(split('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({
-      batches: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
+      parts: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
       ids: ['2'],
       rest: 5,
     });
@@ -35,11 +31,11 @@
     const text = 'id: 1\ndata: a\n\n: note\n\nid: 22\ndata: b\ndata: c\n\n';
     const wrong: number[] = [];
     for (let at = 0; at <= text.length; at += 1) {
-      const { batches, ids, rest } = split(text.slice(0, at), text.slice(at));
-      if (batches.join('') !== text || ids.at(-1) !== '22' || rest !== 0) wrong.push(at);
+      const { parts, ids, rest } = split(text.slice(0, at), text.slice(at));
+      if (parts.join('') !== text || ids.at(-1) !== '22' || rest !== 0) wrong.push(at);
     }
     const single = split(...text.split(''));
-    expect([wrong, single.batches.join(''), single.ids.at(-1), single.batches.length]).toEqual([
+    expect([wrong, single.parts.join(''), single.ids.at(-1), single.parts.length]).toEqual([
       [],
       text,
       '22',
@@ -50,7 +46,7 @@
   it('may end their lines with return and line end', () => {
     const text = 'id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n';
     const single = split(...text.split(''));
-    expect([single.batches.length, single.batches.join(''), single.ids]).toEqual([2, text, ['1', '2']]);
+    expect([single.parts.length, single.parts.join(''), single.ids]).toEqual([2, text, ['1', '2']]);
   });
 
   it('have the last id among them, also without a blank after the colon, or none', () => {
@@ -66,7 +62,7 @@
   });
 
   it('do not gather without end', () => {
-    const batches = split(...Array.from({ length: 20 }, () => 'x'.repeat(100_000))).batches;
-    expect(batches.includes('endless')).toEqual(true);
+    const parts = split(...Array.from({ length: 20 }, () => 'x'.repeat(100_000))).parts;
+    expect(parts.includes('endless')).toEqual(true);
   });
 });
--- a/packages/router/src/event-splitter.ts
+++ b/packages/router/src/event-splitter.ts
@@ -8,12 +8,12 @@
 /** Complete events taken from a stream. */
 export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** Id of the last of them that has one. */
+  /** Id of the last of these events that has one. */
   readonly lastId: string | undefined;
 }
 
 /**
- * Splits a stream into complete events, so that no part of one is forwarded.
+ * Splits a stream into complete events, so that no partial event is forwarded.
  * @example
  * new EventSplitter().take(Buffer.from('id: 1\ndata: a\n\nid: 2')).lastId; // '1'
  */
@@ -25,7 +25,7 @@
     return this.#rest.length;
   }
 
-  /** The events that this chunk completes; `endless` if an event grows larger than is buffered. */
+  /** The events that this chunk completes; `endless` if an incomplete event exceeds the buffer limit. */
   take(chunk: Buffer): CompleteEvents | 'endless' {
     const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
     const end = lastEventEnd(bytes);
@@ -36,7 +36,7 @@
   }
 }
 
-/** Where the last complete event ends: behind an empty line. */
+/** The offset after the last complete event, which ends with an empty line. */
 function lastEventEnd(bytes: Buffer): number {
   for (let at = bytes.length - 1; at > 0; at -= 1) {
     if (bytes[at] !== LINE_FEED) continue;
--- a/packages/router/src/headers.ts
+++ b/packages/router/src/headers.ts
@@ -11,9 +11,9 @@
   readonly expectInstance: string;
   readonly notRun: string;
   readonly priority: string;
-  /** The key of a tenant's client; never forwarded. */
+  /** The API key of a client; never forwarded to workers. */
   readonly apiKey: string;
-  /** The name of the key's tenant. */
+  /** The name of the tenant that holds the API key. */
   readonly tenant: string;
 }
 
@@ -31,16 +31,16 @@
 ]);
 
 /**
- * Whether a header concerns only one connection.
+ * Whether a header applies to a single connection only.
  * @example
- * isHop('Connection'); // true
+ * isHopByHop('Connection'); // true
  */
 export function isHopByHop(name: string): boolean {
   return HOP_BY_HOP.has(name.toLowerCase());
 }
 
 /**
- * The headers that go on to the next connection: neither hop-by-hop ones nor those that `Connection` names.
+ * The end-to-end headers: neither hop-by-hop headers nor those that `Connection` names.
  * @example
  * endToEndHeaders([['Connection', 'x-hop'], ['X-Hop', '1'], ['X-Note', '2']]); // [['X-Note', '2']]
  */
@@ -54,9 +54,9 @@
 }
 
 /**
- * The value of a header, whatever the case of its name.
+ * The value of a header, by its case-insensitive name.
  * @example
- * valueOf([['Retry-After', '1']], 'retry-after'); // '1'
+ * headerValue([['Retry-After', '1']], 'retry-after'); // '1'
  */
 export function headerValue(headers: readonly Header[], name: string): string | undefined {
   const wanted = name.toLowerCase();
@@ -64,8 +64,8 @@
 }
 
 /**
- * The headers of one attempt: the client's, without its key and hop-by-hop ones, and the router's own in place of
- * any of these names that the client sent.
+ * The headers of one attempt: the client's without its API key and hop-by-hop headers, and the router's own,
+ * which replace client headers of the same names.
  * @param remainingMs - time until the request expires, in whole milliseconds
  */
 export function attemptHeaders(
@@ -96,7 +96,7 @@
   return headers;
 }
 
-/** Text as a header's value, of which each character is one byte: UTF-8. */
+/** Encodes text as UTF-8 in a header value, in which each character is one byte. */
 function toHeaderValue(text: string): string {
   return Buffer.from(text, 'utf8').toString('latin1');
 }
--- a/packages/router/src/outcome-counter.ts
+++ b/packages/router/src/outcome-counter.ts
@@ -1,6 +1,6 @@
 /** Counts how requests to workers ended, for the outlier detection of the platform system's coordinator. */
 
-/** How requests to one worker ended. */
+/** How many requests to one worker were answered, and how many failed. */
 export interface WorkerOutcomes {
   readonly worker: string;
   readonly answered: number;
@@ -8,8 +8,8 @@
 }
 
 /**
- * Counts how requests to each worker ended, between two reports to the coordinator. One edge sends a worker too
- * little to judge it by; what all edges saw together says within a second which worker fails.
+ * Counts how requests to each worker ended, between two reports to the coordinator. One edge sends too few
+ * requests to a worker to detect that it fails; the counts of all edges together show it within a second.
  * @example
  * const outcomes = new OutcomeCounter();
  * outcomes.add('worker-1', false);
@@ -25,7 +25,7 @@
     else counts.failed += 1;
   }
 
-  /** Everything since the last call. */
+  /** Returns the counts since the last call, and resets them. */
   take(): WorkerOutcomes[] {
     const taken = [...this.#counts].map(([worker, counts]) => ({ worker, ...counts }));
     this.#counts.clear();
--- a/packages/router/src/quota-refusal.test.ts
+++ b/packages/router/src/quota-refusal.test.ts
@@ -118,7 +118,7 @@
     harness.advance(1600);
     expect([sink.calls, sink.rejection?.detail]).toEqual([
       ['refuse 503 again'],
-      "no permit of its tenant's quota came in time",
+      "no permit of the tenant's quota was granted in time",
     ]);
   });
 
--- a/packages/router/src/request-completion.ts
+++ b/packages/router/src/request-completion.ts
@@ -1,4 +1,4 @@
-/** Ends requests at an edge of the platform system: the response of its own, the retry reserved, the id in flight. */
+/** Ends requests at an edge of the platform system: sends error responses, releases retries and ids. */
 import { fault, type Fault } from '@rainrun/common';
 import type { AttemptEnd } from './attempt.js';
 import type { Counters } from './counters.js';
@@ -9,10 +9,13 @@
 import type { TenantCounters } from './tenant-counters.js';
 import type { WaitingQueue } from './waiting-queue.js';
 
-/** Says the same to every request without a known key, whatever it asked for. */
-export const UNAUTHENTICATED = fault('unauthenticated', 'no tenant holds the key of this request');
+/** The same error for every request without a known key, whichever route it asked for. */
+export const UNAUTHENTICATED = fault(
+  'unauthenticated',
+  'the API key of this request is missing or belongs to no tenant',
+);
 
-/** What requests are removed from when they end. */
+/** Where requests are counted, and what they are removed from when they end. */
 export interface RequestCompletionOptions {
   readonly queue: WaitingQueue;
   readonly budgets: RetryBudgets;
@@ -22,8 +25,8 @@
 }
 
 /**
- * Ends requests without a worker's response. A request that a worker may have run is never rejected with a time to
- * retry after.
+ * Ends requests without a worker's response. A request that a worker may have run is never rejected with
+ * `Retry-After`.
  * @example
  * completion.expire(request); // 503 with Retry-After, or 504 if a worker may have run it
  */
@@ -52,35 +55,35 @@
     return true;
   }
 
-  /** A request has ended: its id may be used again, and it asks for no permit any more. */
+  /** Releases the id of a request that has ended, and withdraws its request for a permit. */
   unregister(request: RoutedRequest): void {
     this.#permits.release(request);
     this.#nonIdempotentIds.delete(request.clientRequest.id);
   }
 
-  /** Rejects what was not admitted. */
+  /** Rejects a request that was not admitted. */
   reject(sink: ResponseSink, reason: Fault): void {
     this.#counters.increment(`refused ${reason.kind}`);
     sink.reject(reason);
   }
 
-  /** Rejects a request that was not admitted, though its route and its tenant are known. */
+  /** Rejects a request whose route and tenant are known, but that was not admitted. */
   rejectNew(request: RoutedRequest, reason: Fault): void {
     this.#tenantCounters.increment(request.tenant, 'refused');
     this.reject(request.sink, reason);
   }
 
-  /** Rejects a request that its tenant's quota has no permit for. */
+  /** Rejects a request that exceeds its tenant's quota. */
   rejectOverQuota(request: RoutedRequest, retryAfterMs: number): void {
     this.#queue.delete(request);
     this.#budgets.release(request);
     this.unregister(request);
     this.#tenantCounters.increment(request.tenant, 'refusedOverQuota');
     const advice = retryAfterMs > 0 ? { retryAfterS: retryAfterMs / 1000 } : {};
-    this.reject(request.sink, fault('over-quota', 'the tenant sends more than its quota', advice));
+    this.reject(request.sink, fault('over-quota', 'the tenant exceeds its quota', advice));
   }
 
-  /** Rejects a request after its last attempt; nothing of a response went to the client. */
+  /** Rejects a request after its last attempt, when no part of a response was sent to the client. */
   rejectAfterLastAttempt(request: RoutedRequest, end: AttemptEnd): void {
     this.unregister(request);
     if (request.mayHaveRun) return this.#rejectAdmitted(request, fault('outcome-unknown', end.reason));
@@ -88,18 +91,21 @@
     this.#rejectAsUnserved(request, end.reason);
   }
 
-  /** Ends a request whose key no tenant holds any more. */
+  /** Ends a request whose API key no longer belongs to any tenant. */
   revoke(request: RoutedRequest): void {
     if (request.responseStarted) return this.abort(request);
     this.#queue.delete(request);
     this.#budgets.release(request);
     this.unregister(request);
     if (request.mayHaveRun)
-      return this.#rejectAdmitted(request, fault('outcome-unknown', 'its key was withdrawn'));
+      return this.#rejectAdmitted(
+        request,
+        fault('outcome-unknown', 'the API key of this request was revoked'),
+      );
     this.rejectNew(request, UNAUTHENTICATED);
   }
 
-  /** Ends a request whose time has passed, or that is pending when this node shuts down. */
+  /** Ends a request that has expired, or that is pending when this node shuts down. */
   expire(request: RoutedRequest): void {
     this.#queue.delete(request);
     this.#budgets.release(request);
@@ -107,8 +113,7 @@
     this.#counters.increment('given up');
     if (request.responseStarted) return this.abort(request);
     this.unregister(request);
-    if (request.mayHaveRun)
-      this.#rejectAdmitted(request, fault('deadline-exceeded', 'the time for it has passed'));
+    if (request.mayHaveRun) this.#rejectAdmitted(request, fault('deadline-exceeded', 'the request expired'));
     else this.#rejectAsUnserved(request, unservedReason(request));
   }
 
@@ -121,7 +126,7 @@
     request.sink.abort();
   }
 
-  /** The client has left: nothing more is done for its request. */
+  /** Cancels a request whose client has disconnected. */
   clientLeft(request: RoutedRequest): void {
     if (request.clientLeft) return;
     request.clientLeft = true;
@@ -132,7 +137,7 @@
     this.#budgets.release(request);
   }
 
-  /** No worker has run the request, so the client may send it again. */
+  /** Rejects a request that no worker has run; `Retry-After` tells the client that it may send it again. */
   #rejectAsUnserved(request: RoutedRequest, reason: string): void {
     const { noWorkerRetryAfterS } = ADMISSION_POLICY;
     this.#rejectAdmitted(request, fault('no-worker', reason, { retryAfterS: noWorkerRetryAfterS }));
@@ -146,6 +151,6 @@
 
 function unservedReason({ waitReason }: RoutedRequest): string {
   return waitReason === 'no-permit'
-    ? "no permit of its tenant's quota came in time"
+    ? "no permit of the tenant's quota was granted in time"
     : 'no worker came free in time';
 }
--- a/packages/router/src/request-permit.ts
+++ b/packages/router/src/request-permit.ts
@@ -1,4 +1,4 @@
-/** What one request holds of the quota of its tenant. */
+/** The permit state of one request, for the quota of its tenant. */
 import type { Permit } from '@rainrun/quotas';
 
 /** The permit for the next attempt of a request. */
@@ -8,10 +8,10 @@
   | { readonly kind: 'held'; readonly permit: Permit }
   | { readonly kind: 'refused'; readonly retryAfterMs: number; readonly retryAtMs: number };
 
-/** What a request holds of its tenant's quota. */
+/** The permit state of a request. */
 export interface RequestPermit {
   readonly tenant: string;
   next: NextPermit;
-  /** The permit that the attempt in flight has consumed. */
+  /** The permit that the attempt in flight has consumed; undefined if there is none. */
   consumed: Permit | undefined;
 }
--- a/packages/router/src/request-permits.ts
+++ b/packages/router/src/request-permits.ts
@@ -1,4 +1,4 @@
-/** The permits of requests whose tenants have a quota: one for each attempt that a worker may run. */
+/** Quota permits of requests whose tenants have a quota: one for each attempt that a worker may run. */
 import type { Permit, PermitAnswer, PermitSource } from '@rainrun/quotas';
 import type { AttemptEnd } from './attempt.js';
 import type { RoutedRequest } from './request.js';
@@ -7,17 +7,17 @@
 /** Whether a request may be sent now, as far as its tenant's quota is concerned. */
 export type PermitState =
   | { readonly kind: 'ready' }
-  /** The answer is not there yet, or says to wait. */
+  /** The answer has not arrived yet, or tells an admitted request to wait. */
   | { readonly kind: 'awaited' }
-  /** The first answer said so; a request that was admitted once only waits. */
+  /** The first answer denied the permit. A request that was admitted before only waits. */
   | { readonly kind: 'over-quota'; readonly retryAfterMs: number };
 
-/** What permits need of their router. */
+/** What the permits need from their router. */
 export interface RequestPermitsDependencies {
   readonly source: PermitSource;
   /** Monotonic, in milliseconds. */
   nowMs(): number;
-  /** An answer came for a request that has been waiting for it. */
+  /** Called when the answer for a waiting request arrives. */
   onAnswer(request: RoutedRequest): void;
 }
 
@@ -25,7 +25,7 @@
 const AWAITED: PermitState = { kind: 'awaited' };
 const NONE: NextPermit = { kind: 'none' };
 
-/** Ends of attempts that certainly did not run, whose permits can be used again. */
+/** Outcomes of attempts that certainly did not run, so that their permits can be used again. */
 const NOT_RUN: ReadonlySet<AttemptEnd['outcome']> = new Set([
   'not-sent',
   'unreached',
@@ -34,8 +34,8 @@
 ]);
 
 /**
- * Gets the permits of requests and consumes them. The first answer decides whether a request is admitted; after that
- * it is never rejected for quota: it waits and asks again until its time has passed.
+ * Acquires the permits of requests and consumes them. The first answer decides whether a request is admitted.
+ * An admitted request is never rejected for quota: it waits and asks again until it expires.
  * @example
  * if (permits.obtain(request).kind === 'ready') send(request);
  * const mayStart = permits.consume(request); // just before the first byte
@@ -47,7 +47,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Asks for a permit unless one is held or asked for, and says how the request stands. */
+  /** Requests a permit unless one is held or already requested; returns the resulting state. */
   obtain(request: RoutedRequest): PermitState {
     const requestPermit = this.#permitOf(request);
     const state = requestPermit === undefined ? READY : this.#obtain(request, requestPermit);
@@ -55,14 +55,14 @@
     return state;
   }
 
-  /** Whether a request holds a permit that has not ended, or has asked for one, or needs none. */
+  /** Whether a request holds a valid permit, has requested one, or needs none. */
   isHeld(request: RoutedRequest): boolean {
     const requestPermit = this.#permitOf(request);
     if (requestPermit === undefined || requestPermit.next.kind === 'asked') return true;
     return requestPermit.next.kind === 'held' && this.#isValid(requestPermit.next.permit);
   }
 
-  /** The last check before the first byte leaves: uses up the permit that is held, if it has not ended. */
+  /** The last check before the first byte is sent: consumes the permit; false if it is missing or expired. */
   consume(request: RoutedRequest): boolean {
     const requestPermit = this.#permitOf(request);
     if (requestPermit === undefined) return true;
@@ -73,7 +73,7 @@
     return true;
   }
 
-  /** Gives the permit of an attempt that did not run back to its request. */
+  /** Returns the permit of an attempt that did not run to its request. */
   attemptEnded({ permit: requestPermit }: RoutedRequest, outcome: AttemptEnd['outcome']): void {
     if (requestPermit?.consumed === undefined) return;
     const { consumed, next } = requestPermit;
@@ -83,14 +83,14 @@
     requestPermit.next = { kind: 'held', permit: consumed };
   }
 
-  /** The request has ended: no permit is asked for any more. */
+  /** Withdraws the permit request of a request that has ended. */
   release(request: RoutedRequest): void {
     if (request.permit === undefined) return;
     withdrawRequest(request.permit);
     request.permit = undefined;
   }
 
-  /** What a request holds of its tenant's quota; undefined where it needs no permit. */
+  /** The permit state of a request for its current tenant; undefined if it needs no permit. */
   #permitOf(request: RoutedRequest): RequestPermit | undefined {
     const { tenant } = request;
     if (tenant === undefined || tenant.ratePerS <= 0) {
@@ -108,11 +108,11 @@
     const current = this.#stateOf(request, requestPermit);
     if (current !== undefined) return current;
     this.#ask(request, requestPermit);
-    // A permit that has ended by the time it is given is asked for anew at the next look, not in a loop here.
+    // A permit that has expired on arrival is requested again at the next call, not in a loop here.
     return this.#stateOf(request, requestPermit) ?? AWAITED;
   }
 
-  /** Undefined: a permit is to be asked for now. */
+  /** The state by the permit held or requested; undefined if a permit must be requested now. */
   #stateOf(request: RoutedRequest, { next }: RequestPermit): PermitState | undefined {
     switch (next.kind) {
       case 'none':
--- a/packages/router/src/request.ts
+++ b/packages/router/src/request.ts
@@ -4,25 +4,25 @@
 import type { Header } from '@rainrun/gateway';
 import type { RequestPermit } from './request-permit.js';
 
-/** A complete request, read and parsed by the client server. */
+/** A complete client request, read and parsed by the HTTP server of the edge. */
 export interface ClientRequest {
   readonly id: string;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly target: string;
   readonly host: string;
-  /** All headers that are to be forwarded. */
+  /** Headers to forward to the worker. */
   readonly headers: readonly Header[];
   readonly body: Buffer;
   /** How long the client will wait from now, in milliseconds; undefined if it names no deadline. */
   readonly deadlineMs: number | undefined;
   readonly model: string;
   readonly adapter: string;
-  /** Ids of the prompt's parts that other requests share, first to last. */
+  /** Ids of the leading parts of the prompt that other requests share, first to last. */
   readonly prefix: readonly string[];
-  /** Tokens of the prompt. */
+  /** Number of tokens in the prompt. */
   readonly promptTokens: number;
-  /** Id after which the client wants a stream to go on (`Last-Event-ID`). */
+  /** Id of the event after which the client wants to resume a stream (`Last-Event-ID`). */
   readonly lastEventId: string | undefined;
   /** The client's API key, which appears in no log, error, view or forwarded request; undefined without one. */
   readonly apiKey: string | undefined;
@@ -30,13 +30,13 @@
 
 /** Where the response to a request goes. */
 export interface ResponseSink {
-  /** A complete response of a worker. */
+  /** Sends a complete response of a worker. */
   respond(status: number, headers: readonly Header[], body: Buffer): void;
-  /** A response of this node's own: what went wrong, and when to retry. */
+  /** Sends an error response of this node: what went wrong, and when to retry. */
   reject(reason: Fault): void;
   /** Starts a response that is forwarded chunk by chunk. */
   open(status: number, headers: readonly Header[]): void;
-  /** Writes a chunk. False: the client reads slowly, `drained` will be called once. */
+  /** Writes a chunk; false if the client reads slowly: `drained` is called once it can write again. */
   write(bytes: Buffer, drained: () => void): boolean;
   /** Ends a started response as complete. */
   close(): void;
@@ -53,11 +53,11 @@
   readonly draining: boolean;
   /** Requests that it can run at once. */
   readonly slots: number;
-  /** Until when it warms up, on the monotonic clock; -Infinity if it does not. */
+  /** When its warm-up ends, on the monotonic clock; -Infinity if it is not warming up. */
   readonly warmUpUntilMs: number;
   /** Loaded adapters by loaded model. */
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
-  /** Version of its row; grows with each change. */
+  /** Version of its row in the worker table; grows with each change. */
   readonly number: number;
   /** Percentage of this zone's edges that may send to it: below 100 while it is ejected as an outlier. */
   readonly sharePercent: number;
@@ -69,13 +69,13 @@
  */
 export type NoWorkerReason = 'none' | 'model-not-loaded' | 'backed-off' | 'full' | 'warming-up' | 'no-permit';
 
-/** A request on its way through the router. Times are on the monotonic clock. */
+/** A request and its state in the router. Times are on the monotonic clock. */
 export interface RoutedRequest {
   readonly clientRequest: ClientRequest;
   readonly sink: ResponseSink;
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
-  /** `service/model/adapter`: what its demand is counted under. */
+  /** `service/model/adapter`: the key under which its demand is counted. */
   readonly demandKey: string;
   readonly arrivedMs: number;
   /** When it expires. */
@@ -83,38 +83,38 @@
   /** Whether it may be sent again after a worker may have run it. */
   readonly idempotent: boolean;
   readonly streamed: boolean;
-  /** The directory under which its key was looked up last; undefined where the configuration had no tenants. */
+  /** The directory in which its API key was last looked up; undefined if the configuration had no tenants. */
   directory: TenantDirectory | undefined;
-  /** The tenant that held its key then; undefined without tenants, or on a public route without a known key. */
+  /** The tenant found by that lookup; undefined without tenants, or on a public route without a known key. */
   tenant: Tenant | undefined;
-  /** It had a permit for its first attempt, or needed none: from then on its tenant's quota can only delay it. */
+  /** Whether its first attempt had a permit or needed none; from then on the quota can only delay it. */
   admitted: boolean;
-  /** What it holds of its tenant's quota; undefined if it needs no permit. */
+  /** Its permit state for the tenant's quota; undefined if it needs no permit. */
   permit: RequestPermit | undefined;
-  /** What workers are told of its priority with its next attempt: 0 to 9, 0 first. */
+  /** The priority sent to the worker with its next attempt: 0 to 9, 0 is highest. */
   workerPriority: number;
-  /** Attempts whose first byte left. */
+  /** Number of attempts whose first byte was sent. */
   attemptsStarted: number;
   /** Addresses of the workers to which an attempt started, by worker id. */
   readonly sentTo: Map<string, string>;
   /** Workers that rejected it or failed it. */
   readonly excludedWorkers: Set<string>;
-  /** Whether any byte of a response went to the client. */
+  /** Whether any byte of a response was sent to the client. */
   responseStarted: boolean;
-  /** When the last byte of a response went to the client. */
+  /** When the last byte of a response was sent to the client. */
   lastByteMs: number;
-  /** Id of the last complete event that went to the client. */
+  /** Id of the last complete event that was sent to the client. */
   lastEventId: string | undefined;
   /** Whether a worker may have run it. */
   mayHaveRun: boolean;
   clientLeft: boolean;
-  /** A token of the retry budget is reserved for its next attempt. */
+  /** Whether a token of the retry budget is reserved for its next attempt. */
   retryReserved: boolean;
-  /** A retry was reserved, but its token is gone from the budget. */
+  /** Whether the token of its reserved retry was gone from the budget when it was to be spent. */
   retryDenied: boolean;
-  /** It is not dispatched again before this. */
+  /** Earliest time of its next dispatch. */
   notBeforeMs: number;
-  /** Why no worker could take it at the last look, while it waits. */
+  /** Why no worker could take it at the last try; meaningful while it waits. */
   waitReason: NoWorkerReason | undefined;
   /** Ends the attempt in flight; undefined if none is. */
   cancelAttempt: (() => void) | undefined;
--- a/packages/router/src/retry-budgets.ts
+++ b/packages/router/src/retry-budgets.ts
@@ -2,18 +2,18 @@
 import { RetryBudget } from '@rainrun/gateway';
 import type { RoutedRequest } from './request.js';
 
-/** What the budgets need of their edge. */
+/** What the budgets need from their edge. */
 export interface RetryBudgetsDependencies {
-  /** Retries: a ratio of the first attempts, and this many more in the fleet, in any window. */
+  /** Retries allowed in any window: this ratio of the first attempts, plus `extra` in the whole fleet. */
   readonly retries: { readonly ratio: number; readonly extra: number };
-  /** How many edges share the allowance. */
+  /** How many edges share the extra retries. */
   edges(): number;
-  /** The incarnation of this edge: a new one begins with an empty budget. */
+  /** The incarnation of this edge; a new incarnation starts with an empty budget. */
   incarnation(): string;
 }
 
 /**
- * Keeps one budget for each service, because the bound is the service's.
+ * Keeps one budget for each service, because the bound on retries applies to each service separately.
  * @example
  * budgets.recordFirstAttempt(request);
  * if (budgets.reserve(request)) retry(request);
@@ -26,7 +26,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** A new request earns its part of a retry. */
+  /** Credits the budget with the fraction of a retry that a new request earns. */
   recordFirstAttempt(request: RoutedRequest): void {
     this.#budgetFor(request).recordFirstAttempt(this.#dependencies.retries.ratio);
   }
@@ -36,7 +36,7 @@
     return this.#budgetFor(request).reserve();
   }
 
-  /** Gives back the retry that is reserved for a request, if one is. */
+  /** Returns the retry that is reserved for a request, if any. */
   release(request: RoutedRequest): void {
     if (request.retryReserved) this.#budgetFor(request).release();
     request.retryReserved = false;
@@ -47,7 +47,7 @@
     return this.#budgetFor(request).spend();
   }
 
-  /** Whether this edge's part of the allowance can ever pay for a retry. */
+  /** Whether this edge's share of the budget can ever allow a retry. */
   canEverRetry(request: RoutedRequest): boolean {
     return this.#budgetFor(request).canEverRetry;
   }
--- a/packages/router/src/route-table.ts
+++ b/packages/router/src/route-table.ts
@@ -2,14 +2,14 @@
 import { spread } from '@rainrun/common';
 import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/configuration';
 
-/** A route with the service that one request of it goes to. */
+/** A route, and the service that one request of it is sent to. */
 export interface RouteTarget {
   readonly route: RouteEntry;
   readonly service: ServiceEntry;
 }
 
 /**
- * The routes of a configuration, indexed once: by host, longest prefix first.
+ * The routes of a configuration, indexed by host and sorted by longest prefix first.
  * @example
  * new RouteTable(configuration).find('a.example', '/assist/7');
  */
@@ -39,7 +39,7 @@
     return this.#services.get(name);
   }
 
-  /** The service for one request: by the weights of the route's split, the same for the same id. */
+  /** The service for one request, chosen by the weights of the traffic split; the same for the same id. */
   target(route: RouteEntry, id: string): RouteTarget | undefined {
     const service = this.#services.get(selectService(route, id));
     return service === undefined ? undefined : { route, service };
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -21,7 +21,7 @@
 import { TenantCounters, type TenantCounts } from './tenant-counters.js';
 import { WaitingQueue } from './waiting-queue.js';
 
-/** What the router is given by its node. */
+/** What the router needs from the node that runs it. */
 export interface RouterDependencies extends RetryBudgetsDependencies {
   /** The zone of this edge. */
   readonly zone: string;
@@ -42,16 +42,15 @@
   region(zone: string): string;
   /** A model is requested that no worker has loaded. */
   onModelMissing(): void;
-  /** A request begins to wait: from now on `tick` is to be called as often as it may be sent. */
+  /** A request has begun to wait: from now on `tick` must be called often enough to dispatch it. */
   onWaiting(): void;
 }
 
-const UNCONFIGURED = fault('not-admitting', 'no configuration is known here yet');
+const UNCONFIGURED = fault('not-admitting', 'this node has not received a configuration yet');
 
 /**
- * Routes the requests of one edge. A request waits for a
- * worker that may take it and is sent once; again only where its route allows
- * it or the worker has not run it, and within the fleet's retry budget.
+ * Routes the requests of one edge. A request waits until a worker can take it and is sent once. It is sent
+ * again only if its route allows that or the worker has not run it, and only within the fleet's retry budget.
  * @example
  * const router = new Router(dependencies);
  * const clientLeft = router.submit(clientRequest, sink);
@@ -124,7 +123,7 @@
     return this.#tenantCounters.values;
   }
 
-  /** Takes a request; the returned function is to be called when the client leaves. */
+  /** Accepts a request; the returned function must be called when the client disconnects. */
   submit(clientRequest: ClientRequest, sink: ResponseSink): () => void {
     this.#counters.increment('taken');
     if (this.#closed) return this.#reject(sink, fault('draining', 'this node ends'));
@@ -136,7 +135,7 @@
     }
     const target = this.#targets.resolve(configuration, clientRequest);
     const identity = this.#access.identify(clientRequest);
-    // Before 404: a stranger is not told which routes there are. A holder of a known key is told the truth.
+    // Checked before 404: only a client with a known key learns whether a route exists.
     if (this.#access.isUnauthenticated(identity) && target?.route.public !== true)
       return this.#reject(sink, UNAUTHENTICATED);
     if (target === undefined)
@@ -148,7 +147,7 @@
     return this.#admit(newRoutedRequest({ clientRequest, sink, target, identity, nowMs }), nowMs);
   }
 
-  /** Responds to whatever has no response yet, and takes nothing more. */
+  /** Ends every request that has no complete response yet, and rejects all later ones. */
   close(): void {
     this.#closed = true;
     this.#earlyRequests.close();
@@ -156,7 +155,7 @@
     for (const request of [...this.#queue]) this.#completion.expire(request);
   }
 
-  /** Rejects what has waited too long, and dispatches what a worker can take now. */
+  /** Rejects requests that have expired, and dispatches those that a worker can take now. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     this.#balancer.statuses.retainOnly(this.#dependencies.workers());
@@ -167,7 +166,7 @@
     for (const attempt of [...this.#attempts]) attempt.tick(nowMs);
   }
 
-  /** The demand at this edge now, by service, model and adapter. */
+  /** The current demand at this edge, by service, model and adapter. */
   demands(): EdgeDemand[] {
     return this.#demand.demands(this.#queue, this.#dependencies.clock.nowMs());
   }
@@ -198,27 +197,27 @@
     return () => this.#completion.clientLeft(request);
   }
 
-  /** Why a new request cannot be admitted here; registers its id if it can. */
+  /** The fault that keeps a new request from being admitted; registers the request's id if there is none. */
   #checkAdmission(request: RoutedRequest): Fault | undefined {
     const { maxWaitingRequests, queueFullRetryAfterS: retryAfterS } = ADMISSION_POLICY;
     if (this.#queue.size >= maxWaitingRequests)
-      return fault('over-share', 'too many requests wait here', { retryAfterS });
+      return fault('over-share', 'too many requests are waiting at this node', { retryAfterS });
     if (this.#completion.register(request)) return undefined;
-    return fault('outcome-unknown', 'a request with this id is under way here');
+    return fault('outcome-unknown', 'a request with this id is already in progress at this node');
   }
 
-  /** A new request takes no place that has just come free from one that goes before it. */
+  /** Dispatches the waiting request that precedes a new one, so that the new one cannot overtake it. */
   #dispatchMoreUrgent(newRequest: RoutedRequest, nowMs: number): void {
     const ahead = this.#queue.size === 0 ? undefined : this.#queue.mostUrgentAhead(newRequest, nowMs);
     if (ahead !== undefined) this.#advance(ahead, new Set(), nowMs);
   }
 
   /**
-   * Takes a waiting request one step further.
+   * Advances a waiting request: ends it, resumes its stream or dispatches it, if any of these is due.
    * @param unservable - demand keys for which no worker was found in this tick
    */
   #advance(request: RoutedRequest, unservable: Set<string>, nowMs: number): void {
-    // Another request's turn, or the answer to it, may have been this one's too.
+    // It may have left the queue while another request was handled, or on the answer to its permit request.
     if (!this.#queue.has(request)) return;
     if (nowMs >= request.expiresMs) return this.#completion.expire(request);
     if (this.#access.reauthenticate(request) === 'denied') return this.#completion.revoke(request);
@@ -232,7 +231,7 @@
       unservable.add(request.demandKey);
   }
 
-  /** A permit ends soon: one that has ended is renewed only once a worker can take the request. */
+  /** Permits are short-lived, so an expired one is renewed only once a worker can take the request. */
   #shouldObtainPermit(request: RoutedRequest): boolean {
     if (!request.admitted || this.#permits.isHeld(request)) return true;
     const choice = this.#chooseWorker(request);
@@ -244,7 +243,7 @@
     return this.#obtainPermit(request) === 'ready' && this.#dispatch(request, nowMs);
   }
 
-  /** Whether a request has a permit of its tenant's quota or needs none; otherwise it waits, or has been rejected. */
+  /** Obtains a permit of the tenant's quota; unless `ready`, the request now waits or has been rejected. */
   #obtainPermit(request: RoutedRequest): PermitState['kind'] {
     const permit = this.#permits.obtain(request);
     if (permit.kind === 'over-quota') this.#completion.rejectOverQuota(request, permit.retryAfterMs);
@@ -252,7 +251,7 @@
     return permit.kind;
   }
 
-  /** Sends a request if a worker may take it now; false: it waits. */
+  /** Sends a request if a worker can take it now; otherwise queues it and returns false. */
   #dispatch(request: RoutedRequest, nowMs: number): boolean {
     const choice = this.#chooseWorker(request);
     if (typeof choice === 'string') {
@@ -265,7 +264,7 @@
     return true;
   }
 
-  /** Once a request was sent to as many workers as its route allows, only these are left for it. */
+  /** Chooses a worker; once as many workers as the route allows got the request, only from among those. */
   #chooseWorker(request: RoutedRequest): WorkerView | NoWorkerReason {
     const workers = this.#dependencies.workers();
     if (request.sentTo.size < request.route.attempts) return this.#balancer.choose(request, workers.values());
@@ -330,7 +329,7 @@
     };
   }
 
-  /** The last check before the first byte; spends the retry that was reserved. */
+  /** The last check before the first byte is sent; spends the retry reserved for this attempt. */
   #mayStart(request: RoutedRequest, worker: WorkerView): boolean {
     const known = this.#dependencies.workers().get(worker.id);
     if (
@@ -341,7 +340,7 @@
     )
       return false;
     if (this.#dependencies.clock.nowMs() >= request.expiresMs) return false;
-    // The head names the tenant that held the key when it was made.
+    // The prepared headers name the tenant that held the key when they were built.
     if (this.#access.reauthenticate(request) !== 'same' || !this.#permits.consume(request)) return false;
     request.retryDenied = request.retryReserved && !this.#budgets.spend(request);
     request.retryReserved = false;
@@ -352,7 +351,7 @@
     return true;
   }
 
-  /** Whether a request can leave its worker for another one at once; if so, a retry is reserved and a permit held. */
+  /** Whether a request can fail over to another worker now; if so, a retry is reserved and a permit held. */
   #reserveFailover(request: RoutedRequest, worker: WorkerView): boolean {
     if (request.attemptsStarted >= request.route.attempts) return false;
     if (this.#access.reauthenticate(request) === 'denied' || !this.#budgets.reserve(request)) return false;
@@ -386,9 +385,9 @@
   }
 
   /**
-   * What a worker's answers say of its health: to this edge's balancer, and to all edges through the coordinator.
-   * That it rejects a request says that it is full, or does not have the model loaded any more; it says nothing of
-   * its health.
+   * Records what the end of an attempt says about the worker's health: for this edge's balancer, and through
+   * the coordinator for all edges. A rejected request says nothing about it: the worker is full or no longer
+   * has the model loaded.
    */
   #recordOutcome(worker: WorkerView, end: AttemptEnd): void {
     const isFailure = end.workerFailed === true || end.outcome === 'failed' || end.outcome === 'unreached';
@@ -405,7 +404,7 @@
     if (end.outcome === 'failed' || end.outcome === 'unreached') statuses.recordFailure(worker.id);
   }
 
-  /** Whether a request may be retried after an attempt that had started; a retry is then reserved. */
+  /** Whether a request may be retried after an attempt that had started; if so, a retry is reserved. */
   #reserveRetry(request: RoutedRequest, end: AttemptEnd): boolean {
     const mayRepeat = end.outcome !== 'failed' || request.idempotent;
     const hasAttemptsLeft = request.attemptsStarted < request.route.attempts;
@@ -419,7 +418,7 @@
     if (this.#obtainPermit(request) === 'ready') this.#dispatch(request, nowMs);
   }
 
-  /** No retry is possible now: a started stream waits to be resumed, anything else ends. */
+  /** Ends a request that cannot be retried now; a stream that has started waits to be resumed instead. */
   #giveUp(request: RoutedRequest, end: AttemptEnd): void {
     this.#budgets.release(request);
     if (!request.responseStarted) return this.#completion.rejectAfterLastAttempt(request, end);
@@ -431,8 +430,8 @@
   }
 
   /**
-   * A stream of which the client has a part goes on looking for a worker, as
-   * long as the client bears its silence and a worker may take it.
+   * Tries to resume a stream of which the client already has a part. It is tried again until a worker takes
+   * the stream, none is left that may take it, or the client would have given up.
    */
   #resume(request: RoutedRequest, nowMs: number): void {
     if (nowMs < request.notBeforeMs) return;
@@ -446,7 +445,7 @@
     this.#send(request, worker, nowMs);
   }
 
-  /** The worker at which a stream may go on, with a retry reserved for it; undefined: none now. */
+  /** A worker that can resume a stream, with a retry reserved for it; undefined if there is none now. */
   #reserveResumption(request: RoutedRequest): WorkerView | undefined {
     if (!this.#budgets.reserve(request)) return undefined;
     const choice = this.#chooseWorker(request);
@@ -457,7 +456,7 @@
   }
 }
 
-/** How long a client bears the silence of a stream before it gives it up, in milliseconds. */
+/** How long a client is assumed to wait for the next event of a stream, in milliseconds. */
 function maxClientSilenceMs({ targetMs, gapMs }: RouteEntry): number {
   const { minMs, targets, gaps } = RESUME_POLICY.clientSilence;
   return Math.max(minMs, targets * targetMs, gaps * gapMs);
--- a/packages/router/src/routing-policy.ts
+++ b/packages/router/src/routing-policy.ts
@@ -1,9 +1,9 @@
 /**
- * Constants of how an edge of the platform system routes requests: bounds, time-outs and backoff, each with its unit.
- * Mechanisms read them from here and define none of their own.
+ * Tuning constants of request routing at an edge of the platform system: limits, timeouts and backoff, each
+ * with its unit. All routing code reads them from here.
  */
 
-/** When a request waits, and how many may. */
+/** Limits on waiting requests, and `Retry-After` of rejections. */
 export const ADMISSION_POLICY = {
   /** Requests that may wait at one edge, in the waiting queue or for a first configuration. */
   maxWaitingRequests: 2000,
@@ -17,40 +17,40 @@
 
 /** How requests of tenants are ordered; a priority of 0 is highest. */
 export const PRIORITY_POLICY = {
-  /** Priority of tenants that name none, and of requests without a tenant on public routes: the middle of 0 to 9. */
+  /** Priority of tenants that set none, and of public requests without a tenant: the middle of 0 to 9. */
   defaultTenantPriority: 5,
   highestTenantPriority: 0,
-  /** Part of its time after which the priority of its tenant stops counting against a request. */
+  /** Fraction of a request's time after which it gets the highest tenant priority, to prevent starvation. */
   ageingRatio: 0.25,
 } as const;
 
 /** When a started attempt counts as stalled. */
 export const ATTEMPT_POLICY = {
-  /** Least silence after which a worker counts as silent, in milliseconds. */
+  /** Shortest silence after which a worker counts as silent, in milliseconds. */
   silentMs: 1000,
-  /** A worker heard on any connection within this time is at work, in milliseconds. */
+  /** A worker that sent a byte on any connection within this time counts as active, in milliseconds. */
   recentlyHeardMs: 700,
-  /** Least silence that a plain request bears, in milliseconds. */
+  /** Lower bound of the silence limit of a non-streaming request, in milliseconds. */
   minPlainSilenceMs: 400,
-  /** Silence that a plain request bears, in multiples of its target latency. */
+  /** Silence limit of a non-streaming request, in multiples of its target latency. */
   plainSilenceTargets: 3,
-  /** Silence that a started stream bears from a worker at work, in multiples of its longest gap. */
+  /** Silence limit of a started stream at an active worker, in multiples of the route's longest gap. */
   streamSilenceGaps: 4,
-  /** How often a request at a silent worker looks for another one, in milliseconds. */
+  /** How often a request at a silent worker tries to fail over to another one, in milliseconds. */
   failoverIntervalMs: 250,
-  /** The link gives a send up this much after the request's deadline, in milliseconds. */
+  /** The link abandons a send this long after the request's deadline, in milliseconds. */
   stallMarginMs: 50,
-  /** Largest plain response that is buffered, in bytes. */
+  /** Largest non-streaming response that is buffered, in bytes. */
   maxBufferedBytes: 16 * 1024 * 1024,
-  /** Least urgent priority that is sent to workers. */
+  /** Lowest priority that is sent to workers; 0 is the highest. */
   lowestPriority: 9,
 } as const;
 
-/** How a stream of which the client has a part is resumed. */
+/** How a stream is resumed of which the client already has a part. */
 export const RESUME_POLICY = {
-  /** How often a stream that waits looks for a worker, in milliseconds. */
+  /** How often an interrupted stream looks for a worker, in milliseconds. */
   intervalMs: 250,
-  /** Clients give a stream up after a silence of the longest of these. */
+  /** A client is assumed to give up a silent stream after the longest of these. */
   clientSilence: {
     /** In milliseconds. */
     minMs: 2000,
@@ -61,27 +61,27 @@
   },
 } as const;
 
-/** How a worker that failed or was full is left alone. */
+/** How long a worker that failed or was full gets no requests. */
 export const BACKOFF_POLICY = {
-  /** After the first failure, in milliseconds; doubled with each further one in a row. */
+  /** Backoff after the first failure, in milliseconds; doubled with each consecutive one. */
   firstMs: 400,
   /** Longest backoff, in milliseconds. */
   maxMs: 6000,
-  /** After a rejection that names no time, in milliseconds. */
+  /** Backoff after a rejection that names no time, in milliseconds. */
   fullMs: 25,
 } as const;
 
-/** How workers are compared, in requests in flight unless said otherwise. */
+/** How workers are ranked; values are in requests in flight unless stated otherwise. */
 export const BALANCER_POLICY = {
-  /** A worker of another zone must have so many fewer. */
+  /** Load added to a worker in another zone: it must have this many requests fewer to rank equally. */
   zonePenalty: 2,
-  /** A worker whose prefix cache fits may have so many more than the least loaded. */
+  /** A worker that should have the prefix cached may have this many more than the least loaded one. */
   prefixCacheSlack: 4,
-  /** Prompts of at least so many tokens follow the prefix cache. */
+  /** Prompts of at least this many tokens are routed by prefix cache. */
   longPromptTokens: 1500,
-  /** Workers that each long prefix is cached at: edges choose alike among them without a message between them. */
+  /** Workers at which each long prefix is cached; all edges choose the same ones without communication. */
   prefixCacheReplicas: 2,
-  /** Part of a worker's connections that the edges share out. */
+  /** Fraction of a worker's connections that the edges divide among themselves. */
   connectionRatio: 0.9,
   /** Requests that one edge may always have in flight at a worker. */
   minInFlight: 2,
@@ -89,8 +89,8 @@
 
 /** How many requests a worker gets while it warms up. */
 export const WARM_UP_POLICY = {
-  /** Part of the service's warm-up rate that the edges use. */
+  /** Fraction of the service's warm-up rate that the edges use. */
   rateRatio: 0.8,
-  /** Tokens are earned for at most this time since the last look, in milliseconds. */
+  /** Longest time since the last refill for which tokens are earned, in milliseconds. */
   maxRefillMs: 200,
 } as const;
--- a/packages/router/src/tenant-access.ts
+++ b/packages/router/src/tenant-access.ts
@@ -1,8 +1,8 @@
-/** Decides by its API key whether a request may be served at an edge of the platform system, and as whose. */
+/** Authenticates requests at an edge of the platform system: finds the tenant that holds the API key. */
 import type { Tenant, TenantDirectory } from '@rainrun/configuration';
 import type { ClientRequest, RoutedRequest } from './request.js';
 
-/** Whose a request is, by one directory of tenants. */
+/** The tenant of a request, according to one version of the tenant directory. */
 export interface Identity {
   /** Undefined where the configuration has no tenants, so that requests need no key. */
   readonly directory: TenantDirectory | undefined;
@@ -10,22 +10,23 @@
   readonly tenant: Tenant | undefined;
 }
 
-/** What another look at the key of a request says, after another configuration may have come. */
+/** The result of looking up the API key of a request again, after the configuration may have changed. */
 export type ReauthenticationResult =
+  /** The key belongs to the same tenant as before. */
   | 'same'
-  /** It is served as another tenant's from now on, or as nobody's. */
+  /** The request belongs to another tenant from now on, or to none. */
   | 'other-tenant'
-  /** No tenant holds its key any more, and its route needs one. */
+  /** No tenant holds the key any more, and the route requires one. */
   | 'denied';
 
 const NO_TENANTS: Identity = { directory: undefined, tenant: undefined };
 
 /**
- * Looks the key of each request up in the directory in force. Nothing is remembered by connection, so that a key that
- * a configuration drops is not served on any.
+ * Looks up the API key of each request in the current tenant directory. Nothing is cached per connection, so
+ * that a key which a new configuration drops is not served on any connection.
  * @example
  * const access = new TenantAccess(() => replica.tenants);
- * access.isStranger(access.identify(clientRequest)); // true: no tenant holds its key
+ * access.isUnauthenticated(access.identify(clientRequest)); // true: no tenant holds its key
  */
 export class TenantAccess {
   #directory: () => TenantDirectory | undefined;
@@ -34,19 +35,19 @@
     this.#directory = directory;
   }
 
-  /** Whose a new request is. */
+  /** Looks up the tenant of a new request. */
   identify(clientRequest: ClientRequest): Identity {
     const directory = this.#directory();
     if (directory === undefined) return NO_TENANTS;
     return { directory, tenant: directory.holderOf(clientRequest.apiKey) };
   }
 
-  /** Whether a key is needed, and the request has none that a tenant holds. */
+  /** Whether keys are required and the request has none that belongs to a tenant. */
   isUnauthenticated({ directory, tenant }: Identity): boolean {
     return directory !== undefined && tenant === undefined;
   }
 
-  /** Looks a request's key up again if another directory came into force, and takes over whose it is now. */
+  /** Looks up a request's key again if the directory has changed, and updates the request's tenant. */
   reauthenticate(request: RoutedRequest): ReauthenticationResult {
     if (request.directory === this.#directory()) return 'same';
     const identity = this.identify(request.clientRequest);
--- a/packages/router/src/tenant-counters.ts
+++ b/packages/router/src/tenant-counters.ts
@@ -1,4 +1,4 @@
-/** What became of the requests of each tenant at one edge of the platform system, for logs and metrics. */
+/** Counts the requests of each tenant at one edge of the platform system by outcome, for logs and metrics. */
 import type { Tenant } from '@rainrun/configuration';
 
 /** Requests of one tenant since the start of this edge. */
@@ -7,15 +7,15 @@
   /** Attempts that were sent to a worker. */
   sent: number;
   refusedOverQuota: number;
-  /** For any other reason. */
+  /** Requests refused for any other reason than the quota. */
   refused: number;
 }
 
-/** Tenants that are counted; names come from configurations, which change. */
+/** Most tenants that are counted; bounded because names come from configurations, which change. */
 const MAX_TENANTS = 1024;
 
 /**
- * Counts requests by tenant, for the first tenants that send any up to a bound; those after them are not counted.
+ * Counts requests by tenant, for the first `MAX_TENANTS` tenants that send any; later ones are not counted.
  * @example
  * counters.increment(request.tenant, 'taken');
  * counters.values; // { 'tenant-1': { taken: 1, sent: 0, refusedOverQuota: 0, refused: 0 } }
@@ -27,7 +27,7 @@
     return Object.fromEntries([...this.#counts].map(([name, counts]) => [name, { ...counts }]));
   }
 
-  /** Counts nothing for a request without a tenant. */
+  /** Increments a counter of a tenant; does nothing for a request without a tenant. */
   increment(tenant: Tenant | undefined, what: keyof TenantCounts): void {
     if (tenant === undefined) return;
     let counts = this.#counts.get(tenant.name);
--- a/packages/router/src/tenant-priority.ts
+++ b/packages/router/src/tenant-priority.ts
@@ -1,12 +1,12 @@
-/** The order of requests at an edge of the platform system: by tenant, then by route, then by arrival. */
+/** Orders requests at an edge of the platform system: by tenant, then by route, then by arrival. */
 import type { Configuration } from '@rainrun/configuration';
 import type { RoutedRequest } from './request.js';
 import { ATTEMPT_POLICY, PRIORITY_POLICY } from './routing-policy.js';
 
 /**
- * The priority of a request's tenant; 0 is highest. It stops counting against a request that has waited for long: with
- * the highest from then on it goes before whatever arrives later, so a steady load of more urgent tenants starves
- * nobody.
+ * The priority of a request's tenant, with ageing; 0 is highest. A request that has waited for `ageingRatio`
+ * of its time gets the highest tenant priority, and from then on precedes whatever arrives later on the same
+ * route: a steady load from more urgent tenants cannot starve it.
  */
 function effectiveTenantPriority(request: RoutedRequest, nowMs: number): number {
   const { directory, tenant, arrivedMs, expiresMs } = request;
@@ -18,7 +18,7 @@
 }
 
 /**
- * Negative if one request goes before another, as for `Array.sort`.
+ * Compares two requests for `Array.sort`: negative if `one` precedes `other`.
  * @example
  * requests.sort((one, other) => compareUrgency(one, other, nowMs));
  */
@@ -30,15 +30,16 @@
   );
 }
 
-/** Every priority that requests of a configuration can have, in order. */
+/** All tenant and route priorities that requests of a configuration can have, in ascending order. */
 interface PriorityScale {
   readonly tenants: readonly number[];
   readonly routes: readonly number[];
 }
 
 /**
- * What workers are told of a request's priority, in the order of the pair of tenant and route. Without tenants, or
- * where all of them are alike, it is the route's priority.
+ * Computes the priority that is sent to workers with a request. It follows the tenant's priority first and
+ * the route's second. Without tenants, or where all of them have the same priority, it is the route's
+ * priority.
  * @example
  * const priorities = new WorkerPriorities();
  * priorities.of(request, configuration, nowMs); // 0 to 9, 0 first
@@ -61,7 +62,7 @@
   }
 }
 
-/** Undefined where the tenants do not differ, or no route tells workers a priority. */
+/** Undefined if all tenants have the same priority, or no route is streaming: only those send a priority. */
 function buildScale({ tenants, routes }: Configuration): PriorityScale | undefined {
   const { defaultTenantPriority } = PRIORITY_POLICY;
   const tenantPriorities = (tenants ?? []).map(({ priority }) => priority ?? defaultTenantPriority);
@@ -76,7 +77,7 @@
   return [...new Set(values)].sort((one, other) => one - other);
 }
 
-/** The place of a pair among all pairs; several share one where there are more pairs than places. */
+/** The index of a pair of priorities among all pairs, scaled down if there are more pairs than levels. */
 function priorityLevel(scale: PriorityScale, tenantPriority: number, routePriority: number): number {
   const levels = ATTEMPT_POLICY.lowestPriority + 1;
   const pairs = scale.tenants.length * scale.routes.length;
@@ -85,7 +86,7 @@
   return pairs <= levels ? index : Math.floor((index * levels) / pairs);
 }
 
-/** The place of a value; of one that is not there, as after a change of the configuration, that of the next one. */
+/** The index of a value; if it is missing, as after a configuration change, that of the next higher one. */
 function indexIn(values: readonly number[], value: number): number {
   const index = values.findIndex((candidate) => candidate >= value);
   return index < 0 ? values.length - 1 : index;
--- a/packages/router/src/waiting-queue.ts
+++ b/packages/router/src/waiting-queue.ts
@@ -3,7 +3,7 @@
 import { compareUrgency } from './tenant-priority.js';
 
 /**
- * A queue by the priority of the tenant, then of the route, then by arrival.
+ * A queue ordered by the priority of the tenant, then of the route, then by arrival.
  * @example
  * queue.add(request);
  * for (const waiting of queue.inOrder(nowMs)) dispatch(waiting);
@@ -27,12 +27,12 @@
     this.#requests.delete(request);
   }
 
-  /** A copy, most urgent first. */
+  /** A copy of the waiting requests, most urgent first. */
   inOrder(nowMs: number): RoutedRequest[] {
     return [...this.#requests].sort((one, other) => compareUrgency(one, other, nowMs));
   }
 
-  /** The most urgent of those that wait for the same workers as a new request, and go before it. */
+  /** The most urgent waiting request that precedes a new one with the same demand key; undefined if none. */
   mostUrgentAhead(newRequest: RoutedRequest, nowMs: number): RoutedRequest | undefined {
     let first: RoutedRequest | undefined;
     for (const request of this.#requests) {
--- a/packages/router/src/worker-ranking.ts
+++ b/packages/router/src/worker-ranking.ts
@@ -1,11 +1,11 @@
-/** Orders the workers that may take a request of the platform system, the best first. */
+/** Orders the workers that can take a request at an edge of the platform system, the best first. */
 import { spread } from '@rainrun/common';
 import type { ClientRequest, WorkerView } from './request.js';
 import { BALANCER_POLICY } from './routing-policy.js';
 
 /**
- * Orders workers by load and zone; for a long shared prompt, those that should have its prefix cached come first
- * unless they are loaded clearly more. Sorts `workers` in place.
+ * Orders workers by load and zone. For a prompt with a long shared prefix, workers that should have the
+ * prefix cached come first unless they have much more load. Sorts `workers` in place.
  * @param inFlight - requests in flight from this edge at a worker
  * @example
  * rankWorkers(clientRequest, workers, { zone: 'north', inFlight: (id) => statuses.inFlight(id) });
@@ -25,7 +25,7 @@
   function loadOf(worker: WorkerView): number {
     return loads.get(worker.id) ?? 0;
   }
-  // Ties are broken anew for each request: by its shared prefix every edge would choose the same worker.
+  // Ties are broken by the request id: broken by the shared prefix, every edge would choose the same worker.
   workers.sort(
     (one, other) =>
       loadOf(one) - loadOf(other) ||
@@ -39,7 +39,7 @@
   return [...preferred, ...workers.filter((worker) => !preferred.includes(worker))];
 }
 
-/** Workers at which a prefix should be cached, by rendezvous hashing: the same at every edge. */
+/** Workers at which a prefix should be cached, chosen by rendezvous hashing: the same ones at every edge. */
 function cacheReplicas(key: string, workers: readonly WorkerView[]): WorkerView[] {
   return [...workers]
     .sort((one, other) => spread(`${key} ${other.id}`) - spread(`${key} ${one.id}`))
--- a/packages/router/src/worker-status.ts
+++ b/packages/router/src/worker-status.ts
@@ -1,30 +1,30 @@
-/** What one edge of the platform system knows of each worker from its own traffic: load, backoff, warm-up, misses. */
+/** What one edge knows of each worker from its own traffic: load, backoff, warm-up and missing models. */
 import { spread } from '@rainrun/common';
 import type { WorkerView } from './request.js';
 import { BACKOFF_POLICY, WARM_UP_POLICY } from './routing-policy.js';
 
-/** Tokens for requests to a worker that warms up. */
+/** Token bucket that limits requests to a worker that is warming up. */
 interface WarmUpBucket {
   tokens: number;
   refilledMs: number;
 }
 
-/** One worker as this edge experienced it. */
+/** The status of one worker, as observed by this edge. */
 export interface WorkerStatus {
   inFlight: number;
-  /** When any byte came from it last, on the monotonic clock. */
+  /** When the last byte came from it, on the monotonic clock. */
   lastHeardMs: number;
-  /** Failures in a row; each doubles the backoff. */
+  /** Consecutive failures; each doubles the backoff. */
   failures: number;
   backoffUntilMs: number;
   warmUp: WarmUpBucket | undefined;
-  /** Models (`model/adapter`) that it said it lacks, with the version of the row that had claimed them. */
+  /** Models (`model/adapter`) that it reported missing, with the version of the row that listed them. */
   readonly missingModels: Map<string, number>;
 }
 
-/** What the table needs of its edge. */
+/** What the table needs from its edge. */
 export interface WorkerStatusDependencies {
-  /** Different at every edge, so that edges do not act in step. */
+  /** Hash salt that differs at every edge, so that edges do not act in step. */
   readonly salt: string;
   /** Monotonic, in milliseconds. */
   nowMs(): number;
@@ -47,7 +47,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** The status of a worker, created at the first look. */
+  /** The status of a worker, created on first use. */
   status(id: string): WorkerStatus {
     let status = this.#statuses.get(id);
     if (status === undefined) {
@@ -69,7 +69,7 @@
     return this.#statuses.get(id)?.inFlight ?? 0;
   }
 
-  /** When any byte came from a worker last; -Infinity if never. */
+  /** When the last byte came from a worker; -Infinity if none has. */
   lastHeardMs(id: string): number {
     return this.#statuses.get(id)?.lastHeardMs ?? -Infinity;
   }
@@ -78,7 +78,7 @@
     this.status(id).lastHeardMs = this.#dependencies.nowMs();
   }
 
-  /** Forgets workers that are not listed any more and have nothing in flight. */
+  /** Removes workers that are no longer listed and have no requests in flight. */
   retainOnly(workers: ReadonlyMap<string, unknown>): void {
     for (const [id, status] of this.#statuses)
       if (!workers.has(id) && status.inFlight === 0) this.#statuses.delete(id);
@@ -94,7 +94,7 @@
     if (succeeded) status.failures = 0;
   }
 
-  /** A request failed: the worker is backed off, longer with each failure in a row. */
+  /** Backs a worker off after a failed request, longer with each consecutive failure. */
   recordFailure(id: string): void {
     const status = this.status(id);
     const nowMs = this.#dependencies.nowMs();
@@ -104,24 +104,24 @@
     status.backoffUntilMs = nowMs + Math.min(maxMs, firstMs * 2 ** (status.failures - 1));
   }
 
-  /** The worker had no capacity: it is backed off for so long at least. */
+  /** Backs a worker that has no capacity off for at least `waitMs`. */
   backOff(id: string, waitMs: number): void {
     const status = this.status(id);
     status.backoffUntilMs = Math.max(status.backoffUntilMs, this.#dependencies.nowMs() + waitMs);
   }
 
-  /** The worker lacks a model that this version of its row claims. */
+  /** Records that a worker lacks a model that the current version of its row lists. */
   recordMissingModel(worker: WorkerView, model: string, adapter: string): void {
     this.status(worker.id).missingModels.set(`${model}/${adapter}`, worker.number);
   }
 
-  /** Whether the worker said that it lacks a model, and its row has not changed since. */
+  /** Whether a worker reported a model missing and its row has not changed since. */
   lacksModel(worker: WorkerView, model: string, adapter: string): boolean {
     const missingModels = this.#statuses.get(worker.id)?.missingModels;
     return missingModels !== undefined && (missingModels.get(`${model}/${adapter}`) ?? -1) >= worker.number;
   }
 
-  /** Takes a token for a worker that warms up, at `perS` a second for the whole fleet; false if none is left. */
+  /** Takes a warm-up token, of which the fleet gets `perS` a second for a worker; false if none is left. */
   takeWarmUpToken(worker: WorkerView, perS: number): boolean {
     const nowMs = this.#dependencies.nowMs();
     if (nowMs >= worker.warmUpUntilMs || perS <= 0) return true;
@@ -131,7 +131,7 @@
       tokens: spread(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32,
       refilledMs: nowMs,
     });
-    // Tokens are not saved up while none is asked for: all edges would spend theirs at once.
+    // Refill is capped: tokens saved up while idle would let all edges spend theirs at once.
     const elapsedMs = Math.min(WARM_UP_POLICY.maxRefillMs, nowMs - bucket.refilledMs);
     bucket.tokens = Math.min(1, bucket.tokens + (rate * elapsedMs) / 1000);
     bucket.refilledMs = nowMs;
