--- a/packages/router/src/dropped-key-served.test.ts
+++ b/packages/router/src/dropped-key-served.test.ts
@@ -12,54 +12,54 @@
   return harness;
 }
 
-/** Earns budget for retries with requests of a tenant that stays. */
+/** Earns retry budget with requests of a tenant that is not dropped. */
 function earn(harness: RouterHarness): void {
   for (let done = 0; done < 5; done += 1) {
-    harness.submit('/once/x', { apiKey: 'key-1' });
+    harness.submit('/non-idempotent/x', { apiKey: 'key-1' });
     harness.lastSent().start();
     harness.lastSent().answer(200, 'ok');
   }
 }
 
-function holderOf(sent: SentRequest): string | undefined {
+function tenantOf(sent: SentRequest): string | undefined {
   return headerValue(sent.request.headers, HEADER_NAMES.tenant);
 }
 
-describe('a request whose key is dropped', () => {
-  it('is rejected with 401 when it comes after the configuration that drops it', () => {
+describe('a request whose API key is dropped from the configuration', () => {
+  it('is rejected with 401 if it arrives after the configuration that drops the key', () => {
     const harness = withTenants('w1');
-    harness.submit('/once/x', { apiKey: 'key-2' });
+    harness.submit('/non-idempotent/x', { apiKey: 'key-2' });
     harness.setTenants([KEPT]);
     expect([
-      harness.submit('/once/x', { apiKey: 'key-2' }).sink.calls,
-      harness.submit('/once/x', { apiKey: 'key-1' }).sink.calls,
-    ]).toEqual([['refuse 401'], []]);
+      harness.submit('/non-idempotent/x', { apiKey: 'key-2' }).sink.calls,
+      harness.submit('/non-idempotent/x', { apiKey: 'key-1' }).sink.calls,
+    ]).toEqual([['reject 401'], []]);
   });
 
   it('is rejected with 401 at once while it waits for a worker, and is never sent', () => {
     const harness = withTenants();
-    const dropped = harness.submit('/once/x', { apiKey: 'key-2' }).sink;
-    const kept = harness.submit('/once/x', { apiKey: 'key-1' }).sink;
+    const dropped = harness.submit('/non-idempotent/x', { apiKey: 'key-2' }).sink;
+    const kept = harness.submit('/non-idempotent/x', { apiKey: 'key-1' }).sink;
     harness.setTenants([KEPT]);
-    const atOnce = [[...dropped.calls], [...kept.calls]];
+    const initialCalls = [[...dropped.calls], [...kept.calls]];
     harness.putWorkers(worker('w1'));
     harness.advance(20);
-    expect([atOnce, harness.link.sent.map(holderOf)]).toEqual([[['refuse 401'], []], ['one']]);
+    expect([initialCalls, harness.link.sent.map(tenantOf)]).toEqual([[['reject 401'], []], ['one']]);
   });
 
-  it('is not sent when it is dropped between the choice of a worker and the first byte', () => {
+  it('is not sent if its key is dropped between the choice of a worker and the first byte', () => {
     const harness = withTenants('w1');
-    const { sink } = harness.submit('/once/x', { apiKey: 'key-2' });
+    const { sink } = harness.submit('/non-idempotent/x', { apiKey: 'key-2' });
     const sent = harness.lastSent();
     harness.setTenants([KEPT]);
     const started = sent.start();
     sent.handler.failed(false, 'withheld');
-    expect([started, sink.calls, harness.router.inFlight]).toEqual([false, ['refuse 401'], 0]);
+    expect([started, sink.calls, harness.router.inFlight]).toEqual([false, ['reject 401'], 0]);
   });
 
-  it('goes on where a worker is at work on it', () => {
+  it('continues if a worker is already running it', () => {
     const harness = withTenants('w1');
-    const { sink } = harness.submit('/tell/x', { apiKey: 'key-2' });
+    const { sink } = harness.submit('/stream/x', { apiKey: 'key-2' });
     harness.lastSent().start();
     harness.lastSent().openStream('s1');
     harness.setTenants([KEPT]);
@@ -68,100 +68,100 @@
     expect(sink.calls).toEqual(['open 200 s1', 'close']);
   });
 
-  it('is not sent again after a failure: 502, since a worker may have run it', () => {
+  it('ends with 502 instead of a retry after a failure, since a worker may have run it', () => {
     const harness = withTenants('w1', 'w2');
     earn(harness);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/often/x', { apiKey: 'key-2' });
+    const { sink } = harness.submit('/idempotent/x', { apiKey: 'key-2' });
     harness.lastSent().start();
     harness.setTenants([KEPT]);
     harness.lastSent().handler.failed(true, 'reset');
     harness.advance(100);
-    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 502']]);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['reject 502']]);
   });
 
-  it('is not sent again after a worker that has not run it: 401', () => {
+  it('ends with 401 instead of a retry after a worker that has not run it', () => {
     const harness = withTenants('w1', 'w2');
     earn(harness);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/often/x', { apiKey: 'key-2' });
+    const { sink } = harness.submit('/idempotent/x', { apiKey: 'key-2' });
     harness.lastSent().start();
     harness.setTenants([KEPT]);
     harness.lastSent().rejectAsNotRun(503);
     harness.advance(100);
-    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 401']]);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['reject 401']]);
   });
 
-  it('is not resumed at another worker: its client sees that the stream is cut', () => {
+  it('is not resumed at another worker: the client sees the stream aborted', () => {
     const harness = withTenants('w1', 'w2');
     earn(harness);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/talk/x', { apiKey: 'key-2' });
+    const { sink } = harness.submit('/resumable/x', { apiKey: 'key-2' });
     harness.lastSent().start();
     harness.lastSent().openStream('s1');
     harness.lastSent().events('id: 1\ndata: a\n\n');
     harness.setTenants([KEPT]);
     harness.lastSent().handler.failed(true, 'reset');
     harness.advance(300);
-    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['open 200 s1', 'cut']]);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['open 200 s1', 'abort']]);
   });
 
-  it('is served as nobody on a public route', () => {
+  it('is served without a tenant on a public route', () => {
     const harness = withTenants();
-    harness.submit('/open/x', { apiKey: 'key-2' });
+    harness.submit('/public/x', { apiKey: 'key-2' });
     harness.setTenants([KEPT]);
     harness.putWorkers(worker('w1'));
     harness.advance(20);
-    expect(harness.link.sent.map(holderOf)).toEqual([undefined]);
+    expect(harness.link.sent.map(tenantOf)).toEqual([undefined]);
   });
 
-  it('is rejected with 401 also where keys are needed from now on and it has none', () => {
+  it('is rejected with 401 if it has no key and a new configuration requires one', () => {
     const harness = new RouterHarness([]);
-    const { sink } = harness.submit('/once/x');
+    const { sink } = harness.submit('/non-idempotent/x');
     harness.setTenants([KEPT]);
-    expect(sink.calls).toEqual(['refuse 401']);
+    expect(sink.calls).toEqual(['reject 401']);
   });
 });
 
-describe('a request whose key passes to another tenant', () => {
-  const MOVED = [{ name: 'heir', apiKeys: ['key-2'] }];
+describe('a request whose API key moves to another tenant', () => {
+  const MOVED = [{ name: 'new-tenant', apiKeys: ['key-2'] }];
 
-  it('is sent as that one from then on, also where it waited', () => {
+  it('is sent under the new tenant from then on, also if it was waiting', () => {
     const harness = withTenants();
-    harness.submit('/once/x', { apiKey: 'key-2' });
+    harness.submit('/non-idempotent/x', { apiKey: 'key-2' });
     harness.setTenants(MOVED);
     harness.putWorkers(worker('w1'));
     harness.advance(20);
-    harness.submit('/once/x', { apiKey: 'key-2' });
-    expect(harness.link.sent.map(holderOf)).toEqual(['heir', 'heir']);
+    harness.submit('/non-idempotent/x', { apiKey: 'key-2' });
+    expect(harness.link.sent.map(tenantOf)).toEqual(['new-tenant', 'new-tenant']);
   });
 
-  it('is not sent under the former name when it passes before the first byte', () => {
+  it('is not sent under the former tenant if the key moves before the first byte', () => {
     const harness = withTenants('w1');
-    harness.submit('/once/x', { apiKey: 'key-2' });
+    harness.submit('/non-idempotent/x', { apiKey: 'key-2' });
     const first = harness.lastSent();
     harness.setTenants(MOVED);
     const started = first.start();
     first.handler.failed(false, 'withheld');
     const second = harness.lastSent();
-    expect([started, second === first, second.start(), holderOf(second)]).toEqual([
+    expect([started, second === first, second.start(), tenantOf(second)]).toEqual([
       false,
       false,
       true,
-      'heir',
+      'new-tenant',
     ]);
   });
 
-  it('is retried and resumed as that one', () => {
+  it('is retried and resumed under the new tenant', () => {
     const harness = withTenants('w1', 'w2');
     earn(harness);
-    harness.submit('/talk/x', { apiKey: 'key-2' });
+    harness.submit('/resumable/x', { apiKey: 'key-2' });
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
     first.events('id: 1\ndata: a\n\n');
     harness.setTenants(MOVED);
     first.handler.failed(true, 'reset');
-    expect([holderOf(first), holderOf(harness.lastSent())]).toEqual(['two', 'heir']);
+    expect([tenantOf(first), tenantOf(harness.lastSent())]).toEqual(['two', 'new-tenant']);
   });
 });
--- a/packages/router/src/event-splitter.test.ts
+++ b/packages/router/src/event-splitter.test.ts
@@ -2,7 +2,9 @@
 import { expect } from 'earl';
 import { EventSplitter } from './event-splitter.js';
 
-/** What is passed on of a stream that comes in these pieces, and what stays behind. */
+/**
+ * The events returned for a stream that arrives in these chunks, and the number of bytes left in the buffer.
+ */
 function split(...chunks: readonly string[]): { parts: string[]; ids: (string | undefined)[]; rest: number } {
   const splitter = new EventSplitter();
   const parts: string[] = [];
@@ -18,8 +20,8 @@
   return { parts, ids, rest: splitter.incompleteBytes };
 }
 
-describe('events of a stream', () => {
-  it('pass once they are whole, several at once, and the rest waits', () => {
+describe('the event splitter', () => {
+  it('returns complete events, several at once, and buffers the rest', () => {
     expect(split('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3')).toEqual({
       parts: ['id: 1\ndata: a\n\nid: 2\ndata: b\n\n'],
       ids: ['2'],
@@ -27,7 +29,7 @@
     });
   });
 
-  it('are the same however the bytes are cut', () => {
+  it('returns the same events wherever the bytes are split into chunks', () => {
     const text = 'id: 1\ndata: a\n\n: note\n\nid: 22\ndata: b\ndata: c\n\n';
     const wrong: number[] = [];
     for (let at = 0; at <= text.length; at += 1) {
@@ -43,25 +45,25 @@
     ]);
   });
 
-  it('may end their lines with return and line end', () => {
+  it('accepts lines that end with carriage return and line feed', () => {
     const text = 'id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n';
     const single = split(...text.split(''));
     expect([single.parts.length, single.parts.join(''), single.ids]).toEqual([2, text, ['1', '2']]);
   });
 
-  it('have the last id among them, also without a blank after the colon, or none', () => {
+  it('returns the last id of the events, also without a space after the colon, or none', () => {
     expect(split('id:7\ndata: a\n\ndata: no id\n\n').ids).toEqual(['7']);
     expect(split('data: a id: 9\n\n').ids).toEqual([undefined]);
     expect(split('data: x\nid: 4\n\n').ids).toEqual(['4']);
   });
 
-  it('keep bytes that are no text as they are', () => {
+  it('leaves bytes that are not valid text unchanged', () => {
     const bytes = Buffer.from([100, 97, 116, 97, 58, 0, 255, 254, 10, 10]);
     const events = new EventSplitter().take(bytes);
     expect(events === 'endless' ? [] : [...events.bytes]).toEqual([...bytes]);
   });
 
-  it('do not gather without end', () => {
+  it('rejects an event that exceeds the buffer limit', () => {
     const parts = split(...Array.from({ length: 20 }, () => 'x'.repeat(100_000))).parts;
     expect(parts.includes('endless')).toEqual(true);
   });
--- a/packages/router/src/idempotent.test.ts
+++ b/packages/router/src/idempotent.test.ts
@@ -3,18 +3,18 @@
 import { HEADER_NAMES, RouterHarness, worker } from './testing/router-harness.js';
 
 describe('an idempotent request', () => {
-  it('is sent again after a failure, to another worker, as often as its route allows', () => {
+  it('is retried at another worker after a failure, as often as its route allows', () => {
     const harness = new RouterHarness(['w1', 'w2', 'w3', 'w4'].map((id) => worker(id)));
     harness.earnRetryBudget(10);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/often/x');
+    const { sink } = harness.submit('/idempotent/x');
     for (let turn = 0; turn < 5; turn += 1) {
       const sent = harness.lastSent();
       if (sent.start()) sent.handler.failed(true, 'reset');
       harness.advance(1);
     }
     const addresses = harness.link.sent.slice(sends).map((sent) => sent.request.address);
-    expect([addresses.length, new Set(addresses).size, sink.calls]).toEqual([3, 3, ['refuse 502']]);
+    expect([addresses.length, new Set(addresses).size, sink.calls]).toEqual([3, 3, ['reject 502']]);
   });
 
   it('is never rejected as retryable after a worker may have run it', () => {
@@ -22,7 +22,7 @@
     for (const end of ['declined', 'budget gone', 'no worker'] as const) {
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
       harness.earnRetryBudget(end === 'budget gone' ? 1 : 5);
-      const { sink } = harness.submit('/often/x');
+      const { sink } = harness.submit('/idempotent/x');
       harness.lastSent().start();
       if (end === 'no worker') harness.workers.delete('w1');
       if (end === 'no worker') harness.workers.delete('w2');
@@ -37,10 +37,10 @@
     expect(wrong).toEqual([]);
   });
 
-  it('is not answered with what belongs to another request, but sent again', () => {
+  it('is retried if a worker sends the response of another request, which is not forwarded', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
-    const { sink } = harness.submit('/often/x');
+    const { sink } = harness.submit('/idempotent/x');
     const first = harness.lastSent();
     first.start();
     first.handler.head(200, [
@@ -51,17 +51,17 @@
     first.handler.end();
     harness.lastSent().start();
     harness.lastSent().answer(200, 'own');
-    expect([first.aborted, sink.calls]).toEqual([true, ['answer 200 own']]);
+    expect([first.aborted, sink.calls]).toEqual([true, ['respond 200 own']]);
   });
 
-  it('goes to no second worker where its route allows one', () => {
+  it('is not retried if its route allows one attempt', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/single/x');
+    const { sink } = harness.submit('/single-attempt/x');
     harness.lastSent().start();
     harness.lastSent().handler.failed(true, 'reset');
     harness.advance(200);
-    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['refuse 502']]);
+    expect([harness.link.sent.length - sends, sink.calls]).toEqual([1, ['reject 502']]);
   });
 });
--- a/packages/router/src/permit-spent-twice.test.ts
+++ b/packages/router/src/permit-spent-twice.test.ts
@@ -19,15 +19,15 @@
 
 function earn(harness: RouterHarness): void {
   for (let done = 0; done < 5; done += 1) {
-    submit(harness, '/once/x');
+    submit(harness, '/non-idempotent/x');
     harness.lastSent().start();
     harness.lastSent().answer(200, 'ok');
   }
   harness.permits.requests.length = 0;
 }
 
-/** How a worker ends an attempt without a response for the client. */
-const ENDS: Readonly<Record<string, (sent: SentRequest) => void>> = {
+/** Ways in which an attempt ends without a response for the client. */
+const ATTEMPT_ENDS: Readonly<Record<string, (sent: SentRequest) => void>> = {
   failed: (sent) => {
     sent.start();
     sent.handler.failed(true, 'reset');
@@ -46,22 +46,25 @@
   },
 };
 
-/** Requests whose permits come at once, or as a script says; counts permits and attempts that may have run. */
+/**
+ * Plays requests whose permits are granted at once or step by step; counts permits and attempts that may have
+ * run.
+ */
 class PermitScript {
   readonly harness = withQuota('w1', 'w2', 'w3');
   mayHaveRun = 0;
   #granted = 0;
-  #isAtOnce: boolean;
-  #played = 0;
+  #isImmediate: boolean;
+  #playedCount = 0;
 
-  constructor(isAtOnce: boolean) {
-    this.#isAtOnce = isAtOnce;
-    if (!isAtOnce) this.harness.permits.immediateAnswer = undefined;
+  constructor(isImmediate: boolean) {
+    this.#isImmediate = isImmediate;
+    if (!isImmediate) this.harness.permits.immediateAnswer = undefined;
   }
 
-  /** Permits that were granted, or answers that said so, of which some came too late. */
+  /** Permits granted, including answers that arrived too late to be used. */
   get granted(): number {
-    return this.#isAtOnce ? this.harness.permits.requests.length : this.#granted;
+    return this.#isImmediate ? this.harness.permits.requests.length : this.#granted;
   }
 
   answer(answer: PermitAnswer): void {
@@ -69,11 +72,13 @@
     this.harness.permits.requests.at(-1)?.answer(answer);
   }
 
-  /** The oldest send that was not played yet goes on like this. */
+  /**
+   * Plays the oldest send that was not played yet: starts it if it may start, and ends it in the given way.
+   */
   play(end: (sent: SentRequest) => void, isRun: boolean): void {
-    const sent = this.harness.link.sent[this.#played];
+    const sent = this.harness.link.sent[this.#playedCount];
     if (sent === undefined) return;
-    this.#played += 1;
+    this.#playedCount += 1;
     if (!sent.start()) return sent.handler.failed(false, 'withheld');
     if (isRun) this.mayHaveRun += 1;
     end(sent);
@@ -81,54 +86,54 @@
 }
 
 const SCRIPT_STEPS: Readonly<Record<string, (script: PermitScript) => void>> = {
-  submit: ({ harness }) => void submit(harness, '/often/x'),
-  later: ({ harness }) => harness.advance(60),
+  submit: ({ harness }) => void submit(harness, '/idempotent/x'),
+  wait: ({ harness }) => harness.advance(60),
   grant: (script) => script.answer(GRANTED_FOREVER),
   'grant for a short time': (script) =>
     script.answer({ kind: 'granted', permit: { endMs: script.harness.nowMs + 50 } }),
   refuse: (script) => script.answer({ kind: 'over-quota', retryAfterMs: 30 }),
   serve: (script) => script.play((sent) => sent.answer(200, 'ok'), true),
-  fail: (script) => script.play((sent) => sent.handler.failed(true, 'reset'), true),
+  reset: (script) => script.play((sent) => sent.handler.failed(true, 'reset'), true),
   decline: (script) => script.play((sent) => sent.rejectAsNotRun(503), false),
   miss: (script) => script.play((sent) => sent.handler.failed(false, 'refused'), false),
 };
 
-describe('a permit that is spent twice, or on nothing', () => {
-  it('is not needed without a tenant, without a limit, or without a configured rate', () => {
+describe('a permit of a tenant’s quota', () => {
+  it('is not needed without a tenant, without a rate limit, or without configured tenants', () => {
     const harness = withQuota('w1');
-    harness.submit('/open/x');
+    harness.submit('/public/x');
     const started = [harness.lastSent().start()];
     for (const tenants of [[{ name: 'free', apiKeys: ['key'] }], undefined]) {
       harness.setTenants(tenants);
-      submit(harness, '/once/x');
+      submit(harness, '/non-idempotent/x');
       started.push(harness.lastSent().start());
     }
     expect([started, harness.permits.requests.length]).toEqual([[true, true, true], 0]);
   });
 
-  it('is asked for once, however often the request is looked at while it waits for its answer', () => {
+  it('is requested once, however often the waiting request is checked before the answer', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = undefined;
-    const { sink } = submit(harness, '/once/x');
+    const { sink } = submit(harness, '/non-idempotent/x');
     for (let turn = 0; turn < 5; turn += 1) harness.advance(20);
     const before = [harness.permits.requests.map(({ tenant }) => tenant), harness.link.sent.length];
     harness.permits.requests[0]?.answer(GRANTED_FOREVER);
     const started = harness.lastSent().start();
     harness.lastSent().answer(200, 'ok');
-    expect([before, started, sink.calls]).toEqual([[['one'], 0], true, ['answer 200 ok']]);
+    expect([before, started, sink.calls]).toEqual([[['one'], 0], true, ['respond 200 ok']]);
   });
 
-  it('pays for one attempt that may have run: the retry draws again, any other attempt uses it again', () => {
-    const draws = Object.entries(ENDS).map(([name, end]) => {
+  it('covers one attempt that may have run: a retry after it needs a new permit, any other attempt reuses it', () => {
+    const requestCounts = Object.entries(ATTEMPT_ENDS).map(([name, end]) => {
       const harness = withQuota('w1', 'w2');
       earn(harness);
-      submit(harness, '/often/x');
+      submit(harness, '/idempotent/x');
       const first = harness.lastSent();
       end(first);
       const second = harness.lastSent();
       return [name, second !== first && second.start(), harness.permits.requests.length];
     });
-    expect(draws).toEqual([
+    expect(requestCounts).toEqual([
       ['failed', true, 2],
       ['not run', true, 1],
       ['misdirected', true, 1],
@@ -136,10 +141,10 @@
     ]);
   });
 
-  it('is drawn again for a stream that goes on at another worker', () => {
+  it('is requested again for a stream that is resumed at another worker', () => {
     const harness = withQuota('w1', 'w2');
     earn(harness);
-    submit(harness, '/talk/x');
+    submit(harness, '/resumable/x');
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
@@ -151,10 +156,10 @@
     expect([harness.permits.requests.length, harness.link.sent.length - sendsBefore]).toEqual([2, 1]);
   });
 
-  it('is not wasted on a stream that waits to go on and finds no worker', () => {
+  it('is not requested for an interrupted stream until a worker can resume it', () => {
     const harness = withQuota('w1', 'w2');
     earn(harness);
-    submit(harness, '/talk/x', 9000);
+    submit(harness, '/resumable/x', 9000);
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
@@ -162,26 +167,26 @@
     for (const id of ['w1', 'w2']) harness.putWorkers(worker(id, { draining: true }));
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
     first.handler.failed(true, 'reset');
-    const drawn = harness.permits.requests.length;
+    const requestedBefore = harness.permits.requests.length;
     for (let turn = 0; turn < 15; turn += 1) {
       harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
       harness.advance(100);
     }
-    const whileNone = harness.permits.requests.length - drawn;
+    const withoutWorker = harness.permits.requests.length - requestedBefore;
     harness.permits.immediateAnswer = GRANTED_FOREVER;
     harness.putWorkers(worker('w3'));
     for (let turn = 0; turn < 4; turn += 1) harness.advance(100);
-    expect([whileNone, harness.permits.requests.length - drawn, harness.lastSent() === first]).toEqual([
-      0,
-      1,
-      false,
-    ]);
+    expect([
+      withoutWorker,
+      harness.permits.requests.length - requestedBefore,
+      harness.lastSent() === first,
+    ]).toEqual([0, 1, false]);
   });
 
-  it('is not used after its end: nothing leaves, and a new one is drawn', () => {
+  it('is not used after it expires: nothing is sent, and a new one is requested', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
-    submit(harness, '/once/x');
+    submit(harness, '/non-idempotent/x');
     const first = harness.lastSent();
     harness.nowMs += 100;
     harness.permits.immediateAnswer = GRANTED_FOREVER;
@@ -195,19 +200,19 @@
     ]);
   });
 
-  it('that has ended when it comes is not asked for in a loop, but at the next look', () => {
+  it('is requested again at the next tick, not in a loop, if it has expired on arrival', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs } };
-    submit(harness, '/once/x');
+    submit(harness, '/non-idempotent/x');
     harness.advance(20);
     expect([harness.permits.requests.length, harness.link.sent.length]).toEqual([2, 0]);
   });
 
-  it('is given back by an attempt that did not run only while it has not ended', () => {
+  it('is reused after an attempt that did not run only if it has not expired', () => {
     const harness = withQuota('w1', 'w2');
     earn(harness);
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
-    submit(harness, '/often/x');
+    submit(harness, '/idempotent/x');
     harness.lastSent().start();
     harness.nowMs += 100;
     harness.permits.immediateAnswer = GRANTED_FOREVER;
@@ -215,7 +220,7 @@
     expect([harness.permits.requests.length, harness.lastSent().start()]).toEqual([2, true]);
   });
 
-  it('is asked for no more when the client leaves, the request expires or its key is dropped', () => {
+  it('is withdrawn if the client leaves, the request expires, its key is dropped or the router closes', () => {
     const ends: Readonly<Record<string, (harness: RouterHarness, leave: () => void) => void>> = {
       left: (_harness, leave) => leave(),
       expired: (harness) => harness.advance(1600),
@@ -225,7 +230,7 @@
     const withdrawn = Object.entries(ends).map(([name, end]) => {
       const harness = withQuota('w1');
       harness.permits.immediateAnswer = undefined;
-      const { leave, sink } = submit(harness, '/once/x');
+      const { leave, sink } = submit(harness, '/non-idempotent/x');
       end(harness, leave);
       const [asked] = harness.permits.requests;
       asked?.answer(GRANTED_FOREVER);
@@ -240,52 +245,52 @@
     ]);
   });
 
-  it('of one tenant does not pay for a request that has become another tenant’s', () => {
+  it('does not cover a request that has moved to another tenant', () => {
     const harness = withQuota();
-    submit(harness, '/once/x');
-    harness.setTenants([{ ...LIMITED, name: 'heir' }]);
+    submit(harness, '/non-idempotent/x');
+    harness.setTenants([{ ...LIMITED, name: 'new-tenant' }]);
     harness.putWorkers(worker('w1'));
     harness.advance(20);
     expect([harness.permits.requests.map(({ tenant }) => tenant), harness.lastSent().start()]).toEqual([
-      ['one', 'heir'],
+      ['one', 'new-tenant'],
       true,
     ]);
   });
 
-  it('is not wasted while no worker can take any request: none draws anew before one can', () => {
+  it('is not renewed while no worker can take the request', () => {
     const harness = withQuota();
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
-    for (let count = 0; count < 10; count += 1) submit(harness, '/often/x');
-    const drawn = harness.permits.requests.length;
+    for (let count = 0; count < 10; count += 1) submit(harness, '/idempotent/x');
+    const requestedBefore = harness.permits.requests.length;
     for (let turn = 0; turn < 4; turn += 1) {
       harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 150 } };
       harness.advance(100);
     }
-    expect([drawn, harness.permits.requests.length - drawn]).toEqual([10, 0]);
+    expect([requestedBefore, harness.permits.requests.length - requestedBefore]).toEqual([10, 0]);
     harness.putWorkers(worker('w1', { slots: 20 }));
     harness.advance(20);
-    expect([harness.permits.requests.length - drawn, harness.link.sent.length]).toEqual([10, 10]);
+    expect([harness.permits.requests.length - requestedBefore, harness.link.sent.length]).toEqual([10, 10]);
   });
 
-  it('is not sent twice when the answer to another request brings its own too', () => {
+  it('sends its request once if it is granted while another request asks for a permit', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 50 } };
     harness.workers.clear();
-    submit(harness, '/often/first');
+    submit(harness, '/idempotent/first');
     harness.permits.immediateAnswer = undefined;
-    submit(harness, '/often/second');
+    submit(harness, '/idempotent/second');
     const [, second] = harness.permits.requests;
     harness.putWorkers(worker('w1'));
     harness.permits.onRequest = () => second?.answer(GRANTED_FOREVER);
     harness.advance(100);
-    expect(harness.link.sent.map(({ request }) => request.target)).toEqual(['/often/second']);
+    expect(harness.link.sent.map(({ request }) => request.target)).toEqual(['/idempotent/second']);
   });
 
-  it('property: attempts that may have run are never more than permits that were granted', () => {
+  it('property: attempts that may have run never exceed the granted permits', () => {
     const step = fc.constantFrom(...Object.keys(SCRIPT_STEPS));
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 60 }), fc.boolean(), (steps, isAtOnce) => {
-        const script = new PermitScript(isAtOnce);
+      fc.property(fc.array(step, { maxLength: 60 }), fc.boolean(), (steps, isImmediate) => {
+        const script = new PermitScript(isImmediate);
         for (const name of steps) {
           SCRIPT_STEPS[name]?.(script);
           expect(script.mayHaveRun <= script.granted).toEqual(true);
--- a/packages/router/src/quota-refusal.test.ts
+++ b/packages/router/src/quota-refusal.test.ts
@@ -17,10 +17,10 @@
 }
 
 describe('a request over its tenant’s quota', () => {
-  it('is rejected with 429 and the time to come back at once, reaches no worker and is no demand', () => {
+  it('is rejected at once with 429 and Retry-After, reaches no worker and counts as no demand', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = OVER;
-    const sink = harness.submit('/often/x', { apiKey: 'key', model: 'model-1' }).sink;
+    const sink = harness.submit('/idempotent/x', { apiKey: 'key', model: 'model-1' }).sink;
     expect([sink.status, sink.rejection?.kind, sink.rejection?.retryAfterS]).toEqual([
       429,
       'over-quota',
@@ -29,51 +29,51 @@
     expect([harness.link.sent.length, harness.router.waiting, harness.router.demands()]).toEqual([0, 0, []]);
   });
 
-  it('is told to come back after the usual second where no time is known', () => {
+  it('is rejected without a retry time if none is known, so that the default Retry-After applies', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = { kind: 'over-quota', retryAfterMs: 0 };
-    const { rejection } = submit(harness, '/once/x');
+    const { rejection } = submit(harness, '/non-idempotent/x');
     expect([rejection?.kind, rejection?.retryAfterS]).toEqual(['over-quota', undefined]);
   });
 
-  it('is rejected with 429 too when the first answer comes later', () => {
+  it('is rejected with 429 also if the first answer arrives later', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = undefined;
-    const sink = submit(harness, '/once/x');
+    const sink = submit(harness, '/non-idempotent/x');
     const before = [...sink.calls];
     harness.permits.requests[0]?.answer(OVER);
     expect([before, sink.status, harness.router.waiting]).toEqual([[], 429, 0]);
   });
 
-  it('leaves its id free for the client’s next try', () => {
+  it('leaves its id free for the client’s next attempt', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = OVER;
-    harness.submit('/once/x', { apiKey: 'key', id: 'same' });
+    harness.submit('/non-idempotent/x', { apiKey: 'key', id: 'same' });
     harness.permits.immediateAnswer = GRANTED_FOREVER;
-    const { sink } = harness.submit('/once/x', { apiKey: 'key', id: 'same' });
+    const { sink } = harness.submit('/non-idempotent/x', { apiKey: 'key', id: 'same' });
     expect([sink.calls, harness.link.sent.length]).toEqual([[], 1]);
   });
 
-  it('does not hold up a request of another tenant that waits for the same workers', () => {
+  it('does not block a request of another tenant for the same workers', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.setTenants([LIMITED, { name: 'two', apiKeys: ['free'] }]);
     harness.permits.immediateAnswer = undefined;
-    submit(harness, '/once/x');
-    harness.submit('/once/x', { apiKey: 'free' });
+    submit(harness, '/non-idempotent/x');
+    harness.submit('/non-idempotent/x', { apiKey: 'free' });
     harness.advance(20);
     expect([harness.link.sent.length, harness.router.waiting]).toEqual([1, 1]);
   });
 });
 
-describe('a request that was admitted once', () => {
-  it('is never rejected for quota later: it waits, asks again when it may, and is sent', () => {
+describe('a request that was admitted under its tenant’s quota', () => {
+  it('is never rejected for quota later: it waits, requests a permit again when it may, and is sent', () => {
     const harness = withQuota('w1', 'w2');
     for (let done = 0; done < 5; done += 1) {
-      submit(harness, '/once/x');
+      submit(harness, '/non-idempotent/x');
       harness.lastSent().start();
       harness.lastSent().answer(200, 'ok');
     }
-    const sink = submit(harness, '/often/x');
+    const sink = submit(harness, '/idempotent/x');
     harness.lastSent().start();
     harness.permits.immediateAnswer = OVER;
     const asked = harness.permits.requests.length;
@@ -88,15 +88,15 @@
     expect([early, harness.permits.requests.length - asked, harness.link.sent.length - sends]).toEqual([
       1, 2, 1,
     ]);
-    expect([started, sink.calls]).toEqual([true, ['answer 200 late']]);
+    expect([started, sink.calls]).toEqual([true, ['respond 200 late']]);
   });
 
-  it('gets 504 when its time passes without a permit and it may have run, 503 when it has not', () => {
+  it('expires without a permit with 504 if it may have run, and with 503 if not', () => {
     const statuses = [true, false].map((mayHaveRun) => {
       const harness = withQuota('w1', 'w2');
       harness.permits.immediateAnswer = { kind: 'granted', permit: { endMs: harness.nowMs + 100 } };
       harness.earnRetryBudget(0);
-      const sink = submit(harness, '/often/x');
+      const sink = submit(harness, '/idempotent/x');
       if (mayHaveRun) harness.lastSent().start();
       harness.permits.immediateAnswer = OVER;
       harness.nowMs += 100;
@@ -111,21 +111,21 @@
     ]);
   });
 
-  it('gets 503 and a time to come back when no answer comes in its time', () => {
+  it('ends with 503 and Retry-After if no answer arrives before it expires', () => {
     const harness = withQuota('w1');
     harness.permits.immediateAnswer = undefined;
-    const sink = submit(harness, '/often/x');
+    const sink = submit(harness, '/idempotent/x');
     harness.advance(1600);
     expect([sink.calls, sink.rejection?.detail]).toEqual([
-      ['refuse 503 again'],
+      ['reject 503 retry-after'],
       "no permit of the tenant's quota was granted in time",
     ]);
   });
 
-  it('stays admitted when its tenant gets a limit while it waits for a worker', () => {
+  it('stays admitted if its tenant gets a rate limit while it waits for a worker', () => {
     const harness = new RouterHarness([]);
     harness.setTenants([{ ...LIMITED, ratePerS: 0 }]);
-    const sink = submit(harness, '/often/x');
+    const sink = submit(harness, '/idempotent/x');
     harness.permits.immediateAnswer = OVER;
     harness.setTenants([LIMITED]);
     harness.putWorkers(worker('w1'));
@@ -135,14 +135,14 @@
     expect([sink.calls, harness.lastSent().start()]).toEqual([[], true]);
   });
 
-  it('that is silent at its worker stays there when no permit for another one is at hand', () => {
+  it('stays at a silent worker if there is no permit for an attempt at another one', () => {
     const harness = withQuota('w1', 'w2');
     for (let done = 0; done < 5; done += 1) {
-      submit(harness, '/once/x');
+      submit(harness, '/non-idempotent/x');
       harness.lastSent().start();
       harness.lastSent().answer(200, 'ok');
     }
-    const sink = harness.submit('/talk/x', { apiKey: 'key', deadlineMs: 9000 }).sink;
+    const sink = harness.submit('/resumable/x', { apiKey: 'key', deadlineMs: 9000 }).sink;
     const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
@@ -156,19 +156,19 @@
   });
 });
 
-describe('the counts of a tenant', () => {
-  it('say what was taken, sent and refused, by name and only where there are tenants', () => {
+describe('the counters of a tenant', () => {
+  it('count requests taken, sent and refused, by tenant name and only for requests of a tenant', () => {
     const harness = withQuota('w1');
     harness.setTenants([LIMITED, { name: 'two', apiKeys: ['free'] }]);
-    submit(harness, '/once/x');
+    submit(harness, '/non-idempotent/x');
     harness.lastSent().start();
     harness.lastSent().answer(200, 'ok');
     harness.permits.immediateAnswer = OVER;
-    submit(harness, '/once/x');
+    submit(harness, '/non-idempotent/x');
     harness.workers.clear();
-    harness.submit('/often/x', { apiKey: 'free' });
-    harness.submit('/often/x', { apiKey: 'none' });
-    harness.submit('/open/x');
+    harness.submit('/idempotent/x', { apiKey: 'free' });
+    harness.submit('/idempotent/x', { apiKey: 'none' });
+    harness.submit('/public/x');
     harness.advance(1600);
     expect(harness.router.tenantCounts).toEqual({
       one: { taken: 2, sent: 1, refusedOverQuota: 1, refused: 0 },
--- a/packages/router/src/route-table.test.ts
+++ b/packages/router/src/route-table.test.ts
@@ -20,7 +20,7 @@
 }
 
 describe('the route of a request', () => {
-  it('is that of its host whose prefix is the longest that begins its path', () => {
+  it('is the one of its host with the longest prefix of its path', () => {
     const routes = table(
       route('short', 'a.example', '/x/'),
       route('long', 'a.example', '/x/y/'),
@@ -46,7 +46,7 @@
     ]);
   });
 
-  it('leads to the services of its split by their weights, the same for the same id, and never to one of weight 0', () => {
+  it('selects a service by the weights of its split: always the same for one id, and never one of weight 0', () => {
     const routes = table(
       route('split', 'a.example', '/', {
         service: null,
--- a/packages/router/src/streams.test.ts
+++ b/packages/router/src/streams.test.ts
@@ -4,9 +4,9 @@
 import { HEADER_NAMES, RouterHarness, worker } from './testing/router-harness.js';
 
 describe('a stream', () => {
-  it('is forwarded event by event, with no byte of an incomplete one', () => {
+  it('is forwarded in complete events, without any byte of an incomplete one', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.submit('/tell/x');
+    const { sink } = harness.submit('/stream/x');
     const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
@@ -22,10 +22,10 @@
     ]);
   });
 
-  it('that may be resumed goes on at another worker after the last complete event, under its first head', () => {
+  it('is resumed at another worker after the last complete event, under its first response head', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
-    const { sink } = harness.submit('/talk/x');
+    const { sink } = harness.submit('/resumable/x');
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
@@ -46,10 +46,10 @@
     ]);
   });
 
-  it('that is taken up a second later is handed what is left of its time, not what there was', () => {
+  it('is resumed with its remaining time, not with its original deadline', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
-    harness.submit('/talk/x', { deadlineMs: 2500 });
+    harness.submit('/resumable/x', { deadlineMs: 2500 });
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
@@ -64,18 +64,18 @@
     expect(Number(times[0]) - Number(times[1])).toEqual(1000);
   });
 
-  it('that may be resumed begins after the event that the client names', () => {
+  it('starts after the event that the client names, if it is resumable', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.submit('/talk/x', { lastEventId: '12' });
+    harness.submit('/resumable/x', { lastEventId: '12' });
     expect(headerValue(harness.lastSent().request.headers, HEADER_NAMES.lastEventId)).toEqual('12');
   });
 
-  it('that may not be resumed is visibly cut when its worker breaks off, ends within an event or belongs elsewhere', () => {
+  it('is visibly aborted, if it is not resumable, when its worker resets it or ends it within an event', () => {
     for (const end of ['reset', 'half'] as const) {
       const harness = new RouterHarness([worker('w1'), worker('w2')]);
       harness.earnRetryBudget(5);
       const sends = harness.link.sent.length;
-      const { sink } = harness.submit('/tell/x');
+      const { sink } = harness.submit('/stream/x');
       const sent = harness.lastSent();
       sent.start();
       sent.openStream('s1');
@@ -85,29 +85,29 @@
       harness.advance(100);
       expect([end, sink.calls, sink.text, harness.link.sent.length - sends]).toEqual([
         end,
-        ['open 200 s1', 'cut'],
+        ['open 200 s1', 'abort'],
         'id: 1\ndata: a\n\n',
         1,
       ]);
     }
   });
 
-  it('that may be resumed is visibly cut when nothing can go on with it', () => {
+  it('is visibly aborted, if it is resumable, when no retry is allowed', () => {
     const harness = new RouterHarness([worker('w1')], { ratio: 0, extra: 0 });
-    const { sink } = harness.submit('/talk/x');
+    const { sink } = harness.submit('/resumable/x');
     const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
     sent.events('id: 1\ndata: a\n\n');
     sent.handler.failed(true, 'reset');
     harness.advance(100);
-    expect(sink.calls).toEqual(['open 200 s1', 'cut']);
+    expect(sink.calls).toEqual(['open 200 s1', 'abort']);
   });
 
-  it('takes nothing from a worker that answers otherwise than with a stream where one was to go on', () => {
+  it('ignores a worker that responds to its resumption with anything but a stream', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(1);
-    const { sink } = harness.submit('/talk/x');
+    const { sink } = harness.submit('/resumable/x');
     const first = harness.lastSent();
     first.start();
     first.openStream('s1');
@@ -117,12 +117,12 @@
     second.start();
     second.answer(500, 'broken');
     harness.advance(9000);
-    expect([sink.text, sink.calls]).toEqual(['id: 1\ndata: a\n\n', ['open 200 s1', 'cut']]);
+    expect([sink.text, sink.calls]).toEqual(['id: 1\ndata: a\n\n', ['open 200 s1', 'abort']]);
   });
 
   it('pauses its worker while the client reads slowly', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.submit('/tell/x');
+    const { sink } = harness.submit('/stream/x');
     sink.slow = true;
     const sent = harness.lastSent();
     sent.start();
@@ -137,7 +137,7 @@
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
-    const { sink } = harness.submit('/talk/x', { deadlineMs: 9000 });
+    const { sink } = harness.submit('/resumable/x', { deadlineMs: 9000 });
     const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
@@ -157,11 +157,11 @@
     ]);
   });
 
-  it('of a client that has left is given up', () => {
+  it('is cancelled when its client has left', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     harness.earnRetryBudget(5);
     const sends = harness.link.sent.length;
-    const { leave } = harness.submit('/talk/x');
+    const { leave } = harness.submit('/resumable/x');
     const sent = harness.lastSent();
     sent.start();
     sent.openStream('s1');
--- a/packages/router/src/testing/router-harness.ts
+++ b/packages/router/src/testing/router-harness.ts
@@ -1,4 +1,4 @@
-/** A router under test: fake link, sink and workers of the platform system. */
+/** Test harness for the router: scripted link, client sink, permits and workers. */
 import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import {
   checkConfiguration,
@@ -12,7 +12,7 @@
 import type { ClientRequest, ResponseSink, WorkerView } from '../request.js';
 import { headerValue, type HeaderNames } from '../headers.js';
 
-/** Names of the headers between router and workers in these tests. */
+/** Header names between router and workers in these tests; they differ from the production names. */
 export const HEADER_NAMES: HeaderNames = {
   requestId: 'call-id',
   deadlineMs: 'left-ms',
@@ -29,38 +29,38 @@
   revision: 1,
   routes: [
     {
-      name: 'once',
+      name: 'non-idempotent',
       host: 'a.example',
-      prefix: '/once/',
-      service: 'look',
+      prefix: '/non-idempotent/',
+      service: 'service-1',
       kind: 'non_idempotent',
       timeoutMs: 2000,
       attempts: 3,
     },
     {
-      name: 'often',
+      name: 'idempotent',
       host: 'a.example',
-      prefix: '/often/',
-      service: 'look',
+      prefix: '/idempotent/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 3,
       targetMs: 200,
     },
     {
-      name: 'single',
+      name: 'single-attempt',
       host: 'a.example',
-      prefix: '/single/',
-      service: 'look',
+      prefix: '/single-attempt/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 1,
     },
     {
-      name: 'talk',
+      name: 'resumable',
       host: 'a.example',
-      prefix: '/talk/',
-      service: 'look',
+      prefix: '/resumable/',
+      service: 'service-1',
       kind: 'streaming',
       timeoutMs: 9000,
       attempts: 3,
@@ -69,10 +69,10 @@
       targetMs: 500,
     },
     {
-      name: 'tell',
+      name: 'stream',
       host: 'a.example',
-      prefix: '/tell/',
-      service: 'look',
+      prefix: '/stream/',
+      service: 'service-1',
       kind: 'streaming',
       timeoutMs: 9000,
       attempts: 3,
@@ -83,32 +83,32 @@
       name: 'model',
       host: 'a.example',
       prefix: '/model/',
-      service: 'assist',
+      service: 'service-2',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 2,
     },
     {
-      name: 'open',
+      name: 'public',
       host: 'a.example',
-      prefix: '/open/',
-      service: 'look',
+      prefix: '/public/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 2,
       public: true,
     },
     {
-      name: 'home',
+      name: 'regional',
       host: 'a.example',
-      prefix: '/home/',
-      service: 'look',
+      prefix: '/regional/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       regions: ['south'],
     },
   ],
-  services: [{ name: 'look', warmupPerS: 10 }, { name: 'assist' }],
+  services: [{ name: 'service-1', warmupPerS: 10 }, { name: 'service-2' }],
 };
 
 function testConfiguration(change: object = {}): Configuration {
@@ -116,7 +116,7 @@
   return checked.isOk ? checked.value : ({} as Configuration);
 }
 
-/** A tenant as a test configures it. */
+/** A tenant in the configuration of a test. */
 export interface TestTenant {
   readonly name: string;
   readonly apiKeys: readonly string[];
@@ -127,7 +127,7 @@
 
 const TEST_SECRET = new Uint8Array(TENANT_SECRET_BYTES).fill(7);
 
-/** One attempt on the link, at which a test plays the worker. */
+/** One attempt on the link; the test acts as the worker. */
 export class SentRequest implements LinkSend {
   readonly request: LinkRequest;
   readonly handler: LinkHandler;
@@ -146,20 +146,20 @@
   resume(): void {
     this.paused = false;
   }
-  /** Its first byte leaves, if it may. */
+  /** Sends the first byte if the router allows it; returns whether it does. */
   start(): boolean {
     return this.handler.mayStart();
   }
   get id(): string {
     return headerValue(this.request.headers, HEADER_NAMES.requestId) ?? '';
   }
-  /** A whole answer of this worker. */
+  /** Sends a complete response of the worker. */
   answer(status: number, body: string, headers: readonly Header[] = []): void {
     this.handler.head(status, [[HEADER_NAMES.requestId, this.id], [HEADER_NAMES.signature, 's'], ...headers]);
     this.handler.chunk(Buffer.from(body));
     this.handler.end();
   }
-  /** It says that it has not run the request. */
+  /** Rejects the request with the header that says that the worker has not run it. */
   rejectAsNotRun(status: number): void {
     this.handler.head(status, [
       [HEADER_NAMES.requestId, this.id],
@@ -179,7 +179,7 @@
   }
 }
 
-/** A link that records what is sent and lets tests play the workers. */
+/** A link that records what is sent, so that a test can act as the workers. */
 export class RecordingLink implements Link {
   readonly sent: SentRequest[] = [];
   send(request: LinkRequest, handler: LinkHandler): LinkSend {
@@ -189,20 +189,20 @@
   }
 }
 
-/** A request for a permit, which a test answers. */
+/** A request for a permit, answered by the test. */
 export interface PermitRequest {
   readonly tenant: string;
   withdrawn: boolean;
   answer(answer: PermitAnswer): void;
 }
 
-/** Gives permits as a test says: at once, or when it answers what was asked. */
+/** A permit source controlled by the test: answers at once, or when the test answers a recorded request. */
 export class ScriptedPermits implements PermitSource {
   readonly requests: PermitRequest[] = [];
-  /** The answer that is given at once; undefined: none. */
+  /** The answer that is given at once; undefined to leave requests unanswered. */
   immediateAnswer: PermitAnswer | undefined = { kind: 'granted', permit: { endMs: Infinity } };
 
-  /** Called with each request for a permit. */
+  /** Called on each request for a permit. */
   onRequest: () => void = () => undefined;
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
@@ -216,23 +216,23 @@
   }
 }
 
-/** A client that records what it is answered. */
+/** A response sink that records its calls. */
 export class RecordingSink implements ResponseSink {
   readonly calls: string[] = [];
   status = 0;
-  /** What it was rejected with; undefined if it was not. */
+  /** The fault of the rejection; undefined if the request was not rejected. */
   rejection: Fault | undefined;
   text = '';
   slow = false;
   drained: (() => void) | undefined;
   respond(status: number, _headers: readonly Header[], body: Buffer): void {
     this.status = status;
-    this.calls.push(`answer ${status} ${body.toString()}`);
+    this.calls.push(`respond ${status} ${body.toString()}`);
   }
   reject(reason: Fault): void {
     this.rejection = reason;
     this.status = FAULT_RESPONSES[reason.kind].status;
-    this.calls.push(`refuse ${this.status}${reason.retryAfterS === undefined ? '' : ' again'}`);
+    this.calls.push(`reject ${this.status}${reason.retryAfterS === undefined ? '' : ' retry-after'}`);
   }
   open(status: number, headers: readonly Header[]): void {
     this.status = status;
@@ -247,15 +247,15 @@
     this.calls.push('close');
   }
   abort(): void {
-    this.calls.push('cut');
+    this.calls.push('abort');
   }
 }
 
-/** An idle worker of service `look` in zone `north`, but for what is changed. */
+/** An idle worker of service `service-1` in zone `north`, with the given changes. */
 export function worker(id: string, change: Partial<WorkerView> = {}): WorkerView {
   return {
     id,
-    service: 'look',
+    service: 'service-1',
     address: `${id}:80`,
     zone: 'north',
     draining: false,
@@ -268,7 +268,7 @@
   };
 }
 
-/** A router with a clock, workers and a link that a test controls. */
+/** A router whose clock, workers, configuration and link are controlled by the test. */
 export class RouterHarness {
   nowMs = 1000;
   edges = 1;
@@ -276,7 +276,7 @@
   workers = new Map<string, WorkerView>();
   modelMissingCount = 0;
   waitCount = 0;
-  /** False: this edge knows no configuration yet. */
+  /** Whether this edge has a configuration. */
   configured = true;
   configuration = testConfiguration();
   tenants: TenantDirectory | undefined;
@@ -314,7 +314,7 @@
     });
   }
 
-  /** Puts a configuration with these tenants in force, and says so as an edge does. */
+  /** Applies a configuration with these tenants, and calls `tick` as an edge does after a change. */
   setTenants(tenants: readonly TestTenant[] | undefined): void {
     this.configuration = testConfiguration({ tenants });
     const entries = this.configuration.tenants;
@@ -353,10 +353,10 @@
     return { sink, leave: this.router.submit(clientRequest, sink) };
   }
 
-  /** Earns budget with requests that are served at once. */
+  /** Earns retry budget with requests that are served at once. */
   earnRetryBudget(count: number): void {
     for (let done = 0; done < count; done += 1) {
-      this.submit('/once/x');
+      this.submit('/non-idempotent/x');
       const sent = this.lastSent();
       sent.start();
       sent.answer(200, 'ok');
--- a/packages/router/src/unknown-key-served.test.ts
+++ b/packages/router/src/unknown-key-served.test.ts
@@ -14,81 +14,81 @@
   return harness;
 }
 
-function holderOf(sent: SentRequest): string | undefined {
+function tenantOf(sent: SentRequest): string | undefined {
   return headerValue(sent.request.headers, HEADER_NAMES.tenant);
 }
 
-describe('a request without a known key', () => {
+describe('a request without a known API key', () => {
   it('is rejected with 401 at once, on each kind of route, and reaches no worker', () => {
     const harness = withTenants();
-    const targets = ['/once/x', '/often/x', '/tell/x', '/talk/x'];
+    const targets = ['/non-idempotent/x', '/idempotent/x', '/stream/x', '/resumable/x'];
     const answers = targets.flatMap((target) =>
       [undefined, '', 'key-9', 'key-1 ', 'KEY-1'].map(
         (apiKey) => harness.submit(target, { apiKey }).sink.calls,
       ),
     );
-    expect(answers.filter((seen) => seen.join() !== 'refuse 401')).toEqual([]);
+    expect(answers.filter((seen) => seen.join() !== 'reject 401')).toEqual([]);
     expect([harness.link.sent.length, harness.router.waiting]).toEqual([0, 0]);
     expect(harness.router.counts['refused unauthenticated']).toEqual(answers.length);
   });
 
-  it('is rejected with 401 where the list of tenants is empty', () => {
+  it('is rejected with 401 if the list of tenants is empty', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.setTenants([]);
-    expect(harness.submit('/once/x', { apiKey: 'key-1' }).sink.calls).toEqual(['refuse 401']);
+    expect(harness.submit('/non-idempotent/x', { apiKey: 'key-1' }).sink.calls).toEqual(['reject 401']);
   });
 
-  it('is served on a public route, as nobody', () => {
+  it('is served on a public route, without a tenant', () => {
     const harness = withTenants();
-    const holders = [undefined, 'key-9', 'key-2'].map((apiKey) => {
-      harness.submit('/open/x', { apiKey });
-      return holderOf(harness.lastSent());
+    const tenants = [undefined, 'key-9', 'key-2'].map((apiKey) => {
+      harness.submit('/public/x', { apiKey });
+      return tenantOf(harness.lastSent());
     });
-    expect(holders).toEqual([undefined, undefined, 'two']);
+    expect(tenants).toEqual([undefined, undefined, 'two']);
   });
 
-  it('is not told which routes there are; a known key is told that there is none', () => {
+  it('gets 401 also for a missing route, where a request with a known key gets 404', () => {
     const harness = withTenants();
     const answers = [undefined, 'key-9', 'key-1'].map(
-      (apiKey) => harness.submit('/missing/x', { apiKey }).sink.status,
+      (apiKey) => harness.submit('/unknown/x', { apiKey }).sink.status,
     );
     expect(answers).toEqual([401, 401, 404]);
   });
 
-  it('waits for a configuration before the first one, and gets 503 where none comes, never 401', () => {
+  it('waits for the first configuration, and gets 503, never 401, if none arrives', () => {
     const harness = withTenants();
     harness.configured = false;
     harness.tenants = undefined;
-    const { sink } = harness.submit('/once/x', { apiKey: 'key-9', deadlineMs: 4000 });
-    const atOnce = [...sink.calls];
+    const { sink } = harness.submit('/non-idempotent/x', { apiKey: 'key-9', deadlineMs: 4000 });
+    const initialCalls = [...sink.calls];
     harness.advance(2000);
-    expect([atOnce, sink.calls]).toEqual([[], ['refuse 503']]);
+    expect([initialCalls, sink.calls]).toEqual([[], ['reject 503']]);
   });
 
-  it('that came before the first configuration is judged by that one', () => {
+  it('is checked against the first configuration if it arrived before that', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.configured = false;
-    const known = harness.submit('/once/x', { apiKey: 'key-1' });
-    const unknown = harness.submit('/once/x', { apiKey: 'key-9' });
+    const known = harness.submit('/non-idempotent/x', { apiKey: 'key-1' });
+    const unknown = harness.submit('/non-idempotent/x', { apiKey: 'key-9' });
     harness.configured = true;
     harness.setTenants(TENANTS);
-    expect([known.sink.calls, unknown.sink.calls, harness.link.sent.map(holderOf)]).toEqual([
+    expect([known.sink.calls, unknown.sink.calls, harness.link.sent.map(tenantOf)]).toEqual([
       [],
-      ['refuse 401'],
+      ['reject 401'],
       ['one'],
     ]);
   });
 
-  it('is served where the configuration has no tenants', () => {
+  it('is served if the configuration has no tenants', () => {
     const harness = new RouterHarness([worker('w1')]);
     harness.setTenants(undefined);
-    harness.submit('/once/x', { apiKey: 'key-9' });
-    expect([harness.link.sent.length, holderOf(harness.lastSent())]).toEqual([1, undefined]);
+    harness.submit('/non-idempotent/x', { apiKey: 'key-9' });
+    expect([harness.link.sent.length, tenantOf(harness.lastSent())]).toEqual([1, undefined]);
   });
 });
 
-describe('a key or a forged name at a worker', () => {
-  it('does not come: the worker is told the tenant that holds the key, whatever the client sent', () => {
+describe('the API key and a forged tenant name', () => {
+  it('do not reach the worker, which is told the tenant that holds the key', () => {
     const harness = withTenants();
     const headers = [
       ['Call-Id', 'q'],
@@ -96,16 +96,16 @@
       ['Holder', 'two'],
       ['holder', 'three'],
     ] as const;
-    harness.submit('/once/x', { id: 'q', apiKey: 'key-1b', headers });
+    harness.submit('/non-idempotent/x', { id: 'q', apiKey: 'key-1b', headers });
     const { headers: sent } = harness.lastSent().request;
     const names = sent.filter(([name]) => ['key', 'holder'].includes(name.toLowerCase()));
     expect(names).toEqual([[HEADER_NAMES.tenant, 'one']]);
     expect(JSON.stringify(sent).includes('key-1b')).toEqual(false);
   });
 
-  it('does not come either where the configuration has no tenants', () => {
+  it('do not reach the worker either if the configuration has no tenants', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.submit('/once/x', {
+    harness.submit('/non-idempotent/x', {
       apiKey: 'key-1',
       headers: [
         ['Key', 'key-1'],
--- a/packages/router/src/worker-outcomes.test.ts
+++ b/packages/router/src/worker-outcomes.test.ts
@@ -3,51 +3,51 @@
 import { RouterHarness, worker } from './testing/router-harness.js';
 
 describe('a worker that fails its requests', () => {
-  it('is reported by its errors, also where the client has its answer and the request may not be repeated', () => {
+  it('is reported for an error response, although the client got it and the request may not be retried', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const { sink } = harness.submit('/once/x');
+    const { sink } = harness.submit('/non-idempotent/x');
     harness.lastSent().start();
     harness.lastSent().answer(500, 'broken');
-    expect(sink.calls).toEqual(['answer 500 broken']);
+    expect(sink.calls).toEqual(['respond 500 broken']);
     expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
     expect(harness.router.takeOutcomes()).toEqual([]);
   });
 
-  it('is reported when a client leaves after a long silence, and not when it leaves at once', () => {
+  it('is reported if a client leaves after a long silence, but not if it leaves at once', () => {
     const harness = new RouterHarness([worker('w1')]);
-    const patient = harness.submit('/once/x');
+    const patient = harness.submit('/non-idempotent/x');
     harness.lastSent().start();
     harness.advance(1300);
     patient.leave();
-    const hasty = harness.submit('/once/x');
+    const hasty = harness.submit('/non-idempotent/x');
     harness.lastSent().start();
     harness.advance(50);
     hasty.leave();
     expect(harness.router.takeOutcomes()).toEqual([{ worker: 'w1', answered: 0, failed: 1 }]);
   });
 
-  it('is not reported for what it rejects, as a full worker does', () => {
+  it('is not reported for requests that it rejects because it is full', () => {
     const harness = new RouterHarness([worker('w1')]);
-    harness.submit('/once/x');
+    harness.submit('/non-idempotent/x');
     harness.lastSent().start();
     harness.lastSent().rejectAsNotRun(503);
     expect(harness.router.takeOutcomes()).toEqual([]);
   });
 
-  it('gets no request here while others can take it and this edge is not to send to it', () => {
+  it('gets no request from an edge outside its share while other workers can take it', () => {
     const harness = new RouterHarness([worker('w1', { sharePercent: 0 }), worker('w2')]);
-    for (let nth = 0; nth < 4; nth += 1) harness.submit('/once/x');
+    for (let nth = 0; nth < 4; nth += 1) harness.submit('/non-idempotent/x');
     expect(harness.link.sent.map(({ request }) => request.address)).toEqual([
       'w2:80',
       'w2:80',
       'w2:80',
       'w2:80',
     ]);
-    harness.submit('/once/x');
+    harness.submit('/non-idempotent/x');
     expect(harness.lastSent().request.address).toEqual('w1:80');
   });
 
-  it('is tried again by a part of the edges', () => {
+  it('still gets requests from its share of the edges', () => {
     let tried = 0;
     for (let edge = 0; edge < 100; edge += 1) {
       const harness = new RouterHarness(
@@ -55,7 +55,7 @@
         undefined,
         `incarnation-${edge}`,
       );
-      harness.submit('/once/x');
+      harness.submit('/non-idempotent/x');
       if (harness.lastSent().request.address === 'w1:80') tried += 1;
     }
     expect(tried > 2 && tried < 25).toEqual(true);
