--- a/packages/router/src/balancer.test.ts
+++ b/packages/router/src/balancer.test.ts
@@ -4,7 +4,7 @@
 import { HEADER_NAMES, RouterHarness, worker } from './testing/router-harness.js';
 
 describe('the choice of a worker', () => {
-  it('excludes workers that drain, are evacuated, or are of another service or of a region the route does not list', () => {
+  it('excludes draining and evacuated workers, and those of another service or of a region not listed', () => {
     const harness = new RouterHarness([
       worker('draining', { draining: true }),
       worker('evacuated', { zone: 'east' }),
@@ -65,7 +65,7 @@
     }
   });
 
-  it('keeps the requests of all edges to a worker that is warming up within its limit, also in a second warm-up', () => {
+  it('keeps the sends of all edges to a warming-up worker within its limit, also in a second warm-up', () => {
     const PER_S = 10;
     const wrong: string[] = [];
     for (const count of [3, 9, 80]) {
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -7,7 +7,7 @@
   readonly request: ClientRequest;
   readonly sink: ResponseSink;
   readonly arrivedMs: number;
-  readonly endMs: number;
+  readonly expiresMs: number;
   cancel: (() => void) | undefined;
 }
 
@@ -38,8 +38,8 @@
   /** Holds a request; the returned function must be called when the client disconnects. */
   add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
     const { configurationWaitMs } = ADMISSION_POLICY;
-    const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
-    const entry: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
+    const expiresMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
+    const entry: EarlyRequest = { request, sink, arrivedMs: nowMs, expiresMs, cancel: undefined };
     this.#pending.add(entry);
     return () => {
       this.#pending.delete(entry);
@@ -50,7 +50,7 @@
   /** Submits all held requests once a configuration is known; until then, rejects those that have expired. */
   release(isConfigured: boolean, nowMs: number): void {
     for (const entry of this.#pending) {
-      if (!isConfigured && nowMs < entry.endMs) continue;
+      if (!isConfigured && nowMs < entry.expiresMs) continue;
       this.#pending.delete(entry);
       if (isConfigured) entry.cancel = this.#context.submit(withRemainingTime(entry, nowMs), entry.sink);
       else this.#context.reject(entry.sink);
--- a/packages/router/src/non-idempotent.test.ts
+++ b/packages/router/src/non-idempotent.test.ts
@@ -4,7 +4,7 @@
 import { HEADER_NAMES, RouterHarness, worker } from './testing/router-harness.js';
 
 describe('a non-idempotent request', () => {
-  it('is forwarded with unchanged method, path, id, body and other headers, for the chosen instance only', () => {
+  it('is forwarded unchanged (method, path, id, body, headers), for the chosen instance only', () => {
     const harness = new RouterHarness([worker('w1')]);
     const { sink } = harness.submit('/non-idempotent/x?a=1');
     const { request } = harness.lastSent();
@@ -130,7 +130,7 @@
     expect([sink.calls, harness.link.sent.length]).toEqual([['respond 500 broken'], 1]);
   });
 
-  it('control safety, point 5: does not start after a process freeze that outlasted its deadline, and is rejected as retryable', () => {
+  it('control safety, point 5: does not start after a freeze beyond its deadline, and is rejected as retryable', () => {
     const harness = new RouterHarness([worker('w1')]);
     const { sink } = harness.submit('/non-idempotent/x');
     const sent = harness.lastSent();
@@ -140,7 +140,7 @@
     expect([started, sink.calls]).toEqual([false, ['reject 503 retry-after']]);
   });
 
-  it('control safety, point 5: does not start after a process freeze during which its worker began to drain', () => {
+  it('control safety, point 5: does not start after a freeze during which its worker began to drain', () => {
     const harness = new RouterHarness([worker('w1'), worker('w2')]);
     const { sink } = harness.submit('/non-idempotent/x');
     const sent = harness.lastSent();
--- a/packages/router/src/permit-spent-twice.test.ts
+++ b/packages/router/src/permit-spent-twice.test.ts
@@ -123,7 +123,7 @@
     expect([before, started, sink.calls]).toEqual([[['one'], 0], true, ['respond 200 ok']]);
   });
 
-  it('covers one attempt that may have run: a retry after it needs a new permit, any other attempt reuses it', () => {
+  it('covers one attempt that may have run: only a retry after such an attempt needs a new one', () => {
     const requestCounts = Object.entries(ATTEMPT_ENDS).map(([name, end]) => {
       const harness = withQuota('w1', 'w2');
       earn(harness);
--- a/packages/router/src/request-completion.ts
+++ b/packages/router/src/request-completion.ts
@@ -79,8 +79,8 @@
     this.#budgets.release(request);
     this.unregister(request);
     this.#tenantCounters.increment(request.tenant, 'refusedOverQuota');
-    const advice = retryAfterMs > 0 ? { retryAfterS: retryAfterMs / 1000 } : {};
-    this.reject(request.sink, fault('over-quota', 'the tenant exceeds its quota', advice));
+    const retryAfter = retryAfterMs > 0 ? { retryAfterS: retryAfterMs / 1000 } : {};
+    this.reject(request.sink, fault('over-quota', 'the tenant exceeds its quota', retryAfter));
   }
 
   /** Rejects a request after its last attempt, when no part of a response was sent to the client. */
--- a/packages/router/src/route-table.test.ts
+++ b/packages/router/src/route-table.test.ts
@@ -46,7 +46,7 @@
     ]);
   });
 
-  it('selects a service by the weights of its split: always the same for one id, and never one of weight 0', () => {
+  it('selects a service by the split weights: the same for the same id, and never one of weight 0', () => {
     const routes = table(
       route('split', 'a.example', '/', {
         service: null,
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -1,4 +1,4 @@
-/** The data plane of an edge of the platform system: dispatches requests to workers, retries them, resumes streams. */
+/** Data plane of an edge of the platform system: dispatches requests to workers, retries and resumes them. */
 import type { Link } from '@rainrun/gateway';
 import type { PermitSource } from '@rainrun/quotas';
 import type { Configuration, RouteEntry, TenantDirectory } from '@rainrun/configuration';
--- a/packages/router/src/tenant-priority.ts
+++ b/packages/router/src/tenant-priority.ts
@@ -42,7 +42,7 @@
  * priority.
  * @example
  * const priorities = new WorkerPriorities();
- * priorities.of(request, configuration, nowMs); // 0 to 9, 0 first
+ * priorities.priorityOf(request, configuration, nowMs); // 0 to 9, 0 first
  */
 export class WorkerPriorities {
   #current: { readonly configuration: Configuration; readonly scale: PriorityScale | undefined } | undefined;
--- a/packages/router/src/worker-ranking.ts
+++ b/packages/router/src/worker-ranking.ts
@@ -25,7 +25,7 @@
   function loadOf(worker: WorkerView): number {
     return loads.get(worker.id) ?? 0;
   }
-  // Ties are broken by the request id: broken by the shared prefix, every edge would choose the same worker.
+  // Ties are broken by a hash of the request id: by the shared prefix, all edges would choose the same worker.
   workers.sort(
     (one, other) =>
       loadOf(one) - loadOf(other) ||
