--- a/packages/router/src/retry-budgets.test.ts
+++ b/packages/router/src/retry-budgets.test.ts
@@ -40,7 +40,7 @@
       const window = attempts.filter((one) => one.atMs >= atMs && one.atMs < atMs + 10_000);
       const first = window.filter((one) => !one.isRetry).length;
       if (window.length - first > 0.2 * first + 6)
-        violations.push(`${window.length - first} isRetry of ${first} from ${atMs}`);
+        violations.push(`${window.length - first} retries of ${first} from ${atMs}`);
     }
     expect([attempts.some((one) => one.isRetry), violations]).toEqual([true, []]);
   });
