--- a/packages/router/src/demand-meter.ts
+++ b/packages/router/src/demand-meter.ts
@@ -1,4 +1,4 @@
-/** Measures the demand at one edge of the platform system, which placement works by. */
+/** Measures the demand at one edge of the platform system, as input for placement. */
 import type { RoutedRequest } from './request.js';
 
 /** The demand for a model, or an adapter of it, at this edge. */
@@ -8,7 +8,7 @@
   readonly adapter: string;
   readonly waiting: number;
   readonly inFlight: number;
-  /** Arrivals a second, smoothed. */
+  /** Arrivals a second, exponentially smoothed. */
   readonly perS: number;
   /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
   readonly waitToTargetRatio: number;
@@ -18,11 +18,11 @@
 
 /** Half-life of the arrival rate, in seconds. */
 const HALF_LIFE_S = 4;
-/** Weight of the newest value in the mean of waits. */
+/** Weight of the newest value in the smoothed wait ratio. */
 const WAIT_SMOOTHING = 0.15;
-/** Weight of the newest value in the mean of targets. */
+/** Weight of the newest value in the mean target latency. */
 const TARGET_SMOOTHING = 0.15;
-/** Demand below this rate is forgotten, in arrivals a second. */
+/** Demand below this rate is dropped while nothing waits or runs, in arrivals a second. */
 const MIN_PER_S = 0.01;
 
 interface Rate {
@@ -46,13 +46,13 @@
   recordArrival(request: RoutedRequest, nowMs: number): void {
     if (request.clientRequest.model === '') return;
     const { targetMs } = request.route;
-    const rate = this.#rates.get(request.key) ?? {
+    const rate = this.#rates.get(request.demandKey) ?? {
       perS: 0,
       waitToTargetRatio: 0,
       meanTargetMs: targetMs,
       atMs: nowMs,
     };
-    this.#rates.set(request.key, rate);
+    this.#rates.set(request.demandKey, rate);
     decay(rate, nowMs);
     rate.perS += Math.LN2 / HALF_LIFE_S;
     rate.meanTargetMs += (targetMs - rate.meanTargetMs) * TARGET_SMOOTHING;
@@ -66,9 +66,9 @@
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 1) - 1));
   }
 
-  /** The head of a response came so long after the attempt was made. */
+  /** Records the time between the start of an attempt and the head of its response. */
   recordResponseWait(request: RoutedRequest, waitMs: number): void {
-    const rate = this.#rates.get(request.key);
+    const rate = this.#rates.get(request.demandKey);
     if (rate === undefined || request.route.targetMs <= 0) return;
     const ratio = waitMs / request.route.targetMs;
     rate.waitToTargetRatio =
@@ -77,10 +77,11 @@
         : rate.waitToTargetRatio + (ratio - rate.waitToTargetRatio) * WAIT_SMOOTHING;
   }
 
-  /** The demand now. */
+  /** The current demand; drops keys whose rate has decayed and that have no requests. */
   demands(waitingRequests: Iterable<RoutedRequest>, nowMs: number): EdgeDemand[] {
     const waiting = new Map<string, number>();
-    for (const request of waitingRequests) waiting.set(request.key, (waiting.get(request.key) ?? 0) + 1);
+    for (const request of waitingRequests)
+      waiting.set(request.demandKey, (waiting.get(request.demandKey) ?? 0) + 1);
     const demands: EdgeDemand[] = [];
     for (const [key, rate] of this.#rates) {
       decay(rate, nowMs);
--- a/packages/router/src/early-requests.ts
+++ b/packages/router/src/early-requests.ts
@@ -1,24 +1,24 @@
-/** Requests that reach an edge of the platform system before its first configuration. */
+/** Requests that reach an edge of the platform system before its first configuration is known. */
 import type { ClientRequest, ResponseSink } from './request.js';
 import { ADMISSION_POLICY } from './routing-policy.js';
 
-/** A request that came before any configuration was known. */
+/** A request that arrived before any configuration was known. */
 interface EarlyRequest {
   readonly request: ClientRequest;
   readonly sink: ResponseSink;
   readonly arrivedMs: number;
-  readonly endMs: number;
+  readonly expiresMs: number;
   cancel: (() => void) | undefined;
 }
 
-/** What becomes of an early request: it is submitted with the time that it has left, or rejected. */
+/** How an early request ends: it is submitted with its remaining time, or rejected. */
 export interface EarlyRequestContext {
   submit(request: ClientRequest, sink: ResponseSink): () => void;
   reject(sink: ResponseSink): void;
 }
 
 /**
- * Requests that come just after a start, before this node knows any configuration: they wait a moment for it.
+ * Holds requests that arrive just after a start, before this node knows any configuration, for a short time.
  * @example
  * const clientLeft = early.add(clientRequest, sink, nowMs);
  * early.release(true, nowMs); // a configuration is known: all of them are submitted
@@ -35,36 +35,36 @@
     return this.#pending.size;
   }
 
-  /** The returned function is to be called when the client leaves. */
+  /** Holds a request; the returned function must be called when the client disconnects. */
   add(request: ClientRequest, sink: ResponseSink, nowMs: number): () => void {
     const { configurationWaitMs } = ADMISSION_POLICY;
-    const endMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
-    const early: EarlyRequest = { request, sink, arrivedMs: nowMs, endMs, cancel: undefined };
-    this.#pending.add(early);
+    const expiresMs = nowMs + Math.min(configurationWaitMs, request.deadlineMs ?? configurationWaitMs);
+    const entry: EarlyRequest = { request, sink, arrivedMs: nowMs, expiresMs, cancel: undefined };
+    this.#pending.add(entry);
     return () => {
-      this.#pending.delete(early);
-      early.cancel?.();
+      this.#pending.delete(entry);
+      entry.cancel?.();
     };
   }
 
-  /** Submits all that wait where a configuration is known, and else rejects those that have waited long enough. */
-  release(isKnown: boolean, nowMs: number): void {
-    for (const early of this.#pending) {
-      if (!isKnown && nowMs < early.endMs) continue;
-      this.#pending.delete(early);
-      if (isKnown) early.cancel = this.#context.submit(withTimeLeft(early, nowMs), early.sink);
-      else this.#context.reject(early.sink);
+  /** Submits all held requests once a configuration is known; until then, rejects those that have expired. */
+  release(isConfigured: boolean, nowMs: number): void {
+    for (const entry of this.#pending) {
+      if (!isConfigured && nowMs < entry.expiresMs) continue;
+      this.#pending.delete(entry);
+      if (isConfigured) entry.cancel = this.#context.submit(withRemainingTime(entry, nowMs), entry.sink);
+      else this.#context.reject(entry.sink);
     }
   }
 
-  /** Rejects all of them. */
+  /** Rejects all held requests. */
   close(): void {
     for (const { sink } of this.#pending) this.#context.reject(sink);
     this.#pending.clear();
   }
 }
 
-function withTimeLeft({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
+function withRemainingTime({ request, arrivedMs }: EarlyRequest, nowMs: number): ClientRequest {
   const { deadlineMs } = request;
   return {
     ...request,
--- a/packages/router/src/testing/router-harness.ts
+++ b/packages/router/src/testing/router-harness.ts
@@ -1,4 +1,4 @@
-/** A router under test: fake link, sink and workers of the platform system. */
+/** Test harness for the router: scripted link, client sink, permits and workers. */
 import type { Header, Link, LinkHandler, LinkRequest, LinkSend } from '@rainrun/gateway';
 import {
   checkConfiguration,
@@ -10,9 +10,9 @@
 import type { PermitAnswer, PermitSource } from '@rainrun/quotas';
 import { Router } from '../router.js';
 import type { ClientRequest, ResponseSink, WorkerView } from '../request.js';
-import { valueOf, type HeaderNames } from '../headers.js';
+import { headerValue, type HeaderNames } from '../headers.js';
 
-/** Names of the headers between router and workers in these tests. */
+/** Header names between router and workers in these tests; they differ from the production names. */
 export const HEADER_NAMES: HeaderNames = {
   requestId: 'call-id',
   deadlineMs: 'left-ms',
@@ -29,38 +29,38 @@
   revision: 1,
   routes: [
     {
-      name: 'once',
+      name: 'non-idempotent',
       host: 'a.example',
-      prefix: '/once/',
-      service: 'look',
+      prefix: '/non-idempotent/',
+      service: 'service-1',
       kind: 'non_idempotent',
       timeoutMs: 2000,
       attempts: 3,
     },
     {
-      name: 'often',
+      name: 'idempotent',
       host: 'a.example',
-      prefix: '/often/',
-      service: 'look',
+      prefix: '/idempotent/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 3,
       targetMs: 200,
     },
     {
-      name: 'single',
+      name: 'single-attempt',
       host: 'a.example',
-      prefix: '/single/',
-      service: 'look',
+      prefix: '/single-attempt/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 1,
     },
     {
-      name: 'talk',
+      name: 'resumable',
       host: 'a.example',
-      prefix: '/talk/',
-      service: 'look',
+      prefix: '/resumable/',
+      service: 'service-1',
       kind: 'streaming',
       timeoutMs: 9000,
       attempts: 3,
@@ -69,10 +69,10 @@
       targetMs: 500,
     },
     {
-      name: 'tell',
+      name: 'stream',
       host: 'a.example',
-      prefix: '/tell/',
-      service: 'look',
+      prefix: '/stream/',
+      service: 'service-1',
       kind: 'streaming',
       timeoutMs: 9000,
       attempts: 3,
@@ -83,32 +83,32 @@
       name: 'model',
       host: 'a.example',
       prefix: '/model/',
-      service: 'assist',
+      service: 'service-2',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 2,
     },
     {
-      name: 'open',
+      name: 'public',
       host: 'a.example',
-      prefix: '/open/',
-      service: 'look',
+      prefix: '/public/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       attempts: 2,
       public: true,
     },
     {
-      name: 'home',
+      name: 'regional',
       host: 'a.example',
-      prefix: '/home/',
-      service: 'look',
+      prefix: '/regional/',
+      service: 'service-1',
       kind: 'idempotent',
       timeoutMs: 2000,
       regions: ['south'],
     },
   ],
-  services: [{ name: 'look', warmupPerS: 10 }, { name: 'assist' }],
+  services: [{ name: 'service-1', warmupPerS: 10 }, { name: 'service-2' }],
 };
 
 function testConfiguration(change: object = {}): Configuration {
@@ -116,7 +116,7 @@
   return checked.isOk ? checked.value : ({} as Configuration);
 }
 
-/** A tenant as a test configures it. */
+/** A tenant in the configuration of a test. */
 export interface TestTenant {
   readonly name: string;
   readonly apiKeys: readonly string[];
@@ -127,7 +127,7 @@
 
 const TEST_SECRET = new Uint8Array(TENANT_SECRET_BYTES).fill(7);
 
-/** One attempt on the link, at which a test plays the worker. */
+/** One attempt on the link; the test acts as the worker. */
 export class SentRequest implements LinkSend {
   readonly request: LinkRequest;
   readonly handler: LinkHandler;
@@ -146,21 +146,21 @@
   resume(): void {
     this.paused = false;
   }
-  /** Its first byte leaves, if it may. */
+  /** Sends the first byte if the router allows it; returns whether it does. */
   start(): boolean {
     return this.handler.mayStart();
   }
   get id(): string {
-    return valueOf(this.request.headers, HEADER_NAMES.requestId) ?? '';
+    return headerValue(this.request.headers, HEADER_NAMES.requestId) ?? '';
   }
-  /** A whole answer of this worker. */
+  /** Sends a complete response of the worker. */
   answer(status: number, body: string, headers: readonly Header[] = []): void {
     this.handler.head(status, [[HEADER_NAMES.requestId, this.id], [HEADER_NAMES.signature, 's'], ...headers]);
     this.handler.chunk(Buffer.from(body));
     this.handler.end();
   }
-  /** It says that it has not run the request. */
-  decline(status: number): void {
+  /** Rejects the request with the header that says that the worker has not run it. */
+  rejectAsNotRun(status: number): void {
     this.handler.head(status, [
       [HEADER_NAMES.requestId, this.id],
       [HEADER_NAMES.notRun, '1'],
@@ -179,7 +179,7 @@
   }
 }
 
-/** A link that records what is sent and lets tests play the workers. */
+/** A link that records what is sent, so that a test can act as the workers. */
 export class RecordingLink implements Link {
   readonly sent: SentRequest[] = [];
   send(request: LinkRequest, handler: LinkHandler): LinkSend {
@@ -189,54 +189,54 @@
   }
 }
 
-/** A request for a permit, which a test answers. */
-export interface AskedPermit {
+/** A request for a permit, answered by the test. */
+export interface PermitRequest {
   readonly tenant: string;
   withdrawn: boolean;
   answer(answer: PermitAnswer): void;
 }
 
-/** Gives permits as a test says: at once, or when it answers what was asked. */
+/** A permit source controlled by the test: answers at once, or when the test answers a recorded request. */
 export class ScriptedPermits implements PermitSource {
-  readonly asked: AskedPermit[] = [];
-  /** The answer that is given at once; undefined: none. */
-  atOnce: PermitAnswer | undefined = { kind: 'granted', permit: { endMs: Infinity } };
+  readonly requests: PermitRequest[] = [];
+  /** The answer that is given at once; undefined to leave requests unanswered. */
+  immediateAnswer: PermitAnswer | undefined = { kind: 'granted', permit: { endMs: Infinity } };
 
-  /** Called with each request for a permit. */
-  onAsk: () => void = () => undefined;
+  /** Called on each request for a permit. */
+  onRequest: () => void = () => undefined;
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
-    const asked: AskedPermit = { tenant, withdrawn: false, answer: done };
-    this.asked.push(asked);
-    this.onAsk();
-    if (this.atOnce !== undefined) done(this.atOnce);
+    const asked: PermitRequest = { tenant, withdrawn: false, answer: done };
+    this.requests.push(asked);
+    this.onRequest();
+    if (this.immediateAnswer !== undefined) done(this.immediateAnswer);
     return () => {
       asked.withdrawn = true;
     };
   }
 }
 
-/** A client that records what it is answered. */
+/** A response sink that records its calls. */
 export class RecordingSink implements ResponseSink {
-  readonly seen: string[] = [];
+  readonly calls: string[] = [];
   status = 0;
-  /** What it was rejected with; undefined if it was not. */
+  /** The fault of the rejection; undefined if the request was not rejected. */
   rejection: Fault | undefined;
   text = '';
   slow = false;
   drained: (() => void) | undefined;
   respond(status: number, _headers: readonly Header[], body: Buffer): void {
     this.status = status;
-    this.seen.push(`answer ${status} ${body.toString()}`);
+    this.calls.push(`respond ${status} ${body.toString()}`);
   }
-  reject(why: Fault): void {
-    this.rejection = why;
-    this.status = FAULT_RESPONSES[why.kind].status;
-    this.seen.push(`refuse ${this.status}${why.retryAfterS === undefined ? '' : ' again'}`);
+  reject(reason: Fault): void {
+    this.rejection = reason;
+    this.status = FAULT_RESPONSES[reason.kind].status;
+    this.calls.push(`reject ${this.status}${reason.retryAfterS === undefined ? '' : ' retry-after'}`);
   }
   open(status: number, headers: readonly Header[]): void {
     this.status = status;
-    this.seen.push(`open ${status} ${valueOf(headers, HEADER_NAMES.signature) ?? ''}`);
+    this.calls.push(`open ${status} ${headerValue(headers, HEADER_NAMES.signature) ?? ''}`);
   }
   write(bytes: Buffer, drained: () => void): boolean {
     this.text += bytes.toString();
@@ -244,18 +244,18 @@
     return !this.slow;
   }
   close(): void {
-    this.seen.push('close');
+    this.calls.push('close');
   }
   abort(): void {
-    this.seen.push('cut');
+    this.calls.push('abort');
   }
 }
 
-/** An idle worker of service `look` in zone `north`, but for what is changed. */
+/** An idle worker of service `service-1` in zone `north`, with the given changes. */
 export function worker(id: string, change: Partial<WorkerView> = {}): WorkerView {
   return {
     id,
-    service: 'look',
+    service: 'service-1',
     address: `${id}:80`,
     zone: 'north',
     draining: false,
@@ -268,29 +268,29 @@
   };
 }
 
-/** A router with a clock, workers and a link that a test controls. */
+/** A router whose clock, workers, configuration and link are controlled by the test. */
 export class RouterHarness {
   nowMs = 1000;
   edges = 1;
   evacuated: string[] = [];
   workers = new Map<string, WorkerView>();
-  missed = 0;
-  waits = 0;
-  /** False: this edge knows no configuration yet. */
+  modelMissingCount = 0;
+  waitCount = 0;
+  /** Whether this edge has a configuration. */
   configured = true;
   configuration = testConfiguration();
   tenants: TenantDirectory | undefined;
   readonly link = new RecordingLink();
   readonly permits = new ScriptedPermits();
   readonly router: Router;
-  #asked = 0;
+  #submittedCount = 0;
 
   constructor(
     workers: readonly WorkerView[],
     retries = { ratio: 1, extra: 20 },
     incarnation = 'incarnation-1',
   ) {
-    this.put(...workers);
+    this.putWorkers(...workers);
     this.router = new Router({
       zone: 'north',
       clock: { nowMs: () => this.nowMs },
@@ -306,32 +306,32 @@
       incarnation: () => incarnation,
       region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
       onModelMissing: () => {
-        this.missed += 1;
+        this.modelMissingCount += 1;
       },
       onWaiting: () => {
-        this.waits += 1;
+        this.waitCount += 1;
       },
     });
   }
 
-  /** Puts a configuration with these tenants in force, and says so as an edge does. */
-  haveTenants(tenants: readonly TestTenant[] | undefined): void {
+  /** Applies a configuration with these tenants, and calls `tick` as an edge does after a change. */
+  setTenants(tenants: readonly TestTenant[] | undefined): void {
     this.configuration = testConfiguration({ tenants });
-    const known = this.configuration.tenants;
+    const entries = this.configuration.tenants;
     this.tenants =
-      known === undefined || known === null ? undefined : new TenantDirectory(known, TEST_SECRET);
+      entries === undefined || entries === null ? undefined : new TenantDirectory(entries, TEST_SECRET);
     this.router.tick();
   }
 
-  put(...workers: readonly WorkerView[]): void {
+  putWorkers(...workers: readonly WorkerView[]): void {
     for (const one of workers) this.workers.set(one.id, one);
   }
 
   submit(target: string, change: Partial<ClientRequest> = {}): { sink: RecordingSink; leave: () => void } {
-    this.#asked += 1;
-    const id = change.id ?? `q${this.#asked}`;
+    this.#submittedCount += 1;
+    const id = change.id ?? `q${this.#submittedCount}`;
     const sink = new RecordingSink();
-    const ask: ClientRequest = {
+    const clientRequest: ClientRequest = {
       id,
       method: 'POST',
       target,
@@ -350,24 +350,24 @@
       apiKey: undefined,
       ...change,
     };
-    return { sink, leave: this.router.submit(ask, sink) };
+    return { sink, leave: this.router.submit(clientRequest, sink) };
   }
 
-  /** Earns budget with requests that are served at once. */
-  earn(count: number): void {
+  /** Earns retry budget with requests that are served at once. */
+  earnRetryBudget(count: number): void {
     for (let done = 0; done < count; done += 1) {
-      this.submit('/once/x');
-      const sent = this.last();
+      this.submit('/non-idempotent/x');
+      const sent = this.lastSent();
       sent.start();
       sent.answer(200, 'ok');
     }
   }
 
-  last(): SentRequest {
+  lastSent(): SentRequest {
     return this.link.sent.at(-1) as SentRequest;
   }
 
-  later(waitMs: number): void {
+  advance(waitMs: number): void {
     this.nowMs += waitMs;
     this.router.tick();
   }
