--- a/packages/quotas/src/allocation.ts
+++ b/packages/quotas/src/allocation.ts
@@ -6,8 +6,8 @@
 const SETTLING_MS = 4000;
 
 /** The same where the predecessor handed over a bucket at least so full, of which little was waited for. */
-const SETTLING_AFTER_HANDOVER_MS = 500;
-const FULL_ENOUGH_PART = 0.5;
+const SHORT_SETTLING_MS = 500;
+const SHORT_SETTLING_MIN_FILL = 0.5;
 
 /** What an allocation does now. */
 export type AllocationState = 'waiting' | 'settling' | 'serving';
@@ -65,19 +65,19 @@
   /** The predecessor cannot grant after this moment. */
   startAt(startMs: number): void {
     this.#startMs = startMs;
-    this.#bucket.beginFilling(startMs);
+    this.#bucket.startRefill(startMs);
   }
 
   /** The predecessor has stopped and left so many permits. */
   takeOver(level: number, nowMs: number): void {
     this.#bucket.add(level);
-    if (this.#bucket.level(nowMs) >= FULL_ENOUGH_PART * this.#bucket.depth)
-      this.#settlingMs = SETTLING_AFTER_HANDOVER_MS;
+    if (this.#bucket.level(nowMs) >= SHORT_SETTLING_MIN_FILL * this.#bucket.depth)
+      this.#settlingMs = SHORT_SETTLING_MS;
     this.startAt(nowMs);
   }
 
-  reshape(budget: QuotaBudget, nowMs: number): void {
-    this.#bucket.reshape(budget.bucket, nowMs);
+  reconfigure(budget: QuotaBudget, nowMs: number): void {
+    this.#bucket.reconfigure(budget.bucket, nowMs);
   }
 
   /** The tenant is gone from the configuration: nothing is left for it, should it come back. */
--- a/packages/quotas/src/allocator.test.ts
+++ b/packages/quotas/src/allocator.test.ts
@@ -15,22 +15,22 @@
 const BOUNDS = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 const LIMIT = { name: 'tenant-1', ratePerS: 10, burst: 10 };
 const LEASE_MS = 600;
-const WAIT_MS = 660;
+const TAKEOVER_WAIT_MS = 660;
 const BUDGET = quotaBudget(LIMIT, BOUNDS);
-const INTERVAL_MS = reserveIntervalMs(BOUNDS, LEASE_MS);
+const RESERVE_INTERVAL_MS = reserveIntervalMs(BOUNDS, LEASE_MS);
 const RESERVE = Math.floor(BUDGET.reserve);
 
 function core(name: string, incarnation = name): Member {
   return create(MemberSchema, { name, incarnation, disk: `disk-${name}` });
 }
 
-const ALL = ['a', 'b', 'c'].map((name) => core(name));
+const CORES = ['a', 'b', 'c'].map((name) => core(name));
 /** The core that ranks highest for the tenant, and the one that follows if it leaves. */
-const FIRST = allocatorOf(LIMIT.name, ALL) ?? core('none');
-const WITHOUT_FIRST = ALL.filter((member) => member !== FIRST);
-const SECOND = allocatorOf(LIMIT.name, WITHOUT_FIRST) ?? core('none');
+const OWNER = allocatorOf(LIMIT.name, CORES) ?? core('none');
+const WITHOUT_OWNER = CORES.filter((member) => member !== OWNER);
+const SUCCESSOR = allocatorOf(LIMIT.name, WITHOUT_OWNER) ?? core('none');
 
-function view(number: number, members: readonly Member[] = ALL): QuotaView {
+function view(number: number, members: readonly Member[] = CORES): QuotaView {
   return { epoch: 1, number, members };
 }
 
@@ -41,7 +41,7 @@
 }
 
 /** An allocator that has the tenant since moment 0, and whose bucket is full. */
-function settledAllocator(member = FIRST, members: readonly Member[] = ALL): QuotaAllocator {
+function settledAllocator(member = OWNER, members: readonly Member[] = CORES): QuotaAllocator {
   const allocator = allocatorAt(0);
   allocator.onView(view(1, members), member.incarnation, 0);
   allocator.onViewCommitted(view(1), 0);
@@ -68,7 +68,7 @@
 
   it('grants nothing without the lease, for unknown tenants and for those of others', () => {
     expect(ask(settledAllocator(), 1, 20_000, false).unavailable).toEqual(true);
-    expect(ask(settledAllocator(SECOND), 1, 20_000).unavailable).toEqual(true);
+    expect(ask(settledAllocator(SUCCESSOR), 1, 20_000).unavailable).toEqual(true);
     const other = create(QuotaNeedSchema, { tenant: 'unknown', permits: 1 });
     expect(settledAllocator().answer([other], true, 20_000)[0]?.unavailable).toEqual(true);
   });
@@ -80,49 +80,49 @@
   });
 
   it('waits after a takeover until the view is committed and a lease has passed, then starts empty', () => {
-    const allocator = settledAllocator(SECOND);
-    const { incarnation } = SECOND;
-    expect(allocator.onView(view(2, WITHOUT_FIRST), incarnation, 20_000)).toEqual([]);
+    const allocator = settledAllocator(SUCCESSOR);
+    const { incarnation } = SUCCESSOR;
+    expect(allocator.onView(view(2, WITHOUT_OWNER), incarnation, 20_000)).toEqual([]);
     expect(ask(allocator, 100, 20_100).granted).toEqual(RESERVE);
     expect(ask(allocator, 1, 29_000)).toLooseEqual({ ...ask(allocator, 1, 29_000), unavailable: true });
     allocator.onViewCommitted(view(2), 30_000);
-    expect(ask(allocator, 1, 30_000 + WAIT_MS).granted).toEqual(0);
-    const later = ask(allocator, 100, 30_000 + WAIT_MS + 1000);
+    expect(ask(allocator, 1, 30_000 + TAKEOVER_WAIT_MS).granted).toEqual(0);
+    const later = ask(allocator, 100, 30_000 + TAKEOVER_WAIT_MS + 1000);
     expect(later.granted).toSatisfy((count: number) => count >= 10 && count <= 11);
     expect(later.unavailable).toEqual(true);
   });
 
   it('calls nothing over the quota for four seconds after a takeover, while the bucket was never full', () => {
-    const allocator = settledAllocator(SECOND);
-    allocator.onView(view(2, WITHOUT_FIRST), SECOND.incarnation, 20_000);
+    const allocator = settledAllocator(SUCCESSOR);
+    allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     allocator.onViewCommitted(view(2), 20_000);
     for (let afterMs = 0; afterMs < 4000; afterMs += 500)
-      expect(ask(allocator, 100, 20_000 + WAIT_MS + afterMs).unavailable).toEqual(true);
-    const after = ask(allocator, 100, 20_000 + WAIT_MS + 4000);
+      expect(ask(allocator, 100, 20_000 + TAKEOVER_WAIT_MS + afterMs).unavailable).toEqual(true);
+    const after = ask(allocator, 100, 20_000 + TAKEOVER_WAIT_MS + 4000);
     expect(after.unavailable).toEqual(false);
     expect(after.retryAfterMs).toSatisfy((ms: number) => ms > 0);
   });
 
   it('has a reserve only if the view before was committed for longer than a window', () => {
     const young = allocatorAt(20_000);
-    young.onView(view(2, WITHOUT_FIRST), SECOND.incarnation, 20_000);
+    young.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     expect(ask(young, 100, 20_100).granted).toEqual(0);
 
-    const early = settledAllocator(SECOND);
-    early.onView(view(2, WITHOUT_FIRST), SECOND.incarnation, INTERVAL_MS - 1);
-    expect(ask(early, 100, INTERVAL_MS).granted).toEqual(0);
+    const early = settledAllocator(SUCCESSOR);
+    early.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, RESERVE_INTERVAL_MS - 1);
+    expect(ask(early, 100, RESERVE_INTERVAL_MS).granted).toEqual(0);
 
-    const allocator = settledAllocator(SECOND);
-    allocator.onView(view(2, WITHOUT_FIRST), SECOND.incarnation, INTERVAL_MS);
-    expect(ask(allocator, 100, INTERVAL_MS + 100).granted).toEqual(RESERVE);
-    allocator.onView(view(3), SECOND.incarnation, INTERVAL_MS + 200);
-    allocator.onView(view(4, WITHOUT_FIRST), SECOND.incarnation, 20_000);
+    const allocator = settledAllocator(SUCCESSOR);
+    allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, RESERVE_INTERVAL_MS);
+    expect(ask(allocator, 100, RESERVE_INTERVAL_MS + 100).granted).toEqual(RESERVE);
+    allocator.onView(view(3), SUCCESSOR.incarnation, RESERVE_INTERVAL_MS + 200);
+    allocator.onView(view(4, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     expect(ask(allocator, 100, 20_100).granted).toEqual(0);
   });
 
   it('gives no reserve by the configuration, however often a limit comes and goes', () => {
-    const allocator = settledAllocator(SECOND);
-    allocator.onView(view(2, WITHOUT_FIRST), SECOND.incarnation, 20_000);
+    const allocator = settledAllocator(SUCCESSOR);
+    allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     ask(allocator, 100, 20_000);
     allocator.updateLimits([{ ...LIMIT, ratePerS: 0 }], 20_010);
     allocator.updateLimits([LIMIT], 20_020);
@@ -130,14 +130,14 @@
   });
 
   it('stops and hands its level over when a core joins that ranks higher', () => {
-    const allocator = settledAllocator(SECOND, WITHOUT_FIRST);
+    const allocator = settledAllocator(SUCCESSOR, WITHOUT_OWNER);
     ask(allocator, 3, 20_000);
-    const orders = allocator.onView(view(2), SECOND.incarnation, 20_000);
-    expect(orders.map(({ to }) => to.name)).toEqual([FIRST.name]);
+    const orders = allocator.onView(view(2), SUCCESSOR.incarnation, 20_000);
+    expect(orders.map(({ to }) => to.name)).toEqual([OWNER.name]);
     expect(ask(allocator, 1, 20_000).unavailable).toEqual(true);
 
     const joined = allocatorAt(19_000);
-    joined.onView(view(2), FIRST.incarnation, 20_010);
+    joined.onView(view(2), OWNER.incarnation, 20_010);
     expect(ask(joined, 1, 20_020).granted).toEqual(0);
     for (const { handover } of orders) joined.onHandover(handover, 20_030);
     expect(ask(joined, 100, 20_030).granted).toEqual(Math.floor(BUDGET.bucket.depth - 3));
@@ -148,37 +148,37 @@
     const handover = create(QuotaHandoverSchema, { viewEpoch: 1, viewNumber: 2, levels });
     const early = allocatorAt(0);
     early.onHandover(handover, 10);
-    early.onView(view(2), FIRST.incarnation, 20);
+    early.onView(view(2), OWNER.incarnation, 20);
     expect(ask(early, 100, 20).granted).toEqual(4);
 
     const later = allocatorAt(0);
-    later.onView(view(3), FIRST.incarnation, 20);
+    later.onView(view(3), OWNER.incarnation, 20);
     later.onHandover(handover, 30);
     expect(ask(later, 100, 40).granted).toEqual(0);
   });
 
   it('hands nothing over while it waits itself', () => {
     const allocator = allocatorAt(0);
-    allocator.onView(view(1, WITHOUT_FIRST), SECOND.incarnation, 0);
+    allocator.onView(view(1, WITHOUT_OWNER), SUCCESSOR.incarnation, 0);
     allocator.onViewCommitted(view(1), 0);
-    expect(allocator.onView(view(2), SECOND.incarnation, WAIT_MS - 1)).toEqual([]);
+    expect(allocator.onView(view(2), SUCCESSOR.incarnation, TAKEOVER_WAIT_MS - 1)).toEqual([]);
   });
 
   it('starts anew after a gap in the views and under another incarnation', () => {
     const gap = settledAllocator();
-    gap.onView(view(3), FIRST.incarnation, 3000);
+    gap.onView(view(3), OWNER.incarnation, 3000);
     expect(ask(gap, 100, 3000).granted).toEqual(0);
     const again = settledAllocator();
-    const members = ALL.map((member) => (member === FIRST ? core(FIRST.name, 'again') : member));
+    const members = CORES.map((member) => (member === OWNER ? core(OWNER.name, 'again') : member));
     again.onView(view(2, members), 'again', 3000);
     expect(ask(again, 100, 3000).granted).toEqual(0);
   });
 
   it('goes on without a wait where the next view leaves the tenant with it', () => {
     const allocator = settledAllocator();
-    allocator.onView(view(2, [...ALL, core('d-edge')]), FIRST.incarnation, 20_000);
+    allocator.onView(view(2, [...CORES, core('d-edge')]), OWNER.incarnation, 20_000);
     expect(ask(allocator, 3, 20_000).granted).toEqual(3);
-    allocator.onView(view(2, [...ALL, core('d-edge')]), FIRST.incarnation, 20_010);
+    allocator.onView(view(2, [...CORES, core('d-edge')]), OWNER.incarnation, 20_010);
     expect(ask(allocator, 3, 20_010).granted).toEqual(3);
   });
 
@@ -219,7 +219,7 @@
   it('starts a new tenant empty and without a wait in a settled view', () => {
     const allocator = allocatorAt(0);
     allocator.updateLimits([], 0);
-    allocator.onView(view(1), FIRST.incarnation, 0);
+    allocator.onView(view(1), OWNER.incarnation, 0);
     allocator.onViewCommitted(view(1), 0);
     allocator.updateLimits([LIMIT], 4000);
     expect(ask(allocator, 100, 4000).granted).toEqual(0);
--- a/packages/quotas/src/allocator.ts
+++ b/packages/quotas/src/allocator.ts
@@ -16,10 +16,10 @@
 import { quotaBudget, reserveIntervalMs, type QuotaBudget } from './quota-budget.js';
 
 /** The part of a lease by which a takeover waits longer than the lease, for clocks that drift apart. */
-const LEASE_MARGIN_PART = 0.1;
+const LEASE_MARGIN_FRACTION = 0.1;
 
 /** The longest time after which an edge is told to ask again. */
-const RETRY_AFTER_MOST_MS = 60_000;
+const MAX_RETRY_AFTER_MS = 60_000;
 
 /** A view as far as quotas need it. */
 export interface QuotaView {
@@ -30,10 +30,10 @@
 }
 
 /** A view by its place in the sequence. */
-export type ViewPlace = Pick<QuotaView, 'epoch' | 'number'>;
+export type ViewId = Pick<QuotaView, 'epoch' | 'number'>;
 
 /** A handover that is to be sent. */
-export interface HandoverOrder {
+export interface OutgoingHandover {
   readonly to: Member;
   readonly handover: QuotaHandover;
 }
@@ -78,57 +78,57 @@
   #limits = new Map<string, TenantLimit>();
   #allocations = new Map<string, Allocation>();
   /** When tenants were removed whose allocations are kept for a while, by name. */
-  #removedMs = new Map<string, number>();
+  #removedAtMs = new Map<string, number>();
   #view: QuotaView | undefined;
   #incarnation = '';
   /** Since when the present view is known to be committed. */
-  #committedMs: number | undefined;
+  #committedAtMs: number | undefined;
   /** Handovers that came for the newest view heard of. */
   #handovers: QuotaHandover[] = [];
 
   constructor(options: QuotaAllocatorOptions) {
     this.#bounds = options.bounds;
-    this.#takeoverWaitMs = options.takeoverWaitMs ?? options.leaseMs * (1 + LEASE_MARGIN_PART);
+    this.#takeoverWaitMs = options.takeoverWaitMs ?? options.leaseMs * (1 + LEASE_MARGIN_FRACTION);
     this.#reserveIntervalMs = reserveIntervalMs(options.bounds, options.leaseMs);
   }
 
   /** Takes the limits of the configuration in force. Tenants without a limit may be among them or not. */
   updateLimits(limits: Iterable<TenantLimit>, nowMs: number): void {
-    const known = this.#limits;
+    const previousLimits = this.#limits;
     this.#limits = new Map();
     for (const limit of limits) this.#limits.set(limit.name, limit);
-    for (const name of known.keys()) if (!this.#limits.has(name)) this.#remove(name, nowMs);
+    for (const name of previousLimits.keys()) if (!this.#limits.has(name)) this.#markRemoved(name, nowMs);
     for (const limit of this.#limits.values()) this.#applyLimit(limit, false, nowMs);
-    this.#forgetRemoved(nowMs);
+    this.#expireRemoved(nowMs);
   }
 
   /**
    * A view was installed here; to be called for each, at once. Returns what is to be sent to those that allocate
    * tenants of this core from now on. A view that is known already changes nothing.
    */
-  onView(view: QuotaView, selfIncarnation: string, nowMs: number): HandoverOrder[] {
-    if (this.#isPresent(view) && selfIncarnation === this.#incarnation) return [];
-    const isNext =
+  onView(view: QuotaView, selfIncarnation: string, nowMs: number): OutgoingHandover[] {
+    if (this.#isCurrentView(view) && selfIncarnation === this.#incarnation) return [];
+    const isNextView =
       this.#view !== undefined &&
       view.number === this.#view.number + 1 &&
       selfIncarnation === this.#incarnation;
-    if (!isNext) this.#allocations.clear();
-    const settledForMs = this.#committedMs === undefined ? 0 : nowMs - this.#committedMs;
-    const mayUseReserve = isNext && settledForMs >= this.#reserveIntervalMs;
+    if (!isNextView) this.#allocations.clear();
+    const committedForMs = this.#committedAtMs === undefined ? 0 : nowMs - this.#committedAtMs;
+    const mayUseReserve = isNextView && committedForMs >= this.#reserveIntervalMs;
     this.#view = view;
     this.#incarnation = selfIncarnation;
-    this.#committedMs = undefined;
-    const orders = this.#handOver(view, nowMs);
+    this.#committedAtMs = undefined;
+    const handovers = this.#handOver(view, nowMs);
     for (const limit of this.#limits.values()) this.#applyLimit(limit, mayUseReserve, nowMs);
-    this.#takeHandovers(nowMs);
-    this.#forgetRemoved(nowMs);
-    return orders;
+    this.#applyHandovers(nowMs);
+    this.#expireRemoved(nowMs);
+    return handovers;
   }
 
   /** The view is known to be committed: a majority of its members, and of those of the view before, installed it. */
-  onViewCommitted(place: ViewPlace, nowMs: number): void {
-    if (this.#committedMs !== undefined || !this.#isPresent(place)) return;
-    this.#committedMs = nowMs;
+  onViewCommitted(id: ViewId, nowMs: number): void {
+    if (this.#committedAtMs !== undefined || !this.#isCurrentView(id)) return;
+    this.#committedAtMs = nowMs;
     for (const allocation of this.#allocations.values())
       if (allocation.startMs === undefined) allocation.startAt(nowMs + this.#takeoverWaitMs);
   }
@@ -141,7 +141,7 @@
       this.#handovers = [];
     }
     this.#handovers.push(handover);
-    this.#takeHandovers(nowMs);
+    this.#applyHandovers(nowMs);
   }
 
   /** Answers needs for permits. `holdsLease` is read from the process group at this moment. */
@@ -170,12 +170,12 @@
     const { granted, retryAfterMs } = allocation.answer(permits, nowMs);
     if (granted === permits) return create(QuotaAnswerSchema, { tenant, granted });
     if (retryAfterMs === undefined) return create(QuotaAnswerSchema, { tenant, granted, unavailable: true });
-    const wholeMs = Math.max(1, Math.ceil(Math.min(retryAfterMs, RETRY_AFTER_MOST_MS)));
+    const wholeMs = Math.max(1, Math.ceil(Math.min(retryAfterMs, MAX_RETRY_AFTER_MS)));
     return create(QuotaAnswerSchema, { tenant, granted, retryAfterMs: wholeMs });
   }
 
   /** Gives up the tenants that others allocate in a view. */
-  #handOver(view: QuotaView, nowMs: number): HandoverOrder[] {
+  #handOver(view: QuotaView, nowMs: number): OutgoingHandover[] {
     const levels = new Map<Member, QuotaLevel[]>();
     for (const [tenant, allocation] of this.#allocations) {
       const allocator = allocatorOf(tenant, view.members);
@@ -195,9 +195,10 @@
     }));
   }
 
-  #takeHandovers(nowMs: number): void {
+  #applyHandovers(nowMs: number): void {
     const [first] = this.#handovers;
-    if (first === undefined || !this.#isPresent({ epoch: first.viewEpoch, number: first.viewNumber })) return;
+    if (first === undefined || !this.#isCurrentView({ epoch: first.viewEpoch, number: first.viewNumber }))
+      return;
     for (const { tenant, level } of this.#handovers.flatMap(({ levels }) => levels)) {
       const allocation = this.#allocations.get(tenant);
       if (allocation?.hasStarted(nowMs) === false) allocation.takeOver(level, nowMs);
@@ -208,7 +209,7 @@
   /** Begins, changes or ends the allocation of a tenant by its limit. */
   #applyLimit(limit: TenantLimit, mayUseReserve: boolean, nowMs: number): void {
     const { name } = limit;
-    this.#removedMs.delete(name);
+    this.#removedAtMs.delete(name);
     if (this.#view === undefined) return;
     if (allocatorOf(name, this.#view.members)?.incarnation !== this.#incarnation) return;
     if (limit.ratePerS === 0) {
@@ -216,35 +217,36 @@
       return;
     }
     const budget = quotaBudget(limit, this.#bounds);
-    const known = this.#allocations.get(name);
-    if (known === undefined) this.#begin(name, budget, mayUseReserve ? budget.reserve : 0, nowMs);
-    else known.reshape(budget, nowMs);
+    const existing = this.#allocations.get(name);
+    if (existing === undefined)
+      this.#startAllocation(name, budget, mayUseReserve ? budget.reserve : 0, nowMs);
+    else existing.reconfigure(budget, nowMs);
   }
 
   /** A tenant that is new here, by a view or by the configuration. */
-  #begin(name: string, budget: QuotaBudget, reserve: number, nowMs: number): void {
+  #startAllocation(name: string, budget: QuotaBudget, reserve: number, nowMs: number): void {
     const allocation = new Allocation(budget, reserve);
     this.#allocations.set(name, allocation);
-    if (this.#committedMs === undefined) return;
-    allocation.startAt(Math.max(nowMs, this.#committedMs + this.#takeoverWaitMs));
+    if (this.#committedAtMs === undefined) return;
+    allocation.startAt(Math.max(nowMs, this.#committedAtMs + this.#takeoverWaitMs));
   }
 
   /** What a removed tenant was granted is remembered for a while, so that it cannot come back with a full bucket. */
-  #remove(name: string, nowMs: number): void {
-    this.#removedMs.set(name, nowMs);
+  #markRemoved(name: string, nowMs: number): void {
+    this.#removedAtMs.set(name, nowMs);
     this.#allocations.get(name)?.drain(nowMs);
   }
 
-  #forgetRemoved(nowMs: number): void {
-    for (const [name, removedMs] of this.#removedMs) {
-      if (nowMs - removedMs < this.#reserveIntervalMs) continue;
-      this.#removedMs.delete(name);
+  #expireRemoved(nowMs: number): void {
+    for (const [name, removedAtMs] of this.#removedAtMs) {
+      if (nowMs - removedAtMs < this.#reserveIntervalMs) continue;
+      this.#removedAtMs.delete(name);
       this.#allocations.delete(name);
     }
   }
 
-  #isPresent(place: ViewPlace): boolean {
-    return this.#view?.epoch === place.epoch && this.#view.number === place.number;
+  #isCurrentView(id: ViewId): boolean {
+    return this.#view?.epoch === id.epoch && this.#view.number === id.number;
   }
 }
 
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -11,28 +11,28 @@
 } from '@rainrun/messages';
 import { allocatorOf } from './allocator-choice.js';
 import type { QuotaView } from './allocator.js';
-import { Draws, type SentDraw } from './draws.js';
+import { DrawTracker, type SentDraw } from './draw-tracker.js';
 import type { PermitAnswer, PermitSource, QuotaBounds } from './permits.js';
 import { permitLifetimeMs } from './quota-budget.js';
 import { TenantRequests } from './tenant-requests.js';
 
 /** A refusal is remembered no longer than this. */
-const REFUSAL_MEMORY_MOST_MS = 100;
+const MAX_REFUSAL_CACHE_MS = 100;
 
 /** A core that cannot allocate now is asked again after so long. */
-const ASK_AGAIN_MS = 100;
+const UNAVAILABLE_RETRY_MS = 100;
 
 /** Requests that wait for permits at most; those beyond it are refused. */
-const WAITING_MOST = 4096;
+const MAX_WAITING_REQUESTS = 4096;
 
 /** What a request is told that finds too many waiting. */
-const FULL_RETRY_AFTER_MS = 1000;
+const QUEUE_FULL_RETRY_AFTER_MS = 1000;
 
 /** Idle tenants are forgotten at this interval. */
-const FORGET_INTERVAL_MS = 1000;
+const IDLE_CLEANUP_INTERVAL_MS = 1000;
 
 /** Draws are numbered from a random number below this on, so that a grant for an earlier process is not mistaken. */
-const FIRST_DRAW_BELOW = 2 ** 31;
+const FIRST_DRAW_RANGE = 2 ** 31;
 
 /** What a client is made with. */
 export interface QuotaClientOptions {
@@ -53,16 +53,16 @@
 /** What the client holds and has done, as operators see it. */
 export interface QuotaClientStats {
   readonly waiting: number;
-  readonly keptPermits: number;
+  readonly surplusPermits: number;
   readonly drawsSent: number;
   readonly granted: number;
   readonly refused: number;
 }
 
 /** An allocator that is drawn from, with the tenants that have requests waiting for it. */
-interface Lane {
+interface AllocatorQueue {
   readonly member: Member;
-  readonly draws: Draws;
+  readonly draws: DrawTracker;
   readonly tenants: Set<TenantRequests>;
 }
 
@@ -83,20 +83,20 @@
   #view: QuotaView | undefined;
   #tenants = new Map<string, TenantRequests>();
   /** By the allocator's incarnation. */
-  #lanes = new Map<string, Lane>();
+  #queues = new Map<string, AllocatorQueue>();
   #lastDraw: number;
   #drawsSent = 0;
   /** While answers are handed out, requests that they bring about wait for the next draw. */
-  #isTakingGrant = false;
+  #isApplyingGrant = false;
   #waiting = 0;
   #granted = 0;
   #refused = 0;
-  #forgetMs = -Infinity;
+  #nextCleanupMs = -Infinity;
 
   constructor(options: QuotaClientOptions) {
     this.#options = options;
     this.#lifetimeMs = options.permitLifetimeMs ?? permitLifetimeMs(options.bounds);
-    this.#lastDraw = Math.floor(options.chance.next() * FIRST_DRAW_BELOW);
+    this.#lastDraw = Math.floor(options.chance.next() * FIRST_DRAW_RANGE);
   }
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
@@ -104,59 +104,59 @@
     const requests = this.#requestsOf(tenant);
     const immediate = this.#immediateAnswer(requests, nowMs);
     if (immediate !== undefined) {
-      this.#count(immediate);
+      this.#countAnswer(immediate);
       done(immediate);
       return () => undefined;
     }
-    return this.#wait(requests, done, nowMs);
+    return this.#enqueue(requests, done, nowMs);
   }
 
   /** Learns a view, by which allocators are chosen; the newest counts. */
   learnView(view: QuotaView): void {
     if (this.#view !== undefined && !isNewer(view, this.#view)) return;
     this.#view = view;
-    const lanes = this.#lanes;
-    this.#lanes = new Map();
+    const previousQueues = this.#queues;
+    this.#queues = new Map();
     for (const member of view.members) {
       if (member.disk === '') continue;
-      const draws = lanes.get(member.incarnation)?.draws ?? new Draws(this.#lifetimeMs);
-      this.#lanes.set(member.incarnation, { member, draws, tenants: new Set() });
+      const draws = previousQueues.get(member.incarnation)?.draws ?? new DrawTracker(this.#lifetimeMs);
+      this.#queues.set(member.incarnation, { member, draws, tenants: new Set() });
     }
     const nowMs = this.#options.clock.nowMs();
     for (const requests of this.#tenants.values()) {
-      requests.askAgainMs = -Infinity;
-      if (requests.waiting > 0) this.#laneOf(requests)?.tenants.add(requests);
+      requests.retryAtMs = -Infinity;
+      if (requests.waiting > 0) this.#queueOf(requests)?.tenants.add(requests);
     }
-    for (const lane of this.#lanes.values()) this.#draw(lane, nowMs);
+    for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
   }
 
   /** Takes a grant that a core sent. */
   receive(grant: QuotaGrant, nowMs: number): void {
-    for (const lane of this.#lanes.values()) {
-      const draw = lane.draws.answered(grant.draw);
+    for (const queue of this.#queues.values()) {
+      const draw = queue.draws.resolve(grant.draw);
       if (draw === undefined) continue;
-      this.#isTakingGrant = true;
-      this.#takeGrant(lane, draw, grant, nowMs);
-      this.#isTakingGrant = false;
-      this.#draw(lane, nowMs);
+      this.#isApplyingGrant = true;
+      this.#applyGrant(queue, draw, grant, nowMs);
+      this.#isApplyingGrant = false;
+      this.#sendDraw(queue, nowMs);
       return;
     }
   }
 
   /** Sends what is due. */
   tick(nowMs: number): void {
-    for (const lane of this.#lanes.values()) this.#draw(lane, nowMs);
-    if (nowMs < this.#forgetMs) return;
-    this.#forgetMs = nowMs + FORGET_INTERVAL_MS;
+    for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
+    if (nowMs < this.#nextCleanupMs) return;
+    this.#nextCleanupMs = nowMs + IDLE_CLEANUP_INTERVAL_MS;
     for (const [tenant, requests] of this.#tenants) if (requests.isIdle(nowMs)) this.#tenants.delete(tenant);
   }
 
   stats(): QuotaClientStats {
-    let keptPermits = 0;
-    for (const requests of this.#tenants.values()) keptPermits += requests.keptPermits;
+    let surplusPermits = 0;
+    for (const requests of this.#tenants.values()) surplusPermits += requests.surplusPermits;
     return {
       waiting: this.#waiting,
-      keptPermits,
+      surplusPermits,
       drawsSent: this.#drawsSent,
       granted: this.#granted,
       refused: this.#refused,
@@ -165,26 +165,27 @@
 
   /** A kept permit or a remembered refusal, where there is one. */
   #immediateAnswer(requests: TenantRequests, nowMs: number): PermitAnswer | undefined {
-    const endMs = requests.takeKeptPermit(nowMs);
+    const endMs = requests.takeSurplusPermit(nowMs);
     if (endMs !== undefined) return { kind: 'granted', permit: { endMs } };
     const refusedForMs = requests.refusedForMs(nowMs);
     if (refusedForMs > 0) return { kind: 'over-quota', retryAfterMs: refusedForMs };
-    if (this.#waiting >= WAITING_MOST) return { kind: 'over-quota', retryAfterMs: FULL_RETRY_AFTER_MS };
+    if (this.#waiting >= MAX_WAITING_REQUESTS)
+      return { kind: 'over-quota', retryAfterMs: QUEUE_FULL_RETRY_AFTER_MS };
     return undefined;
   }
 
-  #wait(requests: TenantRequests, done: (answer: PermitAnswer) => void, nowMs: number): () => void {
+  #enqueue(requests: TenantRequests, done: (answer: PermitAnswer) => void, nowMs: number): () => void {
     let isWaiting = true;
     this.#waiting += 1;
     const withdraw = requests.wait((answer) => {
       isWaiting = false;
       this.#waiting -= 1;
-      this.#count(answer);
+      this.#countAnswer(answer);
       done(answer);
     });
-    const lane = this.#laneOf(requests);
-    lane?.tenants.add(requests);
-    if (lane !== undefined) this.#draw(lane, nowMs);
+    const queue = this.#queueOf(requests);
+    queue?.tenants.add(requests);
+    if (queue !== undefined) this.#sendDraw(queue, nowMs);
     return () => {
       if (!isWaiting) return;
       isWaiting = false;
@@ -193,7 +194,7 @@
     };
   }
 
-  #count(answer: PermitAnswer): void {
+  #countAnswer(answer: PermitAnswer): void {
     if (answer.kind === 'granted') this.#granted += 1;
     else this.#refused += 1;
   }
@@ -206,23 +207,23 @@
     return requests;
   }
 
-  #laneOf({ tenant }: TenantRequests): Lane | undefined {
+  #queueOf({ tenant }: TenantRequests): AllocatorQueue | undefined {
     const member = this.#view === undefined ? undefined : allocatorOf(tenant, this.#view.members);
-    return member === undefined ? undefined : this.#lanes.get(member.incarnation);
+    return member === undefined ? undefined : this.#queues.get(member.incarnation);
   }
 
   /** Sends a draw for all requests that wait for an allocator, unless one is in flight. */
-  #draw({ draws, member, tenants }: Lane, nowMs: number): void {
-    if (this.#isTakingGrant || tenants.size === 0 || !draws.canSend(nowMs)) return;
+  #sendDraw({ draws, member, tenants }: AllocatorQueue, nowMs: number): void {
+    if (this.#isApplyingGrant || tenants.size === 0 || !draws.canSend(nowMs)) return;
     const needs = new Map<string, number>();
     for (const requests of tenants) {
       if (requests.waiting === 0) tenants.delete(requests);
-      else if (requests.askAgainMs <= nowMs) needs.set(requests.tenant, requests.waiting);
+      else if (requests.retryAtMs <= nowMs) needs.set(requests.tenant, requests.waiting);
     }
     if (needs.size === 0) return;
     this.#lastDraw += 1;
     this.#drawsSent += 1;
-    draws.sent({ draw: this.#lastDraw, sentMs: nowMs, needs });
+    draws.recordSent({ draw: this.#lastDraw, sentMs: nowMs, needs });
     const message = create(QuotaDrawSchema, {
       edge: this.#options.self(),
       draw: this.#lastDraw,
@@ -231,28 +232,34 @@
     this.#options.send(member, message);
   }
 
-  #takeGrant(lane: Lane, draw: SentDraw, grant: QuotaGrant, nowMs: number): void {
+  #applyGrant(queue: AllocatorQueue, draw: SentDraw, grant: QuotaGrant, nowMs: number): void {
     const endMs = draw.sentMs + this.#lifetimeMs;
     // What a core said so long ago is neither a permit nor news of the quota.
     if (endMs <= nowMs) return;
     for (const answer of grant.answers) {
       const asked = draw.needs.get(answer.tenant);
-      if (asked !== undefined) this.#takeAnswer(lane, answer, asked, endMs, nowMs);
+      if (asked !== undefined) this.#applyAnswer(queue, answer, asked, endMs, nowMs);
     }
   }
 
-  #takeAnswer(lane: Lane, answer: QuotaAnswer, asked: number, endMs: number, nowMs: number): void {
+  #applyAnswer(
+    queue: AllocatorQueue,
+    answer: QuotaAnswer,
+    asked: number,
+    endMs: number,
+    nowMs: number,
+  ): void {
     const requests = this.#requestsOf(answer.tenant);
     requests.grant(answer.granted, endMs);
-    const rest = asked - answer.granted;
-    if (rest <= 0) return;
+    const shortfall = asked - answer.granted;
+    if (shortfall <= 0) return;
     if (answer.unavailable) {
-      if (this.#laneOf(requests) === lane) requests.askAgainMs = nowMs + ASK_AGAIN_MS;
+      if (this.#queueOf(requests) === queue) requests.retryAtMs = nowMs + UNAVAILABLE_RETRY_MS;
       return;
     }
     const { retryAfterMs } = answer;
-    const untilMs = nowMs + Math.min(retryAfterMs, REFUSAL_MEMORY_MOST_MS);
-    requests.refuse(rest, retryAfterMs, untilMs);
+    const refuseUntilMs = nowMs + Math.min(retryAfterMs, MAX_REFUSAL_CACHE_MS);
+    requests.refuse(shortfall, retryAfterMs, refuseUntilMs);
   }
 }
 
--- a/packages/quotas/src/draws.ts
+++ b/packages/quotas/src/draw-tracker.ts
@@ -1,13 +1,13 @@
 /** The draws of an edge at one allocator: at most one in flight, sent again while no grant comes. */
 
 /** A first draw is taken for lost after so long. */
-const FIRST_TIMEOUT_MS = 150;
+const INITIAL_TIMEOUT_MS = 150;
 
 /** Each further one in a row waits this much longer. */
 const TIMEOUT_STEP_MS = 50;
 
 /** The longest time for which a draw is waited for. */
-const TIMEOUT_MOST_MS = 400;
+const MAX_TIMEOUT_MS = 400;
 
 /** A draw that was sent. */
 export interface SentDraw {
@@ -24,11 +24,11 @@
  * if (draws.canSend(nowMs)) draws.sent({ draw: 7, sentMs: nowMs, needs });
  * draws.answered(7)?.sentMs;
  */
-export class Draws {
+export class DrawTracker {
   #lifetimeMs: number;
-  #remembered = new Map<number, SentDraw>();
+  #pending = new Map<number, SentDraw>();
   #inFlight: SentDraw | undefined;
-  #unansweredInRow = 0;
+  #consecutiveTimeouts = 0;
 
   /** `lifetimeMs`: how long permits may be used from the moment at which their draw was sent. */
   constructor(lifetimeMs: number) {
@@ -41,23 +41,23 @@
   }
 
   /** Notes a draw that goes out now. */
-  sent(draw: SentDraw): void {
-    this.#unansweredInRow = this.#inFlight === undefined ? 0 : this.#unansweredInRow + 1;
+  recordSent(draw: SentDraw): void {
+    this.#consecutiveTimeouts = this.#inFlight === undefined ? 0 : this.#consecutiveTimeouts + 1;
     this.#inFlight = draw;
-    for (const [id, { sentMs }] of this.#remembered)
-      if (draw.sentMs - sentMs >= this.#lifetimeMs) this.#remembered.delete(id);
-    this.#remembered.set(draw.draw, draw);
+    for (const [id, { sentMs }] of this.#pending)
+      if (draw.sentMs - sentMs >= this.#lifetimeMs) this.#pending.delete(id);
+    this.#pending.set(draw.draw, draw);
   }
 
   /** The draw that a grant answers, once each; undefined where it is not known any more. */
-  answered(draw: number): SentDraw | undefined {
-    const known = this.#remembered.get(draw);
-    this.#remembered.delete(draw);
+  resolve(draw: number): SentDraw | undefined {
+    const known = this.#pending.get(draw);
+    this.#pending.delete(draw);
     if (this.#inFlight?.draw === draw) this.#inFlight = undefined;
     return known;
   }
 
   #timeoutMs(): number {
-    return Math.min(TIMEOUT_MOST_MS, FIRST_TIMEOUT_MS + TIMEOUT_STEP_MS * this.#unansweredInRow);
+    return Math.min(MAX_TIMEOUT_MS, INITIAL_TIMEOUT_MS + TIMEOUT_STEP_MS * this.#consecutiveTimeouts);
   }
 }
--- a/packages/quotas/src/sharded-permits.test.ts
+++ b/packages/quotas/src/sharded-permits.test.ts
@@ -9,7 +9,7 @@
 const BOUNDS = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 
 /** Shards that a test answers by hand. */
-class Trial {
+class ShardHarness {
   nowMs = 1000;
   readonly asked: string[] = [];
   readonly withdrawn: string[] = [];
@@ -39,7 +39,7 @@
     done?.(answer);
   }
 
-  later(ms: number): void {
+  advance(ms: number): void {
     this.nowMs += ms;
     this.permits.tick(this.nowMs);
   }
@@ -47,30 +47,30 @@
 
 describe('a request for a permit of a sharded quota', () => {
   it('is granted by the first shard alone where that answers', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.answer('t/0', GRANTED);
-    trial.later(500);
-    expect([trial.asked, trial.answers]).toEqual([['t/0'], [GRANTED]]);
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.answer('t/0', GRANTED);
+    harness.advance(500);
+    expect([harness.asked, harness.answers]).toEqual([['t/0'], [GRANTED]]);
   });
 
   it('goes on to the next shard where one refuses, and is over the quota once all have', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.answer('t/0', REFUSED);
-    trial.answer('t/1', REFUSED);
-    const before = [...trial.answers];
-    trial.answer('t/2', REFUSED);
-    expect([trial.asked, before, trial.answers]).toEqual([['t/0', 't/1', 't/2'], [], [REFUSED]]);
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.answer('t/0', REFUSED);
+    harness.answer('t/1', REFUSED);
+    const before = [...harness.answers];
+    harness.answer('t/2', REFUSED);
+    expect([harness.asked, before, harness.answers]).toEqual([['t/0', 't/1', 't/2'], [], [REFUSED]]);
   });
 
   it('does not wait for a shard whose core is silent, and the next request asks that one last', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.later(50);
-    trial.answer('t/1', GRANTED);
-    trial.ask();
-    expect([trial.asked, trial.withdrawn, trial.answers]).toEqual([
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.advance(50);
+    harness.answer('t/1', GRANTED);
+    harness.ask();
+    expect([harness.asked, harness.withdrawn, harness.answers]).toEqual([
       ['t/0', 't/1', 't/1'],
       ['t/0'],
       [GRANTED],
@@ -78,15 +78,15 @@
   });
 
   it('is not over the quota while one shard has not answered; those that refused are asked again', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.later(50);
-    trial.answer('t/1', REFUSED);
-    trial.answer('t/2', REFUSED);
-    const before = [...trial.answers];
-    trial.later(80);
-    trial.answer('t/1', GRANTED);
-    expect([trial.asked, before, trial.answers]).toEqual([
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.advance(50);
+    harness.answer('t/1', REFUSED);
+    harness.answer('t/2', REFUSED);
+    const before = [...harness.answers];
+    harness.advance(80);
+    harness.answer('t/1', GRANTED);
+    expect([harness.asked, before, harness.answers]).toEqual([
       ['t/0', 't/1', 't/2', 't/1', 't/2'],
       [],
       [GRANTED],
@@ -94,11 +94,11 @@
   });
 
   it('asks nothing more once it is withdrawn', () => {
-    const trial = new Trial();
-    trial.ask()();
-    trial.later(500);
-    trial.answer('t/0', GRANTED);
-    expect([trial.asked, trial.withdrawn, trial.answers]).toEqual([['t/0'], ['t/0'], []]);
+    const harness = new ShardHarness();
+    harness.ask()();
+    harness.advance(500);
+    harness.answer('t/0', GRANTED);
+    expect([harness.asked, harness.withdrawn, harness.answers]).toEqual([['t/0'], ['t/0'], []]);
   });
 });
 
--- a/packages/quotas/src/sharded-permits.ts
+++ b/packages/quotas/src/sharded-permits.ts
@@ -4,10 +4,10 @@
 import { shardName } from './shards.js';
 
 /** A shard that has not answered for so long is not waited for alone: the next one is asked too. */
-const HEDGE_AFTER_MS = 40;
+const HEDGE_DELAY_MS = 40;
 
 /** A shard that did not answer in time is asked last for so long. */
-const SILENT_MS = 300;
+const UNRESPONSIVE_MS = 300;
 
 /** What sharded permits are made with. */
 export interface ShardedPermitsOptions {
@@ -30,9 +30,9 @@
  */
 export class ShardedPermits implements PermitSource {
   #options: ShardedPermitsOptions;
-  #waiting = new Set<ShardedRequest>();
+  #pending = new Set<ShardedRequest>();
   /** Until when shards that did not answer are asked last, by name. */
-  #silentUntilMs = new Map<string, number>();
+  #unresponsiveUntilMs = new Map<string, number>();
 
   constructor(options: ShardedPermitsOptions) {
     this.#options = options;
@@ -40,135 +40,138 @@
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
     const { source, clock } = this.#options;
-    const names = this.#order(tenant);
+    const names = this.#shardOrder(tenant);
     const request = new ShardedRequest({
       names,
       source,
       nowMs: () => clock.nowMs(),
-      onSilent: (name) => void this.#silentUntilMs.set(name, clock.nowMs() + SILENT_MS),
+      onUnresponsive: (name) => void this.#unresponsiveUntilMs.set(name, clock.nowMs() + UNRESPONSIVE_MS),
       done: (answer) => {
-        this.#waiting.delete(request);
+        this.#pending.delete(request);
         done(answer);
       },
     });
-    this.#waiting.add(request);
+    this.#pending.add(request);
     request.start();
     return () => {
-      this.#waiting.delete(request);
+      this.#pending.delete(request);
       request.cancel();
     };
   }
 
   /** Asks further shards where the first ones do not answer. */
   tick(nowMs: number): void {
-    for (const request of this.#waiting) request.tick(nowMs);
-    for (const [name, untilMs] of this.#silentUntilMs) if (untilMs <= nowMs) this.#silentUntilMs.delete(name);
+    for (const request of this.#pending) request.tick(nowMs);
+    for (const [name, untilMs] of this.#unresponsiveUntilMs)
+      if (untilMs <= nowMs) this.#unresponsiveUntilMs.delete(name);
   }
 
   /** The shards in the order in which a request asks them: from a random one on, silent ones last. */
-  #order(tenant: string): string[] {
+  #shardOrder(tenant: string): string[] {
     const count = this.#options.shardCountOf(tenant);
     if (count === 1) return [shardName(tenant, 0)];
-    const first = Math.floor(this.#options.chance.next() * count);
-    const names = Array.from({ length: count }, (_, place) => shardName(tenant, (first + place) % count));
-    if (this.#silentUntilMs.size === 0) return names;
-    const isSilent = (name: string): boolean => this.#silentUntilMs.has(name);
-    return [...names.filter((name) => !isSilent(name)), ...names.filter(isSilent)];
+    const firstIndex = Math.floor(this.#options.chance.next() * count);
+    const names = Array.from({ length: count }, (_, offset) =>
+      shardName(tenant, (firstIndex + offset) % count),
+    );
+    if (this.#unresponsiveUntilMs.size === 0) return names;
+    const isUnresponsive = (name: string): boolean => this.#unresponsiveUntilMs.has(name);
+    return [...names.filter((name) => !isUnresponsive(name)), ...names.filter(isUnresponsive)];
   }
 }
 
 /** What one request is made of. */
-interface ShardedRequestInit {
+interface ShardedRequestOptions {
   readonly names: readonly string[];
   readonly source: PermitSource;
   nowMs(): number;
-  onSilent(name: string): void;
+  onUnresponsive(name: string): void;
   done(answer: PermitAnswer): void;
 }
 
 /** One shard as one request asks it. */
-interface AskedShard {
+interface ShardAttempt {
   readonly name: string;
-  readonly askedMs: number;
+  readonly sentMs: number;
   /** Withdraws the question; undefined once it was answered. */
   cancel: (() => void) | undefined;
   /** Not asked again before this, where it refused. */
-  askAgainMs: number;
+  retryAtMs: number;
 }
 
 /** One request for a permit at the shards of its tenant. */
 class ShardedRequest {
-  #init: ShardedRequestInit;
-  #asked: AskedShard[] = [];
+  #options: ShardedRequestOptions;
+  #attempts: ShardAttempt[] = [];
   #isSettled = false;
 
-  constructor(init: ShardedRequestInit) {
-    this.#init = init;
+  constructor(options: ShardedRequestOptions) {
+    this.#options = options;
   }
 
   start(): void {
-    this.#askNext();
+    this.#tryNextShard();
   }
 
   cancel(): void {
     this.#isSettled = true;
-    for (const shard of this.#asked) shard.cancel?.();
+    for (const attempt of this.#attempts) attempt.cancel?.();
   }
 
   tick(nowMs: number): void {
     if (this.#isSettled) return;
-    const last = this.#asked.at(-1);
-    if (last?.cancel !== undefined && nowMs - last.askedMs >= HEDGE_AFTER_MS) {
-      this.#init.onSilent(last.name);
-      this.#askNext();
+    const last = this.#attempts.at(-1);
+    if (last?.cancel !== undefined && nowMs - last.sentMs >= HEDGE_DELAY_MS) {
+      this.#options.onUnresponsive(last.name);
+      this.#tryNextShard();
     }
-    for (const shard of this.#asked.filter(
-      ({ cancel, askAgainMs }) => cancel === undefined && nowMs >= askAgainMs,
+    for (const attempt of this.#attempts.filter(
+      ({ cancel, retryAtMs }) => cancel === undefined && nowMs >= retryAtMs,
     ))
-      this.#askAgain(shard);
+      this.#retry(attempt);
   }
 
   /** An earlier one of the questions may have been answered with a permit meanwhile. */
-  #askAgain(shard: AskedShard): void {
-    if (!this.#isSettled) this.#ask(shard);
+  #retry(attempt: ShardAttempt): void {
+    if (!this.#isSettled) this.#send(attempt);
   }
 
-  #askNext(): void {
-    const name = this.#init.names[this.#asked.length];
+  #tryNextShard(): void {
+    const name = this.#options.names[this.#attempts.length];
     if (name === undefined) return;
-    const shard: AskedShard = {
+    const attempt: ShardAttempt = {
       name,
-      askedMs: this.#init.nowMs(),
+      sentMs: this.#options.nowMs(),
       cancel: undefined,
-      askAgainMs: Infinity,
+      retryAtMs: Infinity,
     };
-    this.#asked.push(shard);
-    this.#ask(shard);
+    this.#attempts.push(attempt);
+    this.#send(attempt);
   }
 
   /** The answer may come before the question returns. */
-  #ask(shard: AskedShard): void {
-    const question = { isOpen: true };
-    const cancel = this.#init.source.acquire(shard.name, (answer) => {
-      question.isOpen = false;
-      shard.cancel = undefined;
-      this.#onAnswer(shard, answer);
+  #send(attempt: ShardAttempt): void {
+    const state = { isOpen: true };
+    const cancel = this.#options.source.acquire(attempt.name, (answer) => {
+      state.isOpen = false;
+      attempt.cancel = undefined;
+      this.#onAnswer(attempt, answer);
     });
-    if (question.isOpen) shard.cancel = cancel;
+    if (state.isOpen) attempt.cancel = cancel;
   }
 
-  #onAnswer(shard: AskedShard, answer: PermitAnswer): void {
+  #onAnswer(attempt: ShardAttempt, answer: PermitAnswer): void {
     if (this.#isSettled) return;
     if (answer.kind === 'granted') return this.#settle(answer);
-    shard.askAgainMs = this.#init.nowMs() + answer.retryAfterMs;
-    if (this.#asked.length < this.#init.names.length) return this.#askNext();
-    if (this.#asked.some(({ cancel }) => cancel !== undefined)) return;
-    const soonestMs = Math.min(...this.#asked.map(({ askAgainMs }) => askAgainMs));
-    this.#settle({ kind: 'over-quota', retryAfterMs: Math.max(1, soonestMs - this.#init.nowMs()) });
+    attempt.retryAtMs = this.#options.nowMs() + answer.retryAfterMs;
+    if (this.#attempts.length < this.#options.names.length) return this.#tryNextShard();
+    if (this.#attempts.some(({ cancel }) => cancel !== undefined)) return;
+    const earliestRetryMs = Math.min(...this.#attempts.map(({ retryAtMs }) => retryAtMs));
+    this.#settle({ kind: 'over-quota', retryAfterMs: Math.max(1, earliestRetryMs - this.#options.nowMs()) });
   }
 
   #settle(answer: PermitAnswer): void {
     this.cancel();
-    this.#init.done(answer);
+    this.#options.done(answer);
   }
 }
--- a/packages/quotas/src/shards.ts
+++ b/packages/quotas/src/shards.ts
@@ -5,10 +5,10 @@
 import type { QuotaBounds, TenantLimit } from './permits.js';
 
 /** Shards of a quota at most: with one lost, a tenant at 5/8 of its limit is still served at once. */
-const SHARDS_MOST = 3;
+const MAX_SHARDS = 3;
 
 /** A shard with less burst than this would refuse requests that come close together. */
-const SHARD_BURST_LEAST = 2;
+const MIN_SHARD_BURST = 2;
 
 /**
  * Into how many shards a limit is divided; the same at edges and cores that know the same limit.
@@ -16,7 +16,7 @@
  * shardCount({ name: 'tenant-1', ratePerS: 95, burst: 95 }); // 3
  */
 export function shardCount({ burst }: Pick<TenantLimit, 'burst'>): number {
-  return Math.max(1, Math.min(SHARDS_MOST, Math.floor(burst / SHARD_BURST_LEAST)));
+  return Math.max(1, Math.min(MAX_SHARDS, Math.floor(burst / MIN_SHARD_BURST)));
 }
 
 /** The name under which one shard of a tenant's quota is allocated. */
--- a/packages/quotas/src/tenant-requests.ts
+++ b/packages/quotas/src/tenant-requests.ts
@@ -2,7 +2,7 @@
 import type { PermitAnswer } from './permits.js';
 
 /** Surplus permits of a tenant kept at most; more are let go. */
-const KEPT_PERMITS_MOST = 256;
+const MAX_SURPLUS_PERMITS = 256;
 
 /** A request that waits for a permit. */
 interface Waiter {
@@ -19,10 +19,10 @@
 export class TenantRequests {
   readonly tenant: string;
   /** The core asks to be asked again, not before this moment. */
-  askAgainMs = -Infinity;
+  retryAtMs = -Infinity;
   #waiters = new Set<Waiter>();
   /** Ends of surplus permits. */
-  #permitEndsMs: number[] = [];
+  #surplusExpiriesMs: number[] = [];
   #refusedUntilMs = -Infinity;
 
   constructor(tenant: string) {
@@ -33,8 +33,8 @@
     return this.#waiters.size;
   }
 
-  get keptPermits(): number {
-    return this.#permitEndsMs.length;
+  get surplusPermits(): number {
+    return this.#surplusExpiriesMs.length;
   }
 
   /** For how long requests are refused without asking; 0 or less: they are not. */
@@ -44,14 +44,14 @@
 
   /** Whether nothing here need be remembered. */
   isIdle(nowMs: number): boolean {
-    this.#dropEnded(nowMs);
-    return this.#waiters.size === 0 && this.#permitEndsMs.length === 0 && this.refusedForMs(nowMs) <= 0;
+    this.#dropExpired(nowMs);
+    return this.#waiters.size === 0 && this.#surplusExpiriesMs.length === 0 && this.refusedForMs(nowMs) <= 0;
   }
 
   /** The end of a surplus permit, which is then used up; undefined where none is left. */
-  takeKeptPermit(nowMs: number): number | undefined {
-    this.#dropEnded(nowMs);
-    return this.#permitEndsMs.shift();
+  takeSurplusPermit(nowMs: number): number | undefined {
+    this.#dropExpired(nowMs);
+    return this.#surplusExpiriesMs.shift();
   }
 
   /** Lets a request wait; the returned function withdraws it. */
@@ -64,9 +64,9 @@
   /** Gives permits to the oldest requests and keeps the rest until their end. */
   grant(permits: number, endMs: number): void {
     for (let left = permits; left > 0; left -= 1) {
-      const waiter = this.#next();
+      const waiter = this.#shiftWaiter();
       if (waiter !== undefined) waiter.done({ kind: 'granted', permit: { endMs } });
-      else if (this.#permitEndsMs.length < KEPT_PERMITS_MOST) this.#permitEndsMs.push(endMs);
+      else if (this.#surplusExpiriesMs.length < MAX_SURPLUS_PERMITS) this.#surplusExpiriesMs.push(endMs);
     }
   }
 
@@ -74,10 +74,10 @@
   refuse(requests: number, retryAfterMs: number, untilMs: number): void {
     this.#refusedUntilMs = Math.max(this.#refusedUntilMs, untilMs);
     for (let left = Math.min(requests, this.#waiters.size); left > 0; left -= 1)
-      this.#next()?.done({ kind: 'over-quota', retryAfterMs });
+      this.#shiftWaiter()?.done({ kind: 'over-quota', retryAfterMs });
   }
 
-  #next(): Waiter | undefined {
+  #shiftWaiter(): Waiter | undefined {
     for (const waiter of this.#waiters) {
       this.#waiters.delete(waiter);
       return waiter;
@@ -85,8 +85,8 @@
     return undefined;
   }
 
-  #dropEnded(nowMs: number): void {
-    if (this.#permitEndsMs.some((endMs) => endMs <= nowMs))
-      this.#permitEndsMs = this.#permitEndsMs.filter((endMs) => endMs > nowMs);
+  #dropExpired(nowMs: number): void {
+    if (this.#surplusExpiriesMs.some((endMs) => endMs <= nowMs))
+      this.#surplusExpiriesMs = this.#surplusExpiriesMs.filter((endMs) => endMs > nowMs);
   }
 }
--- a/packages/quotas/src/testing/bound-oracle.ts
+++ b/packages/quotas/src/testing/bound-oracle.ts
@@ -3,7 +3,7 @@
 import { windowBound } from '../quota-budget.js';
 
 /** A change of a limit is in force everywhere, and permits by the limit before have ended, after so long. */
-export const LIMIT_APPLY_MS = 1100;
+export const LIMIT_CHANGE_MS = 1100;
 
 /** A window with too many requests. */
 export interface BoundBreach {
@@ -25,7 +25,7 @@
 export class BoundOracle {
   readonly breaches: BoundBreach[] = [];
   /** The fullest window so far, as a part of its bound. */
-  fullest = 0;
+  peakUsage = 0;
   #bounds: QuotaBounds;
   #sentMs = new Map<string, number[]>();
   #changes = new Map<string, LimitChange[]>();
@@ -48,12 +48,12 @@
     window.push(nowMs);
     const startMs = nowMs - this.#bounds.windowMs;
     while ((window[0] ?? nowMs) < startMs) window.shift();
-    const bound = this.#boundSince(tenant, startMs - LIMIT_APPLY_MS);
-    this.fullest = Math.max(this.fullest, window.length / bound);
+    const bound = this.#highestBoundSince(tenant, startMs - LIMIT_CHANGE_MS);
+    this.peakUsage = Math.max(this.peakUsage, window.length / bound);
     if (window.length > bound) this.breaches.push({ tenant, atMs: nowMs, sent: window.length, bound });
   }
 
-  #boundSince(tenant: string, sinceMs: number): number {
+  #highestBoundSince(tenant: string, sinceMs: number): number {
     const changes = this.#changes.get(tenant) ?? [];
     let highest = 0;
     for (const [index, { bound }] of changes.entries()) {
--- a/packages/quotas/src/testing/core-node.ts
+++ b/packages/quotas/src/testing/core-node.ts
@@ -8,7 +8,7 @@
   type QuotaDraw,
   type QuotaGrant,
 } from '@rainrun/messages';
-import { QuotaAllocator, type HandoverOrder, type QuotaView } from '../allocator.js';
+import { QuotaAllocator, type OutgoingHandover, type QuotaView } from '../allocator.js';
 import type { QuotaBounds, TenantLimit } from '../permits.js';
 import { shardLimits } from '../shards.js';
 import { TokenBucket } from '../token-bucket.js';
@@ -20,10 +20,10 @@
 const HEARTBEAT_MS = 200;
 
 /** How long the mutant that hands over without stopping goes on. */
-const STUBBORN_MS = 4000;
+const NO_STOP_DURATION_MS = 4000;
 
 /** What a core is made with. */
-export interface CoreSettings {
+export interface CoreNodeOptions {
   readonly machine: Machine;
   readonly network: Network;
   readonly random: RandomSource;
@@ -40,7 +40,7 @@
 }
 
 /** A tenant that the mutant without a stop goes on granting for. */
-interface StubbornBucket {
+interface UnstoppedBucket {
   readonly bucket: TokenBucket;
   readonly untilMs: number;
 }
@@ -52,31 +52,31 @@
   view: QuotaView | undefined;
   /** Who stays, in the change for which this core has flushed; others are not acknowledged any more. */
   flushedFor: ReadonlySet<string> | undefined;
-  #settings: CoreSettings;
+  #options: CoreNodeOptions;
   #allocator!: QuotaAllocator;
   #acknowledgements = new Map<string, Acknowledgement>();
-  #stubborn = new Map<string, StubbornBucket>();
+  #unstoppedBuckets = new Map<string, UnstoppedBucket>();
 
-  constructor(settings: CoreSettings) {
-    this.#settings = settings;
-    this.machine = settings.machine;
+  constructor(options: CoreNodeOptions) {
+    this.#options = options;
+    this.machine = options.machine;
     this.start();
   }
 
   /** Begins a process: nothing is remembered. */
   start(): void {
-    const { bounds, machine, mutant } = this.#settings;
+    const { bounds, machine, mutant } = this.#options;
     this.renewIncarnation();
-    this.#stubborn.clear();
+    this.#unstoppedBuckets.clear();
     const waitMs = mutant === 'no-wait' ? { takeoverWaitMs: 0 } : {};
     this.#allocator = new QuotaAllocator({ bounds, leaseMs: LEASE_MS, ...waitMs });
-    this.learnLimits();
+    this.reloadLimits();
     machine.every(HEARTBEAT_MS, () => this.#sendHeartbeats());
   }
 
   /** Leaves the view; goes on as a new member. */
   renewIncarnation(): void {
-    const { machine, random } = this.#settings;
+    const { machine, random } = this.#options;
     const { name } = machine;
     this.member = create(MemberSchema, { name, incarnation: randomId(random), disk: `disk-${name}` });
     this.view = undefined;
@@ -84,8 +84,8 @@
     this.#acknowledgements.clear();
   }
 
-  learnLimits(): void {
-    this.#allocator.updateLimits(this.#limitsOfShards(), this.machine.nowMs());
+  reloadLimits(): void {
+    this.#allocator.updateLimits(this.#shardLimits(), this.machine.nowMs());
   }
 
   install(view: QuotaView): void {
@@ -94,12 +94,12 @@
     this.view = view;
     this.flushedFor = undefined;
     const orders = this.#allocator.onView(view, this.member.incarnation, nowMs);
-    if (this.#settings.mutant === 'no-stop') this.#goOn(orders, nowMs);
+    if (this.#options.mutant === 'no-stop') this.#keepGranting(orders, nowMs);
     for (const order of orders) this.#sendHandover(order);
-    if (this.#settings.mutant === 'wait-from-install') this.#allocator.onViewCommitted(view, nowMs);
+    if (this.#options.mutant === 'wait-from-install') this.#allocator.onViewCommitted(view, nowMs);
   }
 
-  learnCommitted(number: number): void {
+  onCommitted(number: number): void {
     if (this.view !== undefined && number >= this.view.number)
       this.#allocator.onViewCommitted(this.view, this.machine.nowMs());
   }
@@ -109,42 +109,43 @@
   }
 
   answer({ draw, needs }: QuotaDraw): QuotaGrant {
-    const holdsLease = this.#settings.mutant === 'no-lease' ? this.view !== undefined : this.holdsLease();
+    const holdsLease = this.#options.mutant === 'no-lease' ? this.view !== undefined : this.holdsLease();
     const nowMs = this.machine.nowMs();
     const answers = this.#allocator.answer(needs, holdsLease, nowMs);
     for (const [index, answer] of answers.entries()) {
-      const stubborn = this.#stubborn.get(answer.tenant);
-      if (!answer.unavailable || !holdsLease || stubborn === undefined || stubborn.untilMs < nowMs) continue;
-      answer.granted += stubborn.bucket.take((needs[index]?.permits ?? 0) - answer.granted, nowMs);
+      const unstopped = this.#unstoppedBuckets.get(answer.tenant);
+      if (!answer.unavailable || !holdsLease || unstopped === undefined || unstopped.untilMs < nowMs)
+        continue;
+      answer.granted += unstopped.bucket.take((needs[index]?.permits ?? 0) - answer.granted, nowMs);
     }
     return create(QuotaGrantSchema, { draw, answers });
   }
 
-  #limitsOfShards(): TenantLimit[] {
-    const { bounds, limits, mutant } = this.#settings;
+  #shardLimits(): TenantLimit[] {
+    const { bounds, limits, mutant } = this.#options;
     return limits().flatMap((limit) => (isSharded(mutant) ? shardLimits(limit, bounds) : [limit]));
   }
 
-  #goOn(orders: readonly HandoverOrder[], nowMs: number): void {
+  #keepGranting(orders: readonly OutgoingHandover[], nowMs: number): void {
     for (const { tenant, level } of orders.flatMap(({ handover }) => handover.levels)) {
-      const limit = this.#limitsOfShards().find(({ name }) => name === tenant);
+      const limit = this.#shardLimits().find(({ name }) => name === tenant);
       const shape = { depth: level + (limit?.burst ?? 0), tokensPerMs: (limit?.ratePerS ?? 0) / 1000 };
       const bucket = new TokenBucket(shape, level);
-      bucket.beginFilling(nowMs);
-      this.#stubborn.set(tenant, { bucket, untilMs: nowMs + STUBBORN_MS });
+      bucket.startRefill(nowMs);
+      this.#unstoppedBuckets.set(tenant, { bucket, untilMs: nowMs + NO_STOP_DURATION_MS });
     }
   }
 
-  #sendHandover({ handover, to }: HandoverOrder): void {
-    const target = this.#settings.coreOf(to.incarnation);
+  #sendHandover({ handover, to }: OutgoingHandover): void {
+    const target = this.#options.coreOf(to.incarnation);
     if (target === undefined) return;
-    this.#settings.network.send(this.machine, target.machine, () => {
+    this.#options.network.send(this.machine, target.machine, () => {
       target.#allocator.onHandover(handover, target.machine.nowMs());
     });
   }
 
   #sendHeartbeats(): void {
-    const { coreOf, network } = this.#settings;
+    const { coreOf, network } = this.#options;
     const { incarnation } = this.member;
     const sentMs = this.machine.nowMs();
     for (const member of this.view?.members ?? []) {
@@ -161,7 +162,7 @@
     if (view === undefined || !view.members.some((member) => member.incarnation === incarnation)) return;
     if (this.flushedFor?.has(incarnation) === false) return;
     const from = this.member.incarnation;
-    this.#settings.network.send(this.machine, sender.machine, () => {
+    this.#options.network.send(this.machine, sender.machine, () => {
       if (sender.member.incarnation !== incarnation) return;
       const known = sender.#acknowledgements.get(from);
       if (known === undefined || sentMs >= known.sentMs)
--- a/packages/quotas/src/testing/edge-node.ts
+++ b/packages/quotas/src/testing/edge-node.ts
@@ -14,24 +14,24 @@
 
 const TICK_MS = 25;
 /** Some edges learn views sooner than others. */
-const VIEW_POLL_LEAST_MS = 100;
-const VIEW_POLL_SPREAD_MS = 1200;
+const MIN_VIEW_POLL_MS = 100;
+const VIEW_POLL_RANGE_MS = 1200;
 
 /** Clients wait so long at most. */
-const PATIENCE_MOST_MS = 5000;
+const CLIENT_TIMEOUT_MS = 5000;
 
 /** A part of the requests holds its permit for a while before it is sent. */
-const HOLDING_PART = 0.05;
-const HOLD_MOST_MS = 300;
+const DELAYED_SEND_FRACTION = 0.05;
+const MAX_SEND_DELAY_MS = 300;
 
 /** A part of the clients goes away early. */
-const IMPATIENT_PART = 0.03;
+const EARLY_CANCEL_FRACTION = 0.03;
 
 /** The mutant without an end of permits uses them for so long. */
-const ENDLESS_MS = 60_000;
+const NO_PERMIT_END_LIFETIME_MS = 60_000;
 
 /** What an edge is made with. */
-export interface EdgeSettings {
+export interface EdgeNodeOptions {
   readonly machine: Machine;
   readonly network: Network;
   readonly random: RandomSource;
@@ -51,49 +51,50 @@
 /** An edge and its client of quotas. */
 export class EdgeNode {
   readonly machine: Machine;
-  #settings: EdgeSettings;
+  #options: EdgeNodeOptions;
   #member!: Member;
   #client!: QuotaClient;
   #permits!: ShardedPermits;
 
-  constructor(settings: EdgeSettings) {
-    this.#settings = settings;
-    this.machine = settings.machine;
+  constructor(options: EdgeNodeOptions) {
+    this.#options = options;
+    this.machine = options.machine;
     this.start();
   }
 
   /** Begins a process: it knows no view and has no permits. */
   start(): void {
-    const { bounds, machine, mutant, random } = this.#settings;
+    const { bounds, machine, mutant, random } = this.#options;
     this.#member = create(MemberSchema, { name: machine.name, incarnation: randomId(random) });
-    const endless = mutant === 'no-permit-end' ? { permitLifetimeMs: ENDLESS_MS } : {};
+    const lifetimeOverride =
+      mutant === 'no-permit-end' ? { permitLifetimeMs: NO_PERMIT_END_LIFETIME_MS } : {};
     this.#client = new QuotaClient({
       clock: machine,
       chance: random,
       bounds,
       self: () => this.#member,
       send: (to, draw) => this.#sendDraw(to, draw),
-      ...endless,
+      ...lifetimeOverride,
     });
     this.#permits = new ShardedPermits({
       clock: machine,
       chance: random,
       source: this.#client,
-      shardCountOf: (tenant) => shardCount(this.#settings.limitOf(tenant)),
+      shardCountOf: (tenant) => shardCount(this.#options.limitOf(tenant)),
     });
     machine.every(TICK_MS, () => {
       this.#client.tick(machine.nowMs());
       this.#permits.tick(machine.nowMs());
     });
-    machine.every(VIEW_POLL_LEAST_MS + random.next() ** 2 * VIEW_POLL_SPREAD_MS, () => this.#pollView());
+    machine.every(MIN_VIEW_POLL_MS + random.next() ** 2 * VIEW_POLL_RANGE_MS, () => this.#pollView());
   }
 
   /** A request that is ready to be sent and needs a permit. */
   request(record: RequestRecord): void {
-    const { machine, random } = this.#settings;
+    const { machine, random } = this.#options;
     let cancel = this.#acquire(record, () => (cancel = this.#acquire(record)));
-    const patienceMs = random.next() < IMPATIENT_PART ? random.next() * 300 : PATIENCE_MOST_MS;
-    machine.after(patienceMs, () => {
+    const timeoutMs = random.next() < EARLY_CANCEL_FRACTION ? random.next() * 300 : CLIENT_TIMEOUT_MS;
+    machine.after(timeoutMs, () => {
       cancel();
       record.outcome ??= 'given-up';
     });
@@ -101,19 +102,19 @@
 
   #acquire(record: RequestRecord, again?: () => void): () => void {
     const retry = again ?? (() => this.#acquire(record));
-    const permits = isSharded(this.#settings.mutant) ? this.#permits : this.#client;
+    const permits = isSharded(this.#options.mutant) ? this.#permits : this.#client;
     return permits.acquire(record.tenant, (answer) => this.#onAnswer(record, answer, retry));
   }
 
   #onAnswer(record: RequestRecord, answer: PermitAnswer, retry: () => void): void {
-    const { machine, nowMs, random, stalledForMs } = this.#settings;
+    const { machine, nowMs, random, stalledForMs } = this.#options;
     record.answeredMs ??= nowMs();
     if (answer.kind === 'over-quota') {
       record.outcome ??= 'refused';
       return;
     }
-    const holdMs = random.next() < HOLDING_PART ? random.next() * HOLD_MOST_MS : 0;
-    const delayMs = Math.max(holdMs, stalledForMs());
+    const sendDelayMs = random.next() < DELAYED_SEND_FRACTION ? random.next() * MAX_SEND_DELAY_MS : 0;
+    const delayMs = Math.max(sendDelayMs, stalledForMs());
     if (delayMs === 0) this.#send(record, answer.permit, retry);
     else machine.after(delayMs, () => this.#send(record, answer.permit, retry));
   }
@@ -126,11 +127,11 @@
       return;
     }
     record.outcome = 'sent';
-    this.#settings.onSent(record.tenant);
+    this.#options.onSent(record.tenant);
   }
 
   #sendDraw(to: Member, draw: QuotaDraw): void {
-    const { coreOf, machine, network } = this.#settings;
+    const { coreOf, machine, network } = this.#options;
     const core = coreOf(to.incarnation);
     if (core === undefined) return;
     const edge = this.#member;
@@ -145,16 +146,16 @@
 
   /** Asks some core for its view. */
   #pollView(): void {
-    const { cores, machine, network, random } = this.#settings;
+    const { cores, machine, network, random } = this.#options;
     const core = cores[Math.floor(random.next() * cores.length)];
     if (core === undefined) return;
     network.send(machine, core.machine, () => {
       const { view } = core;
-      if (view !== undefined) network.send(core.machine, machine, () => this.#learn(view));
+      if (view !== undefined) network.send(core.machine, machine, () => this.#learnView(view));
     });
   }
 
-  #learn(view: QuotaView): void {
+  #learnView(view: QuotaView): void {
     this.#client.learnView(view);
   }
 }
--- a/packages/quotas/src/testing/group-model.ts
+++ b/packages/quotas/src/testing/group-model.ts
@@ -10,12 +10,12 @@
 import type { Network } from './machine.js';
 
 const STEP_MS = 50;
-const SUSPECT_MS = 900;
+const SUSPECT_TIMEOUT_MS = 900;
 const RESEND_MS = 100;
-const FLUSH_MOST_MS = 1500;
+const FLUSH_TIMEOUT_MS = 1500;
 
 /** A view change while its flushes are collected. */
-interface Change {
+interface ViewChange {
   /** Cores that stay, under the incarnations that they have in the old view. */
   readonly staying: ReadonlyMap<Member, CoreNode>;
   readonly joiners: readonly Member[];
@@ -27,22 +27,22 @@
 /** The sequence of views, moved on by a coordinator that is in touch with a majority. */
 export class GroupModel {
   /** Called for each view that is chosen, with the one before. */
-  onChosen: ((before: QuotaView, view: QuotaView) => void) | undefined;
+  onViewChosen: ((before: QuotaView, view: QuotaView) => void) | undefined;
   /** Called once, when the next view is chosen, with the one who coordinates and before it tells anyone. */
-  onNextChoice: ((coordinator: CoreNode) => void) | undefined;
+  onNextViewChosen: ((coordinator: CoreNode) => void) | undefined;
   #cores: CoreNode[];
   #events: EventQueue;
   #network: Network;
   #view: QuotaView;
-  #previous: QuotaView | undefined;
-  #applied = new Set<string>();
+  #previousView: QuotaView | undefined;
+  #installedBy = new Set<string>();
   #isCommitted = true;
   #coordinator: CoreNode | undefined;
-  #coordinatorSeenMs = 0;
+  #coordinatorLastSeenMs = 0;
   #epoch = 1;
-  #change: Change | undefined;
-  #lastTouchMs = new Map<string, number>();
-  #sentMs = -Infinity;
+  #change: ViewChange | undefined;
+  #lastReachableMs = new Map<string, number>();
+  #lastBroadcastMs = -Infinity;
 
   /** `cores` is the list of all cores that ever start; more may be added to it. */
   constructor(cores: CoreNode[], events: EventQueue, network: Network) {
@@ -52,7 +52,7 @@
     this.#view = { epoch: 1, number: 1, members: cores.map(({ member }) => member) };
     for (const core of cores) {
       core.install(this.#view);
-      core.learnCommitted(1);
+      core.onCommitted(1);
     }
     this.#schedule();
   }
@@ -83,9 +83,9 @@
     const coordinator = this.#chooseCoordinator();
     if (coordinator === undefined) return;
     for (const core of this.#cores)
-      if (this.#inTouch(coordinator, core))
-        this.#lastTouchMs.set(core.member.incarnation, this.#events.nowMs);
-    this.#spread(coordinator);
+      if (this.#areConnected(coordinator, core))
+        this.#lastReachableMs.set(core.member.incarnation, this.#events.nowMs);
+    this.#broadcastView(coordinator);
     this.#tryCommit();
     if (!this.#isCommitted) return;
     if (this.#change === undefined) this.#startChange(coordinator);
@@ -94,14 +94,14 @@
 
   #chooseCoordinator(): CoreNode | undefined {
     const { nowMs } = this.#events;
-    const present = this.#coordinator;
-    if (present !== undefined && this.#canCoordinate(present)) this.#coordinatorSeenMs = nowMs;
-    if (nowMs - this.#coordinatorSeenMs < SUSPECT_MS)
-      return this.#coordinatorSeenMs === nowMs ? present : undefined;
+    const current = this.#coordinator;
+    if (current !== undefined && this.#canCoordinate(current)) this.#coordinatorLastSeenMs = nowMs;
+    if (nowMs - this.#coordinatorLastSeenMs < SUSPECT_TIMEOUT_MS)
+      return this.#coordinatorLastSeenMs === nowMs ? current : undefined;
     const next = this.#cores.find((core) => this.#canCoordinate(core));
     if (next === undefined) return undefined;
     this.#coordinator = next;
-    this.#coordinatorSeenMs = nowMs;
+    this.#coordinatorLastSeenMs = nowMs;
     this.#change = undefined;
     this.#epoch += 1;
     return next;
@@ -111,16 +111,16 @@
     if (!core.machine.isRunning) return false;
     return hasMajority(
       this.#view,
-      (member) => this.#isDeparted(member) || this.#isMemberInTouch(core, member),
+      (member) => this.#isDeparted(member) || this.#isMemberConnected(core, member),
     );
   }
 
-  #isMemberInTouch(core: CoreNode, { incarnation }: Member): boolean {
+  #isMemberConnected(core: CoreNode, { incarnation }: Member): boolean {
     const other = this.coreOf(incarnation);
-    return other !== undefined && this.#inTouch(core, other);
+    return other !== undefined && this.#areConnected(core, other);
   }
 
-  #inTouch(one: CoreNode, other: CoreNode): boolean {
+  #areConnected(one: CoreNode, other: CoreNode): boolean {
     if (one === other) return true;
     if (!other.machine.isRunning) return false;
     return (
@@ -135,10 +135,10 @@
   }
 
   /** Sends the newest view, and which one is committed, to those that should have it. */
-  #spread(coordinator: CoreNode): void {
+  #broadcastView(coordinator: CoreNode): void {
     const { nowMs } = this.#events;
-    if (nowMs - this.#sentMs < RESEND_MS) return;
-    this.#sentMs = nowMs;
+    if (nowMs - this.#lastBroadcastMs < RESEND_MS) return;
+    this.#lastBroadcastMs = nowMs;
     const view = this.#view;
     const committed = this.#isCommitted ? view.number : view.number - 1;
     for (const core of this.#cores) {
@@ -146,7 +146,7 @@
       this.#send(coordinator, core, () => {
         if (core.member.incarnation !== incarnation) return;
         this.#notify(core, view, committed);
-        if (core.view === view) this.#send(core, coordinator, () => this.#onApplied(view, incarnation));
+        if (core.view === view) this.#send(core, coordinator, () => this.#onInstalled(view, incarnation));
       });
     }
   }
@@ -155,19 +155,19 @@
     const isMember = view.members.includes(core.member);
     if (isMember) core.install(view);
     else if (core.view !== undefined && core.view.number < view.number) core.renewIncarnation();
-    core.learnCommitted(committed);
+    core.onCommitted(committed);
   }
 
-  #onApplied(view: QuotaView, incarnation: string): void {
-    if (view === this.#view) this.#applied.add(incarnation);
+  #onInstalled(view: QuotaView, incarnation: string): void {
+    if (view === this.#view) this.#installedBy.add(incarnation);
   }
 
   /** A view is in force once a majority of it and of the one before has installed it, or is gone for good. */
   #tryCommit(): void {
-    this.#isCommitted ||= [this.#view, this.#previous].every(
+    this.#isCommitted ||= [this.#view, this.#previousView].every(
       (one) =>
         one === undefined ||
-        hasMajority(one, (member) => this.#applied.has(member.incarnation) || this.#isDeparted(member)),
+        hasMajority(one, (member) => this.#installedBy.has(member.incarnation) || this.#isDeparted(member)),
     );
   }
 
@@ -176,8 +176,8 @@
     const staying = new Map<Member, CoreNode>();
     for (const member of this.#view.members) {
       const core = this.coreOf(member.incarnation);
-      const touchedMs = this.#lastTouchMs.get(member.incarnation) ?? 0;
-      if (core !== undefined && nowMs - touchedMs < SUSPECT_MS) staying.set(member, core);
+      const reachableMs = this.#lastReachableMs.get(member.incarnation) ?? 0;
+      if (core !== undefined && nowMs - reachableMs < SUSPECT_TIMEOUT_MS) staying.set(member, core);
     }
     const stayingCores = new Set(staying.values());
     const joiners = this.#cores
@@ -190,18 +190,18 @@
 
   #canJoin(coordinator: CoreNode, core: CoreNode): boolean {
     const isOutside = core.view === undefined && !this.#view.members.includes(core.member);
-    return isOutside && core.machine.isRunning && this.#inTouch(coordinator, core);
+    return isOutside && core.machine.isRunning && this.#areConnected(coordinator, core);
   }
 
-  #collectFlushes(coordinator: CoreNode, change: Change): void {
+  #collectFlushes(coordinator: CoreNode, change: ViewChange): void {
     const { nowMs } = this.#events;
     const missing = [...change.staying].filter(([{ incarnation }]) => !change.flushed.has(incarnation));
     if (missing.length === 0) {
-      this.#choose(coordinator, change);
+      this.#chooseView(coordinator, change);
       return;
     }
-    if (nowMs - change.startedMs > FLUSH_MOST_MS) {
-      for (const [member] of missing) this.#lastTouchMs.set(member.incarnation, -Infinity);
+    if (nowMs - change.startedMs > FLUSH_TIMEOUT_MS) {
+      for (const [member] of missing) this.#lastReachableMs.set(member.incarnation, -Infinity);
       this.#change = undefined;
       return;
     }
@@ -217,20 +217,20 @@
     }
   }
 
-  #choose(coordinator: CoreNode, change: Change): void {
-    this.#previous = this.#view;
+  #chooseView(coordinator: CoreNode, change: ViewChange): void {
+    this.#previousView = this.#view;
     this.#view = {
       epoch: this.#epoch,
-      number: this.#previous.number + 1,
+      number: this.#previousView.number + 1,
       members: [...change.staying.keys(), ...change.joiners],
     };
     this.#change = undefined;
-    this.#applied.clear();
+    this.#installedBy.clear();
     this.#isCommitted = false;
-    this.#sentMs = -Infinity;
-    this.onChosen?.(this.#previous, this.#view);
-    const { onNextChoice } = this;
-    this.onNextChoice = undefined;
+    this.#lastBroadcastMs = -Infinity;
+    this.onViewChosen?.(this.#previousView, this.#view);
+    const { onNextViewChosen: onNextChoice } = this;
+    this.onNextViewChosen = undefined;
     onNextChoice?.(coordinator);
   }
 
--- a/packages/quotas/src/testing/machine.ts
+++ b/packages/quotas/src/testing/machine.ts
@@ -3,7 +3,7 @@
 import type { EventQueue } from './event-queue.js';
 
 /** Clocks run fast or slow by up to this part. */
-const DRIFT_MOST = 0.01;
+const MAX_DRIFT = 0.01;
 
 /** A machine and the process on it. What is done on it goes through `run`, so that it waits while it is frozen. */
 export class Machine implements Clock {
@@ -13,14 +13,14 @@
   #drift: number;
   #offsetMs: number;
   /** Counts processes: callbacks of an earlier one are dropped. */
-  #process = 0;
+  #processNumber = 0;
   #isFrozen = false;
-  #held: (() => void)[] = [];
+  #deferred: (() => void)[] = [];
 
   constructor(name: string, events: EventQueue, random: RandomSource) {
     this.name = name;
     this.#events = events;
-    this.#drift = (random.next() * 2 - 1) * DRIFT_MOST;
+    this.#drift = (random.next() * 2 - 1) * MAX_DRIFT;
     this.#offsetMs = random.next() * 1e6;
   }
 
@@ -35,15 +35,15 @@
   /** Runs a callback on the process as it is now: later if it is frozen, not at all if it is dead. */
   run(callback: () => void): void {
     if (!this.isAlive) return;
-    if (this.#isFrozen) this.#held.push(callback);
+    if (this.#isFrozen) this.#deferred.push(callback);
     else callback();
   }
 
   /** Runs a callback after a time of this machine's clock, if its process still lives then. */
   after(delayMs: number, callback: () => void): void {
-    const process = this.#process;
+    const processNumber = this.#processNumber;
     this.#events.after(delayMs / (1 + this.#drift), () => {
-      if (process === this.#process) this.run(callback);
+      if (processNumber === this.#processNumber) this.run(callback);
     });
   }
 
@@ -60,18 +60,18 @@
   }
 
   /** The process goes on with what came meanwhile. */
-  wake(): void {
+  resume(): void {
     this.#isFrozen = false;
-    const held = this.#held;
-    this.#held = [];
-    for (const callback of held) this.run(callback);
+    const deferred = this.#deferred;
+    this.#deferred = [];
+    for (const callback of deferred) this.run(callback);
   }
 
   kill(): void {
     this.isAlive = false;
     this.#isFrozen = false;
-    this.#held = [];
-    this.#process += 1;
+    this.#deferred = [];
+    this.#processNumber += 1;
   }
 
   /** A new process on the same machine. */
@@ -81,17 +81,17 @@
   }
 
   /** Whether the process is still the one that it was when this number was read. */
-  get process(): number {
-    return this.#process;
+  get processNumber(): number {
+    return this.#processNumber;
   }
 }
 
 /** Usual and rare delays, and losses, on the way between two machines. */
-const DELAY_LEAST_MS = 0.5;
-const DELAY_SPREAD_MS = 3;
-const SLOW_PART = 0.01;
-const SLOW_MOST_MS = 400;
-const LOSS_PART = 0.005;
+const MIN_DELAY_MS = 0.5;
+const DELAY_RANGE_MS = 3;
+const SLOW_FRACTION = 0.01;
+const SLOW_DELAY_RANGE_MS = 400;
+const LOSS_FRACTION = 0.005;
 
 /** Carries messages between machines, with delays and losses; links can be cut in each direction. */
 export class Network {
@@ -111,12 +111,12 @@
 
   /** Delivers a message, if it is not lost and the process that it is for still lives. */
   send(from: Machine, to: Machine, deliver: () => void): void {
-    if (!this.carries(from, to) || this.#random.next() < LOSS_PART) return;
-    const process = to.process;
-    const isSlow = this.#random.next() < SLOW_PART;
-    const spreadMs = isSlow ? SLOW_MOST_MS : DELAY_SPREAD_MS;
-    this.#events.after(DELAY_LEAST_MS + this.#random.next() * spreadMs, () => {
-      if (to.process === process) to.run(deliver);
+    if (!this.carries(from, to) || this.#random.next() < LOSS_FRACTION) return;
+    const processNumber = to.processNumber;
+    const isSlow = this.#random.next() < SLOW_FRACTION;
+    const rangeMs = isSlow ? SLOW_DELAY_RANGE_MS : DELAY_RANGE_MS;
+    this.#events.after(MIN_DELAY_MS + this.#random.next() * rangeMs, () => {
+      if (to.processNumber === processNumber) to.run(deliver);
     });
   }
 }
--- a/packages/quotas/src/testing/quota-cost.ts
+++ b/packages/quotas/src/testing/quota-cost.ts
@@ -26,9 +26,9 @@
 const LEASE_MS = 600;
 const STEP_MS = 1;
 const TICK_MS = 50;
-const SETTLED_MS = 20_000;
+const TRAFFIC_START_MS = 20_000;
 /** A big tenant's share of all requests; it sends three times what it may. */
-const BIG_SHARE = 0.2;
+const LARGE_TENANT_SHARE = 0.2;
 
 /** Counts messages, bytes and processor time. */
 class Cost {
@@ -49,9 +49,9 @@
 const pending: (() => void)[] = [];
 const clients = Array.from({ length: Number(values.edges) }, (_, index) => makeClient(`edge-${index}`));
 
-nowMs = SETTLED_MS;
-const endMs = SETTLED_MS + 1000 * Number(values.seconds);
-let asked = 0;
+nowMs = TRAFFIC_START_MS;
+const endMs = TRAFFIC_START_MS + 1000 * Number(values.seconds);
+let requestsIssued = 0;
 for (; nowMs < endMs; nowMs += STEP_MS) step();
 report();
 
@@ -60,9 +60,9 @@
 }
 
 function makeLimits(): TenantLimit[] {
-  const bigRate = (Number(values.rate) * BIG_SHARE) / 3;
+  const largeTenantRate = (Number(values.rate) * LARGE_TENANT_SHARE) / 3;
   return Array.from({ length: Number(values.tenants) }, (_, index) => {
-    const ratePerS = index === 0 ? bigRate : 5;
+    const ratePerS = index === 0 ? largeTenantRate : 5;
     return { name: `tenant-${index}`, ratePerS, burst: ratePerS };
   });
 }
@@ -106,17 +106,18 @@
 
 function step(): void {
   const startNs = process.hrtime.bigint();
-  const due = Math.floor(((nowMs - SETTLED_MS + STEP_MS) * Number(values.rate)) / 1000) - asked;
-  for (let count = 0; count < due; count += 1) ask();
+  const due =
+    Math.floor(((nowMs - TRAFFIC_START_MS + STEP_MS) * Number(values.rate)) / 1000) - requestsIssued;
+  for (let count = 0; count < due; count += 1) issueRequest();
   if (nowMs % TICK_MS === 0) for (const client of clients) client.tick(nowMs);
   cost.edgeNs += process.hrtime.bigint() - startNs;
   for (const run of pending.splice(0)) run();
 }
 
-function ask(): void {
-  asked += 1;
-  const isBig = random.next() < BIG_SHARE;
-  const index = isBig ? 0 : Math.floor(random.next() * Number(values.tenants));
+function issueRequest(): void {
+  requestsIssued += 1;
+  const isLargeTenant = random.next() < LARGE_TENANT_SHARE;
+  const index = isLargeTenant ? 0 : Math.floor(random.next() * Number(values.tenants));
   clients[Math.floor(random.next() * clients.length)]?.acquire(`tenant-${index}`, () => undefined);
 }
 
--- a/packages/quotas/src/testing/quota-trial.ts
+++ b/packages/quotas/src/testing/quota-trial.ts
@@ -14,21 +14,21 @@
 import { Machine, Network } from './machine.js';
 import type { Mutant } from './mutants.js';
 import { RefusalOracle, type RefusalCounts } from './refusal-oracle.js';
-import { Faults } from './faults.js';
+import { FaultInjector } from './fault-injector.js';
 
 const CORES = 5;
 const EDGES = 8;
 /** Requests come once the group is whole and buckets are full, as on a site whose machines start first. */
-const TRAFFIC_FROM_MS = 4000;
-const FAULTS_FROM_MS = 6000;
-const FAULTS_UNTIL_MS = 22_000;
+const TRAFFIC_START_MS = 4000;
+const FAULTS_START_MS = 6000;
+const FAULTS_END_MS = 22_000;
 const END_MS = 34_000;
 
 /** A core learns of a changed limit within this time. */
-const LIMIT_LEARNED_MOST_MS = 600;
+const MAX_LIMIT_PROPAGATION_MS = 600;
 
 /** A part of the trials has no faults. */
-const QUIET_PART = 0.2;
+const FAULT_FREE_FRACTION = 0.2;
 
 /** Bounds of a site, and tighter ones, under which less goes unnoticed. */
 const TYPICAL_BOUNDS: QuotaBounds = { windowMs: 5000, overshoot: 0.1, slack: 20 };
@@ -36,10 +36,10 @@
   { windowMs: 2000, overshoot: 0.1, slack: 2 },
   { windowMs: 1000, overshoot: 0.15, slack: 1 },
 ];
-const TYPICAL_PART = 0.4;
+const TYPICAL_BOUNDS_FRACTION = 0.4;
 
 /** Up to this part of its limit a tenant's load counts as light. */
-const LIGHT_LOAD_MOST = 0.5;
+const MAX_LIGHT_LOAD = 0.5;
 
 /** A tenant of a trial. */
 interface TenantPlan {
@@ -48,7 +48,7 @@
   /** What its clients send on the average, as a part of the limit: below 1 of the one in force, else of the first. */
   readonly load: number;
   /** It rests now and then, so that its bucket is full when it sends again. */
-  readonly isPulsing: boolean;
+  readonly isBursty: boolean;
 }
 
 /** What a trial came to. */
@@ -57,11 +57,11 @@
   readonly hasTypicalBounds: boolean;
   readonly breaches: readonly BoundBreach[];
   /** The fullest window, as a part of its bound. */
-  readonly fullest: number;
+  readonly peakUsage: number;
   /** Requests of tenants whose clients send up to a half of their limits. */
   readonly light: RefusalCounts;
   /** Requests of tenants whose clients send most of their limits, but less. */
-  readonly near: RefusalCounts;
+  readonly nearLimit: RefusalCounts;
   readonly sent: number;
   readonly views: number;
   readonly faults: readonly string[];
@@ -76,10 +76,10 @@
   return new QuotaTrial(seed, mutant).run();
 }
 
-function plans(): TenantPlan[] {
+function tenantPlans(): TenantPlan[] {
   const list: TenantPlan[] = [];
-  function add(name: string, ratePerS: number, burst: number, load: number, isPulsing = false): void {
-    list.push({ name, limit: { name, ratePerS, burst }, load, isPulsing });
+  function add(name: string, ratePerS: number, burst: number, load: number, isBursty = false): void {
+    list.push({ name, limit: { name, ratePerS, burst }, load, isBursty });
   }
   for (let index = 1; index <= 4; index += 1) add(`hot-${index}`, 30, 3, 2.5, true);
   add('hot-5', 30, 30, 2.5, true);
@@ -97,7 +97,7 @@
   #network: Network;
   #bounds: QuotaBounds;
   #mutant: Mutant | undefined;
-  #plans = plans();
+  #plans = tenantPlans();
   #limits = new Map<string, TenantLimit>();
   #cores: CoreNode[] = [];
   #edges: EdgeNode[] = [];
@@ -106,7 +106,7 @@
   #refusals = new RefusalOracle();
   #sent = 0;
   #stalledUntilMs = 0;
-  #coresMade = 0;
+  #coresCreated = 0;
 
   constructor(seed: number, mutant: Mutant | undefined) {
     this.#random = new SeededRandom(seed);
@@ -121,21 +121,21 @@
   }
 
   run(): QuotaTrialResult {
-    this.#events.runUntil(TRAFFIC_FROM_MS);
-    for (const plan of this.#plans) this.#arrive(plan);
-    const faults = this.#makeFaults();
-    if (this.#random.next() >= QUIET_PART) faults.play(FAULTS_FROM_MS, FAULTS_UNTIL_MS);
-    this.#watchMoves();
+    this.#events.runUntil(TRAFFIC_START_MS);
+    for (const plan of this.#plans) this.#scheduleNextRequest(plan);
+    const injector = this.#makeFaultInjector();
+    if (this.#random.next() >= FAULT_FREE_FRACTION) injector.schedule(FAULTS_START_MS, FAULTS_END_MS);
+    this.#recordMoves();
     this.#events.runUntil(END_MS);
     return {
       hasTypicalBounds: this.#bounds === TYPICAL_BOUNDS,
       breaches: this.#boundOracle.breaches,
-      fullest: this.#boundOracle.fullest,
-      light: this.#count((load) => load <= LIGHT_LOAD_MOST),
-      near: this.#count((load) => load > LIGHT_LOAD_MOST && load < 1),
+      peakUsage: this.#boundOracle.peakUsage,
+      light: this.#count((load) => load <= MAX_LIGHT_LOAD),
+      nearLimit: this.#count((load) => load > MAX_LIGHT_LOAD && load < 1),
       sent: this.#sent,
       views: this.#group.view.number,
-      faults: faults.log,
+      faults: injector.log,
     };
   }
 
@@ -145,12 +145,12 @@
   }
 
   #pickBounds(): QuotaBounds {
-    if (this.#random.next() < TYPICAL_PART) return TYPICAL_BOUNDS;
+    if (this.#random.next() < TYPICAL_BOUNDS_FRACTION) return TYPICAL_BOUNDS;
     return TIGHT_BOUNDS[Math.floor(this.#random.next() * TIGHT_BOUNDS.length)] ?? TYPICAL_BOUNDS;
   }
 
-  #makeFaults(): Faults {
-    return new Faults({
+  #makeFaultInjector(): FaultInjector {
+    return new FaultInjector({
       events: this.#events,
       random: this.#random,
       network: this.#network,
@@ -163,7 +163,7 @@
         this.#events.after(this.#random.next() * 1500, () => this.#addCore());
       },
       changeLimit: () => this.#changeLimit(),
-      stall: (lastsMs) => (this.#stalledUntilMs = this.#events.nowMs + lastsMs),
+      stallWorkers: (durationMs) => (this.#stalledUntilMs = this.#events.nowMs + durationMs),
     });
   }
 
@@ -172,10 +172,10 @@
   }
 
   #addCore(): void {
-    this.#coresMade += 1;
+    this.#coresCreated += 1;
     this.#cores.push(
       new CoreNode({
-        machine: this.#machine(`core-${this.#coresMade}`),
+        machine: this.#machine(`core-${this.#coresCreated}`),
         network: this.#network,
         random: this.#random,
         bounds: this.#bounds,
@@ -206,17 +206,17 @@
   }
 
   /** The next request of a tenant, by a Poisson process at some edge. */
-  #arrive(plan: TenantPlan): void {
+  #scheduleNextRequest(plan: TenantPlan): void {
     const { ratePerS } = plan.load < 1 ? (this.#limits.get(plan.name) ?? plan.limit) : plan.limit;
     const perMs = (ratePerS * plan.load) / 1000;
-    const gapMs = -Math.log(1 - this.#random.next()) / perMs;
-    const restMs = plan.isPulsing && this.#random.next() < 0.002 ? 1000 + this.#random.next() * 2000 : 0;
-    this.#events.after(gapMs + restMs, () => {
+    const intervalMs = -Math.log(1 - this.#random.next()) / perMs;
+    const pauseMs = plan.isBursty && this.#random.next() < 0.002 ? 1000 + this.#random.next() * 2000 : 0;
+    this.#events.after(intervalMs + pauseMs, () => {
       const edge = this.#edges[Math.floor(this.#random.next() * this.#edges.length)];
       edge?.machine.run(() => {
-        edge.request(this.#refusals.onAsked(plan.name, edge.machine.name, this.#events.nowMs));
+        edge.request(this.#refusals.onRequest(plan.name, edge.machine.name, this.#events.nowMs));
       });
-      this.#arrive(plan);
+      this.#scheduleNextRequest(plan);
     });
   }
 
@@ -228,7 +228,7 @@
 
   /** Raises or lowers a limit for good, or takes a tenant out and adds it again. */
   #changeLimit(): string {
-    const plan = this.#plans[Math.floor(this.#random.next() * this.#plans.length)] ?? plans()[0];
+    const plan = this.#plans[Math.floor(this.#random.next() * this.#plans.length)] ?? tenantPlans()[0];
     if (plan === undefined) return '';
     const factor = [0.5, 1, 1.5][Math.floor(this.#random.next() * 3)] ?? 1;
     const { burst, name, ratePerS } = plan.limit;
@@ -237,23 +237,23 @@
       this.#events.after(200 + this.#random.next() * 2000, () => {
         this.#limits.set(name, plan.limit);
         this.#setLimit(plan.limit);
-        this.#spreadLimits();
+        this.#propagateLimits();
       });
     } else this.#setLimit({ name, ratePerS: ratePerS * factor, burst: burst * factor });
-    this.#spreadLimits();
+    this.#propagateLimits();
     return name;
   }
 
-  #spreadLimits(): void {
+  #propagateLimits(): void {
     for (const core of this.#cores)
-      this.#events.after(this.#random.next() * LIMIT_LEARNED_MOST_MS, () =>
-        core.machine.run(() => core.learnLimits()),
+      this.#events.after(this.#random.next() * MAX_LIMIT_PROPAGATION_MS, () =>
+        core.machine.run(() => core.reloadLimits()),
       );
   }
 
   /** Notes the tenants that get another allocator with a view. */
-  #watchMoves(): void {
-    this.#group.onChosen = (before, view) => {
+  #recordMoves(): void {
+    this.#group.onViewChosen = (before, view) => {
       for (const { name, limit } of this.#plans) {
         const isSame = shardLimits(limit, this.#bounds).every(
           (shard) =>
--- a/packages/quotas/src/testing/refusal-oracle.ts
+++ b/packages/quotas/src/testing/refusal-oracle.ts
@@ -6,9 +6,9 @@
 export interface RequestRecord {
   readonly tenant: string;
   readonly edge: string;
-  readonly askedMs: number;
+  readonly requestedMs: number;
   /** Whether a single token bucket at all edges' place would let it pass. */
-  readonly isOwed: boolean;
+  readonly isWithinLimit: boolean;
   answeredMs?: number;
   outcome?: 'sent' | 'refused' | 'given-up';
 }
@@ -18,20 +18,20 @@
   readonly fromMs: number;
   readonly untilMs: number;
   /** Name of the edge or tenant that alone is concerned; empty: all are. */
-  readonly only: string;
+  readonly scope: string;
   /** More is at stake than a move: all cores or all workers were away. */
   readonly isOutage: boolean;
 }
 
 /** A tenant got another allocator. */
-export interface Move {
+export interface AllocatorMove {
   readonly tenant: string;
   readonly atMs: number;
 }
 
 /** What became of the requests below the limit in one phase. */
 export interface RefusalCount {
-  owed: number;
+  withinLimit: number;
   refused: number;
   /** Asked for a permit longer than `SLOW_MS`, or never got one. */
   slow: number;
@@ -51,7 +51,7 @@
 export const SLOW_MS = 500;
 
 /** A disturbance is over after so long. */
-const AFTERMATH_MS = 5000;
+const RECOVERY_MS = 5000;
 
 /**
  * Before a move its cause was waited for; after it the takeover waits, calls nothing over the quota for a while, and
@@ -64,62 +64,62 @@
 export class RefusalOracle {
   readonly records: RequestRecord[] = [];
   readonly disturbances: Disturbance[] = [];
-  readonly moves: Move[] = [];
+  readonly moves: AllocatorMove[] = [];
   #references = new Map<string, TokenBucket>();
 
   onLimit(limit: TenantLimit, nowMs: number): void {
-    const shape = { depth: limit.burst, tokensPerMs: limit.ratePerS / 1000 };
+    const config = { depth: limit.burst, tokensPerMs: limit.ratePerS / 1000 };
     const known = this.#references.get(limit.name);
     if (known !== undefined) {
-      known.reshape(shape, nowMs);
+      known.reconfigure(config, nowMs);
       return;
     }
-    const bucket = new TokenBucket(shape, shape.depth);
-    bucket.beginFilling(nowMs);
+    const bucket = new TokenBucket(config, config.depth);
+    bucket.startRefill(nowMs);
     this.#references.set(limit.name, bucket);
   }
 
   /** A request needs a permit now. */
-  onAsked(tenant: string, edge: string, nowMs: number): RequestRecord {
-    const isOwed = this.#references.get(tenant)?.take(1, nowMs) === 1;
-    const record: RequestRecord = { tenant, edge, askedMs: nowMs, isOwed };
+  onRequest(tenant: string, edge: string, nowMs: number): RequestRecord {
+    const isWithinLimit = this.#references.get(tenant)?.take(1, nowMs) === 1;
+    const record: RequestRecord = { tenant, edge, requestedMs: nowMs, isWithinLimit };
     this.records.push(record);
     return record;
   }
 
   /** Counts the requests of these tenants. */
   count(tenants: ReadonlySet<string>): RefusalCounts {
-    const counts: RefusalCounts = { steady: zero(), moved: zero(), other: zero() };
+    const counts: RefusalCounts = { steady: emptyCount(), moved: emptyCount(), other: emptyCount() };
     for (const record of this.records) {
-      if (!record.isOwed || !tenants.has(record.tenant)) continue;
+      if (!record.isWithinLimit || !tenants.has(record.tenant)) continue;
       const count = counts[this.#phaseOf(record)];
-      const waitedMs = (record.answeredMs ?? Infinity) - record.askedMs;
-      count.owed += 1;
+      const waitedMs = (record.answeredMs ?? Infinity) - record.requestedMs;
+      count.withinLimit += 1;
       if (record.outcome === 'refused') count.refused += 1;
       if (waitedMs > SLOW_MS && record.outcome !== 'given-up') count.slow += 1;
     }
     return counts;
   }
 
-  #phaseOf({ askedMs, edge, tenant }: RequestRecord): keyof RefusalCounts {
-    const near = this.disturbances.filter(
-      ({ fromMs, only, untilMs }) =>
-        askedMs >= fromMs - SLOW_MS &&
-        askedMs <= untilMs + AFTERMATH_MS &&
-        (only === '' || only === edge || only === tenant),
+  #phaseOf({ requestedMs, edge, tenant }: RequestRecord): keyof RefusalCounts {
+    const nearby = this.disturbances.filter(
+      ({ fromMs, scope, untilMs }) =>
+        requestedMs >= fromMs - SLOW_MS &&
+        requestedMs <= untilMs + RECOVERY_MS &&
+        (scope === '' || scope === edge || scope === tenant),
     );
-    if (near.some(({ isOutage, only }) => isOutage || only !== '')) return 'other';
+    if (nearby.some(({ isOutage, scope }) => isOutage || scope !== '')) return 'other';
     const isMoved = this.moves.some(
       (move) =>
         move.tenant === tenant &&
-        askedMs >= move.atMs - BEFORE_MOVE_MS &&
-        askedMs <= move.atMs + AFTER_MOVE_MS,
+        requestedMs >= move.atMs - BEFORE_MOVE_MS &&
+        requestedMs <= move.atMs + AFTER_MOVE_MS,
     );
     if (isMoved) return 'moved';
-    return near.length === 0 ? 'steady' : 'other';
+    return nearby.length === 0 ? 'steady' : 'other';
   }
 }
 
-function zero(): RefusalCount {
-  return { owed: 0, refused: 0, slow: 0 };
+function emptyCount(): RefusalCount {
+  return { withinLimit: 0, refused: 0, slow: 0 };
 }
--- a/packages/quotas/src/testing/refusal-totals.ts
+++ b/packages/quotas/src/testing/refusal-totals.ts
@@ -5,13 +5,13 @@
 
 /** Sums by phase. */
 export class RefusalTotals {
-  readonly steady: RefusalCount = { owed: 0, refused: 0, slow: 0 };
-  readonly moved: RefusalCount = { owed: 0, refused: 0, slow: 0 };
-  readonly other: RefusalCount = { owed: 0, refused: 0, slow: 0 };
+  readonly steady: RefusalCount = { withinLimit: 0, refused: 0, slow: 0 };
+  readonly moved: RefusalCount = { withinLimit: 0, refused: 0, slow: 0 };
+  readonly other: RefusalCount = { withinLimit: 0, refused: 0, slow: 0 };
 
   add(counts: RefusalCounts): void {
     for (const phase of PHASES) {
-      this[phase].owed += counts[phase].owed;
+      this[phase].withinLimit += counts[phase].withinLimit;
       this[phase].refused += counts[phase].refused;
       this[phase].slow += counts[phase].slow;
     }
@@ -19,14 +19,14 @@
 
   /** Refused in a phase, in parts of 100. */
   refusedPercent(phase: keyof RefusalCounts): number {
-    return percent(this[phase].refused, this[phase].owed);
+    return percent(this[phase].refused, this[phase].withinLimit);
   }
 
   report(): string {
     return PHASES.map((phase) => {
-      const { owed, refused, slow } = this[phase];
-      const parts = `${percent(refused, owed).toFixed(2)} % refused, ${percent(slow, owed).toFixed(2)} % slow`;
-      return `${phase} ${owed}: ${parts}`;
+      const { withinLimit, refused, slow } = this[phase];
+      const parts = `${percent(refused, withinLimit).toFixed(2)} % refused, ${percent(slow, withinLimit).toFixed(2)} % slow`;
+      return `${phase} ${withinLimit}: ${parts}`;
     }).join('; ');
   }
 }
--- a/packages/quotas/src/token-bucket.ts
+++ b/packages/quotas/src/token-bucket.ts
@@ -1,7 +1,7 @@
 /** A token bucket that may begin to fill later than it was made. */
 
 /** How deep a bucket is and how fast it fills. */
-export interface BucketShape {
+export interface BucketConfig {
   readonly depth: number;
   readonly tokensPerMs: number;
 }
@@ -14,19 +14,19 @@
  * bucket.take(2, nowMs); // 2
  */
 export class TokenBucket {
-  #shape: BucketShape;
+  #config: BucketConfig;
   #level: number;
   /** Tokens due until this moment are in the level; undefined while it does not fill at all. */
-  #filledUntilMs: number | undefined;
+  #refilledUntilMs: number | undefined;
   #wasFull = false;
 
-  constructor(shape: BucketShape, level: number) {
-    this.#shape = shape;
-    this.#level = Math.min(level, shape.depth);
+  constructor(config: BucketConfig, level: number) {
+    this.#config = config;
+    this.#level = Math.min(level, config.depth);
   }
 
   get depth(): number {
-    return this.#shape.depth;
+    return this.#config.depth;
   }
 
   /** Whether the bucket was full at some moment since it began to fill. */
@@ -35,24 +35,24 @@
   }
 
   /** Lets the bucket fill from a moment on, which may lie ahead. */
-  beginFilling(fromMs: number): void {
-    this.#filledUntilMs = fromMs;
+  startRefill(fromMs: number): void {
+    this.#refilledUntilMs = fromMs;
   }
 
   /** Tokens in the bucket now. */
   level(nowMs: number): number {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     return this.#level;
   }
 
   /** Adds tokens that another bucket held. */
   add(tokens: number): void {
-    this.#level = Math.min(this.#shape.depth, this.#level + Math.max(0, tokens));
+    this.#level = Math.min(this.#config.depth, this.#level + Math.max(0, tokens));
   }
 
   /** Takes up to so many whole tokens; returns how many. */
   take(wanted: number, nowMs: number): number {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     const taken = Math.max(0, Math.min(wanted, Math.floor(this.#level)));
     this.#level -= taken;
     return taken;
@@ -60,34 +60,34 @@
 
   /** When the next whole token will be there; undefined where it never will. */
   nextTokenMs(nowMs: number): number | undefined {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     if (this.#level >= 1) return nowMs;
-    if (this.#filledUntilMs === undefined || this.#shape.tokensPerMs <= 0) return undefined;
-    return Math.max(nowMs, this.#filledUntilMs) + (1 - this.#level) / this.#shape.tokensPerMs;
+    if (this.#refilledUntilMs === undefined || this.#config.tokensPerMs <= 0) return undefined;
+    return Math.max(nowMs, this.#refilledUntilMs) + (1 - this.#level) / this.#config.tokensPerMs;
   }
 
   /**
    * Goes on with another depth and speed. What was taken stays taken: where the depth falls, the level falls with it,
    * below zero if more was taken than the new depth holds. A depth that grows brings no tokens.
    */
-  reshape(shape: BucketShape, nowMs: number): void {
-    this.#fill(nowMs);
-    this.#level -= Math.max(0, this.#shape.depth - shape.depth);
-    this.#shape = shape;
+  reconfigure(config: BucketConfig, nowMs: number): void {
+    this.#refill(nowMs);
+    this.#level -= Math.max(0, this.#config.depth - config.depth);
+    this.#config = config;
   }
 
   /** Empties the bucket and stops filling it. */
   drain(nowMs: number): void {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     this.#level = Math.min(this.#level, 0);
-    this.#shape = { ...this.#shape, tokensPerMs: 0 };
+    this.#config = { ...this.#config, tokensPerMs: 0 };
   }
 
-  #fill(nowMs: number): void {
-    if (this.#filledUntilMs === undefined || nowMs <= this.#filledUntilMs) return;
-    const due = (nowMs - this.#filledUntilMs) * this.#shape.tokensPerMs;
-    this.#filledUntilMs = nowMs;
-    this.#level = Math.min(this.#shape.depth, this.#level + due);
-    if (this.#level >= this.#shape.depth) this.#wasFull = true;
+  #refill(nowMs: number): void {
+    if (this.#refilledUntilMs === undefined || nowMs <= this.#refilledUntilMs) return;
+    const due = (nowMs - this.#refilledUntilMs) * this.#config.tokensPerMs;
+    this.#refilledUntilMs = nowMs;
+    this.#level = Math.min(this.#config.depth, this.#level + due);
+    if (this.#level >= this.#config.depth) this.#wasFull = true;
   }
 }
