--- a/packages/quotas/src/testing/group-model.ts
+++ b/packages/quotas/src/testing/group-model.ts
@@ -229,9 +229,9 @@
     this.#isCommitted = false;
     this.#lastBroadcastMs = -Infinity;
     this.onViewChosen?.(this.#previousView, this.#view);
-    const { onNextViewChosen: onNextChoice } = this;
+    const { onNextViewChosen } = this;
     this.onNextViewChosen = undefined;
-    onNextChoice?.(coordinator);
+    onNextViewChosen?.(coordinator);
   }
 
   #send(from: CoreNode, to: CoreNode, deliver: () => void): void {
