--- a/packages/quotas/src/allocation.ts
+++ b/packages/quotas/src/allocation.ts
@@ -1,32 +1,46 @@
-/** One tenant's quota in the hands of its allocator: from the wait after a takeover to the grants. */
+/** The quota of one tenant at its allocator, from the takeover wait to the granting of permits. */
 import type { QuotaBudget } from './quota-budget.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** After a takeover nothing is called over the quota for so long, unless the bucket was full before. */
+/**
+ * How long after a takeover no request is refused as over the quota, unless the bucket has been full since.
+ * Until then its level does not show what the tenant has sent.
+ */
 const SETTLING_MS = 4000;
 
-/** The same where the predecessor handed over a bucket at least so full, of which little was waited for. */
+/**
+ * Settling time after a handover of a bucket filled to at least `SHORT_SETTLING_MIN_FILL`: few requests then
+ * wait for it.
+ */
 const SHORT_SETTLING_MS = 500;
+
+/** Fraction of the depth from which a handed-over bucket gets the short settling time. */
 const SHORT_SETTLING_MIN_FILL = 0.5;
 
-/** What an allocation does now. */
+/**
+ * State of an allocation: `waiting` for the predecessor's lease to end or for its handover, `settling` while
+ * it grants permits but refuses none as over the quota, or `serving`.
+ */
 export type AllocationState = 'waiting' | 'settling' | 'serving';
 
-/** The answer to a need for permits. */
+/** The answer to a request for permits. */
 export interface AllocationAnswer {
   readonly granted: number;
-  /** When one more is there; undefined where the rest is not to be called over the quota now. */
+  /**
+   * Time until the next permit is available; undefined if the missing permits do not count as over the quota
+   * yet.
+   */
   readonly retryAfterMs: number | undefined;
 }
 
 /**
- * A tenant's bucket at the core that allocates it. Until its start it holds only the reserve and does not fill, since
- * the predecessor may still be granting. For a while after its start the level says nothing about what the tenant
- * sent, so nothing is called over the quota.
+ * The token bucket of a tenant at the core that allocates its quota. Before the start it holds only the
+ * reserve and is not refilled, because the predecessor may still grant permits. While it settles after the
+ * start, its level does not reflect what the tenant has sent, so no request is refused as over the quota.
  * @example
  * const allocation = new Allocation(budget, reserve);
  * allocation.startAt(committedMs + waitMs);
- * allocation.answer(3, nowMs).granted; // out of the reserve until then
+ * allocation.answer(3, nowMs).granted; // from the reserve until the start
  */
 export class Allocation {
   #bucket: TokenBucket;
@@ -43,17 +57,17 @@
     return this.#bucket.depth;
   }
 
-  /** Permits granted so far. */
+  /** Number of permits granted so far. */
   get granted(): number {
     return this.#granted;
   }
 
-  /** Permits refused so far as over the quota. */
+  /** Number of permits refused so far as over the quota. */
   get refused(): number {
     return this.#refused;
   }
 
-  /** When the wait ends; undefined while that cannot be said. */
+  /** Time at which the wait ends; undefined while it is unknown. */
   get startMs(): number | undefined {
     return this.#startMs;
   }
@@ -62,13 +76,13 @@
     return this.#bucket.level(nowMs);
   }
 
-  /** The predecessor cannot grant after this moment. */
+  /** Starts the allocation at `startMs`, after which the predecessor can no longer grant permits. */
   startAt(startMs: number): void {
     this.#startMs = startMs;
     this.#bucket.startRefill(startMs);
   }
 
-  /** The predecessor has stopped and left so many permits. */
+  /** Starts the allocation now with the `level` of permits that the predecessor left when it stopped. */
   takeOver(level: number, nowMs: number): void {
     this.#bucket.add(level);
     if (this.#bucket.level(nowMs) >= SHORT_SETTLING_MIN_FILL * this.#bucket.depth)
@@ -80,7 +94,10 @@
     this.#bucket.reconfigure(budget.bucket, nowMs);
   }
 
-  /** The tenant is gone from the configuration: nothing is left for it, should it come back. */
+  /**
+   * Empties the bucket of a tenant removed from the configuration, so that it finds no permits if it is added
+   * again.
+   */
   drain(nowMs: number): void {
     this.#bucket.drain(nowMs);
   }
--- a/packages/quotas/src/allocator-choice.ts
+++ b/packages/quotas/src/allocator-choice.ts
@@ -1,10 +1,11 @@
-/** Which core allocates the quota of a tenant: rendezvous hashing over the cores of a view. */
+/** Chooses the core that allocates the quota of a tenant, by rendezvous hashing over the cores of a view. */
 import type { Member } from '@rainrun/messages';
 import { spread } from '@rainrun/common';
 
 /**
- * The core that allocates a tenant's quota: the same for all who know the same view, and another one only if that
- * core left the view or one came that ranks higher. Undefined where no member has a disk.
+ * Returns the core that allocates a tenant's quota, or undefined if no member has a disk. All nodes with the
+ * same view choose the same core; the choice changes only if that core leaves the view or a core that ranks
+ * higher joins.
  * @example
  * allocatorOf('tenant-1', view.members)?.address; // '10.0.0.4:7001'
  */
--- a/packages/quotas/src/allocator.ts
+++ b/packages/quotas/src/allocator.ts
@@ -1,4 +1,7 @@
-/** The core's side of quotas: it allocates the tenants that rendezvous hashing gives it in the present view. */
+/**
+ * The core's side of quotas: allocates those tenants that rendezvous hashing assigns to this core in the
+ * current view.
+ */
 import { create } from '@bufbuild/protobuf';
 import {
   QuotaAnswerSchema,
@@ -15,13 +18,13 @@
 import type { QuotaBounds, TenantLimit } from './permits.js';
 import { quotaBudget, reserveIntervalMs, type QuotaBudget } from './quota-budget.js';
 
-/** The part of a lease by which a takeover waits longer than the lease, for clocks that drift apart. */
+/** Fraction of a lease that a takeover waits beyond the lease, to allow for clock drift. */
 const LEASE_MARGIN_FRACTION = 0.1;
 
-/** The longest time after which an edge is told to ask again. */
+/** Longest retry interval that an answer gives to an edge. */
 const MAX_RETRY_AFTER_MS = 60_000;
 
-/** A view as far as quotas need it. */
+/** The parts of a view that quotas need. */
 export interface QuotaView {
   readonly epoch: number;
   readonly number: number;
@@ -29,32 +32,32 @@
   readonly members: readonly Member[];
 }
 
-/** A view by its place in the sequence. */
+/** Identifies a view by its position in the sequence of views. */
 export type ViewId = Pick<QuotaView, 'epoch' | 'number'>;
 
-/** A handover that is to be sent. */
+/** A handover to be sent to the core that takes tenants over. */
 export interface OutgoingHandover {
   readonly to: Member;
   readonly handover: QuotaHandover;
 }
 
-/** What an allocator is made with. */
+/** Options of a `QuotaAllocator`. */
 export interface QuotaAllocatorOptions {
   readonly bounds: QuotaBounds;
-  /** Leases of the process group, in milliseconds. */
+  /** Duration of the process group's leases, in milliseconds. */
   readonly leaseMs: number;
   /**
-   * How long a takeover waits once the view is committed.
-   * @default leaseMs and a tenth, for clocks that drift
+   * How long a takeover waits after the view is committed.
+   * @default leaseMs plus a tenth, to allow for clock drift
    */
   readonly takeoverWaitMs?: number;
 }
 
-/** One tenant that this core allocates, as operators see it. */
+/** Statistics, for operators, of one tenant that this core allocates. */
 export interface AllocationStats {
   readonly tenant: string;
   readonly state: AllocationState;
-  /** Permits that could be granted now. */
+  /** Number of permits that could be granted now. */
   readonly level: number;
   readonly depth: number;
   readonly granted: number;
@@ -62,9 +65,9 @@
 }
 
 /**
- * Grants permits for the tenants whose allocator this core is. It may grant only while its caller holds the process
- * group's lease; who takes a tenant over waits until the predecessor's lease has ended, or until the predecessor,
- * alive in the new view, has stopped and handed its level over.
+ * Grants permits for the tenants that this core allocates. Permits may be granted only while this core holds
+ * the process group's lease. A core that takes a tenant over waits until the predecessor's lease has ended,
+ * or until a predecessor that is a member of the new view has stopped granting and handed over its level.
  * @example
  * allocator.updateLimits(limits, nowMs);
  * for (const { to, handover } of allocator.onView(view, self.incarnation, nowMs)) send(to, handover);
@@ -77,13 +80,13 @@
   #reserveIntervalMs: number;
   #limits = new Map<string, TenantLimit>();
   #allocations = new Map<string, Allocation>();
-  /** When tenants were removed whose allocations are kept for a while, by name. */
+  /** Removal times, by tenant name, of tenants whose allocations are kept for `#reserveIntervalMs`. */
   #removedAtMs = new Map<string, number>();
   #view: QuotaView | undefined;
   #incarnation = '';
-  /** Since when the present view is known to be committed. */
+  /** Time at which the current view became known to be committed; undefined before that. */
   #committedAtMs: number | undefined;
-  /** Handovers that came for the newest view heard of. */
+  /** Handovers received for the newest view for which any has arrived. */
   #handovers: QuotaHandover[] = [];
 
   constructor(options: QuotaAllocatorOptions) {
@@ -92,7 +95,7 @@
     this.#reserveIntervalMs = reserveIntervalMs(options.bounds, options.leaseMs);
   }
 
-  /** Takes the limits of the configuration in force. Tenants without a limit may be among them or not. */
+  /** Applies the limits of the configuration in force. Tenants without a limit may be included or omitted. */
   updateLimits(limits: Iterable<TenantLimit>, nowMs: number): void {
     const previousLimits = this.#limits;
     this.#limits = new Map();
@@ -103,8 +106,9 @@
   }
 
   /**
-   * A view was installed here; to be called for each, at once. Returns what is to be sent to those that allocate
-   * tenants of this core from now on. A view that is known already changes nothing.
+   * Applies a view that was installed on this core; must be called for each view as soon as it is installed.
+   * Returns the handovers to send to the cores that take over tenants of this core. A view that is already
+   * known has no effect.
    */
   onView(view: QuotaView, selfIncarnation: string, nowMs: number): OutgoingHandover[] {
     if (this.#isCurrentView(view) && selfIncarnation === this.#incarnation) return [];
@@ -125,7 +129,10 @@
     return handovers;
   }
 
-  /** The view is known to be committed: a majority of its members, and of those of the view before, installed it. */
+  /**
+   * Notes that a view is committed: majorities of its members and of the previous view's members have
+   * installed it.
+   */
   onViewCommitted(id: ViewId, nowMs: number): void {
     if (this.#committedAtMs !== undefined || !this.#isCurrentView(id)) return;
     this.#committedAtMs = nowMs;
@@ -133,7 +140,10 @@
       if (allocation.startMs === undefined) allocation.startAt(nowMs + this.#takeoverWaitMs);
   }
 
-  /** A predecessor has stopped and left these levels. May come before the view that it belongs to. */
+  /**
+   * Applies the levels left by a predecessor that has stopped granting. May be called before `onView` for
+   * their view.
+   */
   onHandover(handover: QuotaHandover, nowMs: number): void {
     const [kept] = this.#handovers;
     if (kept !== undefined && !isSameView(kept, handover)) {
@@ -144,12 +154,14 @@
     this.#applyHandovers(nowMs);
   }
 
-  /** Answers needs for permits. `holdsLease` is read from the process group at this moment. */
+  /**
+   * Answers requests for permits. `holdsLease` must be the process group's current value, not a cached one.
+   */
   answer(needs: readonly QuotaNeed[], holdsLease: boolean, nowMs: number): QuotaAnswer[] {
     return needs.map((need) => this.#answerNeed(need, holdsLease, nowMs));
   }
 
-  /** The tenants that this core allocates. */
+  /** Statistics of the tenants that this core allocates. */
   stats(nowMs: number): AllocationStats[] {
     return [...this.#allocations].map(([tenant, allocation]) => ({
       tenant,
@@ -174,7 +186,10 @@
     return create(QuotaAnswerSchema, { tenant, granted, retryAfterMs: wholeMs });
   }
 
-  /** Gives up the tenants that others allocate in a view. */
+  /**
+   * Stops allocating the tenants that other cores allocate in `view`, and builds the handovers for those
+   * cores.
+   */
   #handOver(view: QuotaView, nowMs: number): OutgoingHandover[] {
     const levels = new Map<Member, QuotaLevel[]>();
     for (const [tenant, allocation] of this.#allocations) {
@@ -206,7 +221,7 @@
     this.#handovers = [];
   }
 
-  /** Begins, changes or ends the allocation of a tenant by its limit. */
+  /** Starts, changes or ends the allocation of a tenant according to its limit. */
   #applyLimit(limit: TenantLimit, mayUseReserve: boolean, nowMs: number): void {
     const { name } = limit;
     this.#removedAtMs.delete(name);
@@ -223,7 +238,7 @@
     else existing.reconfigure(budget, nowMs);
   }
 
-  /** A tenant that is new here, by a view or by the configuration. */
+  /** Starts allocating a tenant that a view or a configuration change has assigned to this core. */
   #startAllocation(name: string, budget: QuotaBudget, reserve: number, nowMs: number): void {
     const allocation = new Allocation(budget, reserve);
     this.#allocations.set(name, allocation);
@@ -231,7 +246,10 @@
     allocation.startAt(Math.max(nowMs, this.#committedAtMs + this.#takeoverWaitMs));
   }
 
-  /** What a removed tenant was granted is remembered for a while, so that it cannot come back with a full bucket. */
+  /**
+   * Keeps the drained allocation of a removed tenant, so that removing and adding it again does not refill
+   * its bucket.
+   */
   #markRemoved(name: string, nowMs: number): void {
     this.#removedAtMs.set(name, nowMs);
     this.#allocations.get(name)?.drain(nowMs);
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -1,4 +1,7 @@
-/** The edge's side of quotas: requests wait here for permits, which are drawn from the allocators in batches. */
+/**
+ * The edge's side of quotas: queues requests that wait for permits and draws the permits from the allocators
+ * in batches.
+ */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, RandomSource } from '@rainrun/common';
 import {
@@ -16,41 +19,46 @@
 import { permitLifetimeMs } from './quota-budget.js';
 import { TenantRequests } from './tenant-requests.js';
 
-/** A refusal is remembered no longer than this. */
+/**
+ * Longest time for which a refusal is cached, so that further requests are refused without asking the core.
+ */
 const MAX_REFUSAL_CACHE_MS = 100;
 
-/** A core that cannot allocate now is asked again after so long. */
+/** How long to wait before asking a core again that answered that it cannot allocate. */
 const UNAVAILABLE_RETRY_MS = 100;
 
-/** Requests that wait for permits at most; those beyond it are refused. */
+/** Maximum number of requests that wait for permits; further requests are refused. */
 const MAX_WAITING_REQUESTS = 4096;
 
-/** What a request is told that finds too many waiting. */
+/** Retry interval given to a request that is refused because too many requests are waiting. */
 const QUEUE_FULL_RETRY_AFTER_MS = 1000;
 
-/** Idle tenants are forgotten at this interval. */
+/** Interval at which the records of idle tenants are deleted. */
 const IDLE_CLEANUP_INTERVAL_MS = 1000;
 
-/** Draws are numbered from a random number below this on, so that a grant for an earlier process is not mistaken. */
+/**
+ * Draw numbers start at a random number below this value, so that a grant for an earlier process of this edge
+ * is not mistaken for a grant of the current one.
+ */
 const FIRST_DRAW_RANGE = 2 ** 31;
 
-/** What a client is made with. */
+/** Options of a `QuotaClient`. */
 export interface QuotaClientOptions {
   readonly clock: Clock;
   readonly chance: RandomSource;
   readonly bounds: QuotaBounds;
-  /** This edge under its present incarnation: where grants go. */
+  /** Returns this edge with its current incarnation, to which cores send grants. */
   readonly self: () => Member;
-  /** Sends a draw to a core; it may be lost. */
+  /** Sends a draw to a core. The message may be lost. */
   readonly send: (to: Member, draw: QuotaDraw) => void;
   /**
-   * How long permits may be used, from the moment at which their draw was sent.
-   * @default by the bounds
+   * Lifetime of permits, measured from the time at which their draw was sent.
+   * @default derived from the bounds
    */
   readonly permitLifetimeMs?: number;
 }
 
-/** What the client holds and has done, as operators see it. */
+/** Current contents and counters of a `QuotaClient`, for operators. */
 export interface QuotaClientStats {
   readonly waiting: number;
   readonly surplusPermits: number;
@@ -59,7 +67,9 @@
   readonly refused: number;
 }
 
-/** An allocator that is drawn from, with the tenants that have requests waiting for it. */
+/**
+ * The queue of one allocator: the tenants with requests that wait for its permits, and the draws sent to it.
+ */
 interface AllocatorQueue {
   readonly member: Member;
   readonly draws: DrawTracker;
@@ -67,9 +77,10 @@
 }
 
 /**
- * Draws permits for the requests that wait, one draw in flight for each allocator; what comes meanwhile goes into the
- * next. A permit ends a fixed time after its draw was sent, by this edge's monotonic clock, so no clocks are compared
- * and a grant that comes late is worth nothing by itself.
+ * Draws permits for waiting requests, with one draw in flight per allocator; requests that arrive in the
+ * meantime go into the next draw. A permit expires a fixed time after its draw was sent, by this edge's
+ * monotonic clock. Clocks of different machines are therefore never compared, and a late grant carries only
+ * expired permits.
  * @example
  * const client = new QuotaClient({ clock, chance, bounds, self: () => member, send });
  * client.learnView(view);
@@ -82,11 +93,13 @@
   #lifetimeMs: number;
   #view: QuotaView | undefined;
   #tenants = new Map<string, TenantRequests>();
-  /** By the allocator's incarnation. */
+  /** Queues by the incarnation of their allocator. */
   #queues = new Map<string, AllocatorQueue>();
   #lastDraw: number;
   #drawsSent = 0;
-  /** While answers are handed out, requests that they bring about wait for the next draw. */
+  /**
+   * Set while a grant is applied, so that requests made from its callbacks are batched into the next draw.
+   */
   #isApplyingGrant = false;
   #waiting = 0;
   #granted = 0;
@@ -111,7 +124,7 @@
     return this.#enqueue(requests, done, nowMs);
   }
 
-  /** Learns a view, by which allocators are chosen; the newest counts. */
+  /** Chooses allocators by `view` from now on. A view that is not newer than the current one is ignored. */
   learnView(view: QuotaView): void {
     if (this.#view !== undefined && !isNewer(view, this.#view)) return;
     this.#view = view;
@@ -130,7 +143,7 @@
     for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
   }
 
-  /** Takes a grant that a core sent. */
+  /** Applies a grant sent by a core. */
   receive(grant: QuotaGrant, nowMs: number): void {
     for (const queue of this.#queues.values()) {
       const draw = queue.draws.resolve(grant.draw);
@@ -143,7 +156,7 @@
     }
   }
 
-  /** Sends what is due. */
+  /** Sends draws that are due and deletes the records of idle tenants. */
   tick(nowMs: number): void {
     for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
     if (nowMs < this.#nextCleanupMs) return;
@@ -163,7 +176,10 @@
     };
   }
 
-  /** A kept permit or a remembered refusal, where there is one. */
+  /**
+   * Answer that needs no draw: a surplus permit, a cached refusal, or a refusal because too many requests
+   * wait.
+   */
   #immediateAnswer(requests: TenantRequests, nowMs: number): PermitAnswer | undefined {
     const endMs = requests.takeSurplusPermit(nowMs);
     if (endMs !== undefined) return { kind: 'granted', permit: { endMs } };
@@ -212,7 +228,7 @@
     return member === undefined ? undefined : this.#queues.get(member.incarnation);
   }
 
-  /** Sends a draw for all requests that wait for an allocator, unless one is in flight. */
+  /** Sends a draw for all requests that wait for an allocator, unless a draw to it is in flight. */
   #sendDraw({ draws, member, tenants }: AllocatorQueue, nowMs: number): void {
     if (this.#isApplyingGrant || tenants.size === 0 || !draws.canSend(nowMs)) return;
     const needs = new Map<string, number>();
@@ -234,7 +250,7 @@
 
   #applyGrant(queue: AllocatorQueue, draw: SentDraw, grant: QuotaGrant, nowMs: number): void {
     const endMs = draw.sentMs + this.#lifetimeMs;
-    // What a core said so long ago is neither a permit nor news of the quota.
+    // After this time the granted permits have expired, and a refusal no longer reflects the quota.
     if (endMs <= nowMs) return;
     for (const answer of grant.answers) {
       const asked = draw.needs.get(answer.tenant);
--- a/packages/quotas/src/draw-tracker.ts
+++ b/packages/quotas/src/draw-tracker.ts
@@ -1,28 +1,31 @@
-/** The draws of an edge at one allocator: at most one in flight, sent again while no grant comes. */
+/**
+ * Tracks the draws of an edge to one allocator: at most one is in flight, and a new one may follow after a
+ * timeout.
+ */
 
-/** A first draw is taken for lost after so long. */
+/** Timeout after which the first of a series of unanswered draws counts as lost. */
 const INITIAL_TIMEOUT_MS = 150;
 
-/** Each further one in a row waits this much longer. */
+/** Increase of the timeout with each further unanswered draw of the series. */
 const TIMEOUT_STEP_MS = 50;
 
-/** The longest time for which a draw is waited for. */
+/** Longest timeout of a draw. */
 const MAX_TIMEOUT_MS = 400;
 
 /** A draw that was sent. */
 export interface SentDraw {
   readonly draw: number;
-  /** On the edge's monotonic clock; permits granted for it end a fixed time after this. */
+  /** Time on the edge's monotonic clock; permits granted for this draw expire a fixed time later. */
   readonly sentMs: number;
-  /** Permits asked for, by tenant. */
+  /** Number of requested permits by tenant. */
   readonly needs: ReadonlyMap<string, number>;
 }
 
 /**
- * Remembers the draws sent to one allocator until a grant for them could no longer be used.
+ * Keeps the draws sent to one allocator until the permits of a grant for them would have expired.
  * @example
- * if (draws.canSend(nowMs)) draws.sent({ draw: 7, sentMs: nowMs, needs });
- * draws.answered(7)?.sentMs;
+ * if (draws.canSend(nowMs)) draws.recordSent({ draw: 7, sentMs: nowMs, needs });
+ * draws.resolve(7)?.sentMs;
  */
 export class DrawTracker {
   #lifetimeMs: number;
@@ -30,17 +33,17 @@
   #inFlight: SentDraw | undefined;
   #consecutiveTimeouts = 0;
 
-  /** `lifetimeMs`: how long permits may be used from the moment at which their draw was sent. */
+  /** `lifetimeMs` is the lifetime of permits, measured from the time at which their draw was sent. */
   constructor(lifetimeMs: number) {
     this.#lifetimeMs = lifetimeMs;
   }
 
-  /** Whether no draw is in flight, or the one that is must be taken for lost. */
+  /** Whether a draw may be sent: none is in flight, or the one in flight has timed out. */
   canSend(nowMs: number): boolean {
     return this.#inFlight === undefined || nowMs >= this.#inFlight.sentMs + this.#timeoutMs();
   }
 
-  /** Notes a draw that goes out now. */
+  /** Records a draw that is being sent now. */
   recordSent(draw: SentDraw): void {
     this.#consecutiveTimeouts = this.#inFlight === undefined ? 0 : this.#consecutiveTimeouts + 1;
     this.#inFlight = draw;
@@ -49,7 +52,10 @@
     this.#pending.set(draw.draw, draw);
   }
 
-  /** The draw that a grant answers, once each; undefined where it is not known any more. */
+  /**
+   * Returns the draw with this number and removes it, so that each grant counts once; undefined if it is
+   * unknown.
+   */
   resolve(draw: number): SentDraw | undefined {
     const known = this.#pending.get(draw);
     this.#pending.delete(draw);
--- a/packages/quotas/src/permits.ts
+++ b/packages/quotas/src/permits.ts
@@ -1,49 +1,50 @@
-/** Permits and quotas as edges and cores see them. */
+/** Types of permits and quotas shared by edges and cores. */
 
 /** The limit of one tenant over all edges together. */
 export interface TenantLimit {
   readonly name: string;
   /** Requests per second; 0: no limit. */
   readonly ratePerS: number;
-  /** Requests above the rate that it may send at once after a rest. */
+  /** Requests above the rate that the tenant may send at once after an idle period. */
   readonly burst: number;
   /**
-   * Requests by which a window may exceed the limit besides the overshoot.
+   * Requests by which a window may exceed the limit in addition to the overshoot.
    * @default the slack of the bounds
    */
   readonly slack?: number;
 }
 
-/** How far the sum over all edges may go above a limit. */
+/** How far the requests of a tenant, summed over all edges, may exceed its limit. */
 export interface QuotaBounds {
   /** Length of the sliding window over which requests are counted, in milliseconds. */
   readonly windowMs: number;
-  /** Part of (rate x window + burst) by which a window may exceed it. */
+  /** Fraction of (rate x window + burst) by which a window may exceed that value. */
   readonly overshoot: number;
-  /** Requests by which a window may exceed it besides. */
+  /** Requests by which a window may exceed the limit in addition to the overshoot. */
   readonly slack: number;
 }
 
-/** Allows one request to be sent to a worker, once, before its end. */
+/** Permission to send one request to a worker once, before the permit expires. */
 export interface Permit {
-  /** On the monotonic clock of the edge that holds it, in milliseconds. */
+  /** Expiry time on the monotonic clock of the edge that holds the permit, in milliseconds. */
   readonly endMs: number;
 }
 
 /** The answer to one request for a permit. */
 export type PermitAnswer =
   | { readonly kind: 'granted'; readonly permit: Permit }
-  /** The tenant is over its quota; another permit may be there after this time. */
+  /** The tenant is over its quota; another permit may be available after `retryAfterMs`. */
   | { readonly kind: 'over-quota'; readonly retryAfterMs: number };
 
-/** Where the router of an edge gets permits. */
+/** Source from which the router of an edge gets permits. */
 export interface PermitSource {
   /**
-   * Asks for a permit to send one request of a tenant with a limit. `done` is called once, at once or later; not at
-   * all while no core can allocate for the tenant. The returned function withdraws the request for a permit.
+   * Requests a permit to send one request of a tenant that has a limit. `done` is called once, before
+   * `acquire` returns or later, and not while no core can allocate for the tenant. The returned function
+   * cancels the request for a permit.
    */
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void;
 }
 
-/** Bounds that allow nothing above a limit: where no others are given. */
+/** Bounds that allow no excess over a limit; used where no others are given. */
 export const STRICT_QUOTA_BOUNDS: QuotaBounds = { windowMs: 5000, overshoot: 0, slack: 0 };
--- a/packages/quotas/src/sharded-permits.ts
+++ b/packages/quotas/src/sharded-permits.ts
@@ -1,28 +1,28 @@
-/** Permits of tenants whose quotas are divided into shards: one shard is asked, then the others. */
+/** Acquires permits from quotas that are divided into shards: tries one shard first, then the others. */
 import type { Clock, RandomSource } from '@rainrun/common';
 import type { PermitAnswer, PermitSource } from './permits.js';
 import { shardName } from './shards.js';
 
-/** A shard that has not answered for so long is not waited for alone: the next one is asked too. */
+/** Time without an answer after which a request is hedged by trying the next shard too. */
 const HEDGE_DELAY_MS = 40;
 
-/** A shard that did not answer in time is asked last for so long. */
+/** How long a shard that did not answer in time is tried after all other shards. */
 const UNRESPONSIVE_MS = 300;
 
-/** What sharded permits are made with. */
+/** Options of `ShardedPermits`. */
 export interface ShardedPermitsOptions {
   readonly clock: Clock;
   readonly chance: RandomSource;
-  /** Grants permits of one shard, under its name. */
+  /** Grants permits of a single shard, identified by the shard's name. */
   readonly source: PermitSource;
-  /** Into how many shards the quota of a tenant is divided. */
+  /** Returns the number of shards into which the quota of a tenant is divided. */
   shardCountOf(tenant: string): number;
 }
 
 /**
- * Asks the shards of a tenant's quota for one permit: a random one first, the next where that refuses or does not
- * answer. A request is over the quota only once every shard has refused it; while one does not answer, those that
- * refused are asked again.
+ * Requests a permit from the shards of a tenant's quota: from a random shard first, and from the next one if
+ * a shard refuses or does not answer. A request is over the quota only when every shard has refused it; while
+ * a shard has not answered, the shards that refused are tried again.
  * @example
  * const permits = new ShardedPermits({ clock, chance, source: client, shardCountOf });
  * const cancel = permits.acquire('tenant-1', (answer) => proceed(answer));
@@ -31,7 +31,7 @@
 export class ShardedPermits implements PermitSource {
   #options: ShardedPermitsOptions;
   #pending = new Set<ShardedRequest>();
-  /** Until when shards that did not answer are asked last, by name. */
+  /** Time until which a shard that did not answer is tried last, by shard name. */
   #unresponsiveUntilMs = new Map<string, number>();
 
   constructor(options: ShardedPermitsOptions) {
@@ -59,14 +59,20 @@
     };
   }
 
-  /** Asks further shards where the first ones do not answer. */
+  /**
+   * Tries further shards for requests whose last attempt has not been answered, and retries shards that
+   * refused.
+   */
   tick(nowMs: number): void {
     for (const request of this.#pending) request.tick(nowMs);
     for (const [name, untilMs] of this.#unresponsiveUntilMs)
       if (untilMs <= nowMs) this.#unresponsiveUntilMs.delete(name);
   }
 
-  /** The shards in the order in which a request asks them: from a random one on, silent ones last. */
+  /**
+   * Returns the shards in the order in which a request tries them: from a random one on, unresponsive ones
+   * last.
+   */
   #shardOrder(tenant: string): string[] {
     const count = this.#options.shardCountOf(tenant);
     if (count === 1) return [shardName(tenant, 0)];
@@ -80,7 +86,7 @@
   }
 }
 
-/** What one request is made of. */
+/** Options of a `ShardedRequest`. */
 interface ShardedRequestOptions {
   readonly names: readonly string[];
   readonly source: PermitSource;
@@ -89,17 +95,17 @@
   done(answer: PermitAnswer): void;
 }
 
-/** One shard as one request asks it. */
+/** The attempt of one request to get a permit from one shard. */
 interface ShardAttempt {
   readonly name: string;
   readonly sentMs: number;
-  /** Withdraws the question; undefined once it was answered. */
+  /** Cancels the attempt; undefined once it has been answered. */
   cancel: (() => void) | undefined;
-  /** Not asked again before this, where it refused. */
+  /** Earliest time of a retry; infinite unless the shard has refused. */
   retryAtMs: number;
 }
 
-/** One request for a permit at the shards of its tenant. */
+/** One request for a permit, with its attempts at the shards of the tenant. */
 class ShardedRequest {
   #options: ShardedRequestOptions;
   #attempts: ShardAttempt[] = [];
@@ -131,7 +137,7 @@
       this.#retry(attempt);
   }
 
-  /** An earlier one of the questions may have been answered with a permit meanwhile. */
+  /** Retries a shard, unless a retry earlier in the same tick has already settled the request. */
   #retry(attempt: ShardAttempt): void {
     if (!this.#isSettled) this.#send(attempt);
   }
@@ -149,7 +155,7 @@
     this.#send(attempt);
   }
 
-  /** The answer may come before the question returns. */
+  /** Sends an attempt to its shard. The answer may arrive before `acquire` returns. */
   #send(attempt: ShardAttempt): void {
     const state = { isOpen: true };
     const cancel = this.#options.source.acquire(attempt.name, (answer) => {
--- a/packages/quotas/src/tenant-requests.ts
+++ b/packages/quotas/src/tenant-requests.ts
@@ -1,7 +1,7 @@
-/** The requests of one tenant at an edge that wait for permits, and the permits that wait for requests. */
+/** Requests of one tenant at an edge that wait for permits, and surplus permits not yet used by a request. */
 import type { PermitAnswer } from './permits.js';
 
-/** Surplus permits of a tenant kept at most; more are let go. */
+/** Maximum number of surplus permits kept for a tenant; further ones are discarded. */
 const MAX_SURPLUS_PERMITS = 256;
 
 /** A request that waits for a permit. */
@@ -10,7 +10,7 @@
 }
 
 /**
- * Waiting requests in the order of their arrival, surplus permits until their end, and the last refusal.
+ * Holds waiting requests in order of arrival, surplus permits until they expire, and the last refusal.
  * @example
  * const requests = new TenantRequests('tenant-1');
  * const cancel = requests.wait(done);
@@ -18,10 +18,10 @@
  */
 export class TenantRequests {
   readonly tenant: string;
-  /** The core asks to be asked again, not before this moment. */
+  /** Earliest time at which the core may be asked again after it answered that it cannot allocate. */
   retryAtMs = -Infinity;
   #waiters = new Set<Waiter>();
-  /** Ends of surplus permits. */
+  /** Expiry times of the surplus permits. */
   #surplusExpiriesMs: number[] = [];
   #refusedUntilMs = -Infinity;
 
@@ -37,31 +37,34 @@
     return this.#surplusExpiriesMs.length;
   }
 
-  /** For how long requests are refused without asking; 0 or less: they are not. */
+  /** Returns how long requests are still refused without asking the core; 0 or less if they are not. */
   refusedForMs(nowMs: number): number {
     return this.#refusedUntilMs - nowMs;
   }
 
-  /** Whether nothing here need be remembered. */
+  /**
+   * Whether this record can be deleted: no request waits, and there is no surplus permit and no refusal in
+   * force.
+   */
   isIdle(nowMs: number): boolean {
     this.#dropExpired(nowMs);
     return this.#waiters.size === 0 && this.#surplusExpiriesMs.length === 0 && this.refusedForMs(nowMs) <= 0;
   }
 
-  /** The end of a surplus permit, which is then used up; undefined where none is left. */
+  /** Removes a surplus permit and returns its expiry time; undefined if none is left. */
   takeSurplusPermit(nowMs: number): number | undefined {
     this.#dropExpired(nowMs);
     return this.#surplusExpiriesMs.shift();
   }
 
-  /** Lets a request wait; the returned function withdraws it. */
+  /** Adds a waiting request; the returned function removes it. */
   wait(done: (answer: PermitAnswer) => void): () => void {
     const waiter: Waiter = { done };
     this.#waiters.add(waiter);
     return () => void this.#waiters.delete(waiter);
   }
 
-  /** Gives permits to the oldest requests and keeps the rest until their end. */
+  /** Gives permits to the oldest requests and keeps surplus permits until they expire. */
   grant(permits: number, endMs: number): void {
     for (let left = permits; left > 0; left -= 1) {
       const waiter = this.#shiftWaiter();
@@ -70,7 +73,7 @@
     }
   }
 
-  /** Refuses the oldest requests, and for a while those that come. */
+  /** Refuses the oldest waiting requests, and makes `refusedForMs` report a refusal until `untilMs`. */
   refuse(requests: number, retryAfterMs: number, untilMs: number): void {
     this.#refusedUntilMs = Math.max(this.#refusedUntilMs, untilMs);
     for (let left = Math.min(requests, this.#waiters.size); left > 0; left -= 1)
--- a/packages/quotas/src/token-bucket.ts
+++ b/packages/quotas/src/token-bucket.ts
@@ -1,22 +1,22 @@
-/** A token bucket that may begin to fill later than it was made. */
+/** A token bucket whose refill may start later than its creation. */
 
-/** How deep a bucket is and how fast it fills. */
+/** Depth and refill rate of a bucket. */
 export interface BucketConfig {
   readonly depth: number;
   readonly tokensPerMs: number;
 }
 
 /**
- * A token bucket on a monotonic clock that its caller reads.
+ * A token bucket. The caller passes the current time of a monotonic clock.
  * @example
  * const bucket = new TokenBucket({ depth: 5, tokensPerMs: 0.005 }, 5);
- * bucket.beginFilling(nowMs);
+ * bucket.startRefill(nowMs);
  * bucket.take(2, nowMs); // 2
  */
 export class TokenBucket {
   #config: BucketConfig;
   #level: number;
-  /** Tokens due until this moment are in the level; undefined while it does not fill at all. */
+  /** Time up to which the refill is included in the level; undefined until the refill is started. */
   #refilledUntilMs: number | undefined;
   #wasFull = false;
 
@@ -29,28 +29,28 @@
     return this.#config.depth;
   }
 
-  /** Whether the bucket was full at some moment since it began to fill. */
+  /** Whether the bucket has been full at any time since its refill started. */
   get wasFull(): boolean {
     return this.#wasFull;
   }
 
-  /** Lets the bucket fill from a moment on, which may lie ahead. */
+  /** Starts the refill at a time that may lie in the future. */
   startRefill(fromMs: number): void {
     this.#refilledUntilMs = fromMs;
   }
 
-  /** Tokens in the bucket now. */
+  /** Returns the current number of tokens, which can be negative after `reconfigure`. */
   level(nowMs: number): number {
     this.#refill(nowMs);
     return this.#level;
   }
 
-  /** Adds tokens that another bucket held. */
+  /** Adds the tokens of another bucket, up to the depth. */
   add(tokens: number): void {
     this.#level = Math.min(this.#config.depth, this.#level + Math.max(0, tokens));
   }
 
-  /** Takes up to so many whole tokens; returns how many. */
+  /** Takes up to `wanted` whole tokens and returns how many were taken. */
   take(wanted: number, nowMs: number): number {
     this.#refill(nowMs);
     const taken = Math.max(0, Math.min(wanted, Math.floor(this.#level)));
@@ -58,7 +58,7 @@
     return taken;
   }
 
-  /** When the next whole token will be there; undefined where it never will. */
+  /** Returns when the next whole token is available; undefined if the bucket is not refilled. */
   nextTokenMs(nowMs: number): number | undefined {
     this.#refill(nowMs);
     if (this.#level >= 1) return nowMs;
@@ -67,8 +67,9 @@
   }
 
   /**
-   * Goes on with another depth and speed. What was taken stays taken: where the depth falls, the level falls with it,
-   * below zero if more was taken than the new depth holds. A depth that grows brings no tokens.
+   * Changes the depth and refill rate. Tokens already taken stay taken: a lower depth lowers the level by the
+   * same amount, to below zero if more tokens were taken than the new depth holds. A higher depth adds no
+   * tokens.
    */
   reconfigure(config: BucketConfig, nowMs: number): void {
     this.#refill(nowMs);
@@ -76,7 +77,7 @@
     this.#config = config;
   }
 
-  /** Empties the bucket and stops filling it. */
+  /** Empties the bucket and stops its refill. */
   drain(nowMs: number): void {
     this.#refill(nowMs);
     this.#level = Math.min(this.#level, 0);
