--- a/packages/quotas/src/testing/bound-oracle.ts
+++ b/packages/quotas/src/testing/bound-oracle.ts
@@ -1,11 +1,14 @@
-/** Oracle A: no window sees more requests of a tenant than the bound. */
+/** Bound oracle: checks that no sliding window contains more requests of a tenant than its bound allows. */
 import type { QuotaBounds, TenantLimit } from '../permits.js';
 import { windowBound } from '../quota-budget.js';
 
-/** A change of a limit is in force everywhere, and permits by the limit before have ended, after so long. */
+/**
+ * Time after which a limit change is in force everywhere and all permits granted under the old limit have
+ * expired.
+ */
 export const LIMIT_CHANGE_MS = 1100;
 
-/** A window with too many requests. */
+/** A window that contains more requests than its bound. */
 export interface BoundBreach {
   readonly tenant: string;
   readonly atMs: number;
@@ -19,12 +22,12 @@
 }
 
 /**
- * Counts each tenant's requests in every window that ends with one. Where the limit changed, the highest one that
- * may have been in force in some part of the window counts.
+ * Counts each tenant's requests in every window that ends with a request. If the limit changed, the bound is
+ * that of the highest limit that may have been in force in some part of the window.
  */
 export class BoundOracle {
   readonly breaches: BoundBreach[] = [];
-  /** The fullest window so far, as a part of its bound. */
+  /** Highest number of requests in a window so far, as a fraction of the window's bound. */
   peakUsage = 0;
   #bounds: QuotaBounds;
   #sentMs = new Map<string, number[]>();
@@ -34,14 +37,14 @@
     this.#bounds = bounds;
   }
 
-  /** A limit is in force from now on. */
+  /** Records that a limit is in force from now on. */
   onLimit(limit: TenantLimit, nowMs: number): void {
     const changes = this.#changes.get(limit.name) ?? [];
     changes.push({ fromMs: nowMs, bound: windowBound(limit, this.#bounds) });
     this.#changes.set(limit.name, changes);
   }
 
-  /** The first byte of a request goes to a worker. */
+  /** Records that the first byte of a request is sent to a worker. */
   onSent(tenant: string, nowMs: number): void {
     const window = this.#sentMs.get(tenant) ?? [];
     this.#sentMs.set(tenant, window);
--- a/packages/quotas/src/testing/core-node.ts
+++ b/packages/quotas/src/testing/core-node.ts
@@ -1,4 +1,4 @@
-/** A simulated core: its place in the modelled group with its lease, and the allocator under trial. */
+/** A simulated core: a member of the modelled process group, with its lease and the allocator under test. */
 import { create } from '@bufbuild/protobuf';
 import { randomId, type RandomSource } from '@rainrun/common';
 import {
@@ -15,21 +15,21 @@
 import type { Machine, Network } from './machine.js';
 import { isSharded, type Mutant } from './mutants.js';
 
-/** Timings of the process group on a platform. */
+/** Timings of the process group as on a real platform. */
 export const LEASE_MS = 600;
 const HEARTBEAT_MS = 200;
 
-/** How long the mutant that hands over without stopping goes on. */
+/** How long the `no-stop` mutant keeps granting permits of a tenant after its handover. */
 const NO_STOP_DURATION_MS = 4000;
 
-/** What a core is made with. */
+/** Options of a `CoreNode`. */
 export interface CoreNodeOptions {
   readonly machine: Machine;
   readonly network: Network;
   readonly random: RandomSource;
   readonly bounds: QuotaBounds;
   readonly mutant: Mutant | undefined;
-  /** The core whose process has an incarnation now, if one has. */
+  /** Returns the core whose current process has the given incarnation, if there is one. */
   readonly coreOf: (incarnation: string) => CoreNode | undefined;
   readonly limits: () => readonly TenantLimit[];
 }
@@ -39,18 +39,21 @@
   readonly number: number;
 }
 
-/** A tenant that the mutant without a stop goes on granting for. */
+/** Bucket of a tenant for which the `no-stop` mutant keeps granting permits. */
 interface UnstoppedBucket {
   readonly bucket: TokenBucket;
   readonly untilMs: number;
 }
 
-/** A core as the group sees it: it flushes, installs views, acknowledges heartbeats and holds a lease. */
+/** A core as a group member: it flushes, installs views, acknowledges heartbeats and holds a lease. */
 export class CoreNode {
   readonly machine: Machine;
   member!: Member;
   view: QuotaView | undefined;
-  /** Who stays, in the change for which this core has flushed; others are not acknowledged any more. */
+  /**
+   * Members that stay in the view change for which this core has flushed; heartbeats of others get no
+   * acknowledgement.
+   */
   flushedFor: ReadonlySet<string> | undefined;
   #options: CoreNodeOptions;
   #allocator!: QuotaAllocator;
@@ -63,7 +66,7 @@
     this.start();
   }
 
-  /** Begins a process: nothing is remembered. */
+  /** Starts a new process, without any state of the previous one. */
   start(): void {
     const { bounds, machine, mutant } = this.#options;
     this.renewIncarnation();
@@ -74,7 +77,7 @@
     machine.every(HEARTBEAT_MS, () => this.#sendHeartbeats());
   }
 
-  /** Leaves the view; goes on as a new member. */
+  /** Leaves the view and gets a new incarnation, under which it can join again. */
   renewIncarnation(): void {
     const { machine, random } = this.#options;
     const { name } = machine;
@@ -170,7 +173,7 @@
     });
   }
 
-  /** As the group computes it: an acknowledgement by a member that has a newer view does not count. */
+  /** Lease end as the group computes it: acknowledgements from members with a newer view do not count. */
   #leaseEndMs(): number {
     const { view } = this;
     if (view === undefined) return -Infinity;
--- a/packages/quotas/src/testing/edge-node.ts
+++ b/packages/quotas/src/testing/edge-node.ts
@@ -1,4 +1,4 @@
-/** A simulated edge: requests that ask for permits, wait, are withdrawn, and are sent to a worker. */
+/** A simulated edge: its requests acquire permits, wait, are cancelled, and are sent to a worker. */
 import { create } from '@bufbuild/protobuf';
 import { randomId, type RandomSource } from '@rainrun/common';
 import { MemberSchema, type Member, type QuotaDraw } from '@rainrun/messages';
@@ -13,24 +13,27 @@
 import type { RequestRecord } from './refusal-oracle.js';
 
 const TICK_MS = 25;
-/** Some edges learn views sooner than others. */
+/**
+ * Views are polled at an interval that differs between edges, so that some learn of a view earlier than
+ * others.
+ */
 const MIN_VIEW_POLL_MS = 100;
 const VIEW_POLL_RANGE_MS = 1200;
 
-/** Clients wait so long at most. */
+/** Longest time that a client waits. */
 const CLIENT_TIMEOUT_MS = 5000;
 
-/** A part of the requests holds its permit for a while before it is sent. */
+/** Fraction of the requests that are sent with a delay after they got their permit, and the longest delay. */
 const DELAYED_SEND_FRACTION = 0.05;
 const MAX_SEND_DELAY_MS = 300;
 
-/** A part of the clients goes away early. */
+/** Fraction of the clients that cancel early. */
 const EARLY_CANCEL_FRACTION = 0.03;
 
-/** The mutant without an end of permits uses them for so long. */
+/** Lifetime of permits in the `no-permit-end` mutant. */
 const NO_PERMIT_END_LIFETIME_MS = 60_000;
 
-/** What an edge is made with. */
+/** Options of an `EdgeNode`. */
 export interface EdgeNodeOptions {
   readonly machine: Machine;
   readonly network: Network;
@@ -39,16 +42,16 @@
   readonly mutant: Mutant | undefined;
   readonly cores: readonly CoreNode[];
   readonly coreOf: (incarnation: string) => CoreNode | undefined;
-  /** Real time, for the records. */
+  /** Simulated time without clock drift, for request records. */
   readonly nowMs: () => number;
-  /** For how long no worker takes a request. */
+  /** Returns how long no worker will accept requests. */
   readonly stalledForMs: () => number;
   readonly onSent: (tenant: string) => void;
-  /** The limit of a tenant as edges know it. */
+  /** Returns the limit of a tenant as edges know it. */
   readonly limitOf: (tenant: string) => Pick<TenantLimit, 'burst'>;
 }
 
-/** An edge and its client of quotas. */
+/** A simulated edge with its quota client. */
 export class EdgeNode {
   readonly machine: Machine;
   #options: EdgeNodeOptions;
@@ -62,7 +65,7 @@
     this.start();
   }
 
-  /** Begins a process: it knows no view and has no permits. */
+  /** Starts a new process, which has no view and no permits. */
   start(): void {
     const { bounds, machine, mutant, random } = this.#options;
     this.#member = create(MemberSchema, { name: machine.name, incarnation: randomId(random) });
@@ -89,7 +92,7 @@
     machine.every(MIN_VIEW_POLL_MS + random.next() ** 2 * VIEW_POLL_RANGE_MS, () => this.#pollView());
   }
 
-  /** A request that is ready to be sent and needs a permit. */
+  /** Acquires a permit for a request, and sends the request with it. */
   request(record: RequestRecord): void {
     const { machine, random } = this.#options;
     let cancel = this.#acquire(record, () => (cancel = this.#acquire(record)));
@@ -119,7 +122,7 @@
     else machine.after(delayMs, () => this.#send(record, answer.permit, retry));
   }
 
-  /** Sends the request if its permit still holds at this moment. */
+  /** Sends the request if its permit has not expired; otherwise acquires another permit. */
   #send(record: RequestRecord, permit: Permit, retry: () => void): void {
     if (record.outcome !== undefined) return;
     if (permit.endMs <= this.machine.nowMs()) {
@@ -144,7 +147,7 @@
     });
   }
 
-  /** Asks some core for its view. */
+  /** Requests the current view of a random core. */
   #pollView(): void {
     const { cores, machine, network, random } = this.#options;
     const core = cores[Math.floor(random.next() * cores.length)];
--- a/packages/quotas/src/testing/event-queue.ts
+++ b/packages/quotas/src/testing/event-queue.ts
@@ -1,4 +1,4 @@
-/** Simulated time: callbacks in the order of their moments. */
+/** Simulated time: runs callbacks in the order of their scheduled times. */
 
 interface Event {
   readonly atMs: number;
@@ -7,9 +7,9 @@
 }
 
 /**
- * A queue of events by time; those of one moment run in the order in which they were scheduled.
+ * A queue of events ordered by time. Events with the same time run in the order in which they were scheduled.
  * @example
- * events.after(10, () => node.wake());
+ * events.after(10, () => node.resume());
  * events.runUntil(30_000);
  */
 export class EventQueue {
@@ -18,13 +18,13 @@
   #heap: Event[] = [];
   #scheduled = 0;
 
-  /** Runs a callback after a time. */
+  /** Schedules a callback to run after `delayMs`. */
   after(delayMs: number, run: () => void): void {
     this.#scheduled += 1;
     this.#push({ atMs: this.nowMs + Math.max(0, delayMs), order: this.#scheduled, run });
   }
 
-  /** Runs all that is due until a moment. */
+  /** Runs all events due up to and including `endMs`. */
   runUntil(endMs: number): void {
     for (let next = this.#heap[0]; next !== undefined && next.atMs <= endMs; next = this.#heap[0]) {
       this.#pop();
--- a/packages/quotas/src/testing/fault-injector.ts
+++ b/packages/quotas/src/testing/fault-injector.ts
@@ -1,4 +1,4 @@
-/** What happens to the machines, links and limits of a trial. */
+/** Injects faults into the machines, links and limits of a trial. */
 import type { RandomSource } from '@rainrun/common';
 import type { CoreNode } from './core-node.js';
 import type { EdgeNode } from './edge-node.js';
@@ -7,24 +7,24 @@
 import { linkName, type Machine, type Network } from './machine.js';
 import type { RefusalOracle } from './refusal-oracle.js';
 
-/** Times between two faults. */
+/** Minimum and range of the interval between two faults. */
 const MIN_FAULT_INTERVAL_MS = 500;
 const FAULT_INTERVAL_RANGE_MS = 3500;
 
-/** How long one lasts. */
+/** Minimum and range of the duration of a fault. */
 const MIN_FAULT_DURATION_MS = 200;
 const FAULT_DURATION_RANGE_MS = 3500;
 
-/** Who is cut off for so long is left out of the view. */
+/** Time after which a member that is cut off is excluded from the view. */
 const EXCLUSION_MS = 1300;
 
-/** The part of the edges that are cut off together with a core. */
+/** Fraction of the edges that are cut off together with a core. */
 const SPLIT_EDGES_FRACTION = 0.4;
 
-/** Cores that were added last stand for those in use; earlier ones were replaced. */
+/** Number of cores in use: the ones added last. Earlier ones have been replaced. */
 const CORES_IN_USE = 5;
 
-/** What faults act on. */
+/** The parts of a trial that faults act on. */
 export interface FaultTargets {
   readonly events: EventQueue;
   readonly random: RandomSource;
@@ -40,7 +40,7 @@
 
 type Fault = (durationMs: number) => string;
 
-/** Plays faults one after the other, some of them at once. */
+/** Injects random faults one after another; the durations of some of them overlap. */
 export class FaultInjector {
   readonly log: string[] = [];
   #targets: FaultTargets;
@@ -69,7 +69,7 @@
     ];
   }
 
-  /** Plays them from one moment to another. */
+  /** Schedules random faults between two times. */
   schedule(fromMs: number, untilMs: number): void {
     const { events, random } = this.#targets;
     if (fromMs > untilMs) return;
@@ -88,7 +88,10 @@
     return `kill ${core.machine.name}`;
   }
 
-  /** With its disk; only where that leaves a majority, since the group could not go on otherwise. */
+  /**
+   * Replaces a core with its disk, but only if all cores in use are healthy: without a majority the group
+   * would block.
+   */
   #replaceCore(durationMs: number): string {
     const core = this.#pickCore();
     const { group } = this.#targets;
@@ -131,7 +134,7 @@
     return `kill ${edge.machine.name}`;
   }
 
-  /** Cut from the other cores, but not from the edges. */
+  /** Cuts a core off from the other cores, but not from the edges. */
   #isolateCore(durationMs: number): string {
     const { machine } = this.#pickCore();
     const links = this.#targets.cores.flatMap((other) => bothWays(machine.name, other.machine.name));
@@ -151,7 +154,7 @@
     return `cut ${links.join(' ')}`;
   }
 
-  /** Two cores cannot reach each other while all others reach both. */
+  /** Cuts the link between two cores while all other nodes reach both. */
   #cutBridge(durationMs: number): string {
     const links = bothWays(this.#pickCore().machine.name, this.#pickCore().machine.name);
     this.#cut(links, durationMs, '');
@@ -159,8 +162,8 @@
   }
 
   /**
-   * The coordinator and another core do not reach each other, so that the other is left out while it works; some edges
-   * reach that one only, and ask it as long as they can.
+   * Cuts the link between the coordinator and another core, so that the view excludes that core while it is
+   * running. Some edges reach only the excluded core and keep asking it while they can.
    */
   #cutFromCoordinator(durationMs: number): string {
     const { cores, edges, group, random } = this.#targets;
@@ -175,7 +178,7 @@
     return `cut ${isolated.machine.name} from the coordinator, with ${attachedEdges.length} edges`;
   }
 
-  /** One core and some edges are cut from the rest. */
+  /** Cuts one core and some edges off from the other cores. */
   #splitZone(durationMs: number): string {
     const { cores, edges, random } = this.#targets;
     const isolated = this.#pickCore();
@@ -189,7 +192,9 @@
     return `split ${[isolated, ...attachedEdges].map(({ machine }) => machine.name).join(' ')}`;
   }
 
-  /** Two cores are killed and come back; the others do not hear of the view that lets them in. */
+  /**
+   * Kills and restarts two cores, and keeps the view that admits them again from reaching the other cores.
+   */
   #interruptJoin(durationMs: number): string {
     const { cores, group, random } = this.#targets;
     const coresInUse = cores.slice(-CORES_IN_USE);
--- a/packages/quotas/src/testing/group-model.ts
+++ b/packages/quotas/src/testing/group-model.ts
@@ -1,7 +1,8 @@
 /**
- * A model of the process group that keeps its promises: views by majorities, a flush before each, a view in force
- * once a majority of it and of the one before has installed it. Who coordinates is decided from outside; what members
- * know goes through the network.
+ * A model of the process group with its guarantees: views are chosen by majorities, each after a flush, and a
+ * view is committed once majorities of its members and of the previous view's members have installed it. The
+ * model chooses the coordinator with global knowledge; everything that members learn is sent over the
+ * simulated network.
  */
 import type { Member } from '@rainrun/messages';
 import type { QuotaView } from '../allocator.js';
@@ -14,9 +15,9 @@
 const RESEND_MS = 100;
 const FLUSH_TIMEOUT_MS = 1500;
 
-/** A view change while its flushes are collected. */
+/** A view change whose flushes are being collected. */
 interface ViewChange {
-  /** Cores that stay, under the incarnations that they have in the old view. */
+  /** Cores that stay, by their members in the old view. */
   readonly staying: ReadonlyMap<Member, CoreNode>;
   readonly joiners: readonly Member[];
   readonly flushed: Set<string>;
@@ -24,11 +25,11 @@
   sentMs: number;
 }
 
-/** The sequence of views, moved on by a coordinator that is in touch with a majority. */
+/** The sequence of views, advanced by a coordinator that is connected to a majority. */
 export class GroupModel {
-  /** Called for each view that is chosen, with the one before. */
+  /** Called for each chosen view, with the previous view. */
   onViewChosen: ((before: QuotaView, view: QuotaView) => void) | undefined;
-  /** Called once, when the next view is chosen, with the one who coordinates and before it tells anyone. */
+  /** Called once, with the coordinator, when the next view is chosen and before it is sent to any core. */
   onNextViewChosen: ((coordinator: CoreNode) => void) | undefined;
   #cores: CoreNode[];
   #events: EventQueue;
@@ -44,7 +45,7 @@
   #lastReachableMs = new Map<string, number>();
   #lastBroadcastMs = -Infinity;
 
-  /** `cores` is the list of all cores that ever start; more may be added to it. */
+  /** `cores` lists all cores that have ever started; more may be added to the list later. */
   constructor(cores: CoreNode[], events: EventQueue, network: Network) {
     this.#cores = cores;
     this.#events = events;
@@ -57,7 +58,7 @@
     this.#schedule();
   }
 
-  /** The core that coordinates, if one does. */
+  /** The current coordinator, if there is one. */
   get coordinator(): CoreNode | undefined {
     return this.#coordinator;
   }
@@ -67,7 +68,7 @@
     return this.#view;
   }
 
-  /** The core whose process has this incarnation now. */
+  /** Returns the core whose current process has this incarnation. */
   coreOf(incarnation: string): CoreNode | undefined {
     return this.#cores.find(({ machine, member }) => machine.isAlive && member.incarnation === incarnation);
   }
@@ -128,13 +129,13 @@
     );
   }
 
-  /** Dead, and its disk is back with another process. */
+  /** Whether the member's process is gone and another process runs with its disk. */
   #isDeparted({ incarnation, name }: Member): boolean {
     if (this.coreOf(incarnation) !== undefined) return false;
     return this.#cores.some(({ machine }) => machine.name === name && machine.isAlive);
   }
 
-  /** Sends the newest view, and which one is committed, to those that should have it. */
+  /** Sends the newest view and the number of the committed one to all cores. */
   #broadcastView(coordinator: CoreNode): void {
     const { nowMs } = this.#events;
     if (nowMs - this.#lastBroadcastMs < RESEND_MS) return;
@@ -162,7 +163,7 @@
     if (view === this.#view) this.#installedBy.add(incarnation);
   }
 
-  /** A view is in force once a majority of it and of the one before has installed it, or is gone for good. */
+  /** Commits a view once majorities of it and of the previous view have installed it or departed for good. */
   #tryCommit(): void {
     this.#isCommitted ||= [this.#view, this.#previousView].every(
       (one) =>
--- a/packages/quotas/src/testing/machine.ts
+++ b/packages/quotas/src/testing/machine.ts
@@ -1,18 +1,21 @@
-/** A simulated machine: a monotonic clock that drifts, freezes with a late wake, kills, and a network of such machines. */
+/**
+ * Simulated machines, with clocks that drift and processes that can be frozen or killed, and the network
+ * between them.
+ */
 import type { Clock, RandomSource } from '@rainrun/common';
 import type { EventQueue } from './event-queue.js';
 
-/** Clocks run fast or slow by up to this part. */
+/** Maximum drift rate of a clock, fast or slow. */
 const MAX_DRIFT = 0.01;
 
-/** A machine and the process on it. What is done on it goes through `run`, so that it waits while it is frozen. */
+/** A machine and its process. All work goes through `run`, which defers it while the machine is frozen. */
 export class Machine implements Clock {
   readonly name: string;
   isAlive = true;
   #events: EventQueue;
   #drift: number;
   #offsetMs: number;
-  /** Counts processes: callbacks of an earlier one are dropped. */
+  /** Number of the current process; callbacks of earlier processes are dropped. */
   #processNumber = 0;
   #isFrozen = false;
   #deferred: (() => void)[] = [];
@@ -32,14 +35,16 @@
     return this.#offsetMs + this.#events.nowMs * (1 + this.#drift);
   }
 
-  /** Runs a callback on the process as it is now: later if it is frozen, not at all if it is dead. */
+  /**
+   * Runs a callback on the current process: after `resume` if it is frozen, not at all if it has been killed.
+   */
   run(callback: () => void): void {
     if (!this.isAlive) return;
     if (this.#isFrozen) this.#deferred.push(callback);
     else callback();
   }
 
-  /** Runs a callback after a time of this machine's clock, if its process still lives then. */
+  /** Runs a callback after a delay by this machine's clock, if the current process still exists then. */
   after(delayMs: number, callback: () => void): void {
     const processNumber = this.#processNumber;
     this.#events.after(delayMs / (1 + this.#drift), () => {
@@ -47,7 +52,7 @@
     });
   }
 
-  /** Runs a callback again and again while the process lives. */
+  /** Runs a callback periodically while the process exists. */
   every(intervalMs: number, callback: () => void): void {
     this.after(intervalMs, () => {
       callback();
@@ -59,7 +64,7 @@
     this.#isFrozen = true;
   }
 
-  /** The process goes on with what came meanwhile. */
+  /** Ends a freeze and runs the callbacks that were deferred by it. */
   resume(): void {
     this.#isFrozen = false;
     const deferred = this.#deferred;
@@ -74,19 +79,19 @@
     this.#processNumber += 1;
   }
 
-  /** A new process on the same machine. */
+  /** Starts a new process on the same machine. */
   restart(): void {
     this.kill();
     this.isAlive = true;
   }
 
-  /** Whether the process is still the one that it was when this number was read. */
+  /** Number of the current process, which changes when the process is killed. */
   get processNumber(): number {
     return this.#processNumber;
   }
 }
 
-/** Usual and rare delays, and losses, on the way between two machines. */
+/** Usual delays, rare long delays and losses of messages between two machines. */
 const MIN_DELAY_MS = 0.5;
 const DELAY_RANGE_MS = 3;
 const SLOW_FRACTION = 0.01;
@@ -104,12 +109,12 @@
     this.#random = random;
   }
 
-  /** Whether a message from one machine to another gets through. */
+  /** Whether the link from one machine to another is not cut. */
   carries(from: Machine, to: Machine): boolean {
     return !this.cutLinks.has(linkName(from.name, to.name));
   }
 
-  /** Delivers a message, if it is not lost and the process that it is for still lives. */
+  /** Delivers a message unless it is lost or the receiving process no longer exists. */
   send(from: Machine, to: Machine, deliver: () => void): void {
     if (!this.carries(from, to) || this.#random.next() < LOSS_FRACTION) return;
     const processNumber = to.processNumber;
@@ -121,7 +126,7 @@
   }
 }
 
-/** Name of the link from one machine to another. */
+/** Returns the name of the link from one machine to another. */
 export function linkName(from: string, to: string): string {
   return `${from}>${to}`;
 }
--- a/packages/quotas/src/testing/mutants.ts
+++ b/packages/quotas/src/testing/mutants.ts
@@ -1,19 +1,19 @@
-/** Ways to break the quotas; each must be found by the oracle of the bound. */
+/** Mutants: deliberate faults in the quota protocol, each of which the bound oracle must detect. */
 
-/** What is left out. */
+/** The safety rule that a mutant omits. */
 export type Mutant =
-  /** Permits are used after their end. */
+  /** Permits are used after they have expired. */
   | 'no-permit-end'
-  /** Who takes a tenant over begins at once. */
+  /** A core that takes a tenant over starts granting at once. */
   | 'no-wait'
   /** The wait of a takeover begins when the view is installed, not when it is committed. */
   | 'wait-from-install'
   /** Permits are granted without the group's lease. */
   | 'no-lease'
-  /** Who hands a tenant over goes on granting for it. */
+  /** A core that hands a tenant over keeps granting permits for it. */
   | 'no-stop';
 
-/** All of them. */
+/** All mutants. */
 export const MUTANTS: readonly Mutant[] = [
   'no-permit-end',
   'no-wait',
@@ -22,7 +22,10 @@
   'no-stop',
 ];
 
-/** Mutants are tried on quotas in one piece, where an excess is not divided by the number of shards. */
+/**
+ * Whether quotas are sharded. Mutants run with unsharded quotas, so that an excess is not divided between
+ * shards.
+ */
 export function isSharded(mutant: Mutant | undefined): boolean {
   return mutant === undefined;
 }
--- a/packages/quotas/src/testing/quota-cost.ts
+++ b/packages/quotas/src/testing/quota-cost.ts
@@ -1,4 +1,7 @@
-/** Command: what quotas cost, in messages and processor time, at a given number of edges, tenants and requests. */
+/**
+ * Command that measures the messages and CPU time of quotas for a given number of edges, tenants and
+ * requests.
+ */
 import { parseArgs } from 'node:util';
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { SeededRandom } from '@rainrun/common';
@@ -27,7 +30,7 @@
 const STEP_MS = 1;
 const TICK_MS = 50;
 const TRAFFIC_START_MS = 20_000;
-/** A big tenant's share of all requests; it sends three times what it may. */
+/** Share of all requests that one large tenant sends, at three times its limit. */
 const LARGE_TENANT_SHARE = 0.2;
 
 /** Counts messages, bytes and processor time. */
@@ -88,7 +91,7 @@
   return client;
 }
 
-/** A draw and its grant, encoded and decoded on both sides. */
+/** Exchanges a draw and its grant, including encoding and decoding on both sides. */
 function exchange(client: QuotaClient, to: Member, draw: QuotaDraw): void {
   const sentNs = process.hrtime.bigint();
   const drawBytes = toBinary(QuotaDrawSchema, draw);
--- a/packages/quotas/src/testing/quota-seeds.ts
+++ b/packages/quotas/src/testing/quota-seeds.ts
@@ -1,4 +1,7 @@
-/** Command: plays quota trials over a row of seeds, as they are or with a mutant, and prints what the oracles say. */
+/**
+ * Command that runs quota trials over a range of seeds, optionally with a mutant, and prints the oracles'
+ * results.
+ */
 import { parseArgs } from 'node:util';
 import { MUTANTS } from './mutants.js';
 import { runQuotaTrial } from './quota-trial.js';
--- a/packages/quotas/src/testing/quota-trial.ts
+++ b/packages/quotas/src/testing/quota-trial.ts
@@ -1,6 +1,7 @@
 /**
- * Trials of quotas by seed: edges and cores with a modelled process group, a network that loses and delays, kills,
- * freezes, cuts and changed limits, and the two oracles.
+ * Seeded trials of quotas: edges and cores with a modelled process group and a network that loses and delays
+ * messages, under kills, freezes, link cuts and limit changes, checked by the bound oracle and the refusal
+ * oracle.
  */
 import { SeededRandom } from '@rainrun/common';
 import { allocatorOf } from '../allocator-choice.js';
@@ -18,19 +19,22 @@
 
 const CORES = 5;
 const EDGES = 8;
-/** Requests come once the group is whole and buckets are full, as on a site whose machines start first. */
+/**
+ * Requests start once the group is complete and buckets are full, as on a site whose machines start before
+ * its traffic.
+ */
 const TRAFFIC_START_MS = 4000;
 const FAULTS_START_MS = 6000;
 const FAULTS_END_MS = 22_000;
 const END_MS = 34_000;
 
-/** A core learns of a changed limit within this time. */
+/** Longest time until a core learns of a limit change. */
 const MAX_LIMIT_PROPAGATION_MS = 600;
 
-/** A part of the trials has no faults. */
+/** Fraction of the trials that have no faults. */
 const FAULT_FREE_FRACTION = 0.2;
 
-/** Bounds of a site, and tighter ones, under which less goes unnoticed. */
+/** Bounds of a typical site, and tighter ones, under which smaller excesses are detected. */
 const TYPICAL_BOUNDS: QuotaBounds = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 const TIGHT_BOUNDS: readonly QuotaBounds[] = [
   { windowMs: 2000, overshoot: 0.1, slack: 2 },
@@ -38,29 +42,32 @@
 ];
 const TYPICAL_BOUNDS_FRACTION = 0.4;
 
-/** Up to this part of its limit a tenant's load counts as light. */
+/** Highest load, as a fraction of the tenant's limit, that counts as light. */
 const MAX_LIGHT_LOAD = 0.5;
 
-/** A tenant of a trial. */
+/** A tenant of a trial with its limit and load. */
 interface TenantPlan {
   readonly name: string;
   readonly limit: TenantLimit;
-  /** What its clients send on the average, as a part of the limit: below 1 of the one in force, else of the first. */
+  /**
+   * Average request rate as a fraction of the limit: of the limit in force if below 1, else of the initial
+   * limit.
+   */
   readonly load: number;
-  /** It rests now and then, so that its bucket is full when it sends again. */
+  /** Whether the tenant pauses now and then, so that its bucket is full when it resumes sending. */
   readonly isBursty: boolean;
 }
 
-/** What a trial came to. */
+/** Result of a trial. */
 export interface QuotaTrialResult {
-  /** Whether the bounds are those of a site. */
+  /** Whether the trial ran with the bounds of a typical site. */
   readonly hasTypicalBounds: boolean;
   readonly breaches: readonly BoundBreach[];
-  /** The fullest window, as a part of its bound. */
+  /** Highest number of requests in a window, as a fraction of the window's bound. */
   readonly peakUsage: number;
-  /** Requests of tenants whose clients send up to a half of their limits. */
+  /** Refusals of tenants with a load of up to half of their limits. */
   readonly light: RefusalCounts;
-  /** Requests of tenants whose clients send most of their limits, but less. */
+  /** Refusals of tenants with a load of more than half of their limits, but below them. */
   readonly nearLimit: RefusalCounts;
   readonly sent: number;
   readonly views: number;
@@ -68,7 +75,7 @@
 }
 
 /**
- * Plays one trial; the same seed gives the same trial.
+ * Runs one trial. The same seed gives the same trial.
  * @example
  * runQuotaTrial(7).breaches; // []
  */
@@ -205,7 +212,7 @@
     });
   }
 
-  /** The next request of a tenant, by a Poisson process at some edge. */
+  /** Schedules the next request of a tenant at a random edge; arrivals form a Poisson process. */
   #scheduleNextRequest(plan: TenantPlan): void {
     const { ratePerS } = plan.load < 1 ? (this.#limits.get(plan.name) ?? plan.limit) : plan.limit;
     const perMs = (ratePerS * plan.load) / 1000;
@@ -226,7 +233,7 @@
     this.#refusals.onLimit(limit, this.#events.nowMs);
   }
 
-  /** Raises or lowers a limit for good, or takes a tenant out and adds it again. */
+  /** Raises or lowers a limit permanently, or removes a tenant and adds it again. */
   #changeLimit(): string {
     const plan = this.#plans[Math.floor(this.#random.next() * this.#plans.length)] ?? tenantPlans()[0];
     if (plan === undefined) return '';
@@ -251,7 +258,7 @@
       );
   }
 
-  /** Notes the tenants that get another allocator with a view. */
+  /** Records the tenants whose allocator changes with a view. */
   #recordMoves(): void {
     this.#group.onViewChosen = (before, view) => {
       for (const { name, limit } of this.#plans) {
--- a/packages/quotas/src/testing/refusal-oracle.ts
+++ b/packages/quotas/src/testing/refusal-oracle.ts
@@ -1,66 +1,72 @@
-/** Oracle B: what a token bucket over all edges would let pass is not refused. */
+/** Refusal oracle: counts refusals of requests that one token bucket shared by all edges would admit. */
 import type { TenantLimit } from '../permits.js';
 import { TokenBucket } from '../token-bucket.js';
 
-/** One request, from the moment at which it needs a permit. */
+/** A request, recorded from the time at which it needs a permit. */
 export interface RequestRecord {
   readonly tenant: string;
   readonly edge: string;
   readonly requestedMs: number;
-  /** Whether a single token bucket at all edges' place would let it pass. */
+  /** Whether a single token bucket shared by all edges would admit the request. */
   readonly isWithinLimit: boolean;
   answeredMs?: number;
   outcome?: 'sent' | 'refused' | 'given-up';
 }
 
-/** A time in which something was not as usual. */
+/** A period during which a fault or a limit change was in effect. */
 export interface Disturbance {
   readonly fromMs: number;
   readonly untilMs: number;
-  /** Name of the edge or tenant that alone is concerned; empty: all are. */
+  /** Name of the only edge or tenant affected; empty if all are affected. */
   readonly scope: string;
-  /** More is at stake than a move: all cores or all workers were away. */
+  /** Whether all cores or all workers were unavailable, which affects more than an allocator move does. */
   readonly isOutage: boolean;
 }
 
-/** A tenant got another allocator. */
+/** A change of a tenant's allocator. */
 export interface AllocatorMove {
   readonly tenant: string;
   readonly atMs: number;
 }
 
-/** What became of the requests below the limit in one phase. */
+/** Outcomes of the requests within the limit in one phase. */
 export interface RefusalCount {
   withinLimit: number;
   refused: number;
-  /** Asked for a permit longer than `SLOW_MS`, or never got one. */
+  /** Requests that waited longer than `SLOW_MS` for an answer, or got none and were not cancelled. */
   slow: number;
 }
 
 /** Counts by phase. */
 export interface RefusalCounts {
-  /** Nothing has been the matter for some seconds. */
+  /** Periods without a disturbance, up to `RECOVERY_MS` after the last one. */
   readonly steady: RefusalCount;
-  /** Around a move of the tenant's allocator. */
+  /** Periods around a move of the tenant's allocator. */
   readonly moved: RefusalCount;
-  /** The rest: changed limits, edges with faults, all cores or workers away, cuts that moved nothing. */
+  /**
+   * Other periods: limit changes, edge faults, all cores or workers unavailable, cuts that moved no
+   * allocator.
+   */
   readonly other: RefusalCount;
 }
 
-/** A permit that took longer counts as slow. */
+/** Waiting time above which an answer counts as slow. */
 export const SLOW_MS = 500;
 
-/** A disturbance is over after so long. */
+/** Time after the end of a disturbance during which its effects are still expected. */
 const RECOVERY_MS = 5000;
 
 /**
- * Before a move its cause was waited for; after it the takeover waits, calls nothing over the quota for a while, and
- * then has to do with what piled up.
+ * Extent of a move's phase before and after the new view is chosen. Before it, the group waits to suspect the
+ * failed member. After it, the takeover waits, settles without refusals, and then works off the queued
+ * requests.
  */
 const BEFORE_MOVE_MS = 1500;
 const AFTER_MOVE_MS = 4000;
 
-/** Judges requests against a reference bucket, and counts them by phase afterwards. */
+/**
+ * Compares requests with a reference bucket as they arrive, and counts their outcomes by phase afterwards.
+ */
 export class RefusalOracle {
   readonly records: RequestRecord[] = [];
   readonly disturbances: Disturbance[] = [];
@@ -79,7 +85,7 @@
     this.#references.set(limit.name, bucket);
   }
 
-  /** A request needs a permit now. */
+  /** Records a request that needs a permit now. */
   onRequest(tenant: string, edge: string, nowMs: number): RequestRecord {
     const isWithinLimit = this.#references.get(tenant)?.take(1, nowMs) === 1;
     const record: RequestRecord = { tenant, edge, requestedMs: nowMs, isWithinLimit };
@@ -87,7 +93,7 @@
     return record;
   }
 
-  /** Counts the requests of these tenants. */
+  /** Counts the outcomes of the requests of these tenants. */
   count(tenants: ReadonlySet<string>): RefusalCounts {
     const counts: RefusalCounts = { steady: emptyCount(), moved: emptyCount(), other: emptyCount() };
     for (const record of this.records) {
--- a/packages/quotas/src/testing/refusal-totals.ts
+++ b/packages/quotas/src/testing/refusal-totals.ts
@@ -1,9 +1,9 @@
-/** Sums of what oracle B counted over many trials. */
+/** Totals of the refusal oracle's counts over many trials. */
 import type { RefusalCount, RefusalCounts } from './refusal-oracle.js';
 
 const PHASES = ['steady', 'moved', 'other'] as const;
 
-/** Sums by phase. */
+/** Totals by phase. */
 export class RefusalTotals {
   readonly steady: RefusalCount = { withinLimit: 0, refused: 0, slow: 0 };
   readonly moved: RefusalCount = { withinLimit: 0, refused: 0, slow: 0 };
@@ -17,7 +17,7 @@
     }
   }
 
-  /** Refused in a phase, in parts of 100. */
+  /** Returns the percentage of requests within the limit that were refused in a phase. */
   refusedPercent(phase: keyof RefusalCounts): number {
     return percent(this[phase].refused, this[phase].withinLimit);
   }
