--- a/packages/quotas/src/allocator.test.ts
+++ b/packages/quotas/src/allocator.test.ts
@@ -25,7 +25,7 @@
 }
 
 const CORES = ['a', 'b', 'c'].map((name) => core(name));
-/** The core that ranks highest for the tenant, and the one that follows if it leaves. */
+/** The core that allocates the tenant's quota, and the one that takes over if that core leaves the view. */
 const OWNER = allocatorOf(LIMIT.name, CORES) ?? core('none');
 const WITHOUT_OWNER = CORES.filter((member) => member !== OWNER);
 const SUCCESSOR = allocatorOf(LIMIT.name, WITHOUT_OWNER) ?? core('none');
@@ -40,7 +40,7 @@
   return allocator;
 }
 
-/** An allocator that has the tenant since moment 0, and whose bucket is full. */
+/** An allocator in a view that was committed at time 0, so that the tenant's bucket is full by 20,000 ms. */
 function settledAllocator(member = OWNER, members: readonly Member[] = CORES): QuotaAllocator {
   const allocator = allocatorAt(0);
   allocator.onView(view(1, members), member.incarnation, 0);
@@ -56,7 +56,7 @@
 }
 
 describe('quota allocator', () => {
-  it('grants the burst and the grace, then one permit at a time, and says when', () => {
+  it('grants the burst and the jitter allowance, then one permit at a time with a retry interval', () => {
     const allocator = settledAllocator();
     const depth = Math.floor(BUDGET.bucket.depth);
     expect(ask(allocator, 100, 20_000).granted).toEqual(depth);
@@ -66,20 +66,20 @@
     expect(ask(allocator, 1, 20_000 + refused.retryAfterMs).granted).toEqual(1);
   });
 
-  it('grants nothing without the lease, for unknown tenants and for those of others', () => {
+  it('grants nothing without the lease, for unknown tenants or for tenants of other allocators', () => {
     expect(ask(settledAllocator(), 1, 20_000, false).unavailable).toEqual(true);
     expect(ask(settledAllocator(SUCCESSOR), 1, 20_000).unavailable).toEqual(true);
     const other = create(QuotaNeedSchema, { tenant: 'unknown', permits: 1 });
     expect(settledAllocator().answer([other], true, 20_000)[0]?.unavailable).toEqual(true);
   });
 
-  it('grants all that is asked for a tenant without a limit', () => {
+  it('grants all requested permits of a tenant without a limit', () => {
     const allocator = settledAllocator();
     allocator.updateLimits([{ ...LIMIT, ratePerS: 0 }], 20_000);
     expect(ask(allocator, 500, 20_000).granted).toEqual(500);
   });
 
-  it('waits after a takeover until the view is committed and a lease has passed, then starts empty', () => {
+  it('waits after a takeover until a lease has passed since the commit of the view, then starts empty', () => {
     const allocator = settledAllocator(SUCCESSOR);
     const { incarnation } = SUCCESSOR;
     expect(allocator.onView(view(2, WITHOUT_OWNER), incarnation, 20_000)).toEqual([]);
@@ -92,7 +92,7 @@
     expect(later.unavailable).toEqual(true);
   });
 
-  it('calls nothing over the quota for four seconds after a takeover, while the bucket was never full', () => {
+  it('refuses nothing as over the quota in the first four seconds after a takeover', () => {
     const allocator = settledAllocator(SUCCESSOR);
     allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     allocator.onViewCommitted(view(2), 20_000);
@@ -103,7 +103,7 @@
     expect(after.retryAfterMs).toSatisfy((ms: number) => ms > 0);
   });
 
-  it('has a reserve only if the view before was committed for longer than a window', () => {
+  it('uses a reserve only if the previous view was committed for at least the reserve interval', () => {
     const young = allocatorAt(20_000);
     young.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     expect(ask(young, 100, 20_100).granted).toEqual(0);
@@ -120,7 +120,7 @@
     expect(ask(allocator, 100, 20_100).granted).toEqual(0);
   });
 
-  it('gives no reserve by the configuration, however often a limit comes and goes', () => {
+  it('grants no reserve when configuration changes remove a limit and restore it', () => {
     const allocator = settledAllocator(SUCCESSOR);
     allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     ask(allocator, 100, 20_000);
@@ -129,7 +129,7 @@
     expect(ask(allocator, 100, 20_030).granted).toEqual(0);
   });
 
-  it('stops and hands its level over when a core joins that ranks higher', () => {
+  it('stops granting and hands over its level when a core that ranks higher joins', () => {
     const allocator = settledAllocator(SUCCESSOR, WITHOUT_OWNER);
     ask(allocator, 3, 20_000);
     const orders = allocator.onView(view(2), SUCCESSOR.incarnation, 20_000);
@@ -143,7 +143,7 @@
     expect(ask(joined, 100, 20_030).granted).toEqual(Math.floor(BUDGET.bucket.depth - 3));
   });
 
-  it('keeps a handover that comes before its view, and takes none for another view', () => {
+  it('keeps a handover that arrives before its view, and ignores a handover for another view', () => {
     const levels = [{ tenant: LIMIT.name, level: 4 }];
     const handover = create(QuotaHandoverSchema, { viewEpoch: 1, viewNumber: 2, levels });
     const early = allocatorAt(0);
@@ -157,14 +157,14 @@
     expect(ask(later, 100, 40).granted).toEqual(0);
   });
 
-  it('hands nothing over while it waits itself', () => {
+  it('hands nothing over while its own takeover is still waiting', () => {
     const allocator = allocatorAt(0);
     allocator.onView(view(1, WITHOUT_OWNER), SUCCESSOR.incarnation, 0);
     allocator.onViewCommitted(view(1), 0);
     expect(allocator.onView(view(2), SUCCESSOR.incarnation, TAKEOVER_WAIT_MS - 1)).toEqual([]);
   });
 
-  it('starts anew after a gap in the views and under another incarnation', () => {
+  it('starts with an empty bucket after a gap in the views or under a new incarnation', () => {
     const gap = settledAllocator();
     gap.onView(view(3), OWNER.incarnation, 3000);
     expect(ask(gap, 100, 3000).granted).toEqual(0);
@@ -174,7 +174,7 @@
     expect(ask(again, 100, 3000).granted).toEqual(0);
   });
 
-  it('goes on without a wait where the next view leaves the tenant with it', () => {
+  it('continues without a wait if it stays the allocator in the next view', () => {
     const allocator = settledAllocator();
     allocator.onView(view(2, [...CORES, core('d-edge')]), OWNER.incarnation, 20_000);
     expect(ask(allocator, 3, 20_000).granted).toEqual(3);
@@ -182,7 +182,7 @@
     expect(ask(allocator, 3, 20_010).granted).toEqual(3);
   });
 
-  it('caps the level when the limit is lowered, and gives no fresh burst to a tenant removed and added again', () => {
+  it('caps the level at a lowered limit, and grants no new burst to a tenant that was removed and added', () => {
     const allocator = settledAllocator();
     const lower = { ...LIMIT, ratePerS: 1, burst: 1 };
     allocator.updateLimits([lower], 20_000);
@@ -194,7 +194,7 @@
     expect(ask(allocator, 100, 20_020).granted).toEqual(0);
   });
 
-  it('lets nobody spend a burst again by a limit with less burst and a higher rate', () => {
+  it('stays within the bound when a limit with a spent burst changes to less burst and a higher rate', () => {
     const allocator = settledAllocator();
     const deep = { ...LIMIT, ratePerS: 1, burst: 500 };
     const steep = { ...LIMIT, ratePerS: 100, burst: 0 };
@@ -208,7 +208,7 @@
     }
   });
 
-  it('lets no tenant come back to a bucket that has filled while it was gone', () => {
+  it('does not refill the bucket of a removed tenant before the tenant is added again', () => {
     const allocator = settledAllocator();
     ask(allocator, 100, 20_000);
     allocator.updateLimits([], 20_010);
@@ -216,7 +216,7 @@
     expect(ask(allocator, 100, 23_000).granted).toEqual(0);
   });
 
-  it('starts a new tenant empty and without a wait in a settled view', () => {
+  it('starts a new tenant empty, and without a wait if the view was committed more than a lease ago', () => {
     const allocator = allocatorAt(0);
     allocator.updateLimits([], 0);
     allocator.onView(view(1), OWNER.incarnation, 0);
--- a/packages/quotas/src/client.test.ts
+++ b/packages/quotas/src/client.test.ts
@@ -21,7 +21,7 @@
 const VIEW: QuotaView = { epoch: 1, number: 1, members: CORES };
 const LIFETIME_MS = 400;
 
-/** A client, what it has sent and how its requests were answered. */
+/** A client with the draws that it has sent and the answers to its requests. */
 class ClientHarness {
   nowMs = 1000;
   readonly sent: { to: Member; draw: QuotaDraw }[] = [];
@@ -38,7 +38,7 @@
     return this.client.acquire(tenant, (answer) => this.answers.push(answer));
   }
 
-  /** Asked permits of the last draw. */
+  /** Tenants and numbers of permits that the last draw requests. */
   lastNeeds(): [string, number][] {
     return (this.sent.at(-1)?.draw.needs ?? []).map(({ tenant, permits }) => [tenant, permits]);
   }
@@ -64,7 +64,7 @@
 }
 
 describe('quota client', () => {
-  it('draws at once from the allocator; the permit ends a fixed time after the draw was sent', () => {
+  it('draws from the allocator at once; the permit expires a fixed time after the draw was sent', () => {
     const harness = harnessWithView();
     harness.acquire();
     expect(harness.sent[0]?.to).toEqual(allocatorOf('tenant-1', CORES));
@@ -74,7 +74,7 @@
     expect(harness.answers).toEqual([{ kind: 'granted', permit: { endMs: 1000 + LIFETIME_MS } }]);
   });
 
-  it('has one draw in flight; what comes meanwhile goes together into the next', () => {
+  it('has one draw in flight; requests that arrive in the meantime share the next draw', () => {
     const harness = harnessWithView();
     const sameAllocator = Array.from({ length: 50 }, (_, index) => `other-${index}`).find(
       (tenant) => allocatorOf(tenant, CORES) === allocatorOf('tenant-1', CORES),
@@ -90,7 +90,7 @@
     ]);
   });
 
-  it('keeps the permit of a withdrawn request for another one until its end', () => {
+  it('keeps the permit of a cancelled request for another request until the permit expires', () => {
     const harness = harnessWithView();
     harness.acquire()();
     harness.answer({ granted: 1 });
@@ -103,7 +103,7 @@
     expect(harness.answers.length).toEqual(1);
   });
 
-  it('holds a grant that comes after the permits ended for worth nothing, and draws again', () => {
+  it('ignores a grant that arrives after its permits have expired, and draws again', () => {
     const harness = harnessWithView();
     harness.acquire();
     const draw = harness.sent[0]?.draw.draw ?? 0;
@@ -112,7 +112,7 @@
     expect([harness.answers.length, harness.sent.length]).toEqual([0, 2]);
   });
 
-  it('sends a draw again that is not answered, and still takes the first grant', () => {
+  it('sends another draw if none is answered in time, and still accepts a grant for the first one', () => {
     const harness = harnessWithView();
     harness.acquire();
     harness.advance(149);
@@ -125,7 +125,7 @@
     expect(harness.answers).toEqual([{ kind: 'granted', permit: { endMs: 1000 + LIFETIME_MS } }]);
   });
 
-  it('takes a grant once only', () => {
+  it('applies a duplicated grant only once', () => {
     const harness = harnessWithView();
     harness.acquire();
     const draw = harness.sent[0]?.draw.draw;
@@ -135,7 +135,7 @@
     expect(harness.answers.length).toEqual(1);
   });
 
-  it('remembers a refusal for a tenth of a second at the most', () => {
+  it('caches a refusal for at most a tenth of a second', () => {
     const harness = harnessWithView();
     harness.acquire();
     harness.answer({ retryAfterMs: 300 });
@@ -149,7 +149,7 @@
     expect([harness.answers.length, harness.sent.length]).toEqual([2, 2]);
   });
 
-  it('asks again after a tenth of a second where the core cannot allocate', () => {
+  it('asks again after a tenth of a second if the core cannot allocate', () => {
     const harness = harnessWithView();
     harness.acquire();
     harness.answer({ unavailable: true });
@@ -159,7 +159,7 @@
     expect(harness.sent.length).toEqual(2);
   });
 
-  it('draws from the next allocator at once when a newer view is learned, and forgets no request', () => {
+  it('draws from the new allocator at once when a newer view arrives, and loses no request', () => {
     const harness = new ClientHarness();
     harness.acquire();
     expect(harness.sent.length).toEqual(0);
@@ -172,7 +172,7 @@
     expect(harness.sent.length).toEqual(2);
   });
 
-  it('refuses what comes while too many wait', () => {
+  it('refuses further requests while the maximum number of requests are waiting', () => {
     const harness = new ClientHarness();
     for (let count = 0; count < 4096; count += 1) harness.acquire();
     expect(harness.answers.length).toEqual(0);
--- a/packages/quotas/src/quota-budget.test.ts
+++ b/packages/quotas/src/quota-budget.test.ts
@@ -6,8 +6,8 @@
 const BOUNDS = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 const ROUNDING = 1e-6;
 
-describe('budget of a quota', () => {
-  it('spends no more than the bound: a full bucket, what fills while a window is sent, two reserves', () => {
+describe('quota budget', () => {
+  it('stays within the bound with a full bucket, its refill during a window and two reserves', () => {
     const bounds = fc.record({
       windowMs: fc.integer({ min: 500, max: 60_000 }),
       overshoot: fc.double({ min: 0, max: 1, noNaN: true }),
@@ -21,7 +21,7 @@
     fc.assert(
       fc.property(bounds, limit, (someBounds, someLimit) => {
         const { bucket, reserve } = quotaBudget(someLimit, someBounds);
-        // The edge's clock runs slow by 1 %, the core's fast by 1 %.
+        // The edge's clock is slow by 1 %, and the core's clock is fast by 1 %.
         const spanMs = (someBounds.windowMs + permitLifetimeMs(someBounds) / 0.99) * 1.01;
         const most = bucket.depth + bucket.tokensPerMs * spanMs + 2 * reserve;
         expect(most <= windowBound(someLimit, someBounds) * (1 + ROUNDING)).toEqual(true);
@@ -30,14 +30,14 @@
     );
   });
 
-  it('fills at the full rate under the bounds of a site', () => {
+  it('refills at the full rate under the bounds of a typical site', () => {
     for (const ratePerS of [1, 5, 95, 1000]) {
       const { bucket } = quotaBudget({ name: 'tenant-1', ratePerS, burst: ratePerS }, BOUNDS);
       expect(bucket.tokensPerMs).toEqual(ratePerS / 1000);
     }
   });
 
-  it('uses a reserve only when a window, permits and a lease have passed, also with clocks 1 % apart', () => {
+  it('allows a reserve only after a window, a permit lifetime and a lease, even with 1 % clock drift', () => {
     const leaseMs = 600;
     const earliestMs = reserveIntervalMs(BOUNDS, leaseMs) / 1.01;
     const latestMs = BOUNDS.windowMs + permitLifetimeMs(BOUNDS) / 0.99 + leaseMs / 0.99;
--- a/packages/quotas/src/quota-mutants.test.ts
+++ b/packages/quotas/src/quota-mutants.test.ts
@@ -5,9 +5,9 @@
 
 const SEEDS = 60;
 
-describe('mutants of the quotas', () => {
+describe('bound oracle', () => {
   for (const mutant of MUTANTS) {
-    it(`are found by the bound: ${mutant}`, () => {
+    it(`detects the mutant ${mutant}`, () => {
       const seeds = Array.from({ length: SEEDS }, (_, index) => index + 1);
       const found = seeds.find((seed) => runQuotaTrial(seed, mutant).breaches.length > 0);
       expect(found).not.toEqual(undefined);
--- a/packages/quotas/src/quota-trial.test.ts
+++ b/packages/quotas/src/quota-trial.test.ts
@@ -5,11 +5,11 @@
 
 const SEEDS = 60;
 
-/** Of 100 requests below the limit, so many may be refused. */
+/** Maximum percentage of requests within the limit that may be refused. */
 const MAX_STEADY_REFUSED_PERCENT = 2;
 const MAX_MOVED_REFUSED_PERCENT = 5;
 
-/** Requests that waited long for a permit though nothing was the matter, of 100. */
+/** Maximum percentage of requests that may wait long for a permit in steady periods. */
 const MAX_STEADY_SLOW_PERCENT = 1;
 
 function seeds(): number[] {
@@ -20,7 +20,7 @@
   const light = new RefusalTotals();
   const nearLimit = new RefusalTotals();
 
-  it('no window of any tenant exceeds its bound', () => {
+  it('never exceed the bound of a tenant in any window', () => {
     for (const seed of seeds()) {
       const result = runQuotaTrial(seed);
       light.add(result.light);
@@ -29,7 +29,7 @@
     }
   });
 
-  it('next to nothing below the limit is refused or waits long while nothing is the matter', () => {
+  it('refuse or delay very few requests within the limit in steady periods', () => {
     for (const totals of [light, nearLimit]) {
       expect(totals.steady.withinLimit).toSatisfy((count: number) => count > 100 * SEEDS);
       expect(totals.refusedPercent('steady')).toSatisfy(
@@ -40,21 +40,21 @@
     }
   });
 
-  it('little is refused around a move of the allocator, up to a half of the limit', () => {
+  it('refuse few requests around a move of the allocator for tenants at up to half of their limit', () => {
     expect(light.moved.withinLimit).toSatisfy((count: number) => count > 10 * SEEDS);
     expect(light.refusedPercent('moved')).toSatisfy(
       (percent: number) => percent <= MAX_MOVED_REFUSED_PERCENT,
     );
   });
 
-  it('little is refused around a move of the allocator, near the limit', () => {
+  it('refuse few requests around a move of the allocator for tenants near their limit', () => {
     expect(nearLimit.moved.withinLimit).toSatisfy((count: number) => count > 10 * SEEDS);
     expect(nearLimit.refusedPercent('moved')).toSatisfy(
       (percent: number) => percent <= MAX_MOVED_REFUSED_PERCENT,
     );
   });
 
-  it('play the same for the same seed', () => {
+  it('give the same result for the same seed', () => {
     expect(runQuotaTrial(7)).toEqual(runQuotaTrial(7));
   });
 });
--- a/packages/quotas/src/sharded-permits.test.ts
+++ b/packages/quotas/src/sharded-permits.test.ts
@@ -8,7 +8,7 @@
 const REFUSED: PermitAnswer = { kind: 'over-quota', retryAfterMs: 70 };
 const BOUNDS = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 
-/** Shards that a test answers by hand. */
+/** Sharded permits over a source whose answers the test sends itself. */
 class ShardHarness {
   nowMs = 1000;
   readonly asked: string[] = [];
@@ -45,8 +45,8 @@
   }
 }
 
-describe('a request for a permit of a sharded quota', () => {
-  it('is granted by the first shard alone where that answers', () => {
+describe('a request for a permit from a sharded quota', () => {
+  it('is granted by the first shard alone if that shard answers', () => {
     const harness = new ShardHarness();
     harness.ask();
     harness.answer('t/0', GRANTED);
@@ -54,7 +54,7 @@
     expect([harness.asked, harness.answers]).toEqual([['t/0'], [GRANTED]]);
   });
 
-  it('goes on to the next shard where one refuses, and is over the quota once all have', () => {
+  it('tries the next shard after a refusal, and is over the quota once all shards have refused', () => {
     const harness = new ShardHarness();
     harness.ask();
     harness.answer('t/0', REFUSED);
@@ -64,7 +64,7 @@
     expect([harness.asked, before, harness.answers]).toEqual([['t/0', 't/1', 't/2'], [], [REFUSED]]);
   });
 
-  it('does not wait for a shard whose core is silent, and the next request asks that one last', () => {
+  it('does not wait for a shard whose core is unresponsive, and the next request tries that shard last', () => {
     const harness = new ShardHarness();
     harness.ask();
     harness.advance(50);
@@ -77,7 +77,7 @@
     ]);
   });
 
-  it('is not over the quota while one shard has not answered; those that refused are asked again', () => {
+  it('is not over the quota while a shard has not answered; the shards that refused are tried again', () => {
     const harness = new ShardHarness();
     harness.ask();
     harness.advance(50);
@@ -93,7 +93,7 @@
     ]);
   });
 
-  it('asks nothing more once it is withdrawn', () => {
+  it('tries no further shard once it has been cancelled', () => {
     const harness = new ShardHarness();
     harness.ask()();
     harness.advance(500);
@@ -103,7 +103,7 @@
 });
 
 describe('the shards of a limit', () => {
-  it('are together the limit with its slack', () => {
+  it('add up to the limit and its slack', () => {
     for (const burst of [0, 1, 4, 6, 95]) {
       const shards = shardLimits({ name: 'a/b', ratePerS: 30, burst }, BOUNDS);
       function total(of: (shard: (typeof shards)[number]) => number): number {
@@ -115,7 +115,7 @@
     }
   });
 
-  it('bear the name of their tenant, whatever stands in it', () => {
+  it('contain the name of their tenant, even if it contains slashes', () => {
     for (const tenant of ['a', 'a/0', '/']) expect(tenantOfShard(shardName(tenant, 2))).toEqual(tenant);
   });
 });
