--- a/packages/quotas/src/allocator.test.ts
+++ b/packages/quotas/src/allocator.test.ts
@@ -104,9 +104,9 @@
   });
 
   it('uses a reserve only if the previous view was committed for at least the reserve interval', () => {
-    const young = allocatorAt(20_000);
-    young.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
-    expect(ask(young, 100, 20_100).granted).toEqual(0);
+    const newAllocator = allocatorAt(20_000);
+    newAllocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
+    expect(ask(newAllocator, 100, 20_100).granted).toEqual(0);
 
     const early = settledAllocator(SUCCESSOR);
     early.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, RESERVE_INTERVAL_MS - 1);
--- a/packages/quotas/src/allocator.ts
+++ b/packages/quotas/src/allocator.ts
@@ -145,9 +145,9 @@
    * their view.
    */
   onHandover(handover: QuotaHandover, nowMs: number): void {
-    const [kept] = this.#handovers;
-    if (kept !== undefined && !isSameView(kept, handover)) {
-      if (isOlderView(handover, kept)) return;
+    const [pending] = this.#handovers;
+    if (pending !== undefined && !isSameView(pending, handover)) {
+      if (isFromOlderView(handover, pending)) return;
       this.#handovers = [];
     }
     this.#handovers.push(handover);
@@ -272,7 +272,7 @@
   return one.viewEpoch === other.viewEpoch && one.viewNumber === other.viewNumber;
 }
 
-function isOlderView(one: QuotaHandover, other: QuotaHandover): boolean {
+function isFromOlderView(one: QuotaHandover, other: QuotaHandover): boolean {
   if (one.viewNumber !== other.viewNumber) return one.viewNumber < other.viewNumber;
   return one.viewEpoch < other.viewEpoch;
 }
--- a/packages/quotas/src/quota-budget.test.ts
+++ b/packages/quotas/src/quota-budget.test.ts
@@ -23,8 +23,8 @@
         const { bucket, reserve } = quotaBudget(someLimit, someBounds);
         // The edge's clock is slow by 1 %, and the core's clock is fast by 1 %.
         const spanMs = (someBounds.windowMs + permitLifetimeMs(someBounds) / 0.99) * 1.01;
-        const most = bucket.depth + bucket.tokensPerMs * spanMs + 2 * reserve;
-        expect(most <= windowBound(someLimit, someBounds) * (1 + ROUNDING)).toEqual(true);
+        const maxRequests = bucket.depth + bucket.tokensPerMs * spanMs + 2 * reserve;
+        expect(maxRequests <= windowBound(someLimit, someBounds) * (1 + ROUNDING)).toEqual(true);
         expect(bucket.depth >= someLimit.burst).toEqual(true);
       }),
     );
--- a/packages/quotas/src/sharded-permits.test.ts
+++ b/packages/quotas/src/sharded-permits.test.ts
@@ -12,14 +12,14 @@
 class ShardHarness {
   nowMs = 1000;
   readonly asked: string[] = [];
-  readonly withdrawn: string[] = [];
+  readonly cancelled: string[] = [];
   readonly answers: PermitAnswer[] = [];
   #open = new Map<string, (answer: PermitAnswer) => void>();
   readonly #source: PermitSource = {
     acquire: (name, done) => {
       this.asked.push(name);
       this.#open.set(name, done);
-      return () => void this.withdrawn.push(name);
+      return () => void this.cancelled.push(name);
     },
   };
   readonly permits = new ShardedPermits({
@@ -70,7 +70,7 @@
     harness.advance(50);
     harness.answer('t/1', GRANTED);
     harness.ask();
-    expect([harness.asked, harness.withdrawn, harness.answers]).toEqual([
+    expect([harness.asked, harness.cancelled, harness.answers]).toEqual([
       ['t/0', 't/1', 't/1'],
       ['t/0'],
       [GRANTED],
@@ -98,7 +98,7 @@
     harness.ask()();
     harness.advance(500);
     harness.answer('t/0', GRANTED);
-    expect([harness.asked, harness.withdrawn, harness.answers]).toEqual([['t/0'], ['t/0'], []]);
+    expect([harness.asked, harness.cancelled, harness.answers]).toEqual([['t/0'], ['t/0'], []]);
   });
 });
 
--- a/packages/quotas/src/testing/bound-oracle.ts
+++ b/packages/quotas/src/testing/bound-oracle.ts
@@ -6,7 +6,7 @@
  * Time after which a limit change is in force everywhere and all permits granted under the old limit have
  * expired.
  */
-export const LIMIT_CHANGE_MS = 1100;
+export const LIMIT_CHANGE_EFFECT_MS = 1100;
 
 /** A window that contains more requests than its bound. */
 export interface BoundBreach {
@@ -51,7 +51,7 @@
     window.push(nowMs);
     const startMs = nowMs - this.#bounds.windowMs;
     while ((window[0] ?? nowMs) < startMs) window.shift();
-    const bound = this.#highestBoundSince(tenant, startMs - LIMIT_CHANGE_MS);
+    const bound = this.#highestBoundSince(tenant, startMs - LIMIT_CHANGE_EFFECT_MS);
     this.peakUsage = Math.max(this.peakUsage, window.length / bound);
     if (window.length > bound) this.breaches.push({ tenant, atMs: nowMs, sent: window.length, bound });
   }
--- a/packages/quotas/src/testing/fault-injector.ts
+++ b/packages/quotas/src/testing/fault-injector.ts
@@ -44,11 +44,11 @@
 export class FaultInjector {
   readonly log: string[] = [];
   #targets: FaultTargets;
-  #kinds: readonly Fault[];
+  #faults: readonly Fault[];
 
   constructor(targets: FaultTargets) {
     this.#targets = targets;
-    this.#kinds = [
+    this.#faults = [
       (durationMs) => this.#killCore(durationMs),
       (durationMs) => this.#replaceCore(durationMs),
       (durationMs) => this.#freeze(this.#pickCore().machine, durationMs),
@@ -75,7 +75,7 @@
     if (fromMs > untilMs) return;
     events.after(fromMs - events.nowMs, () => {
       const durationMs = MIN_FAULT_DURATION_MS + random.next() * FAULT_DURATION_RANGE_MS;
-      const fault = this.#pick(this.#kinds);
+      const fault = this.#pick(this.#faults);
       this.log.push(`${events.nowMs.toFixed(0)} ms: ${fault(durationMs)} for ${durationMs.toFixed(0)} ms`);
       this.schedule(events.nowMs + MIN_FAULT_INTERVAL_MS + random.next() * FAULT_INTERVAL_RANGE_MS, untilMs);
     });
@@ -96,10 +96,10 @@
     const core = this.#pickCore();
     const { group } = this.#targets;
     const inUse = this.#targets.cores.slice(-CORES_IN_USE);
-    const isWhole = inUse.every(
+    const areAllHealthy = inUse.every(
       ({ machine, member }) => machine.isRunning && group.view.members.includes(member),
     );
-    if (!isWhole) return this.#killCore(durationMs);
+    if (!areAllHealthy) return this.#killCore(durationMs);
     this.#targets.replaceCore(core);
     this.#disturb(1500, '');
     return `replace ${core.machine.name}`;
@@ -146,8 +146,8 @@
     const one = this.#pickCore().machine.name;
     const others = this.#targets.cores.filter(({ machine }) => machine.name !== one);
     const isOutgoing = this.#targets.random.next() < 0.5;
-    const isOne = this.#targets.random.next() < 0.5;
-    const links = (isOne ? others.slice(0, 1) : others).map(({ machine: { name } }) =>
+    const isSingleLink = this.#targets.random.next() < 0.5;
+    const links = (isSingleLink ? others.slice(0, 1) : others).map(({ machine: { name } }) =>
       isOutgoing ? linkName(one, name) : linkName(name, one),
     );
     this.#cut(links, durationMs, '');
--- a/packages/quotas/src/testing/group-model.ts
+++ b/packages/quotas/src/testing/group-model.ts
@@ -125,7 +125,8 @@
     if (one === other) return true;
     if (!other.machine.isRunning) return false;
     return (
-      this.#network.carries(one.machine, other.machine) && this.#network.carries(other.machine, one.machine)
+      this.#network.canDeliver(one.machine, other.machine) &&
+      this.#network.canDeliver(other.machine, one.machine)
     );
   }
 
--- a/packages/quotas/src/testing/machine.ts
+++ b/packages/quotas/src/testing/machine.ts
@@ -110,13 +110,13 @@
   }
 
   /** Whether the link from one machine to another is not cut. */
-  carries(from: Machine, to: Machine): boolean {
+  canDeliver(from: Machine, to: Machine): boolean {
     return !this.cutLinks.has(linkName(from.name, to.name));
   }
 
   /** Delivers a message unless it is lost or the receiving process no longer exists. */
   send(from: Machine, to: Machine, deliver: () => void): void {
-    if (!this.carries(from, to) || this.#random.next() < LOSS_FRACTION) return;
+    if (!this.canDeliver(from, to) || this.#random.next() < LOSS_FRACTION) return;
     const processNumber = to.processNumber;
     const isSlow = this.#random.next() < SLOW_FRACTION;
     const rangeMs = isSlow ? SLOW_DELAY_RANGE_MS : DELAY_RANGE_MS;
--- a/packages/quotas/src/testing/quota-cost.ts
+++ b/packages/quotas/src/testing/quota-cost.ts
@@ -109,9 +109,9 @@
 
 function step(): void {
   const startNs = process.hrtime.bigint();
-  const due =
+  const dueRequests =
     Math.floor(((nowMs - TRAFFIC_START_MS + STEP_MS) * Number(values.rate)) / 1000) - requestsIssued;
-  for (let count = 0; count < due; count += 1) issueRequest();
+  for (let count = 0; count < dueRequests; count += 1) issueRequest();
   if (nowMs % TICK_MS === 0) for (const client of clients) client.tick(nowMs);
   cost.edgeNs += process.hrtime.bigint() - startNs;
   for (const run of pending.splice(0)) run();
--- a/packages/quotas/src/testing/refusal-oracle.ts
+++ b/packages/quotas/src/testing/refusal-oracle.ts
@@ -71,23 +71,23 @@
   readonly records: RequestRecord[] = [];
   readonly disturbances: Disturbance[] = [];
   readonly moves: AllocatorMove[] = [];
-  #references = new Map<string, TokenBucket>();
+  #referenceBuckets = new Map<string, TokenBucket>();
 
   onLimit(limit: TenantLimit, nowMs: number): void {
     const config = { depth: limit.burst, tokensPerMs: limit.ratePerS / 1000 };
-    const known = this.#references.get(limit.name);
+    const known = this.#referenceBuckets.get(limit.name);
     if (known !== undefined) {
       known.reconfigure(config, nowMs);
       return;
     }
     const bucket = new TokenBucket(config, config.depth);
     bucket.startRefill(nowMs);
-    this.#references.set(limit.name, bucket);
+    this.#referenceBuckets.set(limit.name, bucket);
   }
 
   /** Records a request that needs a permit now. */
   onRequest(tenant: string, edge: string, nowMs: number): RequestRecord {
-    const isWithinLimit = this.#references.get(tenant)?.take(1, nowMs) === 1;
+    const isWithinLimit = this.#referenceBuckets.get(tenant)?.take(1, nowMs) === 1;
     const record: RequestRecord = { tenant, edge, requestedMs: nowMs, isWithinLimit };
     this.records.push(record);
     return record;
