--- a/packages/quotas/src/allocation.ts
+++ b/packages/quotas/src/allocation.ts
@@ -3,14 +3,14 @@
 import { TokenBucket } from './token-bucket.js';
 
 /**
- * How long after a takeover no request is refused as over the quota, unless the bucket has been full since.
- * Until then its level does not show what the tenant has sent.
+ * How long after a takeover no request is refused as over the quota, unless the bucket becomes full earlier:
+ * until then its level does not reflect what the tenant has sent.
  */
 const SETTLING_MS = 4000;
 
 /**
- * Settling time after a handover of a bucket filled to at least `SHORT_SETTLING_MIN_FILL`: few requests then
- * wait for it.
+ * Settling time after a handover of a bucket filled to at least `SHORT_SETTLING_MIN_FILL`, since few
+ * requests then wait for permits.
  */
 const SHORT_SETTLING_MS = 500;
 
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -24,7 +24,7 @@
  */
 const MAX_REFUSAL_CACHE_MS = 100;
 
-/** How long to wait before asking a core again that answered that it cannot allocate. */
+/** How long to wait before asking a core again after it answered that it cannot allocate. */
 const UNAVAILABLE_RETRY_MS = 100;
 
 /** Maximum number of requests that wait for permits; further requests are refused. */
@@ -97,9 +97,7 @@
   #queues = new Map<string, AllocatorQueue>();
   #lastDraw: number;
   #drawsSent = 0;
-  /**
-   * Set while a grant is applied, so that requests made from its callbacks are batched into the next draw.
-   */
+  /** Set while a grant is applied, so that requests made by its callbacks are batched into the next draw. */
   #isApplyingGrant = false;
   #waiting = 0;
   #granted = 0;
--- a/packages/quotas/src/quota-budget.ts
+++ b/packages/quotas/src/quota-budget.ts
@@ -65,7 +65,7 @@
  * quotaBudget({ name: 'tenant-1', ratePerS: 5, burst: 5 }, bounds).reserve; // 7.7
  */
 export function quotaBudget(limit: TenantLimit, bounds: QuotaBounds): QuotaBudget {
-  // Span, on a core's possibly fast clock, in which the requests sent in one window were granted their permits.
+  // Time on a core's possibly fast clock in which the requests sent in one window were granted permits.
   const grantSpanMs =
     (bounds.windowMs + permitLifetimeMs(bounds) * (1 + 2 * MAX_CLOCK_DRIFT)) * (1 + MAX_CLOCK_DRIFT);
   const available = windowBound(limit, bounds) - limit.burst;
--- a/packages/quotas/src/quota-trial.test.ts
+++ b/packages/quotas/src/quota-trial.test.ts
@@ -5,11 +5,11 @@
 
 const SEEDS = 60;
 
-/** Maximum percentage of requests within the limit that may be refused. */
+/** Maximum percentage of requests within the limit that may be refused in steady periods and around moves. */
 const MAX_STEADY_REFUSED_PERCENT = 2;
 const MAX_MOVED_REFUSED_PERCENT = 5;
 
-/** Maximum percentage of requests that may wait long for a permit in steady periods. */
+/** Maximum percentage of requests within the limit that may wait longer than `SLOW_MS` in steady periods. */
 const MAX_STEADY_SLOW_PERCENT = 1;
 
 function seeds(): number[] {
--- a/packages/quotas/src/testing/fault-injector.ts
+++ b/packages/quotas/src/testing/fault-injector.ts
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Replaces a core with its disk, but only if all cores in use are healthy: without a majority the group
-   * would block.
+   * Replaces a core and its disk if all cores in use are healthy, and otherwise kills a core instead: without
+   * a majority the group could not continue.
    */
   #replaceCore(durationMs: number): string {
     const core = this.#pickCore();
--- a/packages/quotas/src/testing/mutants.ts
+++ b/packages/quotas/src/testing/mutants.ts
@@ -1,6 +1,6 @@
 /** Mutants: deliberate faults in the quota protocol, each of which the bound oracle must detect. */
 
-/** The safety rule that a mutant omits. */
+/** A mutant, named after the safety rule that it breaks. */
 export type Mutant =
   /** Permits are used after they have expired. */
   | 'no-permit-end'
--- a/packages/quotas/src/testing/refusal-oracle.ts
+++ b/packages/quotas/src/testing/refusal-oracle.ts
@@ -39,7 +39,7 @@
 
 /** Counts by phase. */
 export interface RefusalCounts {
-  /** Periods without a disturbance, up to `RECOVERY_MS` after the last one. */
+  /** Periods with no disturbance in effect, and none that ended less than `RECOVERY_MS` ago. */
   readonly steady: RefusalCount;
   /** Periods around a move of the tenant's allocator. */
   readonly moved: RefusalCount;
@@ -57,9 +57,9 @@
 const RECOVERY_MS = 5000;
 
 /**
- * Extent of a move's phase before and after the new view is chosen. Before it, the group waits to suspect the
- * failed member. After it, the takeover waits, settles without refusals, and then works off the queued
- * requests.
+ * Extent of a move's phase before and after the new view is chosen. Before it, the group waits for the
+ * suspicion timeout. After it, the takeover waits, settles without refusals, and then serves the requests
+ * that have accumulated.
  */
 const BEFORE_MOVE_MS = 1500;
 const AFTER_MOVE_MS = 4000;
