--- a/packages/quotas/src/allocator.test.ts
+++ b/packages/quotas/src/allocator.test.ts
@@ -92,7 +92,7 @@
     expect(later.unavailable).toEqual(true);
   });
 
-  it('refuses nothing as over the quota in the first four seconds after a takeover', () => {
+  it('refuses nothing as over the quota for four seconds after a takeover if the bucket is not yet full', () => {
     const allocator = settledAllocator(SUCCESSOR);
     allocator.onView(view(2, WITHOUT_OWNER), SUCCESSOR.incarnation, 20_000);
     allocator.onViewCommitted(view(2), 20_000);
