--- a/packages/quotas/src/sharded-permits.test.ts
+++ b/packages/quotas/src/sharded-permits.test.ts
@@ -8,18 +8,18 @@
 const REFUSED: PermitAnswer = { kind: 'over-quota', retryAfterMs: 70 };
 const BOUNDS = { windowMs: 5000, overshoot: 0.1, slack: 20 };
 
-/** Shards that a test answers by hand. */
-class Trial {
+/** Sharded permits over a source whose answers the test sends itself. */
+class ShardHarness {
   nowMs = 1000;
   readonly asked: string[] = [];
-  readonly withdrawn: string[] = [];
+  readonly cancelled: string[] = [];
   readonly answers: PermitAnswer[] = [];
   #open = new Map<string, (answer: PermitAnswer) => void>();
   readonly #source: PermitSource = {
     acquire: (name, done) => {
       this.asked.push(name);
       this.#open.set(name, done);
-      return () => void this.withdrawn.push(name);
+      return () => void this.cancelled.push(name);
     },
   };
   readonly permits = new ShardedPermits({
@@ -39,71 +39,71 @@
     done?.(answer);
   }
 
-  later(ms: number): void {
+  advance(ms: number): void {
     this.nowMs += ms;
     this.permits.tick(this.nowMs);
   }
 }
 
-describe('a request for a permit of a sharded quota', () => {
-  it('is granted by the first shard alone where that answers', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.answer('t/0', GRANTED);
-    trial.later(500);
-    expect([trial.asked, trial.answers]).toEqual([['t/0'], [GRANTED]]);
+describe('a request for a permit from a sharded quota', () => {
+  it('is granted by the first shard alone if that shard answers', () => {
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.answer('t/0', GRANTED);
+    harness.advance(500);
+    expect([harness.asked, harness.answers]).toEqual([['t/0'], [GRANTED]]);
   });
 
-  it('goes on to the next shard where one refuses, and is over the quota once all have', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.answer('t/0', REFUSED);
-    trial.answer('t/1', REFUSED);
-    const before = [...trial.answers];
-    trial.answer('t/2', REFUSED);
-    expect([trial.asked, before, trial.answers]).toEqual([['t/0', 't/1', 't/2'], [], [REFUSED]]);
+  it('tries the next shard after a refusal, and is over the quota once all shards have refused', () => {
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.answer('t/0', REFUSED);
+    harness.answer('t/1', REFUSED);
+    const before = [...harness.answers];
+    harness.answer('t/2', REFUSED);
+    expect([harness.asked, before, harness.answers]).toEqual([['t/0', 't/1', 't/2'], [], [REFUSED]]);
   });
 
-  it('does not wait for a shard whose core is silent, and the next request asks that one last', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.later(50);
-    trial.answer('t/1', GRANTED);
-    trial.ask();
-    expect([trial.asked, trial.withdrawn, trial.answers]).toEqual([
+  it('does not wait for a shard whose core is unresponsive, and the next request tries that shard last', () => {
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.advance(50);
+    harness.answer('t/1', GRANTED);
+    harness.ask();
+    expect([harness.asked, harness.cancelled, harness.answers]).toEqual([
       ['t/0', 't/1', 't/1'],
       ['t/0'],
       [GRANTED],
     ]);
   });
 
-  it('is not over the quota while one shard has not answered; those that refused are asked again', () => {
-    const trial = new Trial();
-    trial.ask();
-    trial.later(50);
-    trial.answer('t/1', REFUSED);
-    trial.answer('t/2', REFUSED);
-    const before = [...trial.answers];
-    trial.later(80);
-    trial.answer('t/1', GRANTED);
-    expect([trial.asked, before, trial.answers]).toEqual([
+  it('is not over the quota while a shard has not answered; the shards that refused are tried again', () => {
+    const harness = new ShardHarness();
+    harness.ask();
+    harness.advance(50);
+    harness.answer('t/1', REFUSED);
+    harness.answer('t/2', REFUSED);
+    const before = [...harness.answers];
+    harness.advance(80);
+    harness.answer('t/1', GRANTED);
+    expect([harness.asked, before, harness.answers]).toEqual([
       ['t/0', 't/1', 't/2', 't/1', 't/2'],
       [],
       [GRANTED],
     ]);
   });
 
-  it('asks nothing more once it is withdrawn', () => {
-    const trial = new Trial();
-    trial.ask()();
-    trial.later(500);
-    trial.answer('t/0', GRANTED);
-    expect([trial.asked, trial.withdrawn, trial.answers]).toEqual([['t/0'], ['t/0'], []]);
+  it('tries no further shard once it has been cancelled', () => {
+    const harness = new ShardHarness();
+    harness.ask()();
+    harness.advance(500);
+    harness.answer('t/0', GRANTED);
+    expect([harness.asked, harness.cancelled, harness.answers]).toEqual([['t/0'], ['t/0'], []]);
   });
 });
 
 describe('the shards of a limit', () => {
-  it('are together the limit with its slack', () => {
+  it('add up to the limit and its slack', () => {
     for (const burst of [0, 1, 4, 6, 95]) {
       const shards = shardLimits({ name: 'a/b', ratePerS: 30, burst }, BOUNDS);
       function total(of: (shard: (typeof shards)[number]) => number): number {
@@ -115,7 +115,7 @@
     }
   });
 
-  it('bear the name of their tenant, whatever stands in it', () => {
+  it('contain the name of their tenant, even if it contains slashes', () => {
     for (const tenant of ['a', 'a/0', '/']) expect(tenantOfShard(shardName(tenant, 2))).toEqual(tenant);
   });
 });
--- a/packages/quotas/src/testing/machine.ts
+++ b/packages/quotas/src/testing/machine.ts
@@ -1,26 +1,29 @@
-/** A simulated machine: a monotonic clock that drifts, freezes with a late wake, kills, and a network of such machines. */
+/**
+ * Simulated machines, with clocks that drift and processes that can be frozen or killed, and the network
+ * between them.
+ */
 import type { Clock, RandomSource } from '@rainrun/common';
 import type { EventQueue } from './event-queue.js';
 
-/** Clocks run fast or slow by up to this part. */
-const DRIFT_MOST = 0.01;
+/** Maximum drift rate of a clock, fast or slow. */
+const MAX_DRIFT = 0.01;
 
-/** A machine and the process on it. What is done on it goes through `run`, so that it waits while it is frozen. */
+/** A machine and its process. All work goes through `run`, which defers it while the machine is frozen. */
 export class Machine implements Clock {
   readonly name: string;
   isAlive = true;
   #events: EventQueue;
   #drift: number;
   #offsetMs: number;
-  /** Counts processes: callbacks of an earlier one are dropped. */
-  #process = 0;
+  /** Number of the current process; callbacks of earlier processes are dropped. */
+  #processNumber = 0;
   #isFrozen = false;
-  #held: (() => void)[] = [];
+  #deferred: (() => void)[] = [];
 
   constructor(name: string, events: EventQueue, random: RandomSource) {
     this.name = name;
     this.#events = events;
-    this.#drift = (random.next() * 2 - 1) * DRIFT_MOST;
+    this.#drift = (random.next() * 2 - 1) * MAX_DRIFT;
     this.#offsetMs = random.next() * 1e6;
   }
 
@@ -32,22 +35,24 @@
     return this.#offsetMs + this.#events.nowMs * (1 + this.#drift);
   }
 
-  /** Runs a callback on the process as it is now: later if it is frozen, not at all if it is dead. */
+  /**
+   * Runs a callback on the current process: after `resume` if it is frozen, not at all if it has been killed.
+   */
   run(callback: () => void): void {
     if (!this.isAlive) return;
-    if (this.#isFrozen) this.#held.push(callback);
+    if (this.#isFrozen) this.#deferred.push(callback);
     else callback();
   }
 
-  /** Runs a callback after a time of this machine's clock, if its process still lives then. */
+  /** Runs a callback after a delay by this machine's clock, if the current process still exists then. */
   after(delayMs: number, callback: () => void): void {
-    const process = this.#process;
+    const processNumber = this.#processNumber;
     this.#events.after(delayMs / (1 + this.#drift), () => {
-      if (process === this.#process) this.run(callback);
+      if (processNumber === this.#processNumber) this.run(callback);
     });
   }
 
-  /** Runs a callback again and again while the process lives. */
+  /** Runs a callback periodically while the process exists. */
   every(intervalMs: number, callback: () => void): void {
     this.after(intervalMs, () => {
       callback();
@@ -59,39 +64,39 @@
     this.#isFrozen = true;
   }
 
-  /** The process goes on with what came meanwhile. */
-  wake(): void {
+  /** Ends a freeze and runs the callbacks that were deferred by it. */
+  resume(): void {
     this.#isFrozen = false;
-    const held = this.#held;
-    this.#held = [];
-    for (const callback of held) this.run(callback);
+    const deferred = this.#deferred;
+    this.#deferred = [];
+    for (const callback of deferred) this.run(callback);
   }
 
   kill(): void {
     this.isAlive = false;
     this.#isFrozen = false;
-    this.#held = [];
-    this.#process += 1;
+    this.#deferred = [];
+    this.#processNumber += 1;
   }
 
-  /** A new process on the same machine. */
+  /** Starts a new process on the same machine. */
   restart(): void {
     this.kill();
     this.isAlive = true;
   }
 
-  /** Whether the process is still the one that it was when this number was read. */
-  get process(): number {
-    return this.#process;
+  /** Number of the current process, which changes when the process is killed. */
+  get processNumber(): number {
+    return this.#processNumber;
   }
 }
 
-/** Usual and rare delays, and losses, on the way between two machines. */
-const DELAY_LEAST_MS = 0.5;
-const DELAY_SPREAD_MS = 3;
-const SLOW_PART = 0.01;
-const SLOW_MOST_MS = 400;
-const LOSS_PART = 0.005;
+/** Usual delays, rare long delays and losses of messages between two machines. */
+const MIN_DELAY_MS = 0.5;
+const DELAY_RANGE_MS = 3;
+const SLOW_FRACTION = 0.01;
+const SLOW_DELAY_RANGE_MS = 400;
+const LOSS_FRACTION = 0.005;
 
 /** Carries messages between machines, with delays and losses; links can be cut in each direction. */
 export class Network {
@@ -104,24 +109,24 @@
     this.#random = random;
   }
 
-  /** Whether a message from one machine to another gets through. */
-  carries(from: Machine, to: Machine): boolean {
+  /** Whether the link from one machine to another is not cut. */
+  canDeliver(from: Machine, to: Machine): boolean {
     return !this.cutLinks.has(linkName(from.name, to.name));
   }
 
-  /** Delivers a message, if it is not lost and the process that it is for still lives. */
+  /** Delivers a message unless it is lost or the receiving process no longer exists. */
   send(from: Machine, to: Machine, deliver: () => void): void {
-    if (!this.carries(from, to) || this.#random.next() < LOSS_PART) return;
-    const process = to.process;
-    const isSlow = this.#random.next() < SLOW_PART;
-    const spreadMs = isSlow ? SLOW_MOST_MS : DELAY_SPREAD_MS;
-    this.#events.after(DELAY_LEAST_MS + this.#random.next() * spreadMs, () => {
-      if (to.process === process) to.run(deliver);
+    if (!this.canDeliver(from, to) || this.#random.next() < LOSS_FRACTION) return;
+    const processNumber = to.processNumber;
+    const isSlow = this.#random.next() < SLOW_FRACTION;
+    const rangeMs = isSlow ? SLOW_DELAY_RANGE_MS : DELAY_RANGE_MS;
+    this.#events.after(MIN_DELAY_MS + this.#random.next() * rangeMs, () => {
+      if (to.processNumber === processNumber) to.run(deliver);
     });
   }
 }
 
-/** Name of the link from one machine to another. */
+/** Returns the name of the link from one machine to another. */
 export function linkName(from: string, to: string): string {
   return `${from}>${to}`;
 }
--- a/packages/quotas/src/token-bucket.ts
+++ b/packages/quotas/src/token-bucket.ts
@@ -1,93 +1,94 @@
-/** A token bucket that may begin to fill later than it was made. */
+/** A token bucket whose refill may start later than its creation. */
 
-/** How deep a bucket is and how fast it fills. */
-export interface BucketShape {
+/** Depth and refill rate of a bucket. */
+export interface BucketConfig {
   readonly depth: number;
   readonly tokensPerMs: number;
 }
 
 /**
- * A token bucket on a monotonic clock that its caller reads.
+ * A token bucket. The caller passes the current time of a monotonic clock.
  * @example
  * const bucket = new TokenBucket({ depth: 5, tokensPerMs: 0.005 }, 5);
- * bucket.beginFilling(nowMs);
+ * bucket.startRefill(nowMs);
  * bucket.take(2, nowMs); // 2
  */
 export class TokenBucket {
-  #shape: BucketShape;
+  #config: BucketConfig;
   #level: number;
-  /** Tokens due until this moment are in the level; undefined while it does not fill at all. */
-  #filledUntilMs: number | undefined;
+  /** Time up to which the refill is included in the level; undefined until the refill is started. */
+  #refilledUntilMs: number | undefined;
   #wasFull = false;
 
-  constructor(shape: BucketShape, level: number) {
-    this.#shape = shape;
-    this.#level = Math.min(level, shape.depth);
+  constructor(config: BucketConfig, level: number) {
+    this.#config = config;
+    this.#level = Math.min(level, config.depth);
   }
 
   get depth(): number {
-    return this.#shape.depth;
+    return this.#config.depth;
   }
 
-  /** Whether the bucket was full at some moment since it began to fill. */
+  /** Whether the bucket has been full at any time since its refill started. */
   get wasFull(): boolean {
     return this.#wasFull;
   }
 
-  /** Lets the bucket fill from a moment on, which may lie ahead. */
-  beginFilling(fromMs: number): void {
-    this.#filledUntilMs = fromMs;
+  /** Starts the refill at a time that may lie in the future. */
+  startRefill(fromMs: number): void {
+    this.#refilledUntilMs = fromMs;
   }
 
-  /** Tokens in the bucket now. */
+  /** Returns the current number of tokens, which can be negative after `reconfigure`. */
   level(nowMs: number): number {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     return this.#level;
   }
 
-  /** Adds tokens that another bucket held. */
+  /** Adds the tokens of another bucket, up to the depth. */
   add(tokens: number): void {
-    this.#level = Math.min(this.#shape.depth, this.#level + Math.max(0, tokens));
+    this.#level = Math.min(this.#config.depth, this.#level + Math.max(0, tokens));
   }
 
-  /** Takes up to so many whole tokens; returns how many. */
+  /** Takes up to `wanted` whole tokens and returns how many were taken. */
   take(wanted: number, nowMs: number): number {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     const taken = Math.max(0, Math.min(wanted, Math.floor(this.#level)));
     this.#level -= taken;
     return taken;
   }
 
-  /** When the next whole token will be there; undefined where it never will. */
+  /** Returns when the next whole token is available; undefined if the bucket is not refilled. */
   nextTokenMs(nowMs: number): number | undefined {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     if (this.#level >= 1) return nowMs;
-    if (this.#filledUntilMs === undefined || this.#shape.tokensPerMs <= 0) return undefined;
-    return Math.max(nowMs, this.#filledUntilMs) + (1 - this.#level) / this.#shape.tokensPerMs;
+    if (this.#refilledUntilMs === undefined || this.#config.tokensPerMs <= 0) return undefined;
+    return Math.max(nowMs, this.#refilledUntilMs) + (1 - this.#level) / this.#config.tokensPerMs;
   }
 
   /**
-   * Goes on with another depth and speed. What was taken stays taken: where the depth falls, the level falls with it,
-   * below zero if more was taken than the new depth holds. A depth that grows brings no tokens.
+   * Changes the depth and refill rate. Tokens already taken stay taken: a lower depth lowers the level by the
+   * same amount, to below zero if more tokens were taken than the new depth holds. A higher depth adds no
+   * tokens.
    */
-  reshape(shape: BucketShape, nowMs: number): void {
-    this.#fill(nowMs);
-    this.#level -= Math.max(0, this.#shape.depth - shape.depth);
-    this.#shape = shape;
+  reconfigure(config: BucketConfig, nowMs: number): void {
+    this.#refill(nowMs);
+    this.#level -= Math.max(0, this.#config.depth - config.depth);
+    this.#config = config;
   }
 
-  /** Empties the bucket and stops filling it. */
+  /** Empties the bucket and stops its refill. */
   drain(nowMs: number): void {
-    this.#fill(nowMs);
+    this.#refill(nowMs);
     this.#level = Math.min(this.#level, 0);
-    this.#shape = { ...this.#shape, tokensPerMs: 0 };
+    this.#config = { ...this.#config, tokensPerMs: 0 };
   }
 
-  #fill(nowMs: number): void {
-    if (this.#filledUntilMs === undefined || nowMs <= this.#filledUntilMs) return;
-    const due = (nowMs - this.#filledUntilMs) * this.#shape.tokensPerMs;
-    this.#filledUntilMs = nowMs;
-    this.#level = Math.min(this.#shape.depth, this.#level + due);
-    if (this.#level >= this.#shape.depth) this.#wasFull = true;
+  #refill(nowMs: number): void {
+    if (this.#refilledUntilMs === undefined || nowMs <= this.#refilledUntilMs) return;
+    const due = (nowMs - this.#refilledUntilMs) * this.#config.tokensPerMs;
+    this.#refilledUntilMs = nowMs;
+    this.#level = Math.min(this.#config.depth, this.#level + due);
+    if (this.#level >= this.#config.depth) this.#wasFull = true;
   }
 }
