--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -9,13 +9,13 @@
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
 /** An adapter of a model. */
-interface AdapterName {
+interface AdapterRef {
   readonly model: string;
   readonly adapter: string;
 }
 
 /** An adapter is not put behind more steps of a worker than this. */
-const MAX_STEPS = 2;
+const MAX_QUEUED_STEPS = 2;
 
 /**
  * Puts adapters that are waited for where their models stand: those first that
@@ -45,9 +45,9 @@
   }
 
   /** Adapters that are waited for, and neither stand nor come at a worker that holds their model. */
-  #missing(round: PlacementRound): AdapterName[] {
+  #missing(round: PlacementRound): AdapterRef[] {
     const { engine, demands, nowMs } = round;
-    const missing: AdapterName[] = [];
+    const missing: AdapterRef[] = [];
     for (const [model, demand] of demands) {
       for (const [adapter, { waiting, inFlight }] of demand.adapters) {
         const wanted = { model, adapter };
@@ -59,13 +59,13 @@
           continue;
         }
         this.#unserved.recordRequested(key, nowMs);
-        if (!round.rows.some((row) => this.#isComing(row, wanted))) missing.push(wanted);
+        if (!round.rows.some((row) => this.#isLoadPlanned(row, wanted))) missing.push(wanted);
       }
     }
     return missing;
   }
 
-  #isComing(row: WorkerRecord, { model, adapter }: AdapterName): boolean {
+  #isLoadPlanned(row: WorkerRecord, { model, adapter }: AdapterRef): boolean {
     return (
       row.models.has(model) &&
       this.#sender
@@ -74,7 +74,7 @@
     );
   }
 
-  #placeOne(round: PlacementRound, wanted: AdapterName): void {
+  #placeOne(round: PlacementRound, wanted: AdapterRef): void {
     const { model, adapter } = wanted;
     const holders = round.rows
       .filter((row) => row.models.has(model))
@@ -87,11 +87,11 @@
   }
 
   /** Orders an adapter at a worker, in the place of the one that was unused longest if all places are taken. */
-  #placeAt(round: PlacementRound, row: WorkerRecord, { model, adapter }: AdapterName): boolean {
+  #placeAt(round: PlacementRound, row: WorkerRecord, { model, adapter }: AdapterRef): boolean {
     const { engine, nowMs } = round;
     const state = this.#sender.state(row);
     const sizeMb = engine.models.get(model)?.adapterMb ?? 0;
-    if (state.steps.length > MAX_STEPS || nowMs < state.backoffUntilMs || !state.planned.has(model))
+    if (state.steps.length > MAX_QUEUED_STEPS || nowMs < state.backoffUntilMs || !state.planned.has(model))
       return false;
     if (engine.roomMb - usedMb(engine, state.planned) < sizeMb) return false;
     if (adapterCount(state.planned) >= engine.adapterPlaces) {
@@ -106,8 +106,8 @@
   }
 
   /** Of the adapters that a worker holds and that nobody uses or waits for, the one that was unused longest. */
-  #longestUnused({ engine, demands, nowMs }: PlacementRound, state: WorkerState): AdapterName | undefined {
-    let longest: (AdapterName & { readonly idleMs: number }) | undefined;
+  #longestUnused({ engine, demands, nowMs }: PlacementRound, state: WorkerState): AdapterRef | undefined {
+    let longest: (AdapterRef & { readonly idleMs: number }) | undefined;
     for (const [model, adapters] of state.planned) {
       for (const adapter of adapters) {
         const demand = demands.get(model)?.adapters.get(adapter);
@@ -121,6 +121,6 @@
   }
 }
 
-function keyOf(service: string, { model, adapter }: AdapterName): string {
+function keyOf(service: string, { model, adapter }: AdapterRef): string {
   return `${service}/${model}/${adapter}`;
 }
--- a/packages/placement/src/copy-demand.test.ts
+++ b/packages/placement/src/copy-demand.test.ts
@@ -26,7 +26,7 @@
     weightedWaitRatio: 0,
     weightedTargetMs: 0,
     adapters: new Map(),
-    reports: 1,
+    reportCount: 1,
   };
 }
 
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -39,17 +39,20 @@
  */
 export class CopyDemand {
   #concurrency = new Map<string, Concurrency>();
-  #loops = new Map<string, { readonly loop: Loop; atMs: number }>();
+  #controllers = new Map<string, { readonly controller: Loop; atMs: number }>();
 
   targetOf(engine: Engine, model: string, demand: Demand, nowMs: number): CopyTarget {
     const key = `${engine.service}/${model}`;
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     const concurrency = this.#smooth(key, demand.inFlight + demand.waiting, loadMs, nowMs);
     const { recent } = concurrency;
-    const expected = expectedIn(loadMs, concurrency);
+    const expected = forecast(loadMs, concurrency);
     concurrency.peak = Math.max(concurrency.peak, expected);
-    const atSetPoint = Math.max(1, Math.min(POLICY.targetInFlight, engine.slots * POLICY.targetSlotUse));
-    const perCopy = atSetPoint / this.#steer(key, demand, nowMs);
+    const setPoint = Math.max(
+      1,
+      Math.min(POLICY.targetInFlight, engine.slots * POLICY.targetSlotUtilization),
+    );
+    const perCopy = setPoint / this.#correction(key, demand, nowMs);
     return {
       desired: Math.ceil(expected / perCopy - POLICY.deadBand),
       retained: Math.ceil(concurrency.peak / perCopy),
@@ -64,40 +67,41 @@
     return this.#concurrency.get(`${engine.service}/${model}`)?.recent ?? 0;
   }
 
-  #smooth(key: string, now: number, loadMs: number, nowMs: number): Concurrency {
+  #smooth(key: string, concurrent: number, loadMs: number, nowMs: number): Concurrency {
     const known = this.#concurrency.get(key) ?? {
-      recent: now,
-      short: now,
-      long: now,
-      peak: now,
+      recent: concurrent,
+      short: concurrent,
+      long: concurrent,
+      peak: concurrent,
       atMs: nowMs,
     };
     this.#concurrency.set(key, known);
     const elapsedMs = nowMs - known.atMs;
-    const { shortMs, longMs } = averagedOver(loadMs);
-    known.recent += (now - known.recent) * (1 - Math.exp(-elapsedMs / POLICY.smoothMs));
-    known.short += (now - known.short) * (1 - Math.exp(-elapsedMs / shortMs));
-    known.long += (now - known.long) * (1 - Math.exp(-elapsedMs / longMs));
+    const { shortMs, longMs } = averagingWindows(loadMs);
+    known.recent += (concurrent - known.recent) * (1 - Math.exp(-elapsedMs / POLICY.smoothingMs));
+    known.short += (concurrent - known.short) * (1 - Math.exp(-elapsedMs / shortMs));
+    known.long += (concurrent - known.long) * (1 - Math.exp(-elapsedMs / longMs));
     known.peak = Math.max(known.recent, known.peak * Math.exp(-elapsedMs / POLICY.peakDecayMs));
     known.atMs = nowMs;
     return known;
   }
 
   /** How many times its copies a model needs, by how promptly workers take up its requests. */
-  #steer(key: string, demand: Demand, nowMs: number): number {
-    const known = this.#loops.get(key) ?? { loop: new Loop(POLICY.loop), atMs: nowMs };
-    this.#loops.set(key, known);
+  #correction(key: string, demand: Demand, nowMs: number): number {
+    const known = this.#controllers.get(key) ?? { controller: new Loop(POLICY.controller), atMs: nowMs };
+    this.#controllers.set(key, known);
     const elapsedMs = nowMs - known.atMs;
-    if (elapsedMs >= POLICY.loopMs) {
+    if (elapsedMs >= POLICY.controlIntervalMs) {
       known.atMs = nowMs;
       const waitRatio = demand.perS < POLICY.minControlledPerS ? 0 : demand.weightedWaitRatio / demand.perS;
-      if (waitRatio > 0) known.loop.move(waitRatio / POLICY.targetWaitRatio, Math.min(1, elapsedMs / 1000));
+      if (waitRatio > 0)
+        known.controller.move(waitRatio / POLICY.targetWaitRatio, Math.min(1, elapsedMs / 1000));
     }
-    return known.loop.output;
+    return known.controller.output;
   }
 }
 
-function averagedOver(loadMs: number): { shortMs: number; longMs: number } {
+function averagingWindows(loadMs: number): { shortMs: number; longMs: number } {
   return {
     shortMs: Math.max(POLICY.minShortWindowMs, loadMs * POLICY.shortWindowLoads),
     longMs: Math.max(POLICY.minLongWindowMs, loadMs * POLICY.longWindowLoads),
@@ -105,11 +109,11 @@
 }
 
 /** What will run and wait when a load that begins now is done. A fall is not expected: it is waited for. */
-function expectedIn(loadMs: number, { recent, short, long }: Concurrency): number {
-  const { shortMs, longMs } = averagedOver(loadMs);
+function forecast(loadMs: number, { recent, short, long }: Concurrency): number {
+  const { shortMs, longMs } = averagingWindows(loadMs);
   const risePerMs = Math.max(0, (short - long) / (longMs - shortMs));
   return Math.max(
     recent,
-    Math.min(POLICY.maxGrowth * recent, short + risePerMs * loadMs * POLICY.trendLoads),
+    Math.min(POLICY.maxGrowth * recent, short + risePerMs * loadMs * POLICY.trendHorizonLoads),
   );
 }
--- a/packages/placement/src/copy-retirement.ts
+++ b/packages/placement/src/copy-retirement.ts
@@ -4,7 +4,7 @@
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
 /** Least time between two retired copies of one model, in milliseconds. */
-const RETIRE_MS = 400;
+const RETIRE_INTERVAL_MS = 400;
 
 /**
  * Takes copies beyond what a model needs out of use, one at a time, so that
@@ -14,11 +14,11 @@
  * retirement.retire(round);
  * retirement.revive(round, 'model-1');
  */
-export class Retirement {
+export class CopyRetirement {
   #table: WorkerTable;
   #sender: OrderSender;
   /** When a copy of a model was last taken out of use. */
-  #retiredMs = new Map<string, number>();
+  #lastRetiredMs = new Map<string, number>();
 
   constructor(table: WorkerTable, sender: OrderSender) {
     this.#table = table;
@@ -31,11 +31,11 @@
       if (count <= Math.max(1, targets.get(model)?.retained ?? 1) || !engine.models.has(model)) continue;
       if (!isObserved(round, model)) continue;
       const key = `${engine.service}/${model}`;
-      if (nowMs - (this.#retiredMs.get(key) ?? -Infinity) < RETIRE_MS) continue;
+      if (nowMs - (this.#lastRetiredMs.get(key) ?? -Infinity) < RETIRE_INTERVAL_MS) continue;
       const holders = round.rows.filter((row) => this.#mayRetire(row, model, nowMs));
       const fullest = holders.sort((one, other) => other.models.size - one.models.size)[0];
       if (fullest === undefined || holders.length < 2) continue;
-      this.#retiredMs.set(key, nowMs);
+      this.#lastRetiredMs.set(key, nowMs);
       fullest.models.delete(model);
       this.#sender.state(fullest).retired.add(model);
       this.#table.touch(fullest, model);
@@ -44,7 +44,7 @@
   }
 
   /** Takes a retired copy back into use, if there is one; nothing is loaded for it. */
-  revive({ rows, copies }: PlacementRound, model: string): boolean {
+  restore({ rows, copies }: PlacementRound, model: string): boolean {
     for (const row of rows) {
       const state = this.#sender.state(row);
       const adapters = state.holdings.get(model);
--- a/packages/placement/src/demand-totals.test.ts
+++ b/packages/placement/src/demand-totals.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl';
 import { DemandTotals, type EdgeDemand } from './demand-totals.js';
 
-function want(model: string, change: Partial<EdgeDemand> = {}): EdgeDemand {
+function demandFor(model: string, change: Partial<EdgeDemand> = {}): EdgeDemand {
   return {
     service: 'assist',
     model,
@@ -19,9 +19,9 @@
 describe('totals of demand', () => {
   it('add up over edges and replace what an edge said before', () => {
     const totals = new DemandTotals();
-    totals.set('a', [want('m'), want('m', { adapter: 'a1' })], 0);
-    totals.set('b', [want('m'), want('n', { waiting: 4 })], 0);
-    totals.set('a', [want('m', { waiting: 7 })], 10);
+    totals.set('a', [demandFor('m'), demandFor('m', { adapter: 'a1' })], 0);
+    totals.set('b', [demandFor('m'), demandFor('n', { waiting: 4 })], 0);
+    totals.set('a', [demandFor('m', { waiting: 7 })], 10);
     const demand = totals.of('assist').get('m');
     expect([demand?.waiting, demand?.inFlight, totals.waiting]).toEqual([8, 4, 12]);
     expect(demand?.adapters.get('a1')?.waiting).toEqual(0);
@@ -29,8 +29,8 @@
 
   it('keep what a partial report does not name', () => {
     const totals = new DemandTotals();
-    totals.set('a', [want('m'), want('n')], 0);
-    totals.update('a', [want('n', { waiting: 5 })], 10);
+    totals.set('a', [demandFor('m'), demandFor('n')], 0);
+    totals.update('a', [demandFor('n', { waiting: 5 })], 10);
     expect([totals.of('assist').get('m')?.waiting, totals.of('assist').get('n')?.waiting]).toEqual([1, 5]);
     totals.set('a', [], 20);
     expect([totals.of('assist').size, totals.waiting]).toEqual([0, 0]);
@@ -39,7 +39,7 @@
   it('are exactly nothing after ten thousand reports came and went', () => {
     const totals = new DemandTotals();
     for (let turn = 0; turn < 10_000; turn += 1)
-      totals.set(`e${turn % 7}`, [want('m', { perS: 0.1 * turn })], turn);
+      totals.set(`e${turn % 7}`, [demandFor('m', { perS: 0.1 * turn })], turn);
     totals.expire(20_000);
     expect([totals.of('assist').size, totals.waiting]).toEqual([0, 0]);
   });
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -34,16 +34,16 @@
   weightedTargetMs: number;
   readonly adapters: Map<string, AdapterDemand>;
   /** How many reports stand in it: with the last one it is gone, and with it all errors of rounding. */
-  reports: number;
+  reportCount: number;
 }
 
-interface Report {
+interface EdgeReport {
   atMs: number;
   /** By service, model and adapter. */
   readonly demands: Map<string, EdgeDemand>;
 }
 
-const NOTHING: ReadonlyMap<string, Demand> = new Map();
+const NO_DEMAND: ReadonlyMap<string, Demand> = new Map();
 
 /**
  * Totals of the demand that edges report.
@@ -53,7 +53,7 @@
  * totals.of('assist').get('model-1')?.waiting;
  */
 export class DemandTotals {
-  #reports = new Map<string, Report>();
+  #reports = new Map<string, EdgeReport>();
   #byService = new Map<string, Map<string, Demand>>();
   #waiting = 0;
 
@@ -70,13 +70,16 @@
 
   /** Takes the demand that has changed at an edge; the rest of its report stays. */
   update(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
-    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, demands: new Map<string, EdgeDemand>() };
+    const report: EdgeReport = this.#reports.get(edge) ?? {
+      atMs: nowMs,
+      demands: new Map<string, EdgeDemand>(),
+    };
     this.#reports.set(edge, report);
     report.atMs = nowMs;
     for (const edgeDemand of edgeDemands) {
       const key = `${edgeDemand.service}/${edgeDemand.model}/${edgeDemand.adapter}`;
-      const before = report.demands.get(key);
-      if (before !== undefined) this.#subtract(before);
+      const previous = report.demands.get(key);
+      if (previous !== undefined) this.#subtract(previous);
       report.demands.set(key, edgeDemand);
       this.#add(edgeDemand);
     }
@@ -89,7 +92,7 @@
 
   /** The demand for a service, by model. */
   of(service: string): ReadonlyMap<string, Demand> {
-    return this.#byService.get(service) ?? NOTHING;
+    return this.#byService.get(service) ?? NO_DEMAND;
   }
 
   #remove(edge: string): void {
@@ -115,11 +118,11 @@
         weightedWaitRatio: 0,
         weightedTargetMs: 0,
         adapters: new Map(),
-        reports: 0,
+        reportCount: 0,
       };
       models.set(edgeDemand.model, demand);
     }
-    demand.reports += 1;
+    demand.reportCount += 1;
     demand.weightedWaitRatio += edgeDemand.waitToTargetRatio * edgeDemand.perS;
     demand.weightedTargetMs += edgeDemand.meanTargetMs * edgeDemand.perS;
     accumulate(demand, edgeDemand, 1);
@@ -137,8 +140,8 @@
     const models = this.#byService.get(edgeDemand.service);
     const demand = models?.get(edgeDemand.model);
     if (demand === undefined) return;
-    demand.reports -= 1;
-    if (demand.reports === 0) {
+    demand.reportCount -= 1;
+    if (demand.reportCount === 0) {
       models?.delete(edgeDemand.model);
       return;
     }
--- a/packages/placement/src/engine.ts
+++ b/packages/placement/src/engine.ts
@@ -23,7 +23,7 @@
  * @example
  * loadsAtOnce({ ...engine, loadsPerS: 6, models: new Map([['m', { ...model, loadMs: 600 }]]) }); // 4
  */
-export function loadsAtOnce(engine: Engine): number {
+export function maxConcurrentLoads(engine: Engine): number {
   let shortestMs = Infinity;
   for (const { loadMs } of engine.models.values()) shortestMs = Math.min(shortestMs, loadMs);
   return Number.isFinite(shortestMs) ? Math.max(1, Math.round((engine.loadsPerS * shortestMs) / 1000)) : 1;
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -22,14 +22,14 @@
 export type LoadSource = 'disk' | 'store';
 
 /** A worker that can take a copy, and what gives way for it. */
-interface Site {
+interface LoadCandidate {
   readonly row: WorkerRecord;
   readonly cost: number;
   readonly victims: readonly string[];
 }
 
 /** So long edges are given to learn that they may send no more for what is to go, where they do send. */
-const DRAIN_IN_USE_MS = 50;
+const DRAIN_ACTIVE_MS = 50;
 
 /**
  * Finds the worker for a copy that is wanted, and orders the copies away that
@@ -57,26 +57,29 @@
 
   /** Orders the copy at the best worker; says what was decided, or nothing if no worker can take it now. */
   place(round: PlacementRound, need: CopyNeed, source: LoadSource): string | undefined {
-    const site = this.#bestSite(round, need, source);
-    if (site === undefined) return undefined;
-    const { row, victims } = site;
+    const candidate = this.#bestCandidate(round, need, source);
+    if (candidate === undefined) return undefined;
+    const { row, victims } = candidate;
     for (const victim of victims) this.#unload(round, row, victim);
     for (const victim of victims) this.#table.touch(row, victim);
     this.#sender.state(row).add(newStep('load', need.model, '', round.nowMs));
     round.copies.set(need.model, (round.copies.get(need.model) ?? 0) + 1);
-    const instead = victims.length > 0 ? ` in the place of ${victims.join(', ')}` : '';
-    return `${row.id} loads ${need.model} from ${source}${instead} (worth ${need.value.toFixed(2)})`;
+    const replacing = victims.length > 0 ? ` in the place of ${victims.join(', ')}` : '';
+    return `${row.id} loads ${need.model} from ${source}${replacing} (worth ${need.value.toFixed(2)})`;
   }
 
   /** Whether a worker that has the model on its own disk will be free sooner than a load from the store takes. */
-  isLoadedFromDiskSoon({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
+  isDiskLoadFaster({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     if (ageMs > loadMs) return false;
-    const diskPart = this.#sender.diskPart(engine);
+    const diskLoadRatio = this.#sender.diskLoadRatio(engine);
     return rows.some((row) => {
       const state = this.#sender.state(row);
       if (!state.onDisk.has(model) || state.planned.has(model) || state.steps.length === 0) return false;
-      return state.freeInMs(engine, diskPart, nowMs) + state.loadMs(engine, model, diskPart) < loadMs;
+      return (
+        state.remainingLoadMs(engine, diskLoadRatio, nowMs) + state.loadMs(engine, model, diskLoadRatio) <
+        loadMs
+      );
     });
   }
 
@@ -92,26 +95,31 @@
     row.models.delete(victim);
     copies.set(victim, (copies.get(victim) ?? 1) - 1);
     const inUse = (demands.get(victim)?.inFlight ?? 0) > 0;
-    state.add(newStep('unload', victim, '', nowMs + (inUse ? DRAIN_IN_USE_MS : DRAIN_MS)));
+    state.add(newStep('unload', victim, '', nowMs + (inUse ? DRAIN_ACTIVE_MS : DRAIN_MS)));
   }
 
-  #bestSite(round: PlacementRound, need: CopyNeed, source: LoadSource): Site | undefined {
+  #bestCandidate(round: PlacementRound, need: CopyNeed, source: LoadSource): LoadCandidate | undefined {
     const { engine, rows, nowMs } = round;
     const model = engine.models.get(need.model);
     if (model === undefined || model.sizeMb > engine.roomMb) return undefined;
-    let best: Site | undefined;
+    let best: LoadCandidate | undefined;
     for (const row of rows) {
       if (!this.#isFree(row, nowMs)) continue;
       const state = this.#sender.state(row);
       if (state.holdings.has(need.model) || state.onDisk.has(need.model) !== (source === 'disk')) continue;
-      const site = this.#siteAt(round, need, row, model.sizeMb);
-      if (site !== undefined && (best === undefined || site.cost < best.cost)) best = site;
+      const candidate = this.#candidateAt(round, need, row, model.sizeMb);
+      if (candidate !== undefined && (best === undefined || candidate.cost < best.cost)) best = candidate;
     }
     return best;
   }
 
   /** What gives way at a worker, the least worth first, until there is room; nothing if that is not worth it. */
-  #siteAt(round: PlacementRound, need: CopyNeed, row: WorkerRecord, sizeMb: number): Site | undefined {
+  #candidateAt(
+    round: PlacementRound,
+    need: CopyNeed,
+    row: WorkerRecord,
+    sizeMb: number,
+  ): LoadCandidate | undefined {
     const { engine } = round;
     const { holdings } = this.#sender.state(row);
     const valued = [...holdings.keys()]
@@ -139,9 +147,10 @@
     const state = this.#sender.state(row);
     const copies = round.copies.get(model) ?? 0;
     if (state.retired.has(model)) return VALUE.retired;
-    if (state.loadedForMs(model, nowMs) < MIN_RESIDENCE_MS) return copies > 1 ? VALUE.further : VALUE.fresh;
+    if (state.loadedForMs(model, nowMs) < MIN_RESIDENCE_MS)
+      return copies > 1 ? VALUE.further : VALUE.newlyLoaded;
     const active = isActive(round, model);
-    if (copies > 1) return this.#valueOfOneOfMany(round, model, copies, need);
+    if (copies > 1) return this.#valueOfReplicated(round, model, copies, need);
     if (active) return VALUE.active + Math.min(1, (round.demands.get(model)?.inFlight ?? 0) / 100);
     return this.#valueOfIdle(round, model);
   }
@@ -150,19 +159,19 @@
   #valueOfIdle({ engine, observedMs, nowMs }: PlacementRound, model: string): number {
     const key = `${engine.service}/${model}`;
     const idleMs = this.#usage.idleMs(key, nowMs);
-    if (idleMs < POLICY.recentUseMs) return VALUE.rested;
-    const knownMs = Math.min(idleMs, observedMs);
-    const isPatient =
+    if (idleMs < POLICY.recentUseMs) return VALUE.justUsed;
+    const observedIdleMs = Math.min(idleMs, observedMs);
+    const isDelayTolerant =
       this.#usage.meanTargetMs(key) >=
-      POLICY.patientTargetLoads * (engine.models.get(model)?.loadMs ?? Infinity);
-    const part = isPatient ? POLICY.patientRecencyWeight : 1;
-    return VALUE.idle + (VALUE.idleLately * part) / (1 + knownMs / 1000);
+      POLICY.delayTolerantTargetLoads * (engine.models.get(model)?.loadMs ?? Infinity);
+    const recencyWeight = isDelayTolerant ? POLICY.delayTolerantRecencyWeight : 1;
+    return VALUE.idle + (VALUE.recentUseBonus * recencyWeight) / (1 + observedIdleMs / 1000);
   }
 
   /** A copy of a model that stands at other workers too. */
-  #valueOfOneOfMany(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
+  #valueOfReplicated(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     const active = isActive(round, model);
-    if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unwatched;
+    if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unobserved;
     if (copies > Math.max(1, round.targets.get(model)?.retained ?? 0))
       return active ? VALUE.surplusActive : VALUE.surplus;
     return this.#valueOfFurther(round, model, copies, need);
@@ -170,11 +179,13 @@
 
   #valueOfFurther(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     if (!isActive(round, model)) return VALUE.idle;
-    const after = this.#copyDemand.recent(round.engine, model) / (copies - 1);
-    if (need.load === Infinity) {
+    const remainingLoad = this.#copyDemand.recent(round.engine, model) / (copies - 1);
+    if (need.loadPerCopy === Infinity) {
       const perCopy = round.targets.get(model)?.perCopy ?? Infinity;
-      return after < perCopy * POLICY.maxRemainingLoadRatio ? VALUE.spareForFirst : VALUE.furtherForFirst;
+      return remainingLoad < perCopy * POLICY.maxRemainingLoadRatio
+        ? VALUE.removableForFirstCopy
+        : VALUE.furtherForFirstCopy;
     }
-    return after < need.load * POLICY.maxVictimLoadRatio ? VALUE.burdened : VALUE.further;
+    return remainingLoad < need.loadPerCopy * POLICY.maxVictimLoadRatio ? VALUE.lessLoaded : VALUE.further;
   }
 }
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,9 +1,9 @@
 /** Sends the orders of the platform system's planner to workers, and keeps what each worker reported. */
-import { DiskLoadTime } from './disk-load-time.js';
+import { DiskLoadEstimator } from './disk-load-estimator.js';
 import type { Engine } from './engine.js';
 import { copyOf } from './holdings.js';
 import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerReport } from './orders.js';
-import { REPORT_AGE_MS } from './report-settling.js';
+import { MAX_REPORT_AGE_MS } from './report-settling.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 import { WorkerState, type Step } from './worker-state.js';
 
@@ -18,7 +18,7 @@
 }
 
 /** A busy worker is tried again after so long; half as long again after each further time. */
-const RETRY_FIRST_MS = 35;
+const RETRY_INITIAL_MS = 35;
 const RETRY_MAX_MS = 140;
 const RETRY_GROWTH = 1.5;
 /** An adapter takes some milliseconds: what is behind it is tried again sooner. */
@@ -26,19 +26,19 @@
 /** What a load from the store is waited for beyond the time that the configuration gives. */
 const LOAD_SLACK_MS = 5;
 /** An adapter is there so soon. */
-const ADAPTER_MS = 14;
+const ADAPTER_LOAD_MS = 14;
 /** So long a worker takes to let a model go that nobody uses. */
 const UNLOAD_MS = 35;
 /** A worker has seen a newer coordinator: this one will have lost the singleton lease by then, or gets a newer epoch. */
 const FENCED_RETRY_MS = 1000;
 /** A worker that leaves so many questions in a row unanswered is taken for silent. */
-const UNRESPONSIVE_REPORTS = 2;
+const UNRESPONSIVE_AFTER_REPORTS = 2;
 /** A worker that is busy so long after the last order that it took is asked what it holds. */
 const VERIFY_AFTER_BUSY_MS = 500;
 /** By then a report tells of the last order that the worker took; one that tells of fewer before is older than it. */
 const STALE_REPORT_MS = 2000;
 /** Between two questions to one worker, so that the next answer tells of a later moment; twice as long after each that had no answer. */
-const REPORT_RETRY_FIRST_MS = REPORT_AGE_MS;
+const REPORT_RETRY_INITIAL_MS = MAX_REPORT_AGE_MS;
 const REPORT_RETRY_MAX_MS = 2000;
 
 /**
@@ -71,7 +71,7 @@
   #dependencies: OrderDependencies;
   #states = new Map<string, WorkerState>();
   /** By service. */
-  #diskTimes = new Map<string, DiskLoadTime>();
+  #diskEstimators = new Map<string, DiskLoadEstimator>();
 
   constructor(table: WorkerTable, dependencies: OrderDependencies) {
     this.#table = table;
@@ -88,30 +88,32 @@
   }
 
   /** A load from a worker's own disk takes this part of one from the store, as far as was seen. */
-  diskPart({ service }: Engine): number {
-    return this.#diskTime(service).partOfStore;
+  diskLoadRatio({ service }: Engine): number {
+    return this.#diskEstimator(service).ratioToStore;
   }
 
-  #diskTime(service: string): DiskLoadTime {
-    const time = this.#diskTimes.get(service) ?? new DiskLoadTime();
-    this.#diskTimes.set(service, time);
-    return time;
+  #diskEstimator(service: string): DiskLoadEstimator {
+    const estimator = this.#diskEstimators.get(service) ?? new DiskLoadEstimator();
+    this.#diskEstimators.set(service, estimator);
+    return estimator;
   }
 
   /** Forgets workers that are no longer in the table. */
-  forgetRemoved(): void {
+  dropRemovedWorkers(): void {
     for (const id of this.#states.keys()) if (this.#table.row(id) === undefined) this.#states.delete(id);
   }
 
   /** Whether a worker neither takes orders nor says what it holds: nobody can count on what it held. */
   isUnresponsive(row: WorkerRecord): boolean {
-    return !row.confirmed && this.state(row).reportRequest.unanswered >= UNRESPONSIVE_REPORTS;
+    return (
+      !row.confirmed && this.state(row).reportRequest.consecutiveUnanswered >= UNRESPONSIVE_AFTER_REPORTS
+    );
   }
 
   /** Takes a worker's own word on what it holds: from here on it may be ordered. */
   #confirm(row: WorkerRecord, report: WorkerReport): void {
     const state = this.state(row);
-    state.adopt(report);
+    state.applyReport(report);
     row.models = copyOf(report.holdings);
     row.confirmed = true;
     this.#table.touch(row);
@@ -124,11 +126,11 @@
     if (!row.confirmed) return this.#requestReport(row, state);
     const first = state.steps[0];
     if (first === undefined) return;
-    if (nowMs >= first.doneMs) return this.#finish(row, state, first);
+    if (nowMs >= first.expectedDoneMs) return this.#finish(row, state, first);
     if (first.inFlight || nowMs < first.notBeforeMs) return;
     const fence = this.#dependencies.fence();
     if (fence === undefined) return;
-    if (!first.started && !state.fits(engine, first)) return this.#invalidate(row, state);
+    if (!first.started && !state.fitsCapacity(engine, first)) return this.#invalidate(row, state);
     this.#send(engine, row, state, first, fence);
   }
 
@@ -150,14 +152,14 @@
         state.recordAccepted(nowMs);
         return this.#onStarted(engine, row, state, step, nowMs);
       case 'held':
-        if (state.onDisk.has(step.model)) this.#observeDisk(engine, step, nowMs);
+        if (state.onDisk.has(step.model)) this.#observeDiskLoad(engine, step, nowMs);
         return this.#finish(row, state, step);
       case 'busy':
         this.counts.busy += 1;
         step.busyReplies += 1;
         step.busyMs = nowMs;
-        this.#scheduleRetry(step, nowMs + retryMs(step));
-        if (nowMs - state.acceptedMs >= VERIFY_AFTER_BUSY_MS) this.#verifySequence(row, state);
+        this.#scheduleRetry(step, nowMs + retryDelayMs(step));
+        if (nowMs - state.lastAcceptedMs >= VERIFY_AFTER_BUSY_MS) this.#verifySequence(row, state);
         return;
       case 'no-answer':
         this.counts.unanswered += 1;
@@ -179,7 +181,7 @@
   /** The worker says of an order that it has taken before that it is at it: it has not taken another one. */
   #onStillRunning(step: Step, nowMs: number): void {
     step.busyMs = nowMs;
-    this.#scheduleRetry(step, nowMs + RETRY_FIRST_MS);
+    this.#scheduleRetry(step, nowMs + RETRY_INITIAL_MS);
   }
 
   #onStarted(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
@@ -187,18 +189,18 @@
     if (step.action === 'unload') return this.#finish(row, state, step);
     step.started = true;
     if (step.adapter !== '') {
-      step.doneMs = nowMs + ADAPTER_MS;
+      step.expectedDoneMs = nowMs + ADAPTER_LOAD_MS;
       return;
     }
     step.startedMs = nowMs;
     this.counts.loads += 1;
     const slackMs = state.onDisk.has(step.model) ? 0 : LOAD_SLACK_MS;
-    this.#scheduleRetry(step, nowMs + state.loadMs(engine, step.model, this.diskPart(engine)) + slackMs);
+    this.#scheduleRetry(step, nowMs + state.loadMs(engine, step.model, this.diskLoadRatio(engine)) + slackMs);
   }
 
-  #observeDisk(engine: Engine, step: Step, nowMs: number): void {
+  #observeDiskLoad(engine: Engine, step: Step, nowMs: number): void {
     if (step.action !== 'load' || step.adapter !== '') return;
-    this.#diskTime(engine.service).observe(step, engine.models.get(step.model)?.loadMs ?? 0, nowMs);
+    this.#diskEstimator(engine.service).observe(step, engine.models.get(step.model)?.loadMs ?? 0, nowMs);
   }
 
   #finish(row: WorkerRecord, state: WorkerState, step: Step): void {
@@ -221,48 +223,56 @@
   }
 
   #requestReport(row: WorkerRecord, state: WorkerState): void {
-    this.#askReport(row, (report, isSettled) => {
-      if (row.confirmed || this.#isOutdated(state, report)) return;
+    this.#sendReportRequest(row, (report, isSettled) => {
+      if (row.confirmed || this.#isStale(state, report)) return;
       if (this.#isReliable(state, report, isSettled)) this.#confirm(row, report);
     });
   }
 
   /** A worker that stays busy may have taken an order that nobody here knows of. */
   #verifySequence(row: WorkerRecord, state: WorkerState): void {
-    const { acceptedMs } = state;
-    this.#askReport(row, (report, isSettled) => {
-      const isUnchanged = row.confirmed && state.acceptedMs === acceptedMs;
-      if (!isUnchanged || report.sequence === state.sequence || this.#isOutdated(state, report)) return;
+    const { lastAcceptedMs } = state;
+    this.#sendReportRequest(row, (report, isSettled) => {
+      const isUnchanged = row.confirmed && state.lastAcceptedMs === lastAcceptedMs;
+      if (!isUnchanged || report.sequence === state.sequence || this.#isStale(state, report)) return;
       if (this.#isReliable(state, report, isSettled)) this.#confirm(row, report);
       else this.#invalidate(row, state);
     });
   }
 
   /** Whether a report is older than the last order that is known to be taken. */
-  #isOutdated(state: WorkerState, report: WorkerReport): boolean {
-    const isRecent = this.#dependencies.nowMs() - state.acceptedMs < STALE_REPORT_MS;
+  #isStale(state: WorkerState, report: WorkerReport): boolean {
+    const isRecent = this.#dependencies.nowMs() - state.lastAcceptedMs < STALE_REPORT_MS;
     return isRecent && report.sequence < state.sequence;
   }
 
   /** Whether the models of a report are those of its count. */
   #isReliable(state: WorkerState, report: WorkerReport, isSettled: boolean): boolean {
-    if (state.explains(report)) return true;
-    if (state.isExact) this.counts.unexplained += 1;
+    if (state.isConsistentWith(report)) return true;
+    if (state.hasReported) this.counts.unexplained += 1;
     return isSettled;
   }
 
   /** Asks a worker that may be ordered what it holds, not too often. */
-  #askReport(row: WorkerRecord, onReport: (report: WorkerReport, isSettled: boolean) => void): void {
+  #sendReportRequest(row: WorkerRecord, onReport: (report: WorkerReport, isSettled: boolean) => void): void {
     const nowMs = this.#dependencies.nowMs();
     const { reportRequest, settling } = this.state(row);
-    if (reportRequest.open || nowMs < reportRequest.notBeforeMs || this.#dependencies.fence() === undefined)
+    if (
+      reportRequest.inFlight ||
+      nowMs < reportRequest.notBeforeMs ||
+      this.#dependencies.fence() === undefined
+    )
       return;
-    reportRequest.open = true;
+    reportRequest.inFlight = true;
     this.counts.reports += 1;
     this.#dependencies.report(row, (reply) => {
-      reportRequest.open = false;
-      reportRequest.unanswered = reply === 'no-answer' ? reportRequest.unanswered + 1 : 0;
-      const waitMs = Math.min(REPORT_RETRY_MAX_MS, REPORT_RETRY_FIRST_MS * 2 ** reportRequest.unanswered);
+      reportRequest.inFlight = false;
+      reportRequest.consecutiveUnanswered =
+        reply === 'no-answer' ? reportRequest.consecutiveUnanswered + 1 : 0;
+      const waitMs = Math.min(
+        REPORT_RETRY_MAX_MS,
+        REPORT_RETRY_INITIAL_MS * 2 ** reportRequest.consecutiveUnanswered,
+      );
       const repliedMs = this.#dependencies.nowMs();
       reportRequest.notBeforeMs = repliedMs + waitMs;
       if (reply === 'busy' || reply === 'no-answer' || this.#table.row(row.id) !== row) return;
@@ -272,7 +282,7 @@
 }
 
 /** How long a step waits that a busy worker did not take. */
-function retryMs({ adapter, busyReplies }: Step): number {
-  const firstMs = adapter === '' ? RETRY_FIRST_MS : RETRY_FIRST_MS * ADAPTER_RETRY_RATIO;
+function retryDelayMs({ adapter, busyReplies }: Step): number {
+  const firstMs = adapter === '' ? RETRY_INITIAL_MS : RETRY_INITIAL_MS * ADAPTER_RETRY_RATIO;
   return Math.min(RETRY_MAX_MS, firstMs * RETRY_GROWTH ** (busyReplies - 1));
 }
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -36,7 +36,7 @@
   /** Since when its model is asked for and stands nowhere; 0 for a further copy. */
   readonly ageMs: number;
   /** Requests that each present copy carries. */
-  readonly load: number;
+  readonly loadPerCopy: number;
 }
 
 /**
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -70,7 +70,7 @@
   return { arrivalsPerS, backlog: 0, adapters: new Map() };
 }
 
-function settle(
+function runPlacer(
   spec: Spec,
   workers: SpecPlacerWorker[],
   demands: Map<string, SpecModelDemand>,
@@ -91,7 +91,7 @@
 describe('placer', () => {
   it('fills free room and never places more than there is room for', () => {
     const spec = specOf(4);
-    const { workers } = settle(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 20);
+    const { workers } = runPlacer(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 20);
     expect(workers.map((one) => sizeMb(spec, one.holdings) <= one.roomMb)).toEqual([true, true]);
     expect(workers.flatMap((one) => one.holdings.map((held) => held.model)).sort()).toEqual([
       'm0',
@@ -103,11 +103,11 @@
 
   it('makes room for a rare model that is asked for, and then rests', () => {
     const spec = specOf(6);
-    const start = settle(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 10).workers;
+    const start = runPlacer(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 10).workers;
     const demands = new Map([['m5', demand(1)]]);
-    const moved = settle(spec, start, demands, 10, 100_000);
+    const moved = runPlacer(spec, start, demands, 10, 100_000);
     expect(moved.workers.some((one) => one.holdings.some((held) => held.model === 'm5'))).toEqual(true);
-    expect(settle(spec, moved.workers, demands, 60, 200_000).moves).toEqual(0);
+    expect(runPlacer(spec, moved.workers, demands, 60, 200_000).moves).toEqual(0);
   });
 
   it('adds a copy under pressure, in the other zone', () => {
@@ -116,7 +116,7 @@
       worker('w1', 'z1', [{ model: 'm0', adapters: [] }]),
       worker('w2', 'z2', [{ model: 'm1', adapters: [] }]),
     ];
-    const { workers } = settle(spec, start, new Map([['m0', demand(20)]]), 3);
+    const { workers } = runPlacer(spec, start, new Map([['m0', demand(20)]]), 3);
     expect(workers[1]?.holdings.map((held) => held.model)).toEqual(['m1', 'm0']);
   });
 
@@ -127,15 +127,15 @@
         .map((one) => one.zone);
     }
     const asked = new Map([['m0', demand(0.1)]]);
-    const start = settle(specOf(3), [worker('w1', 'z1'), worker('w2', 'z2')], asked, 10).workers;
+    const start = runPlacer(specOf(3), [worker('w1', 'z1'), worker('w2', 'z2')], asked, 10).workers;
     const more = new Map([...asked, ['m3', demand(0.5)]]);
-    const later = settle(specOf(4), start, more, 30, 100_000);
+    const later = runPlacer(specOf(4), start, more, 30, 100_000);
     expect([
       zonesOf(start, 'm0').sort(),
       zonesOf(later.workers, 'm3').length,
       zonesOf(later.workers, 'm0').length,
     ]).toEqual([['z1', 'z2'], 1, 2]);
-    expect(settle(specOf(4), later.workers, more, 60, 900_000).moves).toEqual(0);
+    expect(runPlacer(specOf(4), later.workers, more, 60, 900_000).moves).toEqual(0);
   });
 
   it('lets models take turns that are asked for alike where there are fewer places, no faster than the store', () => {
@@ -143,21 +143,21 @@
     const demands = new Map(spec.models.map(({ name }) => [name, demand(0.05)]));
     const placer = new SpecPlacer(SPEC_PLACER_SETTINGS);
     let now = [worker('w1', 'z1'), worker('w2', 'z2')];
-    const stood = new Set<string>();
+    const placed = new Set<string>();
     let moves = 0;
     for (let nowMs = 0; nowMs < 120_000; nowMs += 1000) {
       const changes = placer.step(spec, now, demands, nowMs);
       if (nowMs > 20_000) moves += Object.keys(changes).length;
       now = now.map((one) => ({ ...one, holdings: changes[one.name] ?? one.holdings }));
-      for (const { holdings } of now) for (const { model } of holdings) stood.add(model);
+      for (const { holdings } of now) for (const { model } of holdings) placed.add(model);
     }
-    const mostMoves = (100_000 / 60_000) * spec.store.pullsPerMinute * 0.5 + 1;
-    expect([stood.size, moves <= mostMoves]).toEqual([8, true]);
+    const maxMoves = (100_000 / 60_000) * spec.store.pullsPerMinute * 0.5 + 1;
+    expect([placed.size, moves <= maxMoves]).toEqual([8, true]);
   });
 
   it('puts nothing on a worker that may not be used', () => {
     const spec = specOf(2);
-    const { workers } = settle(
+    const { workers } = runPlacer(
       spec,
       [{ ...worker('w1', 'z1'), usable: false }, worker('w2', 'z2')],
       new Map(),
@@ -167,17 +167,17 @@
   });
 });
 
-class Yard {
+class OrderSenderHarness {
   epoch: number | undefined = 1;
   readonly orders: SpecOrder[] = [];
-  readonly waiting: (() => void)[] = [];
+  readonly pendingReplies: (() => void)[] = [];
   holdings: HoldingTarget[] = [];
   fails = false;
-  readonly orderer = new SpecOrderSender({
+  readonly sender = new SpecOrderSender({
     singletonEpoch: () => this.epoch,
     order: (order, done) => {
       this.orders.push(order);
-      this.waiting.push(() => done(this.#reply(order)));
+      this.pendingReplies.push(() => done(this.#reply(order)));
     },
     onWorkerState: () => undefined,
   });
@@ -190,11 +190,11 @@
   }
 
   tick(spec: Spec, target: HoldingTarget[], nowMs: number): void {
-    this.orderer.tick(spec, { w: target }, [{ name: 'w', roomMb: 1000 }], nowMs);
+    this.sender.tick(spec, { w: target }, [{ name: 'w', roomMb: 1000 }], nowMs);
   }
 
   reply(): void {
-    for (const done of this.waiting.splice(0)) done();
+    for (const done of this.pendingReplies.splice(0)) done();
   }
 
   get actions(): string[] {
@@ -206,96 +206,96 @@
   const target = [{ model: 'm1', adapters: [] }];
 
   it('asks first, unloads before it loads, one order at a time', () => {
-    const yard = new Yard();
-    yard.holdings = [{ model: 'm0', adapters: [] }];
+    const harness = new OrderSenderHarness();
+    harness.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
-      yard.tick(specOf(2), target, nowMs);
-      yard.tick(specOf(2), target, nowMs);
-      yard.reply();
+      harness.tick(specOf(2), target, nowMs);
+      harness.tick(specOf(2), target, nowMs);
+      harness.reply();
     }
-    expect(yard.actions).toEqual(['inventory', 'unload m0', 'load m1']);
+    expect(harness.actions).toEqual(['inventory', 'unload m0', 'load m1']);
   });
 
   it('leaves edges time to send no more to what it unloads', () => {
-    const yard = new Yard();
-    yard.holdings = [{ model: 'm0', adapters: [] }];
+    const harness = new OrderSenderHarness();
+    harness.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 1400; nowMs += 50) {
-      yard.tick(specOf(2), target, nowMs);
-      yard.reply();
+      harness.tick(specOf(2), target, nowMs);
+      harness.reply();
     }
-    expect(yard.actions).toEqual(['inventory']);
+    expect(harness.actions).toEqual(['inventory']);
   });
 
   it('orders nothing without the duty', () => {
-    const yard = new Yard();
-    yard.epoch = undefined;
-    for (let nowMs = 0; nowMs < 2000; nowMs += 50) yard.tick(specOf(2), target, nowMs);
-    expect(yard.actions).toEqual([]);
+    const harness = new OrderSenderHarness();
+    harness.epoch = undefined;
+    for (let nowMs = 0; nowMs < 2000; nowMs += 50) harness.tick(specOf(2), target, nowMs);
+    expect(harness.actions).toEqual([]);
   });
 
   it('asks again in a new epoch, and after an order whose outcome it does not know', () => {
-    const yard = new Yard();
-    yard.tick(specOf(2), [], 0);
-    yard.reply();
-    yard.epoch = 2;
-    yard.tick(specOf(2), target, 100);
-    yard.reply();
-    for (let nowMs = 150; yard.orders.length < 3; nowMs += 50) yard.tick(specOf(2), target, nowMs);
-    yard.fails = true;
-    yard.reply();
-    yard.fails = false;
-    yard.tick(specOf(2), target, 60_000);
-    yard.reply();
-    expect(yard.actions).toEqual(['inventory', 'inventory', 'load m1', 'inventory']);
+    const harness = new OrderSenderHarness();
+    harness.tick(specOf(2), [], 0);
+    harness.reply();
+    harness.epoch = 2;
+    harness.tick(specOf(2), target, 100);
+    harness.reply();
+    for (let nowMs = 150; harness.orders.length < 3; nowMs += 50) harness.tick(specOf(2), target, nowMs);
+    harness.fails = true;
+    harness.reply();
+    harness.fails = false;
+    harness.tick(specOf(2), target, 60_000);
+    harness.reply();
+    expect(harness.actions).toEqual(['inventory', 'inventory', 'load m1', 'inventory']);
   });
 
   it('pulls no faster than the store allows', () => {
-    const yard = new Yard();
+    const harness = new OrderSenderHarness();
     const spec = specOf(2, 12);
     let loads = 0;
     for (let nowMs = 0; nowMs < 60_000; nowMs += 50) {
-      yard.holdings = [];
-      yard.tick(spec, target, nowMs);
-      yard.reply();
-      loads = yard.orders.filter((order) => order.action === 'load').length;
+      harness.holdings = [];
+      harness.tick(spec, target, nowMs);
+      harness.reply();
+      loads = harness.orders.filter((order) => order.action === 'load').length;
     }
     expect(loads <= 12 && loads >= 10).toEqual(true);
   });
 
   it('loads first what is asked for most', () => {
-    const yard = new Yard();
+    const harness = new OrderSenderHarness();
     const two = ['m0', 'm1'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
-      yard.orderer.tick(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) =>
+      harness.sender.tick(specOf(2), { w: two }, [{ name: 'w', roomMb: 1000 }], nowMs, (model) =>
         model === 'm1' ? 2 : 1,
       );
-      yard.reply();
+      harness.reply();
     }
-    expect(yard.actions).toEqual(['inventory', 'load m1', 'load m0']);
+    expect(harness.actions).toEqual(['inventory', 'load m1', 'load m0']);
   });
 
   it('lets workers refuse what arrives late: after an open outcome it asks under a higher sequence', () => {
-    const yard = new Yard();
-    yard.tick(specOf(3), target, 0);
-    yard.reply();
-    yard.tick(specOf(3), target, 100);
-    const [, late] = yard.orders;
-    yard.fails = true;
-    yard.reply();
-    yard.fails = false;
-    yard.tick(specOf(3), [{ model: 'm2', adapters: [] }], 60_000);
-    const asked = yard.orders.at(-1);
+    const harness = new OrderSenderHarness();
+    harness.tick(specOf(3), target, 0);
+    harness.reply();
+    harness.tick(specOf(3), target, 100);
+    const [, late] = harness.orders;
+    harness.fails = true;
+    harness.reply();
+    harness.fails = false;
+    harness.tick(specOf(3), [{ model: 'm2', adapters: [] }], 60_000);
+    const asked = harness.orders.at(-1);
     expect([late?.action, asked?.action]).toEqual(['load', 'inventory']);
     expect([late?.epoch, (late?.sequence ?? 0) < (asked?.sequence ?? 0)]).toEqual([asked?.epoch, true]);
   });
 
   it('never orders more than the room holds', () => {
-    const yard = new Yard();
+    const harness = new OrderSenderHarness();
     const three = ['m0', 'm1', 'm2'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 5000; nowMs += 50) {
-      yard.tick(specOf(3), three, nowMs);
-      yard.reply();
+      harness.tick(specOf(3), three, nowMs);
+      harness.reply();
     }
-    expect(sizeMb(specOf(3), yard.holdings)).toEqual(800);
+    expect(sizeMb(specOf(3), harness.holdings)).toEqual(800);
   });
 });
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -2,12 +2,12 @@
 import { AdapterPlacement } from './adapter-placement.js';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
 import { DemandTotals, type Demand, type EdgeDemand } from './demand-totals.js';
-import { loadsAtOnce, type Engine } from './engine.js';
+import { maxConcurrentLoads, type Engine } from './engine.js';
 import { ModelPlacement, type LoadSource } from './model-placement.js';
 import { OrderSender, type OrderDependencies } from './order-sender.js';
 import type { CopyNeed, PlacementRound } from './placement-round.js';
 import { PLACEMENT_POLICY } from './policy.js';
-import { Retirement } from './copy-retirement.js';
+import { CopyRetirement } from './copy-retirement.js';
 import { StoreBudget, type LoadPurpose } from './store-budget.js';
 import { UnservedDemand } from './unserved-demand.js';
 import { Usage } from './usage.js';
@@ -49,9 +49,9 @@
   #unserved = new UnservedDemand();
   /** Since when something is asked for, by service. */
   #demandSinceMs = new Map<string, number>();
-  #retirement: Retirement;
-  #models: ModelPlacement;
-  #adapters: AdapterPlacement;
+  #retirement: CopyRetirement;
+  #modelPlacement: ModelPlacement;
+  #adapterPlacement: AdapterPlacement;
   /** Loads from the store, by service. */
   #budgets = new Map<string, StoreBudget>();
 
@@ -59,9 +59,9 @@
     this.#table = table;
     this.#dependencies = dependencies;
     this.#sender = new OrderSender(table, dependencies);
-    this.#retirement = new Retirement(table, this.#sender);
-    this.#models = new ModelPlacement(table, this.#sender, this.#copyDemand, this.#usage);
-    this.#adapters = new AdapterPlacement(table, this.#sender, this.#usage, this.#unserved);
+    this.#retirement = new CopyRetirement(table, this.#sender);
+    this.#modelPlacement = new ModelPlacement(table, this.#sender, this.#copyDemand, this.#usage);
+    this.#adapterPlacement = new AdapterPlacement(table, this.#sender, this.#usage, this.#unserved);
   }
 
   get counts(): Readonly<OrderSender['counts']> {
@@ -78,10 +78,10 @@
   plan(engines: ReadonlyMap<string, Engine>, evacuated: readonly string[], nowMs: number): void {
     this.#totals.expire(nowMs - DEMAND_TTL_MS);
     this.#unserved.expire(nowMs);
-    this.#sender.forgetRemoved();
+    this.#sender.dropRemovedWorkers();
     for (const engine of engines.values()) {
       const round = this.#newRound(engine, evacuated, nowMs);
-      this.#adapters.place(round);
+      this.#adapterPlacement.place(round);
       this.#retirement.retire(round);
       this.#placeModels(round, this.#needs(round), this.#budget(engine, nowMs));
     }
@@ -159,13 +159,13 @@
 
   #needs(round: PlacementRound): Needs {
     const needs: Needs = { 'first-copy': [], 'further-copy': [] };
-    const standing = new Set(round.rows.flatMap((row) => [...row.models.keys()]));
+    const loadedModels = new Set(round.rows.flatMap((row) => [...row.models.keys()]));
     for (const [model, demand] of round.demands) {
       const key = `${round.engine.service}/${model}`;
-      if (standing.has(model)) this.#unserved.recordServed(key);
+      if (loadedModels.has(model)) this.#unserved.recordServed(key);
       else if (demand.waiting > 0) this.#unserved.recordRequested(key, round.nowMs);
-      if ((round.copies.get(model) ?? 0) > 0) this.#addFurther(round, model, needs['further-copy']);
-      else if (demand.waiting > 0) needs['first-copy'].push(this.#firstCopy(round, model, demand));
+      if ((round.copies.get(model) ?? 0) > 0) this.#addFurtherCopyNeed(round, model, needs['further-copy']);
+      else if (demand.waiting > 0) needs['first-copy'].push(this.#firstCopyNeed(round, model, demand));
     }
     for (const list of Object.values(needs)) list.sort((one, other) => other.urgency - one.urgency);
     return needs;
@@ -175,30 +175,39 @@
    * What each waiting request is worth counts, and how long the model was requested and not served: so its turn comes. Requests
    * that cannot wait as long as a load takes are lost until it is done, those that are still to come too.
    */
-  #firstCopy({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
+  #firstCopyNeed({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
     const ageMs = this.#unserved.ageMs(`${engine.service}/${model}`, nowMs);
     const loadMs = engine.models.get(model)?.loadMs ?? 1000;
-    const lost =
+    const lostRequests =
       this.#usage.meanTargetMs(`${engine.service}/${model}`) < loadMs ? demand.perS * (loadMs / 1000) : 0;
     return {
       model,
       value:
         POLICY.firstCopyValue + Math.min(POLICY.maxWaitValue, (POLICY.waitValuePerLoad * ageMs) / loadMs),
-      urgency: demand.waiting + POLICY.lostRequestWeight * lost + (POLICY.urgencyPerLoad * ageMs) / loadMs,
+      urgency:
+        demand.waiting + POLICY.lostRequestWeight * lostRequests + (POLICY.urgencyPerLoad * ageMs) / loadMs,
       ageMs,
-      load: Infinity,
+      loadPerCopy: Infinity,
     };
   }
 
-  #addFurther({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
+  #addFurtherCopyNeed({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
     const target = targets.get(model);
-    const have = copies.get(model) ?? 0;
+    const planned = copies.get(model) ?? 0;
     const wanted = Math.min(rows.length, target?.desired ?? 0);
-    if (target === undefined || have >= wanted) return;
+    if (target === undefined || planned >= wanted) return;
     const { recent, expected, perCopy } = target;
-    const isHeavy = recent > POLICY.overloadRatio * have * perCopy;
-    const value = isHeavy ? POLICY.overloadedValue : POLICY.furtherCopyValue + (wanted - have) / wanted;
-    further.push({ model, value, urgency: expected - have * perCopy, ageMs: 0, load: recent / have });
+    const isOverloaded = recent > POLICY.overloadRatio * planned * perCopy;
+    const value = isOverloaded
+      ? POLICY.overloadedValue
+      : POLICY.furtherCopyValue + (wanted - planned) / wanted;
+    further.push({
+      model,
+      value,
+      urgency: expected - planned * perCopy,
+      ageMs: 0,
+      loadPerCopy: recent / planned,
+    });
   }
 
   /** Takes copies back into use, then loads what workers have on their own disks, then from the store. */
@@ -206,12 +215,12 @@
     const fromStore: Needs = { 'first-copy': [], 'further-copy': [] };
     for (const purpose of ['first-copy', 'further-copy'] as const)
       for (const need of needs[purpose]) {
-        if (this.#retirement.revive(round, need.model) || this.#place(round, need, 'disk')) continue;
-        if (!this.#models.isLoadedFromDiskSoon(round, need)) fromStore[purpose].push(need);
+        if (this.#retirement.restore(round, need.model) || this.#place(round, need, 'disk')) continue;
+        if (!this.#modelPlacement.isDiskLoadFaster(round, need)) fromStore[purpose].push(need);
       }
     let { loadingFromStore } = round;
-    const atOnce = loadsAtOnce(round.engine);
-    while (budget.isOpen && loadingFromStore < atOnce && this.#models.isAnyWorkerFree(round)) {
+    const maxLoads = maxConcurrentLoads(round.engine);
+    while (budget.mayLoad && loadingFromStore < maxLoads && this.#modelPlacement.isAnyWorkerFree(round)) {
       const { next } = budget;
       const other = next === 'first-copy' ? 'further-copy' : 'first-copy';
       const purpose = fromStore[next].length > 0 ? next : other;
@@ -224,7 +233,7 @@
   }
 
   #place(round: PlacementRound, need: CopyNeed, source: LoadSource): boolean {
-    const decision = this.#models.place(round, need, source);
+    const decision = this.#modelPlacement.place(round, need, source);
     if (decision === undefined) return false;
     this.#dependencies.onDecision(decision);
     return true;
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -8,28 +8,28 @@
 /** How many copies of a model its use asks for. */
 export interface CopyPolicy {
   /** What runs and waits at once is averaged over this time. */
-  readonly smoothMs: number;
+  readonly smoothingMs: number;
   /** Averages from which the trend is taken, in parts of the time of a load; they go over the least times at least. */
   readonly shortWindowLoads: number;
   readonly longWindowLoads: number;
   readonly minShortWindowMs: number;
   readonly minLongWindowMs: number;
   /** The trend is followed so many loads ahead; 0 switches it off. */
-  readonly trendLoads: number;
+  readonly trendHorizonLoads: number;
   /** No more than this many times what runs and waits lately is expected. */
   readonly maxGrowth: number;
   /** Copies are given up as slowly as this, so that a wave of demand does not move them to and fro. */
   readonly peakDecayMs: number;
   /** Part of a worker's slots that its copies should have in use: the set point of the copies' loop. */
-  readonly targetSlotUse: number;
+  readonly targetSlotUtilization: number;
   /** The same in requests at once, whatever the slots: reading prompts binds before slots do. */
   readonly targetInFlight: number;
   /** Where the wait for the first word should be, in parts of the target. */
   readonly targetWaitRatio: number;
   /** Rarely asked models say too little to steer by. */
   readonly minControlledPerS: number;
-  readonly loop: LoopSettings;
-  readonly loopMs: number;
+  readonly controller: LoopSettings;
+  readonly controlIntervalMs: number;
   /** A further copy is wanted only this much beyond the set point, in copies. */
   readonly deadBand: number;
 }
@@ -59,9 +59,9 @@
   /** Copies that are left may carry so many times their set point when one makes room for a first copy. */
   readonly maxRemainingLoadRatio: number;
   /** The last use of a model whose requests can wait for a load counts this part of another's; 1 switches it off. */
-  readonly patientRecencyWeight: number;
+  readonly delayTolerantRecencyWeight: number;
   /** Requests can wait for a load if their target latency is this many times the load's time. */
-  readonly patientTargetLoads: number;
+  readonly delayTolerantTargetLoads: number;
   /** Demand is watched for so many loads before it is known which copies are too many; 0 switches it off. */
   readonly observationLoads: number;
   readonly value: Readonly<Record<CopyStatus, number>>;
@@ -74,15 +74,15 @@
   | 'surplusActive'
   | 'idle'
   /** Added to `idle` for a model that was used just now; less the longer that is ago. */
-  | 'idleLately'
-  | 'burdened'
-  | 'unwatched'
-  | 'spareForFirst'
-  | 'rested'
+  | 'recentUseBonus'
+  | 'lessLoaded'
+  | 'unobserved'
+  | 'removableForFirstCopy'
+  | 'justUsed'
   | 'further'
-  | 'furtherForFirst'
+  | 'furtherForFirstCopy'
   | 'active'
-  | 'fresh';
+  | 'newlyLoaded';
 
 /** All settings of placement. */
 export interface PlacementPolicy {
@@ -94,20 +94,20 @@
 /** The policy that is in force. */
 export const PLACEMENT_POLICY: PlacementPolicy = {
   copies: {
-    smoothMs: 400,
+    smoothingMs: 400,
     shortWindowLoads: 0.25,
     longWindowLoads: 1,
     minShortWindowMs: 400,
     minLongWindowMs: 1600,
-    trendLoads: 1,
+    trendHorizonLoads: 1,
     maxGrowth: 2,
     peakDecayMs: 6000,
-    targetSlotUse: 0.2,
+    targetSlotUtilization: 0.2,
     targetInFlight: 7,
     targetWaitRatio: 0.2,
     minControlledPerS: 3,
-    loop: { gain: 0.4, integralPerS: 0.15, min: 0.6, max: 2.5, stepPerS: 0.8, deadBand: 0.25 },
-    loopMs: 200,
+    controller: { gain: 0.4, integralPerS: 0.15, min: 0.6, max: 2.5, stepPerS: 0.8, deadBand: 0.25 },
+    controlIntervalMs: 200,
     deadBand: 0.15,
   },
   needs: {
@@ -124,23 +124,23 @@
     recentUseMs: 400,
     maxVictimLoadRatio: 0.7,
     maxRemainingLoadRatio: 1.6,
-    patientRecencyWeight: 0.1,
-    patientTargetLoads: 1.2,
+    delayTolerantRecencyWeight: 0.1,
+    delayTolerantTargetLoads: 1.2,
     observationLoads: 2,
     value: {
       retired: 0.5,
       surplus: 1,
       surplusActive: 1.5,
       idle: 2,
-      idleLately: 2,
-      burdened: 3.5,
-      unwatched: 5,
-      spareForFirst: 6,
-      rested: 7.5,
+      recentUseBonus: 2,
+      lessLoaded: 3.5,
+      unobserved: 5,
+      removableForFirstCopy: 6,
+      justUsed: 7.5,
       further: 9,
-      furtherForFirst: 9.5,
+      furtherForFirstCopy: 9.5,
       active: 12,
-      fresh: 15,
+      newlyLoaded: 15,
     },
   },
 };
--- a/packages/placement/src/report-settling.ts
+++ b/packages/placement/src/report-settling.ts
@@ -5,7 +5,7 @@
  * Each value of a worker's report is as it stood up to so long before, and no two need be of one moment. Measured on
  * the platform: 250 ms at most, all values of one moment.
  */
-export const REPORT_AGE_MS = 300;
+export const MAX_REPORT_AGE_MS = 300;
 
 /**
  * Follows the reports of one worker that is at no order until its models are known to be those of its count.
@@ -22,9 +22,9 @@
 export class ReportSettling {
   #sequence = -1;
   /** When the first report with this count was replied. */
-  #countedMs = Infinity;
+  #sequenceSeenMs = Infinity;
   /** When the first reply came that shows the worker idle after its last order. */
-  #idleMs = Infinity;
+  #idleSeenMs = Infinity;
 
   /** Takes a report of an idle worker; says whether its models are those of its count. */
   observe({ sequence }: WorkerReport, askedMs: number, repliedMs: number): boolean {
@@ -32,12 +32,13 @@
     if (sequence === 0) return true;
     if (sequence !== this.#sequence) {
       this.#sequence = sequence;
-      this.#countedMs = repliedMs;
-      this.#idleMs = Infinity;
+      this.#sequenceSeenMs = repliedMs;
+      this.#idleSeenMs = Infinity;
       return false;
     }
-    if (askedMs - this.#idleMs >= REPORT_AGE_MS) return true;
-    if (this.#idleMs === Infinity && askedMs - this.#countedMs >= REPORT_AGE_MS) this.#idleMs = repliedMs;
+    if (askedMs - this.#idleSeenMs >= MAX_REPORT_AGE_MS) return true;
+    if (this.#idleSeenMs === Infinity && askedMs - this.#sequenceSeenMs >= MAX_REPORT_AGE_MS)
+      this.#idleSeenMs = repliedMs;
     return false;
   }
 }
--- a/packages/placement/src/serving.test.ts
+++ b/packages/placement/src/serving.test.ts
@@ -14,16 +14,16 @@
   loadsPerS: 9.8,
   placed: 126,
 };
-const BUSY_FAMILY = 50;
-const BUSY = 20;
+const BUSY_MODELS = 50;
+const BUSY_AT_ONCE = 20;
 const SHIFT_MS = 12_000;
-const PLAY_MS = 34_000;
+const RUN_MS = 34_000;
 
 /** The lower numbers are asked for more often. */
-function skewed(dice: SeededRandom, count: number, skew: number): number {
+function pickSkewed(random: SeededRandom, count: number, skew: number): number {
   let sum = 0;
   for (let place = 1; place <= count; place += 1) sum += place ** -skew;
-  let left = dice.next() * sum;
+  let left = random.next() * sum;
   for (let place = 1; place <= count; place += 1) {
     left -= place ** -skew;
     if (left < 0) return place - 1;
@@ -32,9 +32,9 @@
 }
 
 /** Which models are busy moves on by ten several times a day. */
-function busyModel(dice: SeededRandom, nowMs: number): string {
+function pickBusyModel(random: SeededRandom, nowMs: number): string {
   const first = Math.floor(nowMs / SHIFT_MS) * 10;
-  return `m${(first + skewed(dice, BUSY, 0.9)) % BUSY_FAMILY}`;
+  return `m${(first + pickSkewed(random, BUSY_AT_ONCE, 0.9)) % BUSY_MODELS}`;
 }
 
 const KINDS: readonly RequestKind[] = [
@@ -42,39 +42,39 @@
     perS: 466,
     patienceMs: 5000,
     runMs: 400,
-    pick: (dice, nowMs) => {
-      const model = busyModel(dice, nowMs);
-      return [model, dice.next() < 0.1 ? `a${Math.floor(dice.next() * 7)}` : ''];
+    pick: (random, nowMs) => {
+      const model = pickBusyModel(random, nowMs);
+      return [model, random.next() < 0.1 ? `a${Math.floor(random.next() * 7)}` : ''];
     },
   },
   {
     perS: 14,
     patienceMs: 4000,
     runMs: 1200,
-    pick: (dice, nowMs) => {
-      const model = busyModel(dice, nowMs);
-      return [model, dice.next() < 0.5 ? `a${Math.floor(dice.next() * 7)}` : ''];
+    pick: (random, nowMs) => {
+      const model = pickBusyModel(random, nowMs);
+      return [model, random.next() < 0.5 ? `a${Math.floor(random.next() * 7)}` : ''];
     },
   },
   {
     perS: 35,
     patienceMs: 12_000,
     runMs: 500,
-    pick: (dice) => [`m${BUSY_FAMILY + skewed(dice, SHAPE.models - BUSY_FAMILY, 0.4)}`, ''],
+    pick: (random) => [`m${BUSY_MODELS + pickSkewed(random, SHAPE.models - BUSY_MODELS, 0.4)}`, ''],
   },
 ];
 
-function isRare(name: string): boolean {
-  return Number(name.slice(1)) >= BUSY_FAMILY;
+function isRareModel(name: string): boolean {
+  return Number(name.slice(1)) >= BUSY_MODELS;
 }
 
-function isOften(name: string): boolean {
-  return !isRare(name);
+function isBusyModel(name: string): boolean {
+  return !isRareModel(name);
 }
 
 /** One name of ten may go unserved, and one more; the bound of the deployments. */
-function boundOf(fleet: Fleet): number {
-  return 1 + fleet.often().length / 10;
+function maxNeverServed(fleet: Fleet): number {
+  return 1 + fleet.frequentNames().length / 10;
 }
 
 describe('the placement of many more models than there are places', () => {
@@ -83,11 +83,14 @@
   it('serves in time whatever is asked for again and again', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
-      fleet.run(PLAY_MS, KINDS);
-      expect(fleet.wrong).toEqual([]);
+      fleet.run(RUN_MS, KINDS);
+      expect(fleet.violations).toEqual([]);
       expect(fleet.neverServed()).toEqual([]);
-      expect([fleet.share(isRare) > 0.85, fleet.share(isOften) > 0.93]).toEqual([true, true]);
-      expect(fleet.promptShare(isOften) > 0.45).toEqual(true);
+      expect([fleet.servedShare(isRareModel) > 0.85, fleet.servedShare(isBusyModel) > 0.93]).toEqual([
+        true,
+        true,
+      ]);
+      expect(fleet.promptShare(isBusyModel) > 0.45).toEqual(true);
     }
   });
 
@@ -95,20 +98,20 @@
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
       for (let change = 0; change < 4; change += 1) {
-        fleet.run(PLAY_MS / 4, KINDS);
+        fleet.run(RUN_MS / 4, KINDS);
         fleet.replaceCoordinator();
       }
-      expect(fleet.wrong).toEqual([]);
-      expect(fleet.neverServed().length <= boundOf(fleet)).toEqual(true);
+      expect(fleet.violations).toEqual([]);
+      expect(fleet.neverServed().length <= maxNeverServed(fleet)).toEqual(true);
     }
   });
 
   it('serves nearly all of it with half the store', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, { ...SHAPE, loadsPerS: SHAPE.loadsPerS / 2 });
-      fleet.run(PLAY_MS, KINDS);
-      expect(fleet.wrong).toEqual([]);
-      expect(fleet.neverServed().length <= boundOf(fleet)).toEqual(true);
+      fleet.run(RUN_MS, KINDS);
+      expect(fleet.violations).toEqual([]);
+      expect(fleet.neverServed().length <= maxNeverServed(fleet)).toEqual(true);
     }
   });
 });
--- a/packages/placement/src/spec-order-sender.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -40,26 +40,26 @@
 export type Urgency = (model: string, adapter: string) => number;
 
 interface WorkerChannel {
-  known: SpecWorkerState | undefined;
-  epoch: number;
+  state: SpecWorkerState | undefined;
+  inventoryEpoch: number;
   orderInFlight: boolean;
   notBeforeMs: number;
   failures: number;
   lastOrderMs: number;
   /** What is to be unloaded, and since when. */
-  surplus: { part: string; sinceMs: number } | undefined;
+  pendingUnload: { item: string; sinceMs: number } | undefined;
 }
 
-const INVENTORY_INTERVAL_MS = 5000;
+const INVENTORY_REFRESH_MS = 5000;
 /** Loads ordered in a later epoch have higher numbers. */
 const LOADS_PER_EPOCH = 65_536;
 /** By then every edge that may admit has heard of the new target and sends no more to what goes. */
 const UNLOAD_DELAY_MS = 1500;
 
 /** How many pulls the store allows: so many a minute, and so many at once. */
-class PullBucket {
+class PullLimiter {
   #bucket: TokenBucket;
-  #flying = 0;
+  #inFlight = 0;
 
   constructor(nowMs: number) {
     this.#bucket = new TokenBucket(nowMs);
@@ -68,14 +68,14 @@
   take(spec: Spec, nowMs: number): boolean {
     const perS = spec.store.pullsPerMinute / 60;
     this.#bucket.refill(perS, Math.max(1, Math.floor(perS)), nowMs);
-    if (!this.#bucket.isOpen || this.#flying >= spec.store.concurrentPulls) return false;
+    if (!this.#bucket.hasToken || this.#inFlight >= spec.store.concurrentPulls) return false;
     this.#bucket.take();
-    this.#flying += 1;
+    this.#inFlight += 1;
     return true;
   }
 
-  ended(): void {
-    this.#flying = Math.max(0, this.#flying - 1);
+  release(): void {
+    this.#inFlight = Math.max(0, this.#inFlight - 1);
   }
 }
 
@@ -90,17 +90,17 @@
 export class SpecOrderSender {
   #context: SpecOrderContext;
   #channels = new Map<string, WorkerChannel>();
-  #bucket: PullBucket | undefined;
+  #pullLimiter: PullLimiter | undefined;
   #epoch = 0;
   #sequence = 0;
-  #loads = 0;
+  #loadCount = 0;
 
   constructor(context: SpecOrderContext) {
     this.#context = context;
   }
 
   workerState(worker: string): SpecWorkerState | undefined {
-    return this.#channels.get(worker)?.known;
+    return this.#channels.get(worker)?.state;
   }
 
   tick(
@@ -114,104 +114,107 @@
     if (epoch === undefined) return;
     if (epoch !== this.#epoch) {
       this.#epoch = epoch;
-      this.#bucket = new PullBucket(nowMs);
+      this.#pullLimiter = new PullLimiter(nowMs);
     }
-    const loads: { name: string; bay: WorkerChannel; step: Step; urgency: number }[] = [];
+    const loads: { name: string; channel: WorkerChannel; step: Step; urgency: number }[] = [];
     for (const { name, roomMb } of workers) {
-      const bay = this.#channel(name);
-      if (bay.orderInFlight || nowMs < bay.notBeforeMs) continue;
-      const step = this.#next(bay, spec, placement[name] ?? [], roomMb, nowMs, urgency);
+      const channel = this.#channel(name);
+      if (channel.orderInFlight || nowMs < channel.notBeforeMs) continue;
+      const step = this.#nextStep(channel, spec, placement[name] ?? [], roomMb, nowMs, urgency);
       if (step?.action === 'load')
-        loads.push({ name, bay, step, urgency: urgency(step.model, step.adapter) });
-      else if (step !== undefined) this.#send(name, bay, epoch, step, nowMs);
+        loads.push({ name, channel, step, urgency: urgency(step.model, step.adapter) });
+      else if (step !== undefined) this.#send(name, channel, epoch, step, nowMs);
     }
     loads.sort((one, other) => other.urgency - one.urgency);
-    for (const { name, bay, step } of loads) {
-      if (this.#bucket?.take(spec, nowMs) !== true) return;
-      this.#send(name, bay, epoch, step, nowMs);
+    for (const { name, channel, step } of loads) {
+      if (this.#pullLimiter?.take(spec, nowMs) !== true) return;
+      this.#send(name, channel, epoch, step, nowMs);
     }
   }
 
   #channel(name: string): WorkerChannel {
-    let bay = this.#channels.get(name);
-    if (bay === undefined) {
-      bay = {
-        known: undefined,
-        epoch: 0,
+    let channel = this.#channels.get(name);
+    if (channel === undefined) {
+      channel = {
+        state: undefined,
+        inventoryEpoch: 0,
         orderInFlight: false,
         notBeforeMs: -Infinity,
         failures: 0,
         lastOrderMs: -Infinity,
-        surplus: undefined,
+        pendingUnload: undefined,
       };
-      this.#channels.set(name, bay);
+      this.#channels.set(name, channel);
     }
-    return bay;
+    return channel;
   }
 
-  #next(
-    bay: WorkerChannel,
+  #nextStep(
+    channel: WorkerChannel,
     spec: Spec,
     target: readonly HoldingTarget[],
     roomMb: number,
     nowMs: number,
     urgency: Urgency,
   ): Step | undefined {
-    const known = bay.known;
-    if (known === undefined || !known.reachable || bay.epoch !== this.#epoch) return INVENTORY;
-    const [surplus] = missing(target, known.holdings);
+    const state = channel.state;
+    if (state === undefined || !state.reachable || channel.inventoryEpoch !== this.#epoch) return INVENTORY;
+    const [surplus] = missingItems(target, state.holdings);
     if (surplus !== undefined) {
-      const part = `${surplus.model}/${surplus.adapter}`;
-      if (bay.surplus?.part !== part) bay.surplus = { part, sinceMs: nowMs };
-      return nowMs - bay.surplus.sinceMs >= UNLOAD_DELAY_MS ? { action: 'unload', ...surplus } : undefined;
+      const item = `${surplus.model}/${surplus.adapter}`;
+      if (channel.pendingUnload?.item !== item) channel.pendingUnload = { item, sinceMs: nowMs };
+      return nowMs - channel.pendingUnload.sinceMs >= UNLOAD_DELAY_MS
+        ? { action: 'unload', ...surplus }
+        : undefined;
     }
-    const [wanted] = missing(known.holdings, target).sort(
+    const [wanted] = missingItems(state.holdings, target).sort(
       (one, other) => urgency(other.model, other.adapter) - urgency(one.model, one.adapter),
     );
-    if (wanted === undefined) return nowMs - bay.lastOrderMs > INVENTORY_INTERVAL_MS ? INVENTORY : undefined;
-    const size = sizeMb(spec, known.holdings) + partMb(spec, wanted);
+    if (wanted === undefined)
+      return nowMs - channel.lastOrderMs > INVENTORY_REFRESH_MS ? INVENTORY : undefined;
+    const size = sizeMb(spec, state.holdings) + itemMb(spec, wanted);
     return size <= roomMb ? { action: 'load', ...wanted } : undefined;
   }
 
-  #send(name: string, bay: WorkerChannel, epoch: number, step: Step, nowMs: number): void {
+  #send(name: string, channel: WorkerChannel, epoch: number, step: Step, nowMs: number): void {
     this.#sequence += 1;
-    bay.orderInFlight = true;
-    bay.lastOrderMs = nowMs;
+    channel.orderInFlight = true;
+    channel.lastOrderMs = nowMs;
     const order: SpecOrder = { worker: name, epoch, sequence: this.#sequence, ...step };
-    const bucket = this.#bucket;
+    const pullLimiter = this.#pullLimiter;
     this.#context.order(order, (reply) => {
-      bay.orderInFlight = false;
-      if (step.action === 'load') bucket?.ended();
-      this.#onReply(name, bay, step, epoch, reply, nowMs);
+      channel.orderInFlight = false;
+      if (step.action === 'load') pullLimiter?.release();
+      this.#onReply(name, channel, step, epoch, reply, nowMs);
     });
   }
 
   #onReply(
     name: string,
-    bay: WorkerChannel,
+    channel: WorkerChannel,
     step: Step,
     epoch: number,
     reply: Result<SpecOrderReply, Fault>,
     nowMs: number,
   ): void {
-    const loads = new Map(bay.known?.loads);
+    const loads = new Map(channel.state?.loads);
     if (step.action === 'load' && step.adapter === '') {
-      this.#loads += 1;
-      loads.set(step.model, epoch * LOADS_PER_EPOCH + this.#loads);
+      this.#loadCount += 1;
+      loads.set(step.model, epoch * LOADS_PER_EPOCH + this.#loadCount);
     }
     if (reply.isErr) {
-      bay.failures += 1;
-      bay.notBeforeMs = nowMs + Math.min(4000, 500 * 2 ** bay.failures);
-      bay.epoch = 0;
-      const reachable = bay.failures < 2 && (bay.known?.reachable ?? false);
-      bay.known = { holdings: bay.known?.holdings ?? [], reachable, loads };
+      channel.failures += 1;
+      channel.notBeforeMs = nowMs + Math.min(4000, 500 * 2 ** channel.failures);
+      channel.inventoryEpoch = 0;
+      const reachable = channel.failures < 2 && (channel.state?.reachable ?? false);
+      channel.state = { holdings: channel.state?.holdings ?? [], reachable, loads };
     } else {
-      bay.failures = 0;
-      bay.epoch = reply.value.busy ? 0 : epoch;
-      if (reply.value.busy) bay.notBeforeMs = nowMs + 1000;
-      bay.known = { holdings: reply.value.holdings, reachable: true, loads };
+      channel.failures = 0;
+      channel.inventoryEpoch = reply.value.busy ? 0 : epoch;
+      if (reply.value.busy) channel.notBeforeMs = nowMs + 1000;
+      channel.state = { holdings: reply.value.holdings, reachable: true, loads };
     }
-    this.#context.onWorkerState(name, bay.known);
+    this.#context.onWorkerState(name, channel.state);
   }
 }
 
@@ -224,24 +227,24 @@
 const INVENTORY: Step = { action: 'inventory', model: '', adapter: '' };
 
 /** The parts of `wanted` that `held` lacks; of a model that is missing itself, only the model. */
-function missing(
+function missingItems(
   held: readonly HoldingTarget[],
   wanted: readonly HoldingTarget[],
 ): { model: string; adapter: string }[] {
   return wanted.flatMap(({ model, adapters }) => {
-    const there = held.find((holding) => holding.model === model);
-    if (there === undefined) return [{ model, adapter: '' }];
+    const loaded = held.find((holding) => holding.model === model);
+    if (loaded === undefined) return [{ model, adapter: '' }];
     return adapters
-      .filter((adapter) => !there.adapters.includes(adapter))
+      .filter((adapter) => !loaded.adapters.includes(adapter))
       .map((adapter) => ({ model, adapter }));
   });
 }
 
-function partMb(spec: Spec, part: { model: string; adapter: string }): number {
+function itemMb(spec: Spec, item: { model: string; adapter: string }): number {
   const known =
-    part.adapter === ''
-      ? spec.models.find((model) => model.name === part.model)
-      : spec.adapters.find((adapter) => adapter.name === part.adapter);
+    item.adapter === ''
+      ? spec.models.find((model) => model.name === item.model)
+      : spec.adapters.find((adapter) => adapter.name === item.adapter);
   return known?.sizeMb ?? Infinity;
 }
 
@@ -253,8 +256,8 @@
 export function sizeMb(spec: Spec, holdings: readonly HoldingTarget[]): number {
   let sumMb = 0;
   for (const { model, adapters } of holdings) {
-    sumMb += partMb(spec, { model, adapter: '' });
-    for (const adapter of adapters) sumMb += partMb(spec, { model, adapter });
+    sumMb += itemMb(spec, { model, adapter: '' });
+    for (const adapter of adapters) sumMb += itemMb(spec, { model, adapter });
   }
   return sumMb;
 }
--- a/packages/placement/src/spec-placement-needs.ts
+++ b/packages/placement/src/spec-placement-needs.ts
@@ -22,9 +22,9 @@
   readonly gain: number;
   /** The same, grown by how long its model was requested without being served. */
   readonly agedGain?: number;
-  readonly why: string;
+  readonly reason: string;
   /** Only in a zone that has none yet, so that it outlives the loss of a zone. */
-  readonly elsewhere?: boolean;
+  readonly newZoneOnly?: boolean;
 }
 
 /** Demand by model. */
@@ -54,15 +54,15 @@
 
   /** All needs, the most urgent first. */
   find(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): PlacementNeed[] {
-    const turnMs = this.#turnMs(spec, plans, demands, nowMs);
+    const rotationMs = this.#rotationMs(spec, plans, demands, nowMs);
     const needs: PlacementNeed[] = [];
     for (const { name: model } of spec.models) {
       const demand = demands.get(model);
-      const copies = copiesOf(model, plans);
-      needs.push(...this.#copyNeeds(model, demand, copies, this.#unserved.ageMs(model, nowMs) / turnMs));
+      const copies = usableHolders(model, plans);
+      needs.push(...this.#copyNeeds(model, demand, copies, this.#unserved.ageMs(model, nowMs) / rotationMs));
       needs.push(...this.#adapterNeeds(model, demand, copies));
     }
-    needs.push(...spareNeeds(spec, plans));
+    needs.push(...fillerNeeds(spec, plans));
     return needs.sort((one, other) => other.urgency - one.urgency);
   }
 
@@ -73,30 +73,32 @@
       (sum, plan) => sum + plan.worker.slots / Math.max(1, plan.holdings.size / 2),
       0,
     );
-    return (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.perSlotPerS * Math.max(1, slots));
+    return (
+      (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.targetPerSlotPerS * Math.max(1, slots))
+    );
   }
 
-  /** @param turns - for how many turns the model was requested and not served */
+  /** @param rotations - for how many turns the model was requested and not served */
   #copyNeeds(
     model: string,
     demand: SpecModelDemand | undefined,
     copies: readonly WorkerPlan[],
-    turns: number,
+    rotations: number,
   ): PlacementNeed[] {
     const needs: PlacementNeed[] = [];
     const pressure = this.pressure(demand, copies);
     if (copies.length === 0)
       needs.push({
         model,
-        urgency: demand === undefined ? 0 : URGENCY.missingModel + pressure + turns,
+        urgency: demand === undefined ? 0 : URGENCY.missingModel + pressure + rotations,
         gain: pressure,
-        agedGain: pressure * (1 + turns),
-        why: 'no copy',
+        agedGain: pressure * (1 + rotations),
+        reason: 'no copy',
       });
-    else if (pressure > this.#settings.above)
-      needs.push({ model, urgency: pressure, gain: pressure, why: `pressure ${pressure.toFixed(2)}` });
+    else if (pressure > this.#settings.addCopyAbove)
+      needs.push({ model, urgency: pressure, gain: pressure, reason: `pressure ${pressure.toFixed(2)}` });
     if (demand !== undefined && isInOneZone(copies))
-      needs.push({ model, urgency: URGENCY.secondZone, gain: 0, why: 'one zone only', elsewhere: true });
+      needs.push({ model, urgency: URGENCY.secondZone, gain: 0, reason: 'one zone only', newZoneOnly: true });
     return needs;
   }
 
@@ -115,8 +117,8 @@
           adapter,
           urgency: URGENCY.adapterSecondZone,
           gain: 0,
-          why: `adapter ${adapter} in one zone only`,
-          elsewhere: true,
+          reason: `adapter ${adapter} in one zone only`,
+          newZoneOnly: true,
         });
       if (copies.length === 0 || loaded.length > 0) continue;
       needs.push({
@@ -124,44 +126,44 @@
         adapter,
         urgency: URGENCY.missingAdapter + perS,
         gain: this.pressure({ arrivalsPerS: perS, backlog: 0, adapters: NO_ADAPTERS }, []),
-        why: `adapter ${adapter} asked for`,
+        reason: `adapter ${adapter} asked for`,
       });
     }
     return needs;
   }
 
   /** Records what is loaded nowhere; how long one turn lasts, so that all of it can be pulled meanwhile. */
-  #turnMs(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): number {
+  #rotationMs(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): number {
     this.#unserved.expire(nowMs);
     let missing = 0;
     for (const { name: model } of spec.models) {
-      if (copiesOf(model, plans).length > 0) this.#unserved.recordServed(model);
+      if (usableHolders(model, plans).length > 0) this.#unserved.recordServed(model);
       else if (demands.has(model)) {
         this.#unserved.recordRequested(model, nowMs);
         missing += 1;
       }
     }
-    return Math.max(this.#settings.restMs, missing * msPerPull(spec));
+    return Math.max(this.#settings.minResidenceMs, missing * pullIntervalMs(spec));
   }
 }
 
 /** Adapters that no copy of their model has, to fill free room. */
-function spareNeeds(spec: Spec, plans: readonly WorkerPlan[]): PlacementNeed[] {
+function fillerNeeds(spec: Spec, plans: readonly WorkerPlan[]): PlacementNeed[] {
   const needs: PlacementNeed[] = [];
   for (const { name: adapter, model } of spec.adapters) {
-    const copies = copiesOf(model, plans);
+    const copies = usableHolders(model, plans);
     if (copies.length > 0 && !copies.some((plan) => plan.holdings.get(model)?.has(adapter)))
-      needs.push({ model, adapter, urgency: URGENCY.spare, gain: 0, why: 'room for an adapter' });
+      needs.push({ model, adapter, urgency: URGENCY.spare, gain: 0, reason: 'room for an adapter' });
   }
   return needs;
 }
 
 /** Usable workers that are to have a model. */
-function copiesOf(model: string, plans: readonly WorkerPlan[]): WorkerPlan[] {
+function usableHolders(model: string, plans: readonly WorkerPlan[]): WorkerPlan[] {
   return plans.filter((plan) => plan.worker.usable && plan.holdings.has(model));
 }
 
-function msPerPull(spec: Spec): number {
+function pullIntervalMs(spec: Spec): number {
   return 60_000 / spec.store.pullsPerMinute;
 }
 
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -4,7 +4,7 @@
 import type { SpecPlacerSettings } from './spec-placer-settings.js';
 import {
   newWorkerPlan,
-  plannedMb,
+  modelWithAdaptersMb,
   sizesOf,
   targetOf,
   type SpecPlacerWorker,
@@ -14,7 +14,7 @@
 import { TokenBucket } from './token-bucket.js';
 
 /** Part of the store's pulls that may go to models whose turn it is. */
-const TURN_PULL_RATIO = 0.5;
+const ROTATION_PULL_RATIO = 0.5;
 
 /** What one step works on. */
 interface PlacerStep {
@@ -39,10 +39,10 @@
   #settings: SpecPlacerSettings;
   #needs: SpecPlacementNeeds;
   /** When a copy was placed, by `worker/model`. */
-  #movedMs = new Map<string, number>();
+  #placedMs = new Map<string, number>();
   #reasons = new Map<string, string>();
   /** Evictions that are allowed now because of how long a model was not served. */
-  #turns: TokenBucket | undefined;
+  #rotationBucket: TokenBucket | undefined;
 
   constructor(settings: SpecPlacerSettings) {
     this.#settings = settings;
@@ -63,7 +63,7 @@
   ): Record<string, HoldingTarget[]> {
     const sizes = sizesOf(spec);
     const plans = workers.map((worker) => newWorkerPlan(worker, sizes));
-    this.#refillTurns(spec, nowMs);
+    this.#refillRotationBucket(spec, nowMs);
     this.#meetNeeds(this.#needs.find(spec, plans, demands, nowMs), { plans, sizes, demands, nowMs });
     const changes: Record<string, HoldingTarget[]> = {};
     for (const plan of plans) {
@@ -72,19 +72,19 @@
     return changes;
   }
 
-  #refillTurns(spec: Spec, nowMs: number): void {
-    this.#turns ??= new TokenBucket(nowMs);
-    this.#turns.refill((TURN_PULL_RATIO * spec.store.pullsPerMinute) / 60, 1, nowMs);
+  #refillRotationBucket(spec: Spec, nowMs: number): void {
+    this.#rotationBucket ??= new TokenBucket(nowMs);
+    this.#rotationBucket.refill((ROTATION_PULL_RATIO * spec.store.pullsPerMinute) / 60, 1, nowMs);
   }
 
   /** Meets needs in their order, as far as room and the bounds of one step allow. */
   #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStep): void {
-    let { steps, fills } = this.#settings;
+    let { steps, fillBudget } = this.#settings;
     let isRoomShort = false;
     for (const need of needs) {
       if (isRoomShort && need.urgency <= 0) return;
-      if (fills > 0 && this.#fill(need, step.plans, step)) {
-        fills -= 1;
+      if (fillBudget > 0 && this.#fill(need, step.plans, step)) {
+        fillBudget -= 1;
         continue;
       }
       isRoomShort ||= need.urgency > 0;
@@ -96,10 +96,10 @@
   #fill(need: PlacementNeed, plans: readonly WorkerPlan[], { sizes, nowMs }: PlacerStep): boolean {
     const needMb = neededMb(need, sizes);
     const modelZones = zonesWith(plans, ({ holdings }) => holdings.has(need.model));
-    const occupiedZones = zonesWith(plans, (plan) => hasNeeded(plan, need));
-    const plan = fitting(need, plans)
+    const occupiedZones = zonesWith(plans, (plan) => isAlreadyMet(plan, need));
+    const plan = eligiblePlans(need, plans)
       .filter(({ freeMb }) => freeMb >= needMb)
-      .filter(({ worker }) => need.elsewhere !== true || !occupiedZones.has(worker.zone))
+      .filter(({ worker }) => need.newZoneOnly !== true || !occupiedZones.has(worker.zone))
       .sort(
         (one, other) =>
           Number(modelZones.has(one.worker.zone)) - Number(modelZones.has(other.worker.zone)) ||
@@ -111,8 +111,8 @@
     plan.holdings.set(need.model, adapters);
     plan.freeMb -= needMb;
     plan.changed = true;
-    this.#movedMs.set(`${plan.worker.name}/${need.model}`, nowMs);
-    this.#reasons.set(need.model, `${need.why}, put on ${plan.worker.name}`);
+    this.#placedMs.set(`${plan.worker.name}/${need.model}`, nowMs);
+    this.#reasons.set(need.model, `${need.reason}, put on ${plan.worker.name}`);
     return true;
   }
 
@@ -120,13 +120,13 @@
   #evictFor(need: PlacementNeed, step: PlacerStep): boolean {
     if (need.urgency <= 0) return false;
     const needMb = neededMb(need, step.sizes);
-    const victim = fitting(need, step.plans)
+    const victim = eligiblePlans(need, step.plans)
       .filter((plan) => !plan.evicted && plan.worker.roomMb >= needMb)
       .flatMap((plan) => this.#candidates(need, plan, step))
       .sort((one, other) => one.value - other.value)[0];
     if (victim === undefined || !this.#mayEvict(victim.value, need)) return false;
     const { plan, model } = victim;
-    plan.freeMb += plannedMb(plan, model, step.sizes);
+    plan.freeMb += modelWithAdaptersMb(plan, model, step.sizes);
     plan.holdings.delete(model);
     plan.changed = true;
     plan.evicted = true;
@@ -148,15 +148,19 @@
 
   /** Whether a need is worth a copy of this value; a need that has waited long may take a turn for it. */
   #mayEvict(value: number, need: PlacementNeed): boolean {
-    const { below } = this.#settings;
-    if (value < need.gain * below) return true;
-    if (value >= (need.agedGain ?? 0) * below || this.#turns?.isOpen !== true) return false;
-    this.#turns.take();
+    const { removeCopyBelow } = this.#settings;
+    if (value < need.gain * removeCopyBelow) return true;
+    if (value >= (need.agedGain ?? 0) * removeCopyBelow || this.#rotationBucket?.hasToken !== true)
+      return false;
+    this.#rotationBucket.take();
     return true;
   }
 
   #mayMove(plan: WorkerPlan, model: string, nowMs: number): boolean {
-    return nowMs - (this.#movedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) > this.#settings.restMs;
+    return (
+      nowMs - (this.#placedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) >
+      this.#settings.minResidenceMs
+    );
   }
 
   /** The pressure that the other copies of a model would carry without this one. */
@@ -169,7 +173,7 @@
 }
 
 /** Workers at which a need could be met: those with the model for an adapter, those without it for a copy. */
-function fitting(need: PlacementNeed, plans: readonly WorkerPlan[]): WorkerPlan[] {
+function eligiblePlans(need: PlacementNeed, plans: readonly WorkerPlan[]): WorkerPlan[] {
   return plans.filter((plan) => {
     const adapters = plan.holdings.get(need.model);
     return (
@@ -179,7 +183,7 @@
   });
 }
 
-function hasNeeded({ holdings }: WorkerPlan, { model, adapter }: PlacementNeed): boolean {
+function isAlreadyMet({ holdings }: WorkerPlan, { model, adapter }: PlacementNeed): boolean {
   return adapter === undefined ? holdings.has(model) : holdings.get(model)?.has(adapter) === true;
 }
 
--- a/packages/placement/src/spec-worker-plan.ts
+++ b/packages/placement/src/spec-worker-plan.ts
@@ -48,7 +48,11 @@
  * @example
  * plan.freeMb += plannedMb(plan, 'gearbox-7b', sizes);
  */
-export function plannedMb(plan: WorkerPlan, model: string, { modelMb, adapterMb }: SpecSizes): number {
+export function modelWithAdaptersMb(
+  plan: WorkerPlan,
+  model: string,
+  { modelMb, adapterMb }: SpecSizes,
+): number {
   let sumMb = modelMb.get(model) ?? 0;
   for (const adapter of plan.holdings.get(model) ?? []) sumMb += adapterMb.get(adapter) ?? 0;
   return sumMb;
@@ -68,11 +72,11 @@
       holdings.set(model, new Set(adapters.filter((adapter) => adapterMb.has(adapter))));
   }
   const plan: WorkerPlan = { worker, holdings, freeMb: worker.roomMb, changed: false, evicted: false };
-  for (const model of holdings.keys()) plan.freeMb -= plannedMb(plan, model, sizes);
+  for (const model of holdings.keys()) plan.freeMb -= modelWithAdaptersMb(plan, model, sizes);
   plan.changed = holdings.size !== worker.holdings.length || plan.freeMb < 0;
   for (const model of [...holdings.keys()].reverse()) {
     if (plan.freeMb >= 0) break;
-    plan.freeMb += plannedMb(plan, model, sizes);
+    plan.freeMb += modelWithAdaptersMb(plan, model, sizes);
     holdings.delete(model);
   }
   return plan;
--- a/packages/placement/src/store-budget.ts
+++ b/packages/placement/src/store-budget.ts
@@ -1,5 +1,5 @@
 /** The loads that the store of weights allows one service of the platform system. */
-import { loadsAtOnce, type Engine } from './engine.js';
+import { maxConcurrentLoads, type Engine } from './engine.js';
 import { TokenBucket } from './token-bucket.js';
 
 /** What a load from the store is for. */
@@ -20,29 +20,29 @@
 export class StoreBudget {
   #bucket: TokenBucket;
   /** First copies that were loaded beyond further ones, within a few loads. */
-  #lead = 0;
+  #firstCopyLead = 0;
 
   constructor(nowMs: number) {
     this.#bucket = new TokenBucket(nowMs);
   }
 
   refill(engine: Engine, nowMs: number): void {
-    this.#bucket.refill(engine.loadsPerS, loadsAtOnce(engine), nowMs);
+    this.#bucket.refill(engine.loadsPerS, maxConcurrentLoads(engine), nowMs);
   }
 
   /** Whether a load may begin now. */
-  get isOpen(): boolean {
-    return this.#bucket.isOpen;
+  get mayLoad(): boolean {
+    return this.#bucket.hasToken;
   }
 
   /** Which of the two has had fewer loads and comes first. */
   get next(): LoadPurpose {
-    return this.#lead > 0 ? 'further-copy' : 'first-copy';
+    return this.#firstCopyLead > 0 ? 'further-copy' : 'first-copy';
   }
 
   take(purpose: LoadPurpose): void {
     this.#bucket.take();
-    const lead = this.#lead + (purpose === 'first-copy' ? 1 : -1);
-    this.#lead = Math.max(-1, Math.min(1, lead));
+    const firstCopyLead = this.#firstCopyLead + (purpose === 'first-copy' ? 1 : -1);
+    this.#firstCopyLead = Math.max(-1, Math.min(1, firstCopyLead));
   }
 }
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -8,12 +8,12 @@
 
 const SERVICE = 'assist';
 const HEARTBEAT_MS = 20;
-const DISK_PART = 0.15;
-const ADAPTER_MS = 10;
+const DISK_LOAD_RATIO = 0.15;
+const ADAPTER_LOAD_MS = 10;
 const UNLOAD_MS = 15;
 const PROMPT_MS = 500;
 /** With so many requests at once a worker takes twice as long for each. */
-const SLOWER_AT = 24;
+const HALF_SPEED_AT = 24;
 
 /** One kind of requests. */
 export interface RequestKind {
@@ -21,7 +21,7 @@
   readonly patienceMs: number;
   readonly runMs: number;
   /** What a request that arrives now is for: a model, and an adapter of it or an empty name. */
-  pick(dice: SeededRandom, nowMs: number): readonly [string, string];
+  pick(random: SeededRandom, nowMs: number): readonly [string, string];
 }
 
 /** What a fleet is like. */
@@ -38,8 +38,8 @@
 }
 
 /** How a model, or an adapter of one, was served. */
-export interface Service {
-  asked: number;
+export interface ServiceCount {
+  requested: number;
   served: number;
   /** Of them, those that were begun within half a second. */
   prompt: number;
@@ -47,7 +47,7 @@
   lastMs: number;
 }
 
-interface Running {
+interface RunningRequest {
   readonly request: Request;
   readonly endMs: number;
 }
@@ -55,23 +55,23 @@
 interface Request {
   readonly model: string;
   readonly adapter: string;
-  readonly bornMs: number;
-  readonly endMs: number;
+  readonly arrivedMs: number;
+  readonly deadlineMs: number;
   readonly runMs: number;
 }
 
-interface Doing {
+interface ActiveOrder {
   readonly order: WorkerOrder;
   untilMs: number;
 }
 
 class FleetWorker {
   readonly id: string;
-  readonly held = new Map<string, Set<string>>();
+  readonly holdings = new Map<string, Set<string>>();
   readonly onDisk = new Set<string>();
   sequence = 0;
-  doing: Doing | undefined;
-  running: Running[] = [];
+  activeOrder: ActiveOrder | undefined;
+  running: RunningRequest[] = [];
 
   constructor(id: string) {
     this.id = id;
@@ -93,10 +93,10 @@
  */
 export class Fleet {
   nowMs = 1000;
-  readonly served = new Map<string, Service>();
+  readonly serviceByName = new Map<string, ServiceCount>();
   readonly loadsFromStore: number[] = [];
   /** Rules that were broken. */
-  readonly wrong: string[] = [];
+  readonly violations: string[] = [];
   loadsFromDisk = 0;
   #shape: FleetShape;
   #engine: Engine;
@@ -129,17 +129,17 @@
     const workers = [...this.#workers.values()];
     for (let place = 0; place < Math.min(shape.placed, shape.workers * shape.modelsEach); place += 1) {
       const worker = workers[place % shape.workers];
-      worker?.held.set(`m${place % shape.models}`, new Set());
+      worker?.holdings.set(`m${place % shape.models}`, new Set());
       worker?.onDisk.add(`m${place % shape.models}`);
     }
-    this.#list();
+    this.#applyWorkerList();
   }
 
   /** Another coordinator takes over, and knows no more than what workers say. */
   replaceCoordinator(): void {
     this.#table = new WorkerTable();
     this.#planner = this.#newPlanner();
-    this.#list();
+    this.#applyWorkerList();
   }
 
   /** Requests arrive for a while. */
@@ -148,7 +148,7 @@
       for (const kind of kinds) this.#arrive(kind);
       this.#endRuns();
       this.#dispatch();
-      this.#planner.updateDemand('edge', this.#wants(), this.nowMs);
+      this.#planner.updateDemand('edge', this.#edgeDemands(), this.nowMs);
       const engines = new Map([[SERVICE, this.#engine]]);
       this.#planner.plan(engines, [], this.nowMs);
       this.#planner.sendDueOrders(engines, this.nowMs);
@@ -157,47 +157,47 @@
 
   /** Names that were asked for four times or more, over eight seconds or more, and were never served. */
   neverServed(): string[] {
-    return this.often().filter((name) => this.served.get(name)?.served === 0);
+    return this.frequentNames().filter((name) => this.serviceByName.get(name)?.served === 0);
   }
 
   /** Names that were asked for four times or more, over eight seconds or more. */
-  often(): string[] {
-    return [...this.served]
-      .filter(([, { asked, firstMs, lastMs }]) => asked >= 4 && lastMs - firstMs >= 8000)
+  frequentNames(): string[] {
+    return [...this.serviceByName]
+      .filter(([, { requested, firstMs, lastMs }]) => requested >= 4 && lastMs - firstMs >= 8000)
       .map(([name]) => name);
   }
 
   /** Share of the requests for some names that were served. */
-  share(names: (name: string) => boolean): number {
-    let asked = 0;
+  servedShare(names: (name: string) => boolean): number {
+    let requested = 0;
     let served = 0;
-    for (const [name, service] of this.served) {
+    for (const [name, service] of this.serviceByName) {
       if (name.includes('/') || !names(name)) continue;
-      asked += service.asked;
+      requested += service.requested;
       served += service.served;
     }
-    return served / Math.max(1, asked);
+    return served / Math.max(1, requested);
   }
 
   /** Share of the requests for some names that were begun within half a second. */
   promptShare(names: (name: string) => boolean): number {
-    const chosen = [...this.served].filter(([name]) => !name.includes('/') && names(name));
-    const asked = chosen.reduce((sum, [, service]) => sum + service.asked, 0);
-    return chosen.reduce((sum, [, service]) => sum + service.prompt, 0) / Math.max(1, asked);
+    const chosen = [...this.serviceByName].filter(([name]) => !name.includes('/') && names(name));
+    const requested = chosen.reduce((sum, [, service]) => sum + service.requested, 0);
+    return chosen.reduce((sum, [, service]) => sum + service.prompt, 0) / Math.max(1, requested);
   }
 
   #newPlanner(): PlacementPlanner {
     return new PlacementPlanner(this.#table, {
       fence: () => 1,
-      order: (row, order, done) => done(this.#take(row, order)),
+      order: (row, order, done) => done(this.#acceptOrder(row, order)),
       report: (row, done) => done(this.#report(row.id)),
       nowMs: () => this.nowMs,
       onDecision: () => undefined,
     });
   }
 
-  #list(): void {
-    const list = [...this.#workers.values()].map(({ id, held }) => ({
+  #applyWorkerList(): void {
+    const list = [...this.#workers.values()].map(({ id, holdings }) => ({
       id,
       service: SERVICE,
       address: `${id}:80`,
@@ -205,7 +205,7 @@
       slots: this.#shape.slots,
       draining: false,
       warmUpMs: 0,
-      models: held,
+      models: holdings,
     }));
     this.#table.learn(list, this.nowMs);
   }
@@ -215,13 +215,25 @@
     for (; due > 0; due -= 1) {
       if (due < 1 && this.#random.next() >= due) return;
       const [model, adapter] = pick(this.#random, this.nowMs);
-      this.#waiting.push({ model, adapter, bornMs: this.nowMs, endMs: this.nowMs + patienceMs, runMs });
+      this.#waiting.push({
+        model,
+        adapter,
+        arrivedMs: this.nowMs,
+        deadlineMs: this.nowMs + patienceMs,
+        runMs,
+      });
       for (const name of namesOf(model, adapter)) {
-        const known = this.served.get(name);
+        const known = this.serviceByName.get(name);
         if (known === undefined)
-          this.served.set(name, { asked: 1, served: 0, prompt: 0, firstMs: this.nowMs, lastMs: this.nowMs });
+          this.serviceByName.set(name, {
+            requested: 1,
+            served: 0,
+            prompt: 0,
+            firstMs: this.nowMs,
+            lastMs: this.nowMs,
+          });
         else {
-          known.asked += 1;
+          known.requested += 1;
           known.lastMs = this.nowMs;
         }
       }
@@ -231,7 +243,7 @@
   #endRuns(): void {
     for (const worker of this.#workers.values()) {
       worker.running = worker.running.filter(({ endMs }) => endMs > this.nowMs);
-      this.#settle(worker);
+      this.#completeOrder(worker);
     }
   }
 
@@ -239,10 +251,10 @@
   #dispatch(): void {
     const rows = [...this.#table.rows];
     this.#waiting = this.#waiting.filter((request) => {
-      if (request.endMs <= this.nowMs) return false;
+      if (request.deadlineMs <= this.nowMs) return false;
       const worker = this.#workerFor(request, rows);
       if (worker === undefined) return true;
-      this.#run(request, worker);
+      this.#start(request, worker);
       return false;
     });
   }
@@ -255,36 +267,36 @@
       const adapters = row.models.get(model);
       if (worker === undefined || adapters === undefined) continue;
       if (adapter !== '' && !adapters.has(adapter)) continue;
-      if (worker.running.length >= this.#shape.slots || !worker.held.has(model)) continue;
+      if (worker.running.length >= this.#shape.slots || !worker.holdings.has(model)) continue;
       if (best === undefined || worker.running.length < best.running.length) best = worker;
     }
     return best;
   }
 
-  #run(request: Request, worker: FleetWorker): void {
-    const slowdown = 1 + worker.running.length / SLOWER_AT;
+  #start(request: Request, worker: FleetWorker): void {
+    const slowdown = 1 + worker.running.length / HALF_SPEED_AT;
     worker.running.push({ request, endMs: this.nowMs + request.runMs * slowdown });
-    const isPrompt = this.nowMs - request.bornMs <= PROMPT_MS;
+    const isPrompt = this.nowMs - request.arrivedMs <= PROMPT_MS;
     for (const name of namesOf(request.model, request.adapter)) {
-      const known = this.served.get(name);
+      const known = this.serviceByName.get(name);
       if (known === undefined) continue;
       known.served += 1;
       if (isPrompt) known.prompt += 1;
     }
   }
 
-  #wants(): EdgeDemand[] {
-    const wants = new Map<string, { waiting: number; inFlight: number }>();
-    function want(model: string, adapter: string): { waiting: number; inFlight: number } {
+  #edgeDemands(): EdgeDemand[] {
+    const demands = new Map<string, { waiting: number; inFlight: number }>();
+    function demandOf(model: string, adapter: string): { waiting: number; inFlight: number } {
       const key = `${model}/${adapter}`;
-      const known = wants.get(key) ?? { waiting: 0, inFlight: 0 };
-      wants.set(key, known);
+      const known = demands.get(key) ?? { waiting: 0, inFlight: 0 };
+      demands.set(key, known);
       return known;
     }
-    for (const { model, adapter } of this.#waiting) want(model, adapter).waiting += 1;
+    for (const { model, adapter } of this.#waiting) demandOf(model, adapter).waiting += 1;
     for (const worker of this.#workers.values())
-      for (const { request } of worker.running) want(request.model, request.adapter).inFlight += 1;
-    return [...wants].map(([key, counts]) => {
+      for (const { request } of worker.running) demandOf(request.model, request.adapter).inFlight += 1;
+    return [...demands].map(([key, counts]) => {
       const [model = '', adapter = ''] = key.split('/');
       return {
         service: SERVICE,
@@ -301,62 +313,64 @@
   #report(id: string): ReportReply {
     const worker = this.#workers.get(id);
     if (worker === undefined) return 'no-answer';
-    return worker.doing === undefined ? { holdings: worker.held, sequence: worker.sequence } : 'busy';
+    return worker.activeOrder === undefined
+      ? { holdings: worker.holdings, sequence: worker.sequence }
+      : 'busy';
   }
 
-  #take(row: WorkerRecord, order: WorkerOrder): WorkerOrderReply {
+  #acceptOrder(row: WorkerRecord, order: WorkerOrder): WorkerOrderReply {
     const worker = this.#workers.get(row.id);
     if (worker === undefined) return 'wrong-worker';
-    this.#settle(worker);
-    if (worker.doing !== undefined || order.sequence !== worker.sequence) return 'busy';
-    const adapters = worker.held.get(order.model);
-    const isThere = order.adapter === '' ? adapters !== undefined : adapters?.has(order.adapter) === true;
-    if (isThere === (order.action === 'load')) return 'held';
+    this.#completeOrder(worker);
+    if (worker.activeOrder !== undefined || order.sequence !== worker.sequence) return 'busy';
+    const adapters = worker.holdings.get(order.model);
+    const isLoaded = order.adapter === '' ? adapters !== undefined : adapters?.has(order.adapter) === true;
+    if (isLoaded === (order.action === 'load')) return 'held';
     if (order.adapter !== '' && adapters === undefined) return 'wrong-worker';
     worker.sequence += 1;
-    worker.doing = { order, untilMs: this.nowMs + this.#durationMs(worker, order) };
+    worker.activeOrder = { order, untilMs: this.nowMs + this.#durationMs(worker, order) };
     return 'begun';
   }
 
   #durationMs(worker: FleetWorker, { action, model, adapter }: WorkerOrder): number {
     if (action === 'unload') return UNLOAD_MS;
-    if (adapter !== '') return ADAPTER_MS;
+    if (adapter !== '') return ADAPTER_LOAD_MS;
     if (worker.onDisk.has(model)) {
       this.loadsFromDisk += 1;
-      return this.#shape.loadMs * DISK_PART;
+      return this.#shape.loadMs * DISK_LOAD_RATIO;
     }
-    this.#checkStore();
+    this.#recordStoreLoad();
     let loading = 1;
-    for (const { doing } of this.#workers.values())
-      if (doing?.order.action === 'load' && doing.order.adapter === '') loading += 1;
-    const atOnce = (this.#shape.loadsPerS * this.#shape.loadMs) / 1000;
-    return this.#shape.loadMs * Math.max(1, loading / atOnce);
+    for (const { activeOrder } of this.#workers.values())
+      if (activeOrder?.order.action === 'load' && activeOrder.order.adapter === '') loading += 1;
+    const maxLoads = (this.#shape.loadsPerS * this.#shape.loadMs) / 1000;
+    return this.#shape.loadMs * Math.max(1, loading / maxLoads);
   }
 
-  #checkStore(): void {
+  #recordStoreLoad(): void {
     this.loadsFromStore.push(this.nowMs);
     const inWindow = this.loadsFromStore.filter((atMs) => atMs > this.nowMs - 5000).length;
-    if (inWindow > this.#shape.loadsPerS * 5 * 1.1 + 3) this.wrong.push(`${inWindow} loads in 5 s`);
+    if (inWindow > this.#shape.loadsPerS * 5 * 1.1 + 3) this.violations.push(`${inWindow} loads in 5 s`);
   }
 
   /** Ends what a worker does; an unload waits for the runs that need what it removes. */
-  #settle(worker: FleetWorker): void {
-    const { doing } = worker;
-    if (doing === undefined || doing.untilMs > this.nowMs) return;
-    const { action, model, adapter } = doing.order;
+  #completeOrder(worker: FleetWorker): void {
+    const { activeOrder } = worker;
+    if (activeOrder === undefined || activeOrder.untilMs > this.nowMs) return;
+    const { action, model, adapter } = activeOrder.order;
     if (action === 'unload' && worker.uses(model, adapter)) return;
-    worker.doing = undefined;
-    if (action === 'unload' && adapter === '') worker.held.delete(model);
-    else if (action === 'unload') worker.held.get(model)?.delete(adapter);
-    else if (adapter !== '') worker.held.get(model)?.add(adapter);
+    worker.activeOrder = undefined;
+    if (action === 'unload' && adapter === '') worker.holdings.delete(model);
+    else if (action === 'unload') worker.holdings.get(model)?.delete(adapter);
+    else if (adapter !== '') worker.holdings.get(model)?.add(adapter);
     else {
-      worker.held.set(model, new Set());
+      worker.holdings.set(model, new Set());
       worker.onDisk.add(model);
     }
     let adapters = 0;
-    for (const names of worker.held.values()) adapters += names.size;
-    if (worker.held.size > this.#shape.modelsEach || adapters > this.#shape.adapterPlaces)
-      this.wrong.push(`${worker.id} holds ${worker.held.size} models and ${adapters} adapters`);
+    for (const names of worker.holdings.values()) adapters += names.size;
+    if (worker.holdings.size > this.#shape.modelsEach || adapters > this.#shape.adapterPlaces)
+      this.violations.push(`${worker.id} holds ${worker.holdings.size} models and ${adapters} adapters`);
   }
 }
 
--- a/packages/placement/src/unserved-demand.ts
+++ b/packages/placement/src/unserved-demand.ts
@@ -7,7 +7,7 @@
 }
 
 /** Nobody has asked for it for so long: the next request begins anew. */
-const UNSERVED_RETENTION_MS = 30_000;
+const UNSERVED_TTL_MS = 30_000;
 
 /**
  * Remembers since when models and adapters were asked for and could be had
@@ -22,9 +22,9 @@
 
   /** It is asked for, and can be had nowhere. */
   recordRequested(key: string, nowMs: number): void {
-    const spell = this.#spans.get(key);
-    if (spell === undefined) this.#spans.set(key, { sinceMs: nowMs, lastRequestedMs: nowMs });
-    else spell.lastRequestedMs = nowMs;
+    const span = this.#spans.get(key);
+    if (span === undefined) this.#spans.set(key, { sinceMs: nowMs, lastRequestedMs: nowMs });
+    else span.lastRequestedMs = nowMs;
   }
 
   /** It can be had. */
@@ -33,13 +33,13 @@
   }
 
   ageMs(key: string, nowMs: number): number {
-    const spell = this.#spans.get(key);
-    return spell === undefined ? 0 : nowMs - spell.sinceMs;
+    const span = this.#spans.get(key);
+    return span === undefined ? 0 : nowMs - span.sinceMs;
   }
 
   /** Forgets what nobody has asked for lately. */
   expire(nowMs: number): void {
     for (const [key, { lastRequestedMs }] of this.#spans)
-      if (nowMs - lastRequestedMs > UNSERVED_RETENTION_MS) this.#spans.delete(key);
+      if (nowMs - lastRequestedMs > UNSERVED_TTL_MS) this.#spans.delete(key);
   }
 }
--- a/packages/placement/src/usage.ts
+++ b/packages/placement/src/usage.ts
@@ -1,6 +1,6 @@
 /** When models and adapters of the platform system were last used. */
 
-interface Use {
+interface UsageRecord {
   /** When it was last in use; endless ago if it was only asked for. */
   usedMs: number;
   /** How long its requests can wait without loss; 0 if unknown. */
@@ -15,30 +15,30 @@
  * usage.idleMs('assist/model-1', nowMs); // 0
  */
 export class Usage {
-  #uses = new Map<string, Use>();
+  #records = new Map<string, UsageRecord>();
 
   recordUse(key: string, nowMs: number): void {
-    this.#use(key).usedMs = nowMs;
+    this.#record(key).usedMs = nowMs;
   }
 
   /** Takes the mean patience of the requests for a model, where it is known. */
-  recordTarget(key: string, patienceMs: number): void {
-    if (patienceMs > 0) this.#use(key).meanTargetMs = patienceMs;
+  recordTarget(key: string, meanTargetMs: number): void {
+    if (meanTargetMs > 0) this.#record(key).meanTargetMs = meanTargetMs;
   }
 
   /** How long it has not been used; endless if it never was. */
   idleMs(key: string, nowMs: number): number {
-    return nowMs - (this.#uses.get(key)?.usedMs ?? -Infinity);
+    return nowMs - (this.#records.get(key)?.usedMs ?? -Infinity);
   }
 
   /** How long the requests for a model can wait without loss; 0 if none was seen. */
   meanTargetMs(key: string): number {
-    return this.#uses.get(key)?.meanTargetMs ?? 0;
+    return this.#records.get(key)?.meanTargetMs ?? 0;
   }
 
-  #use(key: string): Use {
-    const use = this.#uses.get(key) ?? { usedMs: -Infinity, meanTargetMs: 0 };
-    this.#uses.set(key, use);
-    return use;
+  #record(key: string): UsageRecord {
+    const record = this.#records.get(key) ?? { usedMs: -Infinity, meanTargetMs: 0 };
+    this.#records.set(key, record);
+    return record;
   }
 }
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -22,7 +22,7 @@
   busyReplies: number;
   notBeforeMs: number;
   /** When it will be done without another word. */
-  doneMs: number;
+  expectedDoneMs: number;
 }
 
 /**
@@ -41,20 +41,20 @@
     inFlight: false,
     busyReplies: 0,
     notBeforeMs,
-    doneMs: Infinity,
+    expectedDoneMs: Infinity,
   };
 }
 
 /** After a refusal a worker gets no new order for so long; twice as long after each further one. */
-const REJECTED_BACKOFF_MS = 250;
-const REJECTED_BACKOFF_MAX_MS = 4000;
+const REJECTION_BACKOFF_MS = 250;
+const REJECTION_BACKOFF_MAX_MS = 4000;
 
 /** Questions to one worker what it holds. */
 export interface ReportRequest {
-  open: boolean;
+  inFlight: boolean;
   notBeforeMs: number;
   /** How many in a row had no answer. */
-  unanswered: number;
+  consecutiveUnanswered: number;
 }
 
 /**
@@ -75,18 +75,22 @@
   /** Since when it holds a model. */
   readonly loadedSinceMs = new Map<string, number>();
   /** When it was asked what it holds. */
-  readonly reportRequest: ReportRequest = { open: false, notBeforeMs: -Infinity, unanswered: 0 };
+  readonly reportRequest: ReportRequest = {
+    inFlight: false,
+    notBeforeMs: -Infinity,
+    consecutiveUnanswered: 0,
+  };
   /** How many orders it has taken; known once it has reported. */
   sequence = 0;
   /** When it last took an order. */
-  acceptedMs = -Infinity;
+  lastAcceptedMs = -Infinity;
   /** Until when it is left alone after it refused orders. */
   backoffUntilMs = -Infinity;
   readonly settling = new ReportSettling();
   #holdings: Map<string, Set<string>>;
-  #isExact = false;
+  #hasReported = false;
   /** Orders with the present count that had no usable answer: any one of them may have been taken, or may still be. */
-  #unanswered: Step[] = [];
+  #unansweredOrders: Step[] = [];
   #steps: Step[] = [];
   #planned: Map<string, Set<string>> | undefined;
   #rejections = 0;
@@ -107,21 +111,21 @@
 
   /** What it will hold once all steps are done. */
   get planned(): Holdings {
-    this.#planned ??= this.#project();
+    this.#planned ??= this.#projectHoldings();
     return this.#planned;
   }
 
   /** Whether `holdings` are what it holds after `sequence` orders; until it has reported they are only listed. */
-  get isExact(): boolean {
-    return this.#isExact;
+  get hasReported(): boolean {
+    return this.#hasReported;
   }
 
   /** Takes a worker's own word, in place of all that was believed and decided. */
-  adopt(report: WorkerReport): void {
+  applyReport(report: WorkerReport): void {
     this.clear();
-    if (report.sequence !== this.sequence) this.#unanswered = [];
+    if (report.sequence !== this.sequence) this.#unansweredOrders = [];
     this.#holdings = copyOf(report.holdings);
-    this.#isExact = true;
+    this.#hasReported = true;
     this.sequence = report.sequence;
     this.retired.clear();
     for (const model of report.holdings.keys()) this.onDisk.add(model);
@@ -133,13 +137,13 @@
    * Whether a report says just what must hold by what is known without it: nothing was taken since, or the one order
    * that had no answer.
    */
-  explains({ sequence, holdings }: WorkerReport): boolean {
-    if (!this.#isExact) return false;
+  isConsistentWith({ sequence, holdings }: WorkerReport): boolean {
+    if (!this.#hasReported) return false;
     const expected = copyOf(this.#holdings);
     if (sequence === this.sequence + 1) {
-      const [only, ...others] = this.#unanswered;
-      if (only === undefined || others.some((other) => !isSameOrder(only, other))) return false;
-      applyStep(expected, only);
+      const [order, ...others] = this.#unansweredOrders;
+      if (order === undefined || others.some((other) => !isSameOrder(order, other))) return false;
+      applyStep(expected, order);
     } else if (sequence !== this.sequence) return false;
     return sameHoldings(expected, holdings);
   }
@@ -156,7 +160,7 @@
   clear(): void {
     const first = this.#steps[0];
     if (first?.started === true) applyStep(this.#holdings, first);
-    else if (first?.inFlight === true) this.#unanswered.push(first);
+    else if (first?.inFlight === true) this.#unansweredOrders.push(first);
     this.#steps = [];
     this.#planned = undefined;
   }
@@ -164,15 +168,15 @@
   /** The worker has taken an order. */
   recordAccepted(nowMs: number): void {
     this.sequence += 1;
-    this.#unanswered = [];
-    this.acceptedMs = nowMs;
+    this.#unansweredOrders = [];
+    this.lastAcceptedMs = nowMs;
     this.#rejections = 0;
   }
 
   /** The worker has refused an order. */
   recordRejection(nowMs: number): void {
     this.backoffUntilMs =
-      nowMs + Math.min(REJECTED_BACKOFF_MAX_MS, REJECTED_BACKOFF_MS * 2 ** this.#rejections);
+      nowMs + Math.min(REJECTION_BACKOFF_MAX_MS, REJECTION_BACKOFF_MS * 2 ** this.#rejections);
     this.#rejections += 1;
   }
 
@@ -191,7 +195,7 @@
   }
 
   /** Whether a load keeps to the room and the adapter places, with the sizes that hold now. */
-  fits(engine: Engine, { action, model, adapter }: Step): boolean {
+  fitsCapacity(engine: Engine, { action, model, adapter }: Step): boolean {
     if (action === 'unload') return true;
     const after = copyOf(this.#holdings);
     if (adapter !== '' && !after.has(model)) return false;
@@ -200,9 +204,9 @@
   }
 
   /** How long a load takes: from the worker's own disk, if it has held the model, a part of the time from the store. */
-  loadMs(engine: Engine, model: string, diskPart: number): number {
-    const fromStoreMs = engine.models.get(model)?.loadMs ?? 0;
-    return this.onDisk.has(model) ? fromStoreMs * diskPart : fromStoreMs;
+  loadMs(engine: Engine, model: string, diskLoadRatio: number): number {
+    const storeLoadMs = engine.models.get(model)?.loadMs ?? 0;
+    return this.onDisk.has(model) ? storeLoadMs * diskLoadRatio : storeLoadMs;
   }
 
   /** How long it has held a model; endless for one that it has held from the start. */
@@ -211,11 +215,11 @@
   }
 
   /** In how many milliseconds all steps will be done, as far as can be told. */
-  freeInMs(engine: Engine, diskPart: number, nowMs: number): number {
+  remainingLoadMs(engine: Engine, diskLoadRatio: number, nowMs: number): number {
     let sumMs = 0;
     for (const { action, model, adapter, started, notBeforeMs } of this.#steps) {
       if (action === 'unload' || adapter !== '') continue;
-      sumMs += started ? Math.max(0, notBeforeMs - nowMs) : this.loadMs(engine, model, diskPart);
+      sumMs += started ? Math.max(0, notBeforeMs - nowMs) : this.loadMs(engine, model, diskLoadRatio);
     }
     return sumMs;
   }
@@ -227,7 +231,7 @@
     );
   }
 
-  #project(): Map<string, Set<string>> {
+  #projectHoldings(): Map<string, Set<string>> {
     const planned = copyOf(this.#holdings);
     for (const step of this.#steps) applyStep(planned, step);
     return planned;
