--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -72,14 +72,11 @@
   isDiskLoadFaster({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     if (ageMs > loadMs) return false;
-    const diskLoadRatio = this.#sender.diskLoadRatio(engine);
+    const diskRatio = this.#sender.diskLoadRatio(engine);
     return rows.some((row) => {
       const state = this.#sender.state(row);
       if (!state.onDisk.has(model) || state.planned.has(model) || state.steps.length === 0) return false;
-      return (
-        state.remainingLoadMs(engine, diskLoadRatio, nowMs) + state.loadMs(engine, model, diskLoadRatio) <
-        loadMs
-      );
+      return state.queuedLoadMs(engine, diskRatio, nowMs) + state.loadMs(engine, model, diskRatio) < loadMs;
     });
   }
 
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -32,7 +32,7 @@
 /** A worker has seen a newer coordinator: this one will have lost the singleton lease by then, or gets a newer epoch. */
 const FENCED_RETRY_MS = 1000;
 /** A worker that leaves so many questions in a row unanswered is taken for silent. */
-const UNRESPONSIVE_AFTER_REPORTS = 2;
+const UNRESPONSIVE_REPORTS = 2;
 /** A worker that is busy so long after the last order that it took is asked what it holds. */
 const VERIFY_AFTER_BUSY_MS = 500;
 /** By then a report tells of the last order that the worker took; one that tells of fewer before is older than it. */
@@ -105,9 +105,7 @@
 
   /** Whether a worker neither takes orders nor says what it holds: nobody can count on what it held. */
   isUnresponsive(row: WorkerRecord): boolean {
-    return (
-      !row.confirmed && this.state(row).reportRequest.consecutiveUnanswered >= UNRESPONSIVE_AFTER_REPORTS
-    );
+    return !row.confirmed && this.state(row).reportRequest.consecutiveUnanswered >= UNRESPONSIVE_REPORTS;
   }
 
   /** Takes a worker's own word on what it holds: from here on it may be ordered. */
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -47,7 +47,7 @@
   };
 }
 
-function demandFor(model: string, waiting: number, inFlight = 0, adapter = ''): EdgeDemand {
+function demand(model: string, waiting: number, inFlight = 0, adapter = ''): EdgeDemand {
   return {
     service: 'assist',
     model,
@@ -186,7 +186,7 @@
 function steadyDemand(harness: PlannerHarness, models: readonly string[], count: number): () => EdgeDemand[] {
   return () =>
     models.map((model) =>
-      harness.holders(model).length > 0 ? demandFor(model, 0, count) : demandFor(model, count),
+      harness.holders(model).length > 0 ? demand(model, 0, count) : demand(model, count),
     );
 }
 
@@ -213,9 +213,9 @@
 
   it('lets go what can be loaded again in time, before what was unused longer and cannot wait', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
-    const busy = { ...demandFor('m2', 0, 1), meanTargetMs: 100 };
-    harness.run(1000, () => [busy, { ...demandFor('m0', 0, 1), meanTargetMs: 100 }]);
-    harness.run(1000, () => [busy, { ...demandFor('m1', 0, 1), meanTargetMs: 5000 }]);
+    const busy = { ...demand('m2', 0, 1), meanTargetMs: 100 };
+    harness.run(1000, () => [busy, { ...demand('m0', 0, 1), meanTargetMs: 100 }]);
+    harness.run(1000, () => [busy, { ...demand('m1', 0, 1), meanTargetMs: 5000 }]);
     harness.run(1000, () => [busy]);
     harness.run(2000, () => [busy, ...steadyDemand(harness, ['m5'], 1)()]);
     expect([harness.holders('m0'), harness.holders('m1'), harness.holders('m5')]).toEqual([
@@ -228,8 +228,8 @@
   it('loads first what loses the most requests until it is there', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1')]);
     harness.run(1000, () => [
-      { ...demandFor('m4', 3), meanTargetMs: 5000 },
-      { ...demandFor('m5', 2), perS: 20, meanTargetMs: 100 },
+      { ...demand('m4', 3), meanTargetMs: 5000 },
+      { ...demand('m5', 2), perS: 20, meanTargetMs: 100 },
     ]);
     expect(harness.loads()[0]?.order.model).toEqual('m5');
   });
@@ -239,11 +239,11 @@
     const adapters = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'];
     harness.run(4000, () =>
       ['m0', 'm1'].flatMap((model) => [
-        demandFor(model, 0, 1),
+        demand(model, 0, 1),
         ...adapters.map((adapter) =>
           harness.holders(model, adapter).length > 0
-            ? demandFor(model, 0, 1, adapter)
-            : demandFor(model, 1, 0, adapter),
+            ? demand(model, 0, 1, adapter)
+            : demand(model, 1, 0, adapter),
         ),
       ]),
     );
@@ -253,7 +253,7 @@
   it('orders nothing more of a worker that gave no answer until it has said what it holds', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     function demands(): EdgeDemand[] {
-      return [demandFor('m0', 0, 1), demandFor('m1', 0, 1), demandFor('m5', 2), demandFor('m6', 1)];
+      return [demand('m0', 0, 1), demand('m1', 0, 1), demand('m5', 2), demand('m6', 1)];
     }
     harness.unresponsive.add('w1');
     harness.replyOverride = (id, order) => {
@@ -264,7 +264,7 @@
     harness.run(6000, demands);
     expect(harness.sent.map(({ order }) => order.model)).toEqual(['m5']);
     harness.unresponsive.clear();
-    harness.run(4000, () => [demandFor('m0', 0, 1), demandFor('m1', 0, 1), demandFor('m5', 0, 2)]);
+    harness.run(4000, () => [demand('m0', 0, 1), demand('m1', 0, 1), demand('m5', 0, 2)]);
     expect([harness.violations, harness.holders('m5'), harness.sent.length]).toEqual([[], ['w1'], 1]);
   });
 
@@ -280,7 +280,7 @@
   it('orders nothing without the duty', () => {
     const harness = new PlannerHarness(engineOf(4), [listed('w1')]);
     harness.fence = undefined;
-    harness.run(2000, () => [demandFor('m1', 3)]);
+    harness.run(2000, () => [demand('m1', 3)]);
     expect(harness.sent).toEqual([]);
   });
 
@@ -288,7 +288,7 @@
     const harness = new PlannerHarness(engineOf(4), [listed('w1')]);
     harness.unresponsive.add('w2');
     harness.table.learn([listed('w1', ['m0']), listed('w2')], harness.nowMs);
-    harness.run(6000, () => [demandFor('m1', 3)]);
+    harness.run(6000, () => [demand('m1', 3)]);
     expect(harness.sent.filter(({ worker }) => worker === 'w2')).toEqual([]);
   });
 
@@ -303,7 +303,7 @@
       [listed('w1'), listed('w2', [], { zone: 'east', draining: true }), listed('w3', [], { zone: 'west' })],
       harness.nowMs,
     );
-    harness.run(4000, () => ['m0', 'm1', 'm2', 'm3'].map((model) => demandFor(model, 2)));
+    harness.run(4000, () => ['m0', 'm1', 'm2', 'm3'].map((model) => demand(model, 2)));
     expect([...new Set(harness.sent.map(({ worker }) => worker))]).toEqual(['w3']);
   });
 
@@ -314,7 +314,7 @@
     harness.run(20_000, () => {
       turn += 1;
       return Array.from({ length: 8 }, (_, place) =>
-        demandFor(`m${(Math.floor(turn / 20) * 3 + place * 7) % 60}`, 2),
+        demand(`m${(Math.floor(turn / 20) * 3 + place * 7) % 60}`, 2),
       );
     });
     const started = harness
@@ -369,7 +369,7 @@
   let heartbeats = 0;
   return () => {
     heartbeats += 1;
-    return [demandFor(`m${Math.floor(heartbeats / 40) % 8}`, 1)];
+    return [demand(`m${Math.floor(heartbeats / 40) % 8}`, 1)];
   };
 }
 
@@ -416,15 +416,15 @@
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     const late: WorkerOrder = { action: 'load', model: 'm7', adapter: '', fence: 6, sequence: 0 };
     expect(harness.deliver('w1', late)).toEqual('begun');
-    harness.run(4000, () => [demandFor('m5', 1)]);
+    harness.run(4000, () => [demand('m5', 1)]);
     expect([harness.violations, harness.holders('m7'), harness.holders('m5')]).toEqual([[], ['w1'], ['w1']]);
   });
 
   it('is measured with the sizes that hold when the order is sent', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
-    harness.planOnly([demandFor('m5', 1)]);
+    harness.planOnly([demand('m5', 1)]);
     harness.engine = engineOf(8, { roomMb: 70 });
-    harness.run(400, () => [demandFor('m0', 0, 1), demandFor('m1', 0, 1), demandFor('m5', 1)]);
+    harness.run(400, () => [demand('m0', 0, 1), demand('m1', 0, 1), demand('m5', 1)]);
     expect([harness.violations, harness.loads()]).toEqual([[], []]);
   });
 });
--- a/packages/placement/src/spec-placement-needs.ts
+++ b/packages/placement/src/spec-placement-needs.ts
@@ -73,9 +73,7 @@
       (sum, plan) => sum + plan.worker.slots / Math.max(1, plan.holdings.size / 2),
       0,
     );
-    return (
-      (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.targetPerSlotPerS * Math.max(1, slots))
-    );
+    return (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.perSlotPerS * Math.max(1, slots));
   }
 
   /** @param rotations - for how many turns the model was requested and not served */
@@ -143,7 +141,7 @@
         missing += 1;
       }
     }
-    return Math.max(this.#settings.minResidenceMs, missing * pullIntervalMs(spec));
+    return Math.max(this.#settings.dwellMs, missing * pullIntervalMs(spec));
   }
 }
 
--- a/packages/placement/src/spec-placer-settings.ts
+++ b/packages/placement/src/spec-placer-settings.ts
@@ -3,7 +3,7 @@
 /** Set points of placement. */
 export interface SpecPlacerSettings {
   /** Demand that one copy of a model should carry, in arrivals a second and slot. */
-  readonly targetPerSlotPerS: number;
+  readonly perSlotPerS: number;
   /** A copy more only above this multiple of the set point. */
   readonly addCopyAbove: number;
   /** A copy less only below this multiple. */
@@ -13,15 +13,15 @@
   /** Changes decided in one step that only fill free room. */
   readonly fillBudget: number;
   /** No copy is moved again before this, in milliseconds. */
-  readonly minResidenceMs: number;
+  readonly dwellMs: number;
 }
 
 /** The default set points and bounds. */
 export const SPEC_PLACER_SETTINGS: SpecPlacerSettings = {
-  targetPerSlotPerS: 0.5,
+  perSlotPerS: 0.5,
   addCopyAbove: 1.2,
   removeCopyBelow: 0.4,
   steps: 2,
   fillBudget: 24,
-  minResidenceMs: 5000,
+  dwellMs: 5000,
 };
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -157,10 +157,7 @@
   }
 
   #mayMove(plan: WorkerPlan, model: string, nowMs: number): boolean {
-    return (
-      nowMs - (this.#placedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) >
-      this.#settings.minResidenceMs
-    );
+    return nowMs - (this.#placedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) > this.#settings.dwellMs;
   }
 
   /** The pressure that the other copies of a model would carry without this one. */
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -215,7 +215,7 @@
   }
 
   /** In how many milliseconds all steps will be done, as far as can be told. */
-  remainingLoadMs(engine: Engine, diskLoadRatio: number, nowMs: number): number {
+  queuedLoadMs(engine: Engine, diskLoadRatio: number, nowMs: number): number {
     let sumMs = 0;
     for (const { action, model, adapter, started, notBeforeMs } of this.#steps) {
       if (action === 'unload' || adapter !== '') continue;
