--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -183,11 +183,9 @@
 }
 
 /** Requests wait for what stands nowhere and run where it stands. */
-function steadyDemand(harness: PlannerHarness, models: readonly string[], count: number): () => EdgeDemand[] {
+function steadyDemand(harness: PlannerHarness, models: readonly string[], each: number): () => EdgeDemand[] {
   return () =>
-    models.map((model) =>
-      harness.holders(model).length > 0 ? demand(model, 0, count) : demand(model, count),
-    );
+    models.map((model) => (harness.holders(model).length > 0 ? demand(model, 0, each) : demand(model, each)));
 }
 
 describe('the placement of models on demand', () => {
