--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -14,12 +14,12 @@
   readonly adapter: string;
 }
 
-/** An adapter is not put behind more steps of a worker than this. */
+/** A worker with more queued steps than this gets no further adapter. */
 const MAX_QUEUED_STEPS = 2;
 
 /**
- * Puts adapters that are waited for where their models stand: those first that
- * were asked for longest without being served.
+ * Loads adapters that requests wait for at workers that hold their model, those first that have been unserved
+ * for the longest time.
  * @example
  * adapters.place(round);
  */
@@ -44,7 +44,7 @@
     for (const { wanted } of missing) this.#placeOne(round, wanted);
   }
 
-  /** Adapters that are waited for, and neither stand nor come at a worker that holds their model. */
+  /** Adapters that requests wait for and that no holder of their model has loaded or planned. */
   #missing(round: PlacementRound): AdapterRef[] {
     const { engine, demands, nowMs } = round;
     const missing: AdapterRef[] = [];
@@ -86,7 +86,9 @@
     holders.some((row) => this.#placeAt(round, row, wanted));
   }
 
-  /** Orders an adapter at a worker, in the place of the one that was unused longest if all places are taken. */
+  /**
+   * Plans an adapter at a worker; if all adapter places are taken, it replaces the least recently used one.
+   */
   #placeAt(round: PlacementRound, row: WorkerRecord, { model, adapter }: AdapterRef): boolean {
     const { engine, nowMs } = round;
     const state = this.#sender.state(row);
@@ -105,7 +107,7 @@
     return true;
   }
 
-  /** Of the adapters that a worker holds and that nobody uses or waits for, the one that was unused longest. */
+  /** The least recently used adapter of a worker among those that are neither in use nor waited for. */
   #longestUnused({ engine, demands, nowMs }: PlacementRound, state: WorkerState): AdapterRef | undefined {
     let longest: (AdapterRef & { readonly idleMs: number }) | undefined;
     for (const [model, adapters] of state.planned) {
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -1,4 +1,4 @@
-/** How many copies of each model of the platform system its use needs. */
+/** How many copies each model of the platform system needs for its load. */
 import type { Demand } from './demand-totals.js';
 import type { Engine } from './engine.js';
 import { Loop } from './feedback-loop.js';
@@ -6,36 +6,36 @@
 
 const POLICY = PLACEMENT_POLICY.copies;
 
-/** How many copies of a model its use needs. */
+/** How many copies a model needs. */
 export interface CopyTarget {
-  /** Copies that its requests need now; one more is loaded below this. */
+  /** Copies that the forecast load needs; a further one is loaded below this. */
   readonly desired: number;
-  /** Copies that it may keep; one is given up beyond this. */
+  /** Copies that the model may keep; surplus ones beyond this are retired. */
   readonly retained: number;
-  /** Requests that ran and waited at once, lately. */
+  /** Moving average of the running and waiting requests. */
   readonly recent: number;
-  /** The same by the time at which a load that begins now will be done, if the trend of its use goes on. */
+  /** Forecast of that average for the end of a load that starts now, if the trend continues. */
   readonly expected: number;
-  /** Requests that one copy should have at once. */
+  /** Concurrent requests that one copy should carry. */
   readonly perCopy: number;
 }
 
-/** How much of a model runs and waits at once. */
+/** Moving averages of the concurrent requests of a model, running and waiting. */
 interface Concurrency {
-  /** Lately. */
+  /** Over `smoothingMs`. */
   recent: number;
-  /** Over about a quarter of the time of a load, and over all of it: their difference is the trend. */
+  /** Over about a quarter of the load time and over all of it; their difference is the trend. */
   short: number;
   long: number;
-  /** Its peak, which decays slowly. */
+  /** A slowly decaying peak. */
   peak: number;
   atMs: number;
 }
 
 /**
- * Follows the use of each model, and says how many copies it needs.
+ * Tracks the concurrent requests of each model and computes how many copies it needs.
  * @example
- * copies.targetOf(engine, 'model-1', demand, nowMs).wanted;
+ * copies.targetOf(engine, 'model-1', demand, nowMs).desired;
  */
 export class CopyDemand {
   #concurrency = new Map<string, Concurrency>();
@@ -62,7 +62,7 @@
     };
   }
 
-  /** Requests for a model that ran and waited at once, lately. */
+  /** Moving average of the concurrent requests for a model, running and waiting. */
   recent(engine: Engine, model: string): number {
     return this.#concurrency.get(`${engine.service}/${model}`)?.recent ?? 0;
   }
@@ -86,7 +86,10 @@
     return known;
   }
 
-  /** How many times its copies a model needs, by how promptly workers take up its requests. */
+  /**
+   * The factor by which a model needs more copies than its set point, controlled by how long its requests
+   * wait.
+   */
   #correction(key: string, demand: Demand, nowMs: number): number {
     const known = this.#controllers.get(key) ?? { controller: new Loop(POLICY.controller), atMs: nowMs };
     this.#controllers.set(key, known);
@@ -108,7 +111,9 @@
   };
 }
 
-/** What will run and wait when a load that begins now is done. A fall is not expected: it is waited for. */
+/**
+ * The concurrent requests at the end of a load that starts now. A falling trend is ignored until it shows.
+ */
 function forecast(loadMs: number, { recent, short, long }: Concurrency): number {
   const { shortMs, longMs } = averagingWindows(loadMs);
   const risePerMs = Math.max(0, (short - long) / (longMs - shortMs));
--- a/packages/placement/src/copy-retirement.ts
+++ b/packages/placement/src/copy-retirement.ts
@@ -1,23 +1,22 @@
-/** Takes surplus copies of models of the platform system out of use before they are unloaded. */
+/** Retires surplus copies of models of the platform system before they are unloaded. */
 import type { OrderSender } from './order-sender.js';
 import { isObserved, MIN_RESIDENCE_MS, type PlacementRound } from './placement-round.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
-/** Least time between two retired copies of one model, in milliseconds. */
+/** Minimum time between the retirements of two copies of one model, in milliseconds. */
 const RETIRE_INTERVAL_MS = 400;
 
 /**
- * Takes copies beyond what a model needs out of use, one at a time, so that
- * nothing runs there when the room is wanted, and back into use when they are
- * needed.
+ * Retires copies that a model does not need, one at a time: they get no more requests, so that nothing runs
+ * there when their memory is needed. Retired copies are restored when their model needs them again.
  * @example
  * retirement.retire(round);
- * retirement.revive(round, 'model-1');
+ * retirement.restore(round, 'model-1');
  */
 export class CopyRetirement {
   #table: WorkerTable;
   #sender: OrderSender;
-  /** When a copy of a model was last taken out of use. */
+  /** When a copy of a model was last retired, by `service/model`. */
   #lastRetiredMs = new Map<string, number>();
 
   constructor(table: WorkerTable, sender: OrderSender) {
@@ -43,7 +42,7 @@
     }
   }
 
-  /** Takes a retired copy back into use, if there is one; nothing is loaded for it. */
+  /** Restores a retired copy if there is one, without a load; returns whether there was. */
   restore({ rows, copies }: PlacementRound, model: string): boolean {
     for (const row of rows) {
       const state = this.#sender.state(row);
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -1,6 +1,6 @@
 /**
- * The demand of all edges of the platform system, by service and model, kept up to date edge by edge: a plan reads
- * the totals instead of adding up the reports.
+ * The total demand of all edges of the platform system, by service and model. It is updated incrementally
+ * with each edge's report, so that a plan need not sum up the reports.
  */
 
 /** The demand of one edge for a model, or for an adapter of it. */
@@ -8,12 +8,12 @@
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
-  /** Requests that wait for a worker, and those that run. */
+  /** Requests that wait for a worker, and requests that run. */
   readonly waiting: number;
   readonly inFlight: number;
   /** Requests a second. */
   readonly perS: number;
-  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
+  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if unknown. */
   readonly waitToTargetRatio: number;
   /** Mean target latency of its requests, in milliseconds; 0 if unknown. */
   readonly meanTargetMs: number;
@@ -33,7 +33,10 @@
   /** Sum of the target latencies, weighted by arrivals a second. */
   weightedTargetMs: number;
   readonly adapters: Map<string, AdapterDemand>;
-  /** How many reports stand in it: with the last one it is gone, and with it all errors of rounding. */
+  /**
+   * Number of reports in the sums. The entry is dropped with the last one, so that no rounding errors
+   * accumulate.
+   */
   reportCount: number;
 }
 
@@ -57,12 +60,12 @@
   #byService = new Map<string, Map<string, Demand>>();
   #waiting = 0;
 
-  /** Requests that wait for a worker, at all edges. */
+  /** Requests that wait for a worker at any edge. */
   get waiting(): number {
     return this.#waiting;
   }
 
-  /** Takes all demand of an edge; it replaces what the edge reported before. */
+  /** Replaces all demand that an edge reported before. */
   set(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
     this.#remove(edge);
     this.update(edge, edgeDemands, nowMs);
@@ -85,7 +88,7 @@
     }
   }
 
-  /** Forgets edges that were last heard before a time. */
+  /** Drops the demand of edges whose last report is older than a time. */
   expire(beforeMs: number): void {
     for (const [edge, { atMs }] of this.#reports) if (atMs < beforeMs) this.#remove(edge);
   }
--- a/packages/placement/src/disk-load-estimator.test.ts
+++ b/packages/placement/src/disk-load-estimator.test.ts
@@ -4,7 +4,9 @@
 
 const STORE_MS = 4000;
 
-/** A load from disk that really takes `tookMs`, asked about first when it is expected and then every 50 ms. */
+/**
+ * A load from disk that really takes `tookMs`, asked about first when it is expected and then every 50 ms.
+ */
 function load(estimator: DiskLoadEstimator, tookMs: number): { polls: number; lateMs: number } {
   const startedMs = 1000;
   let busyMs = -Infinity;
--- a/packages/placement/src/disk-load-estimator.ts
+++ b/packages/placement/src/disk-load-estimator.ts
@@ -1,31 +1,34 @@
 import type { Step } from './worker-state.js';
 
-/** What a load from a worker's own disk is taken to cost until one has been seen, in parts of one from the store. */
+/** Initial estimate, before the first observed load from disk. */
 const INITIAL_RATIO = 0.2;
 const MIN_RATIO = 0.02;
-/** How far one observation moves the estimate. */
+/** Weight of one observation in the estimate. */
 const LEARNING_RATE = 0.5;
-/** A load that was done when the worker was first asked took less than that; by how much is not known. */
+/**
+ * A load that was already done at the first poll took less time than until then, by an unknown amount; it
+ * counts as this ratio of it.
+ */
 const DONE_AT_FIRST_POLL_RATIO = 0.7;
 
 /**
- * Learns how long the workers of a service take to load a model from their own disk, as a part of the time that a
- * load from the store of weights takes. A worker does not say when a load is done: it is asked at the time that is
- * expected, and until it is done it answers that it is busy.
+ * Estimates how long the workers of a service take to load a model from their own disk, as a ratio of the
+ * load time from the model store. A worker does not announce the end of a load: it is polled from the
+ * expected end on, and replies that it is busy until the load is done.
  * @example
- * const time = new DiskLoadTime();
- * time.observe(step, 4000, nowMs);
- * time.partOfStore; // 0.19
+ * const estimator = new DiskLoadEstimator();
+ * estimator.observe(step, 4000, nowMs);
+ * estimator.ratioToStore; // 0.19
  */
 export class DiskLoadEstimator {
   #ratio = INITIAL_RATIO;
 
-  /** A load from a worker's disk takes this part of one from the store. */
+  /** Estimated time of a load from a worker's disk, as a ratio of the time of one from the store. */
   get ratioToStore(): number {
     return this.#ratio;
   }
 
-  /** Takes note of a load from disk that is done: it ended between the worker's last busy answer and now. */
+  /** Records a finished load from disk, which ended between the worker's last busy reply and now. */
   observe(
     { startedMs, busyMs }: Pick<Step, 'startedMs' | 'busyMs'>,
     fromStoreMs: number,
--- a/packages/placement/src/engine.ts
+++ b/packages/placement/src/engine.ts
@@ -1,6 +1,6 @@
-/** What a configuration says of the workers of a service and of the models that they load. */
+/** The configured properties of the workers of a service and of the models that they load. */
 
-/** What a model weighs and how long it takes to load. */
+/** The size and the load time of a model. */
 export interface EngineModel {
   readonly name: string;
   readonly sizeMb: number;
@@ -8,7 +8,7 @@
   readonly adapterMb: number;
 }
 
-/** The engines of one service. */
+/** The capacity of each worker of one service, and the models that the service can load. */
 export interface Engine {
   readonly service: string;
   readonly slots: number;
@@ -19,9 +19,9 @@
 }
 
 /**
- * So many loads from the store at once run at full speed; each one beyond makes all of them slower.
+ * How many concurrent loads from the store run at full speed; each further one slows down all of them.
  * @example
- * loadsAtOnce({ ...engine, loadsPerS: 6, models: new Map([['m', { ...model, loadMs: 600 }]]) }); // 4
+ * maxConcurrentLoads({ ...engine, loadsPerS: 6, models: new Map([['m', { ...model, loadMs: 600 }]]) }); // 4
  */
 export function maxConcurrentLoads(engine: Engine): number {
   let shortestMs = Infinity;
--- a/packages/placement/src/feedback-loop.ts
+++ b/packages/placement/src/feedback-loop.ts
@@ -11,14 +11,13 @@
   readonly max: number;
   /** The output moves by no more than this factor in a second. */
   readonly stepPerS: number;
-  /** Errors smaller than this are left alone. */
+  /** Errors smaller than this are ignored. */
   readonly deadBand: number;
 }
 
 /**
- * A proportional-integral loop held near a set point. Its output is bounded,
- * moves in bounded steps, and the integral stands still while the output is
- * at a bound, so that it does not wind up.
+ * A proportional-integral controller. Its output is bounded and changes in bounded steps, and the integral is
+ * held while the output is at a bound, so that it does not wind up.
  * @example
  * const loop = new Loop({ gain: 1, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 });
  * loop.move(1.5, 1); // an output above 1: measured is 1.5 times the set point
@@ -36,7 +35,7 @@
     return this.#output;
   }
 
-  /** Moves by the ratio of the measured value to the set point over `elapsedS`. */
+  /** Updates the output by the ratio of the measured value to the set point over `elapsedS` seconds. */
   move(ratio: number, elapsedS: number): number {
     const { gain, integralPerS, min, max, stepPerS, deadBand } = this.#settings;
     const raw = Math.log(Math.max(ratio, 0.01));
--- a/packages/placement/src/holdings.ts
+++ b/packages/placement/src/holdings.ts
@@ -1,11 +1,11 @@
-/** What workers hold, and what it takes up. */
+/** The models and adapters that workers hold, and the memory that they use. */
 import type { Engine } from './engine.js';
 
 /** Adapters by model. */
 export type Holdings = ReadonlyMap<string, ReadonlySet<string>>;
 
 /**
- * A copy of holdings that may be changed.
+ * Returns a mutable copy of holdings.
  * @example
  * copyOf(report.holdings).delete('model-1');
  */
@@ -14,7 +14,8 @@
 }
 
 /**
- * What a model with its adapters takes up, in MB; one that the configuration does not know counts as all the room.
+ * The memory that a model uses with its adapters, in MB; a model that is not configured counts as all of a
+ * worker's memory.
  * @example
  * modelMb(engine, 'model-1', 2); // its weights and two adapters
  */
@@ -24,7 +25,7 @@
 }
 
 /**
- * What holdings take up, in MB.
+ * The memory that holdings use, in MB.
  * @example
  * usedMb(engine, state.planned) <= engine.roomMb;
  */
@@ -35,7 +36,7 @@
 }
 
 /**
- * How many adapters there are, of all models together.
+ * The number of adapters of all models together.
  * @example
  * adapterCount(state.planned) < engine.adapterPlaces;
  */
@@ -46,7 +47,7 @@
 }
 
 /**
- * Whether two holdings are the same models with the same adapters.
+ * Whether two holdings have the same models with the same adapters.
  * @example
  * sameHoldings(state.holdings, report.holdings);
  */
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -1,4 +1,6 @@
-/** Chooses the worker for a copy of a model of the platform system, and the copies that are evicted for it. */
+/**
+ * Chooses the worker for a copy of a model of the platform system, and the copies that are evicted for it.
+ */
 import type { CopyDemand } from './copy-demand.js';
 import { modelMb, usedMb } from './holdings.js';
 import type { OrderSender } from './order-sender.js';
@@ -18,22 +20,21 @@
 const POLICY = PLACEMENT_POLICY.eviction;
 const VALUE = POLICY.value;
 
-/** Where the weights come from. */
+/** Where the weights are loaded from. */
 export type LoadSource = 'disk' | 'store';
 
-/** A worker that can take a copy, and what gives way for it. */
+/** A worker that can load a copy, and the copies to evict for it. */
 interface LoadCandidate {
   readonly row: WorkerRecord;
   readonly cost: number;
   readonly victims: readonly string[];
 }
 
-/** So long edges are given to learn that they may send no more for what is to go, where they do send. */
+/** Time that edges get to learn of an unload if requests for the model are running, in milliseconds. */
 const DRAIN_ACTIVE_MS = 50;
 
 /**
- * Finds the worker for a copy that is wanted, and orders the copies away that
- * are worth least there.
+ * Chooses the worker for a needed copy, and evicts the copies of the lowest value there.
  * @example
  * placement.place(round, need, 'disk');
  */
@@ -50,12 +51,14 @@
     this.#usage = usage;
   }
 
-  /** Whether some worker can take a copy now; if none can, nothing need be compared. */
+  /** Whether any worker can load a copy now; if not, no need has to be evaluated. */
   isAnyWorkerFree({ rows, nowMs }: PlacementRound): boolean {
     return rows.some((row) => this.#isFree(row, nowMs));
   }
 
-  /** Orders the copy at the best worker; says what was decided, or nothing if no worker can take it now. */
+  /**
+   * Plans the copy at the best worker; returns the decision as text, or nothing if no worker can load it now.
+   */
   place(round: PlacementRound, need: CopyNeed, source: LoadSource): string | undefined {
     const candidate = this.#bestCandidate(round, need, source);
     if (candidate === undefined) return undefined;
@@ -68,7 +71,10 @@
     return `${row.id} loads ${need.model} from ${source}${replacing} (worth ${need.value.toFixed(2)})`;
   }
 
-  /** Whether a worker that has the model on its own disk will be free sooner than a load from the store takes. */
+  /**
+   * Whether a worker with the model on its own disk will have loaded it sooner than a load from the store
+   * takes.
+   */
   isDiskLoadFaster({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     if (ageMs > loadMs) return false;
@@ -110,7 +116,10 @@
     return best;
   }
 
-  /** What gives way at a worker, the least worth first, until there is room; nothing if that is not worth it. */
+  /**
+   * The copies to evict at a worker, the lowest value first, until the copy fits; nothing if that would evict
+   * a copy that is worth as much as the need.
+   */
   #candidateAt(
     round: PlacementRound,
     need: CopyNeed,
@@ -135,9 +144,8 @@
   }
 
   /**
-   * What a copy is worth where it stands. A further copy of one busy model
-   * gives way to another's only if that is clearly better off for it, so that
-   * two do not take turns.
+   * The value of a loaded copy. A further copy of one busy model is evicted for a copy of another only if the
+   * load of the other is clearly higher, so that the two do not evict each other in turn.
    */
   #valueOf(round: PlacementRound, row: WorkerRecord, model: string, need: CopyNeed): number {
     const { nowMs } = round;
@@ -152,7 +160,10 @@
     return this.#valueOfIdle(round, model);
   }
 
-  /** The longer a model was unused, and the better its requests bear that it has to be loaded again, the less. */
+  /**
+   * The value of an idle copy: lower with the time since its last use, and if its requests can wait for a
+   * load.
+   */
   #valueOfIdle({ engine, observedMs, nowMs }: PlacementRound, model: string): number {
     const key = `${engine.service}/${model}`;
     const idleMs = this.#usage.idleMs(key, nowMs);
@@ -165,7 +176,7 @@
     return VALUE.idle + (VALUE.recentUseBonus * recencyWeight) / (1 + observedIdleMs / 1000);
   }
 
-  /** A copy of a model that stands at other workers too. */
+  /** The value of a copy of a model that has further copies. */
   #valueOfReplicated(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     const active = isActive(round, model);
     if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unobserved;
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,4 +1,4 @@
-/** Sends the orders of the platform system's planner to workers, and keeps what each worker reported. */
+/** Sends the orders of the platform system's planner to workers, and stores what each worker reported. */
 import { DiskLoadEstimator } from './disk-load-estimator.js';
 import type { Engine } from './engine.js';
 import { copyOf } from './holdings.js';
@@ -7,49 +7,60 @@
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 import { WorkerState, type Step } from './worker-state.js';
 
-/** What the sender of orders needs of its node. */
+/** What the order sender needs from its node. */
 export interface OrderDependencies {
-  /** The fence under which this node may order now, or undefined; asked just before each order. */
+  /**
+   * The fencing token of this node, or undefined while it may not send orders; read just before each order.
+   */
   fence(): number | undefined;
   order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void;
-  /** Asks a worker what it holds. */
+  /** Requests a report of a worker's holdings. */
   report(row: WorkerRecord, done: (reply: ReportReply) => void): void;
   nowMs(): number;
 }
 
-/** A busy worker is tried again after so long; half as long again after each further time. */
+/** Delay before an order is retried at a busy worker; it grows by half with each further busy reply. */
 const RETRY_INITIAL_MS = 35;
 const RETRY_MAX_MS = 140;
 const RETRY_GROWTH = 1.5;
-/** An adapter takes some milliseconds: what is behind it is tried again sooner. */
+/** Adapters load within milliseconds, so an order for an adapter is retried sooner. */
 const ADAPTER_RETRY_RATIO = 1 / 3;
-/** What a load from the store is waited for beyond the time that the configuration gives. */
+/** A load from the store is expected to be done this long after its configured load time. */
 const LOAD_SLACK_MS = 5;
-/** An adapter is there so soon. */
+/** An adapter is taken as loaded after this time. */
 const ADAPTER_LOAD_MS = 14;
-/** So long a worker takes to let a model go that nobody uses. */
+/** Time that a worker takes to unload a model that is not in use. */
 const UNLOAD_MS = 35;
-/** A worker has seen a newer coordinator: this one will have lost the singleton lease by then, or gets a newer epoch. */
+/**
+ * Retry delay after a worker has seen a newer coordinator: by then this one has lost the singleton lease, or
+ * has a newer epoch.
+ */
 const FENCED_RETRY_MS = 1000;
-/** A worker that leaves so many questions in a row unanswered is taken for silent. */
+/** A worker is unresponsive after this many consecutive report requests without an answer. */
 const UNRESPONSIVE_REPORTS = 2;
-/** A worker that is busy so long after the last order that it took is asked what it holds. */
+/** A worker that is still busy this long after the last order that it accepted is asked for a report. */
 const VERIFY_AFTER_BUSY_MS = 500;
-/** By then a report tells of the last order that the worker took; one that tells of fewer before is older than it. */
+/**
+ * A report includes an order that was accepted this long ago; one with a lower sequence before that is stale.
+ */
 const STALE_REPORT_MS = 2000;
-/** Between two questions to one worker, so that the next answer tells of a later moment; twice as long after each that had no answer. */
+/**
+ * Interval between two report requests to one worker, so that each report reflects a later state than the one
+ * before. It doubles with each consecutive request that gets no answer.
+ */
 const REPORT_RETRY_INITIAL_MS = MAX_REPORT_AGE_MS;
 const REPORT_RETRY_MAX_MS = 2000;
 
 /**
- * Sends what was decided for each worker, one order at a time, and keeps to
- * what the worker itself says that it holds.
+ * Sends the planned steps of each worker, one order at a time, and trusts only
+ * the holdings that the worker itself reports.
  *
- * An order names how many orders the worker had taken when it was decided. So
- * it is taken in just the state that it was decided for or not at all, however
- * late it arrives and whoever else ordered the worker meanwhile. Whenever a
- * worker's answer leaves open what it holds, it is asked, and gets no order
- * before it has answered.
+ * An order carries a sequence: the number of orders that the worker had accepted
+ * when the order was sent. The worker accepts an order only with a matching
+ * sequence, and thus only in the state that the order was planned for, however
+ * late it arrives and whichever other coordinator sent orders meanwhile. If the
+ * outcome of an order is unknown, the sender requests a report and sends no
+ * further order until it has arrived.
  * @example
  * const sender = new OrderSender(table, dependencies);
  * sender.state(row).add(newStep('load', 'model-1', '', nowMs));
@@ -64,13 +75,13 @@
     unanswered: 0,
     reports: 0,
     reread: 0,
-    /** Reports that differ from what must hold by all that was known. */
+    /** Reports that contradict the state that was known. */
     unexplained: 0,
   };
   #table: WorkerTable;
   #dependencies: OrderDependencies;
   #states = new Map<string, WorkerState>();
-  /** By service. */
+  /** Estimators of load times from disk, by service. */
   #diskEstimators = new Map<string, DiskLoadEstimator>();
 
   constructor(table: WorkerTable, dependencies: OrderDependencies) {
@@ -87,7 +98,7 @@
     return state;
   }
 
-  /** A load from a worker's own disk takes this part of one from the store, as far as was seen. */
+  /** Estimated time of a load from a worker's own disk, as a ratio of the time of a load from the store. */
   diskLoadRatio({ service }: Engine): number {
     return this.#diskEstimator(service).ratioToStore;
   }
@@ -98,17 +109,20 @@
     return estimator;
   }
 
-  /** Forgets workers that are no longer in the table. */
+  /** Drops the state of workers that are no longer in the table. */
   dropRemovedWorkers(): void {
     for (const id of this.#states.keys()) if (this.#table.row(id) === undefined) this.#states.delete(id);
   }
 
-  /** Whether a worker neither takes orders nor says what it holds: nobody can count on what it held. */
+  /**
+   * Whether a worker is unconfirmed and answers no report requests, so that its last known holdings are
+   * unreliable.
+   */
   isUnresponsive(row: WorkerRecord): boolean {
     return !row.confirmed && this.state(row).reportRequest.consecutiveUnanswered >= UNRESPONSIVE_REPORTS;
   }
 
-  /** Takes a worker's own word on what it holds: from here on it may be ordered. */
+  /** Applies a reliable report of a worker; from then on it may get orders. */
   #confirm(row: WorkerRecord, report: WorkerReport): void {
     const state = this.state(row);
     state.applyReport(report);
@@ -117,7 +131,7 @@
     this.#table.touch(row);
   }
 
-  /** Sends what is due to one worker: its next order, or the question what it holds. */
+  /** Sends what is due to one worker: its next order or a report request. */
   sendDue(engine: Engine, row: WorkerRecord, nowMs: number): void {
     const state = this.state(row);
     if (row.draining) return state.clear();
@@ -176,14 +190,14 @@
     step.notBeforeMs = notBeforeMs;
   }
 
-  /** The worker says of an order that it has taken before that it is at it: it has not taken another one. */
+  /** The worker still runs an order that it accepted before, so it has accepted no other one. */
   #onStillRunning(step: Step, nowMs: number): void {
     step.busyMs = nowMs;
     this.#scheduleRetry(step, nowMs + RETRY_INITIAL_MS);
   }
 
   #onStarted(engine: Engine, row: WorkerRecord, state: WorkerState, step: Step, nowMs: number): void {
-    // A worker does one order at a time: the next one is not taken before this is done.
+    // A worker runs one order at a time: it accepts the next one only after this one is done.
     if (step.action === 'unload') return this.#finish(row, state, step);
     step.started = true;
     if (step.adapter !== '') {
@@ -213,7 +227,7 @@
     this.#table.touch(row, step.model);
   }
 
-  /** What the worker holds is no longer known for certain: nothing more is ordered until it has said it. */
+  /** Marks the worker's holdings as uncertain: it gets no further order until it has reported them. */
   #invalidate(row: WorkerRecord, state: WorkerState): void {
     this.counts.reread += 1;
     state.clear();
@@ -227,7 +241,7 @@
     });
   }
 
-  /** A worker that stays busy may have taken an order that nobody here knows of. */
+  /** Checks whether a worker that stays busy has accepted an order that is unknown to this coordinator. */
   #verifySequence(row: WorkerRecord, state: WorkerState): void {
     const { lastAcceptedMs } = state;
     this.#sendReportRequest(row, (report, isSettled) => {
@@ -238,20 +252,20 @@
     });
   }
 
-  /** Whether a report is older than the last order that is known to be taken. */
+  /** Whether a report is older than the last order that the worker is known to have accepted. */
   #isStale(state: WorkerState, report: WorkerReport): boolean {
     const isRecent = this.#dependencies.nowMs() - state.lastAcceptedMs < STALE_REPORT_MS;
     return isRecent && report.sequence < state.sequence;
   }
 
-  /** Whether the models of a report are those of its count. */
+  /** Whether the models of a report belong to its sequence. */
   #isReliable(state: WorkerState, report: WorkerReport, isSettled: boolean): boolean {
     if (state.isConsistentWith(report)) return true;
     if (state.hasReported) this.counts.unexplained += 1;
     return isSettled;
   }
 
-  /** Asks a worker that may be ordered what it holds, not too often. */
+  /** Requests a report from a worker, at most once per interval and only while this node may send orders. */
   #sendReportRequest(row: WorkerRecord, onReport: (report: WorkerReport, isSettled: boolean) => void): void {
     const nowMs = this.#dependencies.nowMs();
     const { reportRequest, settling } = this.state(row);
@@ -279,7 +293,7 @@
   }
 }
 
-/** How long a step waits that a busy worker did not take. */
+/** The delay before a step is retried that a busy worker has declined. */
 function retryDelayMs({ adapter, busyReplies }: Step): number {
   const firstMs = adapter === '' ? RETRY_INITIAL_MS : RETRY_INITIAL_MS * ADAPTER_RETRY_RATIO;
   return Math.min(RETRY_MAX_MS, firstMs * RETRY_GROWTH ** (busyReplies - 1));
--- a/packages/placement/src/orders.ts
+++ b/packages/placement/src/orders.ts
@@ -1,4 +1,4 @@
-/** Orders to workers, their answers, and what workers say of themselves. */
+/** Orders to workers, their replies, and the reports of workers. */
 import type { Holdings } from './holdings.js';
 
 /** An order to a worker. */
@@ -10,36 +10,35 @@
   /** Epoch of the coordinator that sends it. */
   readonly fence: number;
   /**
-   * How many orders the worker has taken so far. A worker that has taken
-   * another number refuses the order, so that an order that was delayed on its
-   * way is never taken after another one, nor twice.
+   * Number of orders that the worker has accepted so far. A worker that has accepted another number declines
+   * the order, so that a delayed order is never accepted after a later one, nor twice.
    */
   readonly sequence: number;
 }
 
-/** How a worker answered an order. */
+/** How a worker replied to an order. */
 export type WorkerOrderReply =
-  /** It is being done. */
+  /** The order is in progress. */
   | 'begun'
-  /** It was so already. */
+  /** The worker was already in the ordered state. */
   | 'held'
-  /** Another order is being done, or the sequence differs. */
+  /** Another order is in progress, or the sequence differs. */
   | 'busy'
-  /** A higher fencing token was seen. */
+  /** The worker has seen a higher fencing token. */
   | 'fenced'
-  /** The worker at this address is another one, or lacks what the order builds on. */
+  /** The address belongs to another worker, or the worker lacks what the order depends on. */
   | 'wrong-worker'
-  /** Not taken, and nothing is said of what the worker holds. */
+  /** The worker did not accept the order, and its holdings are unknown. */
   | 'refused'
-  /** It may have been taken, and may still be. */
+  /** The outcome is unknown: the worker may have accepted the order, or may still do so. */
   | 'no-answer';
 
-/** What a worker that is at no order said of itself; it may have taken an order since. */
+/** The report of a worker that runs no order; it may have accepted an order since. */
 export interface WorkerReport {
   readonly holdings: Holdings;
-  /** How many orders it had taken. */
+  /** Number of orders that the worker had accepted. */
   readonly sequence: number;
 }
 
-/** How a worker answered the question what it holds. */
+/** How a worker replied to a report request. */
 export type ReportReply = WorkerReport | 'busy' | 'no-answer';
--- a/packages/placement/src/placement-round.ts
+++ b/packages/placement/src/placement-round.ts
@@ -1,4 +1,4 @@
-/** What one planning round of the platform system works on. */
+/** The input and state of one planning round of the platform system. */
 import type { CopyTarget } from './copy-demand.js';
 import type { Demand } from './demand-totals.js';
 import type { Engine } from './engine.js';
@@ -10,38 +10,38 @@
 /** A copy is not evicted within this time of its load, in milliseconds. */
 export const MIN_RESIDENCE_MS = 800;
 
-/** What one plan of a service decides on. */
+/** One planning round of a service. */
 export interface PlacementRound {
   readonly engine: Engine;
-  /** Workers that may be ordered. */
+  /** Workers that may get orders. */
   readonly rows: readonly WorkerRecord[];
   readonly demands: ReadonlyMap<string, Demand>;
   readonly targets: ReadonlyMap<string, CopyTarget>;
-  /** Workers that load from the store when the round begins. */
+  /** Number of workers that load from the store when the round begins. */
   readonly loadingFromStore: number;
-  /** Copies of each model that stand or come; kept up to date with what the round decides. */
+  /** Loaded and planned copies by model; updated with each decision of the round. */
   readonly copies: Map<string, number>;
-  /** For how long this coordinator has received demand for the service, in milliseconds. */
+  /** How long this coordinator has received demand for the service, in milliseconds. */
   readonly observedMs: number;
   readonly nowMs: number;
 }
 
-/** A copy that is wanted. */
+/** A copy that is needed. */
 export interface CopyNeed {
   readonly model: string;
-  /** It evicts copies of a lower value. */
+  /** Copies of a lower value may be evicted for it. */
   readonly value: number;
   /** The higher, the sooner it is loaded. */
   readonly urgency: number;
-  /** Since when its model is asked for and stands nowhere; 0 for a further copy. */
+  /** How long the model has been requested without being loaded anywhere; 0 for a further copy. */
   readonly ageMs: number;
-  /** Requests that each present copy carries. */
+  /** Requests that each present copy carries; infinite for a first copy. */
   readonly loadPerCopy: number;
 }
 
 /**
- * Whether the demand for a model was watched for long enough to know how many copies it needs. At the start of
- * traffic, and under a new coordinator, few copies seem to be needed of any.
+ * Whether the demand for a model was observed long enough to tell how many copies it needs. When traffic
+ * starts, and after a change of coordinator, the observed demand is too low.
  * @example
  * isObserved(round, 'model-1');
  */
@@ -50,7 +50,7 @@
 }
 
 /**
- * Whether a model is in use or waited for.
+ * Whether requests for a model are running or waiting.
  * @example
  * isActive(round, 'model-1');
  */
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,4 +1,4 @@
-/** Plans which worker of the platform system loads which model, while this node has the singleton lease. */
+/** Plans which worker of the platform system loads which model, while this node holds the singleton lease. */
 import { AdapterPlacement } from './adapter-placement.js';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
 import { DemandTotals, type Demand, type EdgeDemand } from './demand-totals.js';
@@ -15,24 +15,24 @@
 
 const POLICY = PLACEMENT_POLICY.needs;
 
-/** What the planner needs of its node. */
+/** What the planner needs from its node. */
 export interface PlannerDependencies extends OrderDependencies {
   /** Called for each decision, for the logs. */
   onDecision(text: string): void;
 }
 
-/** Copies that are wanted: the most urgent first. */
+/** Copies that are needed, by purpose, the most urgent first. */
 type Needs = Readonly<Record<LoadPurpose, CopyNeed[]>>;
 
-/** The demand of an edge expires after so long without an update from it. */
+/** The demand of an edge expires after this time without an update from it. */
 const DEMAND_TTL_MS = 2000;
 
 /**
- * Decides which worker holds which model, and orders it, while this node has
- * the singleton lease. A model that is requested and loaded nowhere is loaded in
- * the place of what has been unused longest; models in demand have as many copies
- * as their concurrency needs. Loads from the store are shared between the two, and the
- * longer a model was requested and not served, the sooner its turn comes.
+ * Decides which worker holds which model, and sends the orders, while this node
+ * holds the singleton lease. A model that is requested and loaded nowhere replaces
+ * the least recently used one; models in demand get as many copies as their
+ * concurrency needs. First and further copies share the loads from the store, and
+ * the urgency of a model grows with the time for which its requests went unserved.
  * @example
  * const planner = new PlacementPlanner(table, dependencies);
  * planner.updateDemand('incarnation-1', demands, nowMs);
@@ -47,12 +47,12 @@
   #copyDemand = new CopyDemand();
   #usage = new Usage();
   #unserved = new UnservedDemand();
-  /** Since when something is asked for, by service. */
+  /** The time of the first demand, by service. */
   #demandSinceMs = new Map<string, number>();
   #retirement: CopyRetirement;
   #modelPlacement: ModelPlacement;
   #adapterPlacement: AdapterPlacement;
-  /** Loads from the store, by service. */
+  /** Budgets of loads from the store, by service. */
   #budgets = new Map<string, StoreBudget>();
 
   constructor(table: WorkerTable, dependencies: PlannerDependencies) {
@@ -68,13 +68,13 @@
     return this.#sender.counts;
   }
 
-  /** Takes all that an edge asks for now, or where `partial` what has changed of it. */
+  /** Replaces the demand of an edge, or updates only the given entries if `partial`. */
   updateDemand(incarnation: string, demands: readonly EdgeDemand[], nowMs: number, partial = false): void {
     if (partial) this.#totals.update(incarnation, demands, nowMs);
     else this.#totals.set(incarnation, demands, nowMs);
   }
 
-  /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
+  /** Plans which worker is to hold what. The cost grows with models, workers and edges: see `PlanPacer`. */
   plan(engines: ReadonlyMap<string, Engine>, evacuated: readonly string[], nowMs: number): void {
     this.#totals.expire(nowMs - DEMAND_TTL_MS);
     this.#unserved.expire(nowMs);
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Sends the orders that are due, of what was decided before. */
+  /** Sends the planned orders that are due. */
   sendDueOrders(engines: ReadonlyMap<string, Engine>, nowMs: number): void {
     for (const engine of engines.values())
       for (const row of this.#rowsOf(engine)) this.#sender.sendDue(engine, row, nowMs);
@@ -138,7 +138,7 @@
     return nowMs - (this.#demandSinceMs.get(service) ?? nowMs);
   }
 
-  /** What is asked for of the models that an engine can load. */
+  /** The demand for the models that an engine can load. */
   #demands(engine: Engine): Map<string, Demand> {
     const demands = new Map<string, Demand>();
     for (const [model, demand] of this.#totals.of(engine.service))
@@ -146,7 +146,7 @@
     return demands;
   }
 
-  /** Models that a worker serves or will serve once its orders are done. */
+  /** Models that a worker will serve once its orders are done. */
   #plannedModels(row: WorkerRecord): Set<string> {
     const models = new Set(row.models.keys());
     for (const { action, model, adapter } of this.#sender.state(row).steps) {
@@ -172,8 +172,9 @@
   }
 
   /**
-   * What each waiting request is worth counts, and how long the model was requested and not served: so its turn comes. Requests
-   * that cannot wait as long as a load takes are lost until it is done, those that are still to come too.
+   * The need for the first copy of a model. Its urgency grows with the waiting requests and with the time for
+   * which the model was unserved, so that no model starves. Requests that cannot wait for the load are lost
+   * until it is done; the arrivals during the load count among them.
    */
   #firstCopyNeed({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
     const ageMs = this.#unserved.ageMs(`${engine.service}/${model}`, nowMs);
@@ -210,7 +211,7 @@
     });
   }
 
-  /** Takes copies back into use, then loads what workers have on their own disks, then from the store. */
+  /** Restores retired copies first, then loads from the workers' own disks, then from the store. */
   #placeModels(round: PlacementRound, needs: Needs, budget: StoreBudget): void {
     const fromStore: Needs = { 'first-copy': [], 'further-copy': [] };
     for (const purpose of ['first-copy', 'further-copy'] as const)
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -1,79 +1,95 @@
 /**
- * All settings of how placement decides, in one place. Mechanisms read them from here and hold none of their own, so
- * that one can be changed or switched off in a line; what each is worth stands in docs/policy.md. Times that depend
- * on a deployment are given in parts of the time of a load, which the configuration says or which is observed.
+ * All tunable parameters of placement on the platform system. The mechanisms read them from here and define
+ * none of their own, so that each can be changed or switched off in one line; docs/policy.md states the
+ * effect of each. Times that depend on the deployment are multiples of the load time of a model, which is
+ * configured or observed.
  */
 import type { LoopSettings } from './feedback-loop.js';
 
-/** How many copies of a model its use asks for. */
+/** Determines how many copies a model needs for its load. */
 export interface CopyPolicy {
-  /** What runs and waits at once is averaged over this time. */
+  /** Time constant of the moving average of the running and waiting requests of a model. */
   readonly smoothingMs: number;
-  /** Averages from which the trend is taken, in parts of the time of a load; they go over the least times at least. */
+  /**
+   * Windows of the two averages that give the trend, in multiples of the load time, with lower bounds below.
+   */
   readonly shortWindowLoads: number;
   readonly longWindowLoads: number;
   readonly minShortWindowMs: number;
   readonly minLongWindowMs: number;
-  /** The trend is followed so many loads ahead; 0 switches it off. */
+  /** The trend is extrapolated this many load times ahead; 0 switches it off. */
   readonly trendHorizonLoads: number;
-  /** No more than this many times what runs and waits lately is expected. */
+  /** Upper bound of the forecast, as a multiple of the recent average. */
   readonly maxGrowth: number;
-  /** Copies are given up as slowly as this, so that a wave of demand does not move them to and fro. */
+  /**
+   * Decay time of the peak that copies are retained for, so that oscillating demand does not move copies
+   * around.
+   */
   readonly peakDecayMs: number;
-  /** Part of a worker's slots that its copies should have in use: the set point of the copies' loop. */
+  /** Fraction of a worker's slots that one copy should use: the set point of the number of copies. */
   readonly targetSlotUtilization: number;
-  /** The same in requests at once, whatever the slots: reading prompts binds before slots do. */
+  /**
+   * Upper bound of that set point in concurrent requests: prompt processing saturates before the slots do.
+   */
   readonly targetInFlight: number;
-  /** Where the wait for the first word should be, in parts of the target. */
+  /** Set point of the wait for the head of a response, as a ratio of the target latency. */
   readonly targetWaitRatio: number;
-  /** Rarely asked models say too little to steer by. */
+  /** Models with fewer arrivals a second give too few samples for the controller, which then stays idle. */
   readonly minControlledPerS: number;
   readonly controller: LoopSettings;
   readonly controlIntervalMs: number;
-  /** A further copy is wanted only this much beyond the set point, in copies. */
+  /** A further copy is needed only if the forecast exceeds the set point by this much, in copies. */
   readonly deadBand: number;
 }
 
-/** Which copy is loaded first, and what it may displace. */
+/** Determines which copy is loaded first, and the value up to which it may evict other copies. */
 export interface NeedPolicy {
-  /** Worth of a first copy; it grows while its model is asked for in vain, until it displaces even what is in use. */
+  /**
+   * Value of a first copy. It grows while requests go unserved, until it exceeds the value of copies in use.
+   */
   readonly firstCopyValue: number;
   readonly waitValuePerLoad: number;
   readonly maxWaitValue: number;
-  /** Waiting for as long as one load takes counts like so many requests that wait. */
+  /** A model that was unserved for one load time counts like this many waiting requests. */
   readonly urgencyPerLoad: number;
-  /** What a request counts that comes while its model is loaded and cannot wait for that; 0 switches it off. */
+  /** Weight of a request that arrives during the load and cannot wait for its end; 0 switches it off. */
   readonly lostRequestWeight: number;
   readonly furtherCopyValue: number;
-  /** Copies that carry so many times their set point are helped before others' idle ones. */
+  /**
+   * Copies that carry this multiple of their set point are overloaded: their need outranks other models' idle
+   * copies.
+   */
   readonly overloadRatio: number;
   readonly overloadedValue: number;
 }
 
-/** What a copy is worth where it stands; it gives way to a need that is worth more. */
+/** Determines the value of a loaded copy; a need of a higher value evicts it. */
 export interface EvictionPolicy {
-  /** A model that was used so lately is likely to be asked for again at once. */
+  /** A model that was used within this time is likely to be requested again at once. */
   readonly recentUseMs: number;
-  /** A copy of another model gives way if what its others then carry is this part of what the needy carry. */
+  /**
+   * A copy may be evicted for another model's need if its other copies then carry at most this ratio of the
+   * need's load.
+   */
   readonly maxVictimLoadRatio: number;
-  /** Copies that are left may carry so many times their set point when one makes room for a first copy. */
+  /** The remaining copies may carry this multiple of their set point when one is evicted for a first copy. */
   readonly maxRemainingLoadRatio: number;
-  /** The last use of a model whose requests can wait for a load counts this part of another's; 1 switches it off. */
+  /** Weight of the recency of use of a model whose requests can wait for a load; 1 switches it off. */
   readonly delayTolerantRecencyWeight: number;
-  /** Requests can wait for a load if their target latency is this many times the load's time. */
+  /** Requests can wait for a load if their target latency is at least this multiple of the load time. */
   readonly delayTolerantTargetLoads: number;
-  /** Demand is watched for so many loads before it is known which copies are too many; 0 switches it off. */
+  /** Demand is observed for this many load times before copies count as surplus; 0 switches it off. */
   readonly observationLoads: number;
   readonly value: Readonly<Record<CopyStatus, number>>;
 }
 
-/** The state of a copy that might give way, the least worth first. */
+/** The status of a copy that may be evicted, the lowest value first. */
 export type CopyStatus =
   | 'retired'
   | 'surplus'
   | 'surplusActive'
   | 'idle'
-  /** Added to `idle` for a model that was used just now; less the longer that is ago. */
+  /** Added to `idle`, decreasing with the time since the last use of the model. */
   | 'recentUseBonus'
   | 'lessLoaded'
   | 'unobserved'
@@ -84,14 +100,14 @@
   | 'active'
   | 'newlyLoaded';
 
-/** All settings of placement. */
+/** All parameters of placement. */
 export interface PlacementPolicy {
   readonly copies: CopyPolicy;
   readonly needs: NeedPolicy;
   readonly eviction: EvictionPolicy;
 }
 
-/** The policy that is in force. */
+/** The policy in force. */
 export const PLACEMENT_POLICY: PlacementPolicy = {
   copies: {
     smoothingMs: 400,
--- a/packages/placement/src/report-settling.ts
+++ b/packages/placement/src/report-settling.ts
@@ -1,18 +1,19 @@
-/** Tells when what a worker reports as loaded belongs to the count of orders that the same report names. */
+/** Determines when the models in a worker's report belong to the sequence in the same report. */
 import type { WorkerReport } from './orders.js';
 
 /**
- * Each value of a worker's report is as it stood up to so long before, and no two need be of one moment. Measured on
- * the platform: 250 ms at most, all values of one moment.
+ * Maximum age of each value in a worker's report; different values may have different ages. Measured on the
+ * platform: at most 250 ms, with all values from the same time.
  */
 export const MAX_REPORT_AGE_MS = 300;
 
 /**
- * Follows the reports of one worker that is at no order until its models are known to be those of its count.
+ * Observes the reports of one idle worker until its models are known to belong to its sequence.
  *
- * The count of a first report was true by the time of its reply. A second one that was asked a report's age later says
- * of a moment after that count was reached that the worker is idle, so its last order was done by the second reply.
- * The models of a third one, asked a report's age after that, are what the order left.
+ * The sequence in a first report was reached by the time of its reply. A second report that is requested at
+ * least `MAX_REPORT_AGE_MS` later shows the worker idle at a time after that, so its last order was done by
+ * the second reply. The models in a third report, requested at least `MAX_REPORT_AGE_MS` after the second
+ * reply, include the result of that order.
  * @example
  * const settling = new ReportSettling();
  * settling.observe(report, 0, 2); // false
@@ -21,14 +22,14 @@
  */
 export class ReportSettling {
   #sequence = -1;
-  /** When the first report with this count was replied. */
+  /** When the first report with this sequence arrived. */
   #sequenceSeenMs = Infinity;
-  /** When the first reply came that shows the worker idle after its last order. */
+  /** When the first report arrived that shows the worker idle after its last order. */
   #idleSeenMs = Infinity;
 
-  /** Takes a report of an idle worker; says whether its models are those of its count. */
+  /** Records a report of an idle worker, and returns whether its models belong to its sequence. */
   observe({ sequence }: WorkerReport, askedMs: number, repliedMs: number): boolean {
-    // A worker that has taken no order holds what it held from the start.
+    // A worker that has accepted no order still holds its initial models.
     if (sequence === 0) return true;
     if (sequence !== this.#sequence) {
       this.#sequence = sequence;
--- a/packages/placement/src/spec-order-sender.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -3,7 +3,10 @@
 import type { Result } from 'true-myth';
 import { TokenBucket } from './token-bucket.js';
 
-/** One order to a worker. The epoch fences it: a worker has seen the highest. */
+/**
+ * One order to a worker. Its epoch is the fencing token: a worker refuses orders of a lower epoch than it has
+ * seen.
+ */
 export interface SpecOrder {
   readonly worker: string;
   readonly epoch: number;
@@ -13,30 +16,33 @@
   readonly adapter: string;
 }
 
-/** What a worker says in reply. */
+/** A worker's reply to an order. */
 export interface SpecOrderReply {
   readonly holdings: readonly HoldingTarget[];
-  /** True while an earlier load still goes on. */
+  /** Whether an earlier load is still in progress. */
   readonly busy: boolean;
 }
 
-/** What the orderer knows of a worker from its replies. */
+/** The state of a worker as known from its replies. */
 export interface SpecWorkerState {
   readonly holdings: readonly HoldingTarget[];
   readonly reachable: boolean;
-  /** For each model loaded by order: a number that grows with every load, so that warming is seen. */
+  /**
+   * A number for each model that was loaded by an order; it grows with every load, so that edges detect a
+   * warm-up.
+   */
   readonly loads: ReadonlyMap<string, number>;
 }
 
-/** What the orderer needs from its node. */
+/** What the order sender needs from its node. */
 export interface SpecOrderContext {
-  /** The epoch this node may act in; asked just before each order. */
+  /** The epoch of this node's singleton lease, or undefined without one; read just before each order. */
   singletonEpoch(): number | undefined;
   order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
   onWorkerState(worker: string, known: SpecWorkerState): void;
 }
 
-/** How much a model, or an adapter of it, is asked for; the more, the sooner it is loaded. */
+/** The urgency of a model, or of an adapter of it; the higher, the sooner it is loaded. */
 export type Urgency = (model: string, adapter: string) => number;
 
 interface WorkerChannel {
@@ -46,17 +52,20 @@
   notBeforeMs: number;
   failures: number;
   lastOrderMs: number;
-  /** What is to be unloaded, and since when. */
+  /** What is to be unloaded, and since when it is surplus. */
   pendingUnload: { item: string; sinceMs: number } | undefined;
 }
 
 const INVENTORY_REFRESH_MS = 5000;
-/** Loads ordered in a later epoch have higher numbers. */
+/** Range of load numbers in one epoch, so that loads of a later epoch have higher numbers. */
 const LOADS_PER_EPOCH = 65_536;
-/** By then every edge that may admit has heard of the new target and sends no more to what goes. */
+/**
+ * Within this time every admitting edge has received the new target and sends no more requests for what is
+ * unloaded.
+ */
 const UNLOAD_DELAY_MS = 1500;
 
-/** How many pulls the store allows: so many a minute, and so many at once. */
+/** Limits pulls from the store by rate and by concurrency. */
 class PullLimiter {
   #bucket: TokenBucket;
   #inFlight = 0;
@@ -80,12 +89,11 @@
 }
 
 /**
- * Brings workers to their agreed targets, one order at a time to each. It
- * asks a worker what it holds before the first order of an epoch, unloads
- * before it loads, and never lets a worker hold more than its room.
+ * Brings workers to their agreed targets, with one outstanding order for each. It requests a worker's
+ * inventory before the first order of an epoch, unloads before it loads, and never exceeds a worker's memory.
  * @example
- * const orderer = new SpecOrderSender(context);
- * orderer.tick(spec, placement, rooms, nowMs);
+ * const sender = new SpecOrderSender(context);
+ * sender.tick(spec, placement, workers, nowMs);
  */
 export class SpecOrderSender {
   #context: SpecOrderContext;
@@ -226,7 +234,7 @@
 
 const INVENTORY: Step = { action: 'inventory', model: '', adapter: '' };
 
-/** The parts of `wanted` that `held` lacks; of a model that is missing itself, only the model. */
+/** The items of `wanted` that `held` lacks; only the model if the model itself is missing. */
 function missingItems(
   held: readonly HoldingTarget[],
   wanted: readonly HoldingTarget[],
@@ -249,7 +257,8 @@
 }
 
 /**
- * What holdings take up by the spec's sizes; what the spec does not know counts as endless.
+ * The memory that holdings use by the spec's sizes, in MB; an item that is not in the spec counts as
+ * infinite.
  * @example
  * sizeMb(spec, [{ model: 'gearbox-7b', adapters: [] }]); // 14000
  */
--- a/packages/placement/src/spec-placement-needs.ts
+++ b/packages/placement/src/spec-placement-needs.ts
@@ -1,10 +1,12 @@
-/** What the placement of the research groups' deployment lacks, and how urgently. */
+/**
+ * The missing copies and adapters in the placement of the research groups' deployment, with their urgencies.
+ */
 import type { Spec } from '@rainrun/configuration';
 import type { SpecPlacerSettings } from './spec-placer-settings.js';
 import type { WorkerPlan } from './spec-worker-plan.js';
 import { UnservedDemand } from './unserved-demand.js';
 
-/** Smoothed demand for one model, with the adapters requested. */
+/** Smoothed demand for one model and its adapters. */
 export interface SpecModelDemand {
   arrivalsPerS: number;
   backlog: number;
@@ -12,34 +14,34 @@
   readonly adapters: Map<string, number>;
 }
 
-/** A copy of a model, or an adapter at one, that is to be placed. */
+/** A copy of a model, or an adapter of one, that is to be placed. */
 export interface PlacementNeed {
   readonly model: string;
   readonly adapter?: string;
-  /** Decides which need is met first. */
+  /** Needs of higher urgency are met first. */
   readonly urgency: number;
-  /** The pressure that it relieves: compared with the value of a copy that is evicted for it. */
+  /** The pressure that it relieves; compared with the value of the copy to evict for it. */
   readonly gain: number;
-  /** The same, grown by how long its model was requested without being served. */
+  /** The gain, increased with the time for which the model was requested without being loaded. */
   readonly agedGain?: number;
   readonly reason: string;
-  /** Only in a zone that has none yet, so that it outlives the loss of a zone. */
+  /** Whether to place it only in a zone without one, so that it survives the loss of a zone. */
   readonly newZoneOnly?: boolean;
 }
 
 /** Demand by model. */
 export type SpecDemands = ReadonlyMap<string, SpecModelDemand>;
 
-/** Least demand for an adapter that counts, in arrivals a second. */
+/** Minimum demand for an adapter to be placed, in arrivals a second. */
 const MIN_ADAPTER_PER_S = 0.01;
 
-/** Urgencies, besides the pressure; needs below 0 only fill free room. */
+/** Base urgencies, to which the pressure is added; needs below 0 only fill free memory. */
 const URGENCY = { missingModel: 10, missingAdapter: 5, secondZone: -0.5, adapterSecondZone: -0.6, spare: -1 };
 
 const NO_ADAPTERS = new Map<string, number>();
 
 /**
- * Finds what is to be placed.
+ * Determines what is to be placed.
  * @example
  * const needs = new SpecPlacementNeeds(settings).find(spec, plans, demands, nowMs);
  */
@@ -52,7 +54,7 @@
     this.#settings = settings;
   }
 
-  /** All needs, the most urgent first. */
+  /** Returns all needs, the most urgent first. */
   find(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): PlacementNeed[] {
     const rotationMs = this.#rotationMs(spec, plans, demands, nowMs);
     const needs: PlacementNeed[] = [];
@@ -66,7 +68,7 @@
     return needs.sort((one, other) => other.urgency - one.urgency);
   }
 
-  /** The demand for a model in multiples of what its copies should carry. */
+  /** The demand for a model as a multiple of the set point of its copies. */
   pressure(demand: SpecModelDemand | undefined, copies: readonly WorkerPlan[]): number {
     if (demand === undefined) return 0;
     const slots = copies.reduce(
@@ -76,7 +78,7 @@
     return (demand.arrivalsPerS + demand.backlog / 2) / (this.#settings.perSlotPerS * Math.max(1, slots));
   }
 
-  /** @param rotations - for how many turns the model was requested and not served */
+  /** @param rotations - the number of rotation intervals for which the model was requested and not loaded */
   #copyNeeds(
     model: string,
     demand: SpecModelDemand | undefined,
@@ -130,7 +132,9 @@
     return needs;
   }
 
-  /** Records what is loaded nowhere; how long one turn lasts, so that all of it can be pulled meanwhile. */
+  /**
+   * Records unserved models; returns the rotation interval, within which the store can deliver all of them.
+   */
   #rotationMs(spec: Spec, plans: readonly WorkerPlan[], demands: SpecDemands, nowMs: number): number {
     this.#unserved.expire(nowMs);
     let missing = 0;
@@ -145,7 +149,7 @@
   }
 }
 
-/** Adapters that no copy of their model has, to fill free room. */
+/** Adapters that no copy of their model has, to fill free memory. */
 function fillerNeeds(spec: Spec, plans: readonly WorkerPlan[]): PlacementNeed[] {
   const needs: PlacementNeed[] = [];
   for (const { name: adapter, model } of spec.adapters) {
@@ -156,7 +160,7 @@
   return needs;
 }
 
-/** Usable workers that are to have a model. */
+/** Usable workers whose plan includes a model. */
 function usableHolders(model: string, plans: readonly WorkerPlan[]): WorkerPlan[] {
   return plans.filter((plan) => plan.worker.usable && plan.holdings.has(model));
 }
--- a/packages/placement/src/spec-placer-settings.ts
+++ b/packages/placement/src/spec-placer-settings.ts
@@ -1,18 +1,18 @@
-/** Set points of the placement of the research groups' deployment. */
+/** Set points and bounds of the placement of the research groups' deployment. */
 
-/** Set points of placement. */
+/** Set points and bounds of placement. */
 export interface SpecPlacerSettings {
-  /** Demand that one copy of a model should carry, in arrivals a second and slot. */
+  /** Demand that one copy of a model should carry, in arrivals a second for each slot. */
   readonly perSlotPerS: number;
-  /** A copy more only above this multiple of the set point. */
+  /** A copy is added only above this multiple of the set point. */
   readonly addCopyAbove: number;
-  /** A copy less only below this multiple. */
+  /** A copy is removed only below this multiple of the set point. */
   readonly removeCopyBelow: number;
-  /** Changes decided in one step that take something away from a worker. */
+  /** Maximum number of evictions in one step. */
   readonly steps: number;
-  /** Changes decided in one step that only fill free room. */
+  /** Maximum number of placements into free memory in one step. */
   readonly fillBudget: number;
-  /** No copy is moved again before this, in milliseconds. */
+  /** Minimum time before a copy is moved again, in milliseconds. */
   readonly dwellMs: number;
 }
 
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -1,4 +1,4 @@
-/** Decides what each worker of the research groups' deployment is to load. */
+/** Plans what each worker of the research groups' deployment is to load. */
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 import { SpecPlacementNeeds, type PlacementNeed, type SpecDemands } from './spec-placement-needs.js';
 import type { SpecPlacerSettings } from './spec-placer-settings.js';
@@ -13,10 +13,10 @@
 } from './spec-worker-plan.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Part of the store's pulls that may go to models whose turn it is. */
+/** Fraction of the store's pulls that rotation between equally requested models may use. */
 const ROTATION_PULL_RATIO = 0.5;
 
-/** What one step works on. */
+/** The input of one planning step. */
 interface PlacerStep {
   readonly plans: readonly WorkerPlan[];
   readonly sizes: SpecSizes;
@@ -25,23 +25,21 @@
 }
 
 /**
- * Decides what each worker should hold. It moves a few copies a step, does not move a
- * copy again for a while, and asks for a wider gap to remove a copy
- * than to add one, so that it does not oscillate. Room that nobody asks for goes to
- * copies in a second zone, but not while something requested still lacks room.
- * A model that is requested and loaded nowhere counts for more the longer that
- * lasts, until it takes the place of one that is requested as much: where there
- * are more of them than places they take turns, no faster than half the store.
+ * Plans what each worker should hold. To avoid oscillation, it moves only a few copies in each step, does not
+ * move a copy again within `dwellMs`, and applies different thresholds for adding and removing a copy. Free
+ * memory goes to copies in a second zone, but not while a requested item lacks memory. The gain of a model
+ * that is requested and loaded nowhere grows with time, until it replaces a model of equal demand: if such
+ * models exceed the memory, they rotate, with at most half of the store's pulls.
  * @example
  * const changes = new SpecPlacer(SPEC_PLACER_SETTINGS).step(spec, workers, demands, nowMs);
  */
 export class SpecPlacer {
   #settings: SpecPlacerSettings;
   #needs: SpecPlacementNeeds;
-  /** When a copy was placed, by `worker/model`. */
+  /** When each copy was placed, by `worker/model`. */
   #placedMs = new Map<string, number>();
   #reasons = new Map<string, string>();
-  /** Evictions that are allowed now because of how long a model was not served. */
+  /** Limits evictions that only the aged gain of a model justifies. */
   #rotationBucket: TokenBucket | undefined;
 
   constructor(settings: SpecPlacerSettings) {
@@ -49,12 +47,12 @@
     this.#needs = new SpecPlacementNeeds(settings);
   }
 
-  /** Why a model is placed where it is: the last decision about it. */
+  /** The reason for the last placement decision on a model. */
   reason(model: string): string | undefined {
     return this.#reasons.get(model);
   }
 
-  /** New targets, only for the workers whose target changes. */
+  /** Returns new targets for the workers whose target changes. */
   step(
     spec: Spec,
     workers: readonly SpecPlacerWorker[],
@@ -77,7 +75,7 @@
     this.#rotationBucket.refill((ROTATION_PULL_RATIO * spec.store.pullsPerMinute) / 60, 1, nowMs);
   }
 
-  /** Meets needs in their order, as far as room and the bounds of one step allow. */
+  /** Meets needs in order, as far as memory and the bounds of one step allow. */
   #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStep): void {
     let { steps, fillBudget } = this.#settings;
     let isRoomShort = false;
@@ -92,7 +90,7 @@
     }
   }
 
-  /** Places what is needed where there is room, in a zone that lacks it if there is one. */
+  /** Places a need at a worker with enough free memory, preferably in a zone without the model. */
   #fill(need: PlacementNeed, plans: readonly WorkerPlan[], { sizes, nowMs }: PlacerStep): boolean {
     const needMb = neededMb(need, sizes);
     const modelZones = zonesWith(plans, ({ holdings }) => holdings.has(need.model));
@@ -116,7 +114,7 @@
     return true;
   }
 
-  /** Evicts the copy of the lowest value, if the need is worth much more. */
+  /** Evicts the copy of the lowest value if the gain of the need is clearly higher. */
   #evictFor(need: PlacementNeed, step: PlacerStep): boolean {
     if (need.urgency <= 0) return false;
     const needMb = neededMb(need, step.sizes);
@@ -135,7 +133,7 @@
     return true;
   }
 
-  /** Copies at a worker that might be evicted for a need. */
+  /** Copies at a worker that may be evicted for a need. */
   #candidates(
     need: PlacementNeed,
     plan: WorkerPlan,
@@ -146,7 +144,10 @@
       .map((model) => ({ plan, model, value: this.#valueOf(model, plan, step) }));
   }
 
-  /** Whether a need is worth a copy of this value; a need that has waited long may take a turn for it. */
+  /**
+   * Whether a need justifies evicting a copy of a value, by its gain or, at the rotation rate, by its aged
+   * gain.
+   */
   #mayEvict(value: number, need: PlacementNeed): boolean {
     const { removeCopyBelow } = this.#settings;
     if (value < need.gain * removeCopyBelow) return true;
@@ -160,7 +161,7 @@
     return nowMs - (this.#placedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) > this.#settings.dwellMs;
   }
 
-  /** The pressure that the other copies of a model would carry without this one. */
+  /** The pressure on the other copies of a model without this one. */
   #valueOf(model: string, plan: WorkerPlan, { plans, demands }: PlacerStep): number {
     const others = plans.filter(
       (other) => other !== plan && other.worker.usable && other.holdings.has(model),
@@ -169,7 +170,10 @@
   }
 }
 
-/** Workers at which a need could be met: those with the model for an adapter, those without it for a copy. */
+/**
+ * Usable workers for a need: without the model for a copy, with the model and without the adapter for an
+ * adapter.
+ */
 function eligiblePlans(need: PlacementNeed, plans: readonly WorkerPlan[]): WorkerPlan[] {
   return plans.filter((plan) => {
     const adapters = plan.holdings.get(need.model);
--- a/packages/placement/src/spec-worker-plan.ts
+++ b/packages/placement/src/spec-worker-plan.ts
@@ -1,4 +1,4 @@
-/** What one worker of the research groups' deployment is to load, while the placer changes it. */
+/** The planned holdings of one worker of the research groups' deployment during a planning step. */
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 
 /** A worker as the placer sees it. */
@@ -6,20 +6,20 @@
   readonly name: string;
   readonly zone: string;
   readonly roomMb: number;
-  /** Requests that it can run at once. */
+  /** Number of requests that the worker can run at once. */
   readonly slots: number;
-  /** Neither draining, nor unreachable, nor in an evacuated zone. */
+  /** Whether the worker is neither draining, nor unreachable, nor in an evacuated zone. */
   readonly usable: boolean;
   readonly holdings: readonly HoldingTarget[];
 }
 
-/** What models and adapters of a spec take up, in MB, by name. */
+/** Sizes of the models and adapters of a spec, in MB, by name. */
 export interface SpecSizes {
   readonly modelMb: ReadonlyMap<string, number>;
   readonly adapterMb: ReadonlyMap<string, number>;
 }
 
-/** The target of one worker in the making. */
+/** The target of one worker, changed during a planning step. */
 export interface WorkerPlan {
   readonly worker: SpecPlacerWorker;
   /** Adapters by model. */
@@ -32,7 +32,7 @@
 }
 
 /**
- * The sizes that a spec gives.
+ * Returns the sizes of a spec's models and adapters.
  * @example
  * sizesOf(spec).modelMb.get('gearbox-7b'); // 14000
  */
@@ -44,9 +44,9 @@
 }
 
 /**
- * What a model takes up at a worker with its adapters there, in MB.
+ * The memory that a model uses at a worker with its planned adapters, in MB.
  * @example
- * plan.freeMb += plannedMb(plan, 'gearbox-7b', sizes);
+ * plan.freeMb += modelWithAdaptersMb(plan, 'gearbox-7b', sizes);
  */
 export function modelWithAdaptersMb(
   plan: WorkerPlan,
@@ -59,8 +59,8 @@
 }
 
 /**
- * The plan of a worker as it is now: without what the spec does not know, and without the last models if they
- * exceed its room.
+ * Creates the plan of a worker from its current target, without items that are missing in the spec, and
+ * without the last models if they exceed the worker's memory.
  * @example
  * const plan = newWorkerPlan(worker, sizesOf(spec));
  */
@@ -83,7 +83,7 @@
 }
 
 /**
- * The target that a plan comes to.
+ * Converts a plan to a target.
  * @example
  * changes[plan.worker.name] = targetOf(plan);
  */
--- a/packages/placement/src/store-budget.ts
+++ b/packages/placement/src/store-budget.ts
@@ -1,25 +1,24 @@
-/** The loads that the store of weights allows one service of the platform system. */
+/** The rate limit for loads from the model store of one service of the platform system. */
 import { maxConcurrentLoads, type Engine } from './engine.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** What a load from the store is for. */
+/** The purpose of a load from the store. */
 export type LoadPurpose =
-  /** A model that stands nowhere. */
+  /** The first copy of a model that is loaded nowhere. */
   | 'first-copy'
-  /** A further copy of one that does. */
+  /** A further copy of a loaded model. */
   | 'further-copy';
 
 /**
- * Loads that the store of weights of one service allows, shared by first copies
- * and further copies. While both are wanted neither gets more than half,
- * so that models in heavy use cannot keep the others from being loaded.
+ * A rate limit for loads from the model store of one service, shared by first and further copies. While both
+ * are needed each gets at most half, so that models in heavy use cannot starve the others.
  * @example
  * budget.refill(engine, nowMs);
- * if (budget.isOpen) budget.take(budget.next);
+ * if (budget.mayLoad) budget.take(budget.next);
  */
 export class StoreBudget {
   #bucket: TokenBucket;
-  /** First copies that were loaded beyond further ones, within a few loads. */
+  /** How many more first copies than further ones were loaded, clamped to -1 to 1. */
   #firstCopyLead = 0;
 
   constructor(nowMs: number) {
@@ -30,12 +29,12 @@
     this.#bucket.refill(engine.loadsPerS, maxConcurrentLoads(engine), nowMs);
   }
 
-  /** Whether a load may begin now. */
+  /** Whether a load may start now. */
   get mayLoad(): boolean {
     return this.#bucket.hasToken;
   }
 
-  /** Which of the two has had fewer loads and comes first. */
+  /** The purpose with fewer recent loads, which comes next. */
   get next(): LoadPurpose {
     return this.#firstCopyLead > 0 ? 'further-copy' : 'first-copy';
   }
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -1,4 +1,6 @@
-/** A simulated fleet of workers that a planner orders, with requests that arrive, wait, run and are given up. */
+/**
+ * A simulated fleet of workers that a planner orders, with requests that arrive, wait, run and are given up.
+ */
 import { SeededRandom } from '@rainrun/common';
 import type { EdgeDemand } from '../demand-totals.js';
 import type { Engine, EngineModel } from '../engine.js';
--- a/packages/placement/src/token-bucket.ts
+++ b/packages/placement/src/token-bucket.ts
@@ -1,9 +1,9 @@
 /**
- * A token bucket that starts empty, so that a new holder of a duty waits.
+ * A token bucket that starts empty, so that the rate also holds across a change of coordinator.
  * @example
  * const bucket = new TokenBucket(nowMs);
- * bucket.refill(2, 1, laterMs); // two tokens a second, one at capacity
- * if (bucket.isOpen) bucket.take();
+ * bucket.refill(2, 1, laterMs); // two tokens a second, at most one in the bucket
+ * if (bucket.hasToken) bucket.take();
  */
 export class TokenBucket {
   #tokens = 0;
@@ -13,13 +13,13 @@
     this.#refilledMs = nowMs;
   }
 
-  /** Adds what has come since the last call. */
+  /** Adds the tokens since the last call, up to the capacity. */
   refill(perS: number, capacity: number, nowMs: number): void {
     this.#tokens = Math.min(capacity, this.#tokens + (perS * (nowMs - this.#refilledMs)) / 1000);
     this.#refilledMs = nowMs;
   }
 
-  /** Whether a token is there. */
+  /** Whether at least one token is available. */
   get hasToken(): boolean {
     return this.#tokens >= 1;
   }
--- a/packages/placement/src/unserved-demand.ts
+++ b/packages/placement/src/unserved-demand.ts
@@ -1,18 +1,17 @@
 /** How long models and adapters were requested without being loaded anywhere; used by both systems. */
 
-/** Since when something was asked for and not served. */
+/** The time span for which an item was requested and not served. */
 interface UnservedSpan {
   readonly sinceMs: number;
   lastRequestedMs: number;
 }
 
-/** Nobody has asked for it for so long: the next request begins anew. */
+/** A span ends this long after the last request; the next request starts a new one. */
 const UNSERVED_TTL_MS = 30_000;
 
 /**
- * Remembers since when models and adapters were asked for and could be had
- * nowhere. It outlives the requests that waited: one that was given up still
- * counts when the next one comes.
+ * Tracks how long models and adapters have been requested without being loaded anywhere. A span outlives its
+ * requests: time for which abandoned requests waited still counts when the next request arrives.
  * @example
  * unserved.recordRequested('assist/model-1', nowMs);
  * unserved.ageMs('assist/model-1', nowMs); // 0, and grows
@@ -20,14 +19,14 @@
 export class UnservedDemand {
   #spans = new Map<string, UnservedSpan>();
 
-  /** It is asked for, and can be had nowhere. */
+  /** Records that an item is requested and loaded nowhere. */
   recordRequested(key: string, nowMs: number): void {
     const span = this.#spans.get(key);
     if (span === undefined) this.#spans.set(key, { sinceMs: nowMs, lastRequestedMs: nowMs });
     else span.lastRequestedMs = nowMs;
   }
 
-  /** It can be had. */
+  /** Records that an item is loaded. */
   recordServed(key: string): void {
     this.#spans.delete(key);
   }
@@ -37,7 +36,7 @@
     return span === undefined ? 0 : nowMs - span.sinceMs;
   }
 
-  /** Forgets what nobody has asked for lately. */
+  /** Drops spans without a recent request. */
   expire(nowMs: number): void {
     for (const [key, { lastRequestedMs }] of this.#spans)
       if (nowMs - lastRequestedMs > UNSERVED_TTL_MS) this.#spans.delete(key);
--- a/packages/placement/src/usage.ts
+++ b/packages/placement/src/usage.ts
@@ -1,17 +1,18 @@
 /** When models and adapters of the platform system were last used. */
 
 interface UsageRecord {
-  /** When it was last in use; endless ago if it was only asked for. */
+  /** When the item was last in use; -Infinity if it never was. */
   usedMs: number;
-  /** How long its requests can wait without loss; 0 if unknown. */
+  /** Mean target latency of the model's requests; 0 if unknown. */
   meanTargetMs: number;
 }
 
 /**
- * When models and adapters were last in use, by `service/model` and `service/model/adapter`, and how patient the
- * requests for a model are. It outlives the demand, and begins anew with each coordinator.
+ * When models and adapters were last in use, by `service/model` and `service/model/adapter`, and the mean
+ * target latency of the requests for each model. It outlives the demand, and starts empty on each new
+ * coordinator.
  * @example
- * usage.used('assist/model-1', nowMs);
+ * usage.recordUse('assist/model-1', nowMs);
  * usage.idleMs('assist/model-1', nowMs); // 0
  */
 export class Usage {
@@ -21,17 +22,17 @@
     this.#record(key).usedMs = nowMs;
   }
 
-  /** Takes the mean patience of the requests for a model, where it is known. */
+  /** Records the mean target latency of the requests for a model, if it is known. */
   recordTarget(key: string, meanTargetMs: number): void {
     if (meanTargetMs > 0) this.#record(key).meanTargetMs = meanTargetMs;
   }
 
-  /** How long it has not been used; endless if it never was. */
+  /** Time since the last use; infinite if there was none. */
   idleMs(key: string, nowMs: number): number {
     return nowMs - (this.#records.get(key)?.usedMs ?? -Infinity);
   }
 
-  /** How long the requests for a model can wait without loss; 0 if none was seen. */
+  /** Mean target latency of the requests for a model, in milliseconds; 0 if unknown. */
   meanTargetMs(key: string): number {
     return this.#records.get(key)?.meanTargetMs ?? 0;
   }
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -1,32 +1,32 @@
-/** What one worker of the platform system has loaded, and the orders decided for it. */
+/** What one worker of the platform system has loaded, and the orders planned for it. */
 import type { Engine } from './engine.js';
 import { adapterCount, copyOf, sameHoldings, usedMb, type Holdings } from './holdings.js';
 import type { WorkerReport } from './orders.js';
 import { ReportSettling } from './report-settling.js';
 
-/** One order that was decided: it is sent once those before it are done. */
+/** One planned order; it is sent once the steps before it are done. */
 export interface Step {
   readonly action: 'load' | 'unload';
   readonly model: string;
   /** Empty for the model itself. */
   readonly adapter: string;
-  /** Whether the worker has taken it. */
+  /** Whether the worker has accepted the order. */
   started: boolean;
-  /** When it said so. */
+  /** When the worker accepted a load of a model. */
   startedMs: number;
-  /** When it was last known to be at it still. */
+  /** When the worker last replied that it was busy. */
   busyMs: number;
-  /** Whether the order was sent and has no reply yet. */
+  /** Whether the order is sent and its reply outstanding. */
   inFlight: boolean;
-  /** How often the worker replied that it is busy. */
+  /** Number of busy replies so far. */
   busyReplies: number;
   notBeforeMs: number;
-  /** When it will be done without another word. */
+  /** When the step counts as done without a further reply. */
   expectedDoneMs: number;
 }
 
 /**
- * A step that was not sent yet.
+ * Creates a step that is not sent yet.
  * @example
  * newStep('load', 'model-1', '', nowMs);
  */
@@ -45,22 +45,22 @@
   };
 }
 
-/** After a refusal a worker gets no new order for so long; twice as long after each further one. */
+/** Backoff after a worker refused an order; it doubles with each further refusal in a row. */
 const REJECTION_BACKOFF_MS = 250;
 const REJECTION_BACKOFF_MAX_MS = 4000;
 
-/** Questions to one worker what it holds. */
+/** The state of the report requests to one worker. */
 export interface ReportRequest {
   inFlight: boolean;
   notBeforeMs: number;
-  /** How many in a row had no answer. */
+  /** Number of consecutive requests without an answer. */
   consecutiveUnanswered: number;
 }
 
 /**
- * What one incarnation of a worker holds by its own word, and the orders that
- * were decided for it. Holdings change with what the worker answers, and with
- * nothing else; what is decided counts in `planned` from the moment on.
+ * The reported holdings of one incarnation of a worker, and the orders planned
+ * for it. `holdings` changes only with the worker's replies and reports; `planned`
+ * includes the planned orders at once.
  * @example
  * const state = new WorkerState(report.holdings);
  * state.adopt(report);
@@ -68,28 +68,31 @@
  * state.planned.has('model-1'); // true
  */
 export class WorkerState {
-  /** Models that this incarnation has held: they come back from its own disk. */
+  /** Models that this incarnation has held before; it loads them again from its own disk. */
   readonly onDisk: Set<string>;
-  /** Models that are there and get no more requests: the first to give way, and back at once when wanted. */
+  /** Loaded models that get no more requests: they are evicted first, and restored at once when needed. */
   readonly retired = new Set<string>();
-  /** Since when it holds a model. */
+  /** When each model was loaded. */
   readonly loadedSinceMs = new Map<string, number>();
-  /** When it was asked what it holds. */
+  /** The state of report requests to this worker. */
   readonly reportRequest: ReportRequest = {
     inFlight: false,
     notBeforeMs: -Infinity,
     consecutiveUnanswered: 0,
   };
-  /** How many orders it has taken; known once it has reported. */
+  /** Number of orders that the worker has accepted; known once it has reported. */
   sequence = 0;
-  /** When it last took an order. */
+  /** When the worker last accepted an order. */
   lastAcceptedMs = -Infinity;
-  /** Until when it is left alone after it refused orders. */
+  /** End of the backoff after refused orders. */
   backoffUntilMs = -Infinity;
   readonly settling = new ReportSettling();
   #holdings: Map<string, Set<string>>;
   #hasReported = false;
-  /** Orders with the present count that had no usable answer: any one of them may have been taken, or may still be. */
+  /**
+   * Orders of the current sequence without a usable answer: any one of them may have been or may still be
+   * accepted.
+   */
   #unansweredOrders: Step[] = [];
   #steps: Step[] = [];
   #planned: Map<string, Set<string>> | undefined;
@@ -104,23 +107,23 @@
     return this.#steps;
   }
 
-  /** What it holds. */
+  /** What the worker holds. */
   get holdings(): Holdings {
     return this.#holdings;
   }
 
-  /** What it will hold once all steps are done. */
+  /** What the worker will hold once all steps are done. */
   get planned(): Holdings {
     this.#planned ??= this.#projectHoldings();
     return this.#planned;
   }
 
-  /** Whether `holdings` are what it holds after `sequence` orders; until it has reported they are only listed. */
+  /** Whether `holdings` come from a report; before the first report they come from the platform's list. */
   get hasReported(): boolean {
     return this.#hasReported;
   }
 
-  /** Takes a worker's own word, in place of all that was believed and decided. */
+  /** Replaces the known holdings and the planned orders by a worker's report. */
   applyReport(report: WorkerReport): void {
     this.clear();
     if (report.sequence !== this.sequence) this.#unansweredOrders = [];
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Whether a report says just what must hold by what is known without it: nothing was taken since, or the one order
-   * that had no answer.
+   * Whether a report agrees with the known state: either the worker has accepted nothing since, or it has
+   * accepted the one order whose answer is missing.
    */
   isConsistentWith({ sequence, holdings }: WorkerReport): boolean {
     if (!this.#hasReported) return false;
@@ -154,8 +157,8 @@
   }
 
   /**
-   * Drops all that was decided and is not done. An order that the worker has taken counts as done: it takes no other
-   * one before.
+   * Drops all planned steps. An order that the worker has accepted counts as done, since the worker accepts
+   * no other one before that.
    */
   clear(): void {
     const first = this.#steps[0];
@@ -165,7 +168,7 @@
     this.#planned = undefined;
   }
 
-  /** The worker has taken an order. */
+  /** Records that the worker has accepted an order. */
   recordAccepted(nowMs: number): void {
     this.sequence += 1;
     this.#unansweredOrders = [];
@@ -173,14 +176,14 @@
     this.#rejections = 0;
   }
 
-  /** The worker has refused an order. */
+  /** Records that the worker has refused an order. */
   recordRejection(nowMs: number): void {
     this.backoffUntilMs =
       nowMs + Math.min(REJECTION_BACKOFF_MAX_MS, REJECTION_BACKOFF_MS * 2 ** this.#rejections);
     this.#rejections += 1;
   }
 
-  /** The first step is done. */
+  /** Removes the first step and applies its result to the holdings. */
   finishFirst(nowMs: number): void {
     const step = this.#steps.shift();
     if (step === undefined) return;
@@ -194,7 +197,7 @@
     }
   }
 
-  /** Whether a load keeps to the room and the adapter places, with the sizes that hold now. */
+  /** Whether a load stays within the memory and the adapter places, by the currently configured sizes. */
   fitsCapacity(engine: Engine, { action, model, adapter }: Step): boolean {
     if (action === 'unload') return true;
     const after = copyOf(this.#holdings);
@@ -203,18 +206,18 @@
     return usedMb(engine, after) <= engine.roomMb && adapterCount(after) <= engine.adapterPlaces;
   }
 
-  /** How long a load takes: from the worker's own disk, if it has held the model, a part of the time from the store. */
+  /** Expected load time: a ratio of the load time from the store if the model is on the worker's own disk. */
   loadMs(engine: Engine, model: string, diskLoadRatio: number): number {
     const storeLoadMs = engine.models.get(model)?.loadMs ?? 0;
     return this.onDisk.has(model) ? storeLoadMs * diskLoadRatio : storeLoadMs;
   }
 
-  /** How long it has held a model; endless for one that it has held from the start. */
+  /** How long the worker has held a model; infinite for one that it held from the start. */
   loadedForMs(model: string, nowMs: number): number {
     return nowMs - (this.loadedSinceMs.get(model) ?? -Infinity);
   }
 
-  /** In how many milliseconds all steps will be done, as far as can be told. */
+  /** Estimated time until all model loads among the steps are done, in milliseconds. */
   queuedLoadMs(engine: Engine, diskLoadRatio: number, nowMs: number): number {
     let sumMs = 0;
     for (const { action, model, adapter, started, notBeforeMs } of this.#steps) {
@@ -224,7 +227,7 @@
     return sumMs;
   }
 
-  /** Whether a model is being loaded from the store of weights, or will be. */
+  /** Whether a load from the model store is running or planned. */
   get isLoadingFromStore(): boolean {
     return this.#steps.some(
       ({ action, model, adapter }) => action === 'load' && adapter === '' && !this.onDisk.has(model),
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -1,4 +1,4 @@
-/** The workers of the platform system as its coordinator knows them, a versioned row each. */
+/** The workers of the platform system as its coordinator knows them, one versioned row for each. */
 import { copyOf, type Holdings } from './holdings.js';
 
 /** One worker as the platform lists it. */
@@ -10,7 +10,7 @@
   readonly slots: number;
   readonly draining: boolean;
   readonly warmUpMs: number;
-  /** What it reports as loaded: adapters by model. */
+  /** The loaded adapters by loaded model, as the platform lists them. */
   readonly models: Holdings;
 }
 
@@ -24,33 +24,36 @@
   draining: boolean;
   removed: boolean;
   warmUpUntilMs: number;
-  /** What requests may be sent for: adapters by model. */
+  /** What the worker may get requests for: adapters by model. */
   models: Map<string, Set<string>>;
-  /** Percentage of the edges of a zone that may send to it; zones that are not named send freely. */
+  /** Percentage of the edges of a zone that may send to the worker; all edges of an unnamed zone may. */
   limits: ReadonlyMap<string, number>;
-  /** Grows with every change of any row. */
+  /** The number of the row's last change; each change in the table gets the next higher number. */
   number: number;
   removedMs: number;
-  /** Whether the worker itself has reported its holdings; only then is it ordered. */
+  /** Whether the holdings are confirmed by the worker's own report; only then does it get orders. */
   confirmed: boolean;
 }
 
-/** A row is dropped so long after its worker was removed, in milliseconds. */
+/** A row is dropped this long after its worker was removed, in milliseconds. */
 const REMOVED_ROW_RETENTION_MS = 30_000;
-/** The end of the warm-up must move by more than this to count as a new one, in milliseconds. */
+/** A new warm-up is assumed if its end moves by more than this, in milliseconds. */
 const WARM_UP_STEP_MS = 400;
 
-/** What changed in a table since it was last asked. */
+/** What changed in a table since `takeChanges` was last called. */
 export interface TableChanges {
-  /** Something changed that concerns every request: a worker came, leaves, is gone, or its holdings were read anew. */
+  /**
+   * Whether a change affects all requests: a worker joined, drains or was removed, or its holdings were
+   * reread.
+   */
   readonly all: boolean;
-  /** Models, each as `service/model`, that a worker began or ceased to serve. */
+  /** Models, each as `service/model`, that a worker has started or stopped serving. */
   readonly models: ReadonlySet<string>;
 }
 
 /**
- * The table of workers, a numbered row each, so that a reader that has all
- * rows up to a number is told only what came after it.
+ * The table of workers, one numbered row for each, so that a reader that has all
+ * rows up to a number gets only the later changes.
  * @example
  * const table = new WorkerTable();
  * table.learn([listed], nowMs);
@@ -62,7 +65,7 @@
   #changedAll = false;
   #changedModels = new Set<string>();
 
-  /** Number of the newest change. */
+  /** Number of the latest change. */
   get number(): number {
     return this.#number;
   }
@@ -75,12 +78,12 @@
     return this.#rows.get(id);
   }
 
-  /** Rows changed after a number. */
+  /** Rows that changed after a number. */
   since(number: number): WorkerRecord[] {
     return [...this.#rows.values()].filter((row) => row.number > number);
   }
 
-  /** Gives a changed row a new number; `model` is named where nothing but the copies of that model changed. */
+  /** Gives a changed row a new number; `model` is given if only the copies of that model changed. */
   touch(row: WorkerRecord, model?: string): void {
     this.#number += 1;
     row.number = this.#number;
@@ -88,7 +91,7 @@
     else this.#changedModels.add(`${row.service}/${model}`);
   }
 
-  /** What changed since the last call. */
+  /** Returns and clears the changes since the last call. */
   takeChanges(): TableChanges {
     const changes: TableChanges = { all: this.#changedAll, models: this.#changedModels };
     this.#changedAll = false;
@@ -96,7 +99,10 @@
     return changes;
   }
 
-  /** Takes the platform's whole list. Holdings count only for incarnations that were not known: later ones follow from replies to orders. */
+  /**
+   * Applies the platform's complete list of workers, and returns the new ones. Listed holdings are used only
+   * for new incarnations; later changes follow from replies to orders.
+   */
   learn(list: readonly ListedWorker[], nowMs: number): WorkerRecord[] {
     const added: WorkerRecord[] = [];
     const listedIds = new Set<string>();
