--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -39,9 +39,12 @@
   place(round: PlacementRound): void {
     const { engine, nowMs } = round;
     const missing = this.#missing(round)
-      .map((wanted) => ({ wanted, ageMs: this.#unserved.ageMs(keyOf(engine.service, wanted), nowMs) }))
+      .map((adapterRef) => ({
+        adapterRef,
+        ageMs: this.#unserved.ageMs(keyOf(engine.service, adapterRef), nowMs),
+      }))
       .sort((one, other) => other.ageMs - one.ageMs);
-    for (const { wanted } of missing) this.#placeOne(round, wanted);
+    for (const { adapterRef } of missing) this.#placeOne(round, adapterRef);
   }
 
   /** Adapters that requests wait for and that no holder of their model has loaded or planned. */
@@ -50,8 +53,8 @@
     const missing: AdapterRef[] = [];
     for (const [model, demand] of demands) {
       for (const [adapter, { waiting, inFlight }] of demand.adapters) {
-        const wanted = { model, adapter };
-        const key = keyOf(engine.service, wanted);
+        const adapterRef = { model, adapter };
+        const key = keyOf(engine.service, adapterRef);
         if (waiting + inFlight > 0) this.#usage.recordUse(key, nowMs);
         if (waiting === 0) continue;
         if (round.rows.some((row) => row.models.get(model)?.has(adapter) === true)) {
@@ -59,7 +62,7 @@
           continue;
         }
         this.#unserved.recordRequested(key, nowMs);
-        if (!round.rows.some((row) => this.#isLoadPlanned(row, wanted))) missing.push(wanted);
+        if (!round.rows.some((row) => this.#isLoadPlanned(row, adapterRef))) missing.push(adapterRef);
       }
     }
     return missing;
@@ -74,8 +77,8 @@
     );
   }
 
-  #placeOne(round: PlacementRound, wanted: AdapterRef): void {
-    const { model, adapter } = wanted;
+  #placeOne(round: PlacementRound, adapterRef: AdapterRef): void {
+    const { model, adapter } = adapterRef;
     const holders = round.rows
       .filter((row) => row.models.has(model))
       .sort(
@@ -83,7 +86,7 @@
           this.#sender.state(one).steps.length - this.#sender.state(other).steps.length ||
           spread(`${adapter} ${one.id}`) - spread(`${adapter} ${other.id}`),
       );
-    holders.some((row) => this.#placeAt(round, row, wanted));
+    holders.some((row) => this.#placeAt(round, row, adapterRef));
   }
 
   /**
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -67,8 +67,8 @@
     for (const victim of victims) this.#table.touch(row, victim);
     this.#sender.state(row).add(newStep('load', need.model, '', round.nowMs));
     round.copies.set(need.model, (round.copies.get(need.model) ?? 0) + 1);
-    const replacing = victims.length > 0 ? ` in the place of ${victims.join(', ')}` : '';
-    return `${row.id} loads ${need.model} from ${source}${replacing} (worth ${need.value.toFixed(2)})`;
+    const replacing = victims.length > 0 ? ` replacing ${victims.join(', ')}` : '';
+    return `${row.id} loads ${need.model} from ${source}${replacing} (value ${need.value.toFixed(2)})`;
   }
 
   /**
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -41,7 +41,8 @@
 /** A worker that is still busy this long after the last order that it accepted is asked for a report. */
 const VERIFY_AFTER_BUSY_MS = 500;
 /**
- * A report includes an order that was accepted this long ago; one with a lower sequence before that is stale.
+ * A report with a lower sequence is stale within this time after an accepted order; by then every report
+ * includes that order.
  */
 const STALE_REPORT_MS = 2000;
 /**
@@ -252,7 +253,7 @@
     });
   }
 
-  /** Whether a report is older than the last order that the worker is known to have accepted. */
+  /** Whether a report predates the last order that the worker is known to have accepted. */
   #isStale(state: WorkerState, report: WorkerReport): boolean {
     const isRecent = this.#dependencies.nowMs() - state.lastAcceptedMs < STALE_REPORT_MS;
     return isRecent && report.sequence < state.sequence;
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -195,13 +195,13 @@
   #addFurtherCopyNeed({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
     const target = targets.get(model);
     const planned = copies.get(model) ?? 0;
-    const wanted = Math.min(rows.length, target?.desired ?? 0);
-    if (target === undefined || planned >= wanted) return;
+    const desired = Math.min(rows.length, target?.desired ?? 0);
+    if (target === undefined || planned >= desired) return;
     const { recent, expected, perCopy } = target;
     const isOverloaded = recent > POLICY.overloadRatio * planned * perCopy;
     const value = isOverloaded
       ? POLICY.overloadedValue
-      : POLICY.furtherCopyValue + (wanted - planned) / wanted;
+      : POLICY.furtherCopyValue + (desired - planned) / desired;
     further.push({
       model,
       value,
--- a/packages/placement/src/spec-placement-needs.ts
+++ b/packages/placement/src/spec-placement-needs.ts
@@ -126,7 +126,7 @@
         adapter,
         urgency: URGENCY.missingAdapter + perS,
         gain: this.pressure({ arrivalsPerS: perS, backlog: 0, adapters: NO_ADAPTERS }, []),
-        reason: `adapter ${adapter} asked for`,
+        reason: `adapter ${adapter} requested`,
       });
     }
     return needs;
@@ -155,7 +155,7 @@
   for (const { name: adapter, model } of spec.adapters) {
     const copies = usableHolders(model, plans);
     if (copies.length > 0 && !copies.some((plan) => plan.holdings.get(model)?.has(adapter)))
-      needs.push({ model, adapter, urgency: URGENCY.spare, gain: 0, reason: 'room for an adapter' });
+      needs.push({ model, adapter, urgency: URGENCY.spare, gain: 0, reason: 'free memory for an adapter' });
   }
   return needs;
 }
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -110,7 +110,7 @@
     plan.freeMb -= needMb;
     plan.changed = true;
     this.#placedMs.set(`${plan.worker.name}/${need.model}`, nowMs);
-    this.#reasons.set(need.model, `${need.reason}, put on ${plan.worker.name}`);
+    this.#reasons.set(need.model, `${need.reason}, placed on ${plan.worker.name}`);
     return true;
   }
 
@@ -128,7 +128,7 @@
     plan.holdings.delete(model);
     plan.changed = true;
     plan.evicted = true;
-    this.#reasons.set(model, `left ${plan.worker.name} for ${need.model}`);
+    this.#reasons.set(model, `evicted from ${plan.worker.name} for ${need.model}`);
     this.#fill(need, [plan], step);
     return true;
   }
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -63,7 +63,7 @@
  * includes the planned orders at once.
  * @example
  * const state = new WorkerState(report.holdings);
- * state.adopt(report);
+ * state.applyReport(report);
  * state.add(newStep('load', 'model-1', '', nowMs));
  * state.planned.has('model-1'); // true
  */
