--- a/packages/placement/src/copy-demand.test.ts
+++ b/packages/placement/src/copy-demand.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-/** Follows a course of concurrency, given by the second, and returns each target. */
+/** Feeds concurrent requests as a function of time, and returns each target. */
 function follow(loadMs: number, seconds: number, inFlightAt: (atS: number) => number): CopyTarget[] {
   const copies = new CopyDemand();
   const targets: CopyTarget[] = [];
@@ -39,20 +39,20 @@
   return targets;
 }
 
-describe('how many copies a model needs', () => {
-  it('counts what will run once a load is done while its use rises', () => {
-    // From 2 s on 5 more run with each second; at 6 s it is 20, and 40 when a load that begins then is done.
+describe('the number of copies that a model needs', () => {
+  it('includes the requests expected at the end of a load while the concurrency rises', () => {
+    // The concurrency rises by 5 each second from 2 s on: 20 at 6 s, 40 at the end of a load that starts then.
     const [last] = follow(LOAD_MS, 6, (atS) => Math.max(0, 5 * (atS - 2))).slice(-1);
     expect([(last?.expected ?? 0) > 24, (last?.expected ?? 0) <= 40]).toEqual([true, true]);
   });
 
-  it('is not moved by the waves of a steady use', () => {
+  it('stays within one copy while the concurrency oscillates around a steady mean', () => {
     const targets = follow(LOAD_MS, 30, (atS) => 21 + 3 * Math.sin(atS * 2 * Math.PI * 0.9));
     const wanted = targets.slice(200).map((target) => target.desired);
     expect(Math.max(...wanted) - Math.min(...wanted) <= 1).toEqual(true);
   });
 
-  it('does not expect a fall', () => {
+  it('does not extrapolate a falling trend', () => {
     const [last] = follow(LOAD_MS, 6, (atS) => (atS < 5 ? 30 : 28)).slice(-1);
     expect((last?.expected ?? 0) >= 28).toEqual(true);
   });
--- a/packages/placement/src/demand-totals.test.ts
+++ b/packages/placement/src/demand-totals.test.ts
@@ -16,8 +16,8 @@
   };
 }
 
-describe('totals of demand', () => {
-  it('add up over edges and replace what an edge said before', () => {
+describe('the totals of demand', () => {
+  it('sum over all edges, with the latest report of each edge', () => {
     const totals = new DemandTotals();
     totals.set('a', [demandFor('m'), demandFor('m', { adapter: 'a1' })], 0);
     totals.set('b', [demandFor('m'), demandFor('n', { waiting: 4 })], 0);
@@ -27,7 +27,7 @@
     expect(demand?.adapters.get('a1')?.waiting).toEqual(0);
   });
 
-  it('keep what a partial report does not name', () => {
+  it('keep the entries that a partial report does not include', () => {
     const totals = new DemandTotals();
     totals.set('a', [demandFor('m'), demandFor('n')], 0);
     totals.update('a', [demandFor('n', { waiting: 5 })], 10);
@@ -36,7 +36,7 @@
     expect([totals.of('assist').size, totals.waiting]).toEqual([0, 0]);
   });
 
-  it('are exactly nothing after ten thousand reports came and went', () => {
+  it('are exactly zero after ten thousand reports have been replaced and have expired', () => {
     const totals = new DemandTotals();
     for (let turn = 0; turn < 10_000; turn += 1)
       totals.set(`e${turn % 7}`, [demandFor('m', { perS: 0.1 * turn })], turn);
--- a/packages/placement/src/disk-load-estimator.test.ts
+++ b/packages/placement/src/disk-load-estimator.test.ts
@@ -4,9 +4,7 @@
 
 const STORE_MS = 4000;
 
-/**
- * A load from disk that really takes `tookMs`, asked about first when it is expected and then every 50 ms.
- */
+/** Simulates a load from disk that takes `tookMs`, polled first at its expected end and then every 50 ms. */
 function load(estimator: DiskLoadEstimator, tookMs: number): { polls: number; lateMs: number } {
   const startedMs = 1000;
   let busyMs = -Infinity;
@@ -21,16 +19,16 @@
   return { polls, lateMs: nowMs - startedMs - tookMs };
 }
 
-describe("the time of loads from a worker's own disk", () => {
+describe("the estimated time of a load from a worker's own disk", () => {
   for (const tookMs of [100, 760, 2700])
-    it(`is learned where it is ${tookMs} ms of ${STORE_MS}`, () => {
+    it(`converges if the load takes ${tookMs} ms and one from the store ${STORE_MS} ms`, () => {
       const estimator = new DiskLoadEstimator();
       for (let nth = 0; nth < 20; nth += 1) load(estimator, tookMs);
       const { polls, lateMs } = load(estimator, tookMs);
       expect([polls <= 6, lateMs <= Math.max(60, 0.2 * tookMs)]).toEqual([true, true]);
     });
 
-  it('is not learned from a load that is known to no begin', () => {
+  it('does not change with a load whose start is unknown', () => {
     const estimator = new DiskLoadEstimator();
     const before = estimator.ratioToStore;
     estimator.observe({ startedMs: Infinity, busyMs: -Infinity }, STORE_MS, 5000);
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -28,10 +28,10 @@
   return read.isOk ? read.value : ({} as Spec);
 }
 
-describe('loop', () => {
+describe('the feedback loop', () => {
   const settings = { gain: 0.5, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 };
 
-  it('moves in bounded steps and stays within its bounds', () => {
+  it('changes its output in bounded steps and stays within its bounds', () => {
     const loop = new Loop(settings);
     const outputs = Array.from({ length: 60 }, () => loop.move(10, 1));
     const steps = outputs.map((output, place) => output / (outputs[place - 1] ?? 1));
@@ -39,7 +39,7 @@
     expect(Math.max(...outputs)).toEqual(4);
   });
 
-  it('does not wind up: it comes back soon after a long time at its bound', () => {
+  it('does not wind up: it leaves its bound soon even after a long time there', () => {
     const loop = new Loop(settings);
     for (let second = 0; second < 600; second += 1) loop.move(10, 1);
     let seconds = 0;
@@ -47,13 +47,13 @@
     expect(seconds < 15).toEqual(true);
   });
 
-  it('rests within its dead band', () => {
+  it('keeps its output while the error is within the dead band', () => {
     const loop = new Loop(settings);
     for (let second = 0; second < 50; second += 1) loop.move(1.02, 1);
     expect(loop.output).toEqual(1);
   });
 
-  it('settles without hunting when the load answers to its weight', () => {
+  it('converges without oscillation when the load responds to its output', () => {
     const loop = new Loop(settings);
     const outputs: number[] = [];
     for (let second = 0; second < 200; second += 1) outputs.push(loop.move(2 / loop.output, 1));
@@ -88,8 +88,8 @@
   return { moves, workers: now };
 }
 
-describe('placer', () => {
-  it('fills free room and never places more than there is room for', () => {
+describe('the placer of the research groups deployment', () => {
+  it('fills free memory and never exceeds it', () => {
     const spec = specOf(4);
     const { workers } = runPlacer(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 20);
     expect(workers.map((one) => sizeMb(spec, one.holdings) <= one.roomMb)).toEqual([true, true]);
@@ -101,7 +101,7 @@
     ]);
   });
 
-  it('makes room for a rare model that is asked for, and then rests', () => {
+  it('evicts a copy for a rarely requested model, and makes no further moves', () => {
     const spec = specOf(6);
     const start = runPlacer(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 10).workers;
     const demands = new Map([['m5', demand(1)]]);
@@ -110,7 +110,7 @@
     expect(runPlacer(spec, moved.workers, demands, 60, 200_000).moves).toEqual(0);
   });
 
-  it('adds a copy under pressure, in the other zone', () => {
+  it('adds a copy in the other zone under pressure', () => {
     const spec = specOf(2);
     const start = [
       worker('w1', 'z1', [{ model: 'm0', adapters: [] }]),
@@ -120,15 +120,15 @@
     expect(workers[1]?.holdings.map((held) => held.model)).toEqual(['m1', 'm0']);
   });
 
-  it('puts what is asked for into a second zone while there is room; what nobody asks for gives way first', () => {
+  it('places requested models in a second zone while there is memory, and evicts unrequested models first', () => {
     function zonesOf(workers: readonly SpecPlacerWorker[], model: string): string[] {
       return workers
         .filter((one) => one.holdings.some((held) => held.model === model))
         .map((one) => one.zone);
     }
-    const asked = new Map([['m0', demand(0.1)]]);
-    const start = runPlacer(specOf(3), [worker('w1', 'z1'), worker('w2', 'z2')], asked, 10).workers;
-    const more = new Map([...asked, ['m3', demand(0.5)]]);
+    const requested = new Map([['m0', demand(0.1)]]);
+    const start = runPlacer(specOf(3), [worker('w1', 'z1'), worker('w2', 'z2')], requested, 10).workers;
+    const more = new Map([...requested, ['m3', demand(0.5)]]);
     const later = runPlacer(specOf(4), start, more, 30, 100_000);
     expect([
       zonesOf(start, 'm0').sort(),
@@ -138,7 +138,7 @@
     expect(runPlacer(specOf(4), later.workers, more, 60, 900_000).moves).toEqual(0);
   });
 
-  it('lets models take turns that are asked for alike where there are fewer places, no faster than the store', () => {
+  it('rotates equally requested models that do not all fit, with at most half of the pull rate of the store', () => {
     const spec = specOf(8);
     const demands = new Map(spec.models.map(({ name }) => [name, demand(0.05)]));
     const placer = new SpecPlacer(SPEC_PLACER_SETTINGS);
@@ -155,7 +155,7 @@
     expect([placed.size, moves <= maxMoves]).toEqual([8, true]);
   });
 
-  it('puts nothing on a worker that may not be used', () => {
+  it('places nothing on an unusable worker', () => {
     const spec = specOf(2);
     const { workers } = runPlacer(
       spec,
@@ -202,10 +202,10 @@
   }
 }
 
-describe('orderer', () => {
+describe('the order sender of the research groups deployment', () => {
   const target = [{ model: 'm1', adapters: [] }];
 
-  it('asks first, unloads before it loads, one order at a time', () => {
+  it('requests the inventory first and unloads before it loads, one order at a time', () => {
     const harness = new OrderSenderHarness();
     harness.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
@@ -216,7 +216,7 @@
     expect(harness.actions).toEqual(['inventory', 'unload m0', 'load m1']);
   });
 
-  it('leaves edges time to send no more to what it unloads', () => {
+  it('delays an unload until edges have stopped sending requests for the model', () => {
     const harness = new OrderSenderHarness();
     harness.holdings = [{ model: 'm0', adapters: [] }];
     for (let nowMs = 0; nowMs < 1400; nowMs += 50) {
@@ -226,14 +226,14 @@
     expect(harness.actions).toEqual(['inventory']);
   });
 
-  it('orders nothing without the duty', () => {
+  it('sends no order without the singleton lease', () => {
     const harness = new OrderSenderHarness();
     harness.epoch = undefined;
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) harness.tick(specOf(2), target, nowMs);
     expect(harness.actions).toEqual([]);
   });
 
-  it('asks again in a new epoch, and after an order whose outcome it does not know', () => {
+  it('requests the inventory again in a new epoch and after an order with an unknown outcome', () => {
     const harness = new OrderSenderHarness();
     harness.tick(specOf(2), [], 0);
     harness.reply();
@@ -249,7 +249,7 @@
     expect(harness.actions).toEqual(['inventory', 'inventory', 'load m1', 'inventory']);
   });
 
-  it('pulls no faster than the store allows', () => {
+  it('loads no faster than the pull rate of the store', () => {
     const harness = new OrderSenderHarness();
     const spec = specOf(2, 12);
     let loads = 0;
@@ -262,7 +262,7 @@
     expect(loads <= 12 && loads >= 10).toEqual(true);
   });
 
-  it('loads first what is asked for most', () => {
+  it('loads the model of the highest urgency first', () => {
     const harness = new OrderSenderHarness();
     const two = ['m0', 'm1'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 2000; nowMs += 50) {
@@ -274,7 +274,7 @@
     expect(harness.actions).toEqual(['inventory', 'load m1', 'load m0']);
   });
 
-  it('lets workers refuse what arrives late: after an open outcome it asks under a higher sequence', () => {
+  it('requests the inventory with a higher sequence after an unknown outcome, so that workers can refuse a late order', () => {
     const harness = new OrderSenderHarness();
     harness.tick(specOf(3), target, 0);
     harness.reply();
@@ -284,12 +284,15 @@
     harness.reply();
     harness.fails = false;
     harness.tick(specOf(3), [{ model: 'm2', adapters: [] }], 60_000);
-    const asked = harness.orders.at(-1);
-    expect([late?.action, asked?.action]).toEqual(['load', 'inventory']);
-    expect([late?.epoch, (late?.sequence ?? 0) < (asked?.sequence ?? 0)]).toEqual([asked?.epoch, true]);
+    const inventory = harness.orders.at(-1);
+    expect([late?.action, inventory?.action]).toEqual(['load', 'inventory']);
+    expect([late?.epoch, (late?.sequence ?? 0) < (inventory?.sequence ?? 0)]).toEqual([
+      inventory?.epoch,
+      true,
+    ]);
   });
 
-  it('never orders more than the room holds', () => {
+  it('never orders more than the memory holds', () => {
     const harness = new OrderSenderHarness();
     const three = ['m0', 'm1', 'm2'].map((model) => ({ model, adapters: [] }));
     for (let nowMs = 0; nowMs < 5000; nowMs += 50) {
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -60,7 +60,7 @@
   };
 }
 
-/** Workers that take orders as the rules say, one at a time, and a planner that orders them. */
+/** Workers that accept orders by the protocol, one at a time, and a planner that sends them orders. */
 class PlannerHarness {
   nowMs = 1000;
   fence: number | undefined = 7;
@@ -69,15 +69,15 @@
   readonly violations: string[] = [];
   readonly table = new WorkerTable();
   readonly planner: PlacementPlanner;
-  /** What is there: adapters by model, by worker. */
+  /** The actual holdings: adapters by model, by worker. */
   readonly holdings = new Map<string, Map<string, Set<string>>>();
-  /** A reply in place of the worker's own. */
+  /** Returns a reply to use in place of the worker's own, if any. */
   replyOverride: ((id: string, order: WorkerOrder) => WorkerOrderReply | undefined) | undefined;
-  /** Orders that were sent and have not arrived yet. */
+  /** Orders that are sent but not delivered yet. */
   readonly delayedOrders: { readonly id: string; readonly order: WorkerOrder }[] = [];
-  /** How many orders each worker has taken. */
+  /** Number of orders that each worker has accepted. */
   readonly sequences = new Map<string, number>();
-  /** Workers that do not say what they hold. */
+  /** Workers that do not answer report requests. */
   readonly unresponsive = new Set<string>();
   engine: Engine;
   #activeLoads = new Map<string, { untilMs: number; done: () => void }>();
@@ -96,11 +96,11 @@
     });
     this.table.learn(workers, this.nowMs);
     for (const { id, models } of this.table.rows) this.holdings.set(id, copyOf(models));
-    // Each worker is asked what it holds.
+    // Requests a report from each worker.
     this.planner.sendDueOrders(new Map([['assist', this.engine]]), this.nowMs);
   }
 
-  /** Heartbeats for a while; `demands` says what is asked for at each heartbeat. */
+  /** Runs heartbeats for some time; `demands` returns the demand at each heartbeat. */
   run(forMs: number, demands: () => readonly EdgeDemand[]): void {
     for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += HEARTBEAT_MS) {
       for (const [id, load] of this.#activeLoads) {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Decides once, and sends nothing. */
+  /** Plans once, without sending any order. */
   planOnly(demands: readonly EdgeDemand[]): void {
     this.planner.updateDemand('edge', demands, this.nowMs);
     this.planner.plan(new Map([['assist', this.engine]]), this.evacuated, this.nowMs);
@@ -131,7 +131,7 @@
     return this.sent.filter(({ order }) => order.action === 'load');
   }
 
-  /** All orders that are under way arrive; their sender hears no answer. */
+  /** Delivers all delayed orders; their answers are lost. */
   deliverDelayed(): void {
     for (const { id, order } of this.delayedOrders.splice(0)) this.deliver(id, order);
   }
@@ -145,7 +145,7 @@
     return { holdings: this.holdings.get(id) ?? new Map(), sequence: this.sequences.get(id) ?? 0 };
   }
 
-  /** An order arrives at a worker. */
+  /** Delivers an order to a worker. */
   deliver(id: string, order: WorkerOrder): WorkerOrderReply {
     const sequence = this.sequences.get(id) ?? 0;
     if (this.#activeLoads.has(id) || order.sequence !== sequence) return 'busy';
@@ -182,14 +182,14 @@
   }
 }
 
-/** Requests wait for what stands nowhere and run where it stands. */
+/** Demand in which requests run for the models that are loaded and wait for the others. */
 function steadyDemand(harness: PlannerHarness, models: readonly string[], each: number): () => EdgeDemand[] {
   return () =>
     models.map((model) => (harness.holders(model).length > 0 ? demand(model, 0, each) : demand(model, each)));
 }
 
 describe('the placement of models on demand', () => {
-  it('loads what is waited for and stands nowhere', () => {
+  it('loads a model that requests wait for and that is loaded nowhere', () => {
     const harness = new PlannerHarness(engineOf(4), [listed('w1'), listed('w2')]);
     harness.run(3000, steadyDemand(harness, ['m2'], 1));
     expect([harness.holders('m2').length > 0, harness.loads()[0]?.order]).toEqual([
@@ -198,7 +198,7 @@
     ]);
   });
 
-  it('makes room first, and never goes beyond it', () => {
+  it('evicts before it loads, and never exceeds the memory of a worker', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
     harness.run(3000, steadyDemand(harness, ['m5'], 1));
     harness.run(3000, steadyDemand(harness, ['m6', 'm7'], 1));
@@ -209,7 +209,7 @@
     ]);
   });
 
-  it('lets go what can be loaded again in time, before what was unused longer and cannot wait', () => {
+  it('evicts a model whose requests can wait for a load before a less recently used one whose requests cannot', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
     const busy = { ...demand('m2', 0, 1), meanTargetMs: 100 };
     harness.run(1000, () => [busy, { ...demand('m0', 0, 1), meanTargetMs: 100 }]);
@@ -223,7 +223,7 @@
     ]);
   });
 
-  it('loads first what loses the most requests until it is there', () => {
+  it('first loads the model that would lose the most requests until it is loaded', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1')]);
     harness.run(1000, () => [
       { ...demand('m4', 3), meanTargetMs: 5000 },
@@ -232,7 +232,7 @@
     expect(harness.loads()[0]?.order.model).toEqual('m5');
   });
 
-  it('holds no more adapters than there are places, also when many are asked for at once', () => {
+  it('never exceeds the adapter places of a worker, even if many adapters are requested at once', () => {
     const harness = new PlannerHarness(engineOf(3), [listed('w1', ['m0', 'm1', 'm2'])]);
     const adapters = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'];
     harness.run(4000, () =>
@@ -248,7 +248,7 @@
     expect(harness.violations).toEqual([]);
   });
 
-  it('orders nothing more of a worker that gave no answer until it has said what it holds', () => {
+  it('sends no further order to a worker that gave no answer until it has reported its holdings', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     function demands(): EdgeDemand[] {
       return [demand('m0', 0, 1), demand('m1', 0, 1), demand('m5', 2), demand('m6', 1)];
@@ -266,7 +266,7 @@
     expect([harness.violations, harness.holders('m5'), harness.sent.length]).toEqual([[], ['w1'], 1]);
   });
 
-  it('loads elsewhere what a worker was to load that gives no answer', () => {
+  it('loads a model on another worker if the first one gives no answer', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1'), listed('w2')]);
     const first = 'w1';
     harness.replyOverride = (id) => (id === first ? 'no-answer' : undefined);
@@ -275,14 +275,14 @@
     expect([harness.sent[0]?.worker, harness.holders('m5')]).toEqual([first, ['w2']]);
   });
 
-  it('orders nothing without the duty', () => {
+  it('sends no order without the singleton lease', () => {
     const harness = new PlannerHarness(engineOf(4), [listed('w1')]);
     harness.fence = undefined;
     harness.run(2000, () => [demand('m1', 3)]);
     expect(harness.sent).toEqual([]);
   });
 
-  it('orders nothing on workers whose holdings are not certain', () => {
+  it('sends no order to workers whose holdings are unconfirmed', () => {
     const harness = new PlannerHarness(engineOf(4), [listed('w1')]);
     harness.unresponsive.add('w2');
     harness.table.learn([listed('w1', ['m0']), listed('w2')], harness.nowMs);
@@ -290,7 +290,7 @@
     expect(harness.sent.filter(({ worker }) => worker === 'w2')).toEqual([]);
   });
 
-  it('loads nothing new where it is evacuated or where a worker leaves', () => {
+  it('loads nothing in an evacuated zone or on a draining worker', () => {
     const harness = new PlannerHarness(engineOf(6), [
       listed('w1'),
       listed('w2', [], { zone: 'east' }),
@@ -305,7 +305,7 @@
     expect([...new Set(harness.sent.map(({ worker }) => worker))]).toEqual(['w3']);
   });
 
-  it('keeps within the loads of the store in any window', () => {
+  it('stays within the load rate of the store in any window of 5 s', () => {
     const workers = Array.from({ length: 12 }, (_, place) => listed(`w${place}`));
     const harness = new PlannerHarness(engineOf(60), workers);
     let turn = 0;
@@ -331,7 +331,7 @@
     expect([started.length > 40, maxInWindow <= 6 * 5 * 1.1 + 3]).toEqual([true, true]);
   });
 
-  it('comes to rest while demand is steady', () => {
+  it('sends no orders after 12 s of steady demand', () => {
     const failures: string[] = [];
     for (const [models, count] of [
       [4, 2],
@@ -353,16 +353,16 @@
       const missing = names.filter((model) => harness.holders(model).length === 0);
       if (harness.sent.length > before)
         failures.push(
-          `${models} models, ${count} requests each: ${harness.sent.length - before} orders in 5 s of rest`,
+          `${models} models, ${count} requests each: ${harness.sent.length - before} orders in 5 s of steady demand`,
         );
       if (missing.length > 0)
-        failures.push(`${models} models, ${count} requests each: ${missing.join(', ')} stand nowhere`);
+        failures.push(`${models} models, ${count} requests each: ${missing.join(', ')} loaded nowhere`);
     }
     expect(failures).toEqual([]);
   });
 });
 
-/** Requests for one model after the other, on a worker that has room for three of them. */
+/** Demand for one of eight models after another, for a worker that can hold three of them. */
 function rotatingDemand(): () => EdgeDemand[] {
   let heartbeats = 0;
   return () => {
@@ -371,15 +371,15 @@
   };
 }
 
-describe('the room of a worker', () => {
-  it('is kept when unloads are refused', () => {
+describe('the memory of a worker', () => {
+  it('is never exceeded when unloads are refused', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
     harness.replyOverride = (_id, order) => (order.action === 'unload' ? 'refused' : undefined);
     harness.run(20_000, rotatingDemand());
     expect([harness.violations, harness.sent.length > 0]).toEqual([[], true]);
   });
 
-  it('is kept when a load is taken without an answer and refused when it is sent again', () => {
+  it('is never exceeded when a load is accepted without an answer and refused when it is sent again', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     let tries = 0;
     harness.replyOverride = (_id, order) => {
@@ -393,7 +393,7 @@
     expect([harness.violations, tries > 4]).toEqual([[], true]);
   });
 
-  it('is kept when orders arrive long after they were sent', () => {
+  it('is never exceeded when orders arrive long after they were sent', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1', 'm2'])]);
     let count = 0;
     harness.replyOverride = (id, order) => {
@@ -410,7 +410,7 @@
     expect([harness.violations, harness.loads().length > 4]).toEqual([[], true]);
   });
 
-  it('is kept when an order of an earlier coordinator arrives after the worker has reported', () => {
+  it('is never exceeded when an order of an earlier coordinator arrives after the report of the worker', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     const late: WorkerOrder = { action: 'load', model: 'm7', adapter: '', fence: 6, sequence: 0 };
     expect(harness.deliver('w1', late)).toEqual('begun');
@@ -418,7 +418,7 @@
     expect([harness.violations, harness.holders('m7'), harness.holders('m5')]).toEqual([[], ['w1'], ['w1']]);
   });
 
-  it('is measured with the sizes that hold when the order is sent', () => {
+  it('is computed with the sizes in force when the order is sent', () => {
     const harness = new PlannerHarness(engineOf(8), [listed('w1', ['m0', 'm1'])]);
     harness.planOnly([demand('m5', 1)]);
     harness.engine = engineOf(8, { roomMb: 70 });
--- a/packages/placement/src/serving.test.ts
+++ b/packages/placement/src/serving.test.ts
@@ -3,7 +3,7 @@
 import type { SeededRandom } from '@rainrun/common';
 import { Fleet, type FleetShape, type RequestKind } from './testing/fleet.js';
 
-/** Many more models than places, slow loads, a store that allows few of them. */
+/** Many more models than can be loaded at once, slow loads, and a store that allows few loads a second. */
 const SHAPE: FleetShape = {
   workers: 42,
   slots: 24,
@@ -19,7 +19,7 @@
 const SHIFT_MS = 12_000;
 const RUN_MS = 34_000;
 
-/** The lower numbers are asked for more often. */
+/** Picks a number by a power law: the lower, the more often. */
 function pickSkewed(random: SeededRandom, count: number, skew: number): number {
   let sum = 0;
   for (let place = 1; place <= count; place += 1) sum += place ** -skew;
@@ -31,7 +31,7 @@
   return count - 1;
 }
 
-/** Which models are busy moves on by ten several times a day. */
+/** Picks one of the busy models; the set of busy models shifts by ten every `SHIFT_MS`. */
 function pickBusyModel(random: SeededRandom, nowMs: number): string {
   const first = Math.floor(nowMs / SHIFT_MS) * 10;
   return `m${(first + pickSkewed(random, BUSY_AT_ONCE, 0.9)) % BUSY_MODELS}`;
@@ -72,15 +72,15 @@
   return !isRareModel(name);
 }
 
-/** One name of ten may go unserved, and one more; the bound of the deployments. */
+/** The bound of the deployments: a tenth of the frequently requested names, plus one, may go unserved. */
 function maxNeverServed(fleet: Fleet): number {
   return 1 + fleet.frequentNames().length / 10;
 }
 
-describe('the placement of many more models than there are places', () => {
+describe('the placement of many more models than fit in the fleet', () => {
   const seeds = [1, 2, 3];
 
-  it('serves in time whatever is asked for again and again', () => {
+  it('serves every frequently requested model in time', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
       fleet.run(RUN_MS, KINDS);
@@ -94,7 +94,7 @@
     }
   });
 
-  it('serves nearly all of it while coordinators change and forget what was on which disk', () => {
+  it('serves nearly every frequently requested model while new coordinators do not know what is on which disk', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, SHAPE);
       for (let change = 0; change < 4; change += 1) {
@@ -106,7 +106,7 @@
     }
   });
 
-  it('serves nearly all of it with half the store', () => {
+  it('serves nearly every frequently requested model with half the load rate of the store', () => {
     for (const seed of seeds) {
       const fleet = new Fleet(seed, { ...SHAPE, loadsPerS: SHAPE.loadsPerS / 2 });
       fleet.run(RUN_MS, KINDS);
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -1,5 +1,6 @@
 /**
- * A simulated fleet of workers that a planner orders, with requests that arrive, wait, run and are given up.
+ * A simulated fleet of workers that gets orders from a planner, with requests that arrive, wait, run and time
+ * out.
  */
 import { SeededRandom } from '@rainrun/common';
 import type { EdgeDemand } from '../demand-totals.js';
@@ -14,19 +15,19 @@
 const ADAPTER_LOAD_MS = 10;
 const UNLOAD_MS = 15;
 const PROMPT_MS = 500;
-/** With so many requests at once a worker takes twice as long for each. */
+/** With this many concurrent requests a worker takes twice as long for each. */
 const HALF_SPEED_AT = 24;
 
-/** One kind of requests. */
+/** The load of one kind of request. */
 export interface RequestKind {
   readonly perS: number;
   readonly patienceMs: number;
   readonly runMs: number;
-  /** What a request that arrives now is for: a model, and an adapter of it or an empty name. */
+  /** Picks the model of a request that arrives now, and an adapter of it or an empty name. */
   pick(random: SeededRandom, nowMs: number): readonly [string, string];
 }
 
-/** What a fleet is like. */
+/** The parameters of a fleet. */
 export interface FleetShape {
   readonly workers: number;
   readonly slots: number;
@@ -35,15 +36,15 @@
   readonly models: number;
   readonly loadMs: number;
   readonly loadsPerS: number;
-  /** So many models stand somewhere at first, in turn. */
+  /** Number of copies that are loaded at the start, distributed round-robin. */
   readonly placed: number;
 }
 
-/** How a model, or an adapter of one, was served. */
+/** Counts of the requests for a model, or for an adapter of one. */
 export interface ServiceCount {
   requested: number;
   served: number;
-  /** Of them, those that were begun within half a second. */
+  /** Requests that started within half a second. */
   prompt: number;
   firstMs: number;
   lastMs: number;
@@ -87,17 +88,17 @@
 }
 
 /**
- * Plays requests against a planner.
+ * Simulates requests against a planner and its workers.
  * @example
  * const fleet = new Fleet(7, shape);
- * fleet.play(30_000, kinds);
+ * fleet.run(30_000, kinds);
  * fleet.neverServed();
  */
 export class Fleet {
   nowMs = 1000;
   readonly serviceByName = new Map<string, ServiceCount>();
   readonly loadsFromStore: number[] = [];
-  /** Rules that were broken. */
+  /** Violations of capacities or of the load rate. */
   readonly violations: string[] = [];
   loadsFromDisk = 0;
   #shape: FleetShape;
@@ -137,14 +138,14 @@
     this.#applyWorkerList();
   }
 
-  /** Another coordinator takes over, and knows no more than what workers say. */
+  /** Replaces the coordinator; the new one knows only what the platform lists and the workers report. */
   replaceCoordinator(): void {
     this.#table = new WorkerTable();
     this.#planner = this.#newPlanner();
     this.#applyWorkerList();
   }
 
-  /** Requests arrive for a while. */
+  /** Runs the fleet for some time while requests arrive. */
   run(forMs: number, kinds: readonly RequestKind[]): void {
     for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += HEARTBEAT_MS) {
       for (const kind of kinds) this.#arrive(kind);
@@ -157,19 +158,19 @@
     }
   }
 
-  /** Names that were asked for four times or more, over eight seconds or more, and were never served. */
+  /** Frequently requested names that were never served. */
   neverServed(): string[] {
     return this.frequentNames().filter((name) => this.serviceByName.get(name)?.served === 0);
   }
 
-  /** Names that were asked for four times or more, over eight seconds or more. */
+  /** Names that were requested at least four times, over at least eight seconds. */
   frequentNames(): string[] {
     return [...this.serviceByName]
       .filter(([, { requested, firstMs, lastMs }]) => requested >= 4 && lastMs - firstMs >= 8000)
       .map(([name]) => name);
   }
 
-  /** Share of the requests for some names that were served. */
+  /** Fraction of the requests for the selected names that were served. */
   servedShare(names: (name: string) => boolean): number {
     let requested = 0;
     let served = 0;
@@ -181,7 +182,7 @@
     return served / Math.max(1, requested);
   }
 
-  /** Share of the requests for some names that were begun within half a second. */
+  /** Fraction of the requests for the selected names that started within half a second. */
   promptShare(names: (name: string) => boolean): number {
     const chosen = [...this.serviceByName].filter(([name]) => !name.includes('/') && names(name));
     const requested = chosen.reduce((sum, [, service]) => sum + service.requested, 0);
@@ -249,7 +250,7 @@
     }
   }
 
-  /** Sends what can be sent, and gives up what has waited too long. */
+  /** Starts the waiting requests for which a worker is free, and drops those past their deadline. */
   #dispatch(): void {
     const rows = [...this.#table.rows];
     this.#waiting = this.#waiting.filter((request) => {
@@ -261,7 +262,7 @@
     });
   }
 
-  /** The least loaded worker that the table shows for a request and that holds its model. */
+  /** The least loaded worker that the table lists for a request and that holds its model. */
   #workerFor({ model, adapter }: Request, rows: readonly WorkerRecord[]): FleetWorker | undefined {
     let best: FleetWorker | undefined;
     for (const row of rows) {
@@ -355,7 +356,10 @@
     if (inWindow > this.#shape.loadsPerS * 5 * 1.1 + 3) this.violations.push(`${inWindow} loads in 5 s`);
   }
 
-  /** Ends what a worker does; an unload waits for the runs that need what it removes. */
+  /**
+   * Completes the order of a worker once it is due; an unload waits for the running requests that use its
+   * item.
+   */
   #completeOrder(worker: FleetWorker): void {
     const { activeOrder } = worker;
     if (activeOrder === undefined || activeOrder.untilMs > this.nowMs) return;
