--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -40,7 +40,7 @@
   reportCount: number;
 }
 
-interface EdgeReport {
+interface EdgeDemandReport {
   atMs: number;
   /** By service, model and adapter. */
   readonly demands: Map<string, EdgeDemand>;
@@ -56,7 +56,7 @@
  * totals.of('assist').get('model-1')?.waiting;
  */
 export class DemandTotals {
-  #reports = new Map<string, EdgeReport>();
+  #reports = new Map<string, EdgeDemandReport>();
   #byService = new Map<string, Map<string, Demand>>();
   #waiting = 0;
 
@@ -73,7 +73,7 @@
 
   /** Takes the demand that has changed at an edge; the rest of its report stays. */
   update(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
-    const report: EdgeReport = this.#reports.get(edge) ?? {
+    const report: EdgeDemandReport = this.#reports.get(edge) ?? {
       atMs: nowMs,
       demands: new Map<string, EdgeDemand>(),
     };
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'earl';
 import { Result } from 'true-myth';
 import { Loop } from './feedback-loop.js';
-import { SpecOrderSender, sizeMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
+import { SpecOrderSender, holdingsMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
 import { SpecPlacer } from './spec-placer.js';
 import type { SpecModelDemand } from './spec-placement-needs.js';
 import { SPEC_PLACER_SETTINGS } from './spec-placer-settings.js';
@@ -92,7 +92,7 @@
   it('fills free memory and never exceeds it', () => {
     const spec = specOf(4);
     const { workers } = runPlacer(spec, [worker('w1', 'z1'), worker('w2', 'z2')], new Map(), 20);
-    expect(workers.map((one) => sizeMb(spec, one.holdings) <= one.roomMb)).toEqual([true, true]);
+    expect(workers.map((one) => holdingsMb(spec, one.holdings) <= one.roomMb)).toEqual([true, true]);
     expect(workers.flatMap((one) => one.holdings.map((held) => held.model)).sort()).toEqual([
       'm0',
       'm1',
@@ -299,6 +299,6 @@
       harness.tick(specOf(3), three, nowMs);
       harness.reply();
     }
-    expect(sizeMb(specOf(3), harness.holdings)).toEqual(800);
+    expect(holdingsMb(specOf(3), harness.holdings)).toEqual(800);
   });
 });
--- a/packages/placement/src/spec-order-sender.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -35,7 +35,7 @@
 }
 
 /** What the order sender needs from its node. */
-export interface SpecOrderContext {
+export interface SpecOrderDependencies {
   /** The epoch of this node's singleton lease, or undefined without one; read just before each order. */
   singletonEpoch(): number | undefined;
   order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
@@ -96,15 +96,15 @@
  * sender.tick(spec, placement, workers, nowMs);
  */
 export class SpecOrderSender {
-  #context: SpecOrderContext;
+  #dependencies: SpecOrderDependencies;
   #channels = new Map<string, WorkerChannel>();
   #pullLimiter: PullLimiter | undefined;
   #epoch = 0;
   #sequence = 0;
   #loadCount = 0;
 
-  constructor(context: SpecOrderContext) {
-    this.#context = context;
+  constructor(context: SpecOrderDependencies) {
+    this.#dependencies = context;
   }
 
   workerState(worker: string): SpecWorkerState | undefined {
@@ -118,7 +118,7 @@
     nowMs: number,
     urgency: Urgency = () => 0,
   ): void {
-    const epoch = this.#context.singletonEpoch();
+    const epoch = this.#dependencies.singletonEpoch();
     if (epoch === undefined) return;
     if (epoch !== this.#epoch) {
       this.#epoch = epoch;
@@ -180,7 +180,7 @@
     );
     if (wanted === undefined)
       return nowMs - channel.lastOrderMs > INVENTORY_REFRESH_MS ? INVENTORY : undefined;
-    const size = sizeMb(spec, state.holdings) + itemMb(spec, wanted);
+    const size = holdingsMb(spec, state.holdings) + itemMb(spec, wanted);
     return size <= roomMb ? { action: 'load', ...wanted } : undefined;
   }
 
@@ -190,7 +190,7 @@
     channel.lastOrderMs = nowMs;
     const order: SpecOrder = { worker: name, epoch, sequence: this.#sequence, ...step };
     const pullLimiter = this.#pullLimiter;
-    this.#context.order(order, (reply) => {
+    this.#dependencies.order(order, (reply) => {
       channel.orderInFlight = false;
       if (step.action === 'load') pullLimiter?.release();
       this.#onReply(name, channel, step, epoch, reply, nowMs);
@@ -222,7 +222,7 @@
       if (reply.value.busy) channel.notBeforeMs = nowMs + 1000;
       channel.state = { holdings: reply.value.holdings, reachable: true, loads };
     }
-    this.#context.onWorkerState(name, channel.state);
+    this.#dependencies.onWorkerState(name, channel.state);
   }
 }
 
@@ -262,7 +262,7 @@
  * @example
  * sizeMb(spec, [{ model: 'gearbox-7b', adapters: [] }]); // 14000
  */
-export function sizeMb(spec: Spec, holdings: readonly HoldingTarget[]): number {
+export function holdingsMb(spec: Spec, holdings: readonly HoldingTarget[]): number {
   let sumMb = 0;
   for (const { model, adapters } of holdings) {
     sumMb += itemMb(spec, { model, adapter: '' });
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -17,7 +17,7 @@
 const ROTATION_PULL_RATIO = 0.5;
 
 /** The input of one planning step. */
-interface PlacerStep {
+interface PlacerStepInput {
   readonly plans: readonly WorkerPlan[];
   readonly sizes: SpecSizes;
   readonly demands: SpecDemands;
@@ -76,12 +76,12 @@
   }
 
   /** Meets needs in order, as far as memory and the bounds of one step allow. */
-  #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStep): void {
+  #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStepInput): void {
     let { steps, fillBudget } = this.#settings;
     let isRoomShort = false;
     for (const need of needs) {
       if (isRoomShort && need.urgency <= 0) return;
-      if (fillBudget > 0 && this.#fill(need, step.plans, step)) {
+      if (fillBudget > 0 && this.#placeInFreeMemory(need, step.plans, step)) {
         fillBudget -= 1;
         continue;
       }
@@ -91,7 +91,11 @@
   }
 
   /** Places a need at a worker with enough free memory, preferably in a zone without the model. */
-  #fill(need: PlacementNeed, plans: readonly WorkerPlan[], { sizes, nowMs }: PlacerStep): boolean {
+  #placeInFreeMemory(
+    need: PlacementNeed,
+    plans: readonly WorkerPlan[],
+    { sizes, nowMs }: PlacerStepInput,
+  ): boolean {
     const needMb = neededMb(need, sizes);
     const modelZones = zonesWith(plans, ({ holdings }) => holdings.has(need.model));
     const occupiedZones = zonesWith(plans, (plan) => isAlreadyMet(plan, need));
@@ -115,7 +119,7 @@
   }
 
   /** Evicts the copy of the lowest value if the gain of the need is clearly higher. */
-  #evictFor(need: PlacementNeed, step: PlacerStep): boolean {
+  #evictFor(need: PlacementNeed, step: PlacerStepInput): boolean {
     if (need.urgency <= 0) return false;
     const needMb = neededMb(need, step.sizes);
     const victim = eligiblePlans(need, step.plans)
@@ -129,7 +133,7 @@
     plan.changed = true;
     plan.evicted = true;
     this.#reasons.set(model, `evicted from ${plan.worker.name} for ${need.model}`);
-    this.#fill(need, [plan], step);
+    this.#placeInFreeMemory(need, [plan], step);
     return true;
   }
 
@@ -137,7 +141,7 @@
   #candidates(
     need: PlacementNeed,
     plan: WorkerPlan,
-    step: PlacerStep,
+    step: PlacerStepInput,
   ): { readonly plan: WorkerPlan; readonly model: string; readonly value: number }[] {
     return [...plan.holdings.keys()]
       .filter((model) => model !== need.model && this.#mayMove(plan, model, step.nowMs))
@@ -162,7 +166,7 @@
   }
 
   /** The pressure on the other copies of a model without this one. */
-  #valueOf(model: string, plan: WorkerPlan, { plans, demands }: PlacerStep): number {
+  #valueOf(model: string, plan: WorkerPlan, { plans, demands }: PlacerStepInput): number {
     const others = plans.filter(
       (other) => other !== plan && other.worker.usable && other.holdings.has(model),
     );
