--- a/packages/placement/src/report-settling.test.ts
+++ b/packages/placement/src/report-settling.test.ts
@@ -25,7 +25,7 @@
 }
 
 describe('the models in a report', () => {
-  it('belong to its sequence in a third report, if the three are requested at least the maximum age apart', () => {
+  it('belong to its sequence from the third report on, if requests are at least the maximum age apart', () => {
     const settling = new ReportSettling();
     expect(settling.observe(report(3), 0, 2)).toEqual(false);
     expect(settling.observe(report(3), 2 + MAX_AGE_MS, 4 + MAX_AGE_MS)).toEqual(false);
--- a/packages/placement/src/spec-order-sender.ts
+++ b/packages/placement/src/spec-order-sender.ts
@@ -92,7 +92,7 @@
  * Brings workers to their agreed targets, with one outstanding order for each. It requests a worker's
  * inventory before the first order of an epoch, unloads before it loads, and never exceeds a worker's memory.
  * @example
- * const sender = new SpecOrderSender(context);
+ * const sender = new SpecOrderSender(dependencies);
  * sender.tick(spec, placement, workers, nowMs);
  */
 export class SpecOrderSender {
@@ -260,7 +260,7 @@
  * The memory that holdings use by the spec's sizes, in MB; an item that is not in the spec counts as
  * infinite.
  * @example
- * sizeMb(spec, [{ model: 'gearbox-7b', adapters: [] }]); // 14000
+ * holdingsMb(spec, [{ model: 'gearbox-7b', adapters: [] }]); // 14000
  */
 export function holdingsMb(spec: Spec, holdings: readonly HoldingTarget[]): number {
   let sumMb = 0;
