--- a/packages/placement/src/copy-retirement.ts
+++ b/packages/placement/src/copy-retirement.ts
@@ -1,24 +1,23 @@
-/** Takes surplus copies of models of the platform system out of use before they are unloaded. */
+/** Retires surplus copies of models of the platform system before they are unloaded. */
 import type { OrderSender } from './order-sender.js';
 import { isObserved, MIN_RESIDENCE_MS, type PlacementRound } from './placement-round.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
-/** Least time between two retired copies of one model, in milliseconds. */
-const RETIRE_MS = 400;
+/** Minimum time between the retirements of two copies of one model, in milliseconds. */
+const RETIRE_INTERVAL_MS = 400;
 
 /**
- * Takes copies beyond what a model needs out of use, one at a time, so that
- * nothing runs there when the room is wanted, and back into use when they are
- * needed.
+ * Retires copies that a model does not need, one at a time: they get no more requests, so that nothing runs
+ * there when their memory is needed. Retired copies are restored when their model needs them again.
  * @example
  * retirement.retire(round);
- * retirement.revive(round, 'model-1');
+ * retirement.restore(round, 'model-1');
  */
-export class Retirement {
+export class CopyRetirement {
   #table: WorkerTable;
   #sender: OrderSender;
-  /** When a copy of a model was last taken out of use. */
-  #retiredMs = new Map<string, number>();
+  /** When a copy of a model was last retired, by `service/model`. */
+  #lastRetiredMs = new Map<string, number>();
 
   constructor(table: WorkerTable, sender: OrderSender) {
     this.#table = table;
@@ -31,11 +30,11 @@
       if (count <= Math.max(1, targets.get(model)?.retained ?? 1) || !engine.models.has(model)) continue;
       if (!isObserved(round, model)) continue;
       const key = `${engine.service}/${model}`;
-      if (nowMs - (this.#retiredMs.get(key) ?? -Infinity) < RETIRE_MS) continue;
+      if (nowMs - (this.#lastRetiredMs.get(key) ?? -Infinity) < RETIRE_INTERVAL_MS) continue;
       const holders = round.rows.filter((row) => this.#mayRetire(row, model, nowMs));
       const fullest = holders.sort((one, other) => other.models.size - one.models.size)[0];
       if (fullest === undefined || holders.length < 2) continue;
-      this.#retiredMs.set(key, nowMs);
+      this.#lastRetiredMs.set(key, nowMs);
       fullest.models.delete(model);
       this.#sender.state(fullest).retired.add(model);
       this.#table.touch(fullest, model);
@@ -43,8 +42,8 @@
     }
   }
 
-  /** Takes a retired copy back into use, if there is one; nothing is loaded for it. */
-  revive({ rows, copies }: PlacementRound, model: string): boolean {
+  /** Restores a retired copy if there is one, without a load; returns whether there was. */
+  restore({ rows, copies }: PlacementRound, model: string): boolean {
     for (const row of rows) {
       const state = this.#sender.state(row);
       const adapters = state.holdings.get(model);
--- a/packages/placement/src/demand-totals.ts
+++ b/packages/placement/src/demand-totals.ts
@@ -1,6 +1,6 @@
 /**
- * The demand of all edges of the platform system, by service and model, kept up to date edge by edge: a plan reads
- * the totals instead of adding up the reports.
+ * The total demand of all edges of the platform system, by service and model. It is updated incrementally
+ * with each edge's report, so that a plan need not sum up the reports.
  */
 
 /** The demand of one edge for a model, or for an adapter of it. */
@@ -8,12 +8,12 @@
   readonly service: string;
   readonly model: string;
   readonly adapter: string;
-  /** Requests that wait for a worker, and those that run. */
+  /** Requests that wait for a worker, and requests that run. */
   readonly waiting: number;
   readonly inFlight: number;
   /** Requests a second. */
   readonly perS: number;
-  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if none is known. */
+  /** Mean wait for the head of a response, as a ratio of the target latency; 0 if unknown. */
   readonly waitToTargetRatio: number;
   /** Mean target latency of its requests, in milliseconds; 0 if unknown. */
   readonly meanTargetMs: number;
@@ -33,17 +33,20 @@
   /** Sum of the target latencies, weighted by arrivals a second. */
   weightedTargetMs: number;
   readonly adapters: Map<string, AdapterDemand>;
-  /** How many reports stand in it: with the last one it is gone, and with it all errors of rounding. */
-  reports: number;
+  /**
+   * Number of reports in the sums. The entry is dropped with the last one, so that no rounding errors
+   * accumulate.
+   */
+  reportCount: number;
 }
 
-interface Report {
+interface EdgeDemandReport {
   atMs: number;
   /** By service, model and adapter. */
   readonly demands: Map<string, EdgeDemand>;
 }
 
-const NOTHING: ReadonlyMap<string, Demand> = new Map();
+const NO_DEMAND: ReadonlyMap<string, Demand> = new Map();
 
 /**
  * Totals of the demand that edges report.
@@ -53,16 +56,16 @@
  * totals.of('assist').get('model-1')?.waiting;
  */
 export class DemandTotals {
-  #reports = new Map<string, Report>();
+  #reports = new Map<string, EdgeDemandReport>();
   #byService = new Map<string, Map<string, Demand>>();
   #waiting = 0;
 
-  /** Requests that wait for a worker, at all edges. */
+  /** Requests that wait for a worker at any edge. */
   get waiting(): number {
     return this.#waiting;
   }
 
-  /** Takes all demand of an edge; it replaces what the edge reported before. */
+  /** Replaces all demand that an edge reported before. */
   set(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
     this.#remove(edge);
     this.update(edge, edgeDemands, nowMs);
@@ -70,26 +73,29 @@
 
   /** Takes the demand that has changed at an edge; the rest of its report stays. */
   update(edge: string, edgeDemands: readonly EdgeDemand[], nowMs: number): void {
-    const report: Report = this.#reports.get(edge) ?? { atMs: nowMs, demands: new Map<string, EdgeDemand>() };
+    const report: EdgeDemandReport = this.#reports.get(edge) ?? {
+      atMs: nowMs,
+      demands: new Map<string, EdgeDemand>(),
+    };
     this.#reports.set(edge, report);
     report.atMs = nowMs;
     for (const edgeDemand of edgeDemands) {
       const key = `${edgeDemand.service}/${edgeDemand.model}/${edgeDemand.adapter}`;
-      const before = report.demands.get(key);
-      if (before !== undefined) this.#subtract(before);
+      const previous = report.demands.get(key);
+      if (previous !== undefined) this.#subtract(previous);
       report.demands.set(key, edgeDemand);
       this.#add(edgeDemand);
     }
   }
 
-  /** Forgets edges that were last heard before a time. */
+  /** Drops the demand of edges whose last report is older than a time. */
   expire(beforeMs: number): void {
     for (const [edge, { atMs }] of this.#reports) if (atMs < beforeMs) this.#remove(edge);
   }
 
   /** The demand for a service, by model. */
   of(service: string): ReadonlyMap<string, Demand> {
-    return this.#byService.get(service) ?? NOTHING;
+    return this.#byService.get(service) ?? NO_DEMAND;
   }
 
   #remove(edge: string): void {
@@ -115,11 +121,11 @@
         weightedWaitRatio: 0,
         weightedTargetMs: 0,
         adapters: new Map(),
-        reports: 0,
+        reportCount: 0,
       };
       models.set(edgeDemand.model, demand);
     }
-    demand.reports += 1;
+    demand.reportCount += 1;
     demand.weightedWaitRatio += edgeDemand.waitToTargetRatio * edgeDemand.perS;
     demand.weightedTargetMs += edgeDemand.meanTargetMs * edgeDemand.perS;
     accumulate(demand, edgeDemand, 1);
@@ -137,8 +143,8 @@
     const models = this.#byService.get(edgeDemand.service);
     const demand = models?.get(edgeDemand.model);
     if (demand === undefined) return;
-    demand.reports -= 1;
-    if (demand.reports === 0) {
+    demand.reportCount -= 1;
+    if (demand.reportCount === 0) {
       models?.delete(edgeDemand.model);
       return;
     }
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -1,4 +1,6 @@
-/** Chooses the worker for a copy of a model of the platform system, and the copies that are evicted for it. */
+/**
+ * Chooses the worker for a copy of a model of the platform system, and the copies that are evicted for it.
+ */
 import type { CopyDemand } from './copy-demand.js';
 import { modelMb, usedMb } from './holdings.js';
 import type { OrderSender } from './order-sender.js';
@@ -18,22 +20,21 @@
 const POLICY = PLACEMENT_POLICY.eviction;
 const VALUE = POLICY.value;
 
-/** Where the weights come from. */
+/** Where the weights are loaded from. */
 export type LoadSource = 'disk' | 'store';
 
-/** A worker that can take a copy, and what gives way for it. */
-interface Site {
+/** A worker that can load a copy, and the copies to evict for it. */
+interface LoadCandidate {
   readonly row: WorkerRecord;
   readonly cost: number;
   readonly victims: readonly string[];
 }
 
-/** So long edges are given to learn that they may send no more for what is to go, where they do send. */
-const DRAIN_IN_USE_MS = 50;
+/** Time that edges get to learn of an unload if requests for the model are running, in milliseconds. */
+const DRAIN_ACTIVE_MS = 50;
 
 /**
- * Finds the worker for a copy that is wanted, and orders the copies away that
- * are worth least there.
+ * Chooses the worker for a needed copy, and evicts the copies of the lowest value there.
  * @example
  * placement.place(round, need, 'disk');
  */
@@ -50,33 +51,38 @@
     this.#usage = usage;
   }
 
-  /** Whether some worker can take a copy now; if none can, nothing need be compared. */
+  /** Whether any worker can load a copy now; if not, no need has to be evaluated. */
   isAnyWorkerFree({ rows, nowMs }: PlacementRound): boolean {
     return rows.some((row) => this.#isFree(row, nowMs));
   }
 
-  /** Orders the copy at the best worker; says what was decided, or nothing if no worker can take it now. */
+  /**
+   * Plans the copy at the best worker; returns the decision as text, or nothing if no worker can load it now.
+   */
   place(round: PlacementRound, need: CopyNeed, source: LoadSource): string | undefined {
-    const site = this.#bestSite(round, need, source);
-    if (site === undefined) return undefined;
-    const { row, victims } = site;
+    const candidate = this.#bestCandidate(round, need, source);
+    if (candidate === undefined) return undefined;
+    const { row, victims } = candidate;
     for (const victim of victims) this.#unload(round, row, victim);
     for (const victim of victims) this.#table.touch(row, victim);
     this.#sender.state(row).add(newStep('load', need.model, '', round.nowMs));
     round.copies.set(need.model, (round.copies.get(need.model) ?? 0) + 1);
-    const instead = victims.length > 0 ? ` in the place of ${victims.join(', ')}` : '';
-    return `${row.id} loads ${need.model} from ${source}${instead} (worth ${need.value.toFixed(2)})`;
+    const replacing = victims.length > 0 ? ` replacing ${victims.join(', ')}` : '';
+    return `${row.id} loads ${need.model} from ${source}${replacing} (value ${need.value.toFixed(2)})`;
   }
 
-  /** Whether a worker that has the model on its own disk will be free sooner than a load from the store takes. */
-  isLoadedFromDiskSoon({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
+  /**
+   * Whether a worker with the model on its own disk will have loaded it sooner than a load from the store
+   * takes.
+   */
+  isDiskLoadFaster({ engine, rows, nowMs }: PlacementRound, { model, ageMs }: CopyNeed): boolean {
     const loadMs = engine.models.get(model)?.loadMs ?? 0;
     if (ageMs > loadMs) return false;
-    const diskPart = this.#sender.diskPart(engine);
+    const diskRatio = this.#sender.diskLoadRatio(engine);
     return rows.some((row) => {
       const state = this.#sender.state(row);
       if (!state.onDisk.has(model) || state.planned.has(model) || state.steps.length === 0) return false;
-      return state.freeInMs(engine, diskPart, nowMs) + state.loadMs(engine, model, diskPart) < loadMs;
+      return state.queuedLoadMs(engine, diskRatio, nowMs) + state.loadMs(engine, model, diskRatio) < loadMs;
     });
   }
 
@@ -92,26 +98,34 @@
     row.models.delete(victim);
     copies.set(victim, (copies.get(victim) ?? 1) - 1);
     const inUse = (demands.get(victim)?.inFlight ?? 0) > 0;
-    state.add(newStep('unload', victim, '', nowMs + (inUse ? DRAIN_IN_USE_MS : DRAIN_MS)));
+    state.add(newStep('unload', victim, '', nowMs + (inUse ? DRAIN_ACTIVE_MS : DRAIN_MS)));
   }
 
-  #bestSite(round: PlacementRound, need: CopyNeed, source: LoadSource): Site | undefined {
+  #bestCandidate(round: PlacementRound, need: CopyNeed, source: LoadSource): LoadCandidate | undefined {
     const { engine, rows, nowMs } = round;
     const model = engine.models.get(need.model);
     if (model === undefined || model.sizeMb > engine.roomMb) return undefined;
-    let best: Site | undefined;
+    let best: LoadCandidate | undefined;
     for (const row of rows) {
       if (!this.#isFree(row, nowMs)) continue;
       const state = this.#sender.state(row);
       if (state.holdings.has(need.model) || state.onDisk.has(need.model) !== (source === 'disk')) continue;
-      const site = this.#siteAt(round, need, row, model.sizeMb);
-      if (site !== undefined && (best === undefined || site.cost < best.cost)) best = site;
+      const candidate = this.#candidateAt(round, need, row, model.sizeMb);
+      if (candidate !== undefined && (best === undefined || candidate.cost < best.cost)) best = candidate;
     }
     return best;
   }
 
-  /** What gives way at a worker, the least worth first, until there is room; nothing if that is not worth it. */
-  #siteAt(round: PlacementRound, need: CopyNeed, row: WorkerRecord, sizeMb: number): Site | undefined {
+  /**
+   * The copies to evict at a worker, the lowest value first, until the copy fits; nothing if that would evict
+   * a copy that is worth as much as the need.
+   */
+  #candidateAt(
+    round: PlacementRound,
+    need: CopyNeed,
+    row: WorkerRecord,
+    sizeMb: number,
+  ): LoadCandidate | undefined {
     const { engine } = round;
     const { holdings } = this.#sender.state(row);
     const valued = [...holdings.keys()]
@@ -130,39 +144,42 @@
   }
 
   /**
-   * What a copy is worth where it stands. A further copy of one busy model
-   * gives way to another's only if that is clearly better off for it, so that
-   * two do not take turns.
+   * The value of a loaded copy. A further copy of one busy model is evicted for a copy of another only if the
+   * load of the other is clearly higher, so that the two do not evict each other in turn.
    */
   #valueOf(round: PlacementRound, row: WorkerRecord, model: string, need: CopyNeed): number {
     const { nowMs } = round;
     const state = this.#sender.state(row);
     const copies = round.copies.get(model) ?? 0;
     if (state.retired.has(model)) return VALUE.retired;
-    if (state.loadedForMs(model, nowMs) < MIN_RESIDENCE_MS) return copies > 1 ? VALUE.further : VALUE.fresh;
+    if (state.loadedForMs(model, nowMs) < MIN_RESIDENCE_MS)
+      return copies > 1 ? VALUE.further : VALUE.newlyLoaded;
     const active = isActive(round, model);
-    if (copies > 1) return this.#valueOfOneOfMany(round, model, copies, need);
+    if (copies > 1) return this.#valueOfReplicated(round, model, copies, need);
     if (active) return VALUE.active + Math.min(1, (round.demands.get(model)?.inFlight ?? 0) / 100);
     return this.#valueOfIdle(round, model);
   }
 
-  /** The longer a model was unused, and the better its requests bear that it has to be loaded again, the less. */
+  /**
+   * The value of an idle copy: lower with the time since its last use, and if its requests can wait for a
+   * load.
+   */
   #valueOfIdle({ engine, observedMs, nowMs }: PlacementRound, model: string): number {
     const key = `${engine.service}/${model}`;
     const idleMs = this.#usage.idleMs(key, nowMs);
-    if (idleMs < POLICY.recentUseMs) return VALUE.rested;
-    const knownMs = Math.min(idleMs, observedMs);
-    const isPatient =
+    if (idleMs < POLICY.recentUseMs) return VALUE.justUsed;
+    const observedIdleMs = Math.min(idleMs, observedMs);
+    const isDelayTolerant =
       this.#usage.meanTargetMs(key) >=
-      POLICY.patientTargetLoads * (engine.models.get(model)?.loadMs ?? Infinity);
-    const part = isPatient ? POLICY.patientRecencyWeight : 1;
-    return VALUE.idle + (VALUE.idleLately * part) / (1 + knownMs / 1000);
+      POLICY.delayTolerantTargetLoads * (engine.models.get(model)?.loadMs ?? Infinity);
+    const recencyWeight = isDelayTolerant ? POLICY.delayTolerantRecencyWeight : 1;
+    return VALUE.idle + (VALUE.recentUseBonus * recencyWeight) / (1 + observedIdleMs / 1000);
   }
 
-  /** A copy of a model that stands at other workers too. */
-  #valueOfOneOfMany(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
+  /** The value of a copy of a model that has further copies. */
+  #valueOfReplicated(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     const active = isActive(round, model);
-    if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unwatched;
+    if (!isObserved(round, model)) return active ? VALUE.further : VALUE.unobserved;
     if (copies > Math.max(1, round.targets.get(model)?.retained ?? 0))
       return active ? VALUE.surplusActive : VALUE.surplus;
     return this.#valueOfFurther(round, model, copies, need);
@@ -170,11 +187,13 @@
 
   #valueOfFurther(round: PlacementRound, model: string, copies: number, need: CopyNeed): number {
     if (!isActive(round, model)) return VALUE.idle;
-    const after = this.#copyDemand.recent(round.engine, model) / (copies - 1);
-    if (need.load === Infinity) {
+    const remainingLoad = this.#copyDemand.recent(round.engine, model) / (copies - 1);
+    if (need.loadPerCopy === Infinity) {
       const perCopy = round.targets.get(model)?.perCopy ?? Infinity;
-      return after < perCopy * POLICY.maxRemainingLoadRatio ? VALUE.spareForFirst : VALUE.furtherForFirst;
+      return remainingLoad < perCopy * POLICY.maxRemainingLoadRatio
+        ? VALUE.removableForFirstCopy
+        : VALUE.furtherForFirstCopy;
     }
-    return after < need.load * POLICY.maxVictimLoadRatio ? VALUE.burdened : VALUE.further;
+    return remainingLoad < need.loadPerCopy * POLICY.maxVictimLoadRatio ? VALUE.lessLoaded : VALUE.further;
   }
 }
