--- a/packages/process-group/src/leases/fencing.test.ts
+++ b/packages/process-group/src/leases/fencing.test.ts
@@ -8,31 +8,31 @@
 const STEP_MS = 25;
 const STEPS = 1200;
 /** A trouble comes once in so many steps. */
-const TROUBLE_EACH = 60;
+const FAULT_INTERVAL_STEPS = 60;
 
 /** Who held the coordinator's lease in which epoch, and what was wrong with that. */
 class LeaseLog {
-  readonly wrong: string[] = [];
+  readonly violations: string[] = [];
   readonly holders = new Map<number, string>();
-  #newest = 0;
+  #newestEpoch = 0;
 
-  note(cluster: TestCluster): void {
-    const now = cluster.running.filter(({ group }) => group.singletonEpoch() !== undefined);
-    if (now.length > 1) this.wrong.push(`${now.length} holders at ${cluster.nowMs}`);
-    for (const { group } of now) this.#noteHolder(group.singletonEpoch() ?? 0, group.self.incarnation);
+  record(cluster: TestCluster): void {
+    const holders = cluster.running.filter(({ group }) => group.singletonEpoch() !== undefined);
+    if (holders.length > 1) this.violations.push(`${holders.length} holders at ${cluster.nowMs}`);
+    for (const { group } of holders) this.#recordHolder(group.singletonEpoch() ?? 0, group.self.incarnation);
   }
 
-  #noteHolder(epoch: number, incarnation: string): void {
+  #recordHolder(epoch: number, incarnation: string): void {
     const known = this.holders.get(epoch) ?? incarnation;
-    if (known !== incarnation) this.wrong.push(`epoch ${epoch} has two holders`);
-    if (epoch < this.#newest) this.wrong.push(`epoch ${epoch} after ${this.#newest}`);
+    if (known !== incarnation) this.violations.push(`epoch ${epoch} has two holders`);
+    if (epoch < this.#newestEpoch) this.violations.push(`epoch ${epoch} after ${this.#newestEpoch}`);
     this.holders.set(epoch, incarnation);
-    this.#newest = Math.max(this.#newest, epoch);
+    this.#newestEpoch = Math.max(this.#newestEpoch, epoch);
   }
 }
 
 /** Something happens to one machine, the coordinator as often as not; one disk may be lost at a time. */
-function disturb(cluster: TestCluster, random: SeededRandom): void {
+function injectFault(cluster: TestCluster, random: SeededRandom): void {
   for (const name of NAMES) cluster.setIsolated(name, false);
   for (const node of cluster.nodes.values()) node.running = true;
   const leader = cluster.leader()?.name;
@@ -56,11 +56,11 @@
       const log = new LeaseLog();
       cluster.found();
       for (let step = 0; step < STEPS; step += 1) {
-        if (step % TROUBLE_EACH === 0) disturb(cluster, random);
+        if (step % FAULT_INTERVAL_STEPS === 0) injectFault(cluster, random);
         cluster.run(STEP_MS);
-        log.note(cluster);
+        log.record(cluster);
       }
-      expect([seed, ...log.wrong.slice(0, 3)]).toEqual([seed]);
+      expect([seed, ...log.violations.slice(0, 3)]).toEqual([seed]);
       changes += log.holders.size;
     }
     expect(changes).toSatisfy((count: number) => count > 3 * RUNS);
--- a/packages/process-group/src/leases/lease-acknowledgements.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -21,7 +21,7 @@
 export class LeaseAcknowledgements {
   #leaseMs: number;
   #acknowledgements = new Map<string, LeaseAcknowledgement>();
-  #singletonSentMs = new Map<string, number>();
+  #singletonAckSentMs = new Map<string, number>();
 
   constructor(leaseMs: number) {
     this.#leaseMs = leaseMs;
@@ -41,21 +41,21 @@
 
   /** Takes an acknowledgement by a member that knows of no newer coordinator. */
   acknowledgeSingleton(incarnation: string, sentMs: number): void {
-    this.#singletonSentMs.set(
+    this.#singletonAckSentMs.set(
       incarnation,
-      Math.max(sentMs, this.#singletonSentMs.get(incarnation) ?? -Infinity),
+      Math.max(sentMs, this.#singletonAckSentMs.get(incarnation) ?? -Infinity),
     );
   }
 
   /** Drops the acknowledgements for an earlier epoch's singleton lease. */
   clearSingleton(): void {
-    this.#singletonSentMs.clear();
+    this.#singletonAckSentMs.clear();
   }
 
   /** Drops all acknowledgements. */
   clear(): void {
     this.#acknowledgements.clear();
-    this.#singletonSentMs.clear();
+    this.#singletonAckSentMs.clear();
   }
 
   /** When the lease to admit ends. */
@@ -72,7 +72,7 @@
   /** When the singleton lease ends. */
   singletonLeaseEndMs(view: View, self: string, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) =>
-      incarnation === self ? nowMs : (this.#singletonSentMs.get(incarnation) ?? -Infinity),
+      incarnation === self ? nowMs : (this.#singletonAckSentMs.get(incarnation) ?? -Infinity),
     );
   }
 
--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -55,10 +55,10 @@
   #collaborators: DiscoveryCollaborators<S>;
   #contacts = new Map<string, Contact>();
   /** What others gave us to echo, by incarnation. */
-  #receivedGreetings = new Map<string, string>();
+  #receivedEchoTokens = new Map<string, string>();
   /** What we gave others to echo, by incarnation. */
-  #sentGreetings = new Map<string, string>();
-  #welcomedMs = new Map<string, number>();
+  #issuedEchoTokens = new Map<string, string>();
+  #joinSnapshotSentMs = new Map<string, number>();
   #lastHelloMs = -Infinity;
 
   constructor(collaborators: DiscoveryCollaborators<S>) {
@@ -105,10 +105,10 @@
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(member);
-    const greeting = this.#greetingFor(member.incarnation);
-    if (hello.echo === greeting) {
+    const echoToken = this.#issueEchoToken(member.incarnation);
+    if (hello.echo === echoToken) {
       const { newestVersion: number, founding } = hello;
-      liveness.answered(member.incarnation, nowMs);
+      liveness.recordAnswer(member.incarnation, nowMs);
       this.#contacts.set(member.incarnation, {
         member,
         atMs: nowMs,
@@ -117,8 +117,8 @@
         founding,
       });
     }
-    if (hello.echo !== '') this.#welcomeMember(member, nowMs);
-    this.#answerHello(member, greeting);
+    if (hello.echo !== '') this.#sendJoinSnapshot(member, nowMs);
+    this.#acknowledgeHello(member, echoToken);
   }
 
   /** Takes the answer to a greeting; rejoins if the group went on without this node. */
@@ -128,8 +128,8 @@
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(member);
-    this.#receivedGreetings.set(member.incarnation, ack.greeting);
-    liveness.answered(member.incarnation, nowMs);
+    this.#receivedEchoTokens.set(member.incarnation, ack.greeting);
+    liveness.recordAnswer(member.incarnation, nowMs);
     const { inView, newestVersion: number, founding } = ack;
     if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
     this.#contacts.set(member.incarnation, { member, atMs: nowMs, inView, newestVersion: number, founding });
@@ -142,14 +142,14 @@
   /** Drops what is known of an incarnation. */
   remove(incarnation: string): void {
     this.#contacts.delete(incarnation);
-    this.#sentGreetings.delete(incarnation);
-    this.#welcomedMs.delete(incarnation);
-    this.#receivedGreetings.delete(incarnation);
+    this.#issuedEchoTokens.delete(incarnation);
+    this.#joinSnapshotSentMs.delete(incarnation);
+    this.#receivedEchoTokens.delete(incarnation);
   }
 
   /** This node goes on under another incarnation: greetings to the old one do not count. */
-  clearGreetings(): void {
-    this.#receivedGreetings.clear();
+  clearReceivedEchoTokens(): void {
+    this.#receivedEchoTokens.clear();
   }
 
   #dropOldContacts(nowMs: number): void {
@@ -161,48 +161,48 @@
 
   #sendHellos(): void {
     const { dependencies, directory, founding, local, transport } = this.#collaborators;
-    const greetings = this.#greetingsByAddress();
+    const echoTokens = this.#echoTokensByAddress();
     for (const address of new Set([...dependencies.seeds, ...directory.addresses])) {
       if (address === local.self.address) continue;
       const value = create(HelloSchema, {
         sender: local.self,
         founding: founding.mayFound(),
         newestVersion: local.newestVersion,
-        echo: local.inView ? '' : (greetings.get(address) ?? ''),
+        echo: local.inView ? '' : (echoTokens.get(address) ?? ''),
       });
       transport.sendToAddress(address, '', { case: 'hello', value });
     }
   }
 
-  #greetingsByAddress(): Map<string, string> {
-    const greetings = new Map<string, string>();
-    for (const [incarnation, greeting] of this.#receivedGreetings) {
+  #echoTokensByAddress(): Map<string, string> {
+    const echoTokens = new Map<string, string>();
+    for (const [incarnation, echoToken] of this.#receivedEchoTokens) {
       const address = this.#collaborators.directory.member(incarnation)?.address;
-      if (address !== undefined) greetings.set(address, greeting);
+      if (address !== undefined) echoTokens.set(address, echoToken);
     }
-    return greetings;
+    return echoTokens;
   }
 
-  #greetingFor(incarnation: string): string {
-    const known = this.#sentGreetings.get(incarnation);
+  #issueEchoToken(incarnation: string): string {
+    const known = this.#issuedEchoTokens.get(incarnation);
     if (known !== undefined) return known;
-    const greeting = randomId(this.#collaborators.dependencies.chance);
-    this.#sentGreetings.set(incarnation, greeting);
-    return greeting;
+    const echoToken = randomId(this.#collaborators.dependencies.chance);
+    this.#issuedEchoTokens.set(incarnation, echoToken);
+    return echoToken;
   }
 
   /** Sends a snapshot to a member that does not know yet that it is one. */
-  #welcomeMember(member: Member, nowMs: number): void {
+  #sendJoinSnapshot(member: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#collaborators;
     const view = local.view;
     if (view === undefined || rankOf(view, member.incarnation) < 0) return;
-    const sinceMs = nowMs - (this.#welcomedMs.get(member.incarnation) ?? -Infinity);
+    const sinceMs = nowMs - (this.#joinSnapshotSentMs.get(member.incarnation) ?? -Infinity);
     if (sinceMs <= 2 * dependencies.times.helloMs) return;
-    this.#welcomedMs.set(member.incarnation, nowMs);
+    this.#joinSnapshotSentMs.set(member.incarnation, nowMs);
     versions.sendSnapshot(member);
   }
 
-  #answerHello(member: Member, greeting: string): void {
+  #acknowledgeHello(member: Member, echoToken: string): void {
     const { founding, local, transport } = this.#collaborators;
     const view = local.view;
     const isMember = view !== undefined && rankOf(view, member.incarnation) >= 0;
@@ -210,7 +210,7 @@
     const contacts = this.freshContacts().map((contact) => contact.member);
     const value = create(HelloAckSchema, {
       sender: local.self,
-      greeting,
+      greeting: echoToken,
       known: [
         ...members.filter((other) => other.incarnation !== member.incarnation || isMember),
         ...contacts.filter((other) => other.incarnation !== member.incarnation),
--- a/packages/process-group/src/membership/disk-watch.ts
+++ b/packages/process-group/src/membership/disk-watch.ts
@@ -45,7 +45,7 @@
   }
 
   /** This process was suspended: that time does not count against the disk. */
-  onSleep(awayMs: number): void {
-    if (this.#lastSync !== undefined) this.#lastSync.sinceMs += awayMs;
+  onSleep(suspendedMs: number): void {
+    if (this.#lastSync !== undefined) this.#lastSync.sinceMs += suspendedMs;
   }
 }
--- a/packages/process-group/src/membership/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -91,7 +91,7 @@
     const isMember = rankOf(state.view, from) >= 0;
     if (heartbeat.number > state.number) versions.fetch(from);
     if (!isMember && heartbeat.number > state.number) return;
-    if (isMember) this.#learn(from, heartbeat);
+    if (isMember) this.#applyHeartbeat(from, heartbeat);
     if (member === undefined) return;
     const value = create(HeartbeatAckSchema, {
       sequence: heartbeat.sequence,
@@ -100,7 +100,7 @@
       dropped: !isMember,
       noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
       // The others agree without a member that leaves: its acknowledgement must not renew the lease of a member that may miss what they commit.
-      leaseWithheld: local.leaving || viewChange.isLeavingOut(from),
+      leaseWithheld: local.leaving || viewChange.isExcluding(from),
     });
     transport.send(member, { case: 'heartbeatAck', value });
   }
@@ -111,7 +111,7 @@
     const sentMs = this.#sentMs.get(ack.sequence);
     const state = local.state;
     if (!local.inView || state === undefined || sentMs === undefined) return;
-    liveness.answered(from, local.nowMs());
+    liveness.recordAnswer(from, local.nowMs());
     coordination.resignIfBefore(ack.epoch);
     if (ack.dropped) {
       if (ack.number > state.number) viewChange.rejoin();
@@ -127,12 +127,12 @@
   #sendTo(state: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
     const { casts, local, transport } = this.#collaborators;
     const collector = state.level === 1 ? undefined : this.#stabilityCollector(state.view, nowMs);
-    const counts = clone(HeartbeatSchema, heartbeat);
-    counts.delivered = casts.delivered();
+    const heartbeatWithCounts = clone(HeartbeatSchema, heartbeat);
+    heartbeatWithCounts.delivered = casts.delivered();
     if (collector === local.incarnation) heartbeat.stable = casts.stable();
     for (const member of others) {
-      const withCounts = state.level === 1 || member.incarnation === collector;
-      transport.send(member, { case: 'heartbeat', value: withCounts ? counts : heartbeat });
+      const needsCounts = state.level === 1 || member.incarnation === collector;
+      transport.send(member, { case: 'heartbeat', value: needsCounts ? heartbeatWithCounts : heartbeat });
     }
   }
 
@@ -152,7 +152,7 @@
   #heartbeat(state: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
     const { coordination, diskWatch, liveness, local } = this.#collaborators;
     const coordinator = coordination.coordinator;
-    const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
+    const isDiskTooSlow = coordinator === undefined && diskWatch.isSlow(nowMs);
     return create(HeartbeatSchema, {
       sequence: this.#sequence,
       view: state.view.number,
@@ -162,12 +162,15 @@
         .filter((member) => !liveness.isLive(member.incarnation, nowMs))
         .map((member) => member.incarnation),
       resigning:
-        coordination.isIneligible(nowMs) || coordination.isUnsupported(nowMs) || local.leaving || mayNotClaim,
+        coordination.isIneligible(nowMs) ||
+        coordination.isUnsupported(nowMs) ||
+        local.leaving ||
+        isDiskTooSlow,
       agreed: coordinator?.committedVersion ?? local.committedVersion,
     });
   }
 
-  #learn(from: string, heartbeat: Heartbeat): void {
+  #applyHeartbeat(from: string, heartbeat: Heartbeat): void {
     const { casts, coordination, coordinatorWatch, liveness, local } = this.#collaborators;
     if (heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch) {
       local.learnEpoch(heartbeat.epoch);
@@ -175,8 +178,8 @@
       local.learnCommitted(heartbeat.agreed);
     }
     coordination.resignIfBefore(heartbeat.epoch);
-    liveness.learn(from, heartbeat);
-    if (heartbeat.view === local.state?.view.number) casts.learn(from, heartbeat);
+    liveness.onHeartbeat(from, heartbeat);
+    if (heartbeat.view === local.state?.view.number) casts.onHeartbeat(from, heartbeat);
     coordination.coordinator?.learnApplied(from, heartbeat.number);
   }
 }
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -24,7 +24,7 @@
   #collaborators: LivenessCollaborators<S>;
   #detector: FailureDetector;
   /** Whom each member suspects, as its last heartbeat said. */
-  #suspectsOf = new Map<string, readonly string[]>();
+  #suspectsByMember = new Map<string, readonly string[]>();
   /** Members that cannot coordinate now, as their last heartbeat said. */
   #resigning = new Set<string>();
   #saidGoodbye = new Set<string>();
@@ -52,7 +52,7 @@
     const view = this.#collaborators.local.view;
     if (view === undefined) return false;
     const reports = view.members.filter((member) =>
-      this.#suspectsOf.get(member.incarnation)?.includes(incarnation),
+      this.#suspectsByMember.get(member.incarnation)?.includes(incarnation),
     );
     return reports.length >= majority(view.members.length);
   }
@@ -73,12 +73,12 @@
   }
 
   /** Notes that an incarnation has answered. */
-  answered(incarnation: string, nowMs: number): void {
+  recordAnswer(incarnation: string, nowMs: number): void {
     this.#detector.answered(incarnation, nowMs);
   }
 
   /** Holds an incarnation for failed, for good. */
-  report(incarnation: string): void {
+  markFailed(incarnation: string): void {
     this.#detector.report(incarnation);
   }
 
@@ -89,8 +89,8 @@
   }
 
   /** Takes what a member says of itself and the others. */
-  learn(from: string, heartbeat: Heartbeat): void {
-    this.#suspectsOf.set(from, heartbeat.suspects);
+  onHeartbeat(from: string, heartbeat: Heartbeat): void {
+    this.#suspectsByMember.set(from, heartbeat.suspects);
     if (heartbeat.resigning) this.#resigning.add(from);
     else this.#resigning.delete(from);
   }
@@ -101,12 +101,12 @@
   }
 
   /** A new view: what was said of members of the old one does not count. */
-  clearReports(): void {
-    this.#suspectsOf.clear();
+  clearSuspects(): void {
+    this.#suspectsByMember.clear();
   }
 
   clear(): void {
     this.#detector.clear();
-    this.#suspectsOf.clear();
+    this.#suspectsByMember.clear();
   }
 }
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -15,21 +15,21 @@
 }
 
 /** Machines lose their disks, and are back soon. */
-function wipe(cluster: TestCluster, names: readonly string[]): void {
+function restartWithEmptyDisks(cluster: TestCluster, names: readonly string[]): void {
   for (const name of names) cluster.stop(name);
   cluster.run(RESTART_MS);
   for (const name of names) cluster.start(name);
 }
 
 /** All machines lose power; the disks of some are gone. */
-function losePower(cluster: TestCluster, wiped: readonly string[]): void {
+function powerCycleAll(cluster: TestCluster, wiped: readonly string[]): void {
   const stopped = cluster.running.map(({ name }) => cluster.stop(name));
   cluster.run(RESTART_MS);
   for (const { name, records } of stopped) cluster.start(name, wiped.includes(name) ? undefined : records);
 }
 
 /** An operation is acknowledged in time, and every node ends with all that were. */
-function expectComplete(cluster: TestCluster, what: string): void {
+function expectNothingLost(cluster: TestCluster, what: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
   const tookMs = cluster.runUntil(() => {
@@ -46,7 +46,7 @@
   expect([what, tookMs <= ACK_MS || tookMs, lacking]).toEqual([what, true, []]);
 }
 
-function founded(names: readonly string[], faultTolerance: number, seed: number): TestCluster {
+function foundCluster(names: readonly string[], faultTolerance: number, seed: number): TestCluster {
   const cluster = new TestCluster(names, faultTolerance, seed);
   cluster.found();
   cluster.submit('a');
@@ -54,7 +54,7 @@
   return cluster;
 }
 
-function votersOf(node: TestNode | undefined): string[] {
+function voterDisksOf(node: TestNode | undefined): string[] {
   return (node?.group.state?.voters ?? []).map(({ disk }) => disk).sort();
 }
 
@@ -62,41 +62,41 @@
   it('bears the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
     for (const [place, first] of pairsOf(FIVE).entries()) {
       const second = pairsOf(FIVE)[(place * 7 + 3) % 10] as [string, string];
-      const cluster = founded(FIVE, 2, place);
-      wipe(cluster, first);
+      const cluster = foundCluster(FIVE, 2, place);
+      restartWithEmptyDisks(cluster, first);
       cluster.run(CATCH_UP_MS);
-      wipe(cluster, second);
-      expectComplete(cluster, `${first.join()} then ${second.join()}`);
+      restartWithEmptyDisks(cluster, second);
+      expectNothingLost(cluster, `${first.join()} then ${second.join()}`);
     }
   });
 
   it('bears it on disks that take 100 ms for a write', () => {
     for (const [place, first] of pairsOf(FIVE).entries()) {
-      const cluster = founded(FIVE, 2, place);
+      const cluster = foundCluster(FIVE, 2, place);
       for (const node of cluster.running) node.syncMs = 100;
-      wipe(cluster, first);
+      restartWithEmptyDisks(cluster, first);
       for (const node of cluster.running) node.syncMs = 100;
       cluster.run(CATCH_UP_MS);
-      wipe(cluster, pairsOf(FIVE)[9 - place] ?? first);
-      expectComplete(cluster, first.join());
+      restartWithEmptyDisks(cluster, pairsOf(FIVE)[9 - place] ?? first);
+      expectNothingLost(cluster, first.join());
     }
   });
 
   it('bears the loss of a disk, and of any other CatchUpS after its return, of three', () => {
     for (const first of THREE)
       for (const second of THREE) {
-        const cluster = founded(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
-        wipe(cluster, [first]);
+        const cluster = foundCluster(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
+        restartWithEmptyDisks(cluster, [first]);
         cluster.run(CATCH_UP_MS);
-        wipe(cluster, [second]);
-        expectComplete(cluster, `${first} then ${second}`);
+        restartWithEmptyDisks(cluster, [second]);
+        expectNothingLost(cluster, `${first} then ${second}`);
       }
   });
 
   it('loses nothing with a voter that leaves in order, and another CatchUpS after its successor is in', () => {
     for (const leaving of THREE)
       for (const lost of THREE.filter((name) => name !== leaving)) {
-        const cluster = founded(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
+        const cluster = foundCluster(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
         const third = THREE.find((name) => name !== leaving && name !== lost) ?? '';
         cluster.node(third).stalled = true;
         cluster.submit(leaving);
@@ -108,18 +108,18 @@
         cluster.stop(leaving);
         cluster.start('successor');
         cluster.run(CATCH_UP_MS);
-        wipe(cluster, [lost]);
+        restartWithEmptyDisks(cluster, [lost]);
         expect(size).toEqual(2);
-        expectComplete(cluster, `${leaving} leaves, ${lost} is lost`);
+        expectNothingLost(cluster, `${leaving} leaves, ${lost} is lost`);
       }
   });
 
   it('goes on where the coordinator dies, and a newcomer is wiped again, at any moment of a replacement', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
-      const cluster = founded(FIVE, 2, afterMs);
+      const cluster = foundCluster(FIVE, 2, afterMs);
       const leader = cluster.leader()?.name ?? '';
       const [lost = ''] = FIVE.filter((name) => name !== leader);
-      wipe(cluster, [lost]);
+      restartWithEmptyDisks(cluster, [lost]);
       cluster.run(afterMs);
       const { records } = cluster.stop(leader);
       cluster.stop(lost);
@@ -127,70 +127,70 @@
       cluster.start(lost);
       cluster.start(leader, records);
       cluster.run(CATCH_UP_MS);
-      expectComplete(cluster, `after ${afterMs}`);
-      expect([afterMs, votersOf(cluster.leader()).length, new Set(votersOf(cluster.leader())).size]).toEqual([
+      expectNothingLost(cluster, `after ${afterMs}`);
+      expect([
         afterMs,
-        5,
-        5,
-      ]);
+        voterDisksOf(cluster.leader()).length,
+        new Set(voterDisksOf(cluster.leader())).size,
+      ]).toEqual([afterMs, 5, 5]);
     }
   });
 
   it('goes on where all lose power at any moment of a replacement of two', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
-      const cluster = founded(FIVE, 2, afterMs);
-      wipe(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
+      const cluster = foundCluster(FIVE, 2, afterMs);
+      restartWithEmptyDisks(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
       cluster.submit('c');
       cluster.run(afterMs);
-      losePower(cluster, []);
-      expectComplete(cluster, `after ${afterMs}`);
+      powerCycleAll(cluster, []);
+      expectNothingLost(cluster, `after ${afterMs}`);
     }
   });
 
   it('goes on where two disks are lost and all others lose power, CatchUpS after a loss of two', () => {
     for (const [place, first] of pairsOf(FIVE).entries())
       for (const second of pairsOf(FIVE)) {
-        const cluster = founded(FIVE, 2, place);
-        wipe(cluster, first);
+        const cluster = foundCluster(FIVE, 2, place);
+        restartWithEmptyDisks(cluster, first);
         cluster.run(CATCH_UP_MS);
         cluster.submit('a');
         cluster.run(place);
-        losePower(cluster, second);
-        expectComplete(cluster, `${first.join()} then ${second.join()} and all power`);
+        powerCycleAll(cluster, second);
+        expectNothingLost(cluster, `${first.join()} then ${second.join()} and all power`);
       }
   });
 
   it('takes a machine that comes back under its replaced disk for a member that does not vote', () => {
-    const cluster = founded(THREE, 1, 5);
+    const cluster = foundCluster(THREE, 1, 5);
     const leader = cluster.leader()?.name ?? '';
     const [old = ''] = THREE.filter((name) => name !== leader);
     const { records, group } = cluster.stop(old);
     cluster.start('spare');
     cluster.run(CATCH_UP_MS);
-    const replaced = votersOf(cluster.leader());
+    const replaced = voterDisksOf(cluster.leader());
     cluster.start(old, records);
     cluster.run(CATCH_UP_MS);
     expect(replaced).not.toInclude(group.self.disk);
-    expect(votersOf(cluster.leader())).toEqual(replaced);
+    expect(voterDisksOf(cluster.leader())).toEqual(replaced);
     expect(cluster.node(old).group.view?.members.length).toEqual(4);
-    expectComplete(cluster, 'back under its old disk');
+    expectNothingLost(cluster, 'back under its old disk');
   });
 
   it('never makes more than one voter of an address whose disk changes', () => {
-    const cluster = founded(THREE, 1, 6);
+    const cluster = foundCluster(THREE, 1, 6);
     for (let times = 0; times < 4; times += 1) {
-      wipe(cluster, ['b']);
+      restartWithEmptyDisks(cluster, ['b']);
       cluster.run(CATCH_UP_MS);
-      const voters = votersOf(cluster.leader());
+      const voters = voterDisksOf(cluster.leader());
       expect([voters.length, voters.filter((disk) => disk.startsWith('b')).length]).toEqual([3, 1]);
     }
-    expectComplete(cluster, 'four disks at one address');
+    expectNothingLost(cluster, 'four disks at one address');
   });
 });
 
 describe('control safety, point 4: catching up', () => {
   it('brings a member that was cut off for 20 s and 400 versions to the newest one', () => {
-    const cluster = founded(FIVE, 2, 4);
+    const cluster = foundCluster(FIVE, 2, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
     cluster.setIsolated(late, true);
@@ -209,7 +209,7 @@
   });
 
   it('brings a member to the newest version in messages that the wire carries', () => {
-    const cluster = founded(THREE, 1, 4);
+    const cluster = foundCluster(THREE, 1, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = THREE.filter((name) => name !== leader);
     cluster.setIsolated(late, true);
@@ -229,7 +229,7 @@
 
   it('neither answers nor coordinates with old state after a restart, while changes go on', () => {
     for (const name of THREE) {
-      const cluster = founded(THREE, 1, name.charCodeAt(0));
+      const cluster = foundCluster(THREE, 1, name.charCodeAt(0));
       const { records } = cluster.stop(name);
       const other = THREE.find((known) => known !== name) ?? '';
       cluster.run(3000);
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -48,14 +48,14 @@
   #epoch: number;
   #departed: DepartedMembers;
   #propose: (entry: Entry, nowMs: number) => void;
-  #change: PendingViewChange | undefined;
-  #changes = 0;
+  #pendingChange: PendingViewChange | undefined;
+  #changeCount = 0;
   /** Since when a change has been wanted; it starts `graceMs` later. */
-  #wantedSinceMs: number | undefined;
+  #changeNeededSinceMs: number | undefined;
   /** Set while members may have stopped for a view that was not installed. */
   #mustInstallView = true;
   /** Members that did not flush in time, and until when they are left out. */
-  #slowUntilMs = new Map<string, number>();
+  #excludedUntilMs = new Map<string, number>();
 
   constructor(
     context: ViewChangeContext,
@@ -71,12 +71,12 @@
 
   /** Whether a change is under way. */
   get isCollecting(): boolean {
-    return this.#change !== undefined;
+    return this.#pendingChange !== undefined;
   }
 
   /** Members that have not flushed for the change under way, by name. */
   missingFlushes(): readonly string[] {
-    const change = this.#change;
+    const change = this.#pendingChange;
     if (change === undefined) return [];
     return change.staying
       .filter((member) => !change.castsByMember.has(member.incarnation))
@@ -84,8 +84,8 @@
   }
 
   onFlushReply(incarnation: string, reply: FlushReply): void {
-    if (reply.epoch !== this.#epoch || reply.change !== this.#change?.id) return;
-    this.#change.castsByMember.set(incarnation, reply.unstableCasts);
+    if (reply.epoch !== this.#epoch || reply.change !== this.#pendingChange?.id) return;
+    this.#pendingChange.castsByMember.set(incarnation, reply.unstableCasts);
   }
 
   /** Starts a change if one is due; whether it did. */
@@ -94,19 +94,19 @@
     const staying = this.#staying(view, nowMs);
     const joiners = this.#admittedJoiners(view, staying);
     if (staying.length === view.members.length && joiners.length === 0 && !this.#mustInstallView) {
-      this.#wantedSinceMs = undefined;
+      this.#changeNeededSinceMs = undefined;
       return false;
     }
     const self = this.#context.self().incarnation;
     if (rankOf(view, self) >= 0 && this.#context.appliedVersion() < state.number) return false;
-    this.#wantedSinceMs ??= nowMs;
-    if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
+    this.#changeNeededSinceMs ??= nowMs;
+    if (nowMs - this.#changeNeededSinceMs < this.#context.times.graceMs) return false;
     if (!this.#departed.hasMajority(view, (member) => staying.includes(member))) return false;
-    this.#wantedSinceMs = undefined;
+    this.#changeNeededSinceMs = undefined;
     this.#mustInstallView = true;
-    this.#changes += 1;
-    this.#change = {
-      id: this.#changes,
+    this.#changeCount += 1;
+    this.#pendingChange = {
+      id: this.#changeCount,
       staying,
       joiners,
       startedMs: nowMs,
@@ -119,12 +119,12 @@
 
   /** Requests the flushes that are missing; proposes the view once all are here, gives the change up after `flushMs`. */
   collectFlushes(state: ViewState, nowMs: number): void {
-    const change = this.#change;
+    const change = this.#pendingChange;
     if (change === undefined) return;
     const missing = change.staying.filter((member) => !change.castsByMember.has(member.incarnation));
-    if (this.#mustGiveUp(change, missing, nowMs)) {
-      this.#change = undefined;
-      this.#wantedSinceMs = nowMs - this.#context.times.graceMs;
+    if (this.#mustAbort(change, missing, nowMs)) {
+      this.#pendingChange = undefined;
+      this.#changeNeededSinceMs = nowMs - this.#context.times.graceMs;
       return;
     }
     if (missing.length === 0) return this.#install(change, state, nowMs);
@@ -141,7 +141,7 @@
       (member) =>
         member.incarnation === self ||
         (this.#context.isLive(member.incarnation) &&
-          nowMs >= (this.#slowUntilMs.get(member.incarnation) ?? -Infinity) &&
+          nowMs >= (this.#excludedUntilMs.get(member.incarnation) ?? -Infinity) &&
           !this.#context.isReported(member.incarnation) &&
           !this.#departed.has(member)),
     );
@@ -164,7 +164,7 @@
   }
 
   /** Whether a member that stays was lost, or the flush takes too long; who is late then is left out of the next change. */
-  #mustGiveUp(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
+  #mustAbort(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
     const self = this.#context.self().incarnation;
     const isMemberLost = change.staying.some(
       (member) => member.incarnation !== self && !this.#context.isLive(member.incarnation),
@@ -172,7 +172,7 @@
     const { flushMs } = this.#context.times;
     const isTimedOut = nowMs - change.startedMs > flushMs;
     if (isTimedOut) {
-      for (const member of missing) this.#slowUntilMs.set(member.incarnation, nowMs + 2 * flushMs);
+      for (const member of missing) this.#excludedUntilMs.set(member.incarnation, nowMs + 2 * flushMs);
     }
     return isMemberLost || isTimedOut;
   }
@@ -194,7 +194,7 @@
   }
 
   #install(change: PendingViewChange, { view: old }: ViewState, nowMs: number): void {
-    this.#change = undefined;
+    this.#pendingChange = undefined;
     this.#mustInstallView = false;
     const view = create(ViewSchema, {
       epoch: this.#epoch,
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -46,7 +46,7 @@
   }
 
   /** Whether a change is under way that leaves this member out: it gets no lease any more. */
-  isLeavingOut(incarnation: string): boolean {
+  isExcluding(incarnation: string): boolean {
     return this.#staying !== undefined && !this.#staying.has(incarnation);
   }
 
@@ -92,15 +92,15 @@
       directory.learn(member);
       liveness.watch(member.incarnation, nowMs);
     }
-    transport.keepOnly(incarnations);
-    this.#removeOutsiders(incarnations, nowMs);
-    liveness.clearReports();
+    transport.retainChannels(incarnations);
+    this.#removeNonMembers(incarnations, nowMs);
+    liveness.clearSuspects();
     casts.enter(view);
   }
 
   /** Lets in what came before its view, once the view has been announced. */
   open(): void {
-    this.#collaborators.casts.open();
+    this.#collaborators.casts.releaseBuffered();
   }
 
   /** Leaves the view, if any, and looks for the group as a new member. */
@@ -118,11 +118,11 @@
     liveness.clear();
     transport.clear();
     leases.clear();
-    discovery.clearGreetings();
+    discovery.clearReceivedEchoTokens();
     dependencies.listener.onNewIncarnation(local.incarnation);
   }
 
-  #removeOutsiders(incarnations: ReadonlySet<string>, nowMs: number): void {
+  #removeNonMembers(incarnations: ReadonlySet<string>, nowMs: number): void {
     const { directory, discovery, liveness } = this.#collaborators;
     for (const incarnation of directory.incarnations()) {
       if (incarnations.has(incarnation) || discovery.hasFreshContact(incarnation, nowMs)) continue;
--- a/packages/process-group/src/membership/waits.test.ts
+++ b/packages/process-group/src/membership/waits.test.ts
@@ -9,7 +9,7 @@
 
 const CORES = ['a', 'b', 'c', 'd', 'e'];
 
-function founded(): { cluster: TestCluster; leader: TestNode; followers: TestNode[] } {
+function foundCluster(): { cluster: TestCluster; leader: TestNode; followers: TestNode[] } {
   const cluster = new TestCluster(CORES, 2);
   cluster.found();
   const leader = cluster.leader();
@@ -17,23 +17,23 @@
   return { cluster, leader, followers: cluster.running.filter((node) => node !== leader) };
 }
 
-function viewNames(node: TestNode): string[] {
+function memberNamesOf(node: TestNode): string[] {
   return (node.group.view?.members ?? []).map((member) => member.name);
 }
 
 describe('a wait inside a view', () => {
   it('for a member whose disk hangs ends as it leaves the view; changes go on meanwhile', () => {
-    const { cluster, leader, followers } = founded();
+    const { cluster, leader, followers } = foundCluster();
     const [hung] = followers;
     if (hung === undefined) return;
     hung.stalled = true;
     expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 1000);
-    const tookMs = cluster.runUntil(() => !viewNames(leader).includes(hung.name), 20_000);
+    const tookMs = cluster.runUntil(() => !memberNamesOf(leader).includes(hung.name), 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 7000);
   });
 
   it('for the disks of a majority ends when they sync again, and nothing acknowledged is lost', () => {
-    const { cluster, leader, followers } = founded();
+    const { cluster, leader, followers } = foundCluster();
     for (const node of followers.slice(0, 3)) node.stalled = true;
     cluster.submit(leader.name);
     cluster.run(6000);
@@ -49,18 +49,18 @@
   });
 
   it('for a member that left without being heard ends by its silence', () => {
-    const { cluster, leader, followers } = founded();
+    const { cluster, leader, followers } = foundCluster();
     const [left] = followers;
     if (left === undefined) return;
     cluster.setIsolated(left.name, true);
     left.group.leave();
     cluster.stop(left.name);
-    const tookMs = cluster.runUntil(() => !viewNames(leader).includes(left.name), 10_000);
+    const tookMs = cluster.runUntil(() => !memberNamesOf(leader).includes(left.name), 10_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 3000);
   });
 
   it('for a coordinator that left without being heard ends by an election', () => {
-    const { cluster, leader } = founded();
+    const { cluster, leader } = foundCluster();
     cluster.setIsolated(leader.name, true);
     leader.group.leave();
     cluster.stop(leader.name);
@@ -68,12 +68,12 @@
   });
 
   it('for flushes of members that cannot answer ends with a view without them', () => {
-    const { cluster, leader, followers } = founded();
+    const { cluster, leader, followers } = foundCluster();
     const [lost, deaf] = followers;
     if (lost === undefined || deaf === undefined) return;
     cluster.stop(lost.name);
     cluster.severedLinks.add(`${deaf.name} ${leader.name}`);
-    const tookMs = cluster.runUntil(() => viewNames(leader).length === CORES.length - 2, 20_000);
+    const tookMs = cluster.runUntil(() => memberNamesOf(leader).length === CORES.length - 2, 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 6000);
     expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 1000);
   });
--- a/packages/process-group/src/multicast/casts.ts
+++ b/packages/process-group/src/multicast/casts.ts
@@ -29,7 +29,7 @@
   #collaborators: CastCollaborators<S>;
   #causal: CausalOrder | undefined;
   #backlog: Uint8Array[] = [];
-  #early: Cast[] = [];
+  #earlyCasts: Cast[] = [];
 
   constructor(collaborators: CastCollaborators<S>) {
     this.#collaborators = collaborators;
@@ -64,8 +64,8 @@
   receive(cast: Cast): void {
     const viewNumber = this.#collaborators.local.view?.number ?? 0;
     if (cast.view > viewNumber) {
-      this.#early.push(cast);
-      if (this.#early.length > EARLY_CASTS_MAX) this.#early.shift();
+      this.#earlyCasts.push(cast);
+      if (this.#earlyCasts.length > EARLY_CASTS_MAX) this.#earlyCasts.shift();
       return;
     }
     this.#causal?.receive(cast);
@@ -82,7 +82,7 @@
   }
 
   /** Takes what a member of this view says about delivery. */
-  learn(from: string, heartbeat: Heartbeat): void {
+  onHeartbeat(from: string, heartbeat: Heartbeat): void {
     this.#causal?.learnDelivered(from, heartbeat.delivered);
     this.#causal?.learnStable(heartbeat.stable);
   }
@@ -105,9 +105,9 @@
   }
 
   /** Takes the casts and payloads that waited for the view. */
-  open(): void {
-    const early = this.#early;
-    this.#early = [];
+  releaseBuffered(): void {
+    const early = this.#earlyCasts;
+    this.#earlyCasts = [];
     for (const cast of early) this.receive(cast);
     const backlog = this.#backlog;
     this.#backlog = [];
--- a/packages/process-group/src/multicast/causal-order.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -26,9 +26,9 @@
   #delivered: number[];
   #waiting: BufferedCast[] = [];
   #unstable = new Map<string, BufferedCast>();
-  #recordSent: number[];
-  #records: number[][];
-  #stableAt: number[][];
+  #lastSentContext: number[];
+  #contextsBySender: number[][];
+  #deliveredByMember: number[][];
   #stopped = false;
   #contextBytes = 0;
 
@@ -39,9 +39,9 @@
     this.#rank = rankOf(view, incarnation);
     this.#deliver = deliver;
     this.#delivered = new Array<number>(size).fill(0);
-    this.#recordSent = new Array<number>(size).fill(0);
-    this.#records = view.members.map(() => new Array<number>(size).fill(0));
-    this.#stableAt = view.members.map(() => new Array<number>(size).fill(0));
+    this.#lastSentContext = new Array<number>(size).fill(0);
+    this.#contextsBySender = view.members.map(() => new Array<number>(size).fill(0));
+    this.#deliveredByMember = view.members.map(() => new Array<number>(size).fill(0));
   }
 
   /** Whether delivery in this view has ended. */
@@ -76,12 +76,12 @@
       payload,
     });
     context.forEach((count, rank) => {
-      if (rank === this.#rank || count === this.#recordSent[rank]) return;
+      if (rank === this.#rank || count === this.#lastSentContext[rank]) return;
       cast.contextRank.push(rank);
       cast.contextCount.push(count);
       this.#contextBytes += 3;
     });
-    this.#recordSent = context;
+    this.#lastSentContext = context;
     this.#accept({ rank: this.#rank, context, cast });
     return cast;
   }
@@ -89,16 +89,16 @@
   /** Takes a cast of this view; it may have to wait for others. */
   receive(cast: Cast): void {
     const rank = rankOf(this.#view, cast.sender);
-    const record = this.#records[rank];
-    if (record === undefined || cast.view !== this.#view.number) return;
-    if (cast.sequence <= (record[rank] ?? 0)) return;
-    cast.contextRank.forEach((at, place) => {
-      if (at < record.length) record[at] = cast.contextCount[place] ?? 0;
+    const senderContext = this.#contextsBySender[rank];
+    if (senderContext === undefined || cast.view !== this.#view.number) return;
+    if (cast.sequence <= (senderContext[rank] ?? 0)) return;
+    cast.contextRank.forEach((memberRank, index) => {
+      if (memberRank < senderContext.length) senderContext[memberRank] = cast.contextCount[index] ?? 0;
     });
-    record[rank] = cast.sequence;
-    this.#waiting.push({ rank, context: [...record], cast });
+    senderContext[rank] = cast.sequence;
+    this.#waiting.push({ rank, context: [...senderContext], cast });
     if (this.#stopped) this.#retain(this.#waiting[this.#waiting.length - 1]);
-    else this.#drain();
+    else this.#deliverReady();
   }
 
   /** What all members have delivered as far as this one knows, by rank. */
@@ -106,7 +106,9 @@
     return this.#delivered.map((own, rank) =>
       Math.min(
         own,
-        ...this.#stableAt.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0])),
+        ...this.#deliveredByMember.flatMap((vector, member) =>
+          member === this.#rank ? [] : [vector[rank] ?? 0],
+        ),
       ),
     );
   }
@@ -122,7 +124,7 @@
   learnDelivered(incarnation: string, delivered: readonly number[]): void {
     const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
-    this.#stableAt[rank] = [...delivered];
+    this.#deliveredByMember[rank] = [...delivered];
     for (const [key, buffered] of this.#unstable) {
       if (this.#isStable(buffered)) this.#unstable.delete(key);
     }
@@ -146,7 +148,7 @@
   }
 
   #isStable(buffered: BufferedCast): boolean {
-    return this.#stableAt.every((vector, rank) => {
+    return this.#deliveredByMember.every((vector, rank) => {
       const count = rank === this.#rank ? this.#delivered[buffered.rank] : vector[buffered.rank];
       return (count ?? 0) >= buffered.cast.sequence;
     });
@@ -162,14 +164,14 @@
     this.#deliver(buffered.cast);
   }
 
-  #drain(): void {
-    for (let moved = true; moved;) {
-      moved = false;
+  #deliverReady(): void {
+    for (let progressed = true; progressed;) {
+      progressed = false;
       for (const buffered of this.#waiting) {
         if (!isDeliverable(buffered, this.#delivered)) continue;
         this.#waiting.splice(this.#waiting.indexOf(buffered), 1);
         this.#accept(buffered);
-        moved = true;
+        progressed = true;
         break;
       }
     }
@@ -205,21 +207,21 @@
  * const flushedCasts = flushedCastsOf(view, replies.map((reply) => reply.unstableCasts));
  */
 export function flushedCastsOf(view: View, castsByMember: readonly (readonly Cast[])[]): Cast[] {
-  const known = new Map<string, BufferedCast>();
+  const castsByKey = new Map<string, BufferedCast>();
   for (const cast of castsByMember.flat()) {
     const rank = rankOf(view, cast.sender);
     if (rank < 0 || cast.view !== view.number) continue;
-    known.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
+    castsByKey.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
   }
-  const left = [...known.values()].sort(
+  const remaining = [...castsByKey.values()].sort(
     (one, other) => one.rank - other.rank || one.cast.sequence - other.cast.sequence,
   );
   const flushedCasts: Cast[] = [];
-  while (left.length > 0) {
-    const next = left.findIndex((buffered) =>
-      left.every((other) => other === buffered || !precedes(other, buffered)),
+  while (remaining.length > 0) {
+    const next = remaining.findIndex((buffered) =>
+      remaining.every((other) => other === buffered || !precedes(other, buffered)),
     );
-    flushedCasts.push(...left.splice(Math.max(next, 0), 1).map((buffered) => buffered.cast));
+    flushedCasts.push(...remaining.splice(Math.max(next, 0), 1).map((buffered) => buffered.cast));
   }
   return flushedCasts;
 }
--- a/packages/process-group/src/testing/restart-trial.ts
+++ b/packages/process-group/src/testing/restart-trial.ts
@@ -8,7 +8,7 @@
 import { TestCluster } from './test-cluster.js';
 
 /** A group size, and how many disks it may lose. */
-const SIZES = [
+const GROUP_SIZES = [
   { cores: ['a', 'b', 'c'], losses: 1 },
   { cores: ['a', 'b', 'c', 'd', 'e'], losses: 2 },
   { cores: ['a', 'b', 'c', 'd', 'e', 'f'], losses: 2 },
@@ -18,7 +18,7 @@
 export const RECOVERY_BOUND_MS = 3000;
 
 /** A trial is given up after so long. */
-const GIVE_UP_MS = 30_000;
+const RECOVERY_TIMEOUT_MS = 30_000;
 
 /** Changes are submitted at this interval before the kill. */
 const CHANGE_INTERVAL_MS = 50;
@@ -50,22 +50,22 @@
 
   constructor(seed: number) {
     this.#random = new SeededRandom(seed);
-    const size = SIZES[this.#pick(SIZES.length)] ?? SIZES[0];
+    const size = GROUP_SIZES[this.#randomBelow(GROUP_SIZES.length)] ?? GROUP_SIZES[0];
     this.#cores = [...size.cores];
     this.#cluster = new TestCluster(size.cores, size.losses, seed);
-    this.#note(`${size.cores.length} cores`);
+    this.#recordEvent(`${size.cores.length} cores`);
   }
 
   run(): RestartTrialResult {
-    if (this.#chance(0.15)) this.#startFounding();
+    if (this.#occursWith(0.15)) this.#startFounding();
     else this.#startFounded();
-    this.#herdKill();
-    if (this.#chance(0.4)) {
-      this.#cluster.run(this.#pick(1500));
-      this.#herdKill();
+    this.#killAndRestartAll();
+    if (this.#occursWith(0.4)) {
+      this.#cluster.run(this.#randomBelow(1500));
+      this.#killAndRestartAll();
     }
-    this.#hurtOneCore();
-    const recoveredMs = this.#cluster.recover(GIVE_UP_MS);
+    this.#impairOneCore();
+    const recoveredMs = this.#cluster.recover(RECOVERY_TIMEOUT_MS);
     this.#cluster.run(2000);
     const leader = this.#cluster.leader();
     const lost = leader === undefined ? [] : this.#cluster.missingOperations(leader.name);
@@ -76,40 +76,40 @@
   #startFounding(): void {
     this.#cluster.startFirst();
     this.#cluster.run(10);
-    const afterMs = this.#pick(1500);
+    const afterMs = this.#randomBelow(1500);
     this.#cluster.run(afterMs);
-    this.#note(`killed ${afterMs} ms into the founding`);
+    this.#recordEvent(`killed ${afterMs} ms into the founding`);
   }
 
   /** A founded group with changes under way, in which a core may just have been replaced. */
   #startFounded(): void {
     this.#cluster.found();
-    if (this.#chance(0.25)) this.#replaceOne();
-    const changes = this.#pick(8);
+    if (this.#occursWith(0.25)) this.#replaceOneCore();
+    const changes = this.#randomBelow(8);
     for (let change = 0; change < changes; change += 1) {
-      const name = this.#cores[this.#pick(this.#cores.length)];
+      const name = this.#cores[this.#randomBelow(this.#cores.length)];
       if (name !== undefined) this.#cluster.submit(name);
-      this.#cluster.run(this.#pick(CHANGE_INTERVAL_MS));
+      this.#cluster.run(this.#randomBelow(CHANGE_INTERVAL_MS));
     }
   }
 
   /** Removes a core for good and starts another with an empty disk; the kill may come while it takes its place. */
-  #replaceOne(): void {
-    const lost = this.#cores[this.#pick(this.#cores.length)];
+  #replaceOneCore(): void {
+    const lost = this.#cores[this.#randomBelow(this.#cores.length)];
     if (lost === undefined) return;
     this.#cluster.stop(lost);
     this.#cores = [...this.#cores.filter((name) => name !== lost), 'x'];
     this.#cluster.start('x');
-    const afterMs = this.#pick(4000);
+    const afterMs = this.#randomBelow(4000);
     this.#cluster.run(afterMs);
-    this.#note(`${lost} replaced by x ${afterMs} ms before the kill`);
+    this.#recordEvent(`${lost} replaced by x ${afterMs} ms before the kill`);
   }
 
   /** Kills all cores at once and starts them in any order within a second. */
-  #herdKill(): void {
-    this.#note(`all killed at ${this.#cluster.nowMs} ms`);
+  #killAndRestartAll(): void {
+    this.#recordEvent(`all killed at ${this.#cluster.nowMs} ms`);
     const stopped = this.#cores.map((name) => this.#cluster.stop(name));
-    const staggerMs = this.#pick(1000);
+    const staggerMs = this.#randomBelow(1000);
     const starts = stopped
       .map((node) => ({ node, afterMs: 50 + this.#random.next() * staggerMs }))
       .sort((one, other) => one.afterMs - other.afterMs);
@@ -122,27 +122,27 @@
   }
 
   /** Hangs the disk of one core or cuts some of its links in one direction, where the others are a majority without it. */
-  #hurtOneCore(): void {
+  #impairOneCore(): void {
     const kind = this.#random.next();
-    const odd = this.#cores[this.#pick(this.#cores.length)];
-    if (kind < 1 / 3 || odd === undefined || !this.#suffices(odd)) return;
+    const core = this.#cores[this.#randomBelow(this.#cores.length)];
+    if (kind < 1 / 3 || core === undefined || !this.#haveQuorumWithout(core)) return;
     if (kind < 2 / 3) {
-      this.#cluster.node(odd).stalled = true;
-      this.#note(`the disk of ${odd} hangs`);
+      this.#cluster.node(core).stalled = true;
+      this.#recordEvent(`the disk of ${core} hangs`);
       return;
     }
-    const cut = this.#cores
-      .filter((name) => name !== odd)
-      .flatMap((name) => [`${odd} ${name}`, `${name} ${odd}`])
-      .filter(() => this.#chance(0.5));
-    for (const link of cut) this.#cluster.severedLinks.add(link);
-    this.#note(`cut: ${cut.join(', ')}`);
+    const severed = this.#cores
+      .filter((name) => name !== core)
+      .flatMap((name) => [`${core} ${name}`, `${name} ${core}`])
+      .filter(() => this.#occursWith(0.5));
+    for (const link of severed) this.#cluster.severedLinks.add(link);
+    this.#recordEvent(`cut: ${severed.join(', ')}`);
   }
 
   /** Whether all but this core are a majority of the voters and of the view of every version on any disk. */
-  #suffices(odd: string): boolean {
-    const rest = this.#cores.filter((name) => name !== odd);
-    const disks = new Set(rest.map((name) => this.#cluster.node(name).group.self.disk));
+  #haveQuorumWithout(core: string): boolean {
+    const others = this.#cores.filter((name) => name !== core);
+    const disks = new Set(others.map((name) => this.#cluster.node(name).group.self.disk));
     const versions = this.#cluster.acceptedVersions();
     return (
       versions.length > 0 &&
@@ -151,21 +151,21 @@
         const views = [state?.view, state?.previousView];
         return (
           voterSets.every((voters) => isMajorityOf(voters, ({ disk }) => disks.has(disk))) &&
-          views.every((view) => isMajorityOf(membersOf(view), ({ name }) => rest.includes(name)))
+          views.every((view) => isMajorityOf(membersOf(view), ({ name }) => others.includes(name)))
         );
       })
     );
   }
 
-  #note(event: string): void {
+  #recordEvent(event: string): void {
     this.#events.push(event);
   }
 
-  #chance(probability: number): boolean {
+  #occursWith(probability: number): boolean {
     return this.#random.next() < probability;
   }
 
-  #pick(count: number): number {
+  #randomBelow(count: number): number {
     return Math.floor(this.#random.next() * count);
   }
 }
--- a/packages/process-group/src/testing/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -65,8 +65,8 @@
   #founders: readonly string[] = [];
   #desiredVoterCount: number;
   #random: SeededRandom;
-  #disks = 0;
-  #operations = 0;
+  #disksCreated = 0;
+  #operationsCreated = 0;
   #inFlight: { readonly dueMs: number; readonly from: string; readonly to: string; readonly frame: Frame }[] =
     [];
 
@@ -91,10 +91,10 @@
   }
 
   start(name: string, records?: Records): TestNode {
-    this.#disks += 1;
+    this.#disksCreated += 1;
     const writes: TestNode['writes'] = [];
     const disk: Records = { ...records };
-    const opening = readRecords(disk, `${name}-${this.#disks}`);
+    const read = readRecords(disk, `${name}-${this.#disksCreated}`);
     const writer: RecordWriter = {
       store: (kind: RecordKind, bytes, done) => {
         writes.push({
@@ -106,7 +106,7 @@
         });
       },
     };
-    const fresh = {
+    const emptyRecords = {
       disk: name,
       deployment: '',
       promisedEpoch: 0,
@@ -114,7 +114,7 @@
       accepted: undefined,
       founders: [],
     };
-    const opened = opening.unwrapOr(fresh);
+    const opened = read.unwrapOr(emptyRecords);
     const founders = records?.disk === undefined ? this.#founders : opened.founders;
     const acceptor = new Acceptor({ ...opened, founders }, writer, 'test', () => undefined);
     const group = this.#group(name, acceptor);
@@ -144,8 +144,8 @@
    * Submits an operation at every running core again and again until one that
    * was submitted from now on is acknowledged, and says how long that took.
    */
-  recover(mostMs: number): number {
-    const earlier = this.#operations;
+  recover(timeoutMs: number): number {
+    const earlier = this.#operationsCreated;
     let probedMs = -Infinity;
     return this.runUntil(() => {
       if (this.nowMs - probedMs >= RECOVERY_PROBE_MS) {
@@ -153,13 +153,13 @@
         for (const { name } of this.running) this.submit(name);
       }
       return [...this.acknowledged].some((id) => Number(id.slice(1)) > earlier);
-    }, mostMs);
+    }, timeoutMs);
   }
 
   /** Submits an operation at a node; true if it was sent. */
   submit(name: string, payloadBytes = 0): boolean {
-    this.#operations += 1;
-    const id = `o${this.#operations}`;
+    this.#operationsCreated += 1;
+    const id = `o${this.#operationsCreated}`;
     const payload = new Uint8Array(payloadBytes);
     return this.node(name).group.submit(
       create(OperationSchema, { id, kind: 'add', payload, transient: true }),
@@ -167,16 +167,16 @@
   }
 
   /** Cuts a machine off from all others, or ends that. */
-  setIsolated(name: string, isCut: boolean): void {
+  setIsolated(name: string, isIsolated: boolean): void {
     for (const other of this.nodes.keys())
-      for (const way of [`${name} ${other}`, `${other} ${name}`]) {
-        if (isCut) this.severedLinks.add(way);
-        else this.severedLinks.delete(way);
+      for (const link of [`${name} ${other}`, `${other} ${name}`]) {
+        if (isIsolated) this.severedLinks.add(link);
+        else this.severedLinks.delete(link);
       }
   }
 
-  run(forMs: number): void {
-    const endMs = this.nowMs + forMs;
+  run(durationMs: number): void {
+    const endMs = this.nowMs + durationMs;
     while (this.nowMs < endMs) {
       this.nowMs += LINK_MS;
       this.#deliver();
@@ -185,9 +185,9 @@
   }
 
   /** Runs until something holds, and says how long that took. */
-  runUntil(holds: () => boolean, mostMs: number): number {
+  runUntil(condition: () => boolean, timeoutMs: number): number {
     const startMs = this.nowMs;
-    while (!holds() && this.nowMs - startMs < mostMs) this.run(TICK_MS);
+    while (!condition() && this.nowMs - startMs < timeoutMs) this.run(TICK_MS);
     return this.nowMs - startMs;
   }
 
--- a/packages/process-group/src/transport/transport.ts
+++ b/packages/process-group/src/transport/transport.ts
@@ -14,7 +14,7 @@
     readonly coordinator: { learnApplied(incarnation: string, number: number): void } | undefined;
   };
   readonly leases: { isHeld(): boolean };
-  readonly liveness: { report(incarnation: string): void };
+  readonly liveness: { markFailed(incarnation: string): void };
   /** Takes the bodies that arrived in order. */
   readonly receiver: { onBody(from: string, body: SequencedMessage['body']): void };
   readonly viewChange: { rejoin(): void };
@@ -59,7 +59,7 @@
     if (member.incarnation === local.incarnation) return receiver.onBody(member.incarnation, body);
     directory.learnMember(member);
     const channel = this.#channel(member.incarnation);
-    if (!channel.post(body)) return this.#overflow(member.incarnation);
+    if (!channel.post(body)) return this.#onChannelOverflow(member.incarnation);
     this.#sendDue(member, channel, local.nowMs());
   }
 
@@ -90,12 +90,12 @@
   }
 
   /** This process was suspended: that time does not count against the others. */
-  onSleep(awayMs: number): void {
-    for (const channel of this.#channels.values()) channel.slept(awayMs);
+  onSleep(suspendedMs: number): void {
+    for (const channel of this.#channels.values()) channel.slept(suspendedMs);
   }
 
   /** Ends the channels to all but some incarnations. */
-  keepOnly(incarnations: ReadonlySet<string>): void {
+  retainChannels(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#channels.keys())
       if (!incarnations.has(incarnation)) this.#channels.delete(incarnation);
   }
@@ -120,9 +120,9 @@
   }
 
   /** A channel that has lost a body is at its end: the member goes, or this node does if it is the one cut off. */
-  #overflow(incarnation: string): void {
+  #onChannelOverflow(incarnation: string): void {
     const { leases, liveness, local, viewChange } = this.#collaborators;
-    if (leases.isHeld()) liveness.report(incarnation);
+    if (leases.isHeld()) liveness.markFailed(incarnation);
     else if (local.inView) viewChange.rejoin();
   }
 }
