--- a/packages/process-group/src/model-checking/agreement-check.ts
+++ b/packages/process-group/src/model-checking/agreement-check.ts
@@ -6,11 +6,11 @@
  */
 import { parseArgs } from 'node:util';
 import fc from 'fast-check';
-import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
-import { searchAll, StateSpace, walk } from './agreement-search.js';
+import { SCOPES, RANDOM_WALK_SCOPE, type Scope } from './agreement-scopes.js';
+import { searchAll, StateSpace, randomWalk } from './agreement-search.js';
 import * as production from '../index.js';
 
-const WALK_STEPS = 200;
+const STEPS_PER_WALK = 200;
 
 const { values } = parseArgs({
   options: {
@@ -30,17 +30,17 @@
   return false;
 }
 
-function walkAtRandom(): boolean {
-  const choices = fc.array(fc.nat(), { minLength: WALK_STEPS, maxLength: WALK_STEPS });
-  const space = new StateSpace(production, WALKED);
+function checkRandomWalks(): boolean {
+  const choices = fc.array(fc.nat(), { minLength: STEPS_PER_WALK, maxLength: STEPS_PER_WALK });
+  const space = new StateSpace(production, RANDOM_WALK_SCOPE);
   const result = fc.check(
-    fc.property(choices, (path) => walk(space, path).violation === undefined),
+    fc.property(choices, (path) => randomWalk(space, path).violation === undefined),
     { numRuns: Number(values.walks), seed: Number(values.seed) },
   );
   console.log(`walks: ${result.numRuns}, seed ${values.seed}`);
   const [path] = result.counterexample ?? [];
   if (path === undefined) return true;
-  const { violation, trace } = walk(space, path);
+  const { violation, trace } = randomWalk(space, path);
   console.log(`${violation}\n${trace.join('\n')}`);
   return false;
 }
@@ -48,5 +48,5 @@
 const scopes = Object.entries<Scope>(SCOPES).filter(
   ([name]) => values.scope === undefined || name === values.scope,
 );
-const sound = scopes.map(([name, scope]) => searchScope(name, scope)).every((isSound) => isSound);
-process.exitCode = walkAtRandom() && sound ? 0 : 1;
+const searchesPassed = scopes.map(([name, scope]) => searchScope(name, scope)).every((passed) => passed);
+process.exitCode = checkRandomWalks() && searchesPassed ? 0 : 1;
--- a/packages/process-group/src/model-checking/agreement-initial-state.ts
+++ b/packages/process-group/src/model-checking/agreement-initial-state.ts
@@ -47,7 +47,7 @@
 }
 
 /** The records of a disk that took part in the first version. */
-export function firstDisk(machine: string, version: Version, founder: string): Records {
+export function diskWithFirstVersion(machine: string, version: Version, founder: string): Records {
   const disk = create(DiskRecordSchema, { disk: machine, deployment: DEPLOYMENT });
   const promise = create(PromiseRecordSchema, { epoch: 1, candidate: founder });
   return {
--- a/packages/process-group/src/model-checking/agreement-invariants.ts
+++ b/packages/process-group/src/model-checking/agreement-invariants.ts
@@ -1,12 +1,12 @@
 /** The invariants of agreement, checked on messages and events alone. */
 import type { Version } from '@rainrun/messages';
-import { contentOf, incarnationName, type Message } from './agreement-messages.js';
+import { contentDigest, incarnationName, type Message } from './agreement-messages.js';
 import { isLater, majority } from '../agreement/quorum.js';
 
-type Of<K extends Message['kind']> = Extract<Message, { kind: K }>;
+type MessageOf<K extends Message['kind']> = Extract<Message, { kind: K }>;
 
-function ofKind<K extends Message['kind']>(messages: readonly Message[], kind: K): Of<K>[] {
-  return messages.filter((message): message is Of<K> => message.kind === kind);
+function ofKind<K extends Message['kind']>(messages: readonly Message[], kind: K): MessageOf<K>[] {
+  return messages.filter((message): message is MessageOf<K> => message.kind === kind);
 }
 
 function disksOf(version: Version | undefined): string[] {
@@ -19,22 +19,22 @@
  * @example
  * violation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
  */
-export function violation(sent: readonly Message[], message: Message): string | undefined {
+export function findViolation(sent: readonly Message[], message: Message): string | undefined {
   switch (message.kind) {
     case 'promise':
-      return brokenPromise(sent, message);
+      return promiseViolation(sent, message);
     case 'accepted':
-      return brokenAcceptance(sent, message);
+      return acceptanceViolation(sent, message);
     case 'elected':
-      return secondCoordinator(sent, message);
+      return electionViolation(sent, message);
     case 'chosen':
-      return wronglyChosen(sent, message);
+      return choiceViolation(sent, message);
     default:
       return undefined;
   }
 }
 
-function brokenPromise(sent: readonly Message[], message: Of<'promise'>): string | undefined {
+function promiseViolation(sent: readonly Message[], message: MessageOf<'promise'>): string | undefined {
   const { promise, from, to } = message;
   if (!promise.granted) return undefined;
   const rival = ofKind(sent, 'promise').find(
@@ -57,7 +57,7 @@
   return `disk ${from.machine} acknowledged version ${epoch}/${number} and promised with an older one`;
 }
 
-function brokenAcceptance(sent: readonly Message[], message: Of<'accepted'>): string | undefined {
+function acceptanceViolation(sent: readonly Message[], message: MessageOf<'accepted'>): string | undefined {
   const { accepted, from, to } = message;
   if (accepted.rejected) return undefined;
   const newer = ofKind(sent, 'promise').find(
@@ -71,7 +71,7 @@
   return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted in epoch ${accepted.epoch} of ${to.machine}`;
 }
 
-function secondCoordinator(sent: readonly Message[], message: Of<'elected'>): string | undefined {
+function electionViolation(sent: readonly Message[], message: MessageOf<'elected'>): string | undefined {
   const other = ofKind(sent, 'elected').find(
     ({ epoch, from }) => epoch === message.epoch && incarnationName(from) !== incarnationName(message.from),
   );
@@ -79,11 +79,11 @@
   return `epoch ${message.epoch} has two coordinators, ${incarnationName(other.from)} and ${incarnationName(message.from)}`;
 }
 
-function wronglyChosen(sent: readonly Message[], message: Of<'chosen'>): string | undefined {
+function choiceViolation(sent: readonly Message[], message: MessageOf<'chosen'>): string | undefined {
   const { version } = message;
   const chosen = ofKind(sent, 'chosen').map((other) => other.version);
   const same = chosen.filter((other) => other.number === version.number);
-  if (same.some((other) => contentOf(other) !== contentOf(version)))
+  if (same.some((other) => contentDigest(other) !== contentDigest(version)))
     return `two versions are chosen under number ${version.number}`;
   const newer = chosen.find((other) => other.epoch > version.epoch);
   if (same.length === 0 && newer !== undefined)
@@ -91,10 +91,10 @@
   const passed = chosen.find((other) => other.epoch < version.epoch && other.number > version.number);
   if (passed !== undefined)
     return `number ${version.number} is chosen in epoch ${version.epoch} though ${passed.number} was in epoch ${passed.epoch}`;
-  return wrongVoters(sent, version, chosen);
+  return voterChangeViolation(sent, version, chosen);
 }
 
-function wrongVoters(
+function voterChangeViolation(
   sent: readonly Message[],
   version: Version,
   chosen: readonly Version[],
--- a/packages/process-group/src/model-checking/agreement-messages.ts
+++ b/packages/process-group/src/model-checking/agreement-messages.ts
@@ -40,20 +40,20 @@
   return createHash('sha256').update(bytes).digest('base64').slice(0, 16);
 }
 
-const CONTENTS = new WeakMap<Version, string>();
+const CONTENT_DIGESTS = new WeakMap<Version, string>();
 
 /** A digest of what a version says, whatever the epoch it was proposed in. */
-export function contentOf(version: Version): string {
-  const known = CONTENTS.get(version);
+export function contentDigest(version: Version): string {
+  const known = CONTENT_DIGESTS.get(version);
   if (known !== undefined) return known;
   const content = digestOf(toBinary(VersionSchema, { ...version, epoch: 0 }));
-  CONTENTS.set(version, content);
+  CONTENT_DIGESTS.set(version, content);
   return content;
 }
 
 /** A name for a version: equal for equal versions of one epoch. */
-export function nameOf(version: Version | undefined): string {
-  return version === undefined ? 'none' : `${version.epoch}/${version.number}/${contentOf(version)}`;
+export function versionKey(version: Version | undefined): string {
+  return version === undefined ? 'none' : `${version.epoch}/${version.number}/${contentDigest(version)}`;
 }
 
 /** An incarnation as one word. */
@@ -68,16 +68,16 @@
 }
 
 /** The same for equal messages: a message that is sent again is no new one. */
-export function messageName(message: Message): string {
+export function messageKey(message: Message): string {
   const from = incarnationName(message.from);
   switch (message.kind) {
     case 'prepare':
       return `prepare ${from} ${message.to} ${message.prepare.epoch}`;
     case 'propose':
-      return `propose ${from} ${message.to} ${nameOf(message.propose.version)}`;
+      return `propose ${from} ${message.to} ${versionKey(message.propose.version)}`;
     case 'promise': {
       const { epoch, granted, accepted, seenEpoch } = message.promise;
-      return `promise ${from} ${incarnationName(message.to)} ${epoch} ${granted} ${seenEpoch} ${nameOf(accepted)}`;
+      return `promise ${from} ${incarnationName(message.to)} ${epoch} ${granted} ${seenEpoch} ${versionKey(accepted)}`;
     }
     case 'accepted': {
       const { epoch, number, rejected, seenEpoch } = message.accepted;
@@ -86,6 +86,6 @@
     case 'elected':
       return `elected ${from} ${message.epoch}`;
     case 'chosen':
-      return `chosen ${from} ${nameOf(message.version)}`;
+      return `chosen ${from} ${versionKey(message.version)}`;
   }
 }
--- a/packages/process-group/src/model-checking/agreement-model.ts
+++ b/packages/process-group/src/model-checking/agreement-model.ts
@@ -27,8 +27,8 @@
   digestOf,
   incarnationName,
   parseIncarnation,
-  messageName,
-  nameOf,
+  messageKey,
+  versionKey,
   type Incarnation,
   type Message,
 } from './agreement-messages.js';
@@ -94,29 +94,29 @@
   #state: GroupState<string> | undefined;
   #code: AgreementCode;
   #epochSeen = 0;
-  #missing: string | undefined;
+  #unreachableDisk: string | undefined;
   /** Number that the coordinator proposes and has not seen chosen. */
-  #proposing: number | undefined;
+  #proposedNumber: number | undefined;
   #operations = 0;
   /** Inputs that shaped the prepare or the coordinator of now. */
-  #log: string[] = [];
+  #relevantInputs: string[] = [];
   /** A prepare is answered once in an incarnation. */
   #preparesReceived = new Set<string>();
   #cause = '';
   #sent: Message[] = [];
   /** Why the disk's records were refused. */
-  readonly broken: string | undefined;
+  readonly recordsFault: string | undefined;
 
   constructor(code: AgreementCode, from: Incarnation, records: Records) {
     this.#code = code;
     this.from = from;
     this.#records = { ...records };
-    const opening = code.readRecords(records, from.machine);
-    this.broken = opening.isErr ? opening.error.detail : undefined;
+    const readResult = code.readRecords(records, from.machine);
+    this.recordsFault = readResult.isErr ? readResult.error.detail : undefined;
     const writer: RecordWriter = {
       store: (kind, bytes, done) => void this.#writes.push({ kind, bytes, cause: this.#cause, done }),
     };
-    const fresh = {
+    const emptyRecords = {
       disk: from.machine,
       deployment: '',
       promisedEpoch: 0,
@@ -125,7 +125,7 @@
       founders: [],
     };
     this.#acceptor = new code.Acceptor(
-      opening.isOk ? opening.value : fresh,
+      readResult.isOk ? readResult.value : emptyRecords,
       writer,
       DEPLOYMENT,
       () => undefined,
@@ -143,25 +143,25 @@
   }
 
   /** Whether this machine is among the voters that it knows of, and would prepare if it heard of no coordinator. */
-  get mayPrepare(): boolean {
+  get canPrepare(): boolean {
     const listed = this.#voters().voters.some((voter) => voter.disk === this.from.machine);
     return listed && this.#coordinator === undefined && !this.#acceptor.busy;
   }
 
   /** Whether this machine coordinates and waits for nothing. */
-  get idleCoordinator(): boolean {
-    return this.#coordinator?.ready === true && this.#proposing === undefined;
+  get isIdleCoordinator(): boolean {
+    return this.#coordinator?.ready === true && this.#proposedNumber === undefined;
   }
 
   /** Messages that are not taken again: prepares in this incarnation, replies since this machine prepared. */
   get receivedMessages(): ReadonlySet<string> {
-    return new Set([...this.#log, ...this.#preparesReceived]);
+    return new Set([...this.#relevantInputs, ...this.#preparesReceived]);
   }
 
   /** Equal for machines that behave alike from now on. */
   fingerprint(): string {
     const { machine, incarnation } = this.from;
-    const records = (['disk', 'promise', 'version'] as const).map((kind) => this.#nameOfRecord(kind));
+    const records = (['disk', 'promise', 'version'] as const).map((kind) => this.#recordDigest(kind));
     const writes = this.#writes.map(({ kind, bytes, cause }) => [kind, digestOf(bytes), cause]);
     const { promisedEpoch, accepted } = this.#acceptor;
     return JSON.stringify([
@@ -170,16 +170,16 @@
       records,
       writes,
       promisedEpoch,
-      nameOf(accepted),
+      versionKey(accepted),
       this.#epochSeen,
       this.#state?.number ?? 0,
       this.#state?.epoch ?? 0,
-      this.#log,
+      this.#relevantInputs,
       [...this.#preparesReceived].sort(),
     ]);
   }
 
-  #nameOfRecord(kind: RecordKind): string {
+  #recordDigest(kind: RecordKind): string {
     const bytes = this.#records[kind];
     return bytes === undefined ? '' : digestOf(bytes);
   }
@@ -187,7 +187,7 @@
   /** Carries out one input and returns what was sent. */
   apply(input: Input): readonly Message[] {
     this.#sent = [];
-    this.#cause = input.kind === 'deliver' ? messageName(input.message) : input.kind;
+    this.#cause = input.kind === 'deliver' ? messageKey(input.message) : input.kind;
     switch (input.kind) {
       case 'prepare':
         this.#prepare();
@@ -205,13 +205,13 @@
         this.#deliver(input.message);
         break;
     }
-    if (!this.#candidacy.isUnderWay && this.#coordinator === undefined) this.#log = [];
+    if (!this.#candidacy.isUnderWay && this.#coordinator === undefined) this.#relevantInputs = [];
     return this.#sent;
   }
 
   #prepare(): void {
     this.#candidacy.abandon();
-    this.#log = [`prepare ${this.#epoch()} ${[...disksOf(this.#voters())].join()}`];
+    this.#relevantInputs = [`prepare ${this.#epoch()} ${[...disksOf(this.#voters())].join()}`];
     this.#candidacy.begin(0);
   }
 
@@ -220,12 +220,12 @@
     if (write === undefined) return;
     this.#records[write.kind] = write.bytes;
     this.#cause = write.cause;
-    if (write.kind === 'promise' && write.cause === 'prepare') this.#notePromiseToSelf(write.bytes);
+    if (write.kind === 'promise' && write.cause === 'prepare') this.#reportPromiseToSelf(write.bytes);
     write.done(Result.ok());
   }
 
   /** A machine's promise to itself goes over no network: the invariants see it as an event. */
-  #notePromiseToSelf(bytes: Uint8Array): void {
+  #reportPromiseToSelf(bytes: Uint8Array): void {
     const { epoch } = fromBinary(PromiseRecordSchema, bytes);
     const promise = create(PromiseSchema, { epoch, disk: this.from.machine, granted: true });
     const { accepted } = this.#acceptor;
@@ -236,7 +236,7 @@
   #operate(): void {
     this.#operations += 1;
     const id = `${this.from.machine}${this.from.incarnation}-${this.#coordinator?.epoch ?? 0}-${this.#operations}`;
-    this.#log.push(`operate ${id}`);
+    this.#relevantInputs.push(`operate ${id}`);
     this.#coordinator?.submit(
       create(OperationSchema, { id, kind: 'add', transient: true }),
       memberOf(this.from.machine),
@@ -245,25 +245,25 @@
   }
 
   #replace(disk: string): void {
-    this.#log.push(`replace ${disk}`);
-    this.#missing = disk;
+    this.#relevantInputs.push(`replace ${disk}`);
+    this.#unreachableDisk = disk;
     this.#coordinator?.tick(0);
-    this.#missing = undefined;
+    this.#unreachableDisk = undefined;
     this.#coordinator?.tick(TIMES.resendMs);
   }
 
   #deliver(message: Message): void {
     switch (message.kind) {
       case 'prepare':
-        this.#preparesReceived.add(messageName(message));
+        this.#preparesReceived.add(messageKey(message));
         return this.#candidacy.onPrepare(incarnationName(message.from), message.prepare);
       case 'promise':
-        this.#log.push(messageName(message));
+        this.#relevantInputs.push(messageKey(message));
         return this.#candidacy.onPromise(message.promise);
       case 'propose':
         return this.#onPropose(message.from, message.propose);
       case 'accepted':
-        return this.#onAccepted(message.accepted, messageName(message));
+        return this.#onAccepted(message.accepted, messageKey(message));
       default:
         return;
     }
@@ -297,14 +297,15 @@
       this.#epochSeen = Math.max(this.#epochSeen, accepted.seenEpoch);
       return this.#resign();
     }
-    if (accepted.epoch === coordinator.epoch && accepted.number === this.#proposing) this.#log.push(name);
+    if (accepted.epoch === coordinator.epoch && accepted.number === this.#proposedNumber)
+      this.#relevantInputs.push(name);
     coordinator.onAccepted(accepted);
     this.#coordinator?.tick(0);
   }
 
   #resign(): void {
     this.#coordinator = undefined;
-    this.#proposing = undefined;
+    this.#proposedNumber = undefined;
   }
 
   #becomeCoordinator(epoch: number, version: Version): void {
@@ -312,7 +313,7 @@
     if (base.isErr) return;
     this.#epochSeen = Math.max(this.#epochSeen, epoch);
     this.#send({ kind: 'elected', from: this.from, epoch });
-    this.#proposing = version.number;
+    this.#proposedNumber = version.number;
     this.#coordinator = new this.#code.Coordinator(
       this.#coordinatorContext(),
       epoch,
@@ -333,7 +334,7 @@
     switch (body.case) {
       case 'prepare':
         return body.value.preVote
-          ? this.#support(member, body.value)
+          ? this.#grantPreVote(member, body.value)
           : this.#send({ kind: 'prepare', from, to: member.incarnation, prepare: body.value });
       case 'promise':
         return this.#send({
@@ -343,7 +344,7 @@
           promise: body.value,
         });
       case 'propose':
-        this.#proposing = body.value.version?.number;
+        this.#proposedNumber = body.value.version?.number;
         return this.#send({ kind: 'propose', from, to: member.incarnation, propose: body.value });
       case 'flushRequest':
         return this.#coordinator?.onFlushReply(
@@ -356,7 +357,7 @@
   }
 
   /** The question before a prepare guards nothing but peace: here everyone supports every prepare. */
-  #support(member: Member, prepare: Prepare): void {
+  #grantPreVote(member: Member, prepare: Prepare): void {
     const { epoch } = prepare;
     this.#candidacy.onPromise({
       $typeName: 'rainrun.v1.Promise',
@@ -401,14 +402,14 @@
       isLive: () => true,
       isReported: () => false,
       joiners: () => [],
-      memberOfVoter: (disk) => (disk === this.#missing ? undefined : memberOf(disk)),
+      memberOfVoter: (disk) => (disk === this.#unreachableDisk ? undefined : memberOf(disk)),
       send: (member, body) => this.#route(member, body),
       sendOrdered: (member, body) => {
         if (body.case === 'chosen')
           this.#coordinator?.learnApplied(member.incarnation, body.value.versions.at(-1)?.number ?? 0);
       },
       vote: (version) => {
-        this.#proposing = version.number;
+        this.#proposedNumber = version.number;
         const value = create(ProposeSchema, { disk: machine, version });
         this.#acceptor.accept(value, (accepted) => {
           this.#send({ kind: 'accepted', from: this.from, to: this.from, accepted });
@@ -417,7 +418,7 @@
       },
       flushSelf: () => [],
       deliverSelf: (version) => {
-        this.#proposing = undefined;
+        this.#proposedNumber = undefined;
         const state = fromVersion(STATE_MACHINE, version);
         if (state.isOk) this.#state = state.value;
         this.#send({ kind: 'chosen', from: this.from, version });
--- a/packages/process-group/src/model-checking/agreement-scopes.ts
+++ b/packages/process-group/src/model-checking/agreement-scopes.ts
@@ -99,7 +99,7 @@
 } as const satisfies Record<string, Scope>;
 
 /** Of everything some, with a second spare: for walks at random. */
-export const WALKED: Scope = {
+export const RANDOM_WALK_SCOPE: Scope = {
   ...THREE_VOTERS,
   spares: ['d', 'e'],
   candidates: ['a', 'b', 'c', 'd', 'e'],
--- a/packages/process-group/src/model-checking/agreement-search.ts
+++ b/packages/process-group/src/model-checking/agreement-search.ts
@@ -7,9 +7,9 @@
  */
 import type { Records } from '@rainrun/storage';
 import type { Budget, Scope } from './agreement-scopes.js';
-import { violation } from './agreement-invariants.js';
-import { messageName, type Message } from './agreement-messages.js';
-import { emptyDisk, firstDisk, firstVersion } from './agreement-initial-state.js';
+import { findViolation } from './agreement-invariants.js';
+import { messageKey, type Message } from './agreement-messages.js';
+import { emptyDisk, diskWithFirstVersion, firstVersion } from './agreement-initial-state.js';
 import { ModelMachine, type AgreementCode, type Input } from './agreement-model.js';
 
 /** One thing that happens to one machine; a delivery goes by the number of its message. */
@@ -22,7 +22,7 @@
     | { readonly kind: 'lose' };
 }
 
-type OwnAction = Exclude<Action['what'], { readonly kind: 'crash' | 'lose' }>;
+type ModelInput = Exclude<Action['what'], { readonly kind: 'crash' | 'lose' }>;
 
 /** Where all machines stand and what has been sent. */
 export interface State {
@@ -45,12 +45,12 @@
   readonly inputs: readonly Input[];
   readonly records: Records;
   readonly hasPendingWrites: boolean;
-  readonly mayPrepare: boolean;
-  readonly idleCoordinator: boolean;
+  readonly canPrepare: boolean;
+  readonly isIdleCoordinator: boolean;
   /** Names of the messages that are not taken again. */
-  readonly received: ReadonlySet<string>;
+  readonly receivedMessages: ReadonlySet<string>;
   /** A machine in this state, until it is used for what follows; then its inputs are repeated. */
-  live: ModelMachine | undefined;
+  cachedMachine: ModelMachine | undefined;
 }
 
 interface Transition {
@@ -58,7 +58,7 @@
   readonly sent: readonly number[];
 }
 
-const GONE = -1;
+const LOST_MACHINE = -1;
 
 /**
  * The graph of states of one scope, over one build of the code.
@@ -70,30 +70,30 @@
   readonly start: State;
   #code: AgreementCode;
   #scope: Scope;
-  #names: readonly string[];
-  #states: MachineState[] = [];
-  #stateNumbers = new Map<string, number>();
+  #machineNames: readonly string[];
+  #machineStates: MachineState[] = [];
+  #machineStateNumbers = new Map<string, number>();
   #transitions = new Map<string, Transition>();
   #messages: { readonly message: Message; readonly name: string }[] = [];
   #messageNumbers = new Map<string, number>();
   /** Messages that are not delivered any more. */
-  #delivered = new Set<number>();
+  #setupMessages = new Set<number>();
 
   constructor(code: AgreementCode, scope: Scope) {
     this.#code = code;
     this.#scope = scope;
-    this.#names = [...scope.voters, ...scope.spares];
-    this.start = this.#elected();
+    this.#machineNames = [...scope.voters, ...scope.spares];
+    this.start = this.#stateAfterFirstElection();
   }
 
   /** Everything that may happen next. */
   actions(state: State): Action[] {
     const actions: Action[] = [];
     for (const [machine, number] of state.machines.entries()) {
-      const known = this.#states[number];
-      if (known === undefined) continue;
-      this.#addOwnActions(actions, state, machine, known);
-      for (const sent of state.sent) this.#addDelivery(actions, machine, known, sent);
+      const machineState = this.#machineStates[number];
+      if (machineState === undefined) continue;
+      this.#addLocalActions(actions, state, machine, machineState);
+      for (const sent of state.sent) this.#addDelivery(actions, machine, machineState, sent);
     }
     return actions;
   }
@@ -113,10 +113,10 @@
 
   /** An action in words. */
   describe({ machine, what }: Action): string {
-    const name = this.#names[machine] ?? '';
+    const name = this.#machineNames[machine] ?? '';
     if (what.kind !== 'deliver')
       return `${name}: ${what.kind}${what.kind === 'replace' ? ` ${what.disk}` : ''}`;
-    return `${name}: takes ${readable(this.#message(what.message))}`;
+    return `${name}: takes ${describeMessage(this.#message(what.message))}`;
   }
 
   /** Equal for equal states. */
@@ -128,27 +128,27 @@
   // The beginning.
 
   /** The first coordinator is elected and everyone holds its first version. */
-  #elected(): State {
+  #stateAfterFirstElection(): State {
     const { voters, spares, coordinator, budget } = this.#scope;
-    const version = firstVersion(this.#names, voters);
+    const version = firstVersion(this.#machineNames, voters);
     const machines = [
-      ...voters.map((name) => this.#boot(name, 1, firstDisk(name, version, coordinator))),
+      ...voters.map((name) => this.#boot(name, 1, diskWithFirstVersion(name, version, coordinator))),
       ...spares.map((name) => this.#boot(name, 1, emptyDisk(name))),
     ];
     const machine = voters.indexOf(coordinator);
     let state = this.#apply({ machines, sent: [], budget }, machine, { kind: 'prepare' }).state;
     for (;;) {
       const next = this.#progress(state);
-      if (next === undefined) return this.#afterFirstElection(state, budget);
+      if (next === undefined) return this.#completeSetup(state, budget);
       state = next;
     }
   }
 
   /** The first election is over: its messages are known to the invariants, and not delivered again. */
-  #afterFirstElection(state: State, budget: Budget): State {
-    for (const number of state.sent) this.#delivered.add(number);
-    const machines = state.machines.map((number, place) =>
-      this.#scope.lost.includes(this.#names[place] ?? '') ? GONE : number,
+  #completeSetup(state: State, budget: Budget): State {
+    for (const number of state.sent) this.#setupMessages.add(number);
+    const machines = state.machines.map((number, index) =>
+      this.#scope.lost.includes(this.#machineNames[index] ?? '') ? LOST_MACHINE : number,
     );
     return { ...state, machines, budget };
   }
@@ -173,44 +173,45 @@
 
   #intern(machine: ModelMachine, boot: MachineState['boot'], inputs: readonly Input[]): number {
     const fingerprint = machine.fingerprint();
-    const known = this.#stateNumbers.get(fingerprint);
+    const known = this.#machineStateNumbers.get(fingerprint);
     if (known !== undefined) return known;
-    const number = this.#states.length;
-    const { records, hasPendingWrites, mayPrepare, idleCoordinator, receivedMessages } = machine;
-    this.#stateNumbers.set(fingerprint, number);
-    this.#states.push({
+    const number = this.#machineStates.length;
+    const { records, hasPendingWrites, canPrepare, isIdleCoordinator, receivedMessages } = machine;
+    this.#machineStateNumbers.set(fingerprint, number);
+    this.#machineStates.push({
       name: machine.from.machine,
       boot,
       inputs,
       records,
       hasPendingWrites,
-      mayPrepare,
-      idleCoordinator,
-      received: receivedMessages,
-      live: machine,
+      canPrepare,
+      isIdleCoordinator,
+      receivedMessages,
+      cachedMachine: machine,
     });
     return number;
   }
 
   // What may happen.
 
-  #addOwnActions(actions: Action[], state: State, machine: number, known: MachineState): void {
+  #addLocalActions(actions: Action[], state: State, machine: number, machineState: MachineState): void {
     const { budget } = state;
-    if (known.hasPendingWrites) actions.push({ machine, what: { kind: 'sync' } });
-    if (budget.prepares > 0 && known.mayPrepare && this.#scope.candidates.includes(known.name))
+    if (machineState.hasPendingWrites) actions.push({ machine, what: { kind: 'sync' } });
+    if (budget.prepares > 0 && machineState.canPrepare && this.#scope.candidates.includes(machineState.name))
       actions.push({ machine, what: { kind: 'prepare' } });
-    if (budget.crashes > 0 && this.#scope.crashing.includes(known.name))
+    if (budget.crashes > 0 && this.#scope.crashing.includes(machineState.name))
       actions.push({ machine, what: { kind: 'crash' } });
-    if (budget.operations > 0 && known.idleCoordinator) actions.push({ machine, what: { kind: 'operate' } });
-    if (budget.replacements > 0 && known.idleCoordinator) {
+    if (budget.operations > 0 && machineState.isIdleCoordinator)
+      actions.push({ machine, what: { kind: 'operate' } });
+    if (budget.replacements > 0 && machineState.isIdleCoordinator) {
       for (const disk of this.#scope.replaceable)
-        if (disk !== this.#names[machine]) actions.push({ machine, what: { kind: 'replace', disk } });
+        if (disk !== this.#machineNames[machine]) actions.push({ machine, what: { kind: 'replace', disk } });
     }
-    if (budget.losses > 0 && this.#mayLose(state)) actions.push({ machine, what: { kind: 'lose' } });
+    if (budget.losses > 0 && this.#canLoseDisk(state)) actions.push({ machine, what: { kind: 'lose' } });
   }
 
   /** One disk may go while all voters of the newest chosen version have theirs. */
-  #mayLose(state: State): boolean {
+  #canLoseDisk(state: State): boolean {
     let voters: readonly string[] = this.#scope.voters;
     let newest = 0;
     for (const number of state.sent) {
@@ -219,16 +220,16 @@
       newest = message.version.number;
       voters = (message.version.state?.voters ?? []).map((voter) => voter.disk);
     }
-    return voters.every((name) => state.machines[this.#names.indexOf(name)] !== GONE);
+    return voters.every((name) => state.machines[this.#machineNames.indexOf(name)] !== LOST_MACHINE);
   }
 
-  #addDelivery(actions: Action[], machine: number, known: MachineState, sent: number): void {
-    if (this.#delivered.has(sent) || !this.#isFor(this.#message(sent), known)) return;
-    if (known.received.has(this.#messages[sent]?.name ?? '')) return;
+  #addDelivery(actions: Action[], machine: number, machineState: MachineState, sent: number): void {
+    if (this.#setupMessages.has(sent) || !this.#isAddressedTo(this.#message(sent), machineState)) return;
+    if (machineState.receivedMessages.has(this.#messages[sent]?.name ?? '')) return;
     actions.push({ machine, what: { kind: 'deliver', message: sent } });
   }
 
-  #isFor(message: Message, { name, boot }: MachineState): boolean {
+  #isAddressedTo(message: Message, { name, boot }: MachineState): boolean {
     switch (message.kind) {
       case 'prepare':
       case 'propose':
@@ -247,33 +248,36 @@
 
   // What follows.
 
-  #apply(state: State, machine: number, what: OwnAction): Step {
-    const from = state.machines[machine] ?? GONE;
+  #apply(state: State, machine: number, what: ModelInput): Step {
+    const from = state.machines[machine] ?? LOST_MACHINE;
     let { next, sent } = this.#transition(from, what);
-    while (!this.#scope.slowDisks && this.#states[next]?.hasPendingWrites === true) {
+    while (!this.#scope.slowDisks && this.#machineStates[next]?.hasPendingWrites === true) {
       const synced = this.#transition(next, { kind: 'sync' });
       next = synced.next;
       sent = [...sent, ...synced.sent];
     }
-    const fresh = [...new Set(sent)].filter((number) => !state.sent.includes(number));
-    if (next === from && fresh.length === 0 && what.kind === 'deliver')
+    const newMessages = [...new Set(sent)].filter((number) => !state.sent.includes(number));
+    if (next === from && newMessages.length === 0 && what.kind === 'deliver')
       return { state, violation: undefined };
     return {
       state: {
         machines: withState(state.machines, machine, next),
-        sent: fresh.length === 0 ? state.sent : [...state.sent, ...fresh].sort((one, other) => one - other),
-        budget: spent(state.budget, what),
+        sent:
+          newMessages.length === 0
+            ? state.sent
+            : [...state.sent, ...newMessages].sort((one, other) => one - other),
+        budget: budgetAfter(state.budget, what),
       },
-      violation: this.#violation(state.sent, fresh),
+      violation: this.#violation(state.sent, newMessages),
     };
   }
 
-  #violation(sent: readonly number[], fresh: readonly number[]): string | undefined {
-    if (fresh.length === 0) return undefined;
+  #violation(sent: readonly number[], newMessages: readonly number[]): string | undefined {
+    if (newMessages.length === 0) return undefined;
     const before = sent.map((number) => this.#message(number));
-    for (const number of fresh) {
+    for (const number of newMessages) {
       const message = this.#message(number);
-      const found = violation(before, message);
+      const found = findViolation(before, message);
       if (found !== undefined) return found;
       before.push(message);
     }
@@ -284,13 +288,13 @@
     return (this.#messages[number] as { message: Message }).message;
   }
 
-  #transition(from: number, what: OwnAction): Transition {
-    const key = `${from} ${inputName(what)}`;
+  #transition(from: number, what: ModelInput): Transition {
+    const key = `${from} ${inputKey(what)}`;
     const known = this.#transitions.get(key);
     if (known !== undefined) return known;
-    const { boot, inputs } = this.#states[from] as MachineState;
+    const { boot, inputs } = this.#machineStates[from] as MachineState;
     const input: Input = what.kind === 'deliver' ? { ...what, message: this.#message(what.message) } : what;
-    const machine = this.#machineIn(this.#states[from] as MachineState);
+    const machine = this.#restoreMachine(this.#machineStates[from] as MachineState);
     const sent = machine
       .apply(input)
       .filter((message) => this.#scope.rejections || !isRejection(message))
@@ -300,10 +304,10 @@
     return transition;
   }
 
-  #machineIn(state: MachineState): ModelMachine {
-    const { live, name, boot, inputs } = state;
-    state.live = undefined;
-    if (live !== undefined) return live;
+  #restoreMachine(state: MachineState): ModelMachine {
+    const { cachedMachine, name, boot, inputs } = state;
+    state.cachedMachine = undefined;
+    if (cachedMachine !== undefined) return cachedMachine;
     const machine = new ModelMachine(
       this.#code,
       { machine: name, incarnation: boot.incarnation },
@@ -314,7 +318,7 @@
   }
 
   #internMessage(message: Message): number {
-    const name = messageName(message);
+    const name = messageKey(message);
     const known = this.#messageNumbers.get(name);
     if (known !== undefined) return known;
     const number = this.#messages.length;
@@ -324,23 +328,23 @@
   }
 
   #crash(state: State, machine: number): State {
-    const { boot, records } = this.#states[state.machines[machine] ?? GONE] as MachineState;
-    const next = this.#boot(this.#names[machine] ?? '', boot.incarnation + 1, records);
+    const { boot, records } = this.#machineStates[state.machines[machine] ?? LOST_MACHINE] as MachineState;
+    const next = this.#boot(this.#machineNames[machine] ?? '', boot.incarnation + 1, records);
     const budget = { ...state.budget, crashes: state.budget.crashes - 1 };
     return { ...state, budget, machines: withState(state.machines, machine, next) };
   }
 
   #lose(state: State, machine: number): State {
     const budget = { ...state.budget, losses: state.budget.losses - 1 };
-    return { ...state, budget, machines: withState(state.machines, machine, GONE) };
+    return { ...state, budget, machines: withState(state.machines, machine, LOST_MACHINE) };
   }
 }
 
 function withState(machines: readonly number[], machine: number, next: number): number[] {
-  return machines.map((number, place) => (place === machine ? next : number));
+  return machines.map((number, index) => (index === machine ? next : number));
 }
 
-function spent(budget: Budget, input: OwnAction): Budget {
+function budgetAfter(budget: Budget, input: ModelInput): Budget {
   switch (input.kind) {
     case 'prepare':
       return { ...budget, prepares: budget.prepares - 1 };
@@ -353,7 +357,7 @@
   }
 }
 
-function inputName(what: OwnAction): string {
+function inputKey(what: ModelInput): string {
   if (what.kind === 'deliver') return String(what.message);
   return what.kind === 'replace' ? `replace ${what.disk}` : what.kind;
 }
@@ -363,8 +367,8 @@
   return message.kind === 'accepted' && message.accepted.rejected;
 }
 
-function readable(message: Message): string {
-  return messageName(message).replace(/(\d+\/\d+)\/\S+$/, 'version $1');
+function describeMessage(message: Message): string {
+  return messageKey(message).replace(/(\d+\/\d+)\/\S+$/, 'version $1');
 }
 
 /**
@@ -373,15 +377,15 @@
  * @example
  * walk(space, [3, 1, 4, 1, 5]);
  */
-export function walk(space: StateSpace, choices: readonly number[]): Walked {
+export function randomWalk(space: StateSpace, choices: readonly number[]): RandomWalkResult {
   const trace: string[] = [];
   let state = space.start;
   for (const choice of choices) {
     const actions = space.actions(state);
     const due = actions.filter(({ what }) => what.kind === 'deliver' || what.kind === 'sync');
     const others = actions.filter((action) => !due.includes(action));
-    const taken = choice % TROUBLE_EACH === 0 ? others : due;
-    const step = firstChange(space, state, taken, Math.floor(choice / TROUBLE_EACH));
+    const candidates = choice % FAULT_EVERY === 0 ? others : due;
+    const step = firstEffectiveStep(space, state, candidates, Math.floor(choice / FAULT_EVERY));
     if (step === undefined) continue;
     trace.push(step.text);
     if (step.violation !== undefined) return { trace, violation: step.violation };
@@ -390,23 +394,23 @@
   return { trace, violation: undefined };
 }
 
-const TROUBLE_EACH = 6;
+const FAULT_EVERY = 6;
 
 /** How a walk went. */
-export interface Walked {
+export interface RandomWalkResult {
   readonly trace: readonly string[];
   readonly violation: string | undefined;
 }
 
 /** The first action from a place in a list, and round to it, that changes anything. */
-function firstChange(
+function firstEffectiveStep(
   space: StateSpace,
   state: State,
   actions: readonly Action[],
   from: number,
 ): (Step & { readonly text: string }) | undefined {
-  for (let place = 0; place < actions.length; place += 1) {
-    const action = actions[(from + place) % actions.length] as Action;
+  for (let index = 0; index < actions.length; index += 1) {
+    const action = actions[(from + index) % actions.length] as Action;
     const step = space.step(state, action);
     if (step.state !== state || step.violation !== undefined)
       return { ...step, text: space.describe(action) };
@@ -425,9 +429,9 @@
   readonly trace: readonly string[];
 }
 
-interface Way {
+interface Predecessor {
   /** The visit that this one was reached from. */
-  readonly before: number;
+  readonly previous: number;
   readonly action: Action | undefined;
 }
 
@@ -438,18 +442,18 @@
  * const found = searchAll(new StateSpace(code, scope), 100_000);
  */
 export function searchAll(space: StateSpace, maxStates: number): SearchResult {
-  const waiting: (State | undefined)[] = [space.start];
+  const queue: (State | undefined)[] = [space.start];
   const seen = new Set([space.key(space.start)]);
-  const ways: Way[] = [{ before: -1, action: undefined }];
+  const predecessors: Predecessor[] = [{ previous: -1, action: undefined }];
   let steps = 0;
-  for (let place = 0; place < waiting.length; place += 1) {
-    const state = waiting[place] as State;
-    waiting[place] = undefined;
+  for (let index = 0; index < queue.length; index += 1) {
+    const state = queue[index] as State;
+    queue[index] = undefined;
     for (const action of space.actions(state)) {
       steps += 1;
       const step = space.step(state, action);
       if (step.violation !== undefined) {
-        const trace = wayTo(ways, place, action).map((taken) => space.describe(taken));
+        const trace = actionsLeadingTo(predecessors, index, action).map((taken) => space.describe(taken));
         return { states: seen.size, steps, complete: false, violation: step.violation, trace };
       }
       if (step.state === state) continue;
@@ -458,17 +462,17 @@
       if (seen.size >= maxStates)
         return { states: seen.size, steps, complete: false, violation: undefined, trace: [] };
       seen.add(key);
-      waiting.push(step.state);
-      ways.push({ before: place, action });
+      queue.push(step.state);
+      predecessors.push({ previous: index, action });
     }
   }
   return { states: seen.size, steps, complete: true, violation: undefined, trace: [] };
 }
 
-function wayTo(ways: readonly Way[], place: number, last: Action): Action[] {
+function actionsLeadingTo(predecessors: readonly Predecessor[], index: number, last: Action): Action[] {
   const actions = [last];
-  for (let at = place; at > 0; at = ways[at]?.before ?? 0) {
-    const action = ways[at]?.action;
+  for (let at = index; at > 0; at = predecessors[at]?.previous ?? 0) {
+    const action = predecessors[at]?.action;
     if (action !== undefined) actions.unshift(action);
   }
   return actions;
--- a/packages/process-group/src/model-checking/agreement.test.ts
+++ b/packages/process-group/src/model-checking/agreement.test.ts
@@ -2,17 +2,17 @@
 import { expect } from 'earl';
 import fc from 'fast-check';
 import { loadMutant, MUTANTS } from './agreement-mutants.js';
-import { SCOPES, WALKED, type Scope } from './agreement-scopes.js';
-import { searchAll, StateSpace, walk } from './agreement-search.js';
+import { SCOPES, RANDOM_WALK_SCOPE, type Scope } from './agreement-scopes.js';
+import { searchAll, StateSpace, randomWalk } from './agreement-search.js';
 import * as production from '../index.js';
 
 /** States that a search of a planted fault may take. */
-const MUTANT_STATES = 400_000;
-const WALKS = 60;
-const WALK_STEPS = 120;
+const MUTANT_STATES_MAX = 400_000;
+const WALK_COUNT = 60;
+const STEPS_PER_WALK = 120;
 
 /** One of all, in the hands of a script. */
-const SCRIPTED: Scope = {
+const SCRIPTED_SCOPE: Scope = {
   ...SCOPES.replacementTorn,
   crashing: ['a', 'b'],
   rejections: true,
@@ -23,17 +23,18 @@
 function runScript(
   scope: Scope,
   script: readonly string[],
-): { violation: string | undefined; left: string[] } {
+): { violation: string | undefined; remaining: string[] } {
   const space = new StateSpace(production, scope);
   let state = space.start;
-  for (const [place, words] of script.entries()) {
-    const action = space.actions(state).find((known) => space.describe(known).startsWith(words));
-    if (action === undefined) return { violation: undefined, left: script.slice(place) };
+  for (const [index, prefix] of script.entries()) {
+    const action = space.actions(state).find((known) => space.describe(known).startsWith(prefix));
+    if (action === undefined) return { violation: undefined, remaining: script.slice(index) };
     const step = space.step(state, action);
-    if (step.violation !== undefined) return { violation: step.violation, left: script.slice(place + 1) };
+    if (step.violation !== undefined)
+      return { violation: step.violation, remaining: script.slice(index + 1) };
     state = step.state;
   }
-  return { violation: undefined, left: [] };
+  return { violation: undefined, remaining: [] };
 }
 
 describe('agreement, in every order of events', () => {
@@ -47,11 +48,11 @@
   }
 
   it('holds in walks at random with losses of disks, rejections and two spares', () => {
-    const space = new StateSpace(production, WALKED);
-    const choices = fc.array(fc.nat(), { minLength: WALK_STEPS, maxLength: WALK_STEPS });
+    const space = new StateSpace(production, RANDOM_WALK_SCOPE);
+    const choices = fc.array(fc.nat(), { minLength: STEPS_PER_WALK, maxLength: STEPS_PER_WALK });
     fc.assert(
-      fc.property(choices, (path) => walk(space, path).violation === undefined),
-      { numRuns: WALKS, seed: 16 },
+      fc.property(choices, (path) => randomWalk(space, path).violation === undefined),
+      { numRuns: WALK_COUNT, seed: 16 },
     );
   });
 });
@@ -61,7 +62,7 @@
     it(mutant.name, async (test) => {
       const code = await loadMutant(mutant);
       if (code.isErr) return expect(code.error.detail).toEqual('');
-      const found = searchAll(new StateSpace(code.value, SCOPES[mutant.scope]), MUTANT_STATES);
+      const found = searchAll(new StateSpace(code.value, SCOPES[mutant.scope]), MUTANT_STATES_MAX);
       test.diagnostic(
         `${found.violation ?? 'not found'}: ${found.states} states, way of ${found.trace.length}`,
       );
@@ -72,7 +73,7 @@
 
 describe('agreement', () => {
   it('does not elect by new voters alone while their change is not known to be chosen', () => {
-    const { violation, left } = runScript(SCRIPTED, [
+    const { violation, remaining } = runScript(SCRIPTED_SCOPE, [
       'a: replace c',
       'd: takes propose a#1 d',
       'b: prepare',
@@ -90,11 +91,11 @@
       'd: takes propose a#2 d',
     ]);
     expect(violation).toEqual(undefined);
-    expect(left).toEqual(['d: takes propose a#2 d']);
+    expect(remaining).toEqual(['d: takes propose a#2 d']);
   });
 
   it('does not coordinate twice in one epoch after a crash before its own promise was synced', () => {
-    const { violation, left } = runScript({ ...SCRIPTED, slowDisks: true }, [
+    const { violation, remaining } = runScript({ ...SCRIPTED_SCOPE, slowDisks: true }, [
       'b: prepare',
       'a: takes prepare b#1',
       'a: sync',
@@ -111,6 +112,6 @@
       'b: sync',
     ]);
     expect(violation).toEqual(undefined);
-    expect(left).toEqual([]);
+    expect(remaining).toEqual([]);
   });
 });
--- a/packages/process-group/src/multicast/causal-order.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -28,7 +28,7 @@
   #unstable = new Map<string, BufferedCast>();
   #lastSentContext: number[];
   #contextsBySender: number[][];
-  #deliveredByMember: number[][];
+  #deliveredBy: number[][];
   #stopped = false;
   #contextBytes = 0;
 
@@ -41,7 +41,7 @@
     this.#delivered = new Array<number>(size).fill(0);
     this.#lastSentContext = new Array<number>(size).fill(0);
     this.#contextsBySender = view.members.map(() => new Array<number>(size).fill(0));
-    this.#deliveredByMember = view.members.map(() => new Array<number>(size).fill(0));
+    this.#deliveredBy = view.members.map(() => new Array<number>(size).fill(0));
   }
 
   /** Whether delivery in this view has ended. */
@@ -106,9 +106,7 @@
     return this.#delivered.map((own, rank) =>
       Math.min(
         own,
-        ...this.#deliveredByMember.flatMap((vector, member) =>
-          member === this.#rank ? [] : [vector[rank] ?? 0],
-        ),
+        ...this.#deliveredBy.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0])),
       ),
     );
   }
@@ -124,7 +122,7 @@
   learnDelivered(incarnation: string, delivered: readonly number[]): void {
     const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
-    this.#deliveredByMember[rank] = [...delivered];
+    this.#deliveredBy[rank] = [...delivered];
     for (const [key, buffered] of this.#unstable) {
       if (this.#isStable(buffered)) this.#unstable.delete(key);
     }
@@ -148,7 +146,7 @@
   }
 
   #isStable(buffered: BufferedCast): boolean {
-    return this.#deliveredByMember.every((vector, rank) => {
+    return this.#deliveredBy.every((vector, rank) => {
       const count = rank === this.#rank ? this.#delivered[buffered.rank] : vector[buffered.rank];
       return (count ?? 0) >= buffered.cast.sequence;
     });
