--- a/packages/process-group/src/leases/fencing.test.ts
+++ b/packages/process-group/src/leases/fencing.test.ts
@@ -7,10 +7,10 @@
 const RUNS = 40;
 const STEP_MS = 25;
 const STEPS = 1200;
-/** A trouble comes once in so many steps. */
+/** Steps between two injected faults. */
 const FAULT_INTERVAL_STEPS = 60;
 
-/** Who held the coordinator's lease in which epoch, and what was wrong with that. */
+/** Records which node held the coordinator's lease in each epoch, and every violation of its exclusivity. */
 class LeaseLog {
   readonly violations: string[] = [];
   readonly holders = new Map<number, string>();
@@ -31,7 +31,11 @@
   }
 }
 
-/** Something happens to one machine, the coordinator as often as not; one disk may be lost at a time. */
+/**
+ * Ends the previous fault and injects one into one machine, in at least 60 % of the cases the coordinator: an
+ * isolation, a link severed in one direction, a freeze, a restart or the loss of its disk. At most one disk
+ * is lost at a time.
+ */
 function injectFault(cluster: TestCluster, random: SeededRandom): void {
   for (const name of NAMES) cluster.setIsolated(name, false);
   for (const node of cluster.nodes.values()) node.running = true;
@@ -48,7 +52,7 @@
 }
 
 describe("control safety, fencing: the coordinator's lease", () => {
-  it('has one holder at a time, each epoch one, and rises across cuts, freezes, restarts and wipes', () => {
+  it('has one holder at a time and per epoch, and epochs rise, across partitions, freezes and lost disks', () => {
     let changes = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
       const random = new SeededRandom(seed);
--- a/packages/process-group/src/leases/lease-acknowledgements.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -9,10 +9,10 @@
 }
 
 /**
- * The acknowledgements by which the other members renew this node's leases. One
- * counts from the moment its heartbeat was sent, and only once this node has
- * applied every version that the acknowledging member had applied: so a lease
- * implies that nothing committed was missed.
+ * The acknowledgements by which the other members renew this node's leases. An
+ * acknowledgement counts from the time at which its heartbeat was sent, and only
+ * once this node has applied every version that the acknowledging member had
+ * applied. A lease therefore implies that no committed version was missed.
  * @example
  * const acknowledgements = new LeaseAcknowledgements(1000);
  * acknowledgements.acknowledge('incarnation-2', sentMs, 7);
@@ -27,7 +27,7 @@
     this.#leaseMs = leaseMs;
   }
 
-  /** Takes an acknowledgement of the heartbeat sent at `sentMs`; the member had applied version `number`. */
+  /** Records that a member acknowledged the heartbeat sent at `sentMs` and had applied version `number`. */
   acknowledge(incarnation: string, sentMs: number, number: number): void {
     const known = this.#acknowledgements.get(incarnation);
     if (known === undefined || sentMs >= known.sentMs)
@@ -39,7 +39,7 @@
     return this.#acknowledgements.get(incarnation)?.number;
   }
 
-  /** Takes an acknowledgement by a member that knows of no newer coordinator. */
+  /** Records an acknowledgement by a member that knows of no newer coordinator. */
   acknowledgeSingleton(incarnation: string, sentMs: number): void {
     this.#singletonAckSentMs.set(
       incarnation,
@@ -58,7 +58,7 @@
     this.#singletonAckSentMs.clear();
   }
 
-  /** When the lease to admit ends. */
+  /** When the lease to admit work ends. */
   leaseEndMs(view: View, self: string, number: number, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) => {
       if (incarnation === self) return nowMs;
--- a/packages/process-group/src/leases/leases.ts
+++ b/packages/process-group/src/leases/leases.ts
@@ -1,10 +1,10 @@
-/** Leases: until when this node may admit work, and until when it may act alone for all. */
+/** Leases: until when this node may admit work, and until when it may act as the only coordinator. */
 import type { HeartbeatAck } from '@rainrun/messages';
 import { LeaseAcknowledgements } from './lease-acknowledgements.js';
 import type { GroupDependencies } from '../group-dependencies.js';
 import type { LocalMember } from '../membership/local-member.js';
 
-/** The singleton lease ends by this fraction of a lease before the leases of the others do. */
+/** The singleton lease ends earlier than the leases of the other members by this fraction of a lease. */
 const SINGLETON_MARGIN_FRACTION = 1 / 4;
 
 /** What the leases need. */
@@ -27,7 +27,7 @@
 export class Leases<S> {
   #collaborators: LeaseCollaborators<S>;
   #acknowledgements: LeaseAcknowledgements;
-  /** Since when a majority has known this node's epoch for the newest. */
+  /** Time since which a majority has acknowledged this node's epoch as the newest. */
   #singletonSinceMs: number | undefined;
 
   constructor(collaborators: LeaseCollaborators<S>) {
@@ -35,12 +35,12 @@
     this.#acknowledgements = new LeaseAcknowledgements(collaborators.dependencies.times.leaseMs);
   }
 
-  /** Notes since when this node holds the singleton lease. */
+  /** Records since when this node holds the singleton lease. */
   tick(nowMs: number): void {
     if (this.#holdsSingleton(nowMs)) this.#singletonSinceMs ??= nowMs;
   }
 
-  /** When this node's lease to admit ends; compare with the clock just before each act. */
+  /** When this node's lease to admit work ends; callers compare it with the clock just before each action. */
   leaseEndMs(): number {
     const { local } = this.#collaborators;
     if (!local.inView || local.state === undefined || local.leaving) return -Infinity;
@@ -62,7 +62,7 @@
     return this.leaseEndMs() > this.#collaborators.local.nowMs();
   }
 
-  /** The epoch in which this node may act alone for all, or undefined. Ends before the lease does. */
+  /** The epoch in which this node may act as the only coordinator, if any. Ends before the lease does. */
   singletonEpoch(): number | undefined {
     const { coordination, dependencies, local } = this.#collaborators;
     const nowMs = local.nowMs();
@@ -71,19 +71,19 @@
     return this.#holdsSingleton(nowMs) ? coordination.coordinator?.epoch : undefined;
   }
 
-  /** Takes a member's acknowledgement of the heartbeat sent at `sentMs`. */
+  /** Handles a member's acknowledgement of the heartbeat sent at `sentMs`. */
   onAck(from: string, sentMs: number, ack: HeartbeatAck): void {
     this.#acknowledgements.acknowledge(from, sentMs, ack.number);
     if (ack.noNewerCoordinator) this.#acknowledgements.acknowledgeSingleton(from, sentMs);
   }
 
-  /** This node coordinates a new epoch: acknowledgements for an earlier one do not count. */
+  /** Starts over for a new epoch of this coordinator: acknowledgements for an earlier epoch do not count. */
   restartSingleton(): void {
     this.#singletonSinceMs = undefined;
     this.#acknowledgements.clearSingleton();
   }
 
-  /** Drops all acknowledgements: this node goes on under a new incarnation. */
+  /** Drops all acknowledgements, since this node goes on under a new incarnation. */
   clear(): void {
     this.#acknowledgements.clear();
   }
--- a/packages/process-group/src/membership/directory.ts
+++ b/packages/process-group/src/membership/directory.ts
@@ -1,10 +1,10 @@
-/** Which nodes are known, and where. */
+/** Directory of the known nodes and of the addresses at which nodes may be found. */
 import type { Member } from '@rainrun/messages';
 import type { GroupDependencies } from '../group-dependencies.js';
 
 /**
- * The nodes that this one has heard of: by incarnation as long as they
- * matter, and every address at which a node may be found again.
+ * The nodes that this node has heard of, by incarnation, and every address at which a node may be found.
+ * An incarnation can be removed; its address is kept.
  * @example
  * directory.learn(hello.sender);
  * directory.member('incarnation-2')?.address;
@@ -20,7 +20,7 @@
     for (const member of accepted?.state?.view?.members ?? []) this.#addresses.add(member.address);
   }
 
-  /** Every address heard of, in the order in which they came. */
+  /** All known addresses, in the order in which they were learned. */
   get addresses(): ReadonlySet<string> {
     return this.#addresses;
   }
@@ -30,28 +30,28 @@
     return this.#members.get(incarnation);
   }
 
-  /** Incarnations known; entries may be removed while this is read. */
+  /** The known incarnations; entries may be removed during the iteration. */
   incarnations(): IterableIterator<string> {
     return this.#members.keys();
   }
 
-  /** Remembers a node and its address. */
+  /** Records a node and its address. */
   learn(member: Member): void {
     this.#members.set(member.incarnation, member);
     if (member.address !== this.#ownAddress) this.#addresses.add(member.address);
   }
 
-  /** Remembers a node that is sent to, but no address to look for it later. */
+  /** Records a node as a destination, without adding its address to those that discovery contacts. */
   learnMember(member: Member): void {
     this.#members.set(member.incarnation, member);
   }
 
-  /** Remembers an address at which a node may be found. */
+  /** Records an address at which a node may be found. */
   learnAddress(address: string): void {
     this.#addresses.add(address);
   }
 
-  /** Remembers where the members of a view were, to find them again from outside. */
+  /** Records the addresses of a view's members, so that this node can find them from outside the view. */
   learnAddresses(members: readonly Member[]): void {
     for (const member of members) this.#addresses.add(member.address);
     this.#addresses.delete(this.#ownAddress);
--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -1,4 +1,4 @@
-/** How nodes find each other: greetings, contacts, and what is known of nodes outside the view. */
+/** Discovery of other nodes: hello messages, recent contacts, and what is known of nodes outside the view. */
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
@@ -12,21 +12,21 @@
 import { rankOf } from './members.js';
 import { levelMismatch } from './protocol-levels.js';
 
-/** A node that was lately in touch, as it described itself. */
+/** A node that was recently in contact, as it described itself. */
 export interface Contact {
   readonly member: Member;
   readonly atMs: number;
   readonly inView: boolean;
-  /** Newest version that it holds or has accepted. */
+  /** Number of the newest version that it holds or has accepted. */
   readonly newestVersion: number;
   /** Whether it is a founder with an empty disk. */
   readonly founding: boolean;
 }
 
-/** A contact counts for so long. */
+/** How long a contact is fresh after its last message. */
 const CONTACT_FRESH_MS = 1200;
 
-/** Contacts older than so many times `CONTACT_MS` are dropped. */
+/** Contacts older than this many times `CONTACT_FRESH_MS` are dropped. */
 const CONTACT_RETENTION_FACTOR = 10;
 
 /** What discovery needs. */
@@ -43,10 +43,9 @@
 }
 
 /**
- * Greets the addresses known while this node is outside a view or has lost
- * its majority, and answers the greetings of others. A node counts as there
- * only after it has echoed a greeting of ours: so a path in one direction
- * alone makes no contact.
+ * Sends hellos to the known addresses while this node is outside a view or has lost its majority, and answers
+ * the hellos of others. A node becomes a contact only after it has answered a hello of this node or echoed a
+ * token of this node, so a path that works in one direction only makes no contact.
  * @example
  * discovery.tick(nowMs);
  * discovery.joiners(); // the coordinator lets these in
@@ -54,9 +53,9 @@
 export class Discovery<S> {
   #collaborators: DiscoveryCollaborators<S>;
   #contacts = new Map<string, Contact>();
-  /** What others gave us to echo, by incarnation. */
+  /** Tokens that other nodes issued to this node and that its hellos echo, by incarnation. */
   #receivedEchoTokens = new Map<string, string>();
-  /** What we gave others to echo, by incarnation. */
+  /** Tokens that this node issued to other nodes for their hellos to echo, by incarnation. */
   #issuedEchoTokens = new Map<string, string>();
   #joinSnapshotSentMs = new Map<string, number>();
   #lastHelloMs = -Infinity;
@@ -65,7 +64,7 @@
     this.#collaborators = collaborators;
   }
 
-  /** Greets every address known, when it is time and there is a reason to. */
+  /** Sends hellos to every known address when they are due, unless this node is leaving or holds a lease. */
   tick(nowMs: number): void {
     const { dependencies, leases, local } = this.#collaborators;
     if (nowMs - this.#lastHelloMs < dependencies.times.helloMs) return;
@@ -75,13 +74,13 @@
     this.#sendHellos();
   }
 
-  /** The nodes that were in touch lately. */
+  /** The contacts heard from within `CONTACT_FRESH_MS`. */
   freshContacts(): Contact[] {
     const nowMs = this.#collaborators.local.nowMs();
     return [...this.#contacts.values()].filter((contact) => isFresh(contact, nowMs));
   }
 
-  /** Live nodes that ask to join; this node too while it is in no view. */
+  /** Fresh contacts outside the view that ask to join it; includes this node while it is in no view. */
   joiners(): Member[] {
     const { local } = this.#collaborators;
     const joiners = this.freshContacts()
@@ -92,13 +91,13 @@
     return joiners.filter((member) => rankOf(view, member.incarnation) < 0);
   }
 
-  /** Whether this incarnation was in touch within `CONTACT_FRESH_MS`. */
+  /** Whether this incarnation was heard from within `CONTACT_FRESH_MS`. */
   hasFreshContact(incarnation: string, nowMs: number): boolean {
     const contact = this.#contacts.get(incarnation);
     return contact !== undefined && isFresh(contact, nowMs);
   }
 
-  /** Answers a greeting; its sender counts as a contact once it echoes what this node gave it. */
+  /** Answers a hello; its sender becomes a contact once it echoes the token that this node issued to it. */
   onHello(hello: Hello): void {
     const { directory, liveness, local } = this.#collaborators;
     const member = hello.sender;
@@ -121,7 +120,7 @@
     this.#acknowledgeHello(member, echoToken);
   }
 
-  /** Takes the answer to a greeting; rejoins if the group went on without this node. */
+  /** Handles the answer to a hello; rejoins if the group has moved on to a view without this node. */
   onHelloAck(ack: HelloAck): void {
     const { dependencies, directory, liveness, local, viewChange } = this.#collaborators;
     const member = ack.sender;
@@ -147,7 +146,7 @@
     this.#receivedEchoTokens.delete(incarnation);
   }
 
-  /** This node goes on under another incarnation: greetings to the old one do not count. */
+  /** Discards the tokens that were issued to the previous incarnation of this node. */
   clearReceivedEchoTokens(): void {
     this.#receivedEchoTokens.clear();
   }
@@ -191,7 +190,7 @@
     return echoToken;
   }
 
-  /** Sends a snapshot to a member that does not know yet that it is one. */
+  /** Sends a snapshot to a node that does not know yet that it is in the view, once in two hello intervals. */
   #sendJoinSnapshot(member: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#collaborators;
     const view = local.view;
--- a/packages/process-group/src/membership/disk-watch.ts
+++ b/packages/process-group/src/membership/disk-watch.ts
@@ -3,7 +3,7 @@
 import type { GroupTimes } from '../times.js';
 
 /**
- * Notices a disk that has synced nothing for too long though writes wait.
+ * Detects a disk that has not synced for too long while writes are pending.
  * @example
  * const diskWatch = new DiskWatch(acceptor, times);
  * if (diskWatch.isStalled(nowMs, true)) leaveTheView();
@@ -20,20 +20,20 @@
   }
 
   /**
-   * Whether this node has to be without its disk for now: a member leaves the
-   * view then. Outside a view, where others may wait for its candidacy, it is silent
-   * sooner.
+   * Whether this node must go on without its disk for now. A member leaves the view then, and a node outside
+   * a view sends no hellos and takes no part in elections. The limit is shorter outside a view, where other
+   * nodes may be waiting for this node's candidacy.
    */
   isStalled(nowMs: number, inView: boolean): boolean {
     return inView ? this.waitMs(nowMs) > this.#times.maxLagMs : this.isSlow(nowMs);
   }
 
-  /** Whether the disk holds up this node's own promise: then the next voter becomes the candidate. */
+  /** Whether the disk delays this node's own promise; the next voter becomes the candidate then. */
   isSlow(nowMs: number): boolean {
     return this.waitMs(nowMs) > this.#times.suspectMs;
   }
 
-  /** For how long a write has waited without a sync; 0 while none waits. */
+  /** How long writes have been pending without a sync; 0 while none are pending. */
   waitMs(nowMs: number): number {
     const acceptor = this.#acceptor;
     if (acceptor === undefined || !acceptor.busy) {
@@ -44,7 +44,7 @@
     return nowMs - this.#lastSync.sinceMs;
   }
 
-  /** This process was suspended: that time does not count against the disk. */
+  /** Excludes the time for which this process was suspended from the disk's wait. */
   onSleep(suspendedMs: number): void {
     if (this.#lastSync !== undefined) this.#lastSync.sinceMs += suspendedMs;
   }
--- a/packages/process-group/src/membership/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats and their acknowledgements: what keeps suspicion, leases and stability up to date. */
+/** Heartbeats and their acknowledgements, which drive failure detection, leases and cast stability. */
 import { clone, create } from '@bufbuild/protobuf';
 import {
   HeartbeatAckSchema,
@@ -23,7 +23,7 @@
 import type { GroupState } from '../agreement/group-state.js';
 import { rankOf } from './members.js';
 
-/** Heartbeats whose time of sending is kept for their acknowledgements. */
+/** Number of recent heartbeats whose send time is kept for their acknowledgements. */
 const HEARTBEATS_TRACKED_MAX = 64;
 
 /** What heartbeats need. */
@@ -43,9 +43,9 @@
 }
 
 /**
- * Sends this node's heartbeats to the view and answers those of others. The
- * acknowledgement of a member is what renews this node's lease, counted from
- * the moment at which the heartbeat was sent.
+ * Sends this node's heartbeats to the view and answers those of others. A
+ * member's acknowledgement renews this node's lease, counted from the time at
+ * which the heartbeat was sent.
  * @example
  * heartbeats.tick(nowMs);
  */
@@ -99,13 +99,14 @@
       epoch: local.epoch,
       dropped: !isMember,
       noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
-      // The others agree without a member that leaves: its acknowledgement must not renew the lease of a member that may miss what they commit.
+      // The other members commit without a leaving member, so its acknowledgement must not renew the lease of
+      // a member that may miss those commits.
       leaseWithheld: local.leaving || viewChange.isExcluding(from),
     });
     transport.send(member, { case: 'heartbeatAck', value });
   }
 
-  /** Takes an acknowledgement of a heartbeat that this node sent. */
+  /** Handles the acknowledgement of a heartbeat that this node sent. */
   onHeartbeatAck(from: string, ack: HeartbeatAck): void {
     const { coordination, leases, liveness, local, versions, viewChange } = this.#collaborators;
     const sentMs = this.#sentMs.get(ack.sequence);
@@ -123,7 +124,7 @@
     coordination.coordinator?.learnApplied(from, ack.number);
   }
 
-  /** The counts of what was delivered go to the collector alone, except at level 1, which sends them to all. */
+  /** Sends a heartbeat; delivery counts go to the stability collector only, or to every member at level 1. */
   #sendTo(state: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
     const { casts, local, transport } = this.#collaborators;
     const collector = state.level === 1 ? undefined : this.#stabilityCollector(state.view, nowMs);
@@ -137,9 +138,9 @@
   }
 
   /**
-   * The member that collects what all have delivered and sends the others what
-   * is stable: the lowest-ranked that is live. All members sending to all would
-   * cost the cube of the group's size.
+   * The member that collects the delivery counts of all members and tells the others which casts are stable:
+   * the live member of the lowest rank. Counts from every member to every member would cost the cube of the
+   * group's size.
    */
   #stabilityCollector(view: View, nowMs: number): string {
     const { liveness, local } = this.#collaborators;
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -1,4 +1,4 @@
-/** Failure detection: which members answer, and what they say of one another. */
+/** Failure detection: which members answer heartbeats, and which members they suspect. */
 import { FailureDetector } from '@rainrun/failure-detector';
 import type { Heartbeat } from '@rainrun/messages';
 import type { GroupDependencies } from '../group-dependencies.js';
@@ -14,18 +14,18 @@
 }
 
 /**
- * What this node knows of the health of the others: whether they answer its
- * heartbeats and keep up with its channel, whom they suspect themselves, and
- * who has said goodbye.
+ * The health of the other members as this node sees it: whether they answer
+ * its heartbeats and keep up with its ordered channel, which members they
+ * suspect, and which have said goodbye.
  * @example
  * if (!liveness.isLive('incarnation-2', nowMs)) suspects.push('incarnation-2');
  */
 export class Liveness<S> {
   #collaborators: LivenessCollaborators<S>;
   #detector: FailureDetector;
-  /** Whom each member suspects, as its last heartbeat said. */
+  /** Incarnations that each member suspects, from its last heartbeat. */
   #suspectsByMember = new Map<string, readonly string[]>();
-  /** Members that cannot coordinate now, as their last heartbeat said. */
+  /** Members whose last heartbeat says that they cannot coordinate. */
   #resigning = new Set<string>();
   #saidGoodbye = new Set<string>();
 
@@ -34,12 +34,12 @@
     this.#detector = new FailureDetector(collaborators.dependencies.times);
   }
 
-  /** To be called at every tick; returns for how many milliseconds this process itself was suspended. */
+  /** Must be called at every tick; returns for how many milliseconds this process was suspended. */
   tick(nowMs: number): number {
     return this.#detector.tick(nowMs);
   }
 
-  /** Live: answers our heartbeats and does not lag behind our ordered messages beyond the bound. */
+  /** Whether a member answers heartbeats and acknowledges ordered messages within `maxLagMs`. */
   isLive(incarnation: string, nowMs: number): boolean {
     const lagMs = this.#collaborators.transport.lagMs(incarnation, nowMs);
     return (
@@ -47,7 +47,7 @@
     );
   }
 
-  /** Whether most members say that they cannot reach this incarnation. */
+  /** Whether a majority of the view suspects this incarnation. */
   isReported(incarnation: string): boolean {
     const view = this.#collaborators.local.view;
     if (view === undefined) return false;
@@ -57,50 +57,50 @@
     return reports.length >= majority(view.members.length);
   }
 
-  /** Whether a member says that it cannot coordinate now. */
+  /** Whether a member's last heartbeat says that it cannot coordinate. */
   isResigning(incarnation: string): boolean {
     return this.#resigning.has(incarnation);
   }
 
-  /** Whether an incarnation has left in order. */
+  /** Whether an incarnation has left the group with a goodbye. */
   hasSaidGoodbye(incarnation: string): boolean {
     return this.#saidGoodbye.has(incarnation);
   }
 
-  /** Begins to expect answers of an incarnation. */
+  /** Starts to expect answers from an incarnation. */
   watch(incarnation: string, nowMs: number): void {
     this.#detector.watch(incarnation, nowMs);
   }
 
-  /** Notes that an incarnation has answered. */
+  /** Records that an incarnation has answered. */
   recordAnswer(incarnation: string, nowMs: number): void {
     this.#detector.answered(incarnation, nowMs);
   }
 
-  /** Holds an incarnation for failed, for good. */
+  /** Marks an incarnation as failed permanently. */
   markFailed(incarnation: string): void {
     this.#detector.report(incarnation);
   }
 
-  /** Takes a goodbye: the incarnation counts as failed from now on. */
+  /** Handles a goodbye: the incarnation counts as failed from now on. */
   onGoodbye(incarnation: string): void {
     this.#saidGoodbye.add(incarnation);
     this.#detector.report(incarnation);
   }
 
-  /** Takes what a member says of itself and the others. */
+  /** Records which members a member suspects and whether it can coordinate. */
   onHeartbeat(from: string, heartbeat: Heartbeat): void {
     this.#suspectsByMember.set(from, heartbeat.suspects);
     if (heartbeat.resigning) this.#resigning.add(from);
     else this.#resigning.delete(from);
   }
 
-  /** Ceases to watch an incarnation. */
+  /** Stops watching an incarnation. */
   remove(incarnation: string): void {
     this.#detector.remove(incarnation);
   }
 
-  /** A new view: what was said of members of the old one does not count. */
+  /** Discards the suspicions reported in the previous view. */
   clearSuspects(): void {
     this.#suspectsByMember.clear();
   }
--- a/packages/process-group/src/membership/local-member.ts
+++ b/packages/process-group/src/membership/local-member.ts
@@ -1,4 +1,4 @@
-/** This node's own side of the membership: identity, state in force, epochs seen. */
+/** This node as a member of the group: identity, state in force, epochs seen. */
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { MemberSchema, type Member, type View } from '@rainrun/messages';
@@ -7,8 +7,8 @@
 import { withNewIncarnation } from './members.js';
 
 /**
- * This node as a member: who it is, which version it holds, whether it is in
- * a view, and the newest epoch and committed version that it has heard of.
+ * This node as a member: its identity, the version that it holds, whether it is
+ * in a view, and the newest epoch and committed version that it has heard of.
  * @example
  * const local = new LocalMember(dependencies);
  * local.view; // undefined until a view has let this node in
@@ -43,7 +43,7 @@
     return this.#self.incarnation;
   }
 
-  /** The newest version that came into force here, in a view or not. */
+  /** State of the newest version in force on this node, whether or not it is in a view. */
   get state(): GroupState<S> | undefined {
     return this.#state;
   }
--- a/packages/process-group/src/membership/members.ts
+++ b/packages/process-group/src/membership/members.ts
@@ -3,7 +3,7 @@
 import { MemberSchema, type Member, type View } from '@rainrun/messages';
 
 /**
- * The rank of an incarnation in a view, or -1.
+ * The rank of an incarnation in a view, or -1 if it is no member.
  * @example
  * rankOf(view, 'incarnation-1'); // 0
  */
@@ -12,7 +12,7 @@
 }
 
 /**
- * A copy of a member under another incarnation, as a removed node rejoins.
+ * A copy of a member under another incarnation, for a removed node that rejoins.
  * @example
  * withNewIncarnation(member, 'incarnation-2').incarnation; // 'incarnation-2'
  */
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -5,30 +5,30 @@
 const FIVE = ['a', 'b', 'c', 'd', 'e'];
 const THREE = ['a', 'b', 'c'];
 const RESTART_MS = 200;
-/** The least time that a deployment gives a machine to count as back. */
+/** CatchUpS: the shortest time that a deployment gives a machine to count as back. */
 const CATCH_UP_MS = 4000;
 const ACK_MS = 4000;
 
-/** All pairs of some names. */
+/** All pairs of the given names. */
 function pairsOf(names: readonly string[]): [string, string][] {
   return names.flatMap((one, place) => names.slice(place + 1).map((other): [string, string] => [one, other]));
 }
 
-/** Machines lose their disks, and are back soon. */
+/** Stops machines and restarts them with empty disks after `RESTART_MS`. */
 function restartWithEmptyDisks(cluster: TestCluster, names: readonly string[]): void {
   for (const name of names) cluster.stop(name);
   cluster.run(RESTART_MS);
   for (const name of names) cluster.start(name);
 }
 
-/** All machines lose power; the disks of some are gone. */
+/** Cuts the power of all machines and restarts them; the wiped ones come back with empty disks. */
 function powerCycleAll(cluster: TestCluster, wiped: readonly string[]): void {
   const stopped = cluster.running.map(({ name }) => cluster.stop(name));
   cluster.run(RESTART_MS);
   for (const { name, records } of stopped) cluster.start(name, wiped.includes(name) ? undefined : records);
 }
 
-/** An operation is acknowledged in time, and every node ends with all that were. */
+/** Expects that a new operation is acknowledged within `ACK_MS` and that every node has all acknowledged ones. */
 function expectNothingLost(cluster: TestCluster, what: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
@@ -59,7 +59,7 @@
 }
 
 describe('control safety, point 3: membership', () => {
-  it('bears the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
+  it('survives the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
     for (const [place, first] of pairsOf(FIVE).entries()) {
       const second = pairsOf(FIVE)[(place * 7 + 3) % 10] as [string, string];
       const cluster = foundCluster(FIVE, 2, place);
@@ -70,7 +70,7 @@
     }
   });
 
-  it('bears it on disks that take 100 ms for a write', () => {
+  it('survives the loss of two of five disks and of two more on disks that take 100 ms for a write', () => {
     for (const [place, first] of pairsOf(FIVE).entries()) {
       const cluster = foundCluster(FIVE, 2, place);
       for (const node of cluster.running) node.syncMs = 100;
@@ -82,7 +82,7 @@
     }
   });
 
-  it('bears the loss of a disk, and of any other CatchUpS after its return, of three', () => {
+  it('survives the loss of any one of three disks, and of any one more CatchUpS after its return', () => {
     for (const first of THREE)
       for (const second of THREE) {
         const cluster = foundCluster(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
@@ -93,7 +93,7 @@
       }
   });
 
-  it('loses nothing with a voter that leaves in order, and another CatchUpS after its successor is in', () => {
+  it('loses nothing when a voter leaves and another loses its disk CatchUpS after the successor starts', () => {
     for (const leaving of THREE)
       for (const lost of THREE.filter((name) => name !== leaving)) {
         const cluster = foundCluster(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
@@ -114,7 +114,7 @@
       }
   });
 
-  it('goes on where the coordinator dies, and a newcomer is wiped again, at any moment of a replacement', () => {
+  it('recovers when the coordinator is killed and the new voter wiped at any moment of a replacement', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
       const cluster = foundCluster(FIVE, 2, afterMs);
       const leader = cluster.leader()?.name ?? '';
@@ -136,7 +136,7 @@
     }
   });
 
-  it('goes on where all lose power at any moment of a replacement of two', () => {
+  it('recovers when all machines lose power at any moment of the replacement of two voters', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
       const cluster = foundCluster(FIVE, 2, afterMs);
       restartWithEmptyDisks(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
@@ -147,7 +147,7 @@
     }
   });
 
-  it('goes on where two disks are lost and all others lose power, CatchUpS after a loss of two', () => {
+  it('recovers when all lose power and two lose their disks, CatchUpS after the loss of two disks', () => {
     for (const [place, first] of pairsOf(FIVE).entries())
       for (const second of pairsOf(FIVE)) {
         const cluster = foundCluster(FIVE, 2, place);
@@ -156,11 +156,11 @@
         cluster.submit('a');
         cluster.run(place);
         powerCycleAll(cluster, second);
-        expectNothingLost(cluster, `${first.join()} then ${second.join()} and all power`);
+        expectNothingLost(cluster, `${first.join()} then ${second.join()} with a power failure`);
       }
   });
 
-  it('takes a machine that comes back under its replaced disk for a member that does not vote', () => {
+  it('admits a machine that returns with its replaced disk as a member that does not vote', () => {
     const cluster = foundCluster(THREE, 1, 5);
     const leader = cluster.leader()?.name ?? '';
     const [old = ''] = THREE.filter((name) => name !== leader);
@@ -173,10 +173,10 @@
     expect(replaced).not.toInclude(group.self.disk);
     expect(voterDisksOf(cluster.leader())).toEqual(replaced);
     expect(cluster.node(old).group.view?.members.length).toEqual(4);
-    expectNothingLost(cluster, 'back under its old disk');
+    expectNothingLost(cluster, 'returned with its replaced disk');
   });
 
-  it('never makes more than one voter of an address whose disk changes', () => {
+  it('never has more than one voter at an address whose disk changes', () => {
     const cluster = foundCluster(THREE, 1, 6);
     for (let times = 0; times < 4; times += 1) {
       restartWithEmptyDisks(cluster, ['b']);
@@ -189,7 +189,7 @@
 });
 
 describe('control safety, point 4: catching up', () => {
-  it('brings a member that was cut off for 20 s and 400 versions to the newest one', () => {
+  it('brings a member that was isolated for 20 s and missed 400 versions to the newest one', () => {
     const cluster = foundCluster(FIVE, 2, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
@@ -208,7 +208,7 @@
     ]);
   });
 
-  it('brings a member to the newest version in messages that the wire carries', () => {
+  it('brings a member that missed 12 versions of 1 MiB to the newest one within the frame size limit', () => {
     const cluster = foundCluster(THREE, 1, 4);
     const leader = cluster.leader()?.name ?? '';
     const [late = '', other = ''] = THREE.filter((name) => name !== leader);
@@ -227,7 +227,7 @@
     ]);
   });
 
-  it('neither answers nor coordinates with old state after a restart, while changes go on', () => {
+  it('neither answers nor coordinates with stale state after a restart while changes continue', () => {
     for (const name of THREE) {
       const cluster = foundCluster(THREE, 1, name.charCodeAt(0));
       const { records } = cluster.stop(name);
--- a/packages/process-group/src/membership/protocol-levels.test.ts
+++ b/packages/process-group/src/membership/protocol-levels.test.ts
@@ -3,7 +3,7 @@
 import { levelMismatch, levelOf } from './protocol-levels.js';
 
 describe('protocol levels', () => {
-  it('follow the rules that all members speak, and no joiner comes in whom they cannot reach', () => {
+  it('use the highest level that all members speak and reject a joiner that shares no level with them', () => {
     expect([
       levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]),
       levelOf([{ maxLevel: 3 }, { maxLevel: 2 }]),
--- a/packages/process-group/src/membership/protocol-levels.ts
+++ b/packages/process-group/src/membership/protocol-levels.ts
@@ -1,7 +1,7 @@
-/** Levels of the protocol: which one a view speaks, and who can join it. */
+/** Protocol levels: which one a view speaks, and which nodes can join it. */
 
 /**
- * The highest level of the protocol that all of some members speak.
+ * The highest protocol level that all given members speak.
  * @example
  * levelOf([{ maxLevel: 2 }, { maxLevel: 0 }]); // 1
  */
@@ -10,7 +10,7 @@
 }
 
 /**
- * Why a member cannot join others, or undefined if there is a level that all speak.
+ * The reason why a member cannot join others, or undefined if there is a level that all speak.
  * @example
  * levelMismatch({ maxLevel: 1, minLevel: 1 }, [{ maxLevel: 3, minLevel: 2 }]);
  * // 'it speaks levels 1 to 1 of the protocol, the group 2 to 3'
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -1,4 +1,4 @@
-/** The coordinator's side of a view change: who stays and joins, the flush, and the next view's entry. */
+/** The coordinator's side of a view change: which members stay and join, the flush, the next view's entry. */
 import { create } from '@bufbuild/protobuf';
 import {
   EntrySchema,
@@ -17,7 +17,7 @@
 import { rankOf } from './members.js';
 import { levelMismatch } from './protocol-levels.js';
 
-/** A view change while the flush replies are collected. */
+/** A view change whose flush replies are being collected. */
 interface PendingViewChange {
   readonly id: number;
   readonly staying: readonly Member[];
@@ -41,7 +41,7 @@
  * their unstable casts, so that all of them deliver the same casts in the old view.
  * @example
  * if (viewChange.isCollecting) viewChange.collectFlushes(state, nowMs);
- * else viewChange.start(state, nowMs); // false: no change is wanted
+ * else viewChange.start(state, nowMs); // false: no change is due
  */
 export class ViewChangeCoordinator {
   #context: ViewChangeContext;
@@ -50,11 +50,11 @@
   #propose: (entry: Entry, nowMs: number) => void;
   #pendingChange: PendingViewChange | undefined;
   #changeCount = 0;
-  /** Since when a change has been wanted; it starts `graceMs` later. */
+  /** Time since which a change has been needed; it starts `graceMs` later. */
   #changeNeededSinceMs: number | undefined;
-  /** Set while members may have stopped for a view that was not installed. */
+  /** True while members may have stopped casting for a view that was not installed. */
   #mustInstallView = true;
-  /** Members that did not flush in time, and until when they are left out. */
+  /** Members that did not flush in time, and until when new views exclude them. */
   #excludedUntilMs = new Map<string, number>();
 
   constructor(
@@ -69,12 +69,12 @@
     this.#propose = propose;
   }
 
-  /** Whether a change is under way. */
+  /** Whether a view change is collecting flush replies. */
   get isCollecting(): boolean {
     return this.#pendingChange !== undefined;
   }
 
-  /** Members that have not flushed for the change under way, by name. */
+  /** Names of the members that have not flushed yet for the pending change. */
   missingFlushes(): readonly string[] {
     const change = this.#pendingChange;
     if (change === undefined) return [];
@@ -88,7 +88,7 @@
     this.#pendingChange.castsByMember.set(incarnation, reply.unstableCasts);
   }
 
-  /** Starts a change if one is due; whether it did. */
+  /** Starts a change if one is due; returns whether it did. */
   start(state: ViewState, nowMs: number): boolean {
     const { view } = state;
     const staying = this.#staying(view, nowMs);
@@ -117,7 +117,7 @@
     return true;
   }
 
-  /** Requests the flushes that are missing; proposes the view once all are here, gives the change up after `flushMs`. */
+  /** Requests missing flushes; proposes the view once all have arrived, aborts the change after `flushMs`. */
   collectFlushes(state: ViewState, nowMs: number): void {
     const change = this.#pendingChange;
     if (change === undefined) return;
@@ -147,7 +147,7 @@
     );
   }
 
-  /** Joiners, in the order of their names, that are new and speak a level that all the others speak. */
+  /** New joiners, sorted by name, that share a protocol level with all the others. */
   #admittedJoiners(view: View, staying: readonly Member[]): Member[] {
     const names = new Set(staying.map((member) => member.name));
     const admitted: Member[] = [];
@@ -163,7 +163,10 @@
     return admitted;
   }
 
-  /** Whether a member that stays was lost, or the flush takes too long; who is late then is left out of the next change. */
+  /**
+   * Whether a staying member has failed or the flush has timed out. On a timeout, the members that have not
+   * flushed are excluded from new views for twice `flushMs`.
+   */
   #mustAbort(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
     const self = this.#context.self().incarnation;
     const isMemberLost = change.staying.some(
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -1,4 +1,4 @@
-/** A member's side of a view change: stopping, flushing, entering the next view, rejoining. */
+/** A member's side of a view change: stopping casts, flushing, entering the next view, rejoining. */
 import { create } from '@bufbuild/protobuf';
 import { FlushReplySchema, type FlushReply, type FlushRequest, type View } from '@rainrun/messages';
 import type { Casts } from '../multicast/casts.js';
@@ -29,23 +29,23 @@
 }
 
 /**
- * Takes this node from one view to the next: it stops its casts at the
- * coordinator's request, hands over what may be missing elsewhere, and opens the
- * new view once that is in force. A node that was left out rejoins under a new incarnation.
+ * Takes this node from one view to the next: it stops its casts at the coordinator's request, returns the
+ * casts that other members may lack, and resumes once the new view is in force. An excluded node rejoins under
+ * a new incarnation.
  * @example
  * viewChange.onFlushRequest('incarnation-1', request); // answers with a flush reply
  */
 export class ViewChange<S> {
   #collaborators: ViewChangeCollaborators<S>;
   #flushEpoch = 0;
-  /** Incarnations that stay, while a change is under way. */
+  /** Incarnations that stay in the next view; undefined while no change is under way. */
   #staying: ReadonlySet<string> | undefined;
 
   constructor(collaborators: ViewChangeCollaborators<S>) {
     this.#collaborators = collaborators;
   }
 
-  /** Whether a change is under way that leaves this member out: it gets no lease any more. */
+  /** Whether a pending view change excludes this member, whose lease must not be renewed any more. */
   isExcluding(incarnation: string): boolean {
     return this.#staying !== undefined && !this.#staying.has(incarnation);
   }
@@ -72,14 +72,14 @@
     });
   }
 
-  /** Stops the casts of this view and hands over those that may be missing elsewhere. */
+  /** Stops the casts of this view and returns those that other members may lack. */
   flush(epoch: number, change: number, staying: readonly string[]): FlushReply {
     this.#flushEpoch = epoch;
     this.#staying = new Set(staying);
     return create(FlushReplySchema, { epoch, change, unstableCasts: this.#collaborators.casts.stop() });
   }
 
-  /** Makes a view the one in force here; casts begin with `open`. */
+  /** Puts a view into force on this node; its casts start with `open`. */
   enter(view: View): void {
     const { casts, directory, liveness, local, transport, versions } = this.#collaborators;
     const nowMs = local.nowMs();
@@ -98,12 +98,12 @@
     casts.enter(view);
   }
 
-  /** Lets in what came before its view, once the view has been announced. */
+  /** Starts the casts of the view, once it has been announced, with those that were buffered for it. */
   open(): void {
     this.#collaborators.casts.releaseBuffered();
   }
 
-  /** Leaves the view, if any, and looks for the group as a new member. */
+  /** Leaves the view, if any, and looks for the group under a new incarnation. */
   rejoin(): void {
     const { casts, coordination, coordinatorWatch, dependencies, directory, discovery } = this.#collaborators;
     const { election, leases, liveness, local, transport, versions } = this.#collaborators;
--- a/packages/process-group/src/membership/waits.test.ts
+++ b/packages/process-group/src/membership/waits.test.ts
@@ -1,10 +1,10 @@
-/** Waits inside a view, and what ends them when what is waited for never comes. */
+/** Waits inside a view for members or disks that do not answer, and the events that end these waits. */
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { RECOVERY_BOUND_MS, runRestartTrial } from '../testing/restart-trial.js';
 import { TestCluster, type TestNode } from '../testing/test-cluster.js';
 
-/** Five members and four voters: the coordinator's lease is renewed by members that are not the voters it lacks. */
+/** Five members, four voters: members without a vote renew the lease while the coordinator lacks a quorum. */
 const LEASE_WITHOUT_QUORUM_SEED = 11_107;
 
 const CORES = ['a', 'b', 'c', 'd', 'e'];
@@ -22,7 +22,7 @@
 }
 
 describe('a wait inside a view', () => {
-  it('for a member whose disk hangs ends as it leaves the view; changes go on meanwhile', () => {
+  it('for a member whose disk hangs ends when it leaves the view, and changes continue meanwhile', () => {
     const { cluster, leader, followers } = foundCluster();
     const [hung] = followers;
     if (hung === undefined) return;
@@ -43,12 +43,12 @@
     expect(cluster.missingOperations(cluster.leader()?.name ?? '')).toEqual([]);
   });
 
-  it('for voters that a coordinator with a lease does not reach ends by an election', () => {
+  it('for voters that a coordinator with a lease cannot reach ends with an election', () => {
     const { lost, recoveredMs } = runRestartTrial(LEASE_WITHOUT_QUORUM_SEED);
     expect([recoveredMs < RECOVERY_BOUND_MS, lost]).toEqual([true, []]);
   });
 
-  it('for a member that left without being heard ends by its silence', () => {
+  it('for a member whose goodbye was lost ends when it no longer answers', () => {
     const { cluster, leader, followers } = foundCluster();
     const [left] = followers;
     if (left === undefined) return;
@@ -59,7 +59,7 @@
     expect(tookMs).toSatisfy((ms: number) => ms < 3000);
   });
 
-  it('for a coordinator that left without being heard ends by an election', () => {
+  it('for a coordinator whose goodbye was lost ends with an election', () => {
     const { cluster, leader } = foundCluster();
     cluster.setIsolated(leader.name, true);
     leader.group.leave();
--- a/packages/process-group/src/multicast/casts.ts
+++ b/packages/process-group/src/multicast/casts.ts
@@ -1,4 +1,4 @@
-/** Causal multicast across views: what waits for a view, and the causal order within one. */
+/** Causal multicast across views: casts and payloads buffered for a view, and the causal order within one. */
 import type { Cast, Heartbeat, View } from '@rainrun/messages';
 import { CausalOrder } from './causal-order.js';
 import type { GroupDependencies } from '../group-dependencies.js';
@@ -6,10 +6,10 @@
 import type { Transport } from '../transport/transport.js';
 import { rankOf } from '../membership/members.js';
 
-/** Payloads kept while this node cannot cast; the oldest goes first. */
+/** Number of payloads kept while this node cannot cast; the oldest is dropped first. */
 const BACKLOG_MAX = 64;
 
-/** Casts kept that came before their view; the oldest goes first. */
+/** Number of casts kept that arrived before their view; the oldest is dropped first. */
 const EARLY_CASTS_MAX = 4096;
 
 /** What multicast needs. */
@@ -40,7 +40,7 @@
     return this.#causal?.stopped ?? true;
   }
 
-  /** Casts kept until all members are known to have them. */
+  /** Number of casts kept because they are not known to be delivered everywhere. */
   get unstableCount(): number {
     return this.#causal?.unstableCount ?? 0;
   }
@@ -49,7 +49,7 @@
     return this.#causal?.contextBytes ?? 0;
   }
 
-  /** Multicasts a payload causally to the view; held back while the view is changing. */
+  /** Multicasts a payload in causal order to the view; buffers it while the view is changing. */
   cast(payload: Uint8Array): void {
     const { local, transport } = this.#collaborators;
     if (!local.inView || this.#causal === undefined || this.#causal.stopped) {
@@ -81,18 +81,18 @@
     return [...(this.#causal?.stable ?? [])];
   }
 
-  /** Takes what a member of this view says about delivery. */
+  /** Records the delivery counts in a heartbeat from a member of this view. */
   onHeartbeat(from: string, heartbeat: Heartbeat): void {
     this.#causal?.learnDelivered(from, heartbeat.delivered);
     this.#causal?.learnStable(heartbeat.stable);
   }
 
-  /** Ends delivery in this view and returns what may be missing elsewhere. */
+  /** Ends delivery in this view and returns the casts that other members may lack. */
   stop(): Cast[] {
     return this.#causal?.stop() ?? [];
   }
 
-  /** Delivers what was agreed to end this view. */
+  /** Delivers the casts that were agreed to end this view. */
   finish(flushedCasts: readonly Cast[]): void {
     this.#causal?.finish(flushedCasts);
   }
@@ -104,7 +104,7 @@
     );
   }
 
-  /** Takes the casts and payloads that waited for the view. */
+  /** Receives the casts and sends the payloads that were buffered for the view. */
   releaseBuffered(): void {
     const early = this.#earlyCasts;
     this.#earlyCasts = [];
--- a/packages/process-group/src/multicast/causal-order.test.ts
+++ b/packages/process-group/src/multicast/causal-order.test.ts
@@ -15,7 +15,7 @@
 const EMPTY = new Uint8Array();
 
 describe('causal order', () => {
-  it('buffers a cast until what its sender had delivered has arrived', () => {
+  it('buffers a cast until the casts that its sender had delivered before it have arrived', () => {
     const [a, b, c] = [member('a'), member('b'), member('c')];
     const first = a.causal.send(EMPTY);
     b.causal.receive(first);
@@ -26,7 +26,7 @@
     expect(c.delivered).toEqual(['a1', 'b1']);
   });
 
-  it('carries only what changed in the context record', () => {
+  it('sends only the changed entries of the causal context', () => {
     const [a, b] = [member('a'), member('b')];
     b.causal.receive(a.causal.send(EMPTY));
     const first = b.causal.send(EMPTY);
@@ -34,7 +34,7 @@
     expect([first.contextRank, second.contextRank]).toEqual([[0], []]);
   });
 
-  it('retains a cast until all have it, and hands it on in a flush', () => {
+  it('retains a cast until all members have delivered it', () => {
     const [a, b] = [member('a'), member('b')];
     const cast = a.causal.send(EMPTY);
     b.causal.receive(cast);
@@ -45,7 +45,7 @@
     expect(b.causal.unstableCount).toEqual(0);
   });
 
-  it('drops what the collector reports as delivered everywhere', () => {
+  it('drops the casts that the collector reports as delivered everywhere', () => {
     const [a, b] = [member('a'), member('b')];
     b.causal.receive(a.causal.send(EMPTY));
     a.causal.learnDelivered('b', [1, 0, 0]);
@@ -57,7 +57,7 @@
     expect([early, kept, b.causal.unstableCount]).toEqual([[0, 0, 0], 1, 0]);
   });
 
-  it('ends a view with the same casts everywhere, though their sender is gone', () => {
+  it('ends a view with the same casts at every member although their sender is gone', () => {
     const [a, b, c] = [member('a'), member('b'), member('c')];
     const one = a.causal.send(EMPTY);
     const two = a.causal.send(EMPTY);
@@ -74,7 +74,7 @@
     ]);
   });
 
-  it('delivers nothing after it stopped but what was agreed', () => {
+  it('delivers only the agreed casts after it has stopped', () => {
     const [a, b] = [member('a'), member('b')];
     b.causal.stop();
     b.causal.receive(a.causal.send(EMPTY));
--- a/packages/process-group/src/multicast/causal-order.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -11,11 +11,11 @@
 }
 
 /**
- * Causal multicast within one view. A cast is buffered back until its causal
+ * Causal multicast within one view. A cast is buffered until its causal
  * predecessors have been delivered; it is kept until it is known to be
- * delivered everywhere, so that a flush can hand it on.
+ * delivered everywhere, so that a flush can pass it on.
  * @example
- * const causal = new Causal(view, 'incarnation-1', (sender, payload) => observe(sender, payload));
+ * const causal = new CausalOrder(view, 'incarnation-1', (cast) => observe(cast.sender, cast.payload));
  * const cast = causal.send(payload);
  */
 export class CausalOrder {
@@ -54,7 +54,7 @@
     return this.#delivered;
   }
 
-  /** Bytes of context record sent so far, as a figure for the logs. */
+  /** Bytes of causal context sent so far, estimated at 3 per entry, for the counters. */
   get contextBytes(): number {
     return this.#contextBytes;
   }
@@ -86,7 +86,7 @@
     return cast;
   }
 
-  /** Takes a cast of this view; it may have to wait for others. */
+  /** Receives a cast of this view; it is buffered until its causal predecessors have been delivered. */
   receive(cast: Cast): void {
     const rank = rankOf(this.#view, cast.sender);
     const senderContext = this.#contextsBySender[rank];
@@ -101,7 +101,7 @@
     else this.#deliverReady();
   }
 
-  /** What all members have delivered as far as this one knows, by rank. */
+  /** How many casts of each member are known to be delivered everywhere, by rank. */
   get stable(): readonly number[] {
     return this.#delivered.map((own, rank) =>
       Math.min(
@@ -111,14 +111,14 @@
     );
   }
 
-  /** Learns from the collector what all members have delivered, and drops it. */
+  /** Drops the casts that the collector reports as delivered everywhere. */
   learnStable(stable: readonly number[]): void {
     if (stable.length !== this.#delivered.length) return;
     for (const [key, buffered] of this.#unstable)
       if (buffered.cast.sequence <= (stable[buffered.rank] ?? 0)) this.#unstable.delete(key);
   }
 
-  /** Learns what a member has delivered, and drops what all have. */
+  /** Records what a member has delivered, and drops the casts that all members have delivered. */
   learnDelivered(incarnation: string, delivered: readonly number[]): void {
     const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
@@ -128,14 +128,14 @@
     }
   }
 
-  /** Ends delivery in this view and returns every cast that may be missing elsewhere, with its complete context. */
+  /** Ends delivery in this view; returns every cast that other members may lack, with its full context. */
   stop(): Cast[] {
     this.#stopped = true;
     for (const buffered of this.#waiting) this.#retain(buffered);
     return [...this.#unstable.values()].map((buffered) => withFullContext(buffered));
   }
 
-  /** Delivers what was agreed to end this view, in the agreed order, and nothing else. */
+  /** Delivers the casts that were agreed to end this view, in the agreed order, and nothing else. */
   finish(flushedCasts: readonly Cast[]): void {
     for (const cast of flushedCasts) {
       const rank = rankOf(this.#view, cast.sender);
@@ -197,10 +197,10 @@
 }
 
 /**
- * The union of the unstable casts of the members that stay, in one causal order:
- * every one of them delivers these casts to end the old view (the flush of
- * Birman's virtual synchrony). A cast whose predecessor no member has any more
- * comes last: its sender left with it.
+ * The union of the unstable casts of the members that stay, in one causal order.
+ * Each of these members delivers the casts to end the old view (the flush of
+ * Birman's virtual synchrony). A cast with a predecessor that no member has any
+ * more, because its sender is gone, comes last.
  * @example
  * const flushedCasts = flushedCastsOf(view, replies.map((reply) => reply.unstableCasts));
  */
--- a/packages/process-group/src/transport/receiver.ts
+++ b/packages/process-group/src/transport/receiver.ts
@@ -1,4 +1,4 @@
-/** The entrance for everything that other nodes send. */
+/** Dispatch of the frames and ordered messages that other nodes send. */
 import type { Frame, SequencedMessage } from '@rainrun/messages';
 import type { Casts } from '../multicast/casts.js';
 import type { Coordination } from '../agreement/coordination.js';
@@ -13,7 +13,7 @@
 import type { Versions } from '../agreement/versions.js';
 import type { ViewChange } from '../membership/view-change.js';
 
-/** The parts that answer what comes from other nodes. */
+/** The parts of the group that handle messages from other nodes. */
 interface ReceiverCollaborators<S> {
   readonly casts: Casts<S>;
   readonly coordination: Coordination<S>;
@@ -30,8 +30,8 @@
 }
 
 /**
- * Hands each frame, and each body that comes in order, to the part of the
- * group that answers it.
+ * Dispatches each frame, and each body that arrives in order, to the part of
+ * the group that handles it.
  * @example
  * receiver.receive(frame);
  */
@@ -42,7 +42,7 @@
     this.#collaborators = collaborators;
   }
 
-  /** Takes a frame; one that is addressed to another incarnation is dropped. */
+  /** Dispatches a frame; a frame that is addressed to another incarnation is dropped. */
   receive(frame: Frame): void {
     const { from, body } = frame;
     const { discovery, local } = this.#collaborators;
@@ -53,7 +53,7 @@
     this.#onAddressed(from, body);
   }
 
-  /** Takes a body that arrived in order, or that this node sent to itself. */
+  /** Dispatches a body that arrived in order, or that this node sent to itself. */
   onBody(from: string, body: SequencedMessage['body']): void {
     const { casts, coordination, submissions, versions } = this.#collaborators;
     switch (body.case) {
--- a/packages/process-group/src/transport/transport.ts
+++ b/packages/process-group/src/transport/transport.ts
@@ -1,21 +1,21 @@
-/** Sending to other members: single frames, and messages in order over a channel each. */
+/** Sending to other members: single frames, and ordered messages over one channel per member. */
 import { OrderedChannel, newFrame, type Frame, type SequencedMessage, type Member } from '@rainrun/messages';
 import type { GroupDependencies } from '../group-dependencies.js';
 import type { Directory } from '../membership/directory.js';
 import type { LocalMember } from '../membership/local-member.js';
 
-/** What the transport needs; the parts above it by the few calls that it makes. */
+/** What the transport needs; higher-level parts are declared by the calls that the transport makes. */
 interface TransportCollaborators<S> {
   readonly dependencies: GroupDependencies<S>;
   readonly directory: Directory<S>;
   readonly local: LocalMember<S>;
-  /** What members have applied goes to the coordinator, while this node is it. */
+  /** While this node coordinates, its coordinator learns which versions members have applied. */
   readonly coordination: {
     readonly coordinator: { learnApplied(incarnation: string, number: number): void } | undefined;
   };
   readonly leases: { isHeld(): boolean };
   readonly liveness: { markFailed(incarnation: string): void };
-  /** Takes the bodies that arrived in order. */
+  /** Handles the bodies that arrived in order. */
   readonly receiver: { onBody(from: string, body: SequencedMessage['body']): void };
   readonly viewChange: { rejoin(): void };
 }
@@ -46,14 +46,14 @@
     if (member !== undefined) this.send(member, body);
   }
 
-  /** Sends one frame to whoever is at an address; an empty incarnation means anybody. */
+  /** Sends one frame to the node at an address; an empty incarnation addresses any incarnation. */
   sendToAddress(address: string, incarnation: string, body: Frame['body']): void {
     const { dependencies, local } = this.#collaborators;
     const route = { deployment: dependencies.deployment, from: local.incarnation, to: incarnation };
     dependencies.send(address, newFrame(route, body));
   }
 
-  /** Sends a body in order; to this node itself it is delivered at once. */
+  /** Sends a body in order; a body to this node itself is delivered at once. */
   sendOrdered(member: Member, body: SequencedMessage['body']): void {
     const { directory, local, receiver } = this.#collaborators;
     if (member.incarnation === local.incarnation) return receiver.onBody(member.incarnation, body);
@@ -63,7 +63,7 @@
     this.#sendDue(member, channel, local.nowMs());
   }
 
-  /** Takes an ordered message and delivers the bodies that are complete up to here. */
+  /** Receives an ordered message and delivers the bodies that are now complete and in order. */
   onSequenced(from: string, message: SequencedMessage): void {
     const { coordination, directory, local, receiver } = this.#collaborators;
     const channel = this.#channel(from);
@@ -76,7 +76,7 @@
       this.#sendDue(member, channel, local.nowMs());
   }
 
-  /** Sends what is due on all channels: acknowledgements, and again what was not acknowledged. */
+  /** Sends what is due on all channels: acknowledgements and retransmissions. */
   tick(nowMs: number): void {
     for (const [incarnation, channel] of this.#channels) {
       const member = this.#collaborators.directory.member(incarnation);
@@ -89,12 +89,12 @@
     return this.#channels.get(incarnation)?.lagMs(nowMs) ?? 0;
   }
 
-  /** This process was suspended: that time does not count against the others. */
+  /** Excludes the time for which this process was suspended from the lag of the others. */
   onSleep(suspendedMs: number): void {
     for (const channel of this.#channels.values()) channel.slept(suspendedMs);
   }
 
-  /** Ends the channels to all but some incarnations. */
+  /** Closes the channels to all but the given incarnations. */
   retainChannels(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#channels.keys())
       if (!incarnations.has(incarnation)) this.#channels.delete(incarnation);
@@ -119,7 +119,10 @@
     }
   }
 
-  /** A channel that has lost a body is at its end: the member goes, or this node does if it is the one cut off. */
+  /**
+   * Ends a channel that had to drop a body and is no longer complete: the member counts as failed, or this
+   * node rejoins if it has no lease and is therefore the one that is cut off.
+   */
   #onChannelOverflow(incarnation: string): void {
     const { leases, liveness, local, viewChange } = this.#collaborators;
     if (leases.isHeld()) liveness.markFailed(incarnation);
