--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -190,7 +190,7 @@
     return echoToken;
   }
 
-  /** Sends a snapshot to a node that does not know yet that it is in the view, once in two hello intervals. */
+  /** Sends a snapshot to a node that does not know yet that it is a member, once in two hello intervals. */
   #sendJoinSnapshot(member: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#collaborators;
     const view = local.view;
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -28,7 +28,7 @@
   for (const { name, records } of stopped) cluster.start(name, wiped.includes(name) ? undefined : records);
 }
 
-/** Expects that a new operation is acknowledged within `ACK_MS` and that every node has all acknowledged ones. */
+/** Expects that a new operation is acknowledged in `ACK_MS` and that every node has all acknowledged ones. */
 function expectNothingLost(cluster: TestCluster, what: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -30,8 +30,8 @@
 
 /**
  * Takes this node from one view to the next: it stops its casts at the coordinator's request, returns the
- * casts that other members may lack, and resumes once the new view is in force. An excluded node rejoins under
- * a new incarnation.
+ * casts that other members may lack, and resumes once the new view is in force. An excluded node rejoins
+ * under a new incarnation.
  * @example
  * viewChange.onFlushRequest('incarnation-1', request); // answers with a flush reply
  */
--- a/packages/process-group/src/model-checking/agreement-check.ts
+++ b/packages/process-group/src/model-checking/agreement-check.ts
@@ -1,8 +1,11 @@
 #!/usr/bin/env node
 /**
- * The model check of agreement, as long as wanted:
- * `node packages/process-group/dist/model-checking/agreement-check.js [--states N] [--walks N] [--seed N] [--scope NAME]`.
- * Exit code 1 and the shortest way to a violation, if there is one.
+ * Command: runs the model check of agreement with any number of states and walks.
+ *
+ *     node packages/process-group/dist/model-checking/agreement-check.js
+ *       [--states N] [--walks N] [--seed N] [--scope NAME]
+ *
+ * If it finds a violation, it prints the shortest trace to it and exits with code 1.
  */
 import { parseArgs } from 'node:util';
 import fc from 'fast-check';
@@ -23,7 +26,7 @@
 
 function searchScope(name: string, scope: Scope): boolean {
   const found = searchAll(new StateSpace(production, scope), Number(values.states));
-  const extent = found.complete ? 'complete' : 'a part';
+  const extent = found.complete ? 'complete' : 'partial';
   console.log(`${name}: ${extent}, ${found.states} states, ${found.steps} steps`);
   if (found.violation === undefined) return true;
   console.log(`${found.violation}\n${found.trace.join('\n')}`);
--- a/packages/process-group/src/model-checking/agreement-initial-state.ts
+++ b/packages/process-group/src/model-checking/agreement-initial-state.ts
@@ -1,4 +1,4 @@
-/** What the model of agreement starts from: the first version and the records of the machines' disks. */
+/** Initial state of the agreement model: the first version and the records of the machines' disks. */
 import { create, toBinary } from '@bufbuild/protobuf';
 import {
   DiskRecordSchema,
@@ -27,7 +27,7 @@
   return create(VoterSchema, { name: machine, disk: machine });
 }
 
-/** The first version of the history: agreed by the first voters before the search begins. */
+/** The first version, on which the first voters have agreed before the search begins. */
 export function firstVersion(machines: readonly string[], voters: readonly string[]): Version {
   return create(VersionSchema, {
     epoch: 1,
@@ -41,12 +41,12 @@
   });
 }
 
-/** The records of a disk that is empty but for its id. */
+/** The records of a disk that holds only its id. */
 export function emptyDisk(machine: string): Records {
   return { disk: toBinary(DiskRecordSchema, create(DiskRecordSchema, { disk: machine })) };
 }
 
-/** The records of a disk that took part in the first version. */
+/** The records of a disk that has accepted the first version. */
 export function diskWithFirstVersion(machine: string, version: Version, founder: string): Records {
   const disk = create(DiskRecordSchema, { disk: machine, deployment: DEPLOYMENT });
   const promise = create(PromiseRecordSchema, { epoch: 1, candidate: founder });
--- a/packages/process-group/src/model-checking/agreement-invariants.ts
+++ b/packages/process-group/src/model-checking/agreement-invariants.ts
@@ -1,4 +1,4 @@
-/** The invariants of agreement, checked on messages and events alone. */
+/** The invariants of agreement, checked on messages and events only. */
 import type { Version } from '@rainrun/messages';
 import { contentDigest, incarnationName, type Message } from './agreement-messages.js';
 import { isLater, majority } from '../agreement/quorum.js';
@@ -14,10 +14,10 @@
 }
 
 /**
- * What is wrong with a message, given all that were sent before it; undefined
- * when nothing is.
+ * Describes the invariant that a message violates, given all messages sent
+ * before it; undefined if it violates none.
  * @example
- * violation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
+ * findViolation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
  */
 export function findViolation(sent: readonly Message[], message: Message): string | undefined {
   switch (message.kind) {
@@ -54,7 +54,7 @@
   );
   if (forgotten === undefined) return undefined;
   const { epoch, number } = forgotten.accepted;
-  return `disk ${from.machine} acknowledged version ${epoch}/${number} and promised with an older one`;
+  return `disk ${from.machine} acknowledged version ${epoch}/${number} and sent a promise with an older version`;
 }
 
 function acceptanceViolation(sent: readonly Message[], message: MessageOf<'accepted'>): string | undefined {
@@ -68,7 +68,7 @@
         (other.promise.epoch === accepted.epoch && other.to.machine !== to.machine)),
   );
   if (newer === undefined) return undefined;
-  return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted in epoch ${accepted.epoch} of ${to.machine}`;
+  return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted a version in epoch ${accepted.epoch} of ${to.machine}`;
 }
 
 function electionViolation(sent: readonly Message[], message: MessageOf<'elected'>): string | undefined {
@@ -84,13 +84,13 @@
   const chosen = ofKind(sent, 'chosen').map((other) => other.version);
   const same = chosen.filter((other) => other.number === version.number);
   if (same.some((other) => contentDigest(other) !== contentDigest(version)))
-    return `two versions are chosen under number ${version.number}`;
+    return `two versions with different content are chosen under number ${version.number}`;
   const newer = chosen.find((other) => other.epoch > version.epoch);
   if (same.length === 0 && newer !== undefined)
-    return `number ${version.number} is chosen in epoch ${version.epoch} after one of epoch ${newer.epoch}`;
+    return `number ${version.number} is chosen in epoch ${version.epoch} after a version of epoch ${newer.epoch}`;
   const passed = chosen.find((other) => other.epoch < version.epoch && other.number > version.number);
   if (passed !== undefined)
-    return `number ${version.number} is chosen in epoch ${version.epoch} though ${passed.number} was in epoch ${passed.epoch}`;
+    return `number ${version.number} is chosen in epoch ${version.epoch} although number ${passed.number} was chosen in epoch ${passed.epoch}`;
   return voterChangeViolation(sent, version, chosen);
 }
 
@@ -115,7 +115,7 @@
   );
   for (const set of [old, voters]) {
     if (set.filter((disk) => synced.has(disk)).length < majority(set.length))
-      return `version ${version.epoch}/${version.number} is chosen by ${[...synced].join(' ')} of ${set.join(' ')}`;
+      return `version ${version.epoch}/${version.number} is chosen by disks ${[...synced].join(' ')} without a majority of voters ${set.join(' ')}`;
   }
   return undefined;
 }
--- a/packages/process-group/src/model-checking/agreement-messages.ts
+++ b/packages/process-group/src/model-checking/agreement-messages.ts
@@ -1,4 +1,4 @@
-/** Messages and events of the agreement's model, and names by which equal ones are known. */
+/** Messages and events of the agreement model, and keys by which equal ones are recognized. */
 import { createHash } from 'node:crypto';
 import { toBinary } from '@bufbuild/protobuf';
 import {
@@ -16,7 +16,7 @@
   readonly incarnation: number;
 }
 
-/** A message or an event that the invariants look at. */
+/** A message or an event that the invariants check. */
 export type Message =
   | { readonly kind: 'prepare'; readonly from: Incarnation; readonly to: string; readonly prepare: Prepare }
   | { readonly kind: 'propose'; readonly from: Incarnation; readonly to: string; readonly propose: Propose }
@@ -35,14 +35,14 @@
   | { readonly kind: 'elected'; readonly from: Incarnation; readonly epoch: number }
   | { readonly kind: 'chosen'; readonly from: Incarnation; readonly version: Version };
 
-/** A digest of some bytes. */
+/** A short digest of the given bytes. */
 export function digestOf(bytes: Uint8Array): string {
   return createHash('sha256').update(bytes).digest('base64').slice(0, 16);
 }
 
 const CONTENT_DIGESTS = new WeakMap<Version, string>();
 
-/** A digest of what a version says, whatever the epoch it was proposed in. */
+/** A digest of a version's content, independent of the epoch in which it was proposed. */
 export function contentDigest(version: Version): string {
   const known = CONTENT_DIGESTS.get(version);
   if (known !== undefined) return known;
@@ -51,23 +51,23 @@
   return content;
 }
 
-/** A name for a version: equal for equal versions of one epoch. */
+/** A key for a version, equal for versions with the same content and epoch. */
 export function versionKey(version: Version | undefined): string {
   return version === undefined ? 'none' : `${version.epoch}/${version.number}/${contentDigest(version)}`;
 }
 
-/** An incarnation as one word. */
+/** An incarnation as a string, such as `a#1`. */
 export function incarnationName({ machine, incarnation }: Incarnation): string {
   return `${machine}#${incarnation}`;
 }
 
-/** The incarnation that a word stands for. */
+/** Parses an incarnation from its `incarnationName`. */
 export function parseIncarnation(name: string): Incarnation {
   const [machine = '', incarnation = '0'] = name.split('#');
   return { machine, incarnation: Number(incarnation) };
 }
 
-/** The same for equal messages: a message that is sent again is no new one. */
+/** A key that is the same for equal messages, so that a message sent again does not count as a new one. */
 export function messageKey(message: Message): string {
   const from = incarnationName(message.from);
   switch (message.kind) {
--- a/packages/process-group/src/model-checking/agreement-model.ts
+++ b/packages/process-group/src/model-checking/agreement-model.ts
@@ -1,8 +1,8 @@
 /**
  * The agreement of one machine as a deterministic state machine, for model
- * checking: the production `Acceptor`, `Candidacy` and `Coordinator` behind inputs
- * that a search chooses one by one. Views, heartbeats and time are left out: a
- * machine may prepare, change voters or lose its memory at any moment.
+ * checking: the production `Acceptor`, `Candidacy` and `Coordinator`, driven by
+ * inputs that a search chooses one by one. Views, heartbeats and time are not
+ * modelled: a machine may prepare, change voters or lose its memory at any time.
  */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import {
@@ -42,7 +42,7 @@
 import { DEPLOYMENT, memberOf } from './agreement-initial-state.js';
 import { GROUP_TIMES } from '../times.js';
 
-/** The code under check; a mutant brings its own. */
+/** The code under check: the production code, or that of a mutant. */
 export interface AgreementCode {
   readonly Acceptor: typeof Acceptor;
   readonly Candidacy: typeof Candidacy;
@@ -50,7 +50,7 @@
   readonly readRecords: typeof readRecords;
 }
 
-/** What the search may do to one machine. */
+/** An input that the search may apply to one machine. */
 export type Input =
   | { readonly kind: 'prepare' }
   | { readonly kind: 'sync' }
@@ -58,7 +58,7 @@
   | { readonly kind: 'replace'; readonly disk: string }
   | { readonly kind: 'deliver'; readonly message: Message };
 
-/** The state of the application: the ids of the operations, one after the other. */
+/** State machine whose state is the ids of the applied operations, in order. */
 const STATE_MACHINE: StateMachine<string> = {
   empty: () => '',
   encode: (state) => ({
@@ -73,7 +73,7 @@
   }),
 };
 
-/** Lost voters are replaced at once, and the view never changes. */
+/** Timings with which lost voters are replaced at once and the view never changes. */
 const TIMES = { ...GROUP_TIMES, voterReplacementMs: 0, graceMs: Infinity };
 
 interface Write {
@@ -95,16 +95,16 @@
   #code: AgreementCode;
   #epochSeen = 0;
   #unreachableDisk: string | undefined;
-  /** Number that the coordinator proposes and has not seen chosen. */
+  /** Number of the version that the coordinator proposes and that is not chosen yet. */
   #proposedNumber: number | undefined;
   #operations = 0;
-  /** Inputs that shaped the prepare or the coordinator of now. */
+  /** Inputs that determine the state of the current candidacy or coordinator. */
   #relevantInputs: string[] = [];
-  /** A prepare is answered once in an incarnation. */
+  /** Keys of the prepares received; each is answered once in an incarnation. */
   #preparesReceived = new Set<string>();
   #cause = '';
   #sent: Message[] = [];
-  /** Why the disk's records were refused. */
+  /** Why the disk's records could not be read, if they could not. */
   readonly recordsFault: string | undefined;
 
   constructor(code: AgreementCode, from: Incarnation, records: Records) {
@@ -133,7 +133,7 @@
     this.#candidacy = new code.Candidacy(this.#candidacyContext());
   }
 
-  /** What a crash leaves. */
+  /** The synced records, which survive a crash. */
   get records(): Records {
     return { ...this.#records };
   }
@@ -142,23 +142,23 @@
     return this.#writes.length > 0;
   }
 
-  /** Whether this machine is among the voters that it knows of, and would prepare if it heard of no coordinator. */
+  /** Whether this machine is one of the voters it knows and would prepare if it knew of no coordinator. */
   get canPrepare(): boolean {
     const listed = this.#voters().voters.some((voter) => voter.disk === this.from.machine);
     return listed && this.#coordinator === undefined && !this.#acceptor.busy;
   }
 
-  /** Whether this machine coordinates and waits for nothing. */
+  /** Whether this machine coordinates and has no proposal in progress. */
   get isIdleCoordinator(): boolean {
     return this.#coordinator?.ready === true && this.#proposedNumber === undefined;
   }
 
-  /** Messages that are not taken again: prepares in this incarnation, replies since this machine prepared. */
+  /** Messages not delivered again: prepares in this incarnation, replies since this machine prepared. */
   get receivedMessages(): ReadonlySet<string> {
     return new Set([...this.#relevantInputs, ...this.#preparesReceived]);
   }
 
-  /** Equal for machines that behave alike from now on. */
+  /** A key that is equal for machines that behave identically from now on. */
   fingerprint(): string {
     const { machine, incarnation } = this.from;
     const records = (['disk', 'promise', 'version'] as const).map((kind) => this.#recordDigest(kind));
@@ -224,7 +224,7 @@
     write.done(Result.ok());
   }
 
-  /** A machine's promise to itself goes over no network: the invariants see it as an event. */
+  /** Reports a machine's promise to itself as an event for the invariants, since no message carries it. */
   #reportPromiseToSelf(bytes: Uint8Array): void {
     const { epoch } = fromBinary(PromiseRecordSchema, bytes);
     const promise = create(PromiseSchema, { epoch, disk: this.from.machine, granted: true });
@@ -269,7 +269,7 @@
     }
   }
 
-  // As in `Group`.
+  // The methods from here on do the same as those of `Group`.
 
   #epoch(): number {
     return Math.max(this.#epochSeen, this.#acceptor.promisedEpoch);
@@ -356,7 +356,7 @@
     }
   }
 
-  /** The question before a prepare guards nothing but peace: here everyone supports every prepare. */
+  /** Grants every pre-vote: pre-votes only avoid needless elections and do not matter for safety. */
   #grantPreVote(member: Member, prepare: Prepare): void {
     const { epoch } = prepare;
     this.#candidacy.onPromise({
--- a/packages/process-group/src/model-checking/agreement-mutants.ts
+++ b/packages/process-group/src/model-checking/agreement-mutants.ts
@@ -1,6 +1,6 @@
 /**
- * Faults planted into the compiled code of agreement, one at a time, to show
- * that the model check finds each.
+ * Mutants of the compiled agreement code, each without one mechanism, to show
+ * that the model check detects every one of them.
  */
 import { cp, mkdtemp, readdir, readFile, rm, writeFile } from 'node:fs/promises';
 import { dirname, join } from 'node:path';
@@ -10,11 +10,11 @@
 import type { AgreementCode } from './agreement-model.js';
 import type { SCOPES } from './agreement-scopes.js';
 
-/** A mechanism taken out: in one file, one piece of text replaced by another. */
+/** A mutant, made by replacing one piece of text in one file so that a mechanism is missing. */
 export interface Mutant {
-  /** The mechanism that is taken out. */
+  /** The mechanism that is removed. */
   readonly name: string;
-  /** The scope that shows it. */
+  /** The scope in which the model check detects the mutant. */
   readonly scope: keyof typeof SCOPES;
   /** The compiled module, by its path from the package's `dist`. */
   readonly file: string;
@@ -22,7 +22,7 @@
   readonly to: string;
 }
 
-/** What is taken out, one at a time. */
+/** All mutants, each without one mechanism. */
 export const MUTANTS: readonly Mutant[] = [
   {
     name: 'a promise is synced before it is answered',
@@ -60,28 +60,28 @@
     to: 'false',
   },
   {
-    name: 'a promise brings the accepted version',
+    name: 'a promise carries the accepted version',
     scope: 'rivalsAtWork',
     file: 'agreement/acceptor.js',
     from: 'if (granted && this.#accepted !== undefined)',
     to: 'if (granted && this.#accepted?.number === 1)',
   },
   {
-    name: 'a restarted voter keeps to its promise',
+    name: 'a restarted voter keeps its promise',
     scope: 'tornCandidate',
     file: 'agreement/acceptor.js',
     from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
     to: 'promisedEpoch: accepted?.epoch ?? 0',
   },
   {
-    name: 'a restarted voter keeps to the epoch that it accepted in',
+    name: 'a restarted voter keeps the epoch of the version that it accepted',
     scope: 'restart',
     file: 'agreement/acceptor.js',
     from: 'promisedEpoch: Math.max(promise.epoch, accepted?.epoch ?? 0)',
     to: 'promisedEpoch: promise.epoch',
   },
   {
-    name: 'a candidacy is for an epoch that is new',
+    name: 'a candidacy uses a new epoch',
     scope: 'restart',
     file: 'agreement/candidacy.js',
     from: 'const epoch = this.#context.epoch() + 1;',
@@ -109,14 +109,14 @@
     to: 'if (!isQuorum(this.#context.voters(), promises))',
   },
   {
-    name: 'the newest accepted version is taken over',
+    name: 'a new coordinator adopts the newest accepted version',
     scope: 'rivalsAtWork',
     file: 'agreement/candidacy.js',
     from: '(best === undefined || isLater(accepted, best))',
     to: '(best === undefined)',
   },
   {
-    name: 'the epoch decides what is newest',
+    name: 'the epoch decides which version is newest',
     scope: 'rivalsAtWork',
     file: 'agreement/quorum.js',
     from: 'one.epoch !== other.epoch ? one.epoch > other.epoch : one.number > other.number',
@@ -167,7 +167,7 @@
 ];
 
 /**
- * The compiled code with one mechanism taken out.
+ * Loads the compiled code with one mechanism removed.
  * @example
  * const code = await loadMutant(MUTANTS[0]);
  */
@@ -181,7 +181,7 @@
     const path = join(folder, mutant.file);
     const text = await readFile(path, 'utf8');
     if (text.split(mutant.from).length !== 2)
-      return Result.err(fault('not-found', `${mutant.file} has not one "${mutant.from}"`));
+      return Result.err(fault('not-found', `${mutant.file} does not contain exactly one "${mutant.from}"`));
     await writeFile(
       path,
       text.replace(mutant.from, () => mutant.to),
--- a/packages/process-group/src/model-checking/agreement-scopes.ts
+++ b/packages/process-group/src/model-checking/agreement-scopes.ts
@@ -1,16 +1,16 @@
-/** What the model check goes through: small scopes to their end, larger ones as far as states allow. */
+/** Scopes of the model check: small ones are searched completely, larger ones up to a limit of states. */
 
-/** How often each kind of fault and of work may come. */
+/** How often each kind of fault and of work may occur. */
 export interface Budget {
   readonly prepares: number;
   readonly crashes: number;
   readonly operations: number;
   readonly replacements: number;
-  /** Machines that may go for good with their disks, one after the other's replacement. */
+  /** Machines that may be lost permanently with their disks, each after the one before it was replaced. */
   readonly losses: number;
 }
 
-/** What is searched. */
+/** The machines, actions and budget of one search. */
 export interface Scope {
   readonly voters: readonly string[];
   readonly spares: readonly string[];
@@ -19,13 +19,13 @@
   readonly budget: Budget;
   /** Machines that may become candidates. */
   readonly candidates: readonly string[];
-  /** Machines that may crash and start again. */
+  /** Machines that may crash and restart. */
   readonly crashing: readonly string[];
-  /** Machines that go with their disks right after the first election. */
+  /** Machines that are lost with their disks right after the first election. */
   readonly lost: readonly string[];
-  /** Disks that a coordinator may take for lost, and replace. */
+  /** Disks that a coordinator may consider lost and replace. */
   readonly replaceable: readonly string[];
-  /** Whether other things may happen between a write and its sync. */
+  /** Whether other actions may happen between a write and its sync. */
   readonly slowDisks: boolean;
   /** Whether rejections are sent: they end prepares and terms, and report newer epochs. */
   readonly rejections: boolean;
@@ -48,15 +48,15 @@
   budget: budget({}),
 };
 
-/** Three voters, `a` coordinates, `d` may replace `c`. */
+/** The scopes by name: `a`, `b` and `c` vote, `a` coordinates, `d` may replace `c`. */
 export const SCOPES = {
-  /** Two rivals for the newest epoch while the coordinator is at work. */
+  /** Two rival candidates for the newest epoch while a coordinator is active. */
   rivals: { ...THREE_VOTERS, budget: budget({ prepares: 2 }) },
-  /** The same with an operation that either may get chosen. */
+  /** Two rival candidates, and an operation that either may get chosen. */
   rivalsAtWork: { ...THREE_VOTERS, budget: budget({ prepares: 2, operations: 1 }) },
   /** A prepare and an operation, and a crash of any machine anywhere in them. */
   restart: { ...THREE_VOTERS, budget: budget({ prepares: 1, crashes: 1, operations: 1 }) },
-  /** The same where a voter crashes between its writes and their syncs. */
+  /** A prepare and an operation, and a voter that crashes between its writes and their syncs. */
   tornVoter: {
     ...THREE_VOTERS,
     candidates: ['b'],
@@ -64,7 +64,7 @@
     slowDisks: true,
     budget: budget({ prepares: 1, crashes: 1, operations: 1 }),
   },
-  /** A voter that crashes between its writes and their syncs, among rival prepares. */
+  /** Rival prepares, and a voter that crashes between its writes and their syncs. */
   tornVoterOfRivals: {
     ...THREE_VOTERS,
     crashing: ['c'],
@@ -79,14 +79,14 @@
     slowDisks: true,
     budget: budget({ prepares: 2, crashes: 1 }),
   },
-  /** A lost voter is replaced while another prepares. */
+  /** A lost voter is replaced while another voter prepares. */
   repair: {
     ...THREE_VOTERS,
     lost: ['c'],
     candidates: ['b'],
     budget: budget({ prepares: 1, replacements: 1 }),
   },
-  /** The same while the voter that is replaced stays up. */
+  /** A voter that stays up is replaced while another voter prepares. */
   replacement: { ...THREE_VOTERS, candidates: ['b'], budget: budget({ prepares: 1, replacements: 1 }) },
   /** The coordinator that replaces a voter crashes, another is elected, and the first prepares again. */
   replacementTorn: {
@@ -94,11 +94,11 @@
     crashing: ['a'],
     budget: budget({ prepares: 2, crashes: 1, replacements: 1 }),
   },
-  /** Two machines may replace one. */
+  /** Two spare machines, either of which may replace a voter. */
   twoSpares: { ...THREE_VOTERS, spares: ['d', 'e'], candidates: [], budget: budget({ replacements: 1 }) },
 } as const satisfies Record<string, Scope>;
 
-/** Of everything some, with a second spare: for walks at random. */
+/** Scope of the random walks: some of every kind of fault and work, with a second spare. */
 export const RANDOM_WALK_SCOPE: Scope = {
   ...THREE_VOTERS,
   spares: ['d', 'e'],
--- a/packages/process-group/src/model-checking/agreement-search.ts
+++ b/packages/process-group/src/model-checking/agreement-search.ts
@@ -1,9 +1,9 @@
 /**
- * Search through what a few machines may do: all orders of messages, losses,
- * duplicates, syncs and crashes within a budget. A message that was sent may be
- * delivered at any later moment, more than once or never. The code of a machine
- * runs once for each of its states and inputs; the search itself goes over
- * numbered states.
+ * Search of the states that a few machines can reach: all orders of messages,
+ * losses, duplicates, syncs and crashes within a budget. A message that was sent
+ * may be delivered at any later time, more than once or never. The code of a
+ * machine runs once for each combination of its state and an input; the search
+ * itself works on numbered states.
  */
 import type { Records } from '@rainrun/storage';
 import type { Budget, Scope } from './agreement-scopes.js';
@@ -12,7 +12,7 @@
 import { emptyDisk, diskWithFirstVersion, firstVersion } from './agreement-initial-state.js';
 import { ModelMachine, type AgreementCode, type Input } from './agreement-model.js';
 
-/** One thing that happens to one machine; a delivery goes by the number of its message. */
+/** An action on one machine; a delivery refers to its message by number. */
 export interface Action {
   readonly machine: number;
   readonly what:
@@ -24,16 +24,16 @@
 
 type ModelInput = Exclude<Action['what'], { readonly kind: 'crash' | 'lose' }>;
 
-/** Where all machines stand and what has been sent. */
+/** The states of all machines and the messages sent so far. */
 export interface State {
-  /** Numbers of the machines' states; -1 stands for one that is gone. */
+  /** Numbers of the machines' states; -1 stands for a lost machine. */
   readonly machines: readonly number[];
-  /** Numbers of all messages that were ever sent, in rising order. */
+  /** Numbers of all messages that were ever sent, in ascending order. */
   readonly sent: readonly number[];
   readonly budget: Budget;
 }
 
-/** What follows from an action. */
+/** The result of an action. */
 export interface Step {
   readonly state: State;
   readonly violation: string | undefined;
@@ -47,9 +47,9 @@
   readonly hasPendingWrites: boolean;
   readonly canPrepare: boolean;
   readonly isIdleCoordinator: boolean;
-  /** Names of the messages that are not taken again. */
+  /** Keys of the messages that are not delivered again. */
   readonly receivedMessages: ReadonlySet<string>;
-  /** A machine in this state, until it is used for what follows; then its inputs are repeated. */
+  /** A machine in this state until a transition uses it; after that, `inputs` are replayed on a new one. */
   cachedMachine: ModelMachine | undefined;
 }
 
@@ -76,7 +76,7 @@
   #transitions = new Map<string, Transition>();
   #messages: { readonly message: Message; readonly name: string }[] = [];
   #messageNumbers = new Map<string, number>();
-  /** Messages that are not delivered any more. */
+  /** Numbers of the messages of the first election, which are not delivered again. */
   #setupMessages = new Set<number>();
 
   constructor(code: AgreementCode, scope: Scope) {
@@ -86,7 +86,7 @@
     this.start = this.#stateAfterFirstElection();
   }
 
-  /** Everything that may happen next. */
+  /** All actions that are possible in a state. */
   actions(state: State): Action[] {
     const actions: Action[] = [];
     for (const [machine, number] of state.machines.entries()) {
@@ -98,7 +98,7 @@
     return actions;
   }
 
-  /** What follows from an action; the same state if nothing does. */
+  /** Carries out an action; returns the same state if the action changes nothing. */
   step(state: State, action: Action): Step {
     const { machine, what } = action;
     switch (what.kind) {
@@ -111,7 +111,7 @@
     }
   }
 
-  /** An action in words. */
+  /** An action as a line of a trace. */
   describe({ machine, what }: Action): string {
     const name = this.#machineNames[machine] ?? '';
     if (what.kind !== 'deliver')
@@ -119,15 +119,15 @@
     return `${name}: takes ${describeMessage(this.#message(what.message))}`;
   }
 
-  /** Equal for equal states. */
+  /** A key that is the same for equal states. */
   key(state: State): string {
     const { prepares, crashes, operations, replacements, losses } = state.budget;
     return `${state.machines.join()} ${state.sent.join()} ${prepares} ${crashes} ${operations} ${replacements} ${losses}`;
   }
 
-  // The beginning.
+  // Initial state.
 
-  /** The first coordinator is elected and everyone holds its first version. */
+  /** The state in which the first coordinator is elected and every machine holds its first version. */
   #stateAfterFirstElection(): State {
     const { voters, spares, coordinator, budget } = this.#scope;
     const version = firstVersion(this.#machineNames, voters);
@@ -144,7 +144,7 @@
     }
   }
 
-  /** The first election is over: its messages are known to the invariants, and not delivered again. */
+  /** Ends the setup; the invariants still see the first election's messages, which are not redelivered. */
   #completeSetup(state: State, budget: Budget): State {
     for (const number of state.sent) this.#setupMessages.add(number);
     const machines = state.machines.map((number, index) =>
@@ -153,7 +153,7 @@
     return { ...state, machines, budget };
   }
 
-  /** The state after some sync or delivery that changes anything. */
+  /** The state after the first sync or delivery that has an effect. */
   #progress(state: State): State | undefined {
     for (const action of this.actions(state)) {
       if (action.what.kind !== 'sync' && action.what.kind !== 'deliver') continue;
@@ -192,7 +192,7 @@
     return number;
   }
 
-  // What may happen.
+  // Possible actions.
 
   #addLocalActions(actions: Action[], state: State, machine: number, machineState: MachineState): void {
     const { budget } = state;
@@ -210,7 +210,7 @@
     if (budget.losses > 0 && this.#canLoseDisk(state)) actions.push({ machine, what: { kind: 'lose' } });
   }
 
-  /** One disk may go while all voters of the newest chosen version have theirs. */
+  /** Whether a disk may be lost: only while all voters of the newest chosen version have theirs. */
   #canLoseDisk(state: State): boolean {
     let voters: readonly string[] = this.#scope.voters;
     let newest = 0;
@@ -246,7 +246,7 @@
     }
   }
 
-  // What follows.
+  // Transitions.
 
   #apply(state: State, machine: number, what: ModelInput): Step {
     const from = state.machines[machine] ?? LOST_MACHINE;
@@ -372,10 +372,11 @@
 }
 
 /**
- * Walks at random: each choice picks one of the actions that change anything,
- * most often a delivery or a sync. Returns the violation it met and its way.
+ * Walks randomly through the states: each choice picks one of the actions that
+ * have an effect, most often a delivery or a sync. Returns the trace and the
+ * violation at its end, if there is one.
  * @example
- * walk(space, [3, 1, 4, 1, 5]);
+ * randomWalk(space, [3, 1, 4, 1, 5]);
  */
 export function randomWalk(space: StateSpace, choices: readonly number[]): RandomWalkResult {
   const trace: string[] = [];
@@ -394,15 +395,16 @@
   return { trace, violation: undefined };
 }
 
+/** One choice in this many picks an action other than a delivery or a sync. */
 const FAULT_EVERY = 6;
 
-/** How a walk went. */
+/** The result of a random walk. */
 export interface RandomWalkResult {
   readonly trace: readonly string[];
   readonly violation: string | undefined;
 }
 
-/** The first action from a place in a list, and round to it, that changes anything. */
+/** The first action with an effect, trying the list from a position on and wrapping around. */
 function firstEffectiveStep(
   space: StateSpace,
   state: State,
@@ -418,26 +420,26 @@
   return undefined;
 }
 
-/** What an exhaustive search found. */
+/** The result of an exhaustive search. */
 export interface SearchResult {
   readonly states: number;
   readonly steps: number;
-  /** Whether every state of the scope was seen. */
+  /** Whether every state of the scope was visited. */
   readonly complete: boolean;
   readonly violation: string | undefined;
-  /** The shortest way to the violation. */
+  /** The shortest sequence of actions that leads to the violation. */
   readonly trace: readonly string[];
 }
 
 interface Predecessor {
-  /** The visit that this one was reached from. */
+  /** Index of the state from which this one was reached. */
   readonly previous: number;
   readonly action: Action | undefined;
 }
 
 /**
- * Goes through all states of a scope, nearest first, and stops at the first
- * violation or after so many states.
+ * Searches all states of a scope breadth-first, and stops at the first
+ * violation or after `maxStates` states.
  * @example
  * const found = searchAll(new StateSpace(code, scope), 100_000);
  */
--- a/packages/process-group/src/model-checking/agreement.test.ts
+++ b/packages/process-group/src/model-checking/agreement.test.ts
@@ -6,12 +6,12 @@
 import { searchAll, StateSpace, randomWalk } from './agreement-search.js';
 import * as production from '../index.js';
 
-/** States that a search of a planted fault may take. */
+/** Number of states within which the search must detect a mutant. */
 const MUTANT_STATES_MAX = 400_000;
 const WALK_COUNT = 60;
 const STEPS_PER_WALK = 120;
 
-/** One of all, in the hands of a script. */
+/** Scope of the scripted runs, whose scripts choose every action. */
 const SCRIPTED_SCOPE: Scope = {
   ...SCOPES.replacementTorn,
   crashing: ['a', 'b'],
@@ -19,7 +19,7 @@
   budget: { prepares: 2, crashes: 1, operations: 1, replacements: 1, losses: 0 },
 };
 
-/** Carries out the actions that begin with these words, and returns the first violation and what was left to do. */
+/** Carries out the actions that begin with the given lines; returns any violation and the lines left. */
 function runScript(
   scope: Scope,
   script: readonly string[],
@@ -37,9 +37,9 @@
   return { violation: undefined, remaining: [] };
 }
 
-describe('agreement, in every order of events', () => {
+describe('the invariants of agreement', () => {
   for (const name of ['rivals', 'repair', 'twoSpares'] as const) {
-    it(`holds in the complete scope "${name}"`, (test) => {
+    it(`hold in every state of the scope "${name}"`, (test) => {
       const found = searchAll(new StateSpace(production, SCOPES[name]), Infinity);
       test.diagnostic(`${found.states} states, ${found.steps} steps`);
       expect(found.violation).toEqual(undefined);
@@ -47,7 +47,7 @@
     });
   }
 
-  it('holds in walks at random with losses of disks, rejections and two spares', () => {
+  it('hold in random walks with lost disks, rejections and two spares', () => {
     const space = new StateSpace(production, RANDOM_WALK_SCOPE);
     const choices = fc.array(fc.nat(), { minLength: STEPS_PER_WALK, maxLength: STEPS_PER_WALK });
     fc.assert(
@@ -57,14 +57,14 @@
   });
 });
 
-describe('the model check finds what is taken out', () => {
+describe('the model check detects the removal of the rule that', () => {
   for (const mutant of MUTANTS) {
     it(mutant.name, async (test) => {
       const code = await loadMutant(mutant);
       if (code.isErr) return expect(code.error.detail).toEqual('');
       const found = searchAll(new StateSpace(code.value, SCOPES[mutant.scope]), MUTANT_STATES_MAX);
       test.diagnostic(
-        `${found.violation ?? 'not found'}: ${found.states} states, way of ${found.trace.length}`,
+        `${found.violation ?? 'not found'}: ${found.states} states, trace length ${found.trace.length}`,
       );
       expect(found.violation).not.toEqual(undefined);
     });
@@ -72,7 +72,7 @@
 });
 
 describe('agreement', () => {
-  it('does not elect by new voters alone while their change is not known to be chosen', () => {
+  it('does not elect a coordinator by new voters alone while their change is not known to be chosen', () => {
     const { violation, remaining } = runScript(SCRIPTED_SCOPE, [
       'a: replace c',
       'd: takes propose a#1 d',
--- a/packages/process-group/src/testing/restart-seeds.ts
+++ b/packages/process-group/src/testing/restart-seeds.ts
@@ -1,4 +1,4 @@
-/** Command: plays restart trials over a row of seeds and prints those that break the oracle. */
+/** Command: runs restart trials for a range of seeds and prints the trials that fail. */
 import { parseArgs } from 'node:util';
 import { RECOVERY_BOUND_MS, runRestartTrial } from './restart-trial.js';
 
--- a/packages/process-group/src/testing/restart-trial.ts
+++ b/packages/process-group/src/testing/restart-trial.ts
@@ -1,40 +1,41 @@
 /**
- * Trials of restarts by seed: all cores are killed at any moment, also twice, with a disk that hangs or links
- * that carry one way only, and an oracle for liveness and for what was acknowledged.
+ * Seeded restart trials: all cores are killed at a random time, once or twice, and one core may then have a
+ * hanging disk or links severed in one direction. A trial checks liveness and that no acknowledged change is
+ * lost.
  */
 import { SeededRandom } from '@rainrun/common';
 import type { View } from '@rainrun/messages';
 import { majority } from '../agreement/quorum.js';
 import { TestCluster } from './test-cluster.js';
 
-/** A group size, and how many disks it may lose. */
+/** Group sizes, and how many disks each may lose. */
 const GROUP_SIZES = [
   { cores: ['a', 'b', 'c'], losses: 1 },
   { cores: ['a', 'b', 'c', 'd', 'e'], losses: 2 },
   { cores: ['a', 'b', 'c', 'd', 'e', 'f'], losses: 2 },
 ] as const;
 
-/** The liveness bound: from the last start with a majority up and in touch to an acknowledged change. */
+/** Liveness bound: time from the last start, with a majority up and connected, to an acknowledged change. */
 export const RECOVERY_BOUND_MS = 3000;
 
-/** A trial is given up after so long. */
+/** A trial waits no longer than this for a recovery. */
 const RECOVERY_TIMEOUT_MS = 30_000;
 
-/** Changes are submitted at this interval before the kill. */
+/** Longest interval between two changes submitted before the kill. */
 const CHANGE_INTERVAL_MS = 50;
 
-/** What a trial came to. */
+/** The result of a trial. */
 export interface RestartTrialResult {
-  /** What was done, in order. */
+  /** What the trial did to the cluster, in order. */
   readonly events: readonly string[];
-  /** From the last start to an acknowledged change. */
+  /** Time from the last start to an acknowledged change. */
   readonly recoveredMs: number;
   /** Acknowledged changes that the coordinator lacks at the end. */
   readonly lost: readonly string[];
 }
 
 /**
- * Plays one trial; the same seed gives the same trial.
+ * Runs one trial; the same seed gives the same trial.
  * @example
  * runRestartTrial(7).recoveredMs; // 1325
  */
@@ -72,7 +73,7 @@
     return { events: this.#events, recoveredMs, lost };
   }
 
-  /** The first start of all; the kill comes while the group is founded. */
+  /** Starts all cores for the first time, so that the kill comes while the group is being founded. */
   #startFounding(): void {
     this.#cluster.startFirst();
     this.#cluster.run(10);
@@ -81,7 +82,7 @@
     this.#recordEvent(`killed ${afterMs} ms into the founding`);
   }
 
-  /** A founded group with changes under way, in which a core may just have been replaced. */
+  /** Founds a group and submits changes to it; a core may have been replaced just before. */
   #startFounded(): void {
     this.#cluster.found();
     if (this.#occursWith(0.25)) this.#replaceOneCore();
@@ -93,7 +94,7 @@
     }
   }
 
-  /** Removes a core for good and starts another with an empty disk; the kill may come while it takes its place. */
+  /** Replaces a core by one with an empty disk; the kill may come before the replacement is complete. */
   #replaceOneCore(): void {
     const lost = this.#cores[this.#randomBelow(this.#cores.length)];
     if (lost === undefined) return;
@@ -105,7 +106,7 @@
     this.#recordEvent(`${lost} replaced by x ${afterMs} ms before the kill`);
   }
 
-  /** Kills all cores at once and starts them in any order within a second. */
+  /** Kills all cores at once and restarts them in random order within about a second. */
   #killAndRestartAll(): void {
     this.#recordEvent(`all killed at ${this.#cluster.nowMs} ms`);
     const stopped = this.#cores.map((name) => this.#cluster.stop(name));
@@ -121,7 +122,7 @@
     }
   }
 
-  /** Hangs the disk of one core or cuts some of its links in one direction, where the others are a majority without it. */
+  /** Hangs the disk of one core or severs some of its links, if the others have a quorum without it. */
   #impairOneCore(): void {
     const kind = this.#random.next();
     const core = this.#cores[this.#randomBelow(this.#cores.length)];
@@ -136,10 +137,10 @@
       .flatMap((name) => [`${core} ${name}`, `${name} ${core}`])
       .filter(() => this.#occursWith(0.5));
     for (const link of severed) this.#cluster.severedLinks.add(link);
-    this.#recordEvent(`cut: ${severed.join(', ')}`);
+    this.#recordEvent(`severed links: ${severed.join(', ')}`);
   }
 
-  /** Whether all but this core are a majority of the voters and of the view of every version on any disk. */
+  /** Whether the other cores are a majority of the voters and of the view of every version on any disk. */
   #haveQuorumWithout(core: string): boolean {
     const others = this.#cores.filter((name) => name !== core);
     const disks = new Set(others.map((name) => this.#cluster.node(name).group.self.disk));
--- a/packages/process-group/src/testing/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of real groups over a network and disks in memory, in virtual time, for tests. */
+/** Test cluster of real groups over a network and disks in memory, in virtual time. */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import {
   FRAME_MAX_BYTES,
@@ -20,10 +20,10 @@
 const TICK_MS = 25;
 const LINK_MS = 1;
 
-/** Between two operations that probe whether the group commits again. */
+/** Interval between the operations that probe whether the group commits again. */
 const RECOVERY_PROBE_MS = 100;
 
-/** The state: the ids of the operations that were applied, in their order. */
+/** State machine whose state is the ids of the applied operations, in order. */
 const STATE_MACHINE: StateMachine<readonly string[]> = {
   empty: () => [],
   encode: (state) => ({
@@ -40,17 +40,17 @@
   readonly name: string;
   readonly records: Records;
   readonly group: Group<readonly string[]>;
-  /** Writes that are not synced yet, and when they will be. */
+  /** Writes that are not synced yet, and when each is due. */
   readonly writes: { readonly dueMs: number; readonly sync: () => void }[];
-  /** How long this disk takes for a write. */
+  /** How long this disk takes to sync a write. */
   syncMs: number;
   stalled: boolean;
   running: boolean;
 }
 
 /**
- * Real groups in virtual time. A node that is started again takes its records
- * with it, or none, under a new disk id, as after a loss of its disk.
+ * Real groups in virtual time. A restarted node keeps its records, or starts
+ * without any and with a new disk id, as after the loss of its disk.
  * @example
  * const cluster = new TestCluster(['a', 'b', 'c'], 1);
  * cluster.found();
@@ -128,21 +128,21 @@
     return this.nodes.get(name) as TestNode;
   }
 
-  /** Ends a process; what its disk had synced stays in the returned node's records. */
+  /** Stops a process; the records that its disk had synced stay in the returned node. */
   stop(name: string): TestNode {
     const node = this.node(name);
     node.running = false;
     return node;
   }
 
-  /** Kills a process and starts it again with what its disk had synced. */
+  /** Kills a process and restarts it with the records that its disk had synced. */
   restart(name: string): TestNode {
     return this.start(name, this.stop(name).records);
   }
 
   /**
-   * Submits an operation at every running core again and again until one that
-   * was submitted from now on is acknowledged, and says how long that took.
+   * Submits operations at every running core repeatedly until one of them is
+   * acknowledged; returns how long that took.
    */
   recover(timeoutMs: number): number {
     const earlier = this.#operationsCreated;
@@ -156,7 +156,7 @@
     }, timeoutMs);
   }
 
-  /** Submits an operation at a node; true if it was sent. */
+  /** Submits an operation at a node; returns whether it was sent. */
   submit(name: string, payloadBytes = 0): boolean {
     this.#operationsCreated += 1;
     const id = `o${this.#operationsCreated}`;
@@ -166,7 +166,7 @@
     );
   }
 
-  /** Cuts a machine off from all others, or ends that. */
+  /** Isolates a machine from all others, or reconnects it. */
   setIsolated(name: string, isIsolated: boolean): void {
     for (const other of this.nodes.keys())
       for (const link of [`${name} ${other}`, `${other} ${name}`]) {
@@ -184,7 +184,7 @@
     }
   }
 
-  /** Runs until something holds, and says how long that took. */
+  /** Runs until the condition holds or the time is up; returns how long that took. */
   runUntil(condition: () => boolean, timeoutMs: number): number {
     const startMs = this.nowMs;
     while (!condition() && this.nowMs - startMs < timeoutMs) this.run(TICK_MS);
@@ -195,7 +195,7 @@
     return [...this.nodes.values()].filter((node) => node.running);
   }
 
-  /** The versions that the disks of running nodes have accepted, synced. */
+  /** The accepted versions that the disks of running nodes have synced. */
   acceptedVersions(): Version[] {
     return this.running.flatMap(({ records }) =>
       records.version === undefined ? [] : [fromBinary(VersionSchema, records.version)],
@@ -218,7 +218,7 @@
     if (this.nowMs % TICK_MS === 0) node.group.tick();
   }
 
-  /** Puts a frame on its way; the receiver would refuse one that is too large. */
+  /** Queues a frame for delivery; drops one that is so large that the receiver would reject it. */
   #send(from: string, to: string, frame: Frame): void {
     const mayBeLarge = frame.body.case === 'sequenced' || frame.body.case === 'propose';
     if (!mayBeLarge || encodeFrame(frame).length <= FRAME_MAX_BYTES)
--- a/packages/process-group/src/testing/three-member-view.ts
+++ b/packages/process-group/src/testing/three-member-view.ts
@@ -1,4 +1,4 @@
-/** The view of three members that tests share. */
+/** A view of three members for tests. */
 import { create } from '@bufbuild/protobuf';
 import { MemberSchema, ViewSchema } from '@rainrun/messages';
 
