--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -11,7 +11,7 @@
 
 /** All pairs of the given names. */
 function pairsOf(names: readonly string[]): [string, string][] {
-  return names.flatMap((one, place) => names.slice(place + 1).map((other): [string, string] => [one, other]));
+  return names.flatMap((one, index) => names.slice(index + 1).map((other): [string, string] => [one, other]));
 }
 
 /** Stops machines and restarts them with empty disks after `RESTART_MS`. */
@@ -29,7 +29,7 @@
 }
 
 /** Expects that a new operation is acknowledged in `ACK_MS` and that every node has all acknowledged ones. */
-function expectNothingLost(cluster: TestCluster, what: string): void {
+function expectNothingLost(cluster: TestCluster, scenario: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
   const tookMs = cluster.runUntil(() => {
@@ -43,7 +43,7 @@
   const lacking = cluster.running
     .filter(({ name }) => cluster.missingOperations(name).length > 0)
     .map(({ name }) => name);
-  expect([what, tookMs <= ACK_MS || tookMs, lacking]).toEqual([what, true, []]);
+  expect([scenario, tookMs <= ACK_MS || tookMs, lacking]).toEqual([scenario, true, []]);
 }
 
 function foundCluster(names: readonly string[], faultTolerance: number, seed: number): TestCluster {
@@ -60,9 +60,9 @@
 
 describe('control safety, point 3: membership', () => {
   it('survives the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
-    for (const [place, first] of pairsOf(FIVE).entries()) {
-      const second = pairsOf(FIVE)[(place * 7 + 3) % 10] as [string, string];
-      const cluster = foundCluster(FIVE, 2, place);
+    for (const [index, first] of pairsOf(FIVE).entries()) {
+      const second = pairsOf(FIVE)[(index * 7 + 3) % 10] as [string, string];
+      const cluster = foundCluster(FIVE, 2, index);
       restartWithEmptyDisks(cluster, first);
       cluster.run(CATCH_UP_MS);
       restartWithEmptyDisks(cluster, second);
@@ -71,13 +71,13 @@
   });
 
   it('survives the loss of two of five disks and of two more on disks that take 100 ms for a write', () => {
-    for (const [place, first] of pairsOf(FIVE).entries()) {
-      const cluster = foundCluster(FIVE, 2, place);
+    for (const [index, first] of pairsOf(FIVE).entries()) {
+      const cluster = foundCluster(FIVE, 2, index);
       for (const node of cluster.running) node.syncMs = 100;
       restartWithEmptyDisks(cluster, first);
       for (const node of cluster.running) node.syncMs = 100;
       cluster.run(CATCH_UP_MS);
-      restartWithEmptyDisks(cluster, pairsOf(FIVE)[9 - place] ?? first);
+      restartWithEmptyDisks(cluster, pairsOf(FIVE)[9 - index] ?? first);
       expectNothingLost(cluster, first.join());
     }
   });
@@ -148,13 +148,13 @@
   });
 
   it('recovers when all lose power and two lose their disks, CatchUpS after the loss of two disks', () => {
-    for (const [place, first] of pairsOf(FIVE).entries())
+    for (const [index, first] of pairsOf(FIVE).entries())
       for (const second of pairsOf(FIVE)) {
-        const cluster = foundCluster(FIVE, 2, place);
+        const cluster = foundCluster(FIVE, 2, index);
         restartWithEmptyDisks(cluster, first);
         cluster.run(CATCH_UP_MS);
         cluster.submit('a');
-        cluster.run(place);
+        cluster.run(index);
         powerCycleAll(cluster, second);
         expectNothingLost(cluster, `${first.join()} then ${second.join()} with a power failure`);
       }
@@ -192,15 +192,15 @@
   it('brings a member that was isolated for 20 s and missed 400 versions to the newest one', () => {
     const cluster = foundCluster(FIVE, 2, 4);
     const leader = cluster.leader()?.name ?? '';
-    const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
-    cluster.setIsolated(late, true);
+    const [isolated = '', other = ''] = FIVE.filter((name) => name !== leader);
+    cluster.setIsolated(isolated, true);
     for (let count = 0; count < 400; count += 1) {
       cluster.submit(other, 20_000);
       cluster.run(50);
     }
-    cluster.setIsolated(late, false);
-    const stale = cluster.missingOperations(late).length;
-    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
+    cluster.setIsolated(isolated, false);
+    const stale = cluster.missingOperations(isolated).length;
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(isolated).length === 0, 20_000);
     expect([cluster.acknowledged.size, stale > 300, tookMs <= CATCH_UP_MS || tookMs]).toEqual([
       401,
       true,
@@ -211,20 +211,19 @@
   it('brings a member that missed 12 versions of 1 MiB to the newest one within the frame size limit', () => {
     const cluster = foundCluster(THREE, 1, 4);
     const leader = cluster.leader()?.name ?? '';
-    const [late = '', other = ''] = THREE.filter((name) => name !== leader);
-    cluster.setIsolated(late, true);
+    const [isolated = '', other = ''] = THREE.filter((name) => name !== leader);
+    cluster.setIsolated(isolated, true);
     for (let count = 0; count < 12; count += 1) {
       cluster.submit(other, 1024 * 1024);
       cluster.run(60);
     }
-    cluster.setIsolated(late, false);
-    const { incarnation } = cluster.node(late).group.self;
-    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
+    cluster.setIsolated(isolated, false);
+    const { incarnation } = cluster.node(isolated).group.self;
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(isolated).length === 0, 20_000);
     cluster.run(5000);
-    expect([tookMs <= 1000 || tookMs, cluster.node(late).group.self.incarnation === incarnation]).toEqual([
-      true,
-      true,
-    ]);
+    expect([tookMs <= 1000 || tookMs, cluster.node(isolated).group.self.incarnation === incarnation]).toEqual(
+      [true, true],
+    );
   });
 
   it('neither answers nor coordinates with stale state after a restart while changes continue', () => {
--- a/packages/process-group/src/membership/waits.test.ts
+++ b/packages/process-group/src/membership/waits.test.ts
@@ -69,10 +69,10 @@
 
   it('for flushes of members that cannot answer ends with a view without them', () => {
     const { cluster, leader, followers } = foundCluster();
-    const [lost, deaf] = followers;
-    if (lost === undefined || deaf === undefined) return;
+    const [lost, muted] = followers;
+    if (lost === undefined || muted === undefined) return;
     cluster.stop(lost.name);
-    cluster.severedLinks.add(`${deaf.name} ${leader.name}`);
+    cluster.severedLinks.add(`${muted.name} ${leader.name}`);
     const tookMs = cluster.runUntil(() => memberNamesOf(leader).length === CORES.length - 2, 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 6000);
     expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 1000);
