--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -104,7 +104,7 @@
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(member);
-    const echoToken = this.#issueEchoToken(member.incarnation);
+    const echoToken = this.#echoTokenFor(member.incarnation);
     if (hello.echo === echoToken) {
       const { newestVersion: number, founding } = hello;
       liveness.recordAnswer(member.incarnation, nowMs);
@@ -182,7 +182,7 @@
     return echoTokens;
   }
 
-  #issueEchoToken(incarnation: string): string {
+  #echoTokenFor(incarnation: string): string {
     const known = this.#issuedEchoTokens.get(incarnation);
     if (known !== undefined) return known;
     const echoToken = randomId(this.#collaborators.dependencies.chance);
