--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -1,4 +1,4 @@
-/** How nodes find each other: greetings, contacts, and what is known of nodes outside the view. */
+/** Discovery of other nodes: hello messages, recent contacts, and what is known of nodes outside the view. */
 import { create } from '@bufbuild/protobuf';
 import { randomId } from '@rainrun/common';
 import { HelloAckSchema, HelloSchema, type Hello, type HelloAck, type Member } from '@rainrun/messages';
@@ -12,21 +12,21 @@
 import { rankOf } from './members.js';
 import { levelMismatch } from './protocol-levels.js';
 
-/** A node that was lately in touch, as it described itself. */
+/** A node that was recently in contact, as it described itself. */
 export interface Contact {
   readonly member: Member;
   readonly atMs: number;
   readonly inView: boolean;
-  /** Newest version that it holds or has accepted. */
+  /** Number of the newest version that it holds or has accepted. */
   readonly newestVersion: number;
   /** Whether it is a founder with an empty disk. */
   readonly founding: boolean;
 }
 
-/** A contact counts for so long. */
+/** How long a contact is fresh after its last message. */
 const CONTACT_FRESH_MS = 1200;
 
-/** Contacts older than so many times `CONTACT_MS` are dropped. */
+/** Contacts older than this many times `CONTACT_FRESH_MS` are dropped. */
 const CONTACT_RETENTION_FACTOR = 10;
 
 /** What discovery needs. */
@@ -43,10 +43,9 @@
 }
 
 /**
- * Greets the addresses known while this node is outside a view or has lost
- * its majority, and answers the greetings of others. A node counts as there
- * only after it has echoed a greeting of ours: so a path in one direction
- * alone makes no contact.
+ * Sends hellos to the known addresses while this node is outside a view or has lost its majority, and answers
+ * the hellos of others. A node becomes a contact only after it has answered a hello of this node or echoed a
+ * token of this node, so a path that works in one direction only makes no contact.
  * @example
  * discovery.tick(nowMs);
  * discovery.joiners(); // the coordinator lets these in
@@ -54,18 +53,18 @@
 export class Discovery<S> {
   #collaborators: DiscoveryCollaborators<S>;
   #contacts = new Map<string, Contact>();
-  /** What others gave us to echo, by incarnation. */
-  #receivedGreetings = new Map<string, string>();
-  /** What we gave others to echo, by incarnation. */
-  #sentGreetings = new Map<string, string>();
-  #welcomedMs = new Map<string, number>();
+  /** Tokens that other nodes issued to this node and that its hellos echo, by incarnation. */
+  #receivedEchoTokens = new Map<string, string>();
+  /** Tokens that this node issued to other nodes for their hellos to echo, by incarnation. */
+  #issuedEchoTokens = new Map<string, string>();
+  #joinSnapshotSentMs = new Map<string, number>();
   #lastHelloMs = -Infinity;
 
   constructor(collaborators: DiscoveryCollaborators<S>) {
     this.#collaborators = collaborators;
   }
 
-  /** Greets every address known, when it is time and there is a reason to. */
+  /** Sends hellos to every known address when they are due, unless this node is leaving or holds a lease. */
   tick(nowMs: number): void {
     const { dependencies, leases, local } = this.#collaborators;
     if (nowMs - this.#lastHelloMs < dependencies.times.helloMs) return;
@@ -75,13 +74,13 @@
     this.#sendHellos();
   }
 
-  /** The nodes that were in touch lately. */
+  /** The contacts heard from within `CONTACT_FRESH_MS`. */
   freshContacts(): Contact[] {
     const nowMs = this.#collaborators.local.nowMs();
     return [...this.#contacts.values()].filter((contact) => isFresh(contact, nowMs));
   }
 
-  /** Live nodes that ask to join; this node too while it is in no view. */
+  /** Fresh contacts outside the view that ask to join it; includes this node while it is in no view. */
   joiners(): Member[] {
     const { local } = this.#collaborators;
     const joiners = this.freshContacts()
@@ -92,23 +91,23 @@
     return joiners.filter((member) => rankOf(view, member.incarnation) < 0);
   }
 
-  /** Whether this incarnation was in touch within `CONTACT_FRESH_MS`. */
+  /** Whether this incarnation was heard from within `CONTACT_FRESH_MS`. */
   hasFreshContact(incarnation: string, nowMs: number): boolean {
     const contact = this.#contacts.get(incarnation);
     return contact !== undefined && isFresh(contact, nowMs);
   }
 
-  /** Answers a greeting; its sender counts as a contact once it echoes what this node gave it. */
+  /** Answers a hello; its sender becomes a contact once it echoes the token that this node issued to it. */
   onHello(hello: Hello): void {
     const { directory, liveness, local } = this.#collaborators;
     const member = hello.sender;
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(member);
-    const greeting = this.#greetingFor(member.incarnation);
-    if (hello.echo === greeting) {
+    const echoToken = this.#echoTokenFor(member.incarnation);
+    if (hello.echo === echoToken) {
       const { newestVersion: number, founding } = hello;
-      liveness.answered(member.incarnation, nowMs);
+      liveness.recordAnswer(member.incarnation, nowMs);
       this.#contacts.set(member.incarnation, {
         member,
         atMs: nowMs,
@@ -117,19 +116,19 @@
         founding,
       });
     }
-    if (hello.echo !== '') this.#welcomeMember(member, nowMs);
-    this.#answerHello(member, greeting);
+    if (hello.echo !== '') this.#sendJoinSnapshot(member, nowMs);
+    this.#acknowledgeHello(member, echoToken);
   }
 
-  /** Takes the answer to a greeting; rejoins if the group went on without this node. */
+  /** Handles the answer to a hello; rejoins if the group has moved on to a view without this node. */
   onHelloAck(ack: HelloAck): void {
     const { dependencies, directory, liveness, local, viewChange } = this.#collaborators;
     const member = ack.sender;
     if (member === undefined || member.incarnation === local.incarnation) return;
     const nowMs = local.nowMs();
     directory.learn(member);
-    this.#receivedGreetings.set(member.incarnation, ack.greeting);
-    liveness.answered(member.incarnation, nowMs);
+    this.#receivedEchoTokens.set(member.incarnation, ack.greeting);
+    liveness.recordAnswer(member.incarnation, nowMs);
     const { inView, newestVersion: number, founding } = ack;
     if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
     this.#contacts.set(member.incarnation, { member, atMs: nowMs, inView, newestVersion: number, founding });
@@ -142,14 +141,14 @@
   /** Drops what is known of an incarnation. */
   remove(incarnation: string): void {
     this.#contacts.delete(incarnation);
-    this.#sentGreetings.delete(incarnation);
-    this.#welcomedMs.delete(incarnation);
-    this.#receivedGreetings.delete(incarnation);
+    this.#issuedEchoTokens.delete(incarnation);
+    this.#joinSnapshotSentMs.delete(incarnation);
+    this.#receivedEchoTokens.delete(incarnation);
   }
 
-  /** This node goes on under another incarnation: greetings to the old one do not count. */
-  clearGreetings(): void {
-    this.#receivedGreetings.clear();
+  /** Discards the tokens that were issued to the previous incarnation of this node. */
+  clearReceivedEchoTokens(): void {
+    this.#receivedEchoTokens.clear();
   }
 
   #dropOldContacts(nowMs: number): void {
@@ -161,48 +160,48 @@
 
   #sendHellos(): void {
     const { dependencies, directory, founding, local, transport } = this.#collaborators;
-    const greetings = this.#greetingsByAddress();
+    const echoTokens = this.#echoTokensByAddress();
     for (const address of new Set([...dependencies.seeds, ...directory.addresses])) {
       if (address === local.self.address) continue;
       const value = create(HelloSchema, {
         sender: local.self,
         founding: founding.mayFound(),
         newestVersion: local.newestVersion,
-        echo: local.inView ? '' : (greetings.get(address) ?? ''),
+        echo: local.inView ? '' : (echoTokens.get(address) ?? ''),
       });
       transport.sendToAddress(address, '', { case: 'hello', value });
     }
   }
 
-  #greetingsByAddress(): Map<string, string> {
-    const greetings = new Map<string, string>();
-    for (const [incarnation, greeting] of this.#receivedGreetings) {
+  #echoTokensByAddress(): Map<string, string> {
+    const echoTokens = new Map<string, string>();
+    for (const [incarnation, echoToken] of this.#receivedEchoTokens) {
       const address = this.#collaborators.directory.member(incarnation)?.address;
-      if (address !== undefined) greetings.set(address, greeting);
+      if (address !== undefined) echoTokens.set(address, echoToken);
     }
-    return greetings;
+    return echoTokens;
   }
 
-  #greetingFor(incarnation: string): string {
-    const known = this.#sentGreetings.get(incarnation);
+  #echoTokenFor(incarnation: string): string {
+    const known = this.#issuedEchoTokens.get(incarnation);
     if (known !== undefined) return known;
-    const greeting = randomId(this.#collaborators.dependencies.chance);
-    this.#sentGreetings.set(incarnation, greeting);
-    return greeting;
+    const echoToken = randomId(this.#collaborators.dependencies.chance);
+    this.#issuedEchoTokens.set(incarnation, echoToken);
+    return echoToken;
   }
 
-  /** Sends a snapshot to a member that does not know yet that it is one. */
-  #welcomeMember(member: Member, nowMs: number): void {
+  /** Sends a snapshot to a node that does not know yet that it is a member, once in two hello intervals. */
+  #sendJoinSnapshot(member: Member, nowMs: number): void {
     const { dependencies, local, versions } = this.#collaborators;
     const view = local.view;
     if (view === undefined || rankOf(view, member.incarnation) < 0) return;
-    const sinceMs = nowMs - (this.#welcomedMs.get(member.incarnation) ?? -Infinity);
+    const sinceMs = nowMs - (this.#joinSnapshotSentMs.get(member.incarnation) ?? -Infinity);
     if (sinceMs <= 2 * dependencies.times.helloMs) return;
-    this.#welcomedMs.set(member.incarnation, nowMs);
+    this.#joinSnapshotSentMs.set(member.incarnation, nowMs);
     versions.sendSnapshot(member);
   }
 
-  #answerHello(member: Member, greeting: string): void {
+  #acknowledgeHello(member: Member, echoToken: string): void {
     const { founding, local, transport } = this.#collaborators;
     const view = local.view;
     const isMember = view !== undefined && rankOf(view, member.incarnation) >= 0;
@@ -210,7 +209,7 @@
     const contacts = this.freshContacts().map((contact) => contact.member);
     const value = create(HelloAckSchema, {
       sender: local.self,
-      greeting,
+      greeting: echoToken,
       known: [
         ...members.filter((other) => other.incarnation !== member.incarnation || isMember),
         ...contacts.filter((other) => other.incarnation !== member.incarnation),
--- a/packages/process-group/src/model-checking/agreement-invariants.ts
+++ b/packages/process-group/src/model-checking/agreement-invariants.ts
@@ -1,12 +1,12 @@
-/** The invariants of agreement, checked on messages and events alone. */
+/** The invariants of agreement, checked on messages and events only. */
 import type { Version } from '@rainrun/messages';
-import { contentOf, incarnationName, type Message } from './agreement-messages.js';
+import { contentDigest, incarnationName, type Message } from './agreement-messages.js';
 import { isLater, majority } from '../agreement/quorum.js';
 
-type Of<K extends Message['kind']> = Extract<Message, { kind: K }>;
+type MessageOf<K extends Message['kind']> = Extract<Message, { kind: K }>;
 
-function ofKind<K extends Message['kind']>(messages: readonly Message[], kind: K): Of<K>[] {
-  return messages.filter((message): message is Of<K> => message.kind === kind);
+function ofKind<K extends Message['kind']>(messages: readonly Message[], kind: K): MessageOf<K>[] {
+  return messages.filter((message): message is MessageOf<K> => message.kind === kind);
 }
 
 function disksOf(version: Version | undefined): string[] {
@@ -14,27 +14,27 @@
 }
 
 /**
- * What is wrong with a message, given all that were sent before it; undefined
- * when nothing is.
+ * Describes the invariant that a message violates, given all messages sent
+ * before it; undefined if it violates none.
  * @example
- * violation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
+ * findViolation(sent, { kind: 'elected', from: { machine: 'a', incarnation: 1 }, epoch: 2 });
  */
-export function violation(sent: readonly Message[], message: Message): string | undefined {
+export function findViolation(sent: readonly Message[], message: Message): string | undefined {
   switch (message.kind) {
     case 'promise':
-      return brokenPromise(sent, message);
+      return promiseViolation(sent, message);
     case 'accepted':
-      return brokenAcceptance(sent, message);
+      return acceptanceViolation(sent, message);
     case 'elected':
-      return secondCoordinator(sent, message);
+      return electionViolation(sent, message);
     case 'chosen':
-      return wronglyChosen(sent, message);
+      return choiceViolation(sent, message);
     default:
       return undefined;
   }
 }
 
-function brokenPromise(sent: readonly Message[], message: Of<'promise'>): string | undefined {
+function promiseViolation(sent: readonly Message[], message: MessageOf<'promise'>): string | undefined {
   const { promise, from, to } = message;
   if (!promise.granted) return undefined;
   const rival = ofKind(sent, 'promise').find(
@@ -54,10 +54,10 @@
   );
   if (forgotten === undefined) return undefined;
   const { epoch, number } = forgotten.accepted;
-  return `disk ${from.machine} acknowledged version ${epoch}/${number} and promised with an older one`;
+  return `disk ${from.machine} acknowledged version ${epoch}/${number} and sent a promise with an older version`;
 }
 
-function brokenAcceptance(sent: readonly Message[], message: Of<'accepted'>): string | undefined {
+function acceptanceViolation(sent: readonly Message[], message: MessageOf<'accepted'>): string | undefined {
   const { accepted, from, to } = message;
   if (accepted.rejected) return undefined;
   const newer = ofKind(sent, 'promise').find(
@@ -68,10 +68,10 @@
         (other.promise.epoch === accepted.epoch && other.to.machine !== to.machine)),
   );
   if (newer === undefined) return undefined;
-  return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted in epoch ${accepted.epoch} of ${to.machine}`;
+  return `disk ${from.machine} promised epoch ${newer.promise.epoch} to ${newer.to.machine} and accepted a version in epoch ${accepted.epoch} of ${to.machine}`;
 }
 
-function secondCoordinator(sent: readonly Message[], message: Of<'elected'>): string | undefined {
+function electionViolation(sent: readonly Message[], message: MessageOf<'elected'>): string | undefined {
   const other = ofKind(sent, 'elected').find(
     ({ epoch, from }) => epoch === message.epoch && incarnationName(from) !== incarnationName(message.from),
   );
@@ -79,22 +79,22 @@
   return `epoch ${message.epoch} has two coordinators, ${incarnationName(other.from)} and ${incarnationName(message.from)}`;
 }
 
-function wronglyChosen(sent: readonly Message[], message: Of<'chosen'>): string | undefined {
+function choiceViolation(sent: readonly Message[], message: MessageOf<'chosen'>): string | undefined {
   const { version } = message;
   const chosen = ofKind(sent, 'chosen').map((other) => other.version);
   const same = chosen.filter((other) => other.number === version.number);
-  if (same.some((other) => contentOf(other) !== contentOf(version)))
-    return `two versions are chosen under number ${version.number}`;
+  if (same.some((other) => contentDigest(other) !== contentDigest(version)))
+    return `two versions with different content are chosen under number ${version.number}`;
   const newer = chosen.find((other) => other.epoch > version.epoch);
   if (same.length === 0 && newer !== undefined)
-    return `number ${version.number} is chosen in epoch ${version.epoch} after one of epoch ${newer.epoch}`;
+    return `number ${version.number} is chosen in epoch ${version.epoch} after a version of epoch ${newer.epoch}`;
   const passed = chosen.find((other) => other.epoch < version.epoch && other.number > version.number);
   if (passed !== undefined)
-    return `number ${version.number} is chosen in epoch ${version.epoch} though ${passed.number} was in epoch ${passed.epoch}`;
-  return wrongVoters(sent, version, chosen);
+    return `number ${version.number} is chosen in epoch ${version.epoch} although number ${passed.number} was chosen in epoch ${passed.epoch}`;
+  return voterChangeViolation(sent, version, chosen);
 }
 
-function wrongVoters(
+function voterChangeViolation(
   sent: readonly Message[],
   version: Version,
   chosen: readonly Version[],
@@ -115,7 +115,7 @@
   );
   for (const set of [old, voters]) {
     if (set.filter((disk) => synced.has(disk)).length < majority(set.length))
-      return `version ${version.epoch}/${version.number} is chosen by ${[...synced].join(' ')} of ${set.join(' ')}`;
+      return `version ${version.epoch}/${version.number} is chosen by disks ${[...synced].join(' ')} without a majority of voters ${set.join(' ')}`;
   }
   return undefined;
 }
--- a/packages/process-group/src/multicast/causal-order.ts
+++ b/packages/process-group/src/multicast/causal-order.ts
@@ -11,11 +11,11 @@
 }
 
 /**
- * Causal multicast within one view. A cast is buffered back until its causal
+ * Causal multicast within one view. A cast is buffered until its causal
  * predecessors have been delivered; it is kept until it is known to be
- * delivered everywhere, so that a flush can hand it on.
+ * delivered everywhere, so that a flush can pass it on.
  * @example
- * const causal = new Causal(view, 'incarnation-1', (sender, payload) => observe(sender, payload));
+ * const causal = new CausalOrder(view, 'incarnation-1', (cast) => observe(cast.sender, cast.payload));
  * const cast = causal.send(payload);
  */
 export class CausalOrder {
@@ -26,9 +26,9 @@
   #delivered: number[];
   #waiting: BufferedCast[] = [];
   #unstable = new Map<string, BufferedCast>();
-  #recordSent: number[];
-  #records: number[][];
-  #stableAt: number[][];
+  #lastSentContext: number[];
+  #contextsBySender: number[][];
+  #deliveredBy: number[][];
   #stopped = false;
   #contextBytes = 0;
 
@@ -39,9 +39,9 @@
     this.#rank = rankOf(view, incarnation);
     this.#deliver = deliver;
     this.#delivered = new Array<number>(size).fill(0);
-    this.#recordSent = new Array<number>(size).fill(0);
-    this.#records = view.members.map(() => new Array<number>(size).fill(0));
-    this.#stableAt = view.members.map(() => new Array<number>(size).fill(0));
+    this.#lastSentContext = new Array<number>(size).fill(0);
+    this.#contextsBySender = view.members.map(() => new Array<number>(size).fill(0));
+    this.#deliveredBy = view.members.map(() => new Array<number>(size).fill(0));
   }
 
   /** Whether delivery in this view has ended. */
@@ -54,7 +54,7 @@
     return this.#delivered;
   }
 
-  /** Bytes of context record sent so far, as a figure for the logs. */
+  /** Bytes of causal context sent so far, estimated at 3 per entry, for the counters. */
   get contextBytes(): number {
     return this.#contextBytes;
   }
@@ -76,66 +76,66 @@
       payload,
     });
     context.forEach((count, rank) => {
-      if (rank === this.#rank || count === this.#recordSent[rank]) return;
+      if (rank === this.#rank || count === this.#lastSentContext[rank]) return;
       cast.contextRank.push(rank);
       cast.contextCount.push(count);
       this.#contextBytes += 3;
     });
-    this.#recordSent = context;
+    this.#lastSentContext = context;
     this.#accept({ rank: this.#rank, context, cast });
     return cast;
   }
 
-  /** Takes a cast of this view; it may have to wait for others. */
+  /** Receives a cast of this view; it is buffered until its causal predecessors have been delivered. */
   receive(cast: Cast): void {
     const rank = rankOf(this.#view, cast.sender);
-    const record = this.#records[rank];
-    if (record === undefined || cast.view !== this.#view.number) return;
-    if (cast.sequence <= (record[rank] ?? 0)) return;
-    cast.contextRank.forEach((at, place) => {
-      if (at < record.length) record[at] = cast.contextCount[place] ?? 0;
+    const senderContext = this.#contextsBySender[rank];
+    if (senderContext === undefined || cast.view !== this.#view.number) return;
+    if (cast.sequence <= (senderContext[rank] ?? 0)) return;
+    cast.contextRank.forEach((memberRank, index) => {
+      if (memberRank < senderContext.length) senderContext[memberRank] = cast.contextCount[index] ?? 0;
     });
-    record[rank] = cast.sequence;
-    this.#waiting.push({ rank, context: [...record], cast });
+    senderContext[rank] = cast.sequence;
+    this.#waiting.push({ rank, context: [...senderContext], cast });
     if (this.#stopped) this.#retain(this.#waiting[this.#waiting.length - 1]);
-    else this.#drain();
+    else this.#deliverReady();
   }
 
-  /** What all members have delivered as far as this one knows, by rank. */
+  /** How many casts of each member are known to be delivered everywhere, by rank. */
   get stable(): readonly number[] {
     return this.#delivered.map((own, rank) =>
       Math.min(
         own,
-        ...this.#stableAt.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0])),
+        ...this.#deliveredBy.flatMap((vector, member) => (member === this.#rank ? [] : [vector[rank] ?? 0])),
       ),
     );
   }
 
-  /** Learns from the collector what all members have delivered, and drops it. */
+  /** Drops the casts that the collector reports as delivered everywhere. */
   learnStable(stable: readonly number[]): void {
     if (stable.length !== this.#delivered.length) return;
     for (const [key, buffered] of this.#unstable)
       if (buffered.cast.sequence <= (stable[buffered.rank] ?? 0)) this.#unstable.delete(key);
   }
 
-  /** Learns what a member has delivered, and drops what all have. */
+  /** Records what a member has delivered, and drops the casts that all members have delivered. */
   learnDelivered(incarnation: string, delivered: readonly number[]): void {
     const rank = rankOf(this.#view, incarnation);
     if (rank < 0 || delivered.length !== this.#delivered.length) return;
-    this.#stableAt[rank] = [...delivered];
+    this.#deliveredBy[rank] = [...delivered];
     for (const [key, buffered] of this.#unstable) {
       if (this.#isStable(buffered)) this.#unstable.delete(key);
     }
   }
 
-  /** Ends delivery in this view and returns every cast that may be missing elsewhere, with its complete context. */
+  /** Ends delivery in this view; returns every cast that other members may lack, with its full context. */
   stop(): Cast[] {
     this.#stopped = true;
     for (const buffered of this.#waiting) this.#retain(buffered);
     return [...this.#unstable.values()].map((buffered) => withFullContext(buffered));
   }
 
-  /** Delivers what was agreed to end this view, in the agreed order, and nothing else. */
+  /** Delivers the casts that were agreed to end this view, in the agreed order, and nothing else. */
   finish(flushedCasts: readonly Cast[]): void {
     for (const cast of flushedCasts) {
       const rank = rankOf(this.#view, cast.sender);
@@ -146,7 +146,7 @@
   }
 
   #isStable(buffered: BufferedCast): boolean {
-    return this.#stableAt.every((vector, rank) => {
+    return this.#deliveredBy.every((vector, rank) => {
       const count = rank === this.#rank ? this.#delivered[buffered.rank] : vector[buffered.rank];
       return (count ?? 0) >= buffered.cast.sequence;
     });
@@ -162,14 +162,14 @@
     this.#deliver(buffered.cast);
   }
 
-  #drain(): void {
-    for (let moved = true; moved;) {
-      moved = false;
+  #deliverReady(): void {
+    for (let progressed = true; progressed;) {
+      progressed = false;
       for (const buffered of this.#waiting) {
         if (!isDeliverable(buffered, this.#delivered)) continue;
         this.#waiting.splice(this.#waiting.indexOf(buffered), 1);
         this.#accept(buffered);
-        moved = true;
+        progressed = true;
         break;
       }
     }
@@ -197,29 +197,29 @@
 }
 
 /**
- * The union of the unstable casts of the members that stay, in one causal order:
- * every one of them delivers these casts to end the old view (the flush of
- * Birman's virtual synchrony). A cast whose predecessor no member has any more
- * comes last: its sender left with it.
+ * The union of the unstable casts of the members that stay, in one causal order.
+ * Each of these members delivers the casts to end the old view (the flush of
+ * Birman's virtual synchrony). A cast with a predecessor that no member has any
+ * more, because its sender is gone, comes last.
  * @example
  * const flushedCasts = flushedCastsOf(view, replies.map((reply) => reply.unstableCasts));
  */
 export function flushedCastsOf(view: View, castsByMember: readonly (readonly Cast[])[]): Cast[] {
-  const known = new Map<string, BufferedCast>();
+  const castsByKey = new Map<string, BufferedCast>();
   for (const cast of castsByMember.flat()) {
     const rank = rankOf(view, cast.sender);
     if (rank < 0 || cast.view !== view.number) continue;
-    known.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
+    castsByKey.set(`${rank}:${cast.sequence}`, { rank, context: cast.contextCount, cast });
   }
-  const left = [...known.values()].sort(
+  const remaining = [...castsByKey.values()].sort(
     (one, other) => one.rank - other.rank || one.cast.sequence - other.cast.sequence,
   );
   const flushedCasts: Cast[] = [];
-  while (left.length > 0) {
-    const next = left.findIndex((buffered) =>
-      left.every((other) => other === buffered || !precedes(other, buffered)),
+  while (remaining.length > 0) {
+    const next = remaining.findIndex((buffered) =>
+      remaining.every((other) => other === buffered || !precedes(other, buffered)),
     );
-    flushedCasts.push(...left.splice(Math.max(next, 0), 1).map((buffered) => buffered.cast));
+    flushedCasts.push(...remaining.splice(Math.max(next, 0), 1).map((buffered) => buffered.cast));
   }
   return flushedCasts;
 }
--- a/packages/process-group/src/testing/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -1,4 +1,4 @@
-/** A cluster of real groups over a network and disks in memory, in virtual time, for tests. */
+/** Test cluster of real groups over a network and disks in memory, in virtual time. */
 import { create, fromBinary } from '@bufbuild/protobuf';
 import {
   FRAME_MAX_BYTES,
@@ -20,10 +20,10 @@
 const TICK_MS = 25;
 const LINK_MS = 1;
 
-/** Between two operations that probe whether the group commits again. */
+/** Interval between the operations that probe whether the group commits again. */
 const RECOVERY_PROBE_MS = 100;
 
-/** The state: the ids of the operations that were applied, in their order. */
+/** State machine whose state is the ids of the applied operations, in order. */
 const STATE_MACHINE: StateMachine<readonly string[]> = {
   empty: () => [],
   encode: (state) => ({
@@ -40,17 +40,17 @@
   readonly name: string;
   readonly records: Records;
   readonly group: Group<readonly string[]>;
-  /** Writes that are not synced yet, and when they will be. */
+  /** Writes that are not synced yet, and when each is due. */
   readonly writes: { readonly dueMs: number; readonly sync: () => void }[];
-  /** How long this disk takes for a write. */
+  /** How long this disk takes to sync a write. */
   syncMs: number;
   stalled: boolean;
   running: boolean;
 }
 
 /**
- * Real groups in virtual time. A node that is started again takes its records
- * with it, or none, under a new disk id, as after a loss of its disk.
+ * Real groups in virtual time. A restarted node keeps its records, or starts
+ * without any and with a new disk id, as after the loss of its disk.
  * @example
  * const cluster = new TestCluster(['a', 'b', 'c'], 1);
  * cluster.found();
@@ -65,8 +65,8 @@
   #founders: readonly string[] = [];
   #desiredVoterCount: number;
   #random: SeededRandom;
-  #disks = 0;
-  #operations = 0;
+  #disksCreated = 0;
+  #operationsCreated = 0;
   #inFlight: { readonly dueMs: number; readonly from: string; readonly to: string; readonly frame: Frame }[] =
     [];
 
@@ -91,10 +91,10 @@
   }
 
   start(name: string, records?: Records): TestNode {
-    this.#disks += 1;
+    this.#disksCreated += 1;
     const writes: TestNode['writes'] = [];
     const disk: Records = { ...records };
-    const opening = readRecords(disk, `${name}-${this.#disks}`);
+    const read = readRecords(disk, `${name}-${this.#disksCreated}`);
     const writer: RecordWriter = {
       store: (kind: RecordKind, bytes, done) => {
         writes.push({
@@ -106,7 +106,7 @@
         });
       },
     };
-    const fresh = {
+    const emptyRecords = {
       disk: name,
       deployment: '',
       promisedEpoch: 0,
@@ -114,7 +114,7 @@
       accepted: undefined,
       founders: [],
     };
-    const opened = opening.unwrapOr(fresh);
+    const opened = read.unwrapOr(emptyRecords);
     const founders = records?.disk === undefined ? this.#founders : opened.founders;
     const acceptor = new Acceptor({ ...opened, founders }, writer, 'test', () => undefined);
     const group = this.#group(name, acceptor);
@@ -128,24 +128,24 @@
     return this.nodes.get(name) as TestNode;
   }
 
-  /** Ends a process; what its disk had synced stays in the returned node's records. */
+  /** Stops a process; the records that its disk had synced stay in the returned node. */
   stop(name: string): TestNode {
     const node = this.node(name);
     node.running = false;
     return node;
   }
 
-  /** Kills a process and starts it again with what its disk had synced. */
+  /** Kills a process and restarts it with the records that its disk had synced. */
   restart(name: string): TestNode {
     return this.start(name, this.stop(name).records);
   }
 
   /**
-   * Submits an operation at every running core again and again until one that
-   * was submitted from now on is acknowledged, and says how long that took.
+   * Submits operations at every running core repeatedly until one of them is
+   * acknowledged; returns how long that took.
    */
-  recover(mostMs: number): number {
-    const earlier = this.#operations;
+  recover(timeoutMs: number): number {
+    const earlier = this.#operationsCreated;
     let probedMs = -Infinity;
     return this.runUntil(() => {
       if (this.nowMs - probedMs >= RECOVERY_PROBE_MS) {
@@ -153,30 +153,30 @@
         for (const { name } of this.running) this.submit(name);
       }
       return [...this.acknowledged].some((id) => Number(id.slice(1)) > earlier);
-    }, mostMs);
+    }, timeoutMs);
   }
 
-  /** Submits an operation at a node; true if it was sent. */
+  /** Submits an operation at a node; returns whether it was sent. */
   submit(name: string, payloadBytes = 0): boolean {
-    this.#operations += 1;
-    const id = `o${this.#operations}`;
+    this.#operationsCreated += 1;
+    const id = `o${this.#operationsCreated}`;
     const payload = new Uint8Array(payloadBytes);
     return this.node(name).group.submit(
       create(OperationSchema, { id, kind: 'add', payload, transient: true }),
     );
   }
 
-  /** Cuts a machine off from all others, or ends that. */
-  setIsolated(name: string, isCut: boolean): void {
+  /** Isolates a machine from all others, or reconnects it. */
+  setIsolated(name: string, isIsolated: boolean): void {
     for (const other of this.nodes.keys())
-      for (const way of [`${name} ${other}`, `${other} ${name}`]) {
-        if (isCut) this.severedLinks.add(way);
-        else this.severedLinks.delete(way);
+      for (const link of [`${name} ${other}`, `${other} ${name}`]) {
+        if (isIsolated) this.severedLinks.add(link);
+        else this.severedLinks.delete(link);
       }
   }
 
-  run(forMs: number): void {
-    const endMs = this.nowMs + forMs;
+  run(durationMs: number): void {
+    const endMs = this.nowMs + durationMs;
     while (this.nowMs < endMs) {
       this.nowMs += LINK_MS;
       this.#deliver();
@@ -184,10 +184,10 @@
     }
   }
 
-  /** Runs until something holds, and says how long that took. */
-  runUntil(holds: () => boolean, mostMs: number): number {
+  /** Runs until the condition holds or the time is up; returns how long that took. */
+  runUntil(condition: () => boolean, timeoutMs: number): number {
     const startMs = this.nowMs;
-    while (!holds() && this.nowMs - startMs < mostMs) this.run(TICK_MS);
+    while (!condition() && this.nowMs - startMs < timeoutMs) this.run(TICK_MS);
     return this.nowMs - startMs;
   }
 
@@ -195,7 +195,7 @@
     return [...this.nodes.values()].filter((node) => node.running);
   }
 
-  /** The versions that the disks of running nodes have accepted, synced. */
+  /** The accepted versions that the disks of running nodes have synced. */
   acceptedVersions(): Version[] {
     return this.running.flatMap(({ records }) =>
       records.version === undefined ? [] : [fromBinary(VersionSchema, records.version)],
@@ -218,7 +218,7 @@
     if (this.nowMs % TICK_MS === 0) node.group.tick();
   }
 
-  /** Puts a frame on its way; the receiver would refuse one that is too large. */
+  /** Queues a frame for delivery; drops one that is so large that the receiver would reject it. */
   #send(from: string, to: string, frame: Frame): void {
     const mayBeLarge = frame.body.case === 'sequenced' || frame.body.case === 'propose';
     if (!mayBeLarge || encodeFrame(frame).length <= FRAME_MAX_BYTES)
