--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -37,7 +37,7 @@
   /** Called when this node joins, or rejoins, as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
   /** Called when the group rejects this node, with the reason. */
-  onJoinRejected(why: string): void;
+  onJoinRejected(reason: string): void;
   /** Set points of placement, where they are not the usual ones. */
   readonly placing?: SpecPlacerSettings;
   /** Answers a query that an operator asked at another node. */
@@ -161,7 +161,7 @@
         onCast: (sender, payload) => this.#onCast(sender, payload),
         onAnswer: (answer) => this.#operations.onAnswer(answer),
         onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
-        onJoinRejected: (why) => dependencies.onJoinRejected(why),
+        onJoinRejected: (reason) => dependencies.onJoinRejected(reason),
         onFrame: (from, body) => this.#onFrame(from, body),
       },
       send: (address, frame) => dependencies.send(address, frame),
--- a/packages/cluster-node/src/configuration-at-edges.test.ts
+++ b/packages/cluster-node/src/configuration-delivery.test.ts
@@ -29,7 +29,7 @@
 }
 
 /** The state after a change that adds one route and one tenant, and removes the earlier ones. */
-function next(state: Deployment): Deployment {
+function nextState(state: Deployment): Deployment {
   const revision = state.revision + 1;
   const document = {
     revision,
@@ -46,15 +46,15 @@
 }
 
 /** One coordinator and the edges that subscribe to it, over links that lose some frames. */
-class Site {
+class TestSite {
   nowMs = 10_000;
-  state = next(EMPTY_DEPLOYMENT);
+  state = nextState(EMPTY_DEPLOYMENT);
   lossRatio = 0;
   /** Whether the links from the core to the edges carry anything. */
-  cut = false;
+  isCut = false;
   readonly edges: EdgeReplica[] = [];
   #chance: SeededRandom;
-  #onTheWay: { readonly atMs: number; readonly deliver: () => void }[] = [];
+  #inTransit: { readonly atMs: number; readonly deliver: () => void }[] = [];
   #publisher: UpdatePublisher;
 
   constructor(seed: number, edges: number) {
@@ -73,7 +73,7 @@
       placement: () => placement,
       send: (address, frame) => this.#toEdge(address, frame),
     });
-    for (let place = 0; place < edges; place += 1) this.edges.push(this.#newEdge(place));
+    for (let index = 0; index < edges; index += 1) this.edges.push(this.#newEdge(index));
   }
 
   /** Lets time pass, with a change every so often; returns the longest time for which an edge lacked one. */
@@ -86,13 +86,13 @@
       this.nowMs += STEP_MS;
       if (this.nowMs - changedMs >= changeEveryMs) {
         changedMs = this.nowMs;
-        this.state = next(this.state);
+        this.state = nextState(this.state);
         changes.push({ revision: this.state.revision, atMs: this.nowMs });
       }
       this.#step();
       for (const edge of this.edges) {
-        const lacking = changes.find(({ revision }) => revision > edge.state.revision);
-        if (lacking !== undefined) longestMs = Math.max(longestMs, this.nowMs - lacking.atMs);
+        const firstMissing = changes.find(({ revision }) => revision > edge.state.revision);
+        if (firstMissing !== undefined) longestMs = Math.max(longestMs, this.nowMs - firstMissing.atMs);
       }
     }
     return longestMs;
@@ -102,16 +102,16 @@
     this.#publisher.expire(this.nowMs);
     this.#publisher.sendDueUpdates(this.nowMs);
     if (this.nowMs % EDGE_TICK_MS === 0) for (const edge of this.edges) edge.tick();
-    const due = this.#onTheWay.filter(({ atMs }) => atMs <= this.nowMs);
-    this.#onTheWay = this.#onTheWay.filter(({ atMs }) => atMs > this.nowMs);
+    const due = this.#inTransit.filter(({ atMs }) => atMs <= this.nowMs);
+    this.#inTransit = this.#inTransit.filter(({ atMs }) => atMs > this.nowMs);
     for (const { deliver } of due) deliver();
   }
 
-  #newEdge(place: number): EdgeReplica {
+  #newEdge(index: number): EdgeReplica {
     return new EdgeReplica({
-      name: `edge-${place}`,
+      name: `edge-${index}`,
       zone: 'north',
-      address: `edge-${place}:1`,
+      address: `edge-${index}:1`,
       deployment: 'site',
       seeds: [CORE.address],
       clock: { nowMs: () => this.nowMs },
@@ -125,68 +125,68 @@
   }
 
   #toEdge(address: string, frame: Frame): void {
-    if (this.cut) return;
-    this.#carry(() => this.edges.find((_, place) => address === `edge-${place}:1`)?.receive(frame));
+    if (this.isCut) return;
+    this.#transmit(() => this.edges.find((_, index) => address === `edge-${index}:1`)?.receive(frame));
   }
 
   #toCore(frame: Frame): void {
     const { body } = frame;
     if (body.case !== 'subscribe') return;
     const { value } = body;
-    this.#carry(() => {
+    this.#transmit(() => {
       if (value.subscriber === undefined) return;
       const subscriber = this.#publisher.onSubscribe(value, value.subscriber, this.nowMs);
       this.#publisher.answer(subscriber, this.nowMs);
     });
   }
 
-  #carry(deliver: () => void): void {
+  #transmit(deliver: () => void): void {
     if (this.#chance.next() < this.lossRatio) return;
-    this.#onTheWay.push({ atMs: this.nowMs + LATENCY_MS, deliver });
+    this.#inTransit.push({ atMs: this.nowMs + LATENCY_MS, deliver });
   }
 }
 
 /** What an edge serves by: the names of its routes and tenants. */
-function servedBy(edge: EdgeReplica): unknown {
+function servedNames(edge: EdgeReplica): unknown {
   const { routes, tenants } = edge.configuration ?? { routes: [], tenants: [] };
   return [...routes, ...(tenants ?? [])].map(({ name }) => name);
 }
 
-function expectedAt({ revision }: Deployment): unknown {
+function expectedNames({ revision }: Deployment): unknown {
   return [`route-${revision}`, `tenant-${revision}`];
 }
 
 describe('a change that had been confirmed was not in force in time', () => {
   it('does not happen under twenty changes a second: each is at every edge within a quarter of a second', () => {
-    const site = new Site(1, 12);
+    const site = new TestSite(1, 12);
     site.run(1000, Infinity);
     expect(site.run(10_000, 50) <= 250).toEqual(true);
     site.run(300, Infinity);
-    expect(site.edges.map(servedBy)).toEqual(site.edges.map(() => expectedAt(site.state)));
+    expect(site.edges.map(servedNames)).toEqual(site.edges.map(() => expectedNames(site.state)));
   });
 
   it('does not happen where three frames of ten are lost meanwhile: within two seconds', () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
-      const site = new Site(seed, 12);
+      const site = new TestSite(seed, 12);
       site.run(2000, Infinity);
       site.lossRatio = 0.3;
       expect(site.run(10_000, 50) <= 2000).toEqual(true);
       site.lossRatio = 0;
       site.run(1000, Infinity);
-      expect(site.edges.map(servedBy)).toEqual(site.edges.map(() => expectedAt(site.state)));
+      expect(site.edges.map(servedNames)).toEqual(site.edges.map(() => expectedNames(site.state)));
     }
   });
 
   it('does not happen once a link is whole again: the newest is there within half a second', () => {
-    const site = new Site(3, 4);
+    const site = new TestSite(3, 4);
     site.run(1000, Infinity);
-    site.cut = true;
+    site.isCut = true;
     site.run(6000, 100);
     // What was sent last is lost too, and nothing follows it.
     site.run(600, Infinity);
-    site.cut = false;
+    site.isCut = false;
     site.run(500, Infinity);
-    expect(site.edges.map(servedBy)).toEqual(site.edges.map(() => expectedAt(site.state)));
+    expect(site.edges.map(servedNames)).toEqual(site.edges.map(() => expectedNames(site.state)));
   });
 });
 
@@ -203,12 +203,12 @@
 }
 
 describe('a change that had been confirmed came back older', () => {
-  const first = next(EMPTY_DEPLOYMENT);
-  const second = next(first);
-  const third = next(second);
+  const first = nextState(EMPTY_DEPLOYMENT);
+  const second = nextState(first);
+  const third = nextState(second);
 
   function edgeAt(state: Deployment): EdgeReplica {
-    const [edge] = new Site(1, 1).edges;
+    const [edge] = new TestSite(1, 1).edges;
     if (edge === undefined) throw new Error('a site has an edge');
     edge.receive(updateOf(edge, state));
     return edge;
@@ -217,17 +217,17 @@
   it('does not happen by an update that is late, is repeated or comes from a core that is behind', () => {
     const edge = edgeAt(second);
     for (const older of [first, second, EMPTY_DEPLOYMENT]) edge.receive(updateOf(edge, older));
-    expect([edge.state.revision, servedBy(edge)]).toEqual([2, expectedAt(second)]);
+    expect([edge.state.revision, servedNames(edge)]).toEqual([2, expectedNames(second)]);
     edge.receive(updateOf(edge, third));
     edge.receive(updateOf(edge, second));
-    expect([edge.state.revision, servedBy(edge)]).toEqual([3, expectedAt(third)]);
+    expect([edge.state.revision, servedNames(edge)]).toEqual([3, expectedNames(third)]);
   });
 
   it('does not happen by an update that cannot be read: the same comes again and is taken', () => {
     const edge = edgeAt(second);
     edge.receive(updateOf(edge, third, new TextEncoder().encode('{"edition":3,')));
-    expect([edge.state.revision, servedBy(edge)]).toEqual([2, expectedAt(second)]);
+    expect([edge.state.revision, servedNames(edge)]).toEqual([2, expectedNames(second)]);
     edge.receive(updateOf(edge, third));
-    expect(servedBy(edge)).toEqual(expectedAt(third));
+    expect(servedNames(edge)).toEqual(expectedNames(third));
   });
 });
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -23,7 +23,7 @@
   /** Called when this node was dropped from the view and goes on as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
   /** Called when the group rejects this node, with the reason. */
-  onJoinRejected(why: string): void;
+  onJoinRejected(reason: string): void;
 }
 
 /**
@@ -52,7 +52,7 @@
         onCast: () => undefined,
         onAnswer: (answer) => this.#operations.onAnswer(answer),
         onNewIncarnation: (incarnation) => dependencies.onNewIncarnation(incarnation),
-        onJoinRejected: (why) => dependencies.onJoinRejected(why),
+        onJoinRejected: (reason) => dependencies.onJoinRejected(reason),
         onFrame: (_from, body) => this.#onFrame(body),
       },
       send: (address, frame) => dependencies.send(address, frame),
@@ -110,7 +110,7 @@
     this.#group.tick();
     this.#quotas.tick(nowMs);
     this.#publisher.expire(nowMs);
-    this.#placement.openTable();
+    this.#placement.ensureTableForEpoch();
     if (this.#group.isCoordinator) this.#placement.tick(nowMs);
     this.#publisher.sendDueUpdates(nowMs);
   }
@@ -118,9 +118,9 @@
   /** Takes the platform's complete list of workers; ignored unless this core is the coordinator. */
   learnList(list: readonly ListedWorker[]): void {
     if (!this.#group.isCoordinator) return;
-    this.#placement.openTable();
+    this.#placement.ensureTableForEpoch();
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#placement.learnList(list, nowMs);
+    this.#placement.updateWorkerList(list, nowMs);
     this.#publisher.sendDueUpdates(nowMs);
   }
 
--- a/packages/cluster-node/src/core-selection.ts
+++ b/packages/cluster-node/src/core-selection.ts
@@ -84,10 +84,10 @@
       .filter((core) => core.hasLease)
       .sort((one, other) => one.preference - other.preference)
       .slice(0, CORES_MAX);
-    const chosen = new Set(coordinator === undefined ? preferred : [coordinator, ...preferred]);
-    if (coordinator === undefined || !live.includes(coordinator) || chosen.size < CORES_MAX)
-      for (const core of known) chosen.add(core);
-    return [...chosen];
+    const selected = new Set(coordinator === undefined ? preferred : [coordinator, ...preferred]);
+    if (coordinator === undefined || !live.includes(coordinator) || selected.size < CORES_MAX)
+      for (const core of known) selected.add(core);
+    return [...selected];
   }
 
   /** Learns the members of the view from an update. */
--- a/packages/cluster-node/src/demand-table.ts
+++ b/packages/cluster-node/src/demand-table.ts
@@ -24,8 +24,8 @@
  */
 export class DemandTable {
   #models = new Map<string, { perS: number; adapters: Map<string, number>; atMs: number }>();
-  #backlogs = new Map<string, Map<string, number>>();
-  #groups = new Map<string, Map<string, GroupMeasure>>();
+  #backlogsBySender = new Map<string, Map<string, number>>();
+  #measuresBySender = new Map<string, Map<string, GroupMeasure>>();
   #totals = new Map<string, GroupStatus>();
 
   /** Adds what one edge observed since its last observation. */
@@ -34,33 +34,36 @@
     for (const { model, adapter, arrivals, backlog } of observation.demands) {
       backlogs.set(model, (backlogs.get(model) ?? 0) + backlog);
       if (arrivals === 0) continue;
-      const known = this.#model(model, nowMs);
+      const known = this.#decayedModel(model, nowMs);
       const perS = (arrivals * Math.LN2) / HALF_LIFE_S;
       known.perS += perS;
       if (adapter !== '') known.adapters.set(adapter, (known.adapters.get(adapter) ?? 0) + perS);
     }
-    this.#backlogs.set(sender, backlogs);
-    this.#groups.set(sender, new Map(observation.groups.map((one) => [`${one.group}/${one.kind}`, one])));
-    for (const measure of observation.groups) this.#count(measure);
+    this.#backlogsBySender.set(sender, backlogs);
+    this.#measuresBySender.set(
+      sender,
+      new Map(observation.groups.map((measure) => [`${measure.group}/${measure.kind}`, measure])),
+    );
+    for (const measure of observation.groups) this.#addToTotals(measure);
   }
 
   /** Drops what was observed by nodes that are no longer in the view. */
   retainOnly(incarnations: ReadonlySet<string>): void {
-    for (const incarnation of this.#backlogs.keys())
-      if (!incarnations.has(incarnation)) this.#backlogs.delete(incarnation);
-    for (const incarnation of this.#groups.keys())
-      if (!incarnations.has(incarnation)) this.#groups.delete(incarnation);
+    for (const incarnation of this.#backlogsBySender.keys())
+      if (!incarnations.has(incarnation)) this.#backlogsBySender.delete(incarnation);
+    for (const incarnation of this.#measuresBySender.keys())
+      if (!incarnations.has(incarnation)) this.#measuresBySender.delete(incarnation);
   }
 
   /** Demand by model; arrivals are per second and decay with a half-life of ten seconds. */
   models(nowMs: number): Map<string, SpecModelDemand> {
     const demands = new Map<string, SpecModelDemand>();
     for (const model of this.#models.keys()) {
-      const known = this.#model(model, nowMs);
+      const known = this.#decayedModel(model, nowMs);
       if (known.perS < 0.001) continue;
       demands.set(model, { arrivalsPerS: known.perS, backlog: 0, adapters: known.adapters });
     }
-    for (const backlogs of this.#backlogs.values()) {
+    for (const backlogs of this.#backlogsBySender.values()) {
       for (const [model, backlog] of backlogs) {
         const demand = demands.get(model);
         if (demand !== undefined) demand.backlog += backlog;
@@ -74,7 +77,7 @@
   groups(): GroupStatus[] {
     const statuses = new Map<string, GroupStatus>();
     for (const [key, total] of this.#totals) statuses.set(key, { ...total, inFlight: 0, backlog: 0 });
-    for (const measures of this.#groups.values()) {
+    for (const measures of this.#measuresBySender.values()) {
       for (const [key, measure] of measures) {
         const status = statuses.get(key);
         if (status === undefined) continue;
@@ -85,7 +88,7 @@
     return [...statuses.values()];
   }
 
-  #count(measure: GroupMeasure): void {
+  #addToTotals(measure: GroupMeasure): void {
     const { group, kind } = measure;
     const key = `${group}/${kind}`;
     const known = this.#totals.get(key) ?? {
@@ -106,15 +109,15 @@
     this.#totals.set(key, known);
   }
 
-  #model(model: string, nowMs: number): { perS: number; adapters: Map<string, number>; atMs: number } {
+  #decayedModel(model: string, nowMs: number): { perS: number; adapters: Map<string, number>; atMs: number } {
     let known = this.#models.get(model);
     if (known === undefined) {
       known = { perS: 0, adapters: new Map(), atMs: nowMs };
       this.#models.set(model, known);
     }
-    const fade = 0.5 ** ((nowMs - known.atMs) / 1000 / HALF_LIFE_S);
-    known.perS *= fade;
-    for (const [adapter, weight] of known.adapters) known.adapters.set(adapter, weight * fade);
+    const decay = 0.5 ** ((nowMs - known.atMs) / 1000 / HALF_LIFE_S);
+    known.perS *= decay;
+    for (const [adapter, weight] of known.adapters) known.adapters.set(adapter, weight * decay);
     known.atMs = nowMs;
     return known;
   }
--- a/packages/cluster-node/src/older-disk.test.ts
+++ b/packages/cluster-node/src/disk-compatibility.test.ts
@@ -23,7 +23,7 @@
 const ADDRESS = '127.0.0.1:1';
 
 /** A disk that syncs at once. */
-class PromptVault implements RecordWriter {
+class ImmediateRecordWriter implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
@@ -36,26 +36,26 @@
   try {
     for (const [file, base64] of Object.entries(JSON.parse(text) as Record<string, string>))
       await writeFile(join(folder, file), Buffer.from(base64, 'base64'));
-    return (await RecordStore.open(folder)).unwrapOrElse(failed).records;
+    return (await RecordStore.open(folder)).unwrapOrElse(fail).records;
   } finally {
     await rm(folder, { recursive: true });
   }
 }
 
-function failed(why: Fault): never {
+function fail(why: Fault): never {
   throw new Error(`${why.kind}: ${why.detail}`);
 }
 
 function acceptorOf(records: Records, deployment: string): Acceptor {
-  const opening = readRecords(records, 'a fresh disk').unwrapOrElse(failed);
+  const opening = readRecords(records, 'a fresh disk').unwrapOrElse(fail);
   expect(opening.disk).toEqual('disk-a');
   expect(opening.deployment).toEqual(deployment);
   expect(opening.promisedEpoch).toEqual(1);
-  return new Acceptor(opening, new PromptVault(), deployment, failed);
+  return new Acceptor(opening, new ImmediateRecordWriter(), deployment, fail);
 }
 
 /** Time and chance of one node alone, and what all nodes are given alike. */
-class LoneNode {
+class SingleNodeHarness {
   #nowMs = 0;
   #seed = 7;
   #chance: RandomSource = { next: () => this.#nextChance() };
@@ -77,7 +77,7 @@
       send: () => undefined,
       onNewIncarnation: () => undefined,
       onStateChange: () => undefined,
-      onJoinRejected: (why: string) => failed(fault('not-admitting', why)),
+      onJoinRejected: (why: string) => fail(fault('not-admitting', why)),
     };
   }
 
@@ -93,16 +93,16 @@
 
 describe('a disk of an earlier build', () => {
   it('gives a core back its deployment, and the core goes on from it', async () => {
-    const lone = new LoneNode();
+    const harness = new SingleNodeHarness();
     const acceptor = acceptorOf(await openFixture('core-disk.json'), 'system');
     const replica = new CoreReplica({
-      ...lone.dependencies(acceptor, 'system'),
+      ...harness.dependencies(acceptor, 'system'),
       quota: STRICT_QUOTA_BOUNDS,
       order: () => undefined,
       report: () => undefined,
       onPlacementDecision: () => undefined,
     });
-    lone.run(replica, START_MS);
+    harness.run(replica, START_MS);
     const { edition, revision, evacuated, zones, document } = replica.state;
     expect({ edition, revision, evacuated, zones }).toEqual({
       edition: 2,
@@ -113,32 +113,32 @@
     expect(document?.['note']).toEqual({ kept: true });
     const answers: string[] = [];
     replica.submit('zone.return', { zone: 'north', seen: edition }, (answer) => answers.push(answer.kind));
-    lone.run(replica, ANSWER_MS);
+    harness.run(replica, ANSWER_MS);
     expect(answers).toEqual(['agreed']);
     expect(replica.state.evacuated).toEqual([]);
     expect(replica.group.epoch).toEqual(2);
   });
 
   it('gives a cluster node back its spec, and what it answered is not done twice', async () => {
-    const lone = new LoneNode();
+    const harness = new SingleNodeHarness();
     const acceptor = acceptorOf(await openFixture('cluster-node-disk.json'), 'site');
     const node = new ClusterNode({
-      ...lone.dependencies(acceptor, 'site'),
+      ...harness.dependencies(acceptor, 'site'),
       order: () => undefined,
       onCast: () => undefined,
       answerQuery: () => ({ status: 404, body: {} }),
     });
-    lone.run(node, START_MS);
-    const { spec, evacuatedZones: emptied, changedInVersion: touched } = node.state;
+    harness.run(node, START_MS);
+    const { spec, evacuatedZones: evacuated, changedInVersion: changedIn } = node.state;
     expect(spec?.version).toEqual(1);
     expect(spec?.spec.models.map((model) => model.name)).toEqual(['model-1']);
-    expect(emptied).toEqual(['inland']);
-    expect(touched['zones/coast']).toEqual(1);
+    expect(evacuated).toEqual(['inland']);
+    expect(changedIn['zones/coast']).toEqual(1);
     const answers: string[] = [];
     node.submit('op-2', 'zone.empty', JSON.stringify({ zone: 'coast' }), ({ detail }) =>
       answers.push(detail),
     );
-    lone.run(node, ANSWER_MS);
+    harness.run(node, ANSWER_MS);
     expect(answers).toEqual(['zone inland emptied']);
     expect(node.state.evacuatedZones).toEqual(['inland']);
   });
--- a/packages/cluster-node/src/edge-holds-key.test.ts
+++ b/packages/cluster-node/src/edge-api-keys.test.ts
@@ -11,7 +11,7 @@
 const KEY = 'key-in-plain';
 
 /** An edge's replica that a test sends states as a core does. */
-class ReplicaTrial {
+class ReplicaHarness {
   readonly sent: Frame[] = [];
   changes = 0;
   #edition = 0;
@@ -32,7 +32,7 @@
     },
   });
 
-  hear(document: Readonly<Record<string, unknown>>): void {
+  receiveState(document: Readonly<Record<string, unknown>>): void {
     this.#edition += 1;
     const edition = this.#edition;
     const state = encodeForSubscribers({ ...EMPTY_DEPLOYMENT, edition, revision: edition, document });
@@ -46,7 +46,7 @@
     this.replica.receive(frame);
   }
 
-  holder(key: string): string | undefined {
+  holderOf(key: string): string | undefined {
     return this.replica.tenants?.holderOf(key)?.name;
   }
 }
@@ -57,32 +57,32 @@
 
 describe('an edge that holds a key in plain', () => {
   it('is not there: neither its state nor its configuration nor anything else of its replica shows one', () => {
-    const trial = new ReplicaTrial();
-    trial.hear(document([{ name: 'one', apiKeys: [KEY], note: 'kept' }]));
-    trial.replica.tick();
-    const { replica, sent } = trial;
+    const harness = new ReplicaHarness();
+    harness.receiveState(document([{ name: 'one', apiKeys: [KEY], note: 'kept' }]));
+    harness.replica.tick();
+    const { replica, sent } = harness;
     const shown = [replica, replica.state, replica.configuration, replica.tenants, sent].map((value) =>
       inspect(value, { depth: null, showHidden: true }),
     );
-    expect([shown.filter((text) => text.includes(KEY)), trial.holder(KEY)]).toEqual([[], 'one']);
+    expect([shown.filter((text) => text.includes(KEY)), harness.holderOf(KEY)]).toEqual([[], 'one']);
     expect(replica.state.document?.['tenants']).toEqual([{ name: 'one', note: 'kept' }]);
   });
 
   it('is not there after a state that cannot be a configuration either', () => {
-    const trial = new ReplicaTrial();
-    trial.hear({ tenants: [{ name: 'one', apiKeys: [KEY] }] });
-    const shown = inspect(trial.replica.state, { depth: null });
-    expect([shown.includes(KEY), trial.replica.configuration]).toEqual([false, undefined]);
+    const harness = new ReplicaHarness();
+    harness.receiveState({ tenants: [{ name: 'one', apiKeys: [KEY] }] });
+    const shown = inspect(harness.replica.state, { depth: null });
+    expect([shown.includes(KEY), harness.replica.configuration]).toEqual([false, undefined]);
   });
 });
 
 describe('an edge that goes by the keys of an older configuration', () => {
   it('is not there: a key that moves, is dropped or comes counts from the state that says so', () => {
-    const trial = new ReplicaTrial();
-    trial.hear(document([{ name: 'one', apiKeys: ['a', 'b'] }]));
-    const before = ['a', 'b', 'c'].map((key) => trial.holder(key));
-    trial.hear(document([{ name: 'two', apiKeys: ['a', 'c'] }]));
-    const after = ['a', 'b', 'c'].map((key) => trial.holder(key));
+    const harness = new ReplicaHarness();
+    harness.receiveState(document([{ name: 'one', apiKeys: ['a', 'b'] }]));
+    const before = ['a', 'b', 'c'].map((key) => harness.holderOf(key));
+    harness.receiveState(document([{ name: 'two', apiKeys: ['a', 'c'] }]));
+    const after = ['a', 'b', 'c'].map((key) => harness.holderOf(key));
     expect([before, after]).toEqual([
       ['one', 'one', undefined],
       ['two', undefined, 'two'],
@@ -90,10 +90,10 @@
   });
 
   it('needs keys where the list of tenants is empty, and none where there is no list', () => {
-    const trial = new ReplicaTrial();
+    const harness = new ReplicaHarness();
     const seen = [document(), document([]), document(null), document([])].map((next) => {
-      trial.hear(next);
-      return trial.replica.tenants !== undefined;
+      harness.receiveState(next);
+      return harness.replica.tenants !== undefined;
     });
     expect(seen).toEqual([false, true, false, true]);
   });
--- a/packages/cluster-node/src/edge-count.ts
+++ b/packages/cluster-node/src/edge-count.ts
@@ -28,7 +28,7 @@
       this.#tableId = tableId;
       this.#sinceMs = nowMs;
     }
-    const least = nowMs - this.#sinceMs < SETTLING_MS ? this.#value : 1;
-    this.#value = Math.max(least, edgeCount);
+    const minimum = nowMs - this.#sinceMs < SETTLING_MS ? this.#value : 1;
+    this.#value = Math.max(minimum, edgeCount);
   }
 }
--- a/packages/cluster-node/src/edge-replica.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -245,14 +245,14 @@
     const checked = checkConfiguration(document);
     const hasTenants = checked.isOk && Array.isArray(checked.value.tenants);
     const keyless = withoutApiKeys(document);
-    const kept = hasTenants ? checkConfiguration(keyless) : checked;
-    if (!checked.isOk || !kept.isOk) return keyless;
-    this.#configuration = kept.value;
-    this.#tenants = this.#directoryOf(checked.value);
+    const checkedKeyless = hasTenants ? checkConfiguration(keyless) : checked;
+    if (!checked.isOk || !checkedKeyless.isOk) return keyless;
+    this.#configuration = checkedKeyless.value;
+    this.#tenants = this.#newTenantDirectory(checked.value);
     return keyless;
   }
 
-  #directoryOf({ tenants }: Configuration): TenantDirectory | undefined {
+  #newTenantDirectory({ tenants }: Configuration): TenantDirectory | undefined {
     if (tenants === undefined || tenants === null) return undefined;
     this.#tenantSecret ??= randomBytes(this.#dependencies.chance, TENANT_SECRET_BYTES);
     return new TenantDirectory(tenants, this.#tenantSecret);
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -9,7 +9,7 @@
 import {
   ANSWER_TIMEOUT_MS,
   OperatorService,
-  ZONE_ORDER_DELAY_MS,
+  ZONE_CHANGE_DELAY_MS,
   type OperatorCall,
   type OperatorReply,
   type OperatorReplica,
@@ -45,16 +45,16 @@
 }
 
 /** A replica whose group agrees when the test says so, and confirms a quorum when the test says so. */
-class StandInReplica implements OperatorReplica {
+class FakeReplica implements OperatorReplica {
   state: Deployment = EMPTY_DEPLOYMENT;
   currentAsOfMs = -Infinity;
-  coordinated = true;
+  hasCoordinator = true;
   readonly submitted: Submitted[] = [];
   readonly abandoned: string[] = [];
   readonly group = { currentAsOfMs: () => this.currentAsOfMs };
 
   submit(kind: string, payload: unknown, done: (answer: Answer) => void): Result<string, Fault> {
-    if (!this.coordinated) return Result.err(fault('unreached', 'no coordinator'));
+    if (!this.hasCoordinator) return Result.err(fault('unreached', 'no coordinator'));
     const id = `o${this.submitted.length}`;
     this.submitted.push({ id, kind, payload, done });
     return Result.ok(id);
@@ -64,35 +64,35 @@
     this.abandoned.push(id);
   }
 
-  agree(place: number): void {
-    const { id, kind, payload, done } = this.submitted[place] as Submitted;
+  commit(index: number): void {
+    const { id, kind, payload, done } = this.submitted[index] as Submitted;
     const { state, outcome } = applyToDeployment(this.state, { kind, payload: JSON.stringify(payload) });
     this.state = state;
     done(create(AnswerSchema, { id, ...outcome }));
   }
 }
 
-class Bench {
+class OperatorHarness {
   nowMs = 5000;
-  readonly replica = new StandInReplica();
+  readonly replica = new FakeReplica();
   readonly service = new OperatorService({
     replica: this.replica,
     clock: { nowMs: () => this.nowMs },
     format: {
       writeDocument: (document) => JSON.stringify(document),
-      statusOf: (why) => (why.kind === 'conflict' ? 412 : why.kind === 'bad-spec' ? 400 : undefined),
+      statusOf: (cause) => (cause.kind === 'conflict' ? 412 : cause.kind === 'bad-spec' ? 400 : undefined),
     },
     status: () => STATUS,
   });
 
   /** The status of the answer, once there is one; the list shows each answer. */
-  ask(call: OperatorCall): OperatorReply[] {
+  call(call: OperatorCall): OperatorReply[] {
     const replies: OperatorReply[] = [];
     this.service.answer(call, (reply) => replies.push(reply));
     return replies;
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     for (const endMs = this.nowMs + ms; this.nowMs < endMs;) {
       this.nowMs += Math.min(25, endMs - this.nowMs);
       this.service.tick();
@@ -106,126 +106,126 @@
 
 describe('control safety, point 1: a core that hears no majority', () => {
   it('answers a question with 503 within a second, though it holds a configuration', () => {
-    const bench = new Bench();
-    bench.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
+    const harness = new OperatorHarness();
+    harness.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
       kind: 'configuration.put',
       payload: JSON.stringify(VALID),
     }).state;
-    bench.replica.currentAsOfMs = bench.nowMs - 1;
-    const read = bench.ask({ kind: 'read' });
-    bench.pass(ANSWER_TIMEOUT_MS - 1);
+    harness.replica.currentAsOfMs = harness.nowMs - 1;
+    const read = harness.call({ kind: 'read' });
+    harness.advance(ANSWER_TIMEOUT_MS - 1);
     const early = [...read];
-    bench.pass(25);
-    expect([early.length, ...statuses(read), bench.nowMs < 5000 + 1000]).toEqual([0, [503], true]);
+    harness.advance(25);
+    expect([early.length, ...statuses(read), harness.nowMs < 5000 + 1000]).toEqual([0, [503], true]);
   });
 
   it('answers a question only once a majority was heard after it, 404 before the first configuration too', () => {
-    const bench = new Bench();
-    const none = bench.ask({ kind: 'read' });
-    bench.pass(100);
+    const harness = new OperatorHarness();
+    const none = harness.call({ kind: 'read' });
+    harness.advance(100);
     const before = [...none];
-    bench.replica.currentAsOfMs = 5000;
-    bench.pass(25);
-    bench.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
+    harness.replica.currentAsOfMs = 5000;
+    harness.advance(25);
+    harness.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
       kind: 'configuration.put',
       payload: JSON.stringify(VALID),
     }).state;
-    const read = bench.ask({ kind: 'read' });
-    bench.pass(25);
+    const read = harness.call({ kind: 'read' });
+    harness.advance(25);
     const early = [...read];
-    bench.replica.currentAsOfMs = bench.nowMs;
-    bench.pass(25);
+    harness.replica.currentAsOfMs = harness.nowMs;
+    harness.advance(25);
     expect([before.length, early.length, ...statuses(none, read)]).toEqual([0, 0, [404], [200]]);
     expect(read[0]?.body).toEqual(JSON.stringify(DOCUMENT));
   });
 
   it('shows how its group stands only as what it knew last', () => {
-    const bench = new Bench();
-    const view = bench.ask({ kind: 'status' });
-    bench.pass(ANSWER_TIMEOUT_MS);
-    bench.replica.currentAsOfMs = Infinity;
-    const current = bench.ask({ kind: 'status' });
+    const harness = new OperatorHarness();
+    const view = harness.call({ kind: 'status' });
+    harness.advance(ANSWER_TIMEOUT_MS);
+    harness.replica.currentAsOfMs = Infinity;
+    const current = harness.call({ kind: 'status' });
     const [stale, fresh] = [view, current].map((replies) => JSON.parse(replies[0]?.body ?? '{}') as object);
     expect(statuses(view, current)).toEqual([[503], [200]]);
     expect([Object.keys(stale ?? {}), fresh]).toEqual([['error', 'lastKnown'], STATUS]);
   });
 
   it('leaves every valid order unclear within a second, and does not send it on any more', () => {
-    const bench = new Bench();
+    const harness = new OperatorHarness();
     const orders = [
       VALID,
       { kind: 'patch', base: 1, patch: { revision: 2 } },
       { kind: 'evacuate', zone: 'west' },
       { kind: 'return', zone: 'west' },
     ] as const;
-    const replies = orders.map((order) => bench.ask(order));
-    bench.pass(ANSWER_TIMEOUT_MS);
+    const replies = orders.map((order) => harness.call(order));
+    harness.advance(ANSWER_TIMEOUT_MS);
     expect(statuses(...replies)).toEqual([[503], [503], [503], [503]]);
-    expect(bench.replica.submitted.map(({ kind }) => kind)).toEqual([
+    expect(harness.replica.submitted.map(({ kind }) => kind)).toEqual([
       'configuration.put',
       'configuration.patch',
       'zone.evacuate',
       'zone.return',
     ]);
-    expect(bench.replica.abandoned).toEqual(['o0', 'o1', 'o2', 'o3']);
+    expect(harness.replica.abandoned).toEqual(['o0', 'o1', 'o2', 'o3']);
   });
 
   it('answers at once with 503 where no coordinator is known', () => {
-    const bench = new Bench();
-    bench.replica.coordinated = false;
-    const replies = [bench.ask(VALID), bench.ask({ kind: 'evacuate', zone: 'west' })];
-    bench.pass(ZONE_ORDER_DELAY_MS);
+    const harness = new OperatorHarness();
+    harness.replica.hasCoordinator = false;
+    const replies = [harness.call(VALID), harness.call({ kind: 'evacuate', zone: 'west' })];
+    harness.advance(ZONE_CHANGE_DELAY_MS);
     expect(statuses(...replies)).toEqual([[503], [503]]);
   });
 
   it('refuses at once what is invalid in every state', () => {
-    const bench = new Bench();
-    bench.replica.coordinated = false;
+    const harness = new OperatorHarness();
+    harness.replica.hasCoordinator = false;
     const replies = [
       INVALID,
       { kind: 'patch', base: 0, patch: { revision: 'x' } },
       { kind: 'evacuate', zone: '' },
       { kind: 'none' },
     ] as const;
-    expect(statuses(...replies.map((call) => bench.ask(call)))).toEqual([[400], [400], [400], [404]]);
-    expect(bench.replica.submitted).toEqual([]);
+    expect(statuses(...replies.map((call) => harness.call(call)))).toEqual([[400], [400], [400], [404]]);
+    expect(harness.replica.submitted).toEqual([]);
   });
 
   it('says what happens to an order only as it was agreed, and says it once', () => {
-    const bench = new Bench();
-    const taken = bench.ask(VALID);
-    const again = bench.ask(VALID);
-    const other = bench.ask({ ...VALID, document: { ...DOCUMENT, more: 1 } });
-    for (const place of [0, 1, 2]) bench.replica.agree(place);
-    const late = bench.ask(VALID);
-    bench.pass(ANSWER_TIMEOUT_MS);
-    bench.replica.agree(3);
+    const harness = new OperatorHarness();
+    const taken = harness.call(VALID);
+    const again = harness.call(VALID);
+    const other = harness.call({ ...VALID, document: { ...DOCUMENT, more: 1 } });
+    for (const index of [0, 1, 2]) harness.replica.commit(index);
+    const late = harness.call(VALID);
+    harness.advance(ANSWER_TIMEOUT_MS);
+    harness.replica.commit(3);
     expect(statuses(taken, again, other, late)).toEqual([[200], [200], [412], [503]]);
   });
 
   it('takes no call once it is about to leave, and still tells what was agreed before', () => {
-    const bench = new Bench();
-    const order = bench.ask(VALID);
-    bench.service.drain();
-    bench.replica.currentAsOfMs = Infinity;
-    const late = [bench.ask(VALID), bench.ask({ kind: 'read' })];
-    bench.replica.agree(0);
+    const harness = new OperatorHarness();
+    const order = harness.call(VALID);
+    harness.service.drain();
+    harness.replica.currentAsOfMs = Infinity;
+    const late = [harness.call(VALID), harness.call({ kind: 'read' })];
+    harness.replica.commit(0);
     expect(statuses(order, ...late)).toEqual([[200], [503], [503]]);
   });
 });
 
 describe('control safety, point 2: an evacuation', () => {
   it('carries the edition that this node held as it came, so that a late one undoes nothing', () => {
-    const bench = new Bench();
-    const first = bench.ask({ kind: 'evacuate', zone: 'west' });
-    const heldUp = bench.ask({ kind: 'evacuate', zone: 'west' });
-    bench.pass(ZONE_ORDER_DELAY_MS);
-    bench.replica.agree(0);
-    const back = bench.ask({ kind: 'return', zone: 'west' });
-    bench.pass(ZONE_ORDER_DELAY_MS);
-    bench.replica.agree(2);
-    bench.replica.agree(1);
-    expect([...statuses(first, back, heldUp), bench.replica.state.evacuated]).toEqual([
+    const harness = new OperatorHarness();
+    const first = harness.call({ kind: 'evacuate', zone: 'west' });
+    const heldUp = harness.call({ kind: 'evacuate', zone: 'west' });
+    harness.advance(ZONE_CHANGE_DELAY_MS);
+    harness.replica.commit(0);
+    const back = harness.call({ kind: 'return', zone: 'west' });
+    harness.advance(ZONE_CHANGE_DELAY_MS);
+    harness.replica.commit(2);
+    harness.replica.commit(1);
+    expect([...statuses(first, back, heldUp), harness.replica.state.evacuated]).toEqual([
       [200],
       [200],
       [504],
@@ -234,29 +234,29 @@
   });
 
   it('is left unclear and not submitted where this process was frozen meanwhile', () => {
-    const bench = new Bench();
-    const replies = bench.ask({ kind: 'evacuate', zone: 'west' });
-    bench.nowMs += 20_000;
-    bench.service.tick();
-    expect([...statuses(replies), bench.replica.submitted.length]).toEqual([[503], 0]);
+    const harness = new OperatorHarness();
+    const replies = harness.call({ kind: 'evacuate', zone: 'west' });
+    harness.nowMs += 20_000;
+    harness.service.tick();
+    expect([...statuses(replies), harness.replica.submitted.length]).toEqual([[503], 0]);
   });
 
   it('is not submitted once its caller has gone, also where it reaches a node that knows the later return', () => {
-    const bench = new Bench();
+    const harness = new OperatorHarness();
     for (const kind of ['evacuate', 'return'] as const) {
-      bench.ask({ kind, zone: 'west' });
-      bench.pass(ZONE_ORDER_DELAY_MS);
-      bench.replica.agree(bench.replica.submitted.length - 1);
+      harness.call({ kind, zone: 'west' });
+      harness.advance(ZONE_CHANGE_DELAY_MS);
+      harness.replica.commit(harness.replica.submitted.length - 1);
     }
     let gone = false;
-    bench.service.answer(
+    harness.service.answer(
       { kind: 'evacuate', zone: 'west' },
       () => undefined,
       () => gone,
     );
-    bench.pass(ZONE_ORDER_DELAY_MS / 2);
+    harness.advance(ZONE_CHANGE_DELAY_MS / 2);
     gone = true;
-    bench.pass(ANSWER_TIMEOUT_MS);
-    expect([bench.replica.submitted.length, bench.replica.state.evacuated]).toEqual([2, []]);
+    harness.advance(ANSWER_TIMEOUT_MS);
+    expect([harness.replica.submitted.length, harness.replica.state.evacuated]).toEqual([2, []]);
   });
 });
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -45,7 +45,7 @@
 export interface OperatorFormat {
   writeDocument(document: ConfigurationDocument): string;
   /** The status for a fault, where the platform's differs from ours. */
-  statusOf(why: Fault): number | undefined;
+  statusOf(cause: Fault): number | undefined;
 }
 
 /** What the service is given by its program, or by the simulator. */
@@ -93,7 +93,7 @@
  * long, a round trip between regions: where a partition has delayed a call, the end
  * of its connection comes by then, and a call without a caller is not submitted.
  */
-export const ZONE_ORDER_DELAY_MS = 100;
+export const ZONE_CHANGE_DELAY_MS = 100;
 
 /**
  * The operator side of one core. Every answer that says what is in force, or
@@ -108,8 +108,8 @@
 export class OperatorService {
   #dependencies: OperatorServiceDependencies;
   #pendingChanges = new Set<PendingChange>();
-  #zoneChanges = new Set<ZoneChange>();
-  #reads = new Set<PendingRead>();
+  #queuedZoneChanges = new Set<ZoneChange>();
+  #pendingReads = new Set<PendingRead>();
   #draining = false;
 
   constructor(dependencies: OperatorServiceDependencies) {
@@ -181,11 +181,11 @@
   }
 
   /** The reply for a fault, with the last known status where it helps. */
-  failure(why: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
-    const { status, ran } = FAULT_RESPONSES[why.kind];
+  failure(cause: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
+    const { status, ran } = FAULT_RESPONSES[cause.kind];
     return {
-      status: this.#dependencies.format.statusOf(why) ?? status,
-      body: JSON.stringify({ error: { kind: why.kind, message: why.detail, ran }, ...more }),
+      status: this.#dependencies.format.statusOf(cause) ?? status,
+      body: JSON.stringify({ error: { kind: cause.kind, message: cause.detail, ran }, ...more }),
     };
   }
 
@@ -197,7 +197,7 @@
   ): void {
     const checked = checkOperation(kind, payload);
     if (checked.isErr) return done(this.failure(checked.error));
-    this.#zoneChanges.add({
+    this.#queuedZoneChanges.add({
       kind,
       payload,
       receivedMs: this.#dependencies.clock.nowMs(),
@@ -208,9 +208,9 @@
 
   #submitZoneChanges(): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    for (const change of this.#zoneChanges) {
-      if (nowMs - change.receivedMs < ZONE_ORDER_DELAY_MS) continue;
-      this.#zoneChanges.delete(change);
+    for (const change of this.#queuedZoneChanges) {
+      if (nowMs - change.receivedMs < ZONE_CHANGE_DELAY_MS) continue;
+      this.#queuedZoneChanges.delete(change);
       if (nowMs - change.receivedMs >= ANSWER_TIMEOUT_MS) change.done(this.failure(NOT_KNOWN_COMMITTED));
       else if (change.isCallerGone()) change.done(this.failure(fault('visitor-left', 'the caller has gone')));
       else this.#submitChange(change.kind, change.payload, change.receivedMs, change.done);
@@ -242,20 +242,20 @@
   }
 
   #read(read: PendingRead): void {
-    this.#reads.add(read);
+    this.#pendingReads.add(read);
     this.#answerReads();
   }
 
   /** A read is answered once this node holds all that was committed before it. */
   #answerReads(): void {
     const { replica, clock } = this.#dependencies;
-    if (this.#reads.size === 0) return;
+    if (this.#pendingReads.size === 0) return;
     const currentAsOfMs = replica.group.currentAsOfMs();
     const nowMs = clock.nowMs();
-    for (const read of this.#reads) {
+    for (const read of this.#pendingReads) {
       const isCurrent = currentAsOfMs >= read.receivedMs;
       if (!isCurrent && nowMs - read.receivedMs < ANSWER_TIMEOUT_MS) continue;
-      this.#reads.delete(read);
+      this.#pendingReads.delete(read);
       read.done(isCurrent ? read.currentReply() : read.staleReply());
     }
   }
--- a/packages/cluster-node/src/placement-loop.ts
+++ b/packages/cluster-node/src/placement-loop.ts
@@ -88,7 +88,7 @@
   }
 
   /** A coordinator's table starts empty with each epoch. */
-  openTable(): void {
+  ensureTableForEpoch(): void {
     const epoch = this.#group.isCoordinator ? this.#group.epoch : -1;
     if (epoch === this.#tableEpoch) return;
     this.#tableEpoch = epoch;
@@ -105,7 +105,7 @@
   }
 
   /** Takes the platform's complete list of workers. */
-  learnList(list: readonly ListedWorker[], nowMs: number): void {
+  updateWorkerList(list: readonly ListedWorker[], nowMs: number): void {
     this.#workerTable.learn(list, nowMs);
     this.#placeModels(nowMs);
   }
--- a/packages/cluster-node/src/plan-pacer.ts
+++ b/packages/cluster-node/src/plan-pacer.ts
@@ -9,7 +9,7 @@
 /** No two plans are nearer to each other than this. */
 const GAP_MIN_MS = 4;
 /** After a plan this many times its cost is left to everything else: planning takes a quarter of the time at most. */
-const REST_FACTOR = 3;
+const IDLE_FACTOR = 3;
 /** However dear a plan was, the next one is due after this. */
 const GAP_MAX_MS = 250;
 
@@ -29,7 +29,7 @@
 
   /** Notes a plan by when it began and ended. */
   recordPlan(beganMs: number, endedMs: number): void {
-    const gapMs = Math.max(GAP_MIN_MS, REST_FACTOR * (endedMs - beganMs));
+    const gapMs = Math.max(GAP_MIN_MS, IDLE_FACTOR * (endedMs - beganMs));
     this.#notBeforeMs = endedMs + Math.min(GAP_MAX_MS, gapMs);
   }
 }
--- a/packages/cluster-node/src/quota-allocation.ts
+++ b/packages/cluster-node/src/quota-allocation.ts
@@ -58,7 +58,7 @@
 export class QuotaAllocation {
   #dependencies: QuotaAllocationDependencies;
   #allocator: QuotaAllocator;
-  #installed: InstalledView | undefined;
+  #installedView: InstalledView | undefined;
   #isCommitted = false;
   #document: unknown;
 
@@ -83,10 +83,10 @@
 
   /** Tells the allocator once the view is committed. */
   tick(nowMs: number): void {
-    if (this.#installed === undefined || this.#isCommitted) return;
-    if (this.#dependencies.group.committedVersion < this.#installed.version) return;
+    if (this.#installedView === undefined || this.#isCommitted) return;
+    if (this.#dependencies.group.committedVersion < this.#installedView.version) return;
     this.#isCommitted = true;
-    this.#allocator.onViewCommitted(this.#installed, nowMs);
+    this.#allocator.onViewCommitted(this.#installedView, nowMs);
   }
 
   /** Answers draws of edges and takes handovers; other frames are not its own. */
@@ -103,9 +103,9 @@
   #installView(view: View, version: number, nowMs: number): void {
     const { epoch, number, members } = view;
     const { incarnation } = this.#dependencies.group.self;
-    const known = this.#installed;
+    const known = this.#installedView;
     if (known?.epoch === epoch && known.number === number && known.incarnation === incarnation) return;
-    this.#installed = { epoch, number, incarnation, version };
+    this.#installedView = { epoch, number, incarnation, version };
     this.#isCommitted = false;
     for (const { to, handover } of this.#allocator.onView({ epoch, number, members }, incarnation, nowMs))
       this.#send(to, { case: 'quotaHandover', value: handover });
--- a/packages/cluster-node/src/revocation-guard.ts
+++ b/packages/cluster-node/src/revocation-guard.ts
@@ -17,8 +17,8 @@
   readonly withinMs: number;
 }
 
-const NO_KEYS_IN_TIME = 'the keys of tenants are not known to be current here; ask another node';
-const NO_KEYS_YET = 'no core that knows the keys of tenants has answered yet; ask another node';
+const KEYS_NOT_CURRENT = 'the keys of tenants are not known to be current here; ask another node';
+const KEYS_NOT_CONFIRMED = 'no core that knows the keys of tenants has answered yet; ask another node';
 
 /**
  * Guards requests that need a key. Times are of the edge's monotonic clock.
@@ -46,9 +46,9 @@
   /** Whether a request that needs a key may be served now, or the fault to refuse it with: none of it has run. */
   admit(nowMs: number): Result<Unit, Fault> {
     if (!this.#settings.strict) return Result.ok();
-    if (this.#currentAsOfMs === undefined) return Result.err(fault('not-admitting', NO_KEYS_YET));
+    if (this.#currentAsOfMs === undefined) return Result.err(fault('not-admitting', KEYS_NOT_CONFIRMED));
     return nowMs - this.#currentAsOfMs < this.#settings.withinMs
       ? Result.ok()
-      : Result.err(fault('not-admitting', NO_KEYS_IN_TIME));
+      : Result.err(fault('not-admitting', KEYS_NOT_CURRENT));
   }
 }
--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -63,10 +63,10 @@
   observe(): void {
     const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
-    const known = new Set(measures.map((measure) => measure.group));
+    const measuredGroups = new Set(measures.map((measure) => measure.group));
     for (const { name } of this.#clusterNode.state.spec?.spec.groups ?? []) {
-      const now = this.gateway.groupNow(name);
-      if (known.has(name) || now.inFlight + now.backlog === 0) continue;
+      const current = this.gateway.groupNow(name);
+      if (measuredGroups.has(name) || current.inFlight + current.backlog === 0) continue;
       measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
     }
     const observation = create(ObservationSchema, {
@@ -89,7 +89,7 @@
       })),
     });
     this.#clusterNode.observe(observation);
-    this.#moveLoops();
+    this.#updateLoops();
   }
 
   #weight(group: string): number {
@@ -97,7 +97,7 @@
     return share * (this.#loops.get(group)?.output ?? 1);
   }
 
-  #moveLoops(): void {
+  #updateLoops(): void {
     const statuses = this.#clusterNode.groups;
     for (const { name, kinds } of this.#clusterNode.state.spec?.spec.groups ?? []) {
       const measured = statuses.filter((status) => status.group === name && status.served > 0);
--- a/packages/cluster-node/src/spec-placement-loop.ts
+++ b/packages/cluster-node/src/spec-placement-loop.ts
@@ -50,18 +50,18 @@
   #dependencies: SpecPlacementDependencies;
   #placer: SpecPlacer;
   #orderSender: SpecOrderSender;
-  #placedMs = -Infinity;
+  #decidedMs = -Infinity;
   /** Id of the decision that is submitted and not yet committed. */
   #pendingDecision: string | undefined;
   #leaseStart: { readonly epoch: number; readonly atMs: number } | undefined;
-  #decisions = 0;
+  #decisionCount = 0;
 
   constructor(dependencies: SpecPlacementDependencies) {
     this.#dependencies = dependencies;
     this.#placer = new SpecPlacer(dependencies.placing ?? SPEC_PLACER_SETTINGS);
     this.#orderSender = new SpecOrderSender({
       singletonEpoch: () => dependencies.singletonEpoch(),
-      order: (order, done) => this.#order(order, done),
+      order: (order, done) => this.#sendOrder(order, done),
       onWorkerState: (worker, known) => dependencies.onWorkerState(worker, known),
     });
   }
@@ -78,25 +78,25 @@
     const spec = state.spec?.spec;
     if (epoch === undefined || spec === undefined) return;
     const workers = this.#dependencies.workers().filter((worker) => worker.kind === 'model');
-    const staying = workers.filter((worker) => !worker.draining);
+    const nonDraining = workers.filter((worker) => !worker.draining);
     const demands = this.#dependencies.demands(nowMs);
-    const loaded = this.#loadedParts(staying);
-    this.#orderSender.tick(spec, state.placement, staying, nowMs, (model, adapter) =>
+    const loaded = this.#loadedKeys(nonDraining);
+    this.#orderSender.tick(spec, state.placement, nonDraining, nowMs, (model, adapter) =>
       urgencyOf(demands, loaded, model, adapter),
     );
-    if (!this.#isDecisionDue(epoch, staying, nowMs)) return;
-    this.#placedMs = nowMs;
+    if (!this.#isDecisionDue(epoch, nonDraining, nowMs)) return;
+    this.#decidedMs = nowMs;
     const changes = this.#decide(workers, demands, nowMs);
     if (Object.keys(changes).length > 0) this.#submit(epoch, changes);
   }
 
-  #isDecisionDue(epoch: number, staying: readonly DirectoryWorker[], nowMs: number): boolean {
+  #isDecisionDue(epoch: number, nonDraining: readonly DirectoryWorker[], nowMs: number): boolean {
     if (this.#leaseStart?.epoch !== epoch) this.#leaseStart = { epoch, atMs: nowMs };
-    const haveAllReported = staying.every(
+    const haveAllReported = nonDraining.every(
       (worker) => this.#orderSender.workerState(worker.name) !== undefined,
     );
     if (!haveAllReported && nowMs - this.#leaseStart.atMs < REPORTS_TIMEOUT_MS) return false;
-    return nowMs - this.#placedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
+    return nowMs - this.#decidedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
   }
 
   /** New placements by worker; an empty one for each worker that is no longer listed. */
@@ -119,8 +119,8 @@
   }
 
   #submit(epoch: number, workers: Record<string, unknown>): void {
-    this.#decisions += 1;
-    const id = `place-${epoch}-${this.#dependencies.incarnation()}-${this.#decisions}`;
+    this.#decisionCount += 1;
+    const id = `place-${epoch}-${this.#dependencies.incarnation()}-${this.#decisionCount}`;
     this.#pendingDecision = id;
     const sent = this.#dependencies.submitPlacement(id, JSON.stringify({ epoch, workers }), () => {
       this.#pendingDecision = undefined;
@@ -133,20 +133,20 @@
   }
 
   /** Models and adapters that some reachable worker has loaded, as it reported itself. */
-  #loadedParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
-    const parts = new Set<string>();
+  #loadedKeys(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
+    const keys = new Set<string>();
     for (const { name } of workers) {
       const known = this.#orderSender.workerState(name);
       if (known?.reachable !== true) continue;
       for (const { model, adapters } of known.holdings) {
-        parts.add(`${model}/`);
-        for (const adapter of adapters) parts.add(`${model}/${adapter}`);
+        keys.add(`${model}/`);
+        for (const adapter of adapters) keys.add(`${model}/${adapter}`);
       }
     }
-    return parts;
+    return keys;
   }
 
-  #order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
+  #sendOrder(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
     const entry = this.#dependencies.workers().find((worker) => worker.name === order.worker);
     if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
     this.#dependencies.order(entry.address, order, done);
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -7,7 +7,7 @@
 import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
 import { decodeStateUpdate, encodeStateUpdate } from './state-update.js';
 
-const NOTHING = { all: false, models: new Set<string>() };
+const NO_CHANGES = { all: false, models: new Set<string>() };
 
 function memberOf(incarnation: string) {
   return create(MemberSchema, { name: incarnation, incarnation, address: `${incarnation}:1` });
@@ -32,11 +32,11 @@
   return subscribers.onSubscribe(message, memberOf(edge), nowMs);
 }
 
-function offer(change: Partial<AvailableState> = {}): AvailableState {
+function availableState(change: Partial<AvailableState> = {}): AvailableState {
   return { edition: 3, tableId: 't', tableRow: 5, isCoordinator: true, ...change };
 }
 
-function names(subscribers: readonly Subscriber[]): string[] {
+function incarnationsOf(subscribers: readonly Subscriber[]): string[] {
   return subscribers.map(({ member }) => member.incarnation);
 }
 
@@ -46,23 +46,31 @@
     for (const edge of ['a', 'b', 'c'])
       subscribers.recordRowsSent(
         subscribe(subscribers, edge, 1000, {}, edge === 'b' ? 'm' : 'n'),
-        offer(),
+        availableState(),
         0,
         1000,
       );
     const changes = { all: false, models: new Set(['assist/m']) };
-    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), changes, 1001))).toEqual(['b']);
+    expect(
+      incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), changes, 1001)),
+    ).toEqual(['b']);
     // The others are gathered for 3 ms times the three of them.
-    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1008))).toEqual([]);
-    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1009))).toEqual(['a', 'b', 'c']);
+    expect(
+      incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), NO_CHANGES, 1008)),
+    ).toEqual([]);
+    expect(
+      incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), NO_CHANGES, 1009)),
+    ).toEqual(['a', 'b', 'c']);
   });
 
   it('tells everyone at once that a worker came or leaves', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b'])
-      subscribers.recordRowsSent(subscribe(subscribers, edge, 1000), offer(), 0, 1000);
+      subscribers.recordRowsSent(subscribe(subscribers, edge, 1000), availableState(), 0, 1000);
     expect(
-      names(subscribers.dueSubscribers(offer({ tableRow: 6 }), { all: true, models: new Set() }, 1001)),
+      incarnationsOf(
+        subscribers.dueSubscribers(availableState({ tableRow: 6 }), { all: true, models: new Set() }, 1001),
+      ),
     ).toEqual(['a', 'b']);
   });
 
@@ -71,13 +79,17 @@
     for (let edge = 0; edge < 40; edge += 1)
       subscribers.recordRowsSent(
         subscribe(subscribers, `e${edge}`, 1000, {}, edge === 7 ? 'm' : 'n'),
-        offer(),
+        availableState(),
         0,
         1000,
       );
     const changes = { all: false, models: new Set(['assist/m']) };
-    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), changes, 1001))).toEqual([]);
-    expect(names(subscribers.dueSubscribers(offer({ tableRow: 6 }), NOTHING, 1006))).toEqual(['e7']);
+    expect(
+      incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), changes, 1001)),
+    ).toEqual([]);
+    expect(
+      incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), NO_CHANGES, 1006)),
+    ).toEqual(['e7']);
   });
 
   it('sends a new state in a storm of changes five times a second, and always the newest in the end', () => {
@@ -87,12 +99,12 @@
     let nowMs = 1000;
     for (let edition = 4; edition < 34; edition += 1) {
       nowMs += 50;
-      for (const one of subscribers.dueSubscribers(offer({ edition }), NOTHING, nowMs)) {
+      for (const one of subscribers.dueSubscribers(availableState({ edition }), NO_CHANGES, nowMs)) {
         sent += 1;
-        subscribers.recordStateSent(one, offer({ edition }), nowMs);
+        subscribers.recordStateSent(one, availableState({ edition }), nowMs);
       }
     }
-    const [last] = subscribers.dueSubscribers(offer({ edition: 33 }), NOTHING, nowMs + 200);
+    const [last] = subscribers.dueSubscribers(availableState({ edition: 33 }), NO_CHANGES, nowMs + 200);
     const newest = last === undefined ? 33 : last.edition;
     expect([sent, newest >= 30]).toEqual([8, true]);
   });
@@ -100,29 +112,29 @@
   it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
     const subscribers = new Subscribers();
     const one = subscribe(subscribers, 'a', 1000, { tableRow: 0 });
-    subscribers.recordRowsSent(one, offer(), 5, 1000);
+    subscribers.recordRowsSent(one, availableState(), 5, 1000);
     expect(
-      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1010, { tableRow: 0 }), offer(), 1010),
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1010, { tableRow: 0 }), availableState(), 1010),
     ).toEqual(true);
     one.lastUpdateMs = 1005;
     expect(
-      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1011, { tableRow: 0 }), offer(), 1011),
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1011, { tableRow: 0 }), availableState(), 1011),
     ).toEqual(false);
     expect(
-      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1100, { tableRow: 0 }), offer(), 1100),
+      subscribers.isAnswerDue(subscribe(subscribers, 'a', 1100, { tableRow: 0 }), availableState(), 1100),
     ).toEqual(true);
   });
 
   it('sends nothing unasked from a core that is not the coordinator', () => {
     const subscribers = new Subscribers();
     subscribe(subscribers, 'a', 1000);
-    expect(subscribers.dueSubscribers(offer({ edition: 9, isCoordinator: false }), NOTHING, 2000)).toEqual(
-      [],
-    );
+    expect(
+      subscribers.dueSubscribers(availableState({ edition: 9, isCoordinator: false }), NO_CHANGES, 2000),
+    ).toEqual([]);
     expect(
       subscribers.isAnswerDue(
         subscribe(subscribers, 'a', 2000),
-        offer({ edition: 9, isCoordinator: false }),
+        availableState({ edition: 9, isCoordinator: false }),
         2000,
       ),
     ).toEqual(true);
--- a/packages/cluster-node/src/subscribers.ts
+++ b/packages/cluster-node/src/subscribers.ts
@@ -67,7 +67,7 @@
 export class Subscribers {
   #byIncarnation = new Map<string, Subscriber>();
   /** Changes not yet sent to the subscribers that they concern. */
-  #urgentAll = false;
+  #isUrgentForAll = false;
   #urgentModels = new Set<string>();
   #urgentSinceMs: number | undefined;
 
@@ -97,8 +97,8 @@
     subscriber.lastContactMs = nowMs;
     if (subscribe.edition >= subscriber.edition || nowMs - subscriber.stateSentMs > IN_FLIGHT_MS)
       subscriber.edition = subscribe.edition;
-    const sameTable = subscribe.tableId === subscriber.tableId;
-    if ((sameTable && subscribe.tableRow >= subscriber.tableRow) || nowMs > subscriber.rowsInFlightMs) {
+    const isSameTable = subscribe.tableId === subscriber.tableId;
+    if ((isSameTable && subscribe.tableRow >= subscriber.tableRow) || nowMs > subscriber.rowsInFlightMs) {
       subscriber.tableId = subscribe.tableId;
       subscriber.tableRow = subscribe.tableRow;
     }
@@ -115,8 +115,8 @@
 
   /** Removes expired subscriptions. */
   expire(nowMs: number): void {
-    for (const [incarnation, { lastContactMs: heardMs }] of this.#byIncarnation)
-      if (nowMs - heardMs > SUBSCRIBER_EXPIRY_MS) this.#byIncarnation.delete(incarnation);
+    for (const [incarnation, { lastContactMs: contactMs }] of this.#byIncarnation)
+      if (nowMs - contactMs > SUBSCRIBER_EXPIRY_MS) this.#byIncarnation.delete(incarnation);
   }
 
   /** Notes rows that a subscriber was sent; they count as known until it says otherwise. */
@@ -162,22 +162,22 @@
   dueSubscribers(available: AvailableState, changes: TableChanges, nowMs: number): Subscriber[] {
     if (!available.isCoordinator) return [];
     this.#collectUrgent(changes, nowMs);
-    const urgent = this.#isUrgentDue(nowMs);
+    const isUrgent = this.#isUrgentDue(nowMs);
     const due: Subscriber[] = [];
     for (const subscriber of this.#byIncarnation.values()) {
       const stateDue = this.isStateDue(subscriber, available, nowMs);
       const tableDue =
         isTableBehind(subscriber, available) &&
-        (this.#isBackgroundDue(subscriber, nowMs) || (urgent && this.#isConcerned(subscriber)));
+        (this.#isBackgroundDue(subscriber, nowMs) || (isUrgent && this.#isAffected(subscriber)));
       if (stateDue || tableDue) due.push(subscriber);
     }
-    if (urgent) this.#clearUrgent();
+    if (isUrgent) this.#clearUrgent();
     return due;
   }
 
   #collectUrgent(changes: TableChanges, nowMs: number): void {
     if (!changes.all && changes.models.size === 0) return;
-    this.#urgentAll ||= changes.all;
+    this.#isUrgentForAll ||= changes.all;
     for (const model of changes.models) this.#urgentModels.add(model);
     this.#urgentSinceMs ??= nowMs;
   }
@@ -188,13 +188,13 @@
   }
 
   #clearUrgent(): void {
-    this.#urgentAll = false;
+    this.#isUrgentForAll = false;
     this.#urgentModels.clear();
     this.#urgentSinceMs = undefined;
   }
 
-  #isConcerned({ demandedModels }: Subscriber): boolean {
-    if (this.#urgentAll) return true;
+  #isAffected({ demandedModels }: Subscriber): boolean {
+    if (this.#isUrgentForAll) return true;
     for (const model of this.#urgentModels) if (demandedModels.has(model)) return true;
     return false;
   }
--- a/packages/cluster-node/src/tenant-status.ts
+++ b/packages/cluster-node/src/tenant-status.ts
@@ -93,13 +93,13 @@
       level: Math.floor(sum(shards.map(({ level }) => level))),
       granted: sum(shards.map(({ granted }) => granted)),
       overQuota: sum(shards.map(({ refused }) => refused)),
-      state: STATES.find((state) => shards.some((shard) => shard.state === state)) ?? null,
+      state: STATES_LEAST_READY_FIRST.find((state) => shards.some((shard) => shard.state === state)) ?? null,
     };
   };
 }
 
 /** The least ready first: one shard that waits is worth a look. */
-const STATES: readonly AllocationState[] = ['waiting', 'settling', 'serving'];
+const STATES_LEAST_READY_FIRST: readonly AllocationState[] = ['waiting', 'settling', 'serving'];
 
 function sum(values: readonly number[]): number {
   return values.reduce((total, value) => total + value, 0);
--- a/packages/cluster-node/src/update-publisher.ts
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -71,19 +71,19 @@
 
   /** Answers an edge that has just subscribed, where an answer is due. */
   answer(subscriber: Subscriber, nowMs: number): void {
-    if (this.#subscribers.isAnswerDue(subscriber, this.#available(), nowMs))
+    if (this.#subscribers.isAnswerDue(subscriber, this.#availableState(), nowMs))
       this.#sendUpdate(subscriber, nowMs);
   }
 
   /** Sends the updates that are due unasked. */
   sendDueUpdates(nowMs: number): void {
     const { workerTable } = this.#dependencies.placement();
-    const due = this.#subscribers.dueSubscribers(this.#available(), workerTable.takeChanges(), nowMs);
+    const due = this.#subscribers.dueSubscribers(this.#availableState(), workerTable.takeChanges(), nowMs);
     for (const subscriber of due) this.#sendUpdate(subscriber, nowMs);
   }
 
   /** What this core can send; only the coordinator has a table of workers. */
-  #available(): AvailableState {
+  #availableState(): AvailableState {
     const { isCoordinator } = this.#dependencies.group;
     const { workerTable, tableId } = this.#dependencies.placement();
     return {
@@ -96,7 +96,7 @@
 
   /** What is sent counts as known until the edge says otherwise, so that it is sent once. */
   #sendUpdate(subscriber: Subscriber, nowMs: number): void {
-    const available = this.#available();
+    const available = this.#availableState();
     const { deployment, group, state, send } = this.#dependencies;
     const update = create(StateUpdateSchema, {
       edition: state().edition,
@@ -132,7 +132,7 @@
     update.snapshot = isSnapshot;
     update.tableRow = available.tableRow;
     update.baseRow = isSnapshot ? 0 : subscriber.tableRow;
-    update.rows = workerTable.since(update.baseRow).map((row) => rowOf(row, nowMs));
+    update.rows = workerTable.since(update.baseRow).map((row) => toWorkerRow(row, nowMs));
     this.#subscribers.recordRowsSent(subscriber, available, update.rows.length, nowMs);
   }
 
@@ -144,7 +144,7 @@
   }
 }
 
-function rowOf(worker: WorkerRecord, nowMs: number): WorkerRow {
+function toWorkerRow(worker: WorkerRecord, nowMs: number): WorkerRow {
   const { number, id, service, address, zone, draining, removed, slots, warmUpUntilMs, models, limits } =
     worker;
   return create(WorkerRowSchema, {
@@ -163,9 +163,9 @@
       adapters: [...adapters],
       loadNumber: 0,
     })),
-    callerLimits: [...limits].map(([callers, percent]) => ({
+    callerLimits: [...limits].map(([callerZone, percent]) => ({
       $typeName: 'rainrun.v1.CallerLimit' as const,
-      zone: callers,
+      zone: callerZone,
       percent,
     })),
   });
--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -21,7 +21,7 @@
   readonly othersInFlight: number;
 }
 
-interface Load {
+interface EdgeLoad {
   readonly atMs: number;
   readonly inFlight: ReadonlyMap<string, number>;
 }
@@ -40,7 +40,7 @@
   #states = new Map<string, WorkerState>();
   #sinceMs = new Map<string, Map<string, number>>();
   #loadNumbers = new Map<string, number>();
-  #loads = new Map<string, Load>();
+  #loads = new Map<string, EdgeLoad>();
 
   get generation(): number {
     return this.#list?.generation ?? 0;
@@ -53,19 +53,19 @@
 
   /** Records what a worker replied; a reload starts its holdings anew. */
   recordState(state: WorkerState, nowMs: number): void {
-    const before = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
-    const reset = !(this.#states.get(state.worker)?.reachable ?? false);
-    const since = new Map<string, number>();
+    const previousSinceMs = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
+    const wasUnreachable = !(this.#states.get(state.worker)?.reachable ?? false);
+    const sinceMs = new Map<string, number>();
     for (const { model, adapters, loadNumber: load } of state.holdings) {
-      const copy = `${state.worker}/${model}`;
-      const anew = reset || load > (this.#loadNumbers.get(copy) ?? 0);
-      this.#loadNumbers.set(copy, Math.max(load, this.#loadNumbers.get(copy) ?? 0));
+      const copyKey = `${state.worker}/${model}`;
+      const isNewLoad = wasUnreachable || load > (this.#loadNumbers.get(copyKey) ?? 0);
+      this.#loadNumbers.set(copyKey, Math.max(load, this.#loadNumbers.get(copyKey) ?? 0));
       for (const key of [model, ...adapters.map((adapter) => `${model}/${adapter}`)]) {
-        since.set(key, anew ? nowMs : (before.get(key) ?? nowMs));
+        sinceMs.set(key, isNewLoad ? nowMs : (previousSinceMs.get(key) ?? nowMs));
       }
     }
     this.#states.set(state.worker, state);
-    this.#sinceMs.set(state.worker, since);
+    this.#sinceMs.set(state.worker, sinceMs);
   }
 
   /** Records an edge's requests in flight. */
--- a/packages/cluster-node/src/worker-health.test.ts
+++ b/packages/cluster-node/src/worker-health.test.ts
@@ -4,10 +4,10 @@
 import { WorkerHealth } from './worker-health.js';
 
 const ZONES = ['north', 'south'] as const;
-const REPORT_MS = 250;
+const REPORT_INTERVAL_MS = 250;
 
 /** A service of workers, and what the edges of two zones see of them. */
-class Seen {
+class HealthHarness {
   readonly table = new WorkerTable();
   readonly health = new WorkerHealth();
   nowMs = 1000;
@@ -15,10 +15,10 @@
   readonly sent = new Map<string, number>();
 
   constructor(workers: number) {
-    const listed = Array.from({ length: workers }, (_, place) => ({
-      id: `w${place}`,
+    const listed = Array.from({ length: workers }, (_, index) => ({
+      id: `w${index}`,
       service: 'assist',
-      address: `10.0.0.${place}:80`,
+      address: `10.0.0.${index}:80`,
       zone: 'north',
       slots: 8,
       draining: false,
@@ -31,7 +31,7 @@
   /** Each worker gets so many requests a report from each zone, of which a part fails. */
   run(forMs: number, each: number, failing: (worker: string, zone: string, nth: number) => boolean): void {
     let nth = 0;
-    for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += REPORT_MS) {
+    for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += REPORT_INTERVAL_MS) {
       for (const zone of ZONES)
         for (const row of this.table.rows) {
           const share = (row.limits.get(zone) ?? 100) / 100;
@@ -51,64 +51,64 @@
   }
 }
 
-function failsNothing(): boolean {
+function noFailures(): boolean {
   return false;
 }
 
 describe('the health of workers', () => {
   it('ejects a worker that fails its requests within half a second, and no other one', () => {
-    const seen = new Seen(8);
-    seen.run(500, 4, (worker) => worker === 'w3');
-    expect([seen.limited('north'), seen.limited('south')]).toEqual([['w3'], ['w3']]);
+    const harness = new HealthHarness(8);
+    harness.run(500, 4, (worker) => worker === 'w3');
+    expect([harness.limited('north'), harness.limited('south')]).toEqual([['w3'], ['w3']]);
   });
 
   it('ejects a worker that fails a part of them', () => {
-    const seen = new Seen(8);
-    seen.run(2000, 4, (worker, _zone, nth) => worker === 'w3' && nth % 5 < 2);
-    expect(seen.limited('north')).toEqual(['w3']);
+    const harness = new HealthHarness(8);
+    harness.run(2000, 4, (worker, _zone, nth) => worker === 'w3' && nth % 5 < 2);
+    expect(harness.limited('north')).toEqual(['w3']);
   });
 
   it('ejects it only for the callers that it fails', () => {
-    const seen = new Seen(8);
-    seen.run(1000, 4, (worker, zone) => worker === 'w3' && zone === 'south');
-    expect([seen.limited('north'), seen.limited('south')]).toEqual([[], ['w3']]);
+    const harness = new HealthHarness(8);
+    harness.run(1000, 4, (worker, zone) => worker === 'w3' && zone === 'south');
+    expect([harness.limited('north'), harness.limited('south')]).toEqual([[], ['w3']]);
   });
 
   it('leaves workers alone that have errors of their own, all alike', () => {
-    const seen = new Seen(8);
+    const harness = new HealthHarness(8);
     let limited = 0;
     for (let second = 0; second < 60; second += 1) {
-      seen.run(1000, 10, (_worker, _zone, nth) => (nth * 7919) % 250 === 0);
-      limited += seen.limited('north').length + seen.limited('south').length;
+      harness.run(1000, 10, (_worker, _zone, nth) => (nth * 7919) % 250 === 0);
+      limited += harness.limited('north').length + harness.limited('south').length;
     }
     expect(limited).toEqual(0);
   });
 
   it('leaves all in use where most of a service fails', () => {
-    const seen = new Seen(8);
-    seen.run(3000, 4, (_worker, _zone, nth) => nth % 2 === 0);
-    expect(seen.limited('north')).toEqual([]);
+    const harness = new HealthHarness(8);
+    harness.run(3000, 4, (_worker, _zone, nth) => nth % 2 === 0);
+    expect(harness.limited('north')).toEqual([]);
   });
 
   it('ejects no more than a third of a service', () => {
-    const seen = new Seen(9);
-    seen.run(4000, 6, (worker) => ['w0', 'w1', 'w2', 'w3'].includes(worker));
-    expect(seen.limited('north').length).toEqual(3);
+    const harness = new HealthHarness(9);
+    harness.run(4000, 6, (worker) => ['w0', 'w1', 'w2', 'w3'].includes(worker));
+    expect(harness.limited('north').length).toEqual(3);
   });
 
   it('lets a worker come back in steps, and keeps one that still fails away for longer', () => {
-    const seen = new Seen(8);
-    seen.run(500, 40, (worker) => worker === 'w3');
-    seen.run(2000, 40, failsNothing);
+    const harness = new HealthHarness(8);
+    harness.run(500, 40, (worker) => worker === 'w3');
+    harness.run(2000, 40, noFailures);
     const percents = new Set<number>();
     for (let step = 0; step < 8; step += 1) {
-      percents.add(seen.table.row('w3')?.limits.get('north') ?? 100);
-      seen.run(REPORT_MS, 40, failsNothing);
+      percents.add(harness.table.row('w3')?.limits.get('north') ?? 100);
+      harness.run(REPORT_INTERVAL_MS, 40, noFailures);
     }
     expect([...percents]).toEqual([10, 40, 100]);
 
-    seen.sent.clear();
-    seen.run(20_000, 40, (worker) => worker === 'w3');
-    expect((seen.sent.get('w3') ?? 0) < 0.1 * (seen.sent.get('w4') ?? 0)).toEqual(true);
+    harness.sent.clear();
+    harness.run(20_000, 40, (worker) => worker === 'w3');
+    expect((harness.sent.get('w3') ?? 0) < 0.1 * (harness.sent.get('w4') ?? 0)).toEqual(true);
   });
 });
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -25,7 +25,7 @@
   /** From then on a few edges try it again. */
   readonly untilMs: number;
   /** How often it was ejected in a row. */
-  readonly times: number;
+  readonly priorEjections: number;
 }
 
 /** Outcomes count half after so long. */
@@ -35,7 +35,7 @@
 const FAILURES_MIN = 4;
 const FAILURES_MIN_ON_RETURN = 2;
 /** A worker is ejected when its failures are so many standard deviations above what its peers' would make of them. */
-const DEVIATIONS = 4;
+const OUTLIER_DEVIATIONS = 4;
 /** Peers are taken to have had so many requests more, one of them failed: few say nothing for certain. */
 const PRIOR_REQUESTS = 20;
 /** At most this fraction of the workers of a service is ejected for the edges of one zone. */
@@ -64,10 +64,10 @@
   /** Records the outcomes at one edge since its last report. */
   record(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
     for (const { worker, answered, failed } of outcomes) {
-      const tally = faded(entry(this.#tallies, worker).get(zone), nowMs);
+      const tally = decayed(zoneMapOf(this.#tallies, worker).get(zone), nowMs);
       tally.answered += answered;
       tally.failed += failed;
-      entry(this.#tallies, worker).set(zone, tally);
+      zoneMapOf(this.#tallies, worker).set(zone, tally);
     }
   }
 
@@ -76,26 +76,30 @@
     if (nowMs - this.#evaluatedMs < EVALUATION_INTERVAL_MS) return;
     this.#evaluatedMs = nowMs;
     this.#removeUnlisted(table);
-    const services = new Map<string, WorkerRecord[]>();
+    const rowsByService = new Map<string, WorkerRecord[]>();
     for (const row of table.rows)
-      if (!row.removed) services.set(row.service, [...(services.get(row.service) ?? []), row]);
-    for (const rows of services.values()) this.#evaluateService(rows, nowMs);
+      if (!row.removed) rowsByService.set(row.service, [...(rowsByService.get(row.service) ?? []), row]);
+    for (const rows of rowsByService.values()) this.#evaluateService(rows, nowMs);
     for (const row of table.rows) this.#applyLimits(table, row, nowMs);
   }
 
   #evaluateService(rows: readonly WorkerRecord[], nowMs: number): void {
     const zones = new Set(rows.flatMap((row) => [...(this.#tallies.get(row.id)?.keys() ?? [])]));
     for (const zone of zones) {
-      const tallies = rows.map((row) => ({ row, tally: faded(this.#tallies.get(row.id)?.get(zone), nowMs) }));
+      const tallies = rows.map((row) => ({
+        row,
+        tally: decayed(this.#tallies.get(row.id)?.get(zone), nowMs),
+      }));
       const requests = tallies.reduce((sum, { tally }) => sum + tally.answered + tally.failed, 0);
       const failed = tallies.reduce((sum, { tally }) => sum + tally.failed, 0);
-      let room = Math.floor(EJECTED_FRACTION_MAX * rows.length) - this.#limitedCount(rows, zone, nowMs);
+      let remainingEjections =
+        Math.floor(EJECTED_FRACTION_MAX * rows.length) - this.#limitedCount(rows, zone, nowMs);
       const worstFirst = tallies.sort((one, other) => other.tally.failed - one.tally.failed);
       for (const { row, tally } of worstFirst) {
         if (!this.#isOutlier(row, zone, tally, requests, failed, nowMs)) continue;
-        const isNew = this.#percentOf(row.id, zone, nowMs) === ALL_EDGES_PERCENT;
-        if (isNew && room <= 0) continue;
-        if (isNew) room -= 1;
+        const isNew = this.#allowedPercent(row.id, zone, nowMs) === ALL_EDGES_PERCENT;
+        if (isNew && remainingEjections <= 0) continue;
+        if (isNew) remainingEjections -= 1;
         this.#eject(row, zone, nowMs);
       }
     }
@@ -110,30 +114,30 @@
     failedOfAll: number,
     nowMs: number,
   ): boolean {
-    const percent = this.#percentOf(row.id, zone, nowMs);
+    const percent = this.#allowedPercent(row.id, zone, nowMs);
     if (percent === 0) return false;
     if (failed < (percent < ALL_EDGES_PERCENT ? FAILURES_MIN_ON_RETURN : FAILURES_MIN) - 0.5) return false;
     const requests = answered + failed;
-    const peersPart = (failedOfAll - failed + 1) / (requestsOfAll - requests + PRIOR_REQUESTS);
-    const expected = requests * peersPart;
-    return failed - expected > DEVIATIONS * Math.sqrt(expected * Math.max(0, 1 - peersPart));
+    const peerFailureRatio = (failedOfAll - failed + 1) / (requestsOfAll - requests + PRIOR_REQUESTS);
+    const expected = requests * peerFailureRatio;
+    return failed - expected > OUTLIER_DEVIATIONS * Math.sqrt(expected * Math.max(0, 1 - peerFailureRatio));
   }
 
   #eject(row: WorkerRecord, zone: string, nowMs: number): void {
     const known = this.#ejections.get(row.id)?.get(zone);
-    const isForgiven = known === undefined || nowMs - known.untilMs > EJECTION_RESET_MS;
-    const times = isForgiven ? 0 : known.times + 1;
-    const untilMs = nowMs + backoffMs(EJECTION_BACKOFF, times);
-    entry(this.#ejections, row.id).set(zone, { untilMs, times });
+    const isBackoffReset = known === undefined || nowMs - known.untilMs > EJECTION_RESET_MS;
+    const priorEjections = isBackoffReset ? 0 : known.priorEjections + 1;
+    const untilMs = nowMs + backoffMs(EJECTION_BACKOFF, priorEjections);
+    zoneMapOf(this.#ejections, row.id).set(zone, { untilMs, priorEjections });
     this.#tallies.get(row.id)?.delete(zone);
   }
 
   #limitedCount(rows: readonly WorkerRecord[], zone: string, nowMs: number): number {
-    return rows.filter((row) => this.#percentOf(row.id, zone, nowMs) < ALL_EDGES_PERCENT).length;
+    return rows.filter((row) => this.#allowedPercent(row.id, zone, nowMs) < ALL_EDGES_PERCENT).length;
   }
 
   /** How many in a hundred edges of a zone may send to a worker now. */
-  #percentOf(worker: string, zone: string, nowMs: number): number {
+  #allowedPercent(worker: string, zone: string, nowMs: number): number {
     const ejection = this.#ejections.get(worker)?.get(zone);
     if (ejection === undefined) return ALL_EDGES_PERCENT;
     if (nowMs < ejection.untilMs) return 0;
@@ -143,7 +147,7 @@
   #applyLimits(table: WorkerTable, row: WorkerRecord, nowMs: number): void {
     const limits = new Map<string, number>();
     for (const zone of this.#ejections.get(row.id)?.keys() ?? []) {
-      const percent = this.#percentOf(row.id, zone, nowMs);
+      const percent = this.#allowedPercent(row.id, zone, nowMs);
       if (percent < ALL_EDGES_PERCENT) limits.set(zone, percent);
     }
     const isSame =
@@ -160,14 +164,14 @@
   }
 }
 
-function entry<T>(byWorker: Map<string, Map<string, T>>, worker: string): Map<string, T> {
+function zoneMapOf<T>(byWorker: Map<string, Map<string, T>>, worker: string): Map<string, T> {
   const known = byWorker.get(worker) ?? new Map<string, T>();
   byWorker.set(worker, known);
   return known;
 }
 
-function faded(tally: Tally | undefined, nowMs: number): Tally {
+function decayed(tally: Tally | undefined, nowMs: number): Tally {
   if (tally === undefined) return { answered: 0, failed: 0, atMs: nowMs };
-  const part = 0.5 ** ((nowMs - tally.atMs) / HALF_LIFE_MS);
-  return { answered: tally.answered * part, failed: tally.failed * part, atMs: nowMs };
+  const decay = 0.5 ** ((nowMs - tally.atMs) / HALF_LIFE_MS);
+  return { answered: tally.answered * decay, failed: tally.failed * decay, atMs: nowMs };
 }
