--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -1,7 +1,7 @@
 /**
- * Answers operators on a core of the platform family: changes by agreement, reads by a quorum read.
- * It owns no socket and no timer, so that the program and the simulator run the
- * same code.
+ * Answers operators on a core of the platform family: changes are committed by the process group, reads are
+ * quorum reads. The service owns no socket and no timer, so that the program and the simulator run the same
+ * code.
  */
 import type { Answer } from '@rainrun/messages';
 import {
@@ -18,7 +18,7 @@
 export type OperatorCall =
   | {
       readonly kind: 'put';
-      /** The revision that must be in force. */
+      /** The revision that must be in force for the change to apply; undefined to skip the check. */
       readonly base: number | undefined;
       readonly document: Record<string, unknown>;
     }
@@ -27,13 +27,13 @@
   | { readonly kind: 'evacuate' | 'return'; readonly zone: string }
   | { readonly kind: 'none' };
 
-/** The answer to a call, as it goes into an HTTP response. */
+/** Status and body of the HTTP response to a call. */
 export interface OperatorReply {
   readonly status: number;
   readonly body: string;
 }
 
-/** The core's replica, as far as operators reach it. */
+/** The part of the core's replica that serves operators. */
 export interface OperatorReplica {
   readonly state: Deployment;
   readonly group: { currentAsOfMs(): number };
@@ -41,24 +41,24 @@
   abandon(id: string): void;
 }
 
-/** How replies are written for the callers of one platform. */
+/** Formats replies for the callers of one platform. */
 export interface OperatorFormat {
   writeDocument(document: ConfigurationDocument): string;
-  /** The status for a fault, where the platform's differs from ours. */
+  /** The platform's HTTP status for a fault; undefined to use that of FAULT_RESPONSES. */
   statusOf(cause: Fault): number | undefined;
 }
 
-/** What the service is given by its program, or by the simulator. */
+/** Collaborators that the core program or the simulator supplies. */
 export interface OperatorServiceDependencies {
   readonly replica: OperatorReplica;
   readonly clock: Clock;
   readonly format: OperatorFormat;
-  /** How this core sees its group now. */
+  /** Current status of the group as this core sees it. */
   status(): CoreStatus;
 }
 
 const NOT_KNOWN_COMMITTED = fault('not-admitting', 'not known to be agreed yet; send it again');
-const NO_QUORUM_READ = fault('not-admitting', 'no majority answered since the question; ask another node');
+const NO_QUORUM_READ = fault('not-admitting', 'no majority confirmed the read in time; ask another node');
 
 type ReplyCallback = (reply: OperatorReply) => void;
 
@@ -68,7 +68,7 @@
   id: string;
 }
 
-/** A zone operation that is received and not yet submitted. */
+/** A zone operation that was received and is held back for ZONE_CHANGE_DELAY_MS before it is submitted. */
 interface ZoneChange {
   readonly kind: 'zone.evacuate' | 'zone.return';
   readonly payload: { readonly zone: string; readonly seen: number };
@@ -77,7 +77,9 @@
   readonly isCallerGone: () => boolean;
 }
 
-/** A read, with its replies where this node is known to hold the newest state, and where it is not in time. */
+/**
+ * A read, with the reply for when this node proves to be current and the reply for when it does not in time.
+ */
 interface PendingRead {
   readonly receivedMs: number;
   readonly done: ReplyCallback;
@@ -85,21 +87,21 @@
   staleReply(): OperatorReply;
 }
 
-/** A caller retries at another node after a second without an answer: it is answered before. */
+/** Callers retry at another node after 1 s without an answer, so every call is answered before that. */
 export const ANSWER_TIMEOUT_MS = 800;
 
 /**
- * Zone operations bear no version by which a late duplicate shows. They wait for so
- * long, a round trip between regions: where a partition has delayed a call, the end
- * of its connection comes by then, and a call without a caller is not submitted.
+ * How long a zone operation is held back before it is submitted: one round trip between regions. A zone
+ * operation carries no version that would reveal a late duplicate. If a partition delayed the call, the end
+ * of its connection arrives within this time, and a call whose caller has gone is not submitted.
  */
 export const ZONE_CHANGE_DELAY_MS = 100;
 
 /**
- * The operator side of one core. Every answer that says what is in force, or
- * what is not, was committed after the call came or read once a majority
- * confirmed it after that; a core that cannot know so in time answers 503, and the caller asks
- * another one.
+ * Serves the operator calls of one core. An answer about what is in force is
+ * either committed after the call arrived, or read from state that a majority
+ * confirmed after the call arrived. A core that cannot establish this in time
+ * answers 503, and the caller asks another core.
  * @example
  * const service = new OperatorService({ replica, clock, format });
  * service.answer({ kind: 'read' }, (reply) => respond(reply));
@@ -117,11 +119,12 @@
   }
 
   /**
-   * Answers a call; `done` is called once, at once or from a later `tick`.
-   * `isCallerGone` tells whether nobody waits for the answer any more.
+   * Answers a call. `done` is called once, before this method returns or from a
+   * later `tick`. `isCallerGone` tells whether the caller has disconnected.
    */
   answer(call: OperatorCall, done: ReplyCallback, isCallerGone: () => boolean = () => false): void {
-    if (this.#draining) return done(this.failure(fault('draining', 'this node ends; ask another')));
+    if (this.#draining)
+      return done(this.failure(fault('draining', 'this node is shutting down; ask another node')));
     const { edition } = this.#dependencies.replica.state;
     const receivedMs = this.#dependencies.clock.nowMs();
     switch (call.kind) {
@@ -162,7 +165,9 @@
     }
   }
 
-  /** Answers what can be answered now, and ends what has waited too long. */
+  /**
+   * Answers the reads that have become current, submits due zone operations, and fails calls that timed out.
+   */
   tick(): void {
     this.#answerReads();
     this.#submitZoneChanges();
@@ -175,12 +180,14 @@
     }
   }
 
-  /** Takes no further calls: this node is about to leave the group. */
+  /**
+   * Rejects all further calls, as this node is about to leave the group; pending calls are still answered.
+   */
   drain(): void {
     this.#draining = true;
   }
 
-  /** The reply for a fault, with the last known status where it helps. */
+  /** The reply for a fault, with the last known status if `more` holds it. */
   failure(cause: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
     const { status, ran } = FAULT_RESPONSES[cause.kind];
     return {
@@ -212,12 +219,15 @@
       if (nowMs - change.receivedMs < ZONE_CHANGE_DELAY_MS) continue;
       this.#queuedZoneChanges.delete(change);
       if (nowMs - change.receivedMs >= ANSWER_TIMEOUT_MS) change.done(this.failure(NOT_KNOWN_COMMITTED));
-      else if (change.isCallerGone()) change.done(this.failure(fault('visitor-left', 'the caller has gone')));
+      else if (change.isCallerGone())
+        change.done(this.failure(fault('visitor-left', 'the caller has disconnected')));
       else this.#submitChange(change.kind, change.payload, change.receivedMs, change.done);
     }
   }
 
-  /** What is invalid in every state is rejected at once; all else is decided by agreement. */
+  /**
+   * Rejects an operation that is invalid in every state; submits any other to the group, which decides it.
+   */
   #submitChange(
     kind: DeploymentOperation['kind'],
     payload: unknown,
@@ -246,7 +256,7 @@
     this.#answerReads();
   }
 
-  /** A read is answered once this node holds all that was committed before it. */
+  /** Answers each read once this node has applied everything that was committed before the read arrived. */
   #answerReads(): void {
     const { replica, clock } = this.#dependencies;
     if (this.#pendingReads.size === 0) return;
--- a/packages/cluster-node/src/revocation-guard.ts
+++ b/packages/cluster-node/src/revocation-guard.ts
@@ -1,30 +1,35 @@
 /**
- * Whether an edge may still serve by the keys of tenants that it holds, where revocations are strict. Platform family.
+ * Decides whether an edge may still serve requests by the API keys that it holds, if revocations are strict.
+ * Platform family.
  *
- * An edge that is cut off from the cores holds keys which may have been taken away since. It heard of everything that
- * was acknowledged before the last moment at which a core with a lease answered it: a key taken away after that is
- * served no longer than `withinMs` if the edge stops so long after that moment, since the change cannot have been
- * acknowledged before it.
+ * An edge that is partitioned from the cores may hold keys that have since been revoked. It knows every
+ * change that was acknowledged before it was last confirmed to be current by a core with a lease. A key
+ * revoked later cannot have been acknowledged before that moment, so if the edge stops serving `withinMs`
+ * after it, no revoked key is served for longer than `withinMs` after the acknowledgement.
  */
 import { fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
-/** How strictly revocations bind an edge that is cut off. */
+/** How an edge that is partitioned from the cores treats the API keys that it holds. */
 export interface RevocationGuardSettings {
-  /** False: it goes on with the keys that it holds. */
+  /**
+   * Whether the edge stops serving by keys that may have been revoked; if false, it keeps using the keys it
+   * holds.
+   */
   readonly strict: boolean;
-  /** So long after a change was acknowledged no key that it took away may be served. */
+  /** A key may be served for at most this long after its revocation was acknowledged. */
   readonly withinMs: number;
 }
 
-const KEYS_NOT_CURRENT = 'the keys of tenants are not known to be current here; ask another node';
-const KEYS_NOT_CONFIRMED = 'no core that knows the keys of tenants has answered yet; ask another node';
+const KEYS_NOT_CURRENT = 'the API keys on this edge are not confirmed to be current; ask another node';
+const KEYS_NOT_CONFIRMED =
+  'no core with a lease has confirmed the API keys on this edge yet; ask another node';
 
 /**
- * Guards requests that need a key. Times are of the edge's monotonic clock.
+ * Admits or rejects requests that need an API key. Times are of the edge's monotonic clock.
  * @example
  * const guard = new RevocationGuard({ strict: true, withinMs: 2500 });
- * guard.onCurrent(askedMs); // a core with a lease answered what was asked then
+ * guard.onCurrent(askedMs); // a core with a lease answered a message sent at that time
  * guard.admit(nowMs).isOk;
  */
 export class RevocationGuard {
@@ -36,14 +41,18 @@
   }
 
   /**
-   * A core with a lease confirmed that the edge holds all that was acknowledged up to `asOfMs`: at the latest when
-   * the edge sent the question that the core answers, not when the answer came, for it may have been on its way.
+   * Records that a core with a lease confirmed that the edge holds all changes acknowledged up to `asOfMs`.
+   * That is at the latest the time at which the edge sent the message that the core answers, not the time at
+   * which the answer arrived, since the answer may have been in flight for long.
    */
   onCurrent(asOfMs: number): void {
     this.#currentAsOfMs = Math.max(asOfMs, this.#currentAsOfMs ?? -Infinity);
   }
 
-  /** Whether a request that needs a key may be served now, or the fault to refuse it with: none of it has run. */
+  /**
+   * Whether a request that needs an API key may be served now; if not, the fault to reject it with, which
+   * tells the client that nothing has run.
+   */
   admit(nowMs: number): Result<Unit, Fault> {
     if (!this.#settings.strict) return Result.ok();
     if (this.#currentAsOfMs === undefined) return Result.err(fault('not-admitting', KEYS_NOT_CONFIRMED));
--- a/packages/cluster-node/src/spec-placement-loop.ts
+++ b/packages/cluster-node/src/spec-placement-loop.ts
@@ -1,4 +1,7 @@
-/** Placement of the spec family: while this node holds the singleton lease, decides placements and orders workers. */
+/**
+ * Placement of the spec family: decides placements and sends orders while this node holds the singleton
+ * lease.
+ */
 import type { SpecState } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import {
@@ -15,17 +18,20 @@
 import type { DirectoryWorker } from './worker-directory.js';
 
 const PLACEMENT_INTERVAL_MS = 1000;
-/** How long a new holder of the singleton lease waits for a report of every worker. */
+/** How long a new holder of the singleton lease waits for the reports of all workers before it decides. */
 const REPORTS_TIMEOUT_MS = 4000;
-/** Subtracted from the urgency of a further copy: the first ones of everything come before, asked for or not. */
+/**
+ * Subtracted from the urgency of a further copy, so that all first copies are loaded before it, in demand or
+ * not.
+ */
 const FURTHER_COPY_PENALTY = 1e6;
 
-/** What placement reads of its node, and what it sends. */
+/** The sources that placement reads on its node, and the effects that it has. */
 export interface SpecPlacementDependencies {
-  /** Set points of placement, where they are not the usual ones. */
+  /** Settings of the placer; SPEC_PLACER_SETTINGS if absent. */
   readonly placing?: SpecPlacerSettings;
   state(): SpecState;
-  /** All listed workers. */
+  /** All workers of the platform's list. */
   workers(): DirectoryWorker[];
   demands(nowMs: number): ReadonlyMap<string, SpecModelDemand>;
   /** This node's incarnation. */
@@ -34,24 +40,25 @@
   singletonEpoch(): number | undefined;
   /** Sends one order to a worker. */
   order(address: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
-  /** Called when a worker replied something new. */
+  /** Called with the known state of a worker after an order to it has ended. */
   onWorkerState(worker: string, known: SpecWorkerState): void;
-  /** Submits a decision; `done` is called once it is committed. */
+  /** Submits a placement decision to the group; `done` is called once the decision is committed. */
   submitPlacement(id: string, payload: string, done: () => void): Result<string, Fault>;
 }
 
 /**
- * The placement loop.
+ * Decides placements at intervals, submits them to the group, and sends workers the orders that follow from
+ * them.
  * @example
  * loop.tick(nowMs); // every 50 ms
- * loop.reason('gearbox-7b'); // why it is placed where it is
+ * loop.reason('gearbox-7b'); // the reason for its placement
  */
 export class SpecPlacementLoop {
   #dependencies: SpecPlacementDependencies;
   #placer: SpecPlacer;
   #orderSender: SpecOrderSender;
   #decidedMs = -Infinity;
-  /** Id of the decision that is submitted and not yet committed. */
+  /** Id of the decision that was submitted and is not yet committed. */
   #pendingDecision: string | undefined;
   #leaseStart: { readonly epoch: number; readonly atMs: number } | undefined;
   #decisionCount = 0;
@@ -66,12 +73,12 @@
     });
   }
 
-  /** Why a model stands where it does, if this node decided it. */
+  /** The reason for the current placement of a model, if this node decided it. */
   reason(model: string): string | undefined {
     return this.#placer.reason(model);
   }
 
-  /** Sends the orders that are due, and decides anew where that is due; nothing without the lease. */
+  /** Sends due orders and makes a new decision if one is due; does nothing without the singleton lease. */
   tick(nowMs: number): void {
     const epoch = this.#dependencies.singletonEpoch();
     const state = this.#dependencies.state();
@@ -99,7 +106,7 @@
     return nowMs - this.#decidedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
   }
 
-  /** New placements by worker; an empty one for each worker that is no longer listed. */
+  /** The changed placements by worker; an empty placement for each worker that is no longer listed. */
   #decide(
     workers: readonly DirectoryWorker[],
     demands: ReadonlyMap<string, SpecModelDemand>,
@@ -132,7 +139,9 @@
     return this.#orderSender.workerState(worker)?.reachable ?? false;
   }
 
-  /** Models and adapters that some reachable worker has loaded, as it reported itself. */
+  /**
+   * Keys of the models and adapters that reachable workers reported as loaded: `model/` and `model/adapter`.
+   */
   #loadedKeys(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
     const keys = new Set<string>();
     for (const { name } of workers) {
@@ -148,12 +157,13 @@
 
   #sendOrder(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
     const entry = this.#dependencies.workers().find((worker) => worker.name === order.worker);
-    if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
+    if (entry === undefined)
+      return done(Result.err(fault('not-found', `worker ${order.worker} is not listed`)));
     this.#dependencies.order(entry.address, order, done);
   }
 }
 
-/** How urgent a load is; a further copy is loaded after every first one. */
+/** Urgency of a load by demand; a further copy is less urgent than every first copy. */
 function urgencyOf(
   demands: ReadonlyMap<string, SpecModelDemand>,
   loaded: ReadonlySet<string>,
