--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -1,4 +1,7 @@
-/** A node of the spec family: wires the process group to gossip, placement, forwarded queries and observations. */
+/**
+ * A node of the spec family: wires the process group to gossip, placement, forwarded queries and
+ * observations.
+ */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
   ObservationSchema,
@@ -23,31 +26,31 @@
 import { WorkerDirectory, type DirectoryWorker } from './worker-directory.js';
 import { WorkerGossip } from './worker-gossip.js';
 
-/** What a node of the system is given by its program, or by the simulator. */
+/** Collaborators and callbacks that the node's program or the simulator supplies. */
 export interface ClusterNodeDependencies extends Omit<
   GroupDependencies<SpecState>,
   'stateMachine' | 'listener'
 > {
   /** Sends one order to a worker. */
   order(address: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
-  /** Called when a version has come into force here. */
+  /** Called each time this node applies a version of the replicated state. */
   onStateChange(state: GroupState<SpecState>, entry: Entry | undefined): void;
-  /** Called for each cast delivered here. */
+  /** Called for each cast that is delivered to this node. */
   onCast(sender: string, payload: Uint8Array): void;
   /** Called when this node joins, or rejoins, as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
   /** Called when the group rejects this node, with the reason. */
   onJoinRejected(reason: string): void;
-  /** Set points of placement, where they are not the usual ones. */
+  /** Settings of the placer; SPEC_PLACER_SETTINGS if absent. */
   readonly placing?: SpecPlacerSettings;
-  /** Answers a query that an operator asked at another node. */
+  /** Answers an operator's query that another node forwarded. */
   answerQuery(kind: string, text: string): QueryResult;
 }
 
 /**
- * One node: its member of the group, the committed spec state, gossip, and,
- * where it holds the singleton lease, placement and orders. No socket, timer or
- * file of its own.
+ * One node: a member of the process group that replicates the spec state,
+ * takes part in gossip and, while it holds the singleton lease, places models
+ * and sends orders to workers. It owns no socket, timer or file.
  * @example
  * const clusterNode = new ClusterNode(dependencies);
  * clusterNode.tick(); // every 50 ms
@@ -80,46 +83,47 @@
     return this.#group;
   }
 
-  /** The state in force here. */
+  /** The newest spec state that this node has applied; the empty one before the first. */
   get state(): SpecState {
     return this.#group.state?.application ?? EMPTY_SPEC_STATE;
   }
 
-  /** What the research groups measured over the fleet. */
+  /** Measures of the research groups, aggregated over all edges. */
   get groups(): GroupStatus[] {
     return this.#demand.groups();
   }
 
-  /** Names of the edges in the view. */
+  /** Names of the edges in the view: its members without a disk. */
   get edges(): string[] {
     return (this.#group.view?.members ?? [])
       .filter((member) => member.disk === '')
       .map((member) => member.name);
   }
 
-  /** All listed workers. */
+  /** All workers of the platform's list, as this node knows them. */
   workers(): DirectoryWorker[] {
     return this.#directory.workers(this.state, this.#group.self.incarnation, this.#now());
   }
 
-  /** Why a model stands where it does, if this node decided it. */
+  /** The reason for the current placement of a model, if this node decided it. */
   reason(model: string): string | undefined {
     return this.#placement.reason(model);
   }
 
-  /** Takes the platform's list; one of an older generation than the known one is ignored. */
+  /** Publishes the platform's worker list by gossip; a list older than the known generation is ignored. */
   learnList(list: WorkerList): void {
     this.#gossip.publishList(list);
   }
 
-  /** Casts what this edge observed. */
+  /** Casts this edge's observation to the group. */
   observe(observation: Observation): void {
     this.#group.cast(toBinary(ObservationSchema, observation));
   }
 
   /**
    * Submits an operation. `done` is called once, with the committed answer; a
-   * caller that cannot wait asks later by the id. Fails with `unreached`.
+   * caller that does not wait can ask for the answer later, by the id. Returns
+   * the id, or the fault `unreached` if no coordinator can be reached.
    */
   submit(id: string, kind: string, payload: string, done: AnswerCallback): Result<string, Fault> {
     const operation = create(OperationSchema, {
@@ -132,8 +136,8 @@
   }
 
   /**
-   * Forwards a query to another member. `done` is called once: with its answer,
-   * or with nothing when none came in time.
+   * Forwards a query to the member of incarnation `to`. `done` is called once,
+   * with the answer or, after the time-out, with undefined.
    */
   query(to: string, kind: string, text: string, done: QueryCallback): void {
     this.#queries.query(to, kind, text, done);
@@ -212,7 +216,10 @@
     this.#dependencies.onStateChange(state, entry);
   }
 
-  /** Casts that are no observation, as from a later version, are for the listener alone. */
+  /**
+   * Passes a cast to `onCast`, and records it if it can be decoded as an observation; one of a later version
+   * may not be.
+   */
   #onCast(sender: Member, payload: Uint8Array): void {
     this.#dependencies.onCast(sender.incarnation, payload);
     const observation = tryOrElse(
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -1,4 +1,6 @@
-/** A core of the platform family: wires the process group to placement, to subscribed edges and to operations. */
+/**
+ * A core of the platform family: wires the process group to placement, to subscribed edges and to operations.
+ */
 import { create } from '@bufbuild/protobuf';
 import { OperationSchema, type Frame, type Subscribe } from '@rainrun/messages';
 import { Group, type GroupDependencies, type GroupState } from '@rainrun/process-group';
@@ -13,14 +15,14 @@
 import { QuotaAllocation } from './quota-allocation.js';
 import { UpdatePublisher } from './update-publisher.js';
 
-/** What a core is given by its program, or by the simulator. */
+/** Collaborators and callbacks that the core program or the simulator supplies. */
 export interface CoreReplicaDependencies
   extends Omit<GroupDependencies<Deployment>, 'stateMachine' | 'listener'>, PlacementEffects {
-  /** How far requests of tenants may go above their limits. */
+  /** Bounds within which a tenant's requests may exceed its limit. */
   readonly quota: QuotaBounds;
-  /** Called when another edition came into force here. */
+  /** Called each time this core applies a version of the replicated state. */
   onStateChange(state: Deployment): void;
-  /** Called when this node was dropped from the view and goes on as a new incarnation. */
+  /** Called when this node was removed from the view and rejoins as a new incarnation. */
   onNewIncarnation(incarnation: string): void;
   /** Called when the group rejects this node, with the reason. */
   onJoinRejected(reason: string): void;
@@ -28,8 +30,8 @@
 
 /**
  * A core: a member of the process group that replicates the deployment's state
- * and publishes it to the edges that subscribe. The coordinator keeps the
- * table of workers and orders them. No socket, timer or file of its own.
+ * and publishes it to the subscribed edges. On the coordinator, it also keeps
+ * the worker table and sends orders to workers. It owns no socket, timer or file.
  * @example
  * const replica = new CoreReplica(dependencies);
  * replica.tick(); // every 20 ms
@@ -79,7 +81,7 @@
     return this.#group;
   }
 
-  /** The state in force here. */
+  /** The newest state that this core has applied; the empty deployment before the first. */
   get state(): Deployment {
     return this.#group.state?.application ?? EMPTY_DEPLOYMENT;
   }
@@ -96,7 +98,7 @@
     return this.#publisher.subscriberCount;
   }
 
-  /** The tenants whose quota this core allocates now. */
+  /** Statistics of the quota shards that this core currently allocates. */
   get quotaStats(): AllocationStats[] {
     return this.#quotas.stats();
   }
@@ -115,7 +117,9 @@
     this.#publisher.sendDueUpdates(nowMs);
   }
 
-  /** Takes the platform's complete list of workers; ignored unless this core is the coordinator. */
+  /**
+   * Updates the worker table from the platform's complete list; ignored unless this core is the coordinator.
+   */
   learnList(list: readonly ListedWorker[]): void {
     if (!this.#group.isCoordinator) return;
     this.#placement.ensureTableForEpoch();
@@ -124,7 +128,10 @@
     this.#publisher.sendDueUpdates(nowMs);
   }
 
-  /** Submits an operation; `done` is called once, with the committed answer. Fails with `unreached`. */
+  /**
+   * Submits an operation; `done` is called once, with the committed answer. Returns the operation's id, or
+   * the fault `unreached` if no coordinator can be reached.
+   */
   submit(kind: string, payload: unknown, done: AnswerCallback): Result<string, Fault> {
     const operation = create(OperationSchema, {
       id: randomId(this.#dependencies.chance),
@@ -135,7 +142,9 @@
     return this.#operations.submit(this.#group, operation, done);
   }
 
-  /** The caller waits for this answer no longer, and may have asked another node. */
+  /**
+   * Drops the callback of an operation whose caller stopped waiting, and stops sending the operation again.
+   */
   abandon(id: string): void {
     this.#operations.abandon(this.#group, id);
   }
--- a/packages/cluster-node/src/core-selection.ts
+++ b/packages/cluster-node/src/core-selection.ts
@@ -1,29 +1,31 @@
-/** Which cores an edge subscribes to, and which of them answer. Platform family. */
+/** Selects the cores that an edge subscribes to, and tracks which of them answer. Platform family. */
 import type { Member } from '@rainrun/messages';
 import { spread } from '@rainrun/common';
 
-/** A core that did not answer for so long is forgotten, unless it is a seed. */
+/** A core that has not answered for this long is removed, unless it is a seed. */
 const CORE_EXPIRY_MS = 10_000;
-/** So many cores that hold a lease are subscribed to; the coordinator is always one more where it is not among them. */
+/** Number of cores with a lease to subscribe to. The coordinator is added if it is not among them. */
 const CORES_MAX = 3;
-/** A core that did not answer for so long counts as unreachable. */
+/** A core that has not answered for this long counts as unreachable. */
 const CORE_TIMEOUT_MS = 1500;
 
-/** What an edge knows of one core. Times are of the edge's clock. */
+/** What an edge knows about one core. Times are of the edge's clock. */
 export interface Core {
   readonly address: string;
-  /** The incarnation at this address, once a view has named it. */
+  /** The incarnation at this address; empty until a view has named it. */
   incarnation: string;
-  /** Each edge prefers the cores in an order of its own, so that all have about as many subscribers. */
+  /**
+   * Sort key, the lowest first. It differs between edges, so that all cores get about as many subscribers.
+   */
   readonly preference: number;
   lastContactMs: number;
-  /** Whether it held a lease when it last answered. */
+  /** Whether the core held a lease when it last answered. */
   hasLease: boolean;
-  /** When this edge last subscribed to it, or renewed. */
+  /** When this edge last subscribed to the core or renewed the subscription. */
   subscribedMs: number;
 }
 
-/** The edge's own identity, and the addresses of cores to begin with. */
+/** The edge's own identity, and the addresses of the cores that it contacts first. */
 export interface CoreSelectionSettings {
   readonly incarnation: string;
   readonly address: string;
@@ -31,7 +33,7 @@
 }
 
 /**
- * The cores that an edge knows.
+ * The cores that an edge knows, and the choice of those to subscribe to.
  * @example
  * const selection = new CoreSelection({ incarnation, address, seeds });
  * for (const core of selection.subscribedCores(nowMs)) subscribe(core);
@@ -45,12 +47,12 @@
     this.#settings = settings;
   }
 
-  /** Whether a coordinator was named yet. */
+  /** Whether a core with a lease has named a coordinator. */
   get hasCoordinator(): boolean {
     return this.#coordinator !== undefined;
   }
 
-  /** Addresses of all cores known now. */
+  /** Addresses of all known cores. */
   get addresses(): string[] {
     return [...this.#cores.keys()];
   }
@@ -59,18 +61,21 @@
     return core.address === this.#coordinator?.address;
   }
 
-  /** Whether a core with a lease answered lately. */
+  /** Whether a core that holds a lease answered within CORE_TIMEOUT_MS. */
   hasLiveLease(nowMs: number): boolean {
     return [...this.#cores.values()].some((core) => core.hasLease && isLive(core, nowMs));
   }
 
-  /** Whether the coordinator answers: then it sends this edge all that is new unasked. */
+  /** Whether the coordinator answers this edge; if it does, it sends all updates without being asked. */
   isCoordinatorLive(nowMs: number): boolean {
     const core = this.#cores.get(this.#coordinator?.address ?? '');
     return core !== undefined && core.incarnation !== '' && isLive(core, nowMs);
   }
 
-  /** The coordinator and a few more; all that are known where those are too few or the coordinator is silent. */
+  /**
+   * The coordinator and CORES_MAX preferred cores; all known cores if these are too few or no coordinator
+   * answers.
+   */
   subscribedCores(nowMs: number): Core[] {
     const { seeds, address: ownAddress } = this.#settings;
     for (const [address, core] of this.#cores)
@@ -90,7 +95,7 @@
     return [...selected];
   }
 
-  /** Learns the members of the view from an update. */
+  /** Learns the incarnations of the cores in the view from an update. */
   learnMembers(members: readonly Member[], nowMs: number): void {
     for (const { address, incarnation } of members) this.#core(address, nowMs).incarnation = incarnation;
   }
--- a/packages/cluster-node/src/core-status.ts
+++ b/packages/cluster-node/src/core-status.ts
@@ -1,4 +1,4 @@
-/** Status report: the process group as one core of the platform family sees it, for operators. */
+/** Status report for operators: the process group as one core of the platform family sees it. */
 import type { Member } from '@rainrun/messages';
 import type { CoordinatorWait } from '@rainrun/process-group';
 import type { CoreReplica } from './core-replica.js';
@@ -10,31 +10,31 @@
   readonly zone: string;
   readonly address: string;
   readonly voter: boolean;
-  /** The version in force there when it last answered; null where it never answered. */
+  /** The version that the member had applied when it last answered; null if it has never answered. */
   readonly version: number | null;
-  /** How many versions it has still to catch up. */
+  /** Number of versions by which the member lags behind the newest one; null if its version is unknown. */
   readonly behind: number | null;
 }
 
-/** A disk that votes. */
+/** A voter, identified by its disk. */
 export interface VoterStatus {
   readonly name: string;
   readonly disk: string;
-  /** Whether it is in the view; one that is not is replaced. */
+  /** Whether the voter is in the view; a voter outside the view is replaced. */
   readonly member: boolean;
   readonly version: number | null;
 }
 
-/** A group as one core sees it. */
+/** The process group as one core sees it. */
 export interface CoreStatus {
   readonly node: string;
   readonly zone: string;
   readonly epoch: number;
   /** Null while no coordinator is known. */
   readonly coordinator: string | null;
-  /** What this core waits for; absent while a coordinator that commits is known. */
+  /** What this core is waiting for; absent while it knows a coordinator that commits. */
   readonly waiting?: CoordinatorWait;
-  /** Newest version in force here, and the newest known to be agreed. */
+  /** The newest version that this core has applied; `agreed` is the newest that it knows to be committed. */
   readonly version: number;
   readonly agreed: number;
   readonly revision: number;
@@ -42,12 +42,12 @@
   readonly edges: number;
   readonly members: readonly MemberStatus[];
   readonly voters: readonly VoterStatus[];
-  /** Absent where the configuration has no tenants. */
+  /** Status of the tenants; absent if the configuration has no list of tenants. */
   readonly tenants?: readonly TenantStatus[];
 }
 
 /**
- * What a core knows of its group and its tenants at this moment, current or not.
+ * The status of the group and the tenants as this core knows them now; it may be out of date.
  * @example
  * coreStatus(replica).coordinator; // 'core-1'
  */
--- a/packages/cluster-node/src/demand-reporter.ts
+++ b/packages/cluster-node/src/demand-reporter.ts
@@ -1,16 +1,18 @@
-/** Which demand an edge reports to the coordinator, in full or as an increment. Platform family. */
+/**
+ * Selects the demand that an edge reports to the coordinator, in full or as an increment. Platform family.
+ */
 import type { ModelDemand } from '@rainrun/messages';
 
 /**
- * Reads the demand of this edge and remembers which of it was reported as waiting.
+ * Reads the demand of this edge, and tracks which of it was reported as waiting.
  * @example
  * const reporter = new DemandReporter(() => meter.demands());
  * reporter.full();
- * reporter.increment(); // what waits now, or waited when it was last reported
+ * reporter.increment(); // demand that waits now, or waited when it was last reported
  */
 export class DemandReporter {
   #read: () => readonly ModelDemand[];
-  /** Demand that was reported as waiting, since the last full report. */
+  /** Keys of the demand that was reported as waiting in the last full report or since. */
   #reportedWaiting = new Set<string>();
 
   constructor(read: () => readonly ModelDemand[]) {
@@ -24,7 +26,7 @@
     return [...demands];
   }
 
-  /** Between two full reports: only demand that waits, or waited when it was last reported. */
+  /** The demand to report between two full reports: what waits now, or waited when it was last reported. */
   increment(): ModelDemand[] {
     const demands = this.#read().filter(
       (demand) => demand.waiting > 0 || this.#reportedWaiting.has(keyOf(demand)),
--- a/packages/cluster-node/src/demand-table.ts
+++ b/packages/cluster-node/src/demand-table.ts
@@ -1,10 +1,15 @@
-/** Demand for models and measures of research groups, summed over the observations of all edges. Spec family. */
+/**
+ * Demand for models, and measures of research groups, aggregated over the observations of all edges. Spec
+ * family.
+ */
 import type { GroupMeasure, Observation } from '@rainrun/messages';
 import type { SpecModelDemand } from '@rainrun/placement';
 
 const HALF_LIFE_S = 10;
 
-/** What a research group measured over the fleet; waits are smoothed, in milliseconds. */
+/**
+ * Measures of one kind of request of a research group over all edges; waits are smoothed, in milliseconds.
+ */
 export interface GroupStatus {
   readonly group: string;
   readonly kind: string;
@@ -17,7 +22,7 @@
 }
 
 /**
- * Observations of all edges, smoothed into demand per model and measures per group.
+ * Aggregates the observations of all edges into smoothed demand per model and measures per group.
  * @example
  * demand.record('incarnation-1', observation, nowMs);
  * demand.models(nowMs).get('gearbox-7b')?.arrivalsPerS;
@@ -28,7 +33,7 @@
   #measuresBySender = new Map<string, Map<string, GroupMeasure>>();
   #totals = new Map<string, GroupStatus>();
 
-  /** Adds what one edge observed since its last observation. */
+  /** Adds the observation of one edge, which covers the time since its previous one. */
   record(sender: string, observation: Observation, nowMs: number): void {
     const backlogs = new Map<string, number>();
     for (const { model, adapter, arrivals, backlog } of observation.demands) {
@@ -47,7 +52,7 @@
     for (const measure of observation.groups) this.#addToTotals(measure);
   }
 
-  /** Drops what was observed by nodes that are no longer in the view. */
+  /** Drops the observations of nodes that are no longer in the view. */
   retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#backlogsBySender.keys())
       if (!incarnations.has(incarnation)) this.#backlogsBySender.delete(incarnation);
@@ -73,7 +78,7 @@
     return demands;
   }
 
-  /** Totals since this node joined, with requests in flight and backlog now. */
+  /** Totals since this node joined, with the current requests in flight and backlog. */
   groups(): GroupStatus[] {
     const statuses = new Map<string, GroupStatus>();
     for (const [key, total] of this.#totals) statuses.set(key, { ...total, inFlight: 0, backlog: 0 });
--- a/packages/cluster-node/src/deployment-state-machine.ts
+++ b/packages/cluster-node/src/deployment-state-machine.ts
@@ -8,7 +8,7 @@
   type Deployment,
 } from '@rainrun/configuration';
 
-/** Every core of the platform family replicates this state machine. */
+/** The state machine that every core of the platform family replicates. */
 export const DEPLOYMENT_STATE_MACHINE: StateMachine<Deployment> = {
   empty: () => EMPTY_DEPLOYMENT,
   encode: (state) => ({ application: encodeDeployment(state), applicationExtension: new Uint8Array() }),
--- a/packages/cluster-node/src/edge-count.ts
+++ b/packages/cluster-node/src/edge-count.ts
@@ -1,19 +1,19 @@
-/** How many edges there are, by the coordinator's count of its subscribers. Platform family. */
+/** Number of edges, by the coordinator's count of its subscribers. Platform family. */
 import type { StateUpdate } from '@rainrun/messages';
 import { epochOfTable } from './edge-worker-table.js';
 
-/** For so long a new coordinator may not have a subscription of every edge. */
+/** Time within which all edges subscribe to a new coordinator; until then its count may be too low. */
 const SETTLING_MS = 2500;
 
 /**
- * The count of edges, which a new coordinator may raise at once, and lower only after it settled.
+ * The number of edges. A new coordinator can raise it immediately, but lower it only after SETTLING_MS.
  * @example
  * const count = new EdgeCount();
  * count.apply(update, nowMs);
  */
 export class EdgeCount {
   #value = 1;
-  /** The table whose coordinator counts, and since when it does. */
+  /** Id of the worker table of the coordinator whose count is used, and since when it is. */
   #tableId = '';
   #sinceMs = -Infinity;
 
@@ -22,7 +22,7 @@
   }
 
   apply({ hasLease, tableId, edgeCount }: StateUpdate, nowMs: number): void {
-    // A coordinator that has lost its majority may have no subscriber left, and still answer.
+    // A coordinator that has lost its majority may still answer, with no subscribers left to count.
     if (!hasLease || tableId === '' || epochOfTable(tableId) < epochOfTable(this.#tableId)) return;
     if (tableId !== this.#tableId) {
       this.#tableId = tableId;
--- a/packages/cluster-node/src/edge-quota.ts
+++ b/packages/cluster-node/src/edge-quota.ts
@@ -1,4 +1,4 @@
-/** Quotas on an edge: draws to the cores that allocate, and their grants. Platform family. */
+/** Quotas on an edge: sends draws to the cores that allocate, and takes their grants. Platform family. */
 import { newFrame, type Frame, type Member, type StateUpdate } from '@rainrun/messages';
 import type { Clock, RandomSource } from '@rainrun/common';
 import {
@@ -10,22 +10,22 @@
   type QuotaBounds,
 } from '@rainrun/quotas';
 
-/** What quotas on an edge need of its replica. */
+/** Collaborators and settings that the edge's replica supplies. */
 export interface EdgeQuotaDependencies {
   readonly deployment: string;
   readonly clock: Clock;
   readonly chance: RandomSource;
   readonly bounds: QuotaBounds;
   readonly self: Member;
-  /** The limit of a tenant in the configuration in force here; undefined for one that is not known. */
+  /** The limit of a tenant in the configuration in force here; undefined for an unknown tenant. */
   limitOf(tenant: string): Pick<TenantLimit, 'burst'> | undefined;
   send(address: string, frame: Frame): void;
 }
 
 /**
- * Permits for the requests of one edge.
+ * Obtains permits for the requests that one edge routes.
  * @example
- * quotas.onStateUpdate(update); // learns which cores there are
+ * quotas.onStateUpdate(update); // learns the cores of the view
  * quotas.permits.acquire('tenant-1', (answer) => proceed(answer));
  */
 export class EdgeQuota {
@@ -55,13 +55,13 @@
     return this.#permits;
   }
 
-  /** Learns the newest view of the cores from an update that tells it. */
+  /** Learns the view of the cores from an update that includes it. */
   onStateUpdate({ cores, viewEpoch, viewNumber }: StateUpdate): void {
     if (cores.length === 0 || viewNumber === 0) return;
     this.#client.learnView({ epoch: viewEpoch, number: viewNumber, members: cores });
   }
 
-  /** Takes a frame that is addressed to this edge; false: it is not about quotas. */
+  /** Takes a frame addressed to this edge; returns false if the frame is not about quotas. */
   receive(body: Frame['body']): boolean {
     if (body.case !== 'quotaGrant') return false;
     this.#client.receive(body.value, this.#dependencies.clock.nowMs());
--- a/packages/cluster-node/src/edge-replica.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -1,4 +1,7 @@
-/** An edge's replica of the committed state and the worker table, by subscription to cores. Platform family. */
+/**
+ * An edge's replica of the committed state and the worker table, fed by subscriptions to cores. Platform
+ * family.
+ */
 import { create } from '@bufbuild/protobuf';
 import {
   MemberSchema,
@@ -29,29 +32,32 @@
 import { EdgeWorkerTable, type WorkerSnapshot } from './edge-worker-table.js';
 import { decodeStateUpdate } from './state-update.js';
 
-/** What an edge's replica is given by its program, or by the simulator. */
+/** Collaborators and callbacks that the edge program or the simulator supplies. */
 export interface EdgeReplicaDependencies {
   readonly name: string;
   readonly zone: string;
   readonly address: string;
   readonly deployment: string;
-  /** Addresses of cores to begin with. */
+  /** Addresses of the cores that are contacted first. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
-  /** The keys of tenants are hashed under a secret drawn from it, so on a real machine it is to be unpredictable. */
+  /**
+   * Source of random numbers. The secret under which tenants' API keys are hashed is drawn from it, so it
+   * must be unpredictable in production.
+   */
   readonly chance: RandomSource;
-  /** How far requests of tenants may go above their limits. */
+  /** Bounds within which a tenant's requests may exceed its limit. */
   readonly quota: QuotaBounds;
   send(address: string, frame: Frame): void;
-  /** The demand for models at this edge now. */
+  /** Current demand for models at this edge. */
   demands(): readonly ModelDemand[];
-  /** How requests to workers ended since the last call. */
+  /** Outcomes of the requests to workers since the last call. */
   outcomes(): WorkerOutcomes[];
-  /** Another edition, or other workers, are known from now on. */
+  /** Called after the replicated state or the worker table has changed. */
   onChange(what: 'state' | 'workers'): void;
 }
 
-/** What an edge reports to a core beside the state that it holds. */
+/** Fields of a subscribe message that are optional beside the versions that the edge holds. */
 interface SubscribeFields {
   readonly demands?: ModelDemand[];
   readonly outcomes?: WorkerOutcomes[];
@@ -59,19 +65,23 @@
   readonly incremental?: boolean;
 }
 
-/** How often the subscription to the coordinator is renewed, and to every core until one is known. */
+/**
+ * Renewal interval of the subscription to the coordinator; of every subscription until a coordinator is
+ * known.
+ */
 const SUBSCRIBE_INTERVAL_MS = 250;
-/** How often a node that cannot serve yet, and that no coordinator knows of, subscribes. */
+/** Renewal interval while this node is not ready to serve and no coordinator answers it. */
 const UNREADY_INTERVAL_MS = 80;
-/** How often subscriptions to other cores than the coordinator are renewed. */
+/** Renewal interval of the subscriptions to cores other than the coordinator. */
 const NON_COORDINATOR_INTERVAL_MS = 750;
-/** Urgent demand of so long is batched into one message. */
+/** Urgent demand is collected for this long and reported in one message. */
 const URGENT_BATCH_DELAY_MS = 6;
 
 /**
- * A node outside the group that subscribes to its cores: it says what it holds
- * and is sent what is newer. What it holds never goes back; partitioned from
- * the cores, it goes on with it.
+ * A node outside the process group that subscribes to its cores: it reports
+ * which versions it holds and receives newer ones. It never replaces a version
+ * by an older one, and keeps its last versions while it is partitioned from the
+ * cores.
  * @example
  * const replica = new EdgeReplica(dependencies);
  * replica.tick(); // every 20 ms
@@ -82,14 +92,14 @@
   #state: Deployment = EMPTY_DEPLOYMENT;
   #configuration: Configuration | undefined;
   #tenants: TenantDirectory | undefined;
-  /** Drawn when the first tenants come. */
+  /** Secret under which API keys are hashed; drawn when the first configuration with tenants arrives. */
   #tenantSecret: Uint8Array | undefined;
   #cores: CoreSelection;
   #table: EdgeWorkerTable;
   #edgeCount = new EdgeCount();
   #demandReporter: DemandReporter;
   #quota: EdgeQuota;
-  /** Since when urgent demand is to be reported. */
+  /** When the first of the urgent demand not yet reported came up; undefined if there is none. */
   #urgentSinceMs: number | undefined;
   #readySinceMs: number | undefined;
 
@@ -112,17 +122,20 @@
     });
   }
 
-  /** The newest committed state that is known here, without the keys of tenants. */
+  /** The newest committed state that was received, without tenants' API keys. */
   get state(): Deployment {
     return this.#state;
   }
 
-  /** The newest valid configuration, without the keys of tenants; undefined before the first. */
+  /** The newest valid configuration, without tenants' API keys; undefined before the first. */
   get configuration(): Configuration | undefined {
     return this.#configuration;
   }
 
-  /** The tenants of that configuration; undefined where it has none, so that requests need no key. */
+  /**
+   * Tenants of the newest valid configuration; undefined if it has no list of tenants, in which case requests
+   * need no API key.
+   */
   get tenants(): TenantDirectory | undefined {
     return this.#tenants;
   }
@@ -136,27 +149,30 @@
     return this.#self.incarnation;
   }
 
-  /** Permits to send requests of tenants with a limit. */
+  /** Grants permits for requests of tenants that have a rate limit. */
   get permits(): PermitSource {
     return this.#quota.permits;
   }
 
-  /** How many edges there are, as far as the coordinator knows. */
+  /** Number of edges, as the coordinator last counted them. */
   get edgeCount(): number {
     return this.#edgeCount.value;
   }
 
-  /** Whether a core with a majority behind it answered lately. */
+  /** Whether a core that holds a lease, hence has a majority, answered within the core time-out. */
   get informed(): boolean {
     return this.#cores.hasLiveLease(this.#dependencies.clock.nowMs());
   }
 
-  /** Whether this node may serve: it holds a configuration and the workers, and had both from a core with a lease. */
+  /**
+   * Whether this node may serve: it holds a configuration and workers, and a core with a lease has updated it
+   * since it has held both.
+   */
   get ready(): boolean {
     return this.#configuration !== undefined && this.workers.size > 0 && this.#readySinceMs !== undefined;
   }
 
-  /** There is demand that cannot wait for the next renewal of the subscription. */
+  /** Has the demand reported shortly, before the next renewal of the subscription. */
   requestUpdateSoon(): void {
     this.#urgentSinceMs ??= this.#dependencies.clock.nowMs();
   }
@@ -177,7 +193,7 @@
     this.#quota.tick(nowMs);
   }
 
-  /** Ends the subscriptions: this node leaves. */
+  /** Ends all subscriptions, as this node is leaving. */
   leave(): void {
     for (const address of this.#cores.addresses) this.#send(address, { leaving: true });
   }
@@ -191,7 +207,7 @@
     return isCoordinator || !this.#cores.hasCoordinator ? SUBSCRIBE_INTERVAL_MS : NON_COORDINATOR_INTERVAL_MS;
   }
 
-  /** Only the coordinator is sent demand and outcomes. */
+  /** Subscribes to a core or renews the subscription; only the coordinator receives demand and outcomes. */
   #subscribe(core: Core, nowMs: number, isCoordinator: boolean): void {
     core.subscribedMs = nowMs;
     const demands = isCoordinator ? this.#demandReporter.full() : [];
@@ -238,8 +254,8 @@
   }
 
   /**
-   * Takes over a document that is valid, and returns it without the keys of tenants. It is checked a second time
-   * without them: the checker remembers the items that it saw last.
+   * Puts a valid document in force, and returns it without tenants' API keys. The document is checked a
+   * second time without the keys, because the checker retains the items that it checked last.
    */
   #applyDocument(document: ConfigurationDocument): ConfigurationDocument {
     const checked = checkConfiguration(document);
--- a/packages/cluster-node/src/edge-worker-table.ts
+++ b/packages/cluster-node/src/edge-worker-table.ts
@@ -1,4 +1,4 @@
-/** The workers as an edge knows them, replicated row by row from the coordinator's table. Platform family. */
+/** The worker table of an edge, replicated row by row from the coordinator's table. Platform family. */
 import type { StateUpdate, WorkerRow } from '@rainrun/messages';
 
 /** A worker as an edge knows it. */
@@ -8,22 +8,23 @@
   readonly address: string;
   readonly zone: string;
   readonly draining: boolean;
-  /** Requests that it runs at once. */
+  /** Number of requests that the worker runs concurrently. */
   readonly slots: number;
-  /** Slow start ends at this time of the edge's clock; -Infinity where there is none. */
+  /** End of the worker's slow start, by the edge's clock; -Infinity if it has none. */
   readonly warmUpUntilMs: number;
   /** Adapters by model. */
   readonly models: ReadonlyMap<string, ReadonlySet<string>>;
   readonly number: number;
-  /** Percentage of the edges of this one's zone that may send to it. */
+  /** Percentage of the edges in this edge's zone that may send to the worker. */
   readonly sharePercent: number;
 }
 
-/** No limit: all edges of a zone may send to a worker. */
+/** The percentage for a worker without a limit: all edges of a zone may send to it. */
 const ALL_EDGES_PERCENT = 100;
 
 /**
- * The newest worker table of which this edge was sent rows. It never goes back to one of an earlier epoch.
+ * The newest worker table of which this edge received rows. It is never replaced by a table of an earlier
+ * epoch.
  * @example
  * const table = new EdgeWorkerTable('north');
  * if (table.apply(update, nowMs)) onChange('workers');
@@ -42,7 +43,7 @@
     return this.#tableId;
   }
 
-  /** Number of the newest row that was applied. */
+  /** Number of the newest row applied. */
   get tableRow(): number {
     return this.#tableRow;
   }
@@ -51,7 +52,10 @@
     return this.#workers;
   }
 
-  /** Applies the rows of an update, where they follow what is held; whether anything may have changed. */
+  /**
+   * Applies the rows of an update if they leave no gap to the held ones; returns whether anything may have
+   * changed.
+   */
   apply(update: StateUpdate, nowMs: number): boolean {
     if (update.tableId === '' || epochOfTable(update.tableId) < epochOfTable(this.#tableId)) return false;
     if (update.snapshot) this.#workers = new Map();
@@ -62,7 +66,7 @@
     return update.snapshot || update.rows.length > 0;
   }
 
-  /** Whether rows that changed since `baseRow` can be applied without a gap. */
+  /** Whether the rows of an update, which changed after its `baseRow`, can be applied without a gap. */
   #follows({ tableId, tableRow, baseRow }: StateUpdate): boolean {
     return tableId === this.#tableId && tableRow >= this.#tableRow && baseRow <= this.#tableRow;
   }
@@ -90,7 +94,7 @@
 }
 
 /**
- * The epoch of the coordinator that made a table; -1 for none.
+ * The epoch of the coordinator that created a table; -1 for an empty id.
  * @example
  * epochOfTable('7-3fa9c1d20b44'); // 7
  */
--- a/packages/cluster-node/src/engines.ts
+++ b/packages/cluster-node/src/engines.ts
@@ -1,4 +1,4 @@
-/** The engines that a configuration describes, in the form that placement reads. Platform family. */
+/** Converts the engines of a configuration to the form that placement reads. Platform family. */
 import { checkedConfiguration, type Configuration, type Deployment } from '@rainrun/configuration';
 import type { Engine } from '@rainrun/placement';
 
@@ -32,7 +32,7 @@
 }
 
 /**
- * The engines of the state in force, computed once for each state.
+ * Caches the engines of the newest state, so that they are computed once per state.
  * @example
  * new EngineCache().enginesOf(state);
  */
--- a/packages/cluster-node/src/forwarded-queries.ts
+++ b/packages/cluster-node/src/forwarded-queries.ts
@@ -1,4 +1,7 @@
-/** Queries of operators that one node forwards to another: sent again until answered, at most for a time-out. Spec family. */
+/**
+ * Operators' queries that one node forwards to another, resent until they are answered or time out. Spec
+ * family.
+ */
 import { create } from '@bufbuild/protobuf';
 import {
   ForwardedQuerySchema,
@@ -10,27 +13,27 @@
 import { randomId, type Clock, type RandomSource } from '@rainrun/common';
 import { tryOrElse } from 'true-myth/result';
 
-/** A query that was not answered for so long fails. */
+/** A query fails if it is not answered within this time. */
 const QUERY_TIMEOUT_MS = 1500;
-/** How often an unanswered query is sent again. */
+/** Interval at which an unanswered query is sent again. */
 const RESEND_INTERVAL_MS = 300;
 
-/** A node's answer to a query from another: an HTTP status and a JSON value. */
+/** A node's answer to a forwarded query: an HTTP status and a JSON value. */
 export interface QueryResult {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Called once: with the answer, or with nothing where none came in time. */
+/** Called once: with the answer, or with undefined if none that can be read came in time. */
 export type QueryCallback = (result: QueryResult | undefined) => void;
 
-/** What queries need of their node. */
+/** Collaborators that the node supplies to its queries. */
 export interface QueryDependencies {
   readonly clock: Clock;
   readonly chance: RandomSource;
-  /** Sends to the member of this incarnation. */
+  /** Sends a frame to the member of this incarnation. */
   send(incarnation: string, body: Frame['body']): void;
-  /** Answers a query that an operator asked at another node. */
+  /** Answers an operator's query that another node forwarded. */
   answerQuery(kind: string, text: string): QueryResult;
 }
 
@@ -43,7 +46,7 @@
 }
 
 /**
- * Both ends of forwarded queries.
+ * Sends queries to other nodes, and answers the queries that other nodes forward.
  * @example
  * queries.query('incarnation-1', 'status', '', (result) => reply(result));
  * queries.tick(); // every 50 ms
@@ -56,7 +59,7 @@
     this.#dependencies = dependencies;
   }
 
-  /** Asks the member of an incarnation. */
+  /** Forwards a query to the member of incarnation `to`. */
   query(to: string, kind: string, text: string, done: QueryCallback): void {
     const { chance, clock } = this.#dependencies;
     const query = create(ForwardedQuerySchema, { id: randomId(chance), kind, text });
@@ -65,7 +68,7 @@
     this.tick();
   }
 
-  /** Sends again what is unanswered, and fails what is past its deadline. */
+  /** Sends due queries again, and fails those past their deadline. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const [id, pending] of this.#pending) {
@@ -79,14 +82,14 @@
     }
   }
 
-  /** Answers a query of another node. */
+  /** Answers a query that another node forwarded. */
   onQuery(from: string, { id, kind, text }: ForwardedQuery): void {
     const { status, body } = this.#dependencies.answerQuery(kind, text);
     const value = create(ForwardedReplySchema, { id, status, body: JSON.stringify(body) });
     this.#dependencies.send(from, { case: 'forwardedReply', value });
   }
 
-  /** Takes another node's answer; one that cannot be read counts as none. */
+  /** Takes another node's answer to a query; an answer that is not JSON counts as none. */
   onReply(reply: ForwardedReply): void {
     const pending = this.#pending.get(reply.id);
     this.#pending.delete(reply.id);
--- a/packages/cluster-node/src/placement-loop.ts
+++ b/packages/cluster-node/src/placement-loop.ts
@@ -1,6 +1,6 @@
 /**
- * Placement on the coordinator of the platform family: the worker table of its epoch, workers' health, and when the
- * planner runs.
+ * Placement on the coordinator of the platform family: keeps the worker table of the epoch, evaluates the
+ * health of workers, and runs the planner.
  */
 import type { ModelDemand, WorkerOutcomes } from '@rainrun/messages';
 import type { Deployment } from '@rainrun/configuration';
@@ -18,18 +18,18 @@
 import { PlanPacer } from './plan-pacer.js';
 import { WorkerHealth } from './worker-health.js';
 
-/** What placement sends, and whom it reports to. */
+/** The effects of placement: orders to workers, requests for their reports, and the log of decisions. */
 export interface PlacementEffects {
   readonly clock: Clock;
   /** Sends one order to a worker. */
   order(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void;
   /** Asks a worker which models it has loaded. */
   report(row: WorkerRecord, done: (reply: ReportReply) => void): void;
-  /** Called for each decision on placement, for the logs. */
+  /** Called for each placement decision, to be logged. */
   onPlacementDecision(text: string): void;
 }
 
-/** The process group, as far as it decides who places models. */
+/** The part of the process group that determines which core places models. */
 export interface PlacementGroup {
   readonly isCoordinator: boolean;
   readonly epoch: number;
@@ -38,18 +38,18 @@
   singletonEpoch(): number | undefined;
 }
 
-/** What an edge reports of its demand and of its workers. */
+/** An edge's report of its demand and of the outcomes at its workers. */
 export interface EdgeReport {
   readonly incarnation: string;
   readonly zone: string;
   readonly demands: readonly ModelDemand[];
-  /** Whether `demands` brings only what changed. */
+  /** Whether `demands` holds only the demand that changed, not all of it. */
   readonly incremental: boolean;
   readonly outcomes: readonly WorkerOutcomes[];
 }
 
 /**
- * Plans and orders while this node is the coordinator; idle otherwise.
+ * Plans placements and orders workers while this node is the coordinator; idle otherwise.
  * @example
  * const placement = new PlacementLoop(effects, group, () => state);
  * placement.openTable();
@@ -87,7 +87,7 @@
     return this.#planner;
   }
 
-  /** A coordinator's table starts empty with each epoch. */
+  /** Starts an empty worker table whenever an epoch in which this node is the coordinator begins or ends. */
   ensureTableForEpoch(): void {
     const epoch = this.#group.isCoordinator ? this.#group.epoch : -1;
     if (epoch === this.#tableEpoch) return;
@@ -98,19 +98,22 @@
     this.#health = new WorkerHealth();
   }
 
-  /** Evaluates the workers' health, then places models. For the coordinator alone. */
+  /** Evaluates the workers' health, then places models. Called on the coordinator only. */
   tick(nowMs: number): void {
     this.#health.evaluate(this.#workerTable, nowMs);
     this.#placeModels(nowMs);
   }
 
-  /** Takes the platform's complete list of workers. */
+  /** Updates the worker table from the platform's complete list of workers, then places models. */
   updateWorkerList(list: readonly ListedWorker[], nowMs: number): void {
     this.#workerTable.learn(list, nowMs);
     this.#placeModels(nowMs);
   }
 
-  /** Takes an edge's report; demand that waits is placed at once. */
+  /**
+   * Takes an edge's report; if requests wait for a model, models are placed without waiting for the next
+   * tick.
+   */
   onEdgeReport({ incarnation, zone, demands, incremental, outcomes }: EdgeReport, nowMs: number): void {
     this.#planner.updateDemand(incarnation, demands, nowMs, incremental);
     this.#health.record(zone, outcomes, nowMs);
@@ -128,7 +131,7 @@
     });
   }
 
-  /** Plans where the pacer allows it, and sends the orders that are due. */
+  /** Makes a plan if the pacer allows one, and sends the orders that are due. */
   #placeModels(nowMs: number): void {
     const state = this.#state();
     const engines = this.#engines.enginesOf(state);
--- a/packages/cluster-node/src/plan-pacer.ts
+++ b/packages/cluster-node/src/plan-pacer.ts
@@ -1,20 +1,22 @@
 /**
- * Keeps the planning of placement from taking the processor from agreement, leases and operators' answers.
+ * Limits the processor time of placement planning, so that agreement, leases and operators' answers are not
+ * delayed.
  *
- * Demand arrives many times a second from every edge. Planning on each arrival costs in proportion to the
- * number of edges times the cost of one plan; a coordinator of 67 edges was full from that alone. Here plans
- * take at most a fixed part of the time, whatever they cost, and a cheap plan still runs almost at once.
+ * Every edge reports demand many times a second. Planning on each report costs the number of edges times the
+ * cost of one plan; with 67 edges, this alone kept the coordinator's processor fully busy. With pacing, plans
+ * take at most a fixed fraction of the time, whatever one costs, and a cheap plan still runs almost
+ * immediately.
  */
 
-/** No two plans are nearer to each other than this. */
+/** Shortest gap between two plans. */
 const GAP_MIN_MS = 4;
-/** After a plan this many times its cost is left to everything else: planning takes a quarter of the time at most. */
+/** The gap after a plan is this many times its duration, so planning takes at most a quarter of the time. */
 const IDLE_FACTOR = 3;
-/** However dear a plan was, the next one is due after this. */
+/** Longest gap between two plans, however long a plan took. */
 const GAP_MAX_MS = 250;
 
 /**
- * Says when the next plan is due.
+ * Determines when the next plan is due.
  * @example
  * const pacer = new PlanPacer();
  * if (pacer.isDue(nowMs)) { plan(); pacer.recordPlan(nowMs, clock.nowMs()); }
@@ -22,12 +24,12 @@
 export class PlanPacer {
   #notBeforeMs = -Infinity;
 
-  /** Whether a plan may be made now. */
+  /** Whether a plan is due. */
   isDue(nowMs: number): boolean {
     return nowMs >= this.#notBeforeMs;
   }
 
-  /** Notes a plan by when it began and ended. */
+  /** Records when a plan began and ended. */
   recordPlan(beganMs: number, endedMs: number): void {
     const gapMs = Math.max(GAP_MIN_MS, IDLE_FACTOR * (endedMs - beganMs));
     this.#notBeforeMs = endedMs + Math.min(GAP_MAX_MS, gapMs);
--- a/packages/cluster-node/src/quota-allocation.ts
+++ b/packages/cluster-node/src/quota-allocation.ts
@@ -1,4 +1,7 @@
-/** Quotas on a core: the allocator, driven by the views, the state and the frames that reach the core. Platform family. */
+/**
+ * Quota allocation on a core: drives the allocator by the views, states and frames that reach the core.
+ * Platform family.
+ */
 import { create } from '@bufbuild/protobuf';
 import {
   newFrame,
@@ -13,15 +16,15 @@
 import type { Clock } from '@rainrun/common';
 import { QuotaAllocator, shardLimits, type AllocationStats, type QuotaBounds } from '@rainrun/quotas';
 
-/** The process group, as far as it decides who allocates quotas. */
+/** The part of the process group that determines which core allocates quotas. */
 export interface QuotaGroup {
   readonly self: Member;
-  /** Newest version that this node knows to be committed. */
+  /** The newest version that this node knows to be committed. */
   readonly committedVersion: number;
   holdsLease(): boolean;
 }
 
-/** The replicated state at one version, as far as quotas depend on it. */
+/** The part of the replicated state at one version that quotas depend on. */
 export interface QuotaState {
   /** Number of the version. */
   readonly number: number;
@@ -29,7 +32,7 @@
   readonly application: Deployment;
 }
 
-/** What quotas on a core need of their node. */
+/** Collaborators and settings that the core supplies. */
 export interface QuotaAllocationDependencies {
   readonly deployment: string;
   readonly clock: Clock;
@@ -40,7 +43,7 @@
   send(address: string, frame: Frame): void;
 }
 
-/** A view that was installed here, and the version that brought it. */
+/** A view that this core installed, and the version that it came with. */
 interface InstalledView {
   readonly epoch: number;
   readonly number: number;
@@ -49,11 +52,11 @@
 }
 
 /**
- * Allocates the quotas that fall to one core, by the state and the view that are in force there.
+ * Allocates the quotas that one core is responsible for under the state and the view in force there.
  * @example
- * quotas.onState(state); // for each version that comes into force
+ * quotas.onState(state); // for each version that is applied
  * quotas.tick(nowMs);
- * quotas.onFrame(body); // draws of edges, handovers of cores
+ * quotas.onFrame(body); // draws from edges, handovers from cores
  */
 export class QuotaAllocation {
   #dependencies: QuotaAllocationDependencies;
@@ -68,7 +71,10 @@
     this.#allocator = new QuotaAllocator({ bounds, leaseMs });
   }
 
-  /** A version has come into force here. Limits come first: a view may bring levels for tenants of the same version. */
+  /**
+   * Handles a version applied here. Limits go first, as a view may bring levels for tenants that came with
+   * the version.
+   */
   onState({ number, view, application }: QuotaState): void {
     const nowMs = this.#dependencies.clock.nowMs();
     if (this.#document !== application.document) {
@@ -81,7 +87,7 @@
     this.tick(nowMs);
   }
 
-  /** Tells the allocator once the view is committed. */
+  /** Notifies the allocator once the installed view is committed. */
   tick(nowMs: number): void {
     if (this.#installedView === undefined || this.#isCommitted) return;
     if (this.#dependencies.group.committedVersion < this.#installedView.version) return;
@@ -89,13 +95,13 @@
     this.#allocator.onViewCommitted(this.#installedView, nowMs);
   }
 
-  /** Answers draws of edges and takes handovers; other frames are not its own. */
+  /** Answers draws from edges and takes handovers from cores; ignores other frames. */
   onFrame(body: Frame['body']): void {
     if (body.case === 'quotaDraw') this.#answerDraw(body.value);
     else if (body.case === 'quotaHandover') this.#onHandover(body.value);
   }
 
-  /** The shards of tenants' quotas that this core allocates now. */
+  /** Statistics of the shards of tenants' quotas that this core currently allocates. */
   stats(): AllocationStats[] {
     return this.#allocator.stats(this.#dependencies.clock.nowMs());
   }
--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -1,4 +1,4 @@
-/** The data plane of an edge of the spec family: ties the gateway to the edge's node. */
+/** The data plane of an edge of the spec family: connects the gateway to the edge's node. */
 import { create } from '@bufbuild/protobuf';
 import { ObservationSchema } from '@rainrun/messages';
 import { Gateway, type Sender } from '@rainrun/gateway';
@@ -6,7 +6,7 @@
 import { Loop, type LoopSettings } from '@rainrun/placement';
 import type { ClusterNode } from './cluster-node.js';
 
-/** How the weights of the groups are steered. */
+/** Settings of the feedback loops that adjust the weights of the research groups. */
 export const LOOP_SETTINGS: LoopSettings = {
   gain: 0.5,
   integralPerS: 0.1,
@@ -16,12 +16,12 @@
   deadBand: 0.1,
 };
 
-/** How often an edge casts what it observed, in milliseconds. */
+/** Interval at which an edge casts its observation, in milliseconds. */
 export const OBSERVE_MS = 500;
 
 /**
- * The data plane of an edge, tied to its node: the gateway sees the node's
- * state, workers and lease; the other nodes receive what the gateway measured.
+ * The data plane of an edge, connected to its node: the gateway reads the node's state, workers and lease,
+ * and its measures are cast to the other nodes.
  * @example
  * const edge = new SpecEdge(clusterNode, 'edge-1', 'north', clock, chance, sender);
  * edge.gateway.admit(request, sink);
@@ -59,7 +59,9 @@
     });
   }
 
-  /** Casts what the gateway measured since the last time, and moves the loops. */
+  /**
+   * Casts the measures of the gateway since the last call, and updates the loops that adjust group weights.
+   */
   observe(): void {
     const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
--- a/packages/cluster-node/src/spec-state-machine.ts
+++ b/packages/cluster-node/src/spec-state-machine.ts
@@ -9,7 +9,7 @@
   type SpecState,
 } from '@rainrun/configuration';
 
-/** Every node of the spec family replicates this state machine. */
+/** The state machine that every node of the spec family replicates. */
 export const SPEC_STATE_MACHINE: StateMachine<SpecState> = {
   empty: () => EMPTY_SPEC_STATE,
   encode: encodeSpecState,
--- a/packages/cluster-node/src/state-update.ts
+++ b/packages/cluster-node/src/state-update.ts
@@ -1,6 +1,7 @@
 /**
- * The committed state as cores send it to edges: without what only operators' changes need, and deflated, since a
- * configuration is mostly repeated field names and an edge's link is slow. Platform family.
+ * The encoding in which cores send the committed state to edges. It leaves out what only operators' changes
+ * need, and is deflated, because a configuration is mostly repeated field names and an edge's link is slow.
+ * Platform family.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import type { StateUpdate } from '@rainrun/messages';
@@ -9,17 +10,17 @@
 import type { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 
-/** No state is larger once it is inflated. */
+/** Upper bound of the size of an inflated state. */
 const STATE_MAX_BYTES = 64 * 1024 * 1024;
 
-/** The committed state in both forms. */
+/** The encoded state, plain and deflated. */
 export interface EncodedDeployment {
   readonly plain: Uint8Array;
   readonly deflated: Uint8Array;
 }
 
 /**
- * The state as edges receive it.
+ * Encodes the state for edges.
  * @example
  * update.deflatedState = encodeStateUpdate(state).deflated;
  */
@@ -29,7 +30,7 @@
 }
 
 /**
- * The state that a message brings; nothing where it brings none, an error where it cannot be read.
+ * The state in an update: undefined if the update includes none, a fault if it cannot be decoded.
  * @example
  * decodeStateUpdate(create(StateUpdateSchema)); // undefined
  */
--- a/packages/cluster-node/src/subscribers.ts
+++ b/packages/cluster-node/src/subscribers.ts
@@ -1,64 +1,72 @@
 /**
- * The edges that subscribe to a core: what each holds, what it demands, and which updates are due to it, and when.
- * Platform family; only the coordinator sends updates unasked.
+ * The edges that subscribe to a core: the versions that each edge holds, the models that it demands, and when
+ * updates are due to it. Platform family; only the coordinator sends updates that no edge asked for.
  *
- * A change of the workers' table is urgent for the edges that send requests for the model which it concerns, and
- * for nobody else; the others get it with their next update. A table that changes sixty times a second
- * costs sixty messages a second times the few edges concerned, instead of times all edges.
+ * A change of the worker table is urgent only for the edges that send requests for the affected model; the
+ * other edges receive it with their next update. Sixty table changes per second thus cost sixty messages per
+ * second to each of the few affected edges, not to all edges.
  */
 import type { Subscribe, Member } from '@rainrun/messages';
 import type { TableChanges } from '@rainrun/placement';
 
-/** A subscription that is not renewed for so long expires. */
+/** A subscription expires if it is not renewed for this long. */
 const SUBSCRIBER_EXPIRY_MS = 2500;
-/** Urgent changes are batched the longer, the more subscribers there are. */
+/** Urgent changes of the worker table are batched for this long per subscriber. */
 const URGENT_DELAY_PER_SUBSCRIBER_MS = 0.1;
-/** Other changes of the table are batched this long for each subscriber ... */
+/** Changes of the worker table that are not urgent are batched for this long per subscriber. */
 const BACKGROUND_DELAY_PER_SUBSCRIBER_MS = 3;
-/** ... but not longer than an edge takes to ask anyway. */
+/** Longest batching of changes that are not urgent; an edge asks for changes about this often anyway. */
 const BACKGROUND_DELAY_MAX_MS = 200;
-/** A configuration is parsed by each edge: in a storm of changes it gets the newest this often. */
+/**
+ * Shortest time between two states sent to an edge, which parses each one; during frequent changes it skips
+ * some.
+ */
 const STATE_INTERVAL_MS = 200;
-/** An edge that asks and has nothing to learn is answered no more often than this. */
+/** Shortest time between two answers to an edge for which this core has nothing new. */
 const ANSWER_INTERVAL_MS = 200;
-/** An update sent so lately may still be on its way: a question that crosses it does not repeat it ... */
+/**
+ * An update that was sent less than this ago may still be in flight, so a subscribe message that crosses it
+ * does not cause it to be sent again.
+ */
 const IN_FLIGHT_MS = 60;
-/** ... the longer, the more rows it brought: a row of 160 bytes takes 0.2 ms on a link of 7 Mbit/s. */
+/** Added to IN_FLIGHT_MS per row of the update: a row of 160 bytes takes 0.2 ms on a link of 7 Mbit/s. */
 const IN_FLIGHT_PER_ROW_MS = 0.3;
-/** The view's members are sent when they changed, and otherwise this often. */
+/** The members of the view are sent when the view has changed, and otherwise at this interval. */
 const VIEW_INTERVAL_MS = 1000;
 
-/** What a core knows of one edge that subscribes to it. Times are of the core's clock. */
+/** What a core knows about one subscribed edge. Times are of the core's clock. */
 export interface Subscriber {
   readonly member: Member;
   lastContactMs: number;
   readonly acceptsDeflate: boolean;
-  /** The newest state, table and row that it holds, or was sent. */
+  /** Edition of the newest state that the edge reported or was sent. */
   edition: number;
+  /** Id of the worker table that the edge reported or was sent rows of. */
   tableId: string;
+  /** Number of the newest row of that table that the edge reported or was sent. */
   tableRow: number;
-  /** Models that it sends requests for, each as `service/model`. */
+  /** Models that the edge sends requests for, each as `service/model`. */
   demandedModels: ReadonlySet<string>;
   lastUpdateMs: number;
   stateSentMs: number;
   rowsSentMs: number;
-  /** Until when rows that it was sent may be on their way. */
+  /** Until when the rows sent last may still be in flight. */
   rowsInFlightMs: number;
   viewSentMs: number;
   sentViewNumber: number;
 }
 
-/** What this core could send now. */
+/** The newest versions that this core can send. */
 export interface AvailableState {
   readonly edition: number;
-  /** The workers' table; empty on a core that keeps none. */
+  /** Id of the worker table; empty on a core that keeps none. */
   readonly tableId: string;
   readonly tableRow: number;
   readonly isCoordinator: boolean;
 }
 
 /**
- * Subscribers of a core and the times at which updates are due to them.
+ * The subscribers of a core, and when updates are due to them.
  * @example
  * const subscribers = new Subscribers();
  * const subscriber = subscribers.onSubscribe(subscribe, member, nowMs);
@@ -66,8 +74,9 @@
  */
 export class Subscribers {
   #byIncarnation = new Map<string, Subscriber>();
-  /** Changes not yet sent to the subscribers that they concern. */
+  /** Whether an urgent change that is not yet sent affects all subscribers. */
   #isUrgentForAll = false;
+  /** Models with urgent changes that are not yet sent. */
   #urgentModels = new Set<string>();
   #urgentSinceMs: number | undefined;
 
@@ -75,7 +84,7 @@
     return this.#byIncarnation.size;
   }
 
-  /** Records a subscription, or its renewal, with what the edge says that it holds. */
+  /** Records a subscription or its renewal, with the versions that the edge reports to hold. */
   onSubscribe(subscribe: Subscribe, member: Member, nowMs: number): Subscriber {
     const known = this.#byIncarnation.get(member.incarnation);
     const subscriber: Subscriber = known ?? {
@@ -119,7 +128,7 @@
       if (nowMs - contactMs > SUBSCRIBER_EXPIRY_MS) this.#byIncarnation.delete(incarnation);
   }
 
-  /** Notes rows that a subscriber was sent; they count as known until it says otherwise. */
+  /** Records that rows were sent to a subscriber; they count as received until it reports otherwise. */
   recordRowsSent(subscriber: Subscriber, available: AvailableState, rows: number, nowMs: number): void {
     subscriber.tableId = available.tableId;
     subscriber.tableRow = available.tableRow;
@@ -127,19 +136,19 @@
     if (rows > 0) subscriber.rowsInFlightMs = nowMs + IN_FLIGHT_MS + rows * IN_FLIGHT_PER_ROW_MS;
   }
 
-  /** Notes the state that a subscriber was sent. */
+  /** Records that the state was sent to a subscriber. */
   recordStateSent(subscriber: Subscriber, available: AvailableState, nowMs: number): void {
     subscriber.edition = available.edition;
     subscriber.stateSentMs = nowMs;
   }
 
-  /** Notes that a subscriber was sent the members of the view. */
+  /** Records that the members of the view were sent to a subscriber. */
   recordViewSent(subscriber: Subscriber, view: number, nowMs: number): void {
     subscriber.sentViewNumber = view;
     subscriber.viewSentMs = nowMs;
   }
 
-  /** Whether an edge that has just asked is to be answered. */
+  /** Whether an answer is due to an edge that has just subscribed or renewed. */
   isAnswerDue(subscriber: Subscriber, available: AvailableState, nowMs: number): boolean {
     return (
       nowMs - subscriber.lastUpdateMs >= ANSWER_INTERVAL_MS ||
@@ -148,17 +157,19 @@
     );
   }
 
-  /** Whether a message to this edge names the view's members. */
+  /** Whether the next update to this edge includes the members of the view. */
   isViewDue(subscriber: Subscriber, view: number, nowMs: number): boolean {
     return subscriber.sentViewNumber !== view || nowMs - subscriber.viewSentMs >= VIEW_INTERVAL_MS;
   }
 
-  /** Whether a message to this edge brings the agreed state. */
+  /** Whether the next update to this edge includes the committed state. */
   isStateDue(subscriber: Subscriber, available: AvailableState, nowMs: number): boolean {
     return subscriber.edition < available.edition && nowMs - subscriber.stateSentMs >= STATE_INTERVAL_MS;
   }
 
-  /** The subscribers to which an unasked update is due now; none unless this core is the coordinator. */
+  /**
+   * The subscribers to which an update is due without their asking; none unless this core is the coordinator.
+   */
   dueSubscribers(available: AvailableState, changes: TableChanges, nowMs: number): Subscriber[] {
     if (!available.isCoordinator) return [];
     this.#collectUrgent(changes, nowMs);
--- a/packages/cluster-node/src/tenant-status.ts
+++ b/packages/cluster-node/src/tenant-status.ts
@@ -1,4 +1,6 @@
-/** What operators see of the tenants: their limits and the state of their quotas, and never a key. Platform family. */
+/**
+ * Status of the tenants for operators: limits and the state of quotas, but never an API key. Platform family.
+ */
 import { checkedConfiguration, tenantOf, type Deployment, type TenantEntry } from '@rainrun/configuration';
 import type { Member } from '@rainrun/messages';
 import {
@@ -10,44 +12,50 @@
   type AllocationStats,
 } from '@rainrun/quotas';
 
-/** The quota of one tenant as the core that is asked sees it. */
+/** The quota of one tenant, as seen by the core that answers the operator. */
 export interface TenantQuotaStatus {
-  /** Whether this core allocates a shard of it now; the figures are of its shards alone. */
+  /**
+   * Whether this core currently allocates a shard of the quota; the figures cover this core's shards only.
+   */
   readonly allocatedHere: boolean;
-  /** Permits that could be granted at once; null where another core allocates. */
+  /** Permits that could be granted immediately; null if another core allocates. */
   readonly level: number | null;
   /** Permits granted by this core since it started. */
   readonly granted: number;
-  /** Permits that this core refused since it started, because the tenant was over its quota. */
+  /** Permits that this core has refused since it started because the tenant was over its quota. */
   readonly overQuota: number;
   /**
-   * Whether it waits for what another core may still grant, settles and calls nothing over the quota yet, or serves;
-   * null where another core allocates.
+   * State of the allocation: waiting while another core may still grant permits, settling while no request is
+   * refused as over the quota yet, or serving; null if another core allocates.
    */
   readonly state: AllocationState | null;
 }
 
-/** The quota of a tenant by name; undefined where this core knows nothing of it. */
+/** The quota of a tenant by name; undefined if this core has no data on it. */
 export type QuotaStatusOf = (tenant: string) => TenantQuotaStatus | undefined;
 
-/** A tenant in the view. */
+/** One tenant in the status report. */
 export interface TenantStatus {
   readonly name: string;
-  /** Requests per second over all edges; 0: no limit. */
+  /** Limit of requests per second over all edges; 0 for no limit. */
   readonly ratePerS: number;
   readonly burst: number;
-  /** Null where the route's counts. */
+  /** Priority of the tenant's requests; null if the priority of the route applies. */
   readonly priority: number | null;
-  /** How many keys it holds. */
+  /** Number of distinct API keys. */
   readonly keys: number;
-  /** The cores that allocate the shards of its quota, by this core's view; empty where it has no limit or no core can. */
+  /**
+   * Cores that allocate the shards of the quota, by this core's view; empty without a limit or without a core
+   * to do so.
+   */
   readonly allocators: readonly string[];
-  /** Null where this core knows nothing of it. */
+  /** Null if this core has no data on the quota. */
   readonly quota: TenantQuotaStatus | null;
 }
 
 /**
- * The tenants of the configuration in force; undefined where it has none and no request needs a key.
+ * Status of the tenants in force; undefined if the configuration has no list of tenants, in which case no
+ * request needs an API key.
  * @example
  * tenantStatuses(replica.state, members, (tenant) => allocator.statusOf(tenant));
  */
@@ -61,7 +69,10 @@
   );
 }
 
-/** Names each field that is shown: a tenant's entry holds keys, and fields that are not known may hold anything. */
+/**
+ * Copies only the fields to show, because a tenant's entry holds API keys, and unknown fields may hold
+ * anything.
+ */
 function tenantStatus(
   entry: TenantEntry,
   members: readonly Member[],
@@ -80,7 +91,7 @@
 }
 
 /**
- * The state of quotas as one core's allocator reports it.
+ * Sums the statistics of a core's quota shards by tenant.
  * @example
  * coreStatus(replica, quotaStatusesOf(replica.quotaStats));
  */
@@ -98,7 +109,7 @@
   };
 }
 
-/** The least ready first: one shard that waits is worth a look. */
+/** States of shards, least ready first: a tenant is shown in the state of its least ready shard. */
 const STATES_LEAST_READY_FIRST: readonly AllocationState[] = ['waiting', 'settling', 'serving'];
 
 function sum(values: readonly number[]): number {
--- a/packages/cluster-node/src/update-publisher.ts
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -1,4 +1,7 @@
-/** Builds state updates for the edges that subscribe to a core, and sends them when they are due. Platform family. */
+/**
+ * Builds state updates for the edges that subscribe to a core, and sends each when it is due. Platform
+ * family.
+ */
 import { create } from '@bufbuild/protobuf';
 import {
   newFrame,
@@ -15,7 +18,7 @@
 import { encodeStateUpdate, type EncodedDeployment } from './state-update.js';
 import { Subscribers, type AvailableState, type Subscriber } from './subscribers.js';
 
-/** The process group, as far as updates tell of it. */
+/** The part of the process group that updates report on. */
 export interface PublishedGroup {
   readonly isCoordinator: boolean;
   readonly self: { readonly incarnation: string };
@@ -25,18 +28,18 @@
   holdsLease(): boolean;
 }
 
-/** What the publisher reads and how it sends. */
+/** The sources that the publisher reads, and its sender. */
 export interface UpdatePublisherDependencies {
   readonly deployment: string;
   readonly group: PublishedGroup;
   state(): Deployment;
-  /** The worker table of this epoch, and its id. */
+  /** The worker table of the current epoch, and its id. */
   placement(): { readonly workerTable: WorkerTable; readonly tableId: string };
   send(address: string, frame: Frame): void;
 }
 
 /**
- * The subscribed edges of one core.
+ * Publishes the state, the view and the worker table of one core to its subscribed edges.
  * @example
  * publisher.onSubscribe(subscribe, member, nowMs);
  * publisher.sendDueUpdates(nowMs);
@@ -59,7 +62,7 @@
     this.#subscribers.expire(nowMs);
   }
 
-  /** Ends the subscription of an edge that leaves. */
+  /** Ends the subscription of an edge that is leaving. */
   unsubscribe(incarnation: string): void {
     this.#subscribers.remove(incarnation);
   }
@@ -69,20 +72,20 @@
     return this.#subscribers.onSubscribe(subscribe, member, nowMs);
   }
 
-  /** Answers an edge that has just subscribed, where an answer is due. */
+  /** Answers an edge that has just subscribed or renewed, if an answer is due. */
   answer(subscriber: Subscriber, nowMs: number): void {
     if (this.#subscribers.isAnswerDue(subscriber, this.#availableState(), nowMs))
       this.#sendUpdate(subscriber, nowMs);
   }
 
-  /** Sends the updates that are due unasked. */
+  /** Sends the updates that are due without a request of the edge. */
   sendDueUpdates(nowMs: number): void {
     const { workerTable } = this.#dependencies.placement();
     const due = this.#subscribers.dueSubscribers(this.#availableState(), workerTable.takeChanges(), nowMs);
     for (const subscriber of due) this.#sendUpdate(subscriber, nowMs);
   }
 
-  /** What this core can send; only the coordinator has a table of workers. */
+  /** The newest versions that this core can send; only the coordinator has a worker table. */
   #availableState(): AvailableState {
     const { isCoordinator } = this.#dependencies.group;
     const { workerTable, tableId } = this.#dependencies.placement();
@@ -94,7 +97,10 @@
     };
   }
 
-  /** What is sent counts as known until the edge says otherwise, so that it is sent once. */
+  /**
+   * Sends an update. Its contents count as received until the edge reports otherwise, so they are sent only
+   * once.
+   */
   #sendUpdate(subscriber: Subscriber, nowMs: number): void {
     const available = this.#availableState();
     const { deployment, group, state, send } = this.#dependencies;
--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -1,4 +1,7 @@
-/** The workers as a node of the spec family knows them: from the platform, from the workers and from other edges. */
+/**
+ * Directory of the workers on a node of the spec family: joins the platform's list, workers' replies and
+ * edges' loads.
+ */
 import type { Observation, WorkerList, WorkerState } from '@rainrun/messages';
 import type { HoldingTarget, Spec, SpecState } from '@rainrun/configuration';
 
@@ -17,7 +20,7 @@
   readonly holdings: readonly HoldingTarget[];
   /** When this node first knew each holding, by model and by model/adapter. */
   readonly sinceMs: ReadonlyMap<string, number>;
-  /** Requests in flight from other edges, as last observed. */
+  /** Requests in flight from other edges, by their last observations. */
   readonly othersInFlight: number;
 }
 
@@ -29,8 +32,8 @@
 const LOAD_EXPIRY_MS = 5000;
 
 /**
- * What the platform lists, what workers replied and what other edges have in flight,
- * joined for the data plane and for placement.
+ * Joins the workers that the platform lists, the holdings that workers reported and the requests that other
+ * edges have in flight, for the data plane and for placement.
  * @example
  * directory.setList(list);
  * directory.workers(state, 'incarnation-1', nowMs); // every listed worker
@@ -46,12 +49,14 @@
     return this.#list?.generation ?? 0;
   }
 
-  /** Takes the platform's complete list. */
+  /** Replaces the list of workers by the platform's newest one. */
   setList(list: WorkerList): void {
     this.#list = list;
   }
 
-  /** Records what a worker replied; a reload starts its holdings anew. */
+  /**
+   * Records the state that a worker reported. A holding that was loaded again counts as known from now on.
+   */
   recordState(state: WorkerState, nowMs: number): void {
     const previousSinceMs = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
     const wasUnreachable = !(this.#states.get(state.worker)?.reachable ?? false);
@@ -68,13 +73,13 @@
     this.#sinceMs.set(state.worker, sinceMs);
   }
 
-  /** Records an edge's requests in flight. */
+  /** Records the requests that an edge has in flight to each worker. */
   recordObservation(sender: string, observation: Observation, nowMs: number): void {
     const inFlight = new Map(observation.loads.map((load) => [load.worker, load.inFlight]));
     this.#loads.set(sender, { atMs: nowMs, inFlight });
   }
 
-  /** Drops what was observed by nodes that are no longer in the view. */
+  /** Drops the observations of nodes that are no longer in the view. */
   retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#loads.keys())
       if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
@@ -113,7 +118,10 @@
   }
 }
 
-/** What a worker has loaded and is placed there: no request goes to what is to be unloaded. */
+/**
+ * The holdings that are both loaded and placed on a worker, as no request may go to one that is to be
+ * unloaded.
+ */
 function loadedAndPlaced(
   loaded: readonly HoldingTarget[],
   placed: readonly HoldingTarget[],
--- a/packages/cluster-node/src/worker-gossip.ts
+++ b/packages/cluster-node/src/worker-gossip.ts
@@ -1,4 +1,4 @@
-/** Gossip of the worker list and of workers' states among the nodes of the spec family. */
+/** Gossip of the worker list and of the states of workers among the nodes of the spec family. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import {
   GossipTable,
@@ -17,20 +17,20 @@
 const LIST_KEY = 'list';
 const WORKER_KEY_PREFIX = 'worker/';
 
-/** What gossip needs of its node. */
+/** Collaborators that the node supplies to its gossip. */
 export interface WorkerGossipDependencies {
   readonly clock: Clock;
   readonly chance: RandomSource;
-  /** Where items that come in are recorded. */
+  /** The directory that records the items received. */
   readonly directory: WorkerDirectory;
   /** Incarnations of the other members of the view. */
   peers(): readonly string[];
-  /** Sends to the member of this incarnation. */
+  /** Sends a frame to the member of this incarnation. */
   send(incarnation: string, body: Frame['body']): void;
 }
 
 /**
- * Publishes what this node learned of workers and records what others published.
+ * Publishes what this node learned about workers, and records what other nodes published.
  * @example
  * gossip.publishList(list);
  * gossip.tick(nowMs); // every 50 ms
@@ -46,7 +46,7 @@
     this.#table = new GossipTable(dependencies.chance, (item) => this.#onItem(item));
   }
 
-  /** Sends what is due at this heartbeat. */
+  /** Sends gossip to the peers, at most once per GOSSIP_INTERVAL_MS. */
   tick(nowMs: number): void {
     if (nowMs - this.#lastTickMs < GOSSIP_INTERVAL_MS) return;
     this.#lastTickMs = nowMs;
@@ -54,12 +54,15 @@
       this.#dependencies.send(to, body);
   }
 
-  /** Publishes the platform's list; one of an older generation than the known one is ignored. */
+  /** Publishes the platform's worker list; a list older than the known generation is ignored. */
   publishList(list: WorkerList): void {
     this.#table.publish(LIST_KEY, list.generation, 0, toBinary(WorkerListSchema, list));
   }
 
-  /** Publishes what a worker replied to the node that orders it in `epoch`, unless it is known already. */
+  /**
+   * Publishes the state of a worker that this node orders in `epoch`, unless the same state is already
+   * published.
+   */
   publishState(worker: string, known: SpecWorkerState, epoch: number): void {
     this.#statesPublished += 1;
     const state = create(WorkerStateSchema, {
@@ -79,7 +82,7 @@
     this.#table.publish(key, epoch, this.#statesPublished, bytes);
   }
 
-  /** Takes a gossip message; false where the frame is none. */
+  /** Takes a gossip message; returns false for any other frame. */
   onFrame(from: string, body: Frame['body']): boolean {
     switch (body.case) {
       case 'gossipUpdate':
@@ -100,7 +103,7 @@
     if (repair !== undefined) this.#dependencies.send(to, { case: 'gossipRepair', value: repair });
   }
 
-  /** Records an item; one that cannot be read, as from a later version, is ignored. */
+  /** Records an item; one that cannot be decoded, for example of a later version, is ignored. */
   #onItem({ key, value }: GossipItem): void {
     const { directory, clock } = this.#dependencies;
     const nowMs = clock.nowMs();
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -1,67 +1,80 @@
 /**
- * Outlier detection: which workers fail more than their peers do, by the outcomes that all edges report. A worker that
- * fails looks idle to each edge by itself, and draws requests; here it is ejected, for the callers that it fails, and
- * comes back in steps. Platform family.
+ * Outlier detection: finds workers that fail more often than their peers, by the outcomes that all edges
+ * report. To a single edge, a worker that fails fast looks idle and so attracts requests. An outlier is
+ * ejected for the zones whose requests it fails, and returns in steps. Platform family.
  */
 import { backoffMs, type BackoffPolicy } from '@rainrun/common';
 import type { WorkerRecord, WorkerTable } from '@rainrun/placement';
 
-/** How requests of one edge to one worker ended. */
+/** Outcomes of the requests of one edge to one worker. */
 export interface WorkerOutcomeCounts {
   readonly worker: string;
   readonly answered: number;
   readonly failed: number;
 }
 
-/** Recent outcomes at one worker for the edges of one zone, decayed. */
+/** Outcomes at one worker for the edges of one zone, with exponential decay. */
 interface Tally {
   answered: number;
   failed: number;
   atMs: number;
 }
 
-/** A worker that gets none or few of the requests of one zone. */
+/** The ejection of a worker for the edges of one zone; lifted in steps after it ends. */
 interface Ejection {
-  /** From then on a few edges try it again. */
+  /** When the ejection ends and the first edges may send to the worker again. */
   readonly untilMs: number;
-  /** How often it was ejected in a row. */
+  /** Number of ejections in a row before this one. */
   readonly priorEjections: number;
 }
 
-/** Outcomes count half after so long. */
+/** The weight of an outcome halves in this time. */
 const HALF_LIFE_MS = 2000;
 const EVALUATION_INTERVAL_MS = 250;
-/** Fewer failures than this say nothing; of a worker that is tried again, fewer than the second number. */
+/**
+ * Fewer failures than this are not evaluated, as they are no evidence; the second number applies to a worker
+ * that is returning from an ejection.
+ */
 const FAILURES_MIN = 4;
 const FAILURES_MIN_ON_RETURN = 2;
-/** A worker is ejected when its failures are so many standard deviations above what its peers' would make of them. */
+/**
+ * A worker is ejected if its failures exceed those expected at its peers' failure ratio by this many standard
+ * deviations.
+ */
 const OUTLIER_DEVIATIONS = 4;
-/** Peers are taken to have had so many requests more, one of them failed: few say nothing for certain. */
+/**
+ * Prior for the failure ratio of the peers: they count as having had this many more requests, of which one
+ * failed. A ratio taken from few requests alone would be unreliable.
+ */
 const PRIOR_REQUESTS = 20;
-/** At most this fraction of the workers of a service is ejected for the edges of one zone. */
+/** Largest fraction of the workers of a service that may be ejected at once for the edges of one zone. */
 const EJECTED_FRACTION_MAX = 0.34;
-/** How long a worker stays ejected, by how often it was ejected in a row before. */
+/** How long a worker stays ejected, by the number of ejections in a row before. */
 const EJECTION_BACKOFF: BackoffPolicy = { firstMs: 2000, maxMs: 16_000 };
-/** Percentages of the edges that try a worker again, one step after the other; then all do. */
+/**
+ * Percentages of the edges that may send to a returning worker, step by step; after the last step all may.
+ */
 const RETURN_STEPS = [10, 40] as const;
 const RETURN_STEP_MS = 700;
-/** A worker that has been back for so long starts anew. */
+/**
+ * The ejection backoff starts again from its first step for a worker whose last ejection ended this long ago.
+ */
 const EJECTION_RESET_MS = 10_000;
 const ALL_EDGES_PERCENT = 100;
 
 /**
- * Evaluates workers by the outcomes that edges report.
+ * Evaluates the health of workers by the outcomes that edges report.
  * @example
  * health.record('north', [{ worker: 'w1', answered: 1, failed: 4 }], nowMs);
- * health.evaluate(table, nowMs); // limits who may send to it, in its row of the table
+ * health.evaluate(table, nowMs); // sets the limits in the rows of ejected workers
  */
 export class WorkerHealth {
-  /** By worker, and by zone of the callers. */
+  /** Tallies by worker, then by zone of the edges that send to it. */
   #tallies = new Map<string, Map<string, Tally>>();
   #ejections = new Map<string, Map<string, Ejection>>();
   #evaluatedMs = -Infinity;
 
-  /** Records the outcomes at one edge since its last report. */
+  /** Records the outcomes that an edge of `zone` has seen since its last report. */
   record(zone: string, outcomes: readonly WorkerOutcomeCounts[], nowMs: number): void {
     for (const { worker, answered, failed } of outcomes) {
       const tally = decayed(zoneMapOf(this.#tallies, worker).get(zone), nowMs);
@@ -71,7 +84,10 @@
     }
   }
 
-  /** Ejects workers that fail more than their peers, and lets ejected ones come back. */
+  /**
+   * Ejects workers that fail more often than their peers, and updates the limits of ejected and returning
+   * workers.
+   */
   evaluate(table: WorkerTable, nowMs: number): void {
     if (nowMs - this.#evaluatedMs < EVALUATION_INTERVAL_MS) return;
     this.#evaluatedMs = nowMs;
@@ -105,7 +121,7 @@
     }
   }
 
-  /** Whether a worker fails clearly more of its requests than its peers together. */
+  /** Whether a worker fails a significantly larger part of its requests than its peers together. */
   #isOutlier(
     row: WorkerRecord,
     zone: string,
@@ -136,7 +152,7 @@
     return rows.filter((row) => this.#allowedPercent(row.id, zone, nowMs) < ALL_EDGES_PERCENT).length;
   }
 
-  /** How many in a hundred edges of a zone may send to a worker now. */
+  /** The percentage of the edges of a zone that may currently send to a worker. */
   #allowedPercent(worker: string, zone: string, nowMs: number): number {
     const ejection = this.#ejections.get(worker)?.get(zone);
     if (ejection === undefined) return ALL_EDGES_PERCENT;
