--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -55,7 +55,8 @@
   }
 
   /**
-   * Records the state that a worker reported. A holding that was loaded again counts as known from now on.
+   * Records the state that a worker reported. A holding that was loaded again, or whose worker was not
+   * reachable before, counts as known since now.
    */
   recordState(state: WorkerState, nowMs: number): void {
     const previousSinceMs = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -31,11 +31,9 @@
 /** The weight of an outcome halves in this time. */
 const HALF_LIFE_MS = 2000;
 const EVALUATION_INTERVAL_MS = 250;
-/**
- * Fewer failures than this are not evaluated, as they are no evidence; the second number applies to a worker
- * that is returning from an ejection.
- */
+/** A worker with fewer failures than this is not ejected, as they are too little evidence. */
 const FAILURES_MIN = 4;
+/** The same for a worker that is returning from an ejection. */
 const FAILURES_MIN_ON_RETURN = 2;
 /**
  * A worker is ejected if its failures exceed those expected at its peers' failure ratio by this many standard
