--- a/packages/cluster-node/src/configuration-delivery.test.ts
+++ b/packages/cluster-node/src/configuration-delivery.test.ts
@@ -28,7 +28,7 @@
   return { name, host: 'a.example', prefix: `/${name}/`, service: 'assist', timeoutMs: 100 };
 }
 
-/** The state after a change that adds one route and one tenant, and removes the earlier ones. */
+/** The state after a change that replaces the route and the tenant by new ones. */
 function nextState(state: Deployment): Deployment {
   const revision = state.revision + 1;
   const document = {
@@ -45,12 +45,12 @@
   return applied.state;
 }
 
-/** One coordinator and the edges that subscribe to it, over links that lose some frames. */
+/** One coordinator and the edges that subscribe to it, connected by links that may lose frames. */
 class TestSite {
   nowMs = 10_000;
   state = nextState(EMPTY_DEPLOYMENT);
   lossRatio = 0;
-  /** Whether the links from the core to the edges carry anything. */
+  /** Whether the links from the core to the edges are cut. */
   isCut = false;
   readonly edges: EdgeReplica[] = [];
   #chance: SeededRandom;
@@ -76,7 +76,10 @@
     for (let index = 0; index < edges; index += 1) this.edges.push(this.#newEdge(index));
   }
 
-  /** Lets time pass, with a change every so often; returns the longest time for which an edge lacked one. */
+  /**
+   * Runs the site, with a change every `changeEveryMs`; returns the longest time for which an edge lacked a
+   * change.
+   */
   run(forMs: number, changeEveryMs: number): number {
     const changes: { readonly revision: number; readonly atMs: number }[] = [];
     const endMs = this.nowMs + forMs;
@@ -146,7 +149,7 @@
   }
 }
 
-/** What an edge serves by: the names of its routes and tenants. */
+/** Names of the routes and tenants that an edge serves. */
 function servedNames(edge: EdgeReplica): unknown {
   const { routes, tenants } = edge.configuration ?? { routes: [], tenants: [] };
   return [...routes, ...(tenants ?? [])].map(({ name }) => name);
@@ -156,8 +159,8 @@
   return [`route-${revision}`, `tenant-${revision}`];
 }
 
-describe('a change that had been confirmed was not in force in time', () => {
-  it('does not happen under twenty changes a second: each is at every edge within a quarter of a second', () => {
+describe('a confirmed change', () => {
+  it('is in force at every edge within 250 ms at twenty changes per second', () => {
     const site = new TestSite(1, 12);
     site.run(1000, Infinity);
     expect(site.run(10_000, 50) <= 250).toEqual(true);
@@ -165,7 +168,7 @@
     expect(site.edges.map(servedNames)).toEqual(site.edges.map(() => expectedNames(site.state)));
   });
 
-  it('does not happen where three frames of ten are lost meanwhile: within two seconds', () => {
+  it('is in force at every edge within 2 s while three of ten frames are lost', () => {
     for (const seed of [1, 2, 3, 4, 5, 6]) {
       const site = new TestSite(seed, 12);
       site.run(2000, Infinity);
@@ -177,12 +180,12 @@
     }
   });
 
-  it('does not happen once a link is whole again: the newest is there within half a second', () => {
+  it('is in force at every edge within 500 ms after cut links are restored, if it is the newest', () => {
     const site = new TestSite(3, 4);
     site.run(1000, Infinity);
     site.isCut = true;
     site.run(6000, 100);
-    // What was sent last is lost too, and nothing follows it.
+    // The updates of the last change are lost as well, and no further change follows.
     site.run(600, Infinity);
     site.isCut = false;
     site.run(500, Infinity);
@@ -202,7 +205,7 @@
   return frame;
 }
 
-describe('a change that had been confirmed came back older', () => {
+describe('a confirmed change that an edge holds', () => {
   const first = nextState(EMPTY_DEPLOYMENT);
   const second = nextState(first);
   const third = nextState(second);
@@ -214,7 +217,7 @@
     return edge;
   }
 
-  it('does not happen by an update that is late, is repeated or comes from a core that is behind', () => {
+  it('is not reverted by an update that is late or repeated, or that a lagging core sends', () => {
     const edge = edgeAt(second);
     for (const older of [first, second, EMPTY_DEPLOYMENT]) edge.receive(updateOf(edge, older));
     expect([edge.state.revision, servedNames(edge)]).toEqual([2, expectedNames(second)]);
@@ -223,7 +226,7 @@
     expect([edge.state.revision, servedNames(edge)]).toEqual([3, expectedNames(third)]);
   });
 
-  it('does not happen by an update that cannot be read: the same comes again and is taken', () => {
+  it('stays in force after an update that cannot be decoded, until that is sent again intact', () => {
     const edge = edgeAt(second);
     edge.receive(updateOf(edge, third, new TextEncoder().encode('{"edition":3,')));
     expect([edge.state.revision, servedNames(edge)]).toEqual([2, expectedNames(second)]);
--- a/packages/cluster-node/src/disk-compatibility.test.ts
+++ b/packages/cluster-node/src/disk-compatibility.test.ts
@@ -1,7 +1,7 @@
 /**
- * Disks that were written before messages, fields and classes got their
- * present names still open, and a core goes on from them. The fixtures are the
- * whole data folders of single cores, run by the build of commit 897331f.
+ * Guards against a rename of messages, fields or classes that makes the data
+ * folders of earlier builds unreadable. Each fixture is the complete data folder
+ * of a core that ran alone, written by the build of commit 897331f.
  */
 import { mkdtemp, readFile, rm, writeFile } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
@@ -22,14 +22,14 @@
 const ANSWER_MS = 1000;
 const ADDRESS = '127.0.0.1:1';
 
-/** A disk that syncs at once. */
+/** A record writer that reports each record as synced immediately. */
 class ImmediateRecordWriter implements RecordWriter {
   store(_kind: RecordKind, _bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     done(Result.ok());
   }
 }
 
-/** Opens the data folder of a fixture as a node does at its start. */
+/** Opens the data folder in a fixture as a node does when it starts. */
 async function openFixture(name: string): Promise<Records> {
   const text = await readFile(new URL(`../fixtures/${name}`, import.meta.url), 'utf8');
   const folder = await mkdtemp(join(tmpdir(), 'older-disk-'));
@@ -54,7 +54,7 @@
   return new Acceptor(opening, new ImmediateRecordWriter(), deployment, fail);
 }
 
-/** Time and chance of one node alone, and what all nodes are given alike. */
+/** Clock and randomness of a node that runs alone, and the dependencies that all nodes share. */
 class SingleNodeHarness {
   #nowMs = 0;
   #seed = 7;
@@ -91,8 +91,8 @@
   }
 }
 
-describe('a disk of an earlier build', () => {
-  it('gives a core back its deployment, and the core goes on from it', async () => {
+describe('the data folder of an earlier build', () => {
+  it('restores the deployment of a core, which then commits further operations', async () => {
     const harness = new SingleNodeHarness();
     const acceptor = acceptorOf(await openFixture('core-disk.json'), 'system');
     const replica = new CoreReplica({
@@ -119,7 +119,7 @@
     expect(replica.group.epoch).toEqual(2);
   });
 
-  it('gives a cluster node back its spec, and what it answered is not done twice', async () => {
+  it('restores the spec of a cluster node, which does not repeat an operation answered before', async () => {
     const harness = new SingleNodeHarness();
     const acceptor = acceptorOf(await openFixture('cluster-node-disk.json'), 'site');
     const node = new ClusterNode({
--- a/packages/cluster-node/src/edge-api-keys.test.ts
+++ b/packages/cluster-node/src/edge-api-keys.test.ts
@@ -10,7 +10,7 @@
 
 const KEY = 'key-in-plain';
 
-/** An edge's replica that a test sends states as a core does. */
+/** An edge's replica, and the means to send it states as a core does. */
 class ReplicaHarness {
   readonly sent: Frame[] = [];
   changes = 0;
@@ -55,8 +55,8 @@
   return { revision: 1, routes: [], services: [], ...(tenants === undefined ? {} : { tenants }) };
 }
 
-describe('an edge that holds a key in plain', () => {
-  it('is not there: neither its state nor its configuration nor anything else of its replica shows one', () => {
+describe('API keys in plain text', () => {
+  it("are not held in an edge's state, its configuration or any other part of its replica", () => {
     const harness = new ReplicaHarness();
     harness.receiveState(document([{ name: 'one', apiKeys: [KEY], note: 'kept' }]));
     harness.replica.tick();
@@ -68,7 +68,7 @@
     expect(replica.state.document?.['tenants']).toEqual([{ name: 'one', note: 'kept' }]);
   });
 
-  it('is not there after a state that cannot be a configuration either', () => {
+  it('are not held after a state that is no valid configuration either', () => {
     const harness = new ReplicaHarness();
     harness.receiveState({ tenants: [{ name: 'one', apiKeys: [KEY] }] });
     const shown = inspect(harness.replica.state, { depth: null });
@@ -76,8 +76,8 @@
   });
 });
 
-describe('an edge that goes by the keys of an older configuration', () => {
-  it('is not there: a key that moves, is dropped or comes counts from the state that says so', () => {
+describe('the tenants of an edge', () => {
+  it('change with the state in which a key is moved, removed or added', () => {
     const harness = new ReplicaHarness();
     harness.receiveState(document([{ name: 'one', apiKeys: ['a', 'b'] }]));
     const before = ['a', 'b', 'c'].map((key) => harness.holderOf(key));
@@ -89,7 +89,7 @@
     ]);
   });
 
-  it('needs keys where the list of tenants is empty, and none where there is no list', () => {
+  it('are an empty list, so that requests need a key, or undefined, so that requests need none', () => {
     const harness = new ReplicaHarness();
     const seen = [document(), document([]), document(null), document([])].map((next) => {
       harness.receiveState(next);
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -44,7 +44,7 @@
   readonly done: (answer: Answer) => void;
 }
 
-/** A replica whose group agrees when the test says so, and confirms a quorum when the test says so. */
+/** A replica whose group commits operations and confirms reads only when the test makes it do so. */
 class FakeReplica implements OperatorReplica {
   state: Deployment = EMPTY_DEPLOYMENT;
   currentAsOfMs = -Infinity;
@@ -85,7 +85,7 @@
     status: () => STATUS,
   });
 
-  /** The status of the answer, once there is one; the list shows each answer. */
+  /** Makes a call; each reply to it is added to the returned list. */
   call(call: OperatorCall): OperatorReply[] {
     const replies: OperatorReply[] = [];
     this.service.answer(call, (reply) => replies.push(reply));
@@ -104,8 +104,8 @@
   return lists.map((replies) => replies.map(({ status }) => status));
 }
 
-describe('control safety, point 1: a core that hears no majority', () => {
-  it('answers a question with 503 within a second, though it holds a configuration', () => {
+describe('control safety, point 1: operator calls on a core that may be cut off from the majority', () => {
+  it('answers a read of a known configuration with 503 within a second if no majority confirms it', () => {
     const harness = new OperatorHarness();
     harness.replica.state = applyToDeployment(EMPTY_DEPLOYMENT, {
       kind: 'configuration.put',
@@ -119,7 +119,7 @@
     expect([early.length, ...statuses(read), harness.nowMs < 5000 + 1000]).toEqual([0, [503], true]);
   });
 
-  it('answers a question only once a majority was heard after it, 404 before the first configuration too', () => {
+  it('answers a read, also with 404, only once a majority has confirmed it after its arrival', () => {
     const harness = new OperatorHarness();
     const none = harness.call({ kind: 'read' });
     harness.advance(100);
@@ -139,7 +139,7 @@
     expect(read[0]?.body).toEqual(JSON.stringify(DOCUMENT));
   });
 
-  it('shows how its group stands only as what it knew last', () => {
+  it('returns the group status as last known only, if no majority confirms the read', () => {
     const harness = new OperatorHarness();
     const view = harness.call({ kind: 'status' });
     harness.advance(ANSWER_TIMEOUT_MS);
@@ -150,15 +150,15 @@
     expect([Object.keys(stale ?? {}), fresh]).toEqual([['error', 'lastKnown'], STATUS]);
   });
 
-  it('leaves every valid order unclear within a second, and does not send it on any more', () => {
+  it('answers every valid change with 503 within a second if it is not committed, and abandons it', () => {
     const harness = new OperatorHarness();
-    const orders = [
+    const changes = [
       VALID,
       { kind: 'patch', base: 1, patch: { revision: 2 } },
       { kind: 'evacuate', zone: 'west' },
       { kind: 'return', zone: 'west' },
     ] as const;
-    const replies = orders.map((order) => harness.call(order));
+    const replies = changes.map((change) => harness.call(change));
     harness.advance(ANSWER_TIMEOUT_MS);
     expect(statuses(...replies)).toEqual([[503], [503], [503], [503]]);
     expect(harness.replica.submitted.map(({ kind }) => kind)).toEqual([
@@ -170,7 +170,7 @@
     expect(harness.replica.abandoned).toEqual(['o0', 'o1', 'o2', 'o3']);
   });
 
-  it('answers at once with 503 where no coordinator is known', () => {
+  it('answers a change with 503 without waiting for the time-out if no coordinator is known', () => {
     const harness = new OperatorHarness();
     harness.replica.hasCoordinator = false;
     const replies = [harness.call(VALID), harness.call({ kind: 'evacuate', zone: 'west' })];
@@ -178,7 +178,7 @@
     expect(statuses(...replies)).toEqual([[503], [503]]);
   });
 
-  it('refuses at once what is invalid in every state', () => {
+  it('rejects a call that is invalid in every state, without submitting an operation', () => {
     const harness = new OperatorHarness();
     harness.replica.hasCoordinator = false;
     const replies = [
@@ -191,41 +191,41 @@
     expect(harness.replica.submitted).toEqual([]);
   });
 
-  it('says what happens to an order only as it was agreed, and says it once', () => {
+  it('answers each change once, with the committed outcome', () => {
     const harness = new OperatorHarness();
-    const taken = harness.call(VALID);
-    const again = harness.call(VALID);
-    const other = harness.call({ ...VALID, document: { ...DOCUMENT, more: 1 } });
+    const first = harness.call(VALID);
+    const repeated = harness.call(VALID);
+    const conflicting = harness.call({ ...VALID, document: { ...DOCUMENT, more: 1 } });
     for (const index of [0, 1, 2]) harness.replica.commit(index);
     const late = harness.call(VALID);
     harness.advance(ANSWER_TIMEOUT_MS);
     harness.replica.commit(3);
-    expect(statuses(taken, again, other, late)).toEqual([[200], [200], [412], [503]]);
+    expect(statuses(first, repeated, conflicting, late)).toEqual([[200], [200], [412], [503]]);
   });
 
-  it('takes no call once it is about to leave, and still tells what was agreed before', () => {
+  it('rejects calls after it was drained, but still answers a change submitted before', () => {
     const harness = new OperatorHarness();
-    const order = harness.call(VALID);
+    const change = harness.call(VALID);
     harness.service.drain();
     harness.replica.currentAsOfMs = Infinity;
     const late = [harness.call(VALID), harness.call({ kind: 'read' })];
     harness.replica.commit(0);
-    expect(statuses(order, ...late)).toEqual([[200], [503], [503]]);
+    expect(statuses(change, ...late)).toEqual([[200], [503], [503]]);
   });
 });
 
 describe('control safety, point 2: an evacuation', () => {
-  it('carries the edition that this node held as it came, so that a late one undoes nothing', () => {
+  it('carries the edition in force when it arrived, so that a delayed one cannot undo a later return', () => {
     const harness = new OperatorHarness();
     const first = harness.call({ kind: 'evacuate', zone: 'west' });
-    const heldUp = harness.call({ kind: 'evacuate', zone: 'west' });
+    const delayed = harness.call({ kind: 'evacuate', zone: 'west' });
     harness.advance(ZONE_CHANGE_DELAY_MS);
     harness.replica.commit(0);
     const back = harness.call({ kind: 'return', zone: 'west' });
     harness.advance(ZONE_CHANGE_DELAY_MS);
     harness.replica.commit(2);
     harness.replica.commit(1);
-    expect([...statuses(first, back, heldUp), harness.replica.state.evacuated]).toEqual([
+    expect([...statuses(first, back, delayed), harness.replica.state.evacuated]).toEqual([
       [200],
       [200],
       [504],
@@ -233,7 +233,7 @@
     ]);
   });
 
-  it('is left unclear and not submitted where this process was frozen meanwhile', () => {
+  it('is answered with 503 and not submitted if the process was suspended past the time-out', () => {
     const harness = new OperatorHarness();
     const replies = harness.call({ kind: 'evacuate', zone: 'west' });
     harness.nowMs += 20_000;
@@ -241,7 +241,7 @@
     expect([...statuses(replies), harness.replica.submitted.length]).toEqual([[503], 0]);
   });
 
-  it('is not submitted once its caller has gone, also where it reaches a node that knows the later return', () => {
+  it('is not submitted after its caller has gone, even on a node that knows of a later return', () => {
     const harness = new OperatorHarness();
     for (const kind of ['evacuate', 'return'] as const) {
       harness.call({ kind, zone: 'west' });
--- a/packages/cluster-node/src/revocation-guard.test.ts
+++ b/packages/cluster-node/src/revocation-guard.test.ts
@@ -9,7 +9,7 @@
   return guard.admit(nowMs).match({ Ok: () => 'served', Err: ({ kind }) => kind });
 }
 
-describe('keys at an edge that is cut off, where revocations are strict', () => {
+describe('API keys on a partitioned edge with strict revocations', () => {
   it('are served until the bound has passed since the edge was last known to be current', () => {
     const guard = new RevocationGuard({ strict: true, withinMs: WITHIN_MS });
     guard.onCurrent(1000);
@@ -34,18 +34,18 @@
     expect([0, 10_000].map((nowMs) => outcome(guard, nowMs))).toEqual(['not-admitting', 'not-admitting']);
   });
 
-  it('are not served on the word of an answer that was held up, nor for longer on an older one', () => {
+  it('are not served for longer after a confirmation of an earlier time, nor after a long suspension', () => {
     const guard = new RevocationGuard({ strict: true, withinMs: WITHIN_MS });
     guard.onCurrent(1000);
     guard.onCurrent(6000);
     guard.onCurrent(2000);
     expect([8499, 8500].map((nowMs) => outcome(guard, nowMs))).toEqual(['served', 'not-admitting']);
-    const thawed = new RevocationGuard({ strict: true, withinMs: WITHIN_MS });
-    thawed.onCurrent(1000);
-    expect(outcome(thawed, 30_000)).toEqual('not-admitting');
+    const resumed = new RevocationGuard({ strict: true, withinMs: WITHIN_MS });
+    resumed.onCurrent(1000);
+    expect(outcome(resumed, 30_000)).toEqual('not-admitting');
   });
 
-  it('are refused with 503, a time to come back, and the word that nothing has run', () => {
+  it('are rejected with status 503, a retry after 1 s and the statement that nothing has run', () => {
     const guard = new RevocationGuard({ strict: true, withinMs: 0 });
     guard.onCurrent(7);
     expect(outcome(guard, 7)).toEqual('not-admitting');
@@ -53,8 +53,8 @@
   });
 });
 
-describe('keys at an edge that is cut off, where revocations are not strict', () => {
-  it('are served for as long as it is cut off', () => {
+describe('API keys on a partitioned edge without strict revocations', () => {
+  it('are served however long the partition lasts', () => {
     const guard = new RevocationGuard({ strict: false, withinMs: WITHIN_MS });
     expect(outcome(guard, 0)).toEqual('served');
     guard.onCurrent(1000);
--- a/packages/cluster-node/src/subscribers.test.ts
+++ b/packages/cluster-node/src/subscribers.test.ts
@@ -41,7 +41,7 @@
 }
 
 describe('subscribers', () => {
-  it('sends a change of a model at once to those who demand it, and to the others with later ones', () => {
+  it('sends a change of a model at once to the edges that demand it, and batched to the others', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b', 'c'])
       subscribers.recordRowsSent(
@@ -54,7 +54,7 @@
     expect(
       incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), changes, 1001)),
     ).toEqual(['b']);
-    // The others are gathered for 3 ms times the three of them.
+    // For the other edges, changes are batched for 3 ms per subscriber, so for 9 ms.
     expect(
       incarnationsOf(subscribers.dueSubscribers(availableState({ tableRow: 6 }), NO_CHANGES, 1008)),
     ).toEqual([]);
@@ -63,7 +63,7 @@
     ).toEqual(['a', 'b', 'c']);
   });
 
-  it('tells everyone at once that a worker came or leaves', () => {
+  it('sends the arrival or departure of a worker at once to all edges', () => {
     const subscribers = new Subscribers();
     for (const edge of ['a', 'b'])
       subscribers.recordRowsSent(subscribe(subscribers, edge, 1000), availableState(), 0, 1000);
@@ -74,7 +74,7 @@
     ).toEqual(['a', 'b']);
   });
 
-  it('does not lose an urgent change that came while others were gathered', () => {
+  it('sends an urgent change once its batching delay has passed', () => {
     const subscribers = new Subscribers();
     for (let edge = 0; edge < 40; edge += 1)
       subscribers.recordRowsSent(
@@ -92,7 +92,7 @@
     ).toEqual(['e7']);
   });
 
-  it('sends a new state in a storm of changes five times a second, and always the newest in the end', () => {
+  it('sends the state five times a second during frequent changes, and the newest one at the end', () => {
     const subscribers = new Subscribers();
     subscribe(subscribers, 'a', 1000);
     let sent = 0;
@@ -109,7 +109,7 @@
     expect([sent, newest >= 30]).toEqual([8, true]);
   });
 
-  it('does not repeat rows that are on their way, and sends them again once they must have come', () => {
+  it('does not repeat rows in flight, but sends them again if the edge still lacks them afterwards', () => {
     const subscribers = new Subscribers();
     const one = subscribe(subscribers, 'a', 1000, { tableRow: 0 });
     subscribers.recordRowsSent(one, availableState(), 5, 1000);
@@ -125,7 +125,7 @@
     ).toEqual(true);
   });
 
-  it('sends nothing unasked from a core that is not the coordinator', () => {
+  it('sends updates only as answers from a core that is not the coordinator', () => {
     const subscribers = new Subscribers();
     subscribe(subscribers, 'a', 1000);
     expect(
@@ -150,8 +150,8 @@
   });
 });
 
-describe('the state as edges receive it', () => {
-  it('comes back the same in both forms, without what operators sent', () => {
+describe('the encoding of the state for edges', () => {
+  it('is decoded to the same state from both forms, without the accepted changes', () => {
     const state = { ...EMPTY_DEPLOYMENT, edition: 4, revision: 9, evacuated: ['north'] };
     const encoded = encodeStateUpdate(state);
     for (const update of [
@@ -166,7 +166,7 @@
     }
   });
 
-  it('is refused where it is garbled', () => {
+  it('is rejected if it is corrupt, and undefined if an update includes none', () => {
     expect(
       decodeStateUpdate(create(StateUpdateSchema, { deflatedState: new Uint8Array([1, 2, 3]) }))?.isErr,
     ).toEqual(true);
@@ -175,7 +175,7 @@
 });
 
 describe('pacing of plans', () => {
-  it('leaves three quarters of the time to everything else, however dear a plan is', () => {
+  it('leaves three quarters of the time to other work, however long a plan takes', () => {
     const pacer = new PlanPacer();
     let nowMs = 0;
     let planningMs = 0;
@@ -190,7 +190,7 @@
     expect(planningMs >= 2400).toEqual(true);
   });
 
-  it('lets cheap plans follow each other at once', () => {
+  it('lets cheap plans follow each other after 4 ms', () => {
     const pacer = new PlanPacer();
     pacer.recordPlan(1000, 1000);
     expect([pacer.isDue(1003), pacer.isDue(1004)]).toEqual([false, true]);
--- a/packages/cluster-node/src/tenant-status.test.ts
+++ b/packages/cluster-node/src/tenant-status.test.ts
@@ -20,7 +20,7 @@
   }),
 );
 
-/** A burst of 5 makes two shards. */
+/** The cores that allocate the quota of tenant north, whose burst of 5 makes two shards. */
 const NORTH_ALLOCATORS = [
   ...new Set(['north/0', 'north/1'].map((shard) => allocatorOf(shard, MEMBERS)?.name ?? '')),
 ].sort();
@@ -50,8 +50,8 @@
   { name: 'south', apiKeys: null, ratePerS: null, burst: null, priority: null },
 ];
 
-describe('the tenants that operators see', () => {
-  it('have their limits, the number of their keys, the core that allocates and the state of the quota', () => {
+describe('the status of tenants', () => {
+  it('shows limits, the number of API keys, the allocating cores and the state of the quota', () => {
     const statuses = tenantStatuses(deployment(TENANTS), MEMBERS, (name) =>
       name === 'north' ? QUOTA : undefined,
     );
@@ -69,7 +69,7 @@
     ]);
   });
 
-  it('are absent where no request needs a key, and an empty list where no key is known', () => {
+  it('is undefined without a tenant list, so that no request needs a key, and empty for an empty list', () => {
     const found = [undefined, null, []].map((tenants) =>
       tenantStatuses(deployment(tenants), MEMBERS, () => undefined),
     );
@@ -77,13 +77,13 @@
     expect(tenantStatuses(EMPTY_DEPLOYMENT, MEMBERS, () => undefined)).toEqual(undefined);
   });
 
-  it('have no allocator while no core with a disk is in the view', () => {
+  it('shows no allocators while no core with a disk is in the view', () => {
     const statuses = tenantStatuses(deployment(TENANTS), [], () => undefined);
     expect(statuses?.map(({ allocators }) => allocators)).toEqual([[], []]);
   });
 });
 
-/** A core that holds this state, as far as its status reads it. */
+/** A core that holds this state, reduced to what coreStatus reads. */
 function replicaWith(state: Deployment): CoreReplica {
   const [self] = MEMBERS;
   const group = {
@@ -99,8 +99,8 @@
   return { state, group, subscriberCount: 4 } as unknown as CoreReplica;
 }
 
-describe('the view of a core', () => {
-  it('shows tenants by name, and no key however it is written', () => {
+describe('the status of a core', () => {
+  it('shows tenants by name, and no part of an API key', () => {
     const text = JSON.stringify(coreStatus(replicaWith(deployment(TENANTS)), () => QUOTA));
     expect([text.includes('"north"'), text.includes('"keys":2'), text.includes('secret')]).toEqual([
       true,
@@ -109,7 +109,7 @@
     ]);
   });
 
-  it('is as it was where there are no tenants', () => {
+  it('has no field for tenants if the configuration has no tenant list', () => {
     expect('tenants' in coreStatus(replicaWith(deployment(undefined)))).toEqual(false);
   });
 });
--- a/packages/cluster-node/src/worker-health.test.ts
+++ b/packages/cluster-node/src/worker-health.test.ts
@@ -6,12 +6,12 @@
 const ZONES = ['north', 'south'] as const;
 const REPORT_INTERVAL_MS = 250;
 
-/** A service of workers, and what the edges of two zones see of them. */
+/** The workers of one service, and the outcomes that the edges of two zones report about them. */
 class HealthHarness {
   readonly table = new WorkerTable();
   readonly health = new WorkerHealth();
   nowMs = 1000;
-  /** Requests that came to each worker although it was limited. */
+  /** Number of requests sent to each worker, within its limits. */
   readonly sent = new Map<string, number>();
 
   constructor(workers: number) {
@@ -28,7 +28,10 @@
     this.table.learn(listed, this.nowMs);
   }
 
-  /** Each worker gets so many requests a report from each zone, of which a part fails. */
+  /**
+   * Sends each worker `each` requests per zone and report, within its limits; `failing` selects those that
+   * fail.
+   */
   run(forMs: number, each: number, failing: (worker: string, zone: string, nth: number) => boolean): void {
     let nth = 0;
     for (const endMs = this.nowMs + forMs; this.nowMs < endMs; this.nowMs += REPORT_INTERVAL_MS) {
@@ -56,25 +59,25 @@
 }
 
 describe('the health of workers', () => {
-  it('ejects a worker that fails its requests within half a second, and no other one', () => {
+  it('ejects a worker that fails all its requests within half a second, and no other worker', () => {
     const harness = new HealthHarness(8);
     harness.run(500, 4, (worker) => worker === 'w3');
     expect([harness.limited('north'), harness.limited('south')]).toEqual([['w3'], ['w3']]);
   });
 
-  it('ejects a worker that fails a part of them', () => {
+  it('ejects a worker that fails two of five requests', () => {
     const harness = new HealthHarness(8);
     harness.run(2000, 4, (worker, _zone, nth) => worker === 'w3' && nth % 5 < 2);
     expect(harness.limited('north')).toEqual(['w3']);
   });
 
-  it('ejects it only for the callers that it fails', () => {
+  it('ejects a worker only for the zone whose requests it fails', () => {
     const harness = new HealthHarness(8);
     harness.run(1000, 4, (worker, zone) => worker === 'w3' && zone === 'south');
     expect([harness.limited('north'), harness.limited('south')]).toEqual([[], ['w3']]);
   });
 
-  it('leaves workers alone that have errors of their own, all alike', () => {
+  it('ejects no worker if all workers fail the same small fraction of their requests', () => {
     const harness = new HealthHarness(8);
     let limited = 0;
     for (let second = 0; second < 60; second += 1) {
@@ -84,19 +87,19 @@
     expect(limited).toEqual(0);
   });
 
-  it('leaves all in use where most of a service fails', () => {
+  it('ejects no worker if all workers fail half of their requests', () => {
     const harness = new HealthHarness(8);
     harness.run(3000, 4, (_worker, _zone, nth) => nth % 2 === 0);
     expect(harness.limited('north')).toEqual([]);
   });
 
-  it('ejects no more than a third of a service', () => {
+  it('ejects at most a third of the workers of a service', () => {
     const harness = new HealthHarness(9);
     harness.run(4000, 6, (worker) => ['w0', 'w1', 'w2', 'w3'].includes(worker));
     expect(harness.limited('north').length).toEqual(3);
   });
 
-  it('lets a worker come back in steps, and keeps one that still fails away for longer', () => {
+  it('readmits a worker in steps, and ejects one that still fails for longer each time', () => {
     const harness = new HealthHarness(8);
     harness.run(500, 40, (worker) => worker === 'w3');
     harness.run(2000, 40, noFailures);
