--- a/packages/cluster-node/src/core-status.ts
+++ b/packages/cluster-node/src/core-status.ts
@@ -34,8 +34,9 @@
   readonly coordinator: string | null;
   /** What this core is waiting for; absent while it knows a coordinator that commits. */
   readonly waiting?: CoordinatorWait;
-  /** The newest version that this core has applied; `agreed` is the newest that it knows to be committed. */
+  /** The newest version that this core has applied. */
   readonly version: number;
+  /** The newest version that this core knows to be committed. */
   readonly agreed: number;
   readonly revision: number;
   readonly evacuated: readonly string[];
--- a/packages/cluster-node/src/edge-count.ts
+++ b/packages/cluster-node/src/edge-count.ts
@@ -13,8 +13,9 @@
  */
 export class EdgeCount {
   #value = 1;
-  /** Id of the worker table of the coordinator whose count is used, and since when it is. */
+  /** Id of the worker table of the coordinator whose count is used. */
   #tableId = '';
+  /** When the first count of that coordinator arrived. */
   #sinceMs = -Infinity;
 
   get value(): number {
--- a/packages/cluster-node/src/edge-replica.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -99,7 +99,7 @@
   #edgeCount = new EdgeCount();
   #demandReporter: DemandReporter;
   #quota: EdgeQuota;
-  /** When the first of the urgent demand not yet reported came up; undefined if there is none. */
+  /** When the oldest urgent demand that is not yet reported came up; undefined if there is none. */
   #urgentSinceMs: number | undefined;
   #readySinceMs: number | undefined;
 
@@ -172,7 +172,7 @@
     return this.#configuration !== undefined && this.workers.size > 0 && this.#readySinceMs !== undefined;
   }
 
-  /** Has the demand reported shortly, before the next renewal of the subscription. */
+  /** Has this edge report its demand shortly, without waiting for the next renewal of the subscription. */
   requestUpdateSoon(): void {
     this.#urgentSinceMs ??= this.#dependencies.clock.nowMs();
   }
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -77,9 +77,7 @@
   readonly isCallerGone: () => boolean;
 }
 
-/**
- * A read, with the reply for when this node proves to be current and the reply for when it does not in time.
- */
+/** A pending read: answered by `currentReply` once this node is known to be current, else by `staleReply`. */
 interface PendingRead {
   readonly receivedMs: number;
   readonly done: ReplyCallback;
