--- a/packages/configuration/src/accepted-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -58,7 +58,7 @@
  * @example
  * acceptedUnder(NO_ACCEPTED_CHANGES, 7); // undefined
  */
-export function acceptedUnder(accepted: AcceptedChanges, revision: number): AcceptedChange | undefined {
+export function findAcceptedChange(accepted: AcceptedChanges, revision: number): AcceptedChange | undefined {
   const known = accepted.changes.findLast((change) => change.revision <= revision);
   return known?.revision === revision ? known : undefined;
 }
@@ -69,7 +69,7 @@
  * @example
  * mayBeEvictedChange(NO_ACCEPTED_CHANGES, 7, 5); // false
  */
-export function mayBeEvictedChange(
+export function mayHaveBeenForgotten(
   accepted: AcceptedChanges,
   revision: number,
   base: number | undefined,
--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -9,7 +9,7 @@
   type SpecState,
 } from './spec-state.js';
 
-function good(): Record<string, unknown> {
+function validSpec(): Record<string, unknown> {
   return {
     deployment: 'd',
     zones: ['north', 'south'],
@@ -22,8 +22,8 @@
   };
 }
 
-function faultsOf(change: Record<string, unknown>): string[] {
-  const read = readSpec(JSON.stringify({ ...good(), ...change }));
+function faultPathsOf(change: Record<string, unknown>): string[] {
+  const read = readSpec(JSON.stringify({ ...validSpec(), ...change }));
   return read.isErr ? read.error.map((one) => one.path) : [];
 }
 
@@ -33,19 +33,19 @@
 
 describe('spec', () => {
   it('is taken when it is sound', () => {
-    expect(readSpec(JSON.stringify(good())).isOk).toEqual(true);
+    expect(readSpec(JSON.stringify(validSpec())).isOk).toEqual(true);
   });
 
   it('is refused whole, with the path of every fault', () => {
-    expect(faultsOf({ extra: 1, zones: [] })).toEqual(['zones', 'extra']);
-    expect(faultsOf({ models: [{ name: 'm', sizeMb: 1200 }] })).toEqual([
+    expect(faultPathsOf({ extra: 1, zones: [] })).toEqual(['zones', 'extra']);
+    expect(faultPathsOf({ models: [{ name: 'm', sizeMb: 1200 }] })).toEqual([
       'models.0.sizeMb',
       'adapters.0.sizeMb',
     ]);
-    expect(faultsOf({ adapters: [{ name: 'a', model: 'x', sizeMb: 1 }] })).toEqual(['adapters.0.model']);
-    expect(faultsOf({ zones: ['north', 'north'] })).toEqual(['zones.1']);
+    expect(faultPathsOf({ adapters: [{ name: 'a', model: 'x', sizeMb: 1 }] })).toEqual(['adapters.0.model']);
+    expect(faultPathsOf({ zones: ['north', 'north'] })).toEqual(['zones.1']);
     expect(
-      faultsOf({
+      faultPathsOf({
         groups: [{ name: 'g', share: 1, kinds: [{ name: 'k', targetMs: 1, patienceMs: 1 }], models: ['x'] }],
       }),
     ).toEqual(['groups.0.models.0']);
@@ -54,7 +54,7 @@
   it('is taken with as many routes as are allowed, and refused with one more', () => {
     function withRoutes(count: number): string {
       return JSON.stringify({
-        ...good(),
+        ...validSpec(),
         routes: Array.from({ length: count }, (_, place) => ({ path: `/r/${place}`, serve: 'chat' })),
       });
     }
@@ -73,8 +73,8 @@
 
 describe('spec state', () => {
   it('lets one of two racing operators win, and tells the other what is in force', () => {
-    const first = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
-    const second = put(first.state, 0, JSON.stringify({ ...good(), deployment: 'e' }));
+    const first = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
+    const second = put(first.state, 0, JSON.stringify({ ...validSpec(), deployment: 'e' }));
     expect([first.outcome.kind, second.outcome.kind, second.outcome.detail]).toEqual([
       'agreed',
       'conflict',
@@ -94,7 +94,7 @@
   });
 
   it('merges a change, and refuses one that breaks the spec', () => {
-    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function change(patch: unknown): ReturnType<typeof applyToSpecState> {
       return applyToSpecState(
         state,
@@ -110,7 +110,7 @@
   });
 
   it('lets changes to different entries both hold, and one of two to the same entry win', () => {
-    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function edit(
       from: typeof state,
       seen: number,
@@ -163,14 +163,14 @@
   });
 
   it('refuses a merge patch that would replace a list whole, unless it names its base', () => {
-    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function patch(more: object): string {
       return applyToSpecState(
         state,
         {
           id: 'c',
           kind: 'spec.change',
-          payload: JSON.stringify({ patch: { zones: good().zones }, ...more }),
+          payload: JSON.stringify({ patch: { zones: validSpec().zones }, ...more }),
         },
         2,
       ).outcome.kind;
@@ -183,14 +183,14 @@
   });
 
   it('empties and restores zones it knows, and forgets an emptied zone that the spec drops', () => {
-    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     const emptied = applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
     expect(emptied.state.evacuatedZones).toEqual(['north']);
     expect(
       applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"x"}' }, 2).outcome.kind,
     ).toEqual('not-found');
     expect(
-      put(emptied.state, 1, JSON.stringify({ ...good(), zones: ['south'] })).state.evacuatedZones,
+      put(emptied.state, 1, JSON.stringify({ ...validSpec(), zones: ['south'] })).state.evacuatedZones,
     ).toEqual([]);
   });
 
@@ -209,7 +209,7 @@
   });
 
   it('reads back what it wrote, and nothing else', () => {
-    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(good()));
+    const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     const read = decodeSpecState(encodeSpecState(state));
     expect(read.isOk && read.value).toEqual(state);
     expect(
--- a/packages/configuration/src/configuration.test.ts
+++ b/packages/configuration/src/configuration.test.ts
@@ -45,7 +45,7 @@
   });
 }
 
-function first(): Deployment {
+function atRevision5(): Deployment {
   return put(EMPTY_DEPLOYMENT, 0, document(5)).state;
 }
 
@@ -180,7 +180,7 @@
   });
 
   it('refuses what is cut short, invalid, old or on another base, and stays as it is', () => {
-    const state = first();
+    const state = atRevision5();
     const ends = [
       applyToDeployment(state, {
         kind: 'configuration.put',
@@ -210,11 +210,11 @@
   });
 
   it('refuses another document under the revision in force', () => {
-    expect(put(first(), 5, document(5, { more: 1 })).outcome.kind).toEqual('bad-spec');
+    expect(put(atRevision5(), 5, document(5, { more: 1 })).outcome.kind).toEqual('bad-spec');
   });
 
   it('agrees to one of two changes on the same base, and to the same call again whenever it comes', () => {
-    const state = first();
+    const state = atRevision5();
     const one = put(state, 5, document(7));
     const other = put(one.state, 5, document(8));
     const later = put(one.state, 7, document(9));
@@ -229,7 +229,7 @@
   });
 
   it('does not agree again to a call that lost its race', () => {
-    const state = put(first(), 5, document(7)).state;
+    const state = put(atRevision5(), 5, document(7)).state;
     expect([put(state, 5, document(8)).outcome.kind, put(state, 5, document(8)).outcome.kind]).toEqual([
       'conflict',
       'conflict',
@@ -237,7 +237,7 @@
   });
 
   it('remembers what it took through its bytes', () => {
-    const read = decodeDeployment(encodeDeployment(put(first(), 5, document(7)).state));
+    const read = decodeDeployment(encodeDeployment(put(atRevision5(), 5, document(7)).state));
     expect(read.isOk ? [put(read.value, 5, document(7)).outcome.kind, read.value.edition] : []).toEqual([
       'agreed',
       2,
@@ -278,7 +278,7 @@
   });
 
   it('refuses a patch that would leave it invalid, is old, on another base or before the first', () => {
-    const state = first();
+    const state = atRevision5();
     const kinds = [
       patch(state, 5, { revision: 8, drop: { services: ['assist'] } }),
       patch(state, 5, { revision: 8, set: { routes: [route('two', { prefix: '/one/' })] } }),
@@ -301,7 +301,7 @@
 
   it('agrees to a repeated patch once more, without doing it again', () => {
     const change = { revision: 8, set: { routes: [route('two')] } };
-    const state = patch(first(), 5, change).state;
+    const state = patch(atRevision5(), 5, change).state;
     const dropped = patch(state, 8, { revision: 9, drop: { routes: ['two'] } }).state;
     const again = patch(dropped, 5, change);
     expect([again.outcome.kind, again.state === dropped, namesIn(again.state)]).toEqual([
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -5,32 +5,32 @@
 import { issueMessage } from './issue-text.js';
 
 /** JSON reads 1e400 as endless and writes that as null, which has another meaning. */
-const Count = v.pipe(v.number(), v.finite(), v.minValue(0));
+const NonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const NonEmptyText = v.pipe(v.string(), v.minLength(1));
 
 const ModelSchema = v.looseObject({
   name: NonEmptyText,
-  sizeMb: Count,
-  loadS: v.optional(Count, 1),
-  adapters: v.optional(Count, 0),
-  adapterMb: v.optional(Count, 0),
+  sizeMb: NonNegative,
+  loadS: v.optional(NonNegative, 1),
+  adapters: v.optional(NonNegative, 0),
+  adapterMb: v.optional(NonNegative, 0),
 });
 
 const EngineSchema = v.looseObject({
-  slots: v.optional(Count, 1),
-  kvTokens: v.optional(Count, 0),
+  slots: v.optional(NonNegative, 1),
+  kvTokens: v.optional(NonNegative, 0),
   models: v.optional(v.array(ModelSchema), []),
-  roomMb: v.optional(Count, 0),
-  adapterPlaces: v.optional(Count, 0),
-  loadsPerS: v.optional(Count, 0),
+  roomMb: v.optional(NonNegative, 0),
+  adapterPlaces: v.optional(NonNegative, 0),
+  loadsPerS: v.optional(NonNegative, 0),
 });
 
 const ServiceSchema = v.looseObject({
   name: NonEmptyText,
   healthPath: v.optional(v.string(), '/health'),
-  connections: v.optional(Count, 0),
-  warmupS: v.optional(Count, 0),
-  warmupPerS: v.optional(Count, 0),
+  connections: v.optional(NonNegative, 0),
+  warmupS: v.optional(NonNegative, 0),
+  warmupPerS: v.optional(NonNegative, 0),
   engine: v.optional(v.nullable(EngineSchema)),
 });
 
@@ -39,13 +39,13 @@
   host: NonEmptyText,
   prefix: v.pipe(v.string(), v.startsWith('/')),
   service: v.optional(v.nullable(v.string())),
-  split: v.optional(v.nullable(v.array(v.looseObject({ service: NonEmptyText, weight: Count })))),
+  split: v.optional(v.nullable(v.array(v.looseObject({ service: NonEmptyText, weight: NonNegative })))),
   kind: v.optional(v.picklist(['idempotent', 'non_idempotent', 'streaming']), 'non_idempotent'),
   timeoutMs: v.pipe(v.number(), v.finite(), v.gtValue(0, 'a time-out above 0')),
-  targetMs: v.optional(Count, 1000),
-  gapMs: v.optional(Count, 0),
-  attempts: v.optional(Count, 1),
-  priority: v.optional(Count, 5),
+  targetMs: v.optional(NonNegative, 1000),
+  gapMs: v.optional(NonNegative, 0),
+  attempts: v.optional(NonNegative, 1),
+  priority: v.optional(NonNegative, 5),
   regions: v.optional(v.nullable(v.array(v.string()))),
   affinity: v.optional(v.boolean(), false),
   resumable: v.optional(v.boolean(), false),
@@ -55,16 +55,16 @@
 const TenantSchema = v.looseObject({
   name: NonEmptyText,
   apiKeys: v.optional(v.nullable(v.array(NonEmptyText)), []),
-  ratePerS: v.optional(v.nullable(Count), 0),
-  burst: v.optional(v.nullable(Count), 0),
-  priority: v.optional(v.nullable(Count)),
+  ratePerS: v.optional(v.nullable(NonNegative), 0),
+  burst: v.optional(v.nullable(NonNegative), 0),
+  priority: v.optional(v.nullable(NonNegative)),
 });
 
 const LimitsSchema = v.looseObject({
-  headerBytes: v.optional(Count, 16_384),
-  bodyBytes: v.optional(Count, 4_194_304),
-  headerMs: v.optional(Count, 3000),
-  idleMs: v.optional(Count, 15_000),
+  headerBytes: v.optional(NonNegative, 16_384),
+  bodyBytes: v.optional(NonNegative, 4_194_304),
+  headerMs: v.optional(NonNegative, 3000),
+  idleMs: v.optional(NonNegative, 15_000),
 });
 
 const ConfigurationSchema = v.looseObject({
@@ -102,7 +102,7 @@
 export const DEFAULT_LIMITS: Limits = v.parse(LimitsSchema, {});
 
 /** Faults across entries: duplicate names and routes, unknown services. */
-function crossFaults(configuration: Configuration): string[] {
+function crossReferenceFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
   const places = new Set<string>();
   const names = new Set<string>();
@@ -169,25 +169,25 @@
  * from the last one as they are, and never changed in place: those that were
  * part of the last list are not checked again.
  */
-class ItemCheck<S extends v.GenericSchema> {
+class CachedListChecker<S extends v.GenericSchema> {
   #schema: S;
-  #last: ReadonlyMap<unknown, v.InferOutput<S>> = new Map();
+  #previous: ReadonlyMap<unknown, v.InferOutput<S>> = new Map();
 
   constructor(schema: S) {
     this.#schema = schema;
   }
 
   /** The items as checked; what is wrong with others is added to `faults`. */
-  items(list: readonly unknown[], name: string, faults: string[]): v.InferOutput<S>[] {
+  checkedItems(list: readonly unknown[], name: string, faults: string[]): v.InferOutput<S>[] {
     const checked = new Map<unknown, v.InferOutput<S>>();
     const items: v.InferOutput<S>[] = [];
     for (const [place, item] of list.entries()) {
-      const output = this.#last.get(item) ?? this.#check(item, `${name}.${place}`, faults);
+      const output = this.#previous.get(item) ?? this.#check(item, `${name}.${place}`, faults);
       if (output === undefined) continue;
       items.push(output);
       checked.set(item, output);
     }
-    this.#last = checked;
+    this.#previous = checked;
     return items;
   }
 
@@ -199,9 +199,9 @@
   }
 }
 
-const ROUTE_CHECK = new ItemCheck(RouteSchema);
-const SERVICE_CHECK = new ItemCheck(ServiceSchema);
-const TENANT_CHECK = new ItemCheck(TenantSchema);
+const ROUTE_CHECKER = new CachedListChecker(RouteSchema);
+const SERVICE_CHECKER = new CachedListChecker(ServiceSchema);
+const TENANT_CHECKER = new CachedListChecker(TenantSchema);
 
 /**
  * Checks a complete configuration; a fault names each place and what is wrong there.
@@ -210,16 +210,16 @@
  */
 export function checkConfiguration(data: unknown): Result<Configuration, Fault> {
   const outline = v.safeParse(OutlineSchema, data);
-  if (!outline.success) return refusal(outline.issues.map((issue) => issueText(issue, '')));
+  if (!outline.success) return badSpec(outline.issues.map((issue) => issueText(issue, '')));
   const faults: string[] = [];
   const configuration: Configuration = {
     ...outline.output,
-    routes: ROUTE_CHECK.items(outline.output.routes, 'routes', faults),
-    services: SERVICE_CHECK.items(outline.output.services, 'services', faults),
+    routes: ROUTE_CHECKER.checkedItems(outline.output.routes, 'routes', faults),
+    services: SERVICE_CHECKER.checkedItems(outline.output.services, 'services', faults),
     tenants: checkedTenants(outline.output.tenants, faults),
   };
-  if (faults.length === 0) faults.push(...crossFaults(configuration));
-  return faults.length > 0 ? refusal(faults) : Result.ok(configuration);
+  if (faults.length === 0) faults.push(...crossReferenceFaults(configuration));
+  return faults.length > 0 ? badSpec(faults) : Result.ok(configuration);
 }
 
 /** What was checked before: documents are never changed in place. */
@@ -246,9 +246,9 @@
   list: readonly unknown[] | null | undefined,
   faults: string[],
 ): TenantEntry[] | null | undefined {
-  return list === null || list === undefined ? list : TENANT_CHECK.items(list, 'tenants', faults);
+  return list === null || list === undefined ? list : TENANT_CHECKER.checkedItems(list, 'tenants', faults);
 }
 
-function refusal(faults: readonly string[]): Result<Configuration, Fault> {
+function badSpec(faults: readonly string[]): Result<Configuration, Fault> {
   return Result.err(fault('bad-spec', faults.slice(0, REPORTED_FAULTS_MAX).join('\n')));
 }
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -46,7 +46,7 @@
   taken: v.union([StoredAcceptedSchema, EarlierStoredAcceptedSchema]),
 });
 
-function write(state: Deployment, accepted: AcceptedChanges): Uint8Array {
+function encodeState(state: Deployment, accepted: AcceptedChanges): Uint8Array {
   const { edition, document, revision, evacuated, zones } = state;
   const written = {
     forgottenRevision: accepted.forgottenRevision,
@@ -64,7 +64,7 @@
  * decodeDeployment(encodeDeployment(EMPTY_DEPLOYMENT)).isOk; // true
  */
 export function encodeDeployment(state: Deployment): Uint8Array {
-  return write(state, state.accepted);
+  return encodeState(state, state.accepted);
 }
 
 /**
@@ -74,7 +74,7 @@
  * decodeDeployment(encodeForSubscribers(EMPTY_DEPLOYMENT)).isOk; // true
  */
 export function encodeForSubscribers(state: Deployment): Uint8Array {
-  return write(state, NO_ACCEPTED_CHANGES);
+  return encodeState(state, NO_ACCEPTED_CHANGES);
 }
 
 /**
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -11,9 +11,9 @@
 import { issueMessage } from './issue-text.js';
 import {
   digestOfChange,
-  mayBeEvictedChange,
+  mayHaveBeenForgotten,
   NO_ACCEPTED_CHANGES,
-  acceptedUnder,
+  findAcceptedChange,
   withAcceptedChange,
   type AcceptedChanges,
 } from './accepted-changes.js';
@@ -74,8 +74,8 @@
     };
 
 const Revision = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
-const Base = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
-const PutSchema = v.object({ base: Base, document: v.record(v.string(), v.unknown()) });
+const BaseRevision = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
+const PutSchema = v.object({ base: BaseRevision, document: v.record(v.string(), v.unknown()) });
 const ItemsSchema = v.record(v.string(), v.unknown());
 /** Checked as a whole, so that no name which a caller made up stands in the message. */
 const DropSchema = v.pipe(
@@ -87,7 +87,7 @@
   v.transform((lists) => lists as Readonly<Record<string, readonly string[] | null>>),
 );
 const PatchSchema = v.object({
-  base: Base,
+  base: BaseRevision,
   /** Fields that are not known change nothing, but tell two changes apart. */
   patch: v.looseObject({
     revision: Revision,
@@ -104,7 +104,7 @@
   return Array.isArray(value) && value.every((name) => typeof name === 'string');
 }
 
-function parsed<S extends v.GenericSchema>(
+function parsePayload<S extends v.GenericSchema>(
   schema: S,
   payload: unknown,
   kind: FaultKind,
@@ -135,12 +135,16 @@
 function readOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
   switch (kind) {
     case 'configuration.put':
-      return parsed(PutSchema, payload, 'bad-spec').map(({ base, document }) => ({ kind, base, document }));
+      return parsePayload(PutSchema, payload, 'bad-spec').map(({ base, document }) => ({
+        kind,
+        base,
+        document,
+      }));
     case 'configuration.patch':
-      return parsed(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
+      return parsePayload(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
     case 'zone.evacuate':
     case 'zone.return':
-      return parsed(ZoneSchema, payload, 'bad-request').map(({ zone, seen }) => ({ kind, zone, seen }));
+      return parsePayload(ZoneSchema, payload, 'bad-request').map(({ zone, seen }) => ({ kind, zone, seen }));
     default:
       return Result.err(fault('bad-request', `no operation "${kind}"`));
   }
@@ -162,16 +166,16 @@
 }
 
 /** The state after an operation, and how it ended. */
-export interface Applied {
+export interface ApplyResult {
   readonly state: Deployment;
   readonly outcome: { readonly kind: 'agreed' | FaultKind; readonly detail: string };
 }
 
-function agreed(state: Deployment, detail: string): Applied {
+function agreed(state: Deployment, detail: string): ApplyResult {
   return { state, outcome: { kind: 'agreed', detail } };
 }
 
-function refused(state: Deployment, { kind, detail }: Fault): Applied {
+function refused(state: Deployment, { kind, detail }: Fault): ApplyResult {
   return { state, outcome: { kind, detail } };
 }
 
@@ -180,7 +184,7 @@
 }
 
 /** Lists are changed item by item, by name; null in place of a list changes nothing; anything else is replaced. */
-function patched(
+function applyPatchToDocument(
   document: ConfigurationDocument,
   set: Readonly<Record<string, unknown>>,
   drop: Readonly<Record<string, readonly string[] | null>>,
@@ -193,12 +197,12 @@
   }
   for (const [key, value] of Object.entries(set)) {
     if (value === null && Array.isArray(next[key])) continue;
-    next[key] = Array.isArray(value) ? upserted(next[key], value) : value;
+    next[key] = Array.isArray(value) ? upsertByName(next[key], value) : value;
   }
   return next;
 }
 
-function upserted(list: unknown, changes: readonly unknown[]): unknown[] {
+function upsertByName(list: unknown, changes: readonly unknown[]): unknown[] {
   const items: unknown[] = Array.isArray(list) ? [...(list as unknown[])] : [];
   const places = new Map<unknown, number>();
   for (const [place, item] of items.entries()) if (!places.has(nameOf(item))) places.set(nameOf(item), place);
@@ -213,7 +217,7 @@
 }
 
 /** A change of the configuration. */
-interface Change {
+interface ConfigurationChange {
   readonly base: number | undefined;
   readonly revision: number;
   /** What the change says; costs a pass over all of it. */
@@ -227,12 +231,12 @@
  * came after it; one that may have been accepted, but is no longer remembered, is
  * neither acknowledged nor rejected.
  */
-function acceptChange(state: Deployment, change: Change): Applied {
+function acceptChange(state: Deployment, change: ConfigurationChange): ApplyResult {
   const { base, revision } = change;
-  const known = acceptedUnder(state.accepted, revision);
+  const known = findAcceptedChange(state.accepted, revision);
   if (known !== undefined && known.digest === change.digest())
     return agreed(state, `revision ${revision} was taken before`);
-  if (mayBeEvictedChange(state.accepted, revision, base)) {
+  if (mayHaveBeenForgotten(state.accepted, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
     return refused(state, fault('operation-unknown', detail));
   }
@@ -252,11 +256,11 @@
 }
 
 /** An invalid change was never accepted, however old it is. */
-function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
+function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): ApplyResult {
   const revision = v.safeParse(Revision, document['revision']);
   if (!revision.success)
     return refused(state, fault('bad-spec', `revision: ${issueMessage(revision.issues[0])}`));
-  if (mayBeEvictedChange(state.accepted, revision.output, base)) {
+  if (mayHaveBeenForgotten(state.accepted, revision.output, base)) {
     const checked = checkedDocument(document);
     if (checked.isErr) return refused(state, checked.error);
   }
@@ -272,17 +276,23 @@
   state: Deployment,
   base: number | undefined,
   patch: v.InferOutput<typeof PatchSchema>['patch'],
-): Applied {
+): ApplyResult {
   const { revision, set, drop } = patch;
   return acceptChange(state, {
     base,
     revision,
     digest: () => digestOfChange('patch', base, JSON.stringify(patch)),
-    result: () => checkedDocument({ ...patched(state.document ?? {}, set ?? {}, drop ?? {}), revision }),
+    result: () =>
+      checkedDocument({ ...applyPatchToDocument(state.document ?? {}, set ?? {}, drop ?? {}), revision }),
   });
 }
 
-function setZone(state: Deployment, zone: string, seen: number | undefined, evacuate: boolean): Applied {
+function setZoneEvacuation(
+  state: Deployment,
+  zone: string,
+  seen: number | undefined,
+  evacuate: boolean,
+): ApplyResult {
   const detail = `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}`;
   if (state.evacuated.includes(zone) === evacuate) return agreed(state, detail);
   const changed = state.zones[zone];
@@ -330,7 +340,7 @@
 export function applyToDeployment(
   state: Deployment,
   { kind, payload }: { readonly kind: string; readonly payload: string },
-): Applied {
+): ApplyResult {
   const read = readPayload(kind, payload);
   if (read.isErr) return refused(state, read.error);
   const operation = read.value;
@@ -340,8 +350,8 @@
     case 'configuration.patch':
       return applyPatch(state, operation.base, operation.patch);
     case 'zone.evacuate':
-      return setZone(state, operation.zone, operation.seen, true);
+      return setZoneEvacuation(state, operation.zone, operation.seen, true);
     case 'zone.return':
-      return setZone(state, operation.zone, operation.seen, false);
+      return setZoneEvacuation(state, operation.zone, operation.seen, false);
   }
 }
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-export * from './edit.js';
+export * from './spec-edit.js';
 export * from './spec.js';
 export * from './spec-state.js';
 export * from './configuration.js';
--- a/packages/configuration/src/issue-text.ts
+++ b/packages/configuration/src/issue-text.ts
@@ -2,7 +2,7 @@
 import * as v from 'valibot';
 
 /** Validations whose message shows a length or a number, and never text. */
-function showsNoText(issue: v.BaseIssue<unknown>): boolean {
+function showsOnlyNumbers(issue: v.BaseIssue<unknown>): boolean {
   return typeof issue.input === 'number' || issue.type === 'min_length' || issue.type === 'max_length';
 }
 
@@ -20,7 +20,7 @@
 export function issueMessage(issue: v.BaseIssue<unknown>): string {
   const { input, kind, message, received } = issue;
   if (input === undefined || input === null) return message;
-  if (kind === 'validation' && showsNoText(issue)) return message;
+  if (kind === 'validation' && showsOnlyNumbers(issue)) return message;
   const shown = ` but received ${received}`;
   if (!message.endsWith(shown)) return message;
   return `${message.slice(0, -shown.length)} but received ${typeName(input)}`;
--- a/packages/configuration/src/edit.ts
+++ b/packages/configuration/src/spec-edit.ts
@@ -3,33 +3,33 @@
 import * as v from 'valibot';
 import type { SpecFault } from './spec.js';
 
-const Named = v.looseObject({ name: v.string() });
-const Routed = v.looseObject({ path: v.string() });
-const Names = v.optional(v.array(v.string()), []);
-const Entries = v.optional(v.array(Named), []);
+const NamedEntrySchema = v.looseObject({ name: v.string() });
+const RouteEntrySchema = v.looseObject({ path: v.string() });
+const NameListSchema = v.optional(v.array(v.string()), []);
+const EntryListSchema = v.optional(v.array(NamedEntrySchema), []);
 
-const Lists = {
-  models: Entries,
-  adapters: Entries,
-  groups: Entries,
-  routes: v.optional(v.array(Routed), []),
-  workers: Entries,
+const SECTION_SCHEMAS = {
+  models: EntryListSchema,
+  adapters: EntryListSchema,
+  groups: EntryListSchema,
+  routes: v.optional(v.array(RouteEntrySchema), []),
+  workers: EntryListSchema,
 };
 
 /** The parts of a spec that are no lists; each is replaced as a whole. */
-const SETTABLE = ['store', 'retries', 'workers'] as const;
+const SETTABLE_PARTS = ['store', 'retries', 'workers'] as const;
 
 const EditSchema = v.strictObject({
-  add: v.optional(v.strictObject({ zones: Names, ...Lists }), {}),
-  replace: v.optional(v.strictObject(Lists), {}),
+  add: v.optional(v.strictObject({ zones: NameListSchema, ...SECTION_SCHEMAS }), {}),
+  replace: v.optional(v.strictObject(SECTION_SCHEMAS), {}),
   remove: v.optional(
     v.strictObject({
-      zones: Names,
-      models: Names,
-      adapters: Names,
-      groups: Names,
-      routes: Names,
-      workers: Names,
+      zones: NameListSchema,
+      models: NameListSchema,
+      adapters: NameListSchema,
+      groups: NameListSchema,
+      routes: NameListSchema,
+      workers: NameListSchema,
     }),
     {},
   ),
@@ -50,7 +50,7 @@
 export const SECTIONS = ['zones', 'models', 'adapters', 'groups', 'routes', 'workers'] as const;
 type Section = (typeof SECTIONS)[number];
 type Entry = Record<string, unknown> | string;
-type Raw = Record<string, unknown>;
+type RawSpec = Record<string, unknown>;
 
 /**
  * Whether a JSON value is meant as an edit and not as a merge patch.
@@ -80,7 +80,7 @@
   }
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
-  for (const { path, key } of named(parsed.output)) {
+  for (const { path, key } of editedEntries(parsed.output)) {
     if (seen.has(key)) faults.push({ path, message: `${key} is named a second time` });
     seen.add(key);
   }
@@ -92,11 +92,11 @@
  * @example
  * keysOf({ add: {}, replace: {}, remove: { zones: ['west'] }, set: {} }); // ['zones/west']
  */
-export function keysOf(edit: Edit): string[] {
-  return named(edit).map(({ key }) => key);
+export function editedKeys(edit: Edit): string[] {
+  return editedEntries(edit).map(({ key }) => key);
 }
 
-function named(edit: Edit): { path: string; key: string }[] {
+function editedEntries(edit: Edit): { path: string; key: string }[] {
   const keys: { path: string; key: string }[] = [];
   for (const verb of ['add', 'replace', 'remove'] as const) {
     const lists = edit[verb] as Partial<Record<Section, readonly Entry[]>>;
@@ -106,7 +106,7 @@
       });
     }
   }
-  for (const part of SETTABLE)
+  for (const part of SETTABLE_PARTS)
     if (edit.set[part] !== undefined) keys.push({ path: `set.${part}`, key: part });
   return keys;
 }
@@ -117,13 +117,13 @@
   return typeof name === 'string' ? name : '';
 }
 
-function listOf(spec: Raw, section: Section): readonly Entry[] {
-  const list = section === 'workers' ? (spec['workers'] as Raw | undefined)?.['named'] : spec[section];
+function listOf(spec: RawSpec, section: Section): readonly Entry[] {
+  const list = section === 'workers' ? (spec['workers'] as RawSpec | undefined)?.['named'] : spec[section];
   return (list ?? []) as readonly Entry[];
 }
 
-function withList(spec: Raw, section: Section, list: readonly Entry[]): Raw {
-  if (section === 'workers') return { ...spec, workers: { ...(spec['workers'] as Raw), named: list } };
+function withList(spec: RawSpec, section: Section, list: readonly Entry[]): RawSpec {
+  if (section === 'workers') return { ...spec, workers: { ...(spec['workers'] as RawSpec), named: list } };
   return { ...spec, [section]: list };
 }
 
@@ -133,7 +133,7 @@
  * @example
  * makeEdit({ zones: ['north'] }, edit);
  */
-export function makeEdit(spec: Raw, edit: Edit): Result<Raw, SpecFault[]> {
+export function applyEdit(spec: RawSpec, edit: Edit): Result<RawSpec, SpecFault[]> {
   const faults: SpecFault[] = [];
   let edited = spec;
   for (const section of SECTIONS) {
@@ -168,10 +168,10 @@
     if (there.size > 0 || listOf(edited, section).length > 0)
       edited = withList(edited, section, [...there.values()]);
   }
-  for (const part of SETTABLE) {
+  for (const part of SETTABLE_PARTS) {
     const value = edit.set[part];
     if (value !== undefined)
-      edited = { ...edited, [part]: part === 'workers' ? { ...(edited[part] as Raw), ...value } : value };
+      edited = { ...edited, [part]: part === 'workers' ? { ...(edited[part] as RawSpec), ...value } : value };
   }
   return faults.length > 0 ? Result.err(faults) : Result.ok(edited);
 }
@@ -181,7 +181,7 @@
  * @example
  * differing({ zones: ['a'] }, { zones: ['a', 'b'] }); // ['zones/b']
  */
-export function differing(one: Raw, other: Raw): string[] {
+export function differingKeys(one: RawSpec, other: RawSpec): string[] {
   const keys: string[] = [];
   for (const section of SECTIONS) {
     const before = new Map(listOf(one, section).map((entry) => [nameOf(entry), JSON.stringify(entry)]));
@@ -190,11 +190,11 @@
       if (before.get(name) !== after.get(name)) keys.push(`${section}/${name}`);
     }
   }
-  function plainOf(spec: Raw, part: string): string | undefined {
+  function plainOf(spec: RawSpec, part: string): string | undefined {
     return JSON.stringify(
-      part === 'workers' ? { ...(spec[part] as Raw | undefined), named: undefined } : spec[part],
+      part === 'workers' ? { ...(spec[part] as RawSpec | undefined), named: undefined } : spec[part],
     );
   }
-  for (const part of SETTABLE) if (plainOf(one, part) !== plainOf(other, part)) keys.push(part);
+  for (const part of SETTABLE_PARTS) if (plainOf(one, part) !== plainOf(other, part)) keys.push(part);
   return keys;
 }
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -2,7 +2,7 @@
 import { fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
-import { differing, keysOf, makeEdit, readEdit } from './edit.js';
+import { differingKeys, editedKeys, applyEdit, readEdit } from './spec-edit.js';
 import { mergePatch, readJson, readSpec, specFaultText, type Spec } from './spec.js';
 
 /** What a worker should hold, or holds. */
@@ -63,7 +63,7 @@
 const EditSchema = v.strictObject({ base: v.optional(v.number()), seen: v.number(), edit: v.unknown() });
 const ZoneSchema = v.strictObject({ zone: v.string() });
 const HoldingsSchema = v.array(v.strictObject({ model: v.string(), adapters: v.array(v.string()) }));
-const PlaceSchema = v.strictObject({ epoch: v.number(), workers: v.record(v.string(), HoldingsSchema) });
+const PlacementSchema = v.strictObject({ epoch: v.number(), workers: v.record(v.string(), HoldingsSchema) });
 
 const StoredSchema = v.strictObject({
   version: v.number(),
@@ -83,20 +83,20 @@
   readonly detail: string;
 }
 
-interface Applied {
+interface ApplyResult {
   readonly state: SpecState;
   readonly outcome: SpecOutcome;
 }
 
-function refuse(state: SpecState, kind: FaultKind, detail: string): Applied {
+function refuse(state: SpecState, kind: FaultKind, detail: string): ApplyResult {
   return { state, outcome: { kind, detail } };
 }
 
-function agree(state: SpecState, detail: string): Applied {
+function agree(state: SpecState, detail: string): ApplyResult {
   return { state, outcome: { kind: 'agreed', detail } };
 }
 
-function adopt(state: SpecState, operation: string, base: number | undefined, text: string): Applied {
+function adoptSpec(state: SpecState, operation: string, base: number | undefined, text: string): ApplyResult {
   const current = state.spec?.version ?? 0;
   if (base !== undefined && base !== current)
     return refuse(state, 'conflict', `version ${current} is in force, not ${base}`);
@@ -131,22 +131,23 @@
   const changedInVersion = Object.fromEntries(
     Object.entries(state.changedInVersion).filter(([, at]) => at > changesKnownSince),
   );
-  for (const key of differing(rawOf(state.spec?.text ?? '{}'), rawOf(text))) changedInVersion[key] = version;
+  for (const key of differingKeys(parseObjectOrEmpty(state.spec?.text ?? '{}'), parseObjectOrEmpty(text)))
+    changedInVersion[key] = version;
   return { changedInVersion, changesKnownSince };
 }
 
-function rawOf(text: string): Record<string, unknown> {
+function parseObjectOrEmpty(text: string): Record<string, unknown> {
   const read = readJson(text);
   return read.isOk ? (read.value as Record<string, unknown>) : {};
 }
 
-function changeSpec(
+function applyMergePatch(
   state: SpecState,
   operation: string,
   base: number | undefined,
   patch: Record<string, unknown>,
   level: number,
-): Applied {
+): ApplyResult {
   const lists = Object.keys(patch).filter((key) => Array.isArray(patch[key]));
   if (level > 1 && base === undefined && lists.length > 0) {
     return refuse(
@@ -155,11 +156,11 @@
       `${lists.join(', ')}: a list would be replaced whole; name its entries (add, replace, remove), or give the base version`,
     );
   }
-  return adopt(
+  return adoptSpec(
     state,
     operation,
     base,
-    JSON.stringify(mergePatch(rawOf(state.spec?.text ?? '{}'), patch), undefined, 2),
+    JSON.stringify(mergePatch(parseObjectOrEmpty(state.spec?.text ?? '{}'), patch), undefined, 2),
   );
 }
 
@@ -167,7 +168,11 @@
  * An edit names the entries that it changes. Where others changed them since the version that
  * its author had seen, it is a conflict; all their other changes stay.
  */
-function editSpec(state: SpecState, operation: string, call: v.InferOutput<typeof EditSchema>): Applied {
+function applySpecEdit(
+  state: SpecState,
+  operation: string,
+  call: v.InferOutput<typeof EditSchema>,
+): ApplyResult {
   const current = state.spec?.version ?? 0;
   if (state.spec === undefined) return refuse(state, 'not-found', 'no spec has been agreed yet');
   const { base, seen } = call;
@@ -181,7 +186,7 @@
     );
   const read = readEdit(call.edit);
   if (read.isErr) return refuse(state, 'bad-request', specFaultText(read.error));
-  const others = keysOf(read.value).filter((key) => (state.changedInVersion[key] ?? 0) > seen);
+  const others = editedKeys(read.value).filter((key) => (state.changedInVersion[key] ?? 0) > seen);
   if (others.length > 0) {
     return refuse(
       state,
@@ -193,12 +198,12 @@
         .join('\n'),
     );
   }
-  const edited = makeEdit(rawOf(state.spec.text), read.value);
+  const edited = applyEdit(parseObjectOrEmpty(state.spec.text), read.value);
   if (edited.isErr) return refuse(state, 'conflict', specFaultText(edited.error));
-  return adopt(state, operation, undefined, JSON.stringify(edited.value, undefined, 2));
+  return adoptSpec(state, operation, undefined, JSON.stringify(edited.value, undefined, 2));
 }
 
-function setZone(state: SpecState, kind: string, zone: string): Applied {
+function setZoneEvacuation(state: SpecState, kind: string, zone: string): ApplyResult {
   if (state.spec === undefined || !state.spec.spec.zones.includes(zone))
     return refuse(state, 'not-found', `no zone "${zone}"`);
   const others = state.evacuatedZones.filter((name) => name !== zone);
@@ -209,7 +214,11 @@
   );
 }
 
-function place(state: SpecState, epoch: number, workers: Record<string, readonly HoldingTarget[]>): Applied {
+function applyPlacement(
+  state: SpecState,
+  epoch: number,
+  workers: Record<string, readonly HoldingTarget[]>,
+): ApplyResult {
   if (epoch < state.placedBy) return refuse(state, 'conflict', `epoch ${state.placedBy} places now`);
   const placement = Object.entries({ ...state.placement, ...workers }).filter(
     ([, holdings]) => holdings.length > 0,
@@ -226,8 +235,8 @@
   state: SpecState,
   operation: { id: string; kind: string; payload: string },
   level: number,
-): Applied {
-  const applied = applyKind(state, operation, level);
+): ApplyResult {
+  const applied = dispatchOperation(state, operation, level);
   return level === 1 ? { ...applied, state: specStateWithoutExtension(applied.state) } : applied;
 }
 
@@ -243,43 +252,43 @@
     : { ...state, changedInVersion: {}, changesKnownSince: since };
 }
 
-function applyKind(
+function dispatchOperation(
   state: SpecState,
   operation: { id: string; kind: string; payload: string },
   level: number,
-): Applied {
+): ApplyResult {
   const read = readJson(operation.payload);
   const data = read.isOk ? read.value : undefined;
   switch (operation.kind) {
     case 'spec.put': {
       const put = v.safeParse(PutSchema, data);
       return put.success
-        ? adopt(state, operation.id, put.output.base, put.output.text)
+        ? adoptSpec(state, operation.id, put.output.base, put.output.text)
         : refuse(state, 'bad-request', 'not a spec');
     }
     case 'spec.change': {
       const change = v.safeParse(MergePatchSchema, data);
       if (!change.success) return refuse(state, 'bad-request', 'not a change');
-      return changeSpec(state, operation.id, change.output.base, change.output.patch, level);
+      return applyMergePatch(state, operation.id, change.output.base, change.output.patch, level);
     }
     case 'spec.edit': {
       if (level === 1) return refuse(state, 'bad-request', `no operation "${operation.kind}"`);
       const edit = v.safeParse(EditSchema, data);
       return edit.success
-        ? editSpec(state, operation.id, edit.output)
+        ? applySpecEdit(state, operation.id, edit.output)
         : refuse(state, 'bad-request', 'not an edit');
     }
     case 'zone.empty':
     case 'zone.restore': {
       const zone = v.safeParse(ZoneSchema, data);
       return zone.success
-        ? setZone(state, operation.kind, zone.output.zone)
+        ? setZoneEvacuation(state, operation.kind, zone.output.zone)
         : refuse(state, 'bad-request', 'no zone named');
     }
     case 'place': {
-      const placed = v.safeParse(PlaceSchema, data);
+      const placed = v.safeParse(PlacementSchema, data);
       return placed.success
-        ? place(state, placed.output.epoch, placed.output.workers)
+        ? applyPlacement(state, placed.output.epoch, placed.output.workers)
         : refuse(state, 'bad-request', 'not a placement');
     }
     default:
@@ -332,7 +341,7 @@
       ExtensionSchema,
       encoded.applicationExtension.length === 0
         ? undefined
-        : rawOf(new TextDecoder().decode(encoded.applicationExtension)),
+        : parseObjectOrEmpty(new TextDecoder().decode(encoded.applicationExtension)),
     );
     const { touched, since } = extra.success ? extra.output : { touched: {}, since: version };
     const rest: Omit<SpecState, 'spec'> = {
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -11,15 +11,15 @@
 export const ROUTES_MAX = 10_000;
 
 const Name = v.pipe(v.string(), v.regex(/^[a-z0-9][a-z0-9._-]{0,63}$/, 'a name of a-z, 0-9, ".", "_", "-"'));
-const Positive = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
+const PositiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
 const Fraction = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
 const KindSchema = v.strictObject({
   name: Name,
   /** How promptly the first piece of an answer should come. */
-  targetMs: Positive,
+  targetMs: PositiveInteger,
   /** A request that has waited so long is refused. */
-  patienceMs: Positive,
+  patienceMs: PositiveInteger,
 });
 
 const GroupSchema = v.strictObject({
@@ -33,7 +33,7 @@
 const SpecSchema = v.strictObject({
   deployment: Name,
   zones: v.pipe(v.array(Name), v.minLength(1), v.maxLength(64)),
-  store: v.strictObject({ pullsPerMinute: Positive, concurrentPulls: Positive }),
+  store: v.strictObject({ pullsPerMinute: PositiveInteger, concurrentPulls: PositiveInteger }),
   retries: v.optional(
     v.strictObject({
       ratio: Fraction,
@@ -45,15 +45,21 @@
     },
   ),
   workers: v.strictObject({
-    roomMb: Positive,
-    slots: v.pipe(Positive, v.maxValue(4096)),
+    roomMb: PositiveInteger,
+    slots: v.pipe(PositiveInteger, v.maxValue(4096)),
     named: v.optional(
-      v.array(v.strictObject({ name: Name, roomMb: Positive, slots: v.pipe(Positive, v.maxValue(4096)) })),
+      v.array(
+        v.strictObject({
+          name: Name,
+          roomMb: PositiveInteger,
+          slots: v.pipe(PositiveInteger, v.maxValue(4096)),
+        }),
+      ),
       [],
     ),
   }),
-  models: v.pipe(v.array(v.strictObject({ name: Name, sizeMb: Positive })), v.minLength(1)),
-  adapters: v.array(v.strictObject({ name: Name, model: Name, sizeMb: Positive })),
+  models: v.pipe(v.array(v.strictObject({ name: Name, sizeMb: PositiveInteger })), v.minLength(1)),
+  adapters: v.array(v.strictObject({ name: Name, model: Name, sizeMb: PositiveInteger })),
   groups: v.pipe(v.array(GroupSchema), v.minLength(1)),
   routes: v.pipe(
     v.array(
@@ -79,7 +85,7 @@
   readonly message: string;
 }
 
-function doubles(path: string, names: readonly string[]): SpecFault[] {
+function duplicateNameFaults(path: string, names: readonly string[]): SpecFault[] {
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
   names.forEach((name, place) => {
@@ -90,29 +96,29 @@
   return faults;
 }
 
-function crossFaults(spec: Spec): SpecFault[] {
+function crossReferenceFaults(spec: Spec): SpecFault[] {
   const models = new Set(spec.models.map((model) => model.name));
   const largestMb = Math.max(spec.workers.roomMb, ...spec.workers.named.map((worker) => worker.roomMb));
   const sizes = new Map(spec.models.map((model) => [model.name, model.sizeMb]));
   const faults = [
-    ...doubles('zones', spec.zones),
-    ...doubles(
+    ...duplicateNameFaults('zones', spec.zones),
+    ...duplicateNameFaults(
       'models',
       spec.models.map((model) => model.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'adapters',
       spec.adapters.map((adapter) => adapter.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'groups',
       spec.groups.map((group) => group.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'routes',
       spec.routes.map((route) => route.path),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'workers.named',
       spec.workers.named.map((worker) => worker.name),
     ),
@@ -137,7 +143,7 @@
   });
   spec.groups.forEach((group, place) => {
     faults.push(
-      ...doubles(
+      ...duplicateNameFaults(
         `groups.${place}.kinds`,
         group.kinds.map((kind) => kind.name),
       ),
@@ -170,7 +176,7 @@
         parsed.issues.map((issue) => ({ path: v.getDotPath(issue) ?? '', message: issue.message })),
       );
     }
-    const faults = crossFaults(parsed.output);
+    const faults = crossReferenceFaults(parsed.output);
     return faults.length > 0
       ? Result.err<Spec, SpecFault[]>(faults)
       : Result.ok<Spec, SpecFault[]>(parsed.output);
--- a/packages/configuration/src/tenant-directory.ts
+++ b/packages/configuration/src/tenant-directory.ts
@@ -41,7 +41,7 @@
       this.#byName.set(tenant.name, tenant);
       for (const apiKey of entry.apiKeys ?? []) {
         const digest = this.#digest(apiKey);
-        this.#keys.set(indexOf(digest), { digest, tenant });
+        this.#keys.set(indexKeyOf(digest), { digest, tenant });
       }
     }
   }
@@ -50,7 +50,7 @@
   holderOf(apiKey: string | undefined): Tenant | undefined {
     if (apiKey === undefined || apiKey === '') return undefined;
     const digest = this.#digest(apiKey);
-    const known = this.#keys.get(indexOf(digest));
+    const known = this.#keys.get(indexKeyOf(digest));
     return known !== undefined && timingSafeEqual(known.digest, digest) ? known.tenant : undefined;
   }
 
@@ -64,7 +64,7 @@
   }
 }
 
-function indexOf(digest: Buffer): string {
+function indexKeyOf(digest: Buffer): string {
   return digest.toString('latin1');
 }
 
@@ -86,10 +86,10 @@
 export function withoutApiKeys(document: ConfigurationDocument): ConfigurationDocument {
   const { tenants } = document;
   if (!Array.isArray(tenants)) return document;
-  return { ...document, tenants: tenants.map(withoutEntryKeys) };
+  return { ...document, tenants: tenants.map(withoutTenantKeys) };
 }
 
-function withoutEntryKeys(entry: unknown): unknown {
+function withoutTenantKeys(entry: unknown): unknown {
   if (typeof entry !== 'object' || entry === null) return entry;
   return Object.fromEntries(Object.entries(entry).filter(([name]) => name !== 'apiKeys'));
 }
--- a/packages/configuration/src/tenants.test.ts
+++ b/packages/configuration/src/tenants.test.ts
@@ -5,7 +5,7 @@
 import { decodeDeployment } from './deployment-codec.js';
 
 type Document = Record<string, unknown>;
-type Applied = ReturnType<typeof applyToDeployment>;
+type ApplyResult = ReturnType<typeof applyToDeployment>;
 
 /** Stands in every key of these tests, so that no answer may hold it. */
 const SECRET = 'sk-secret';
@@ -22,12 +22,12 @@
   return { revision, routes: [route], services: [{ name: 'assist' }], tenants };
 }
 
-function put(state: Deployment, base: number, sent: Document): Applied {
+function put(state: Deployment, base: number, sent: Document): ApplyResult {
   const payload = JSON.stringify({ base, document: sent });
   return applyToDeployment(state, { kind: 'configuration.put', payload });
 }
 
-function patch(state: Deployment, change: Document): Applied {
+function patch(state: Deployment, change: Document): ApplyResult {
   const payload = JSON.stringify({
     base: state.revision,
     patch: { revision: state.revision + 1, ...change },
@@ -36,7 +36,7 @@
 }
 
 /** Revision 5 with tenants `north` and `south`, a key each. */
-function first(): Deployment {
+function withTwoTenants(): Deployment {
   return put(EMPTY_DEPLOYMENT, 0, document(5, [tenant('north', [KEY_1]), tenant('south', [KEY_2])])).state;
 }
 
@@ -52,7 +52,7 @@
 describe('a configuration with tenants: two tenants with one key accepted', () => {
   it('is refused by PUT, naming both tenants and no key', () => {
     const { state, outcome } = put(
-      first(),
+      withTwoTenants(),
       5,
       document(6, [tenant('north', [KEY_1, KEY_2]), tenant('south', [KEY_3, KEY_2])]),
     );
@@ -66,7 +66,9 @@
   });
 
   it('is refused by a PATCH that adds the key of another tenant', () => {
-    const { state, outcome } = patch(first(), { set: { tenants: [tenant('west', [KEY_3, KEY_1])] } });
+    const { state, outcome } = patch(withTwoTenants(), {
+      set: { tenants: [tenant('west', [KEY_3, KEY_1])] },
+    });
     expect([outcome.kind, outcome.detail]).toEqual([
       'bad-spec',
       'tenants.2 (west): shares a key with "north"',
@@ -75,13 +77,13 @@
   });
 
   it('is refused by a PATCH that changes a tenant to hold the key of another', () => {
-    const { outcome } = patch(first(), { set: { tenants: [tenant('south', [KEY_2, KEY_1])] } });
+    const { outcome } = patch(withTwoTenants(), { set: { tenants: [tenant('south', [KEY_2, KEY_1])] } });
     expect(outcome.kind).toEqual('bad-spec');
   });
 
   it('is refused by a PATCH that upserts two tenants with one new key', () => {
     const set = { tenants: [tenant('west', [KEY_3]), tenant('east', [KEY_3])] };
-    expect(patch(first(), { set }).outcome.kind).toEqual('bad-spec');
+    expect(patch(withTwoTenants(), { set }).outcome.kind).toEqual('bad-spec');
   });
 
   it('is refused where three tenants or more share', () => {
@@ -90,7 +92,7 @@
   });
 
   it('is not found in a PATCH that moves a key from one tenant to another', () => {
-    const moved = patch(first(), {
+    const moved = patch(withTwoTenants(), {
       set: { tenants: [tenant('north', []), tenant('south', [KEY_2, KEY_1])] },
     });
     expect([moved.outcome.kind, keysOf(moved.state)]).toEqual([
@@ -104,12 +106,12 @@
 
   it('is not found in a PATCH that lets two tenants swap their keys', () => {
     const set = { tenants: [tenant('south', [KEY_1]), tenant('north', [KEY_2])] };
-    expect(patch(first(), { set }).outcome.kind).toEqual('agreed');
+    expect(patch(withTwoTenants(), { set }).outcome.kind).toEqual('agreed');
   });
 
   it('is not found in a PATCH that removes the holder and adds the key elsewhere', () => {
     const change = { set: { tenants: [tenant('west', [KEY_1])] }, drop: { tenants: ['north'] } };
-    const { state, outcome } = patch(first(), change);
+    const { state, outcome } = patch(withTwoTenants(), change);
     expect([outcome.kind, keysOf(state)]).toEqual([
       'agreed',
       [
@@ -168,7 +170,7 @@
   }
 
   it('is refused by PATCH for the same reasons, and what is in force stays', () => {
-    const state = first();
+    const state = withTwoTenants();
     const ends = [
       { set: { tenants: [tenant('north', [''])] } },
       { set: { tenants: [tenant('north', [KEY_1], { burst: -1 })] } },
@@ -187,7 +189,7 @@
 
   it('shows no key where an operation or a stored state cannot be read', () => {
     for (const cut of [`{"base":5,"x":["${SECRET}",]}`, `{"base":"${SECRET}" 1}`, SECRET]) {
-      const { outcome } = applyToDeployment(first(), { kind: 'configuration.put', payload: cut });
+      const { outcome } = applyToDeployment(withTwoTenants(), { kind: 'configuration.put', payload: cut });
       expect([outcome.kind, outcome.detail.includes('secret')]).toEqual(['bad-request', false]);
       const read = decodeDeployment(new TextEncoder().encode(cut));
       expect(read.isErr && !read.error.detail.includes('secret')).toEqual(true);
@@ -227,12 +229,12 @@
   });
 
   it('stay a list once the last is removed, so that no key is known', () => {
-    const { state, outcome } = patch(first(), { drop: { tenants: ['north', 'south'] } });
+    const { state, outcome } = patch(withTwoTenants(), { drop: { tenants: ['north', 'south'] } });
     expect([outcome.kind, state.document?.['tenants']]).toEqual(['agreed', []]);
   });
 
   it('are not opened to everyone by a PATCH with null in their place, nor changed', () => {
-    const state = first();
+    const state = withTwoTenants();
     const ends = [
       patch(state, { set: { tenants: null } }),
       patch(state, { drop: { tenants: null } }),
