--- a/packages/configuration/src/accepted-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -59,8 +59,8 @@
  * acceptedUnder(NO_ACCEPTED_CHANGES, 7); // undefined
  */
 export function findAcceptedChange(accepted: AcceptedChanges, revision: number): AcceptedChange | undefined {
-  const known = accepted.changes.findLast((change) => change.revision <= revision);
-  return known?.revision === revision ? known : undefined;
+  const newest = accepted.changes.findLast((change) => change.revision <= revision);
+  return newest?.revision === revision ? newest : undefined;
 }
 
 /**
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -104,17 +104,17 @@
 /** Faults across entries: duplicate names and routes, unknown services. */
 function crossReferenceFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
-  const places = new Set<string>();
+  const matches = new Set<string>();
   const names = new Set<string>();
   const faults: string[] = [];
-  for (const [at, route] of configuration.routes.entries()) {
-    const place = `${route.host.toLowerCase()} ${route.prefix}`;
+  for (const [index, route] of configuration.routes.entries()) {
+    const match = `${route.host.toLowerCase()} ${route.prefix}`;
     const found = routeFaults(route, services);
-    if (places.has(place)) found.push(`host and prefix "${place}" stand here a second time`);
+    if (matches.has(match)) found.push(`host and prefix "${match}" stand here a second time`);
     if (names.has(route.name)) found.push('the name stands here a second time');
-    places.add(place);
+    matches.add(match);
     names.add(route.name);
-    for (const what of found) faults.push(`routes.${at} (${route.name}): ${what}`);
+    for (const message of found) faults.push(`routes.${index} (${route.name}): ${message}`);
   }
   if (services.size !== configuration.services.length)
     faults.push('services: a name stands here a second time');
@@ -124,17 +124,17 @@
 
 /** Faults across tenants. Names the tenants concerned and never a key. */
 function tenantFaults(tenants: readonly TenantEntry[]): string[] {
-  const holders = new Map<string, string>();
+  const ownerByKey = new Map<string, string>();
   const names = new Set<string>();
   const faults: string[] = [];
-  for (const [at, { name, apiKeys }] of tenants.entries()) {
-    if (names.has(name)) faults.push(`tenants.${at} (${name}): the name stands here a second time`);
+  for (const [index, { name, apiKeys }] of tenants.entries()) {
+    if (names.has(name)) faults.push(`tenants.${index} (${name}): the name stands here a second time`);
     names.add(name);
     for (const key of apiKeys ?? []) {
-      const holder = holders.get(key);
-      if (holder !== undefined && holder !== name)
-        faults.push(`tenants.${at} (${name}): shares a key with "${holder}"`);
-      holders.set(key, name);
+      const owner = ownerByKey.get(key);
+      if (owner !== undefined && owner !== name)
+        faults.push(`tenants.${index} (${name}): shares a key with "${owner}"`);
+      ownerByKey.set(key, name);
     }
   }
   return faults;
@@ -159,8 +159,8 @@
 
 const REPORTED_FAULTS_MAX = 8;
 
-function issueText(issue: v.BaseIssue<unknown>, place: string): string {
-  const path = [place, v.getDotPath(issue) ?? ''].filter((part) => part !== '').join('.');
+function issueText(issue: v.BaseIssue<unknown>, parentPath: string): string {
+  const path = [parentPath, v.getDotPath(issue) ?? ''].filter((part) => part !== '').join('.');
   return `${path === '' ? 'configuration' : path}: ${issueMessage(issue)}`;
 }
 
@@ -181,8 +181,8 @@
   checkedItems(list: readonly unknown[], name: string, faults: string[]): v.InferOutput<S>[] {
     const checked = new Map<unknown, v.InferOutput<S>>();
     const items: v.InferOutput<S>[] = [];
-    for (const [place, item] of list.entries()) {
-      const output = this.#previous.get(item) ?? this.#check(item, `${name}.${place}`, faults);
+    for (const [index, item] of list.entries()) {
+      const output = this.#previous.get(item) ?? this.#check(item, `${name}.${index}`, faults);
       if (output === undefined) continue;
       items.push(output);
       checked.set(item, output);
@@ -191,10 +191,10 @@
     return items;
   }
 
-  #check(item: unknown, place: string, faults: string[]): v.InferOutput<S> | undefined {
+  #check(item: unknown, path: string, faults: string[]): v.InferOutput<S> | undefined {
     const parsed = v.safeParse(this.#schema, item);
     if (parsed.success) return parsed.output;
-    faults.push(...parsed.issues.map((issue) => issueText(issue, place)));
+    faults.push(...parsed.issues.map((issue) => issueText(issue, path)));
     return undefined;
   }
 }
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -20,9 +20,9 @@
     'as many digests as revisions',
   ),
   v.transform(({ forgottenRevision, revisions, digests }): AcceptedChanges => {
-    const changes = revisions.map((revision, place) => ({
+    const changes = revisions.map((revision, index) => ({
       revision,
-      digest: digests.slice(place * DIGEST_CHARS, (place + 1) * DIGEST_CHARS),
+      digest: digests.slice(index * DIGEST_CHARS, (index + 1) * DIGEST_CHARS),
     }));
     return { forgottenRevision, changes };
   }),
@@ -48,12 +48,12 @@
 
 function encodeState(state: Deployment, accepted: AcceptedChanges): Uint8Array {
   const { edition, document, revision, evacuated, zones } = state;
-  const written = {
+  const storedAccepted = {
     forgottenRevision: accepted.forgottenRevision,
     revisions: accepted.changes.map((change) => change.revision),
     digests: accepted.changes.map((change) => change.digest).join(''),
   };
-  const rest = JSON.stringify({ edition, revision, evacuated, zones, taken: written });
+  const rest = JSON.stringify({ edition, revision, evacuated, zones, taken: storedAccepted });
   const text = document === undefined ? rest : `{"document":${documentText(document)},${rest.slice(1)}`;
   return new TextEncoder().encode(text);
 }
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -192,8 +192,8 @@
   const next: Record<string, unknown> = { ...document };
   for (const [key, names] of Object.entries(drop)) {
     const list = next[key];
-    const dropped = new Set(names ?? []);
-    if (Array.isArray(list)) next[key] = list.filter((item) => !dropped.has(String(nameOf(item))));
+    const droppedNames = new Set(names ?? []);
+    if (Array.isArray(list)) next[key] = list.filter((item) => !droppedNames.has(String(nameOf(item))));
   }
   for (const [key, value] of Object.entries(set)) {
     if (value === null && Array.isArray(next[key])) continue;
@@ -204,14 +204,15 @@
 
 function upsertByName(list: unknown, changes: readonly unknown[]): unknown[] {
   const items: unknown[] = Array.isArray(list) ? [...(list as unknown[])] : [];
-  const places = new Map<unknown, number>();
-  for (const [place, item] of items.entries()) if (!places.has(nameOf(item))) places.set(nameOf(item), place);
+  const indexByName = new Map<unknown, number>();
+  for (const [index, item] of items.entries())
+    if (!indexByName.has(nameOf(item))) indexByName.set(nameOf(item), index);
   for (const item of changes) {
-    const place = places.get(nameOf(item));
-    if (place === undefined) {
-      places.set(nameOf(item), items.length);
+    const index = indexByName.get(nameOf(item));
+    if (index === undefined) {
+      indexByName.set(nameOf(item), items.length);
       items.push(item);
-    } else items[place] = item;
+    } else items[index] = item;
   }
   return items;
 }
@@ -233,8 +234,8 @@
  */
 function acceptChange(state: Deployment, change: ConfigurationChange): ApplyResult {
   const { base, revision } = change;
-  const known = findAcceptedChange(state.accepted, revision);
-  if (known !== undefined && known.digest === change.digest())
+  const earlier = findAcceptedChange(state.accepted, revision);
+  if (earlier !== undefined && earlier.digest === change.digest())
     return agreed(state, `revision ${revision} was taken before`);
   if (mayHaveBeenForgotten(state.accepted, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
@@ -295,12 +296,12 @@
 ): ApplyResult {
   const detail = `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}`;
   if (state.evacuated.includes(zone) === evacuate) return agreed(state, detail);
-  const changed = state.zones[zone];
-  if (seen !== undefined && (changed ?? 0) > seen) {
-    const why = `zone ${zone} was changed in edition ${changed ?? 0}, after edition ${seen}`;
-    return refused(state, fault('operation-unknown', `${why}; send it again if it is still meant`));
+  const changedIn = state.zones[zone];
+  if (seen !== undefined && (changedIn ?? 0) > seen) {
+    const cause = `zone ${zone} was changed in edition ${changedIn ?? 0}, after edition ${seen}`;
+    return refused(state, fault('operation-unknown', `${cause}; send it again if it is still meant`));
   }
-  if (changed === undefined && Object.keys(state.zones).length >= ZONES_MAX)
+  if (changedIn === undefined && Object.keys(state.zones).length >= ZONES_MAX)
     return refused(state, fault('bad-request', `${ZONES_MAX} zones are known already`));
   const others = state.evacuated.filter((known) => known !== zone);
   const edition = state.edition + 1;
@@ -320,8 +321,8 @@
 }[] = [];
 
 function readPayload(kind: string, payload: string): Result<DeploymentOperation, Fault> {
-  const known = parsedPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
-  if (known !== undefined) return known.read;
+  const cached = parsedPayloads.find((entry) => entry.kind === kind && entry.payload === payload);
+  if (cached !== undefined) return cached.read;
   const read = tryOrElse(
     (thrown) => fault('bad-request', `not JSON: ${describeJsonError(thrown)}`),
     () => JSON.parse(payload) as unknown,
--- a/packages/configuration/src/spec-edit.ts
+++ b/packages/configuration/src/spec-edit.ts
@@ -98,11 +98,11 @@
 
 function editedEntries(edit: Edit): { path: string; key: string }[] {
   const keys: { path: string; key: string }[] = [];
-  for (const verb of ['add', 'replace', 'remove'] as const) {
-    const lists = edit[verb] as Partial<Record<Section, readonly Entry[]>>;
+  for (const operation of ['add', 'replace', 'remove'] as const) {
+    const lists = edit[operation] as Partial<Record<Section, readonly Entry[]>>;
     for (const section of SECTIONS) {
-      (lists[section] ?? []).forEach((entry, place) => {
-        keys.push({ path: `${verb}.${section}.${place}`, key: `${section}/${nameOf(entry)}` });
+      (lists[section] ?? []).forEach((entry, index) => {
+        keys.push({ path: `${operation}.${section}.${index}`, key: `${section}/${nameOf(entry)}` });
       });
     }
   }
@@ -137,36 +137,36 @@
   const faults: SpecFault[] = [];
   let edited = spec;
   for (const section of SECTIONS) {
-    const there = new Map(listOf(edited, section).map((entry) => [nameOf(entry), entry]));
+    const entries = new Map(listOf(edited, section).map((entry) => [nameOf(entry), entry]));
     const { add, replace, remove } = edit as Record<
       'add' | 'replace' | 'remove',
       Partial<Record<Section, readonly Entry[]>>
     >;
-    (remove[section] ?? []).forEach((entry, place) => {
-      if (!there.delete(nameOf(entry)))
+    (remove[section] ?? []).forEach((entry, index) => {
+      if (!entries.delete(nameOf(entry)))
         faults.push({
-          path: `remove.${section}.${place}`,
+          path: `remove.${section}.${index}`,
           message: `there is no "${nameOf(entry)}" in ${section}`,
         });
     });
-    (replace[section] ?? []).forEach((entry, place) => {
-      if (!there.has(nameOf(entry)))
+    (replace[section] ?? []).forEach((entry, index) => {
+      if (!entries.has(nameOf(entry)))
         faults.push({
-          path: `replace.${section}.${place}`,
+          path: `replace.${section}.${index}`,
           message: `there is no "${nameOf(entry)}" in ${section}`,
         });
-      there.set(nameOf(entry), entry);
+      entries.set(nameOf(entry), entry);
     });
-    (add[section] ?? []).forEach((entry, place) => {
-      if (there.has(nameOf(entry)))
+    (add[section] ?? []).forEach((entry, index) => {
+      if (entries.has(nameOf(entry)))
         faults.push({
-          path: `add.${section}.${place}`,
+          path: `add.${section}.${index}`,
           message: `"${nameOf(entry)}" is in ${section} already`,
         });
-      there.set(nameOf(entry), entry);
+      entries.set(nameOf(entry), entry);
     });
-    if (there.size > 0 || listOf(edited, section).length > 0)
-      edited = withList(edited, section, [...there.values()]);
+    if (entries.size > 0 || listOf(edited, section).length > 0)
+      edited = withList(edited, section, [...entries.values()]);
   }
   for (const part of SETTABLE_PARTS) {
     const value = edit.set[part];
@@ -181,20 +181,20 @@
  * @example
  * differing({ zones: ['a'] }, { zones: ['a', 'b'] }); // ['zones/b']
  */
-export function differingKeys(one: RawSpec, other: RawSpec): string[] {
+export function differingKeys(oldSpec: RawSpec, newSpec: RawSpec): string[] {
   const keys: string[] = [];
   for (const section of SECTIONS) {
-    const before = new Map(listOf(one, section).map((entry) => [nameOf(entry), JSON.stringify(entry)]));
-    const after = new Map(listOf(other, section).map((entry) => [nameOf(entry), JSON.stringify(entry)]));
+    const before = new Map(listOf(oldSpec, section).map((entry) => [nameOf(entry), JSON.stringify(entry)]));
+    const after = new Map(listOf(newSpec, section).map((entry) => [nameOf(entry), JSON.stringify(entry)]));
     for (const name of new Set([...before.keys(), ...after.keys()])) {
       if (before.get(name) !== after.get(name)) keys.push(`${section}/${name}`);
     }
   }
-  function plainOf(spec: RawSpec, part: string): string | undefined {
+  function partText(spec: RawSpec, part: string): string | undefined {
     return JSON.stringify(
       part === 'workers' ? { ...(spec[part] as RawSpec | undefined), named: undefined } : spec[part],
     );
   }
-  for (const part of SETTABLE_PARTS) if (plainOf(one, part) !== plainOf(other, part)) keys.push(part);
+  for (const part of SETTABLE_PARTS) if (partText(oldSpec, part) !== partText(newSpec, part)) keys.push(part);
   return keys;
 }
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -186,12 +186,12 @@
     );
   const read = readEdit(call.edit);
   if (read.isErr) return refuse(state, 'bad-request', specFaultText(read.error));
-  const others = editedKeys(read.value).filter((key) => (state.changedInVersion[key] ?? 0) > seen);
-  if (others.length > 0) {
+  const conflicting = editedKeys(read.value).filter((key) => (state.changedInVersion[key] ?? 0) > seen);
+  if (conflicting.length > 0) {
     return refuse(
       state,
       'conflict',
-      others
+      conflicting
         .map(
           (key) => `${key} was changed in version ${state.changedInVersion[key] ?? 0}, after version ${seen}`,
         )
@@ -337,13 +337,13 @@
     const stored = v.safeParse(StoredSchema, data);
     if (!stored.success) return Result.err<SpecState, Fault>(fault('damaged', 'the stage cannot be read'));
     const { version, operation, text, history, emptied, placedBy, placement } = stored.output;
-    const extra = v.safeParse(
+    const extension = v.safeParse(
       ExtensionSchema,
       encoded.applicationExtension.length === 0
         ? undefined
         : parseObjectOrEmpty(new TextDecoder().decode(encoded.applicationExtension)),
     );
-    const { touched, since } = extra.success ? extra.output : { touched: {}, since: version };
+    const { touched, since } = extension.success ? extension.output : { touched: {}, since: version };
     const rest: Omit<SpecState, 'spec'> = {
       history,
       evacuatedZones: emptied,
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -88,9 +88,9 @@
 function duplicateNameFaults(path: string, names: readonly string[]): SpecFault[] {
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
-  names.forEach((name, place) => {
+  names.forEach((name, index) => {
     if (seen.has(name))
-      faults.push({ path: `${path}.${place}`, message: `"${name}" stands here a second time` });
+      faults.push({ path: `${path}.${index}`, message: `"${name}" stands here a second time` });
     seen.add(name);
   });
   return faults;
@@ -123,34 +123,34 @@
       spec.workers.named.map((worker) => worker.name),
     ),
   ];
-  spec.models.forEach((model, place) => {
+  spec.models.forEach((model, index) => {
     if (model.sizeMb <= largestMb) return;
     faults.push({
-      path: `models.${place}.sizeMb`,
+      path: `models.${index}.sizeMb`,
       message: `${model.sizeMb} MB is more than any worker's room of ${largestMb} MB`,
     });
   });
-  spec.adapters.forEach((adapter, place) => {
+  spec.adapters.forEach((adapter, index) => {
     const modelMb = sizes.get(adapter.model);
     if (modelMb === undefined)
-      faults.push({ path: `adapters.${place}.model`, message: `unknown model "${adapter.model}"` });
+      faults.push({ path: `adapters.${index}.model`, message: `unknown model "${adapter.model}"` });
     else if (modelMb + adapter.sizeMb > largestMb) {
       faults.push({
-        path: `adapters.${place}.sizeMb`,
+        path: `adapters.${index}.sizeMb`,
         message: `with its model ${modelMb + adapter.sizeMb} MB, more than any worker's room`,
       });
     }
   });
-  spec.groups.forEach((group, place) => {
+  spec.groups.forEach((group, index) => {
     faults.push(
       ...duplicateNameFaults(
-        `groups.${place}.kinds`,
+        `groups.${index}.kinds`,
         group.kinds.map((kind) => kind.name),
       ),
     );
-    group.models.forEach((name, at) => {
+    group.models.forEach((name, modelIndex) => {
       if (name !== '*' && !models.has(name))
-        faults.push({ path: `groups.${place}.models.${at}`, message: `unknown model "${name}"` });
+        faults.push({ path: `groups.${index}.models.${modelIndex}`, message: `unknown model "${name}"` });
     });
   });
   return faults;
@@ -189,7 +189,7 @@
  * specFaultText([{ path: 'zones', message: 'missing' }]); // 'zones: missing'
  */
 export function specFaultText(faults: readonly SpecFault[]): string {
-  return faults.map((one) => `${one.path === '' ? 'spec' : one.path}: ${one.message}`).join('\n');
+  return faults.map((item) => `${item.path === '' ? 'spec' : item.path}: ${item.message}`).join('\n');
 }
 
 /**
