--- a/packages/configuration/src/accepted-changes.ts
+++ b/packages/configuration/src/accepted-changes.ts
@@ -1,36 +1,37 @@
 /**
- * The configuration changes accepted lately, by which a change that is sent again is recognized (idempotency).
+ * Records of the newest accepted configuration changes, by which a change that is sent again is recognized
+ * (idempotency).
  */
 import { createHash } from 'node:crypto';
 
-/** An accepted change: its revision and a digest of what it said. */
+/** An accepted change: its revision and a digest of its content. */
 export interface AcceptedChange {
   readonly revision: number;
   readonly digest: string;
 }
 
-/** The newest changes that were accepted, and up to which revision earlier ones are forgotten. */
+/** The newest accepted changes, and the revision up to which earlier ones were forgotten. */
 export interface AcceptedChanges {
-  /** Changes of this revision and below are no longer remembered; 0 while all are. */
+  /** Changes of this revision and below are no longer remembered; 0 while none was forgotten. */
   readonly forgottenRevision: number;
-  /** In the order of their revisions, which is the order in which they were accepted. */
+  /** Sorted by revision, which is also the order in which the changes were accepted. */
   readonly changes: readonly AcceptedChange[];
 }
 
-/** Before anything was accepted. */
+/** The records before the first accepted change. */
 export const NO_ACCEPTED_CHANGES: AcceptedChanges = { forgottenRevision: 0, changes: [] };
 
 /**
- * So many changes are remembered: at most 57 KB in a stored version, and at 20
- * changes a minute over three hours, where a caller gives up within minutes.
+ * Number of changes that are remembered. They take at most 57 KB in a stored version, and cover more than
+ * three hours at 20 changes a minute, while a caller stops retrying within minutes.
  */
 export const ACCEPTED_CHANGES_MAX = 4096;
 
-/** Base64 characters of a digest: 48 bits, compared only between changes of one revision. */
+/** Length of a digest in base64 characters: 48 bits suffice, as only changes of one revision are compared. */
 export const DIGEST_CHARS = 8;
 
 /**
- * Identifies what a change says: its kind, the revision that it builds on and its content.
+ * Computes the digest that identifies a change by its kind, its base revision and its content.
  * @example
  * digestOfChange('put', 5, '{"revision":7}').length; // 8
  */
@@ -42,7 +43,7 @@
 }
 
 /**
- * The memory with one more change, which has the highest revision so far.
+ * Adds a change, which must have the highest revision so far, and forgets the oldest one beyond the maximum.
  * @example
  * withAcceptedChange(NO_ACCEPTED_CHANGES, { revision: 7, digest }).changes.length; // 1
  */
@@ -54,9 +55,9 @@
 }
 
 /**
- * The change that was accepted under a revision, as far as it is remembered.
+ * Returns the change that was accepted under a revision; undefined if there was none or it was forgotten.
  * @example
- * acceptedUnder(NO_ACCEPTED_CHANGES, 7); // undefined
+ * findAcceptedChange(NO_ACCEPTED_CHANGES, 7); // undefined
  */
 export function findAcceptedChange(accepted: AcceptedChanges, revision: number): AcceptedChange | undefined {
   const newest = accepted.changes.findLast((change) => change.revision <= revision);
@@ -64,10 +65,10 @@
 }
 
 /**
- * Whether a change may have been accepted and forgotten since. One that builds on
- * its own revision or a later one cannot have been accepted.
+ * Tells whether a change may have been accepted and forgotten since. A change whose base is its own revision
+ * or a later one cannot have been accepted.
  * @example
- * mayBeEvictedChange(NO_ACCEPTED_CHANGES, 7, 5); // false
+ * mayHaveBeenForgotten(NO_ACCEPTED_CHANGES, 7, 5); // false
  */
 export function mayHaveBeenForgotten(
   accepted: AcceptedChanges,
--- a/packages/configuration/src/configuration.ts
+++ b/packages/configuration/src/configuration.ts
@@ -1,10 +1,13 @@
-/** The configuration of a deployment by routes and services: its form, and how it is checked. */
+/** The schema and the checks of a configuration of routes and services. */
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 import { issueMessage } from './issue-text.js';
 
-/** JSON reads 1e400 as endless and writes that as null, which has another meaning. */
+/**
+ * Finite, since JSON.parse reads 1e400 as Infinity and JSON.stringify writes that as null, which means
+ * something else.
+ */
 const NonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const NonEmptyText = v.pipe(v.string(), v.minLength(1));
 
@@ -75,7 +78,7 @@
   limits: v.optional(v.nullable(LimitsSchema)),
 });
 
-/** The same, with routes, services and tenants left to be checked one by one. */
+/** The configuration schema without the routes, services and tenants, which are checked one by one. */
 const OutlineSchema = v.looseObject({
   ...ConfigurationSchema.entries,
   routes: v.array(v.unknown()),
@@ -83,25 +86,25 @@
   tenants: v.optional(v.nullable(v.array(v.unknown()))),
 });
 
-/** A checked configuration of routes and services. Fields that are not known are kept. */
+/** A checked configuration of routes and services. Unknown fields are kept. */
 export type Configuration = v.InferOutput<typeof ConfigurationSchema>;
-/** A route: which requests it takes, and what service they go to. */
+/** A route: the requests that it matches, and the service that they are sent to. */
 export type RouteEntry = Configuration['routes'][number];
-/** A service: where its workers come from, and what they run. */
+/** A service: how its workers are checked and warmed up, and what they run. */
 export type ServiceEntry = Configuration['services'][number];
-/** What the workers of a service hold and how much of it. */
+/** The models that the workers of a service may hold, and the capacity of one worker. */
 export type EngineEntry = v.InferOutput<typeof EngineSchema>;
 /** A model that the workers of a service may hold. */
 export type ModelEntry = v.InferOutput<typeof ModelSchema>;
 /** A tenant: the keys of its clients, its priority, and its quota over all edges together. */
 export type TenantEntry = v.InferOutput<typeof TenantSchema>;
-/** Bounds on what a client may send, and for how long. */
+/** Limits on the size of a client's request and on how long the client may take to send it. */
 export type Limits = v.InferOutput<typeof LimitsSchema>;
 
-/** The limits where a configuration names none. */
+/** The limits that apply where a configuration sets none. */
 export const DEFAULT_LIMITS: Limits = v.parse(LimitsSchema, {});
 
-/** Faults across entries: duplicate names and routes, unknown services. */
+/** Returns the faults across entries: duplicate names and routes, unknown services, shared API keys. */
 function crossReferenceFaults(configuration: Configuration): string[] {
   const services = new Set(configuration.services.map((service) => service.name));
   const matches = new Set<string>();
@@ -122,7 +125,7 @@
   return faults;
 }
 
-/** Faults across tenants. Names the tenants concerned and never a key. */
+/** Returns the faults across tenants. The messages name the tenants concerned and never show a key. */
 function tenantFaults(tenants: readonly TenantEntry[]): string[] {
   const ownerByKey = new Map<string, string>();
   const names = new Set<string>();
@@ -165,9 +168,9 @@
 }
 
 /**
- * Checks the items of one list. Most items of a configuration are taken over
- * from the last one as they are, and never changed in place: those that were
- * part of the last list are not checked again.
+ * Checks the items of one list and caches the results. Most items of a configuration are the same objects as
+ * in the one before, and items are never changed in place, so an item of the previous list is not checked
+ * again.
  */
 class CachedListChecker<S extends v.GenericSchema> {
   #schema: S;
@@ -177,7 +180,7 @@
     this.#schema = schema;
   }
 
-  /** The items as checked; what is wrong with others is added to `faults`. */
+  /** Returns the valid items as parsed, and adds the faults of the other items to `faults`. */
   checkedItems(list: readonly unknown[], name: string, faults: string[]): v.InferOutput<S>[] {
     const checked = new Map<unknown, v.InferOutput<S>>();
     const items: v.InferOutput<S>[] = [];
@@ -204,7 +207,7 @@
 const TENANT_CHECKER = new CachedListChecker(TenantSchema);
 
 /**
- * Checks a complete configuration; a fault names each place and what is wrong there.
+ * Checks a complete configuration; the fault lists the path and the message of the first errors.
  * @example
  * checkConfiguration({ revision: 1, routes: [], services: [] }).isOk; // true
  */
@@ -222,12 +225,12 @@
   return faults.length > 0 ? badSpec(faults) : Result.ok(configuration);
 }
 
-/** What was checked before: documents are never changed in place. */
+/** Results of earlier checks; they stay valid because documents are never changed in place. */
 const checkedDocuments = new WeakMap<object, Result<Configuration, Fault>>();
 
 /**
- * The configuration that a document of the agreed state holds, checked once for each document; undefined where there
- * is none, or an invalid one of an earlier build.
+ * Returns the configuration in a document of the replicated state, checked once for each document; undefined
+ * if there is no document, or if it is invalid because an earlier build accepted it.
  * @example
  * checkedConfiguration(state.document)?.routes;
  */
@@ -241,7 +244,7 @@
   return checked.isOk ? checked.value : undefined;
 }
 
-/** Tenants as checked; null or undefined where the configuration has none, so that requests need no key. */
+/** Checks the tenants. Null and undefined stay as they are: they mean that requests need no key. */
 function checkedTenants(
   list: readonly unknown[] | null | undefined,
   faults: string[],
--- a/packages/configuration/src/deployment-codec.ts
+++ b/packages/configuration/src/deployment-codec.ts
@@ -1,4 +1,4 @@
-/** A deployment's state as bytes, for disks, joiners and subscribed edges. */
+/** Encodes a deployment's state for disks, joining cores and subscribed edges. */
 import { describeJsonError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
@@ -8,7 +8,9 @@
 import { issueMessage } from './issue-text.js';
 import { DIGEST_CHARS, NO_ACCEPTED_CHANGES, type AcceptedChanges } from './accepted-changes.js';
 
-/** Revisions beside each other and digests in one text, since there may be thousands. */
+/**
+ * Accepted changes as one list of revisions and one text of all digests: compact, as there may be thousands.
+ */
 const StoredAcceptedSchema = v.pipe(
   v.object({
     forgottenRevision: v.number(),
@@ -28,7 +30,9 @@
   }),
 );
 
-/** As earlier builds wrote it: their digests say nothing of the base, so all counts as forgotten. */
+/**
+ * The form that earlier builds wrote. Their digests do not cover the base, so all changes count as forgotten.
+ */
 const EarlierStoredAcceptedSchema = v.pipe(
   v.array(v.object({ revision: v.number() })),
   v.transform((changes): AcceptedChanges => {
@@ -59,7 +63,7 @@
 }
 
 /**
- * The state as bytes, for disks and joiners.
+ * Encodes the complete state, for disks and joining cores.
  * @example
  * decodeDeployment(encodeDeployment(EMPTY_DEPLOYMENT)).isOk; // true
  */
@@ -68,8 +72,8 @@
 }
 
 /**
- * The state as bytes for edges, which only subscribe to it: without the accepted
- * changes, which only cores need.
+ * Encodes the state for edges, which only subscribe to it: without the accepted changes, which only cores
+ * need.
  * @example
  * decodeDeployment(encodeForSubscribers(EMPTY_DEPLOYMENT)).isOk; // true
  */
@@ -78,7 +82,7 @@
 }
 
 /**
- * Bytes as a state, or why not.
+ * Decodes a state; fails with a `damaged` fault if the bytes are not JSON or do not match the schema.
  * @example
  * decodeDeployment(new Uint8Array([123])).isErr; // true
  */
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * The agreed state of a deployment, and the operations that change it: pure
- * functions, the same on every core.
+ * The replicated state of a deployment, and the operations that change it. All functions here are pure, so
+ * that every core computes the same state.
  */
 import { describeJsonError, fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
@@ -18,23 +18,23 @@
   type AcceptedChanges,
 } from './accepted-changes.js';
 
-/** A configuration as it was sent, in our terms. */
+/** A configuration document as it was sent, with the key names of this project. */
 export type ConfigurationDocument = Readonly<Record<string, unknown>>;
 
-/** The agreed state of a deployment that is configured by routes and services. */
+/** The replicated state of a deployment that is configured by routes and services. */
 export interface Deployment {
-  /** Grows by one with each operation that changed something. */
+  /** Counts the operations that changed the state. */
   readonly edition: number;
-  /** The document as it was sent, in our terms; undefined before the first. */
+  /** The document in force; undefined before the first one. */
   readonly document: ConfigurationDocument | undefined;
   readonly revision: number;
   readonly evacuated: readonly string[];
-  /** In which edition each zone was last evacuated or returned. */
+  /** The edition in which each zone was last evacuated or returned. */
   readonly zones: Readonly<Record<string, number>>;
   readonly accepted: AcceptedChanges;
 }
 
-/** The state before anything was agreed. */
+/** The state before the first operation. */
 export const EMPTY_DEPLOYMENT: Deployment = {
   edition: 0,
   document: undefined,
@@ -45,19 +45,19 @@
 };
 
 /**
- * No document is larger, as JSON text. One message between nodes holds the
- * operation and the state that it leads to, and carries 8 MiB.
+ * Largest size of a document as JSON text, in bytes. One message between nodes carries at most 8 MiB and
+ * holds both the operation and the state that results from it.
  */
 export const DOCUMENT_MAX_BYTES = 3 * 1024 * 1024;
 
-/** So many zones may be known as evacuated or returned: names come from callers. */
+/** Largest number of zone names kept in `zones`: callers choose the names, so the map must be bounded. */
 const ZONES_MAX = 1024;
 
-/** An operation of an operator on the deployment. */
+/** An operation by which an operator changes the deployment. */
 export type DeploymentOperation =
   | {
       readonly kind: 'configuration.put';
-      /** The revision that must be in force. */
+      /** The revision that must be in force for the operation to be accepted. */
       readonly base?: number | undefined;
       readonly document: ConfigurationDocument;
     }
@@ -69,7 +69,7 @@
   | {
       readonly kind: 'zone.evacuate' | 'zone.return';
       readonly zone: string;
-      /** Edition that the caller's node held: a call that was held up does not undo a later one. */
+      /** Edition that the caller's node held, by which a delayed call is kept from undoing a later one. */
       readonly seen?: number | undefined;
     };
 
@@ -77,7 +77,9 @@
 const BaseRevision = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
 const PutSchema = v.object({ base: BaseRevision, document: v.record(v.string(), v.unknown()) });
 const ItemsSchema = v.record(v.string(), v.unknown());
-/** Checked as a whole, so that no name which a caller made up stands in the message. */
+/**
+ * Checked as a whole, so that the error message holds no name chosen by the caller, which may be a secret.
+ */
 const DropSchema = v.pipe(
   v.record(v.string(), v.unknown()),
   v.check(
@@ -88,7 +90,9 @@
 );
 const PatchSchema = v.object({
   base: BaseRevision,
-  /** Fields that are not known change nothing, but tell two changes apart. */
+  /**
+   * Unknown fields change nothing in the document, but they enter the digest that tells two changes apart.
+   */
   patch: v.looseObject({
     revision: Revision,
     set: v.optional(v.nullable(ItemsSchema), {}),
@@ -122,13 +126,13 @@
     : Result.ok(document);
 }
 
-/** A document that can be in force, whatever is in force now. */
+/** Checks the size and the content of a document, independently of the state. */
 function checkedDocument(document: ConfigurationDocument): Result<ConfigurationDocument, Fault> {
   return checkedSize(document).andThen(() => checkConfiguration(document).map(() => document));
 }
 
 /**
- * Reads the form of an operation.
+ * Parses an operation and checks its form, but not the content of a document.
  * @example
  * readOperation('zone.evacuate', { zone: 'north' }).isOk; // true
  */
@@ -151,9 +155,8 @@
 }
 
 /**
- * Checks what can be checked of an operation without the state: its form, and
- * a complete configuration with all that is in it. What is rejected here is rejected
- * in every state.
+ * Checks an operation as far as that is possible without the state: its form and, for a complete
+ * configuration, the whole document. An operation that fails here would be refused in every state.
  * @example
  * checkOperation('zone.evacuate', { zone: 'north' }).isOk; // true
  */
@@ -165,7 +168,7 @@
   );
 }
 
-/** The state after an operation, and how it ended. */
+/** The state after an operation, and the outcome of the operation. */
 export interface ApplyResult {
   readonly state: Deployment;
   readonly outcome: { readonly kind: 'agreed' | FaultKind; readonly detail: string };
@@ -183,7 +186,10 @@
   return typeof item === 'object' && item !== null ? (item as Record<string, unknown>)['name'] : undefined;
 }
 
-/** Lists are changed item by item, by name; null in place of a list changes nothing; anything else is replaced. */
+/**
+ * Applies a patch to a document. Lists are changed item by item, matched by name; null in place of a list
+ * changes nothing; any other value is replaced.
+ */
 function applyPatchToDocument(
   document: ConfigurationDocument,
   set: Readonly<Record<string, unknown>>,
@@ -217,20 +223,20 @@
   return items;
 }
 
-/** A change of the configuration. */
+/** A PUT or PATCH of the configuration, in the form that `acceptChange` takes. */
 interface ConfigurationChange {
   readonly base: number | undefined;
   readonly revision: number;
-  /** What the change says; costs a pass over all of it. */
+  /** Computes the digest of the change's content, which takes a pass over all of it. */
   digest(): string;
-  /** The document that it leads to, if that is valid. */
+  /** Computes the resulting document, or the faults that make it invalid. */
   result(): Result<ConfigurationDocument, Fault>;
 }
 
 /**
- * Accepts a change at most once (idempotent). One that was accepted before is acknowledged again, whatever
- * came after it; one that may have been accepted, but is no longer remembered, is
- * neither acknowledged nor rejected.
+ * Accepts a change at most once (idempotent). A change that was accepted before is acknowledged again,
+ * whatever was accepted after it. A change that may have been accepted, but whose record was forgotten since,
+ * ends as `operation-unknown`: it is neither acknowledged nor rejected.
  */
 function acceptChange(state: Deployment, change: ConfigurationChange): ApplyResult {
   const { base, revision } = change;
@@ -256,7 +262,10 @@
   );
 }
 
-/** An invalid change was never accepted, however old it is. */
+/**
+ * Applies a complete configuration. Where its revision is too old to be remembered, the document is checked
+ * first: an invalid one was never accepted, so it is rejected instead of ending as `operation-unknown`.
+ */
 function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): ApplyResult {
   const revision = v.safeParse(Revision, document['revision']);
   if (!revision.success)
@@ -312,7 +321,10 @@
   );
 }
 
-/** Payloads that were read lately: a coordinator applies each operation when it proposes and when it holds it. */
+/**
+ * Size of the cache of parsed payloads: a coordinator applies each operation twice, when it proposes the
+ * operation and when it delivers the version.
+ */
 const PARSED_PAYLOADS_MAX = 4;
 const parsedPayloads: {
   readonly kind: string;
@@ -333,8 +345,8 @@
 }
 
 /**
- * Applies one operation to the deployment's state: the same on every node, and
- * without effect where it is refused.
+ * Applies one operation to the deployment's state. The result is the same on every node; a refused operation
+ * leaves the state as it is.
  * @example
  * applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'zone.evacuate', payload: '{"zone":"north"}' }).state.evacuated; // ['north']
  */
--- a/packages/configuration/src/document-text.ts
+++ b/packages/configuration/src/document-text.ts
@@ -1,10 +1,10 @@
-/** JSON text of configuration documents, written once for each. */
+/** Serializes configuration documents, each only once. */
 
-/** Documents are never changed in place. */
+/** Cached texts; they stay valid because documents are never changed in place. */
 const texts = new WeakMap<object, string>();
 
 /**
- * A document as JSON text.
+ * Returns a document as JSON text.
  * @example
  * documentText({ revision: 7 }); // '{"revision":7}'
  */
--- a/packages/configuration/src/issue-text.ts
+++ b/packages/configuration/src/issue-text.ts
@@ -1,7 +1,7 @@
-/** Faults of schemas as text that shows no value which may be a secret. */
+/** Formats the issues of schema validation without showing values that may be secrets. */
 import * as v from 'valibot';
 
-/** Validations whose message shows a length or a number, and never text. */
+/** Tells whether the message of a validation issue can only show a length or a number, and never text. */
 function showsOnlyNumbers(issue: v.BaseIssue<unknown>): boolean {
   return typeof issue.input === 'number' || issue.type === 'min_length' || issue.type === 'max_length';
 }
@@ -12,8 +12,8 @@
 }
 
 /**
- * What a schema has against a value. A value of another type than expected is named by its type alone: where a key
- * belongs into a list, it may have been written without one.
+ * Returns the message of a schema issue. A value of an unexpected type is described by its type alone,
+ * because it may be a secret: an API key may have been written in place of a list of keys.
  * @example
  * issueMessage(issue); // 'Invalid type: Expected Array but received a string'
  */
--- a/packages/configuration/src/spec-edit.ts
+++ b/packages/configuration/src/spec-edit.ts
@@ -1,4 +1,4 @@
-/** Edits of a spec: changes that name the entries they add, replace or remove. */
+/** Edits of a spec: changes that name each entry that they add, replace or remove. */
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 import type { SpecFault } from './spec.js';
@@ -16,7 +16,9 @@
   workers: EntryListSchema,
 };
 
-/** The parts of a spec that are no lists; each is replaced as a whole. */
+/**
+ * The parts of a spec that are not lists. `store` and `retries` are replaced as a whole; `workers` is merged.
+ */
 const SETTABLE_PARTS = ['store', 'retries', 'workers'] as const;
 
 const EditSchema = v.strictObject({
@@ -43,17 +45,17 @@
   ),
 });
 
-/** A change that names the entries it adds, replaces or removes. */
+/** A change that names each entry that it adds, replaces or removes. */
 export type Edit = v.InferOutput<typeof EditSchema>;
 
-/** The lists of a spec whose entries have names. `workers` stands for those that differ from the others. */
+/** The lists of a spec whose entries have names. `workers` is `workers.named`, the workers with own sizes. */
 export const SECTIONS = ['zones', 'models', 'adapters', 'groups', 'routes', 'workers'] as const;
 type Section = (typeof SECTIONS)[number];
 type Entry = Record<string, unknown> | string;
 type RawSpec = Record<string, unknown>;
 
 /**
- * Whether a JSON value is meant as an edit and not as a merge patch.
+ * Tells by the keys of a JSON value whether it is an edit and not a merge patch.
  * @example
  * isEdit({ add: { zones: ['west'] } }); // true
  */
@@ -67,7 +69,7 @@
 }
 
 /**
- * Reads an edit, or names what is wrong in it, with its path.
+ * Parses and checks an edit; on failure returns each fault with its path.
  * @example
  * readEdit({ add: { groups: [{}] } }).isErr; // true: the entry has no name
  */
@@ -88,9 +90,9 @@
 }
 
 /**
- * The keys of all entries that an edit touches, such as `groups/analysts`.
+ * Returns the keys of all entries that an edit changes, such as `groups/analysts`.
  * @example
- * keysOf({ add: {}, replace: {}, remove: { zones: ['west'] }, set: {} }); // ['zones/west']
+ * editedKeys({ add: {}, replace: {}, remove: { zones: ['west'] }, set: {} }); // ['zones/west']
  */
 export function editedKeys(edit: Edit): string[] {
   return editedEntries(edit).map(({ key }) => key);
@@ -128,10 +130,10 @@
 }
 
 /**
- * The spec with an edit made, or what stands against it: an entry to be added
- * that is there, one to be replaced or removed that is not.
+ * Applies an edit to a spec. Fails where an entry to be added exists already, or one to be replaced or
+ * removed does not exist.
  * @example
- * makeEdit({ zones: ['north'] }, edit);
+ * applyEdit({ zones: ['north'] }, edit);
  */
 export function applyEdit(spec: RawSpec, edit: Edit): Result<RawSpec, SpecFault[]> {
   const faults: SpecFault[] = [];
@@ -177,9 +179,9 @@
 }
 
 /**
- * The keys of all entries in which two specs differ.
+ * Returns the keys of all entries in which two specs differ.
  * @example
- * differing({ zones: ['a'] }, { zones: ['a', 'b'] }); // ['zones/b']
+ * differingKeys({ zones: ['a'] }, { zones: ['a', 'b'] }); // ['zones/b']
  */
 export function differingKeys(oldSpec: RawSpec, newSpec: RawSpec): string[] {
   const keys: string[] = [];
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -1,17 +1,17 @@
-/** The replicated state of the spec family: a pure function of its operations, and its stored form. */
+/** The replicated state of a spec deployment, the pure functions that change it, and its stored form. */
 import { fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 import { differingKeys, editedKeys, applyEdit, readEdit } from './spec-edit.js';
 import { mergePatch, readJson, readSpec, specFaultText, type Spec } from './spec.js';
 
-/** What a worker should hold, or holds. */
+/** A model with its adapters that a worker should hold, or holds. */
 export interface HoldingTarget {
   readonly model: string;
   readonly adapters: readonly string[];
 }
 
-/** An adopted spec; versions never go back. */
+/** A spec in force. Each accepted change increases the version by one. */
 export interface SpecRecord {
   readonly version: number;
   readonly operation: string;
@@ -26,21 +26,21 @@
   readonly bytes: number;
 }
 
-/** The committed state of a spec deployment: spec, evacuated zones, placement. */
+/** The committed state of a spec deployment: the spec, the evacuated zones and the placement. */
 export interface SpecState {
   readonly spec: SpecRecord | undefined;
   readonly history: readonly HistoryEntry[];
   readonly evacuatedZones: readonly string[];
-  /** The epoch whose placer decided last; an older one is refused. */
+  /** The epoch of the last accepted placement; one of an older epoch is refused. */
   readonly placedBy: number;
   readonly placement: Readonly<Record<string, readonly HoldingTarget[]>>;
-  /** In which version each entry of the spec last changed, as far back as `changesKnownSince`; finds concurrent edits. */
+  /** The version in which each entry last changed, back to `changesKnownSince`; detects concurrent edits. */
   readonly changedInVersion: Readonly<Record<string, number>>;
   /** Changes before this version are no longer known. */
   readonly changesKnownSince: number;
 }
 
-/** The state before anything was agreed. */
+/** The state before the first operation. */
 export const EMPTY_SPEC_STATE: SpecState = {
   spec: undefined,
   history: [],
@@ -52,7 +52,7 @@
 };
 
 const HISTORY_MAX = 100;
-/** For so many versions it is known which entries changed. */
+/** Number of versions for which the changed entries are remembered. */
 const CHANGED_VERSIONS_KEPT = 1000;
 
 const PutSchema = v.strictObject({ base: v.optional(v.number()), text: v.string() });
@@ -121,7 +121,9 @@
   );
 }
 
-/** Notes what a new text changes, and forgets what is long ago. */
+/**
+ * Records which entries a new text changes, and forgets changes older than `CHANGED_VERSIONS_KEPT` versions.
+ */
 function recordChanges(
   state: SpecState,
   text: string,
@@ -165,8 +167,8 @@
 }
 
 /**
- * An edit names the entries that it changes. Where others changed them since the version that
- * its author had seen, it is a conflict; all their other changes stay.
+ * Applies an edit to the spec in force. It conflicts if one of its entries was changed after the version that
+ * its author had seen; changes of other entries since then are kept.
  */
 function applySpecEdit(
   state: SpecState,
@@ -227,7 +229,7 @@
 }
 
 /**
- * Applies one operation to the spec state: a pure function, the same on every node.
+ * Applies one operation to the spec state: a pure function, so that every node computes the same state.
  * @example
  * applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2).outcome.kind; // 'not-found'
  */
@@ -241,7 +243,7 @@
 }
 
 /**
- * The spec state without what level 1 of the protocol does not carry.
+ * Returns the spec state without the fields that level 1 of the protocol does not carry.
  * @example
  * specStateWithoutExtension(state).changedInVersion; // {}
  */
@@ -296,16 +298,16 @@
   }
 }
 
-/** The state as bytes. */
+/** The encoded spec state. */
 export interface EncodedSpecState {
-  /** What every level of the protocol can read. */
+  /** The fields that every level of the protocol can read. */
   readonly application: Uint8Array;
-  /** What came with later levels. */
+  /** The fields that later levels added. */
   readonly applicationExtension: Uint8Array;
 }
 
 /**
- * The spec state as bytes for disks and joiners: what level 1 can read, and the rest.
+ * Encodes the spec state for disks and joining cores, with the fields that level 1 cannot read apart.
  * @example
  * decodeSpecState(encodeSpecState(EMPTY_SPEC_STATE)).isOk; // true
  */
@@ -328,14 +330,15 @@
 }
 
 /**
- * The spec state that bytes stand for, or that they are damaged.
+ * Decodes a spec state; fails if the bytes are not JSON or do not match the schema.
  * @example
  * decodeSpecState({ application: new Uint8Array([1]), applicationExtension: new Uint8Array() }).isErr; // true
  */
 export function decodeSpecState(encoded: EncodedSpecState): Result<SpecState, Fault> {
   return readJson(new TextDecoder().decode(encoded.application)).andThen((data) => {
     const stored = v.safeParse(StoredSchema, data);
-    if (!stored.success) return Result.err<SpecState, Fault>(fault('damaged', 'the stage cannot be read'));
+    if (!stored.success)
+      return Result.err<SpecState, Fault>(fault('damaged', 'the stored spec state cannot be read'));
     const { version, operation, text, history, emptied, placedBy, placement } = stored.output;
     const extension = v.safeParse(
       ExtensionSchema,
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,13 +1,13 @@
-/** The spec of research groups' deployments: its form, how it is checked, and merge patches on it. */
+/** The spec of a deployment shared by research groups: its schema and checks, and merge patches on it. */
 import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
 
-/** No spec text is longer. */
+/** Largest size of a spec text in bytes. */
 export const SPEC_MAX_BYTES = 2 * 1024 * 1024;
 
-/** No spec has more routes. */
+/** Largest number of routes in a spec. */
 export const ROUTES_MAX = 10_000;
 
 const Name = v.pipe(v.string(), v.regex(/^[a-z0-9][a-z0-9._-]{0,63}$/, 'a name of a-z, 0-9, ".", "_", "-"'));
@@ -16,9 +16,9 @@
 
 const KindSchema = v.strictObject({
   name: Name,
-  /** How promptly the first piece of an answer should come. */
+  /** Time within which the first piece of an answer should arrive. */
   targetMs: PositiveInteger,
-  /** A request that has waited so long is refused. */
+  /** Time that a request may wait before it is refused. */
   patienceMs: PositiveInteger,
 });
 
@@ -26,7 +26,7 @@
   name: Name,
   share: v.pipe(v.number(), v.minValue(0.01), v.maxValue(1000)),
   kinds: v.pipe(v.array(KindSchema), v.minLength(1)),
-  /** Models this group may use; "*" stands for all. */
+  /** Models that this group may use; "*" stands for all. */
   models: v.pipe(v.array(v.union([Name, v.literal('*')])), v.minLength(1)),
 });
 
@@ -79,7 +79,7 @@
 /** A research group of a spec. */
 export type SpecGroup = Spec['groups'][number];
 
-/** One thing wrong with a spec, and where. */
+/** A fault in a spec, with its path. */
 export interface SpecFault {
   readonly path: string;
   readonly message: string;
@@ -157,7 +157,7 @@
 }
 
 /**
- * Reads and checks a complete spec; on failure every fault with its path.
+ * Parses and checks a complete spec; on failure returns every fault with its path.
  * @example
  * readSpec('{}').isErr; // true
  */
@@ -184,7 +184,7 @@
 }
 
 /**
- * Faults as one text, a line each.
+ * Formats faults as one text with a line for each.
  * @example
  * specFaultText([{ path: 'zones', message: 'missing' }]); // 'zones: missing'
  */
@@ -193,7 +193,7 @@
 }
 
 /**
- * A change as a merge patch: null takes a key away, objects are merged, all else replaces.
+ * Applies a JSON merge patch (RFC 7396): null removes a key, objects are merged, any other value replaces.
  * @example
  * mergePatch({ a: 1, b: 2 }, { b: null }); // { a: 1 }
  */
@@ -209,7 +209,7 @@
 }
 
 /**
- * A JSON text as a value, or a fault.
+ * Parses a JSON text; fails with a `bad-request` fault if it is not JSON.
  * @example
  * readJson('{"a":1}').isOk; // true
  */
--- a/packages/configuration/src/tenant-directory.ts
+++ b/packages/configuration/src/tenant-directory.ts
@@ -1,20 +1,20 @@
-/** Finds the tenant that holds an API key, without holding any key in plain. */
+/** Finds the tenant that owns an API key, without keeping any key in plain text. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { TenantEntry } from './configuration.js';
 import type { ConfigurationDocument } from './deployment.js';
 
-/** A tenant as it is known where requests are admitted: without its keys. */
+/** A tenant as request admission knows it: without its API keys. */
 export interface Tenant {
   readonly name: string;
-  /** Requests per second over all edges together; 0: no limit. */
+  /** Requests per second over all edges together; 0 means no limit. */
   readonly ratePerS: number;
-  /** Requests above the rate that it may send at once after a rest. */
+  /** Requests beyond the rate that the tenant may send at once after an idle time. */
   readonly burst: number;
-  /** 0 is highest; undefined where the configuration names none. */
+  /** Priority of the tenant, 0 being the highest; undefined if the configuration sets none. */
   readonly priority: number | undefined;
 }
 
-/** Length of the secret under which keys are hashed, in bytes. */
+/** Length in bytes of the secret under which API keys are hashed. */
 export const TENANT_SECRET_BYTES = 32;
 
 interface HashedKey {
@@ -23,8 +23,8 @@
 }
 
 /**
- * The tenants of one configuration by their keys. Keys are held as HMAC-SHA256 under a secret of this process only,
- * so that neither a dump nor the time that a look-up takes tells anything of them.
+ * Looks up the tenants of one configuration by API key or name. Keys are kept as HMAC-SHA256 under a secret
+ * of this process only, so that neither a memory dump nor the time of a look-up reveals anything about them.
  * @example
  * const directory = new TenantDirectory(configuration.tenants, secret);
  * directory.holderOf('key-1')?.name; // 'tenant-1'
@@ -46,7 +46,7 @@
     }
   }
 
-  /** The tenant that holds a key; undefined if none does, or without a key. */
+  /** Returns the tenant that owns a key; undefined if no tenant does, or if the key is missing or empty. */
   holderOf(apiKey: string | undefined): Tenant | undefined {
     if (apiKey === undefined || apiKey === '') return undefined;
     const digest = this.#digest(apiKey);
@@ -54,7 +54,7 @@
     return known !== undefined && timingSafeEqual(known.digest, digest) ? known.tenant : undefined;
   }
 
-  /** A tenant by its name; undefined if the configuration has none of that name. */
+  /** Returns the tenant of a name; undefined if the configuration has none of that name. */
   tenantNamed(name: string): Tenant | undefined {
     return this.#byName.get(name);
   }
@@ -69,7 +69,7 @@
 }
 
 /**
- * A tenant as it is configured, without its keys.
+ * Converts a tenant entry of the configuration to a tenant without API keys.
  * @example
  * tenantOf({ name: 'tenant-1', apiKeys: ['key-1'], ratePerS: null, burst: null }).ratePerS; // 0
  */
@@ -78,7 +78,7 @@
 }
 
 /**
- * A document without the keys of its tenants, whatever else stands in it.
+ * Returns a document without the API keys of its tenants; everything else in it stays.
  * @example
  * withoutApiKeys({ revision: 1, tenants: [{ name: 'tenant-1', apiKeys: ['key-1'] }] });
  * // { revision: 1, tenants: [{ name: 'tenant-1' }] }
--- a/packages/configuration/src/tenants-in-force.ts
+++ b/packages/configuration/src/tenants-in-force.ts
@@ -1,10 +1,10 @@
-/** The tenants of the configuration in force. */
+/** Reads the tenants of the configuration in force from a deployment's state. */
 import { checkedConfiguration } from './configuration.js';
 import type { Deployment } from './deployment.js';
 import { tenantOf, type Tenant } from './tenant-directory.js';
 
 /**
- * The tenants of the configuration in force, without their keys; none where it has no tenants.
+ * Returns the tenants of the configuration in force, without their API keys; an empty list if it has none.
  * @example
  * tenantsOf(state).find(({ name }) => name === 'tenant-1')?.ratePerS;
  */
