--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -55,7 +55,7 @@
     function withRoutes(count: number): string {
       return JSON.stringify({
         ...validSpec(),
-        routes: Array.from({ length: count }, (_, place) => ({ path: `/r/${place}`, serve: 'chat' })),
+        routes: Array.from({ length: count }, (_, index) => ({ path: `/r/${index}`, serve: 'chat' })),
       });
     }
     const over = readSpec(withRoutes(ROUTES_MAX + 1));
--- a/packages/configuration/src/configuration.test.ts
+++ b/packages/configuration/src/configuration.test.ts
@@ -54,7 +54,7 @@
 }
 
 describe('a configuration that is checked', () => {
-  const invalid: [what: string, data: unknown, says: RegExp][] = [
+  const invalid: [description: string, data: unknown, pattern: RegExp][] = [
     ['is not an object', 'text', /^bad-spec/],
     ['has no routes', { revision: 1, services: [] }, /routes/],
     ['has no services', { revision: 1, routes: [] }, /services/],
@@ -128,9 +128,9 @@
       /services/,
     ],
   ];
-  for (const [what, data, says] of invalid) {
-    it(`is refused when it ${what}`, () => {
-      expect(says.test(faultOf(data))).toEqual(true);
+  for (const [description, data, pattern] of invalid) {
+    it(`is refused when it ${description}`, () => {
+      expect(pattern.test(faultOf(data))).toEqual(true);
     });
   }
 
@@ -181,7 +181,7 @@
 
   it('refuses what is cut short, invalid, old or on another base, and stays as it is', () => {
     const state = atRevision5();
-    const ends = [
+    const results = [
       applyToDeployment(state, {
         kind: 'configuration.put',
         payload: JSON.stringify({ base: 5, document: document(9) }).slice(0, -9),
@@ -195,7 +195,7 @@
       applyToDeployment(state, { kind: 'configuration.put', payload: '{"base":5}' }),
       applyToDeployment(state, { kind: 'configuration.turn', payload: '{}' }),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual([
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual([
       'bad-request',
       'bad-spec',
       'bad-spec',
@@ -206,7 +206,7 @@
       'bad-spec',
       'bad-request',
     ]);
-    expect(ends.map((end) => end.state === state)).toEqual(ends.map(() => true));
+    expect(results.map((result) => result.state === state)).toEqual(results.map(() => true));
   });
 
   it('refuses another document under the revision in force', () => {
@@ -270,11 +270,11 @@
 
   it('lets a patch move a route to another place, and two routes change places', () => {
     const state = put(EMPTY_DEPLOYMENT, 0, document(5, { routes: [route('one'), route('two')] })).state;
-    const end = patch(state, 5, {
+    const result = patch(state, 5, {
       revision: 6,
       set: { routes: [route('one', { prefix: '/two/' }), route('two', { prefix: '/one/' })] },
     });
-    expect(end.outcome.kind).toEqual('agreed');
+    expect(result.outcome.kind).toEqual('agreed');
   });
 
   it('refuses a patch that would leave it invalid, is old, on another base or before the first', () => {
--- a/packages/configuration/src/control-safety.test.ts
+++ b/packages/configuration/src/control-safety.test.ts
@@ -59,42 +59,42 @@
 describe('control safety, point 2: an order that is sent again', () => {
   it('is acknowledged again after hundreds of other changes, also once read back from a disk', () => {
     const state = stateAtRevision(600);
-    const ends = [state, decodedAgain(state)].flatMap((held) => [
-      put(held, 0, document(1)),
-      patch(held, 1, 2),
-      patch(held, 299, 300),
+    const results = [state, decodedAgain(state)].flatMap((restored) => [
+      put(restored, 0, document(1)),
+      patch(restored, 1, 2),
+      patch(restored, 299, 300),
     ]);
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(ends.map(() => 'agreed'));
-    expect(ends.every((end) => end.state.revision === 600)).toEqual(true);
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual(results.map(() => 'agreed'));
+    expect(results.every((result) => result.state.revision === 600)).toEqual(true);
   });
 
   it('is left unclear, not refused, once the memory of taken changes no longer reaches back to it', () => {
     const state = decodedAgain(stateAtRevision(5000));
-    const ends = [
+    const results = [
       put(state, 0, document(1)),
       patch(state, 1, 2),
       patch(state, undefined, 2),
       patch(state, 4998, 4999),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual([
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual([
       'operation-unknown',
       'operation-unknown',
       'operation-unknown',
       'agreed',
     ]);
-    expect(ends.every((end) => end.state === state)).toEqual(true);
+    expect(results.every((result) => result.state === state)).toEqual(true);
   });
 
   it('leaves changes that cannot have been taken refused, however long ago their revision was', () => {
     const state = stateAtRevision(5000);
-    const ends = [
+    const results = [
       put(state, 5000, document(2)),
       put(state, 5000, document(5000)),
       put(state, 0, { ...document(1), routes: [route('one', 0)] }),
       put(state, 7, document(5)),
       put(state, 4999, document(5003)),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual([
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual([
       'bad-spec',
       'bad-spec',
       'bad-spec',
@@ -105,20 +105,20 @@
 
   it('is the same order only with the same base: a copy of the document in force on another base is refused', () => {
     const { state } = put(stateAtRevision(4), 4, document(7));
-    const ends = [put(state, 4, document(7)), put(state, 7, document(7)), put(state, 3, document(7))];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'bad-spec', 'conflict']);
+    const results = [put(state, 4, document(7)), put(state, 7, document(7)), put(state, 3, document(7))];
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'bad-spec', 'conflict']);
   });
 
   it('is left unclear where it was taken by an earlier build, whose records cannot be compared', () => {
     const state = stateAtRevision(9);
     const earlier = { ...state, taken: [{ revision: 5, digest: 'QUJDREVGR0hJSktM' }] };
     const read = decodeDeployment(new TextEncoder().encode(JSON.stringify(earlier)));
-    const held = read.isOk ? read.value : EMPTY_DEPLOYMENT;
-    expect([patch(held, 4, 5).outcome.kind, patch(held, 9, 10).outcome.kind, held.revision]).toEqual([
-      'operation-unknown',
-      'agreed',
-      9,
-    ]);
+    const restored = read.isOk ? read.value : EMPTY_DEPLOYMENT;
+    expect([
+      patch(restored, 4, 5).outcome.kind,
+      patch(restored, 9, 10).outcome.kind,
+      restored.revision,
+    ]).toEqual(['operation-unknown', 'agreed', 9]);
   });
 
   it('is remembered in bounded space', () => {
@@ -128,25 +128,25 @@
 
   it('is acknowledged whenever it comes again, and a refused one never is', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const dice = new SeededRandom(seed);
+      const random = new SeededRandom(seed);
       let state = stateAtRevision(1);
-      const taken = new Map<string, ConfigurationOperation>();
-      const refused = new Map<string, ConfigurationOperation>();
+      const accepted = new Map<string, ConfigurationOperation>();
+      const rejected = new Map<string, ConfigurationOperation>();
       for (let step = 0; step < 300; step += 1) {
-        const order = randomOperation(dice, state.revision);
-        const key = JSON.stringify(order);
-        const end = applyToDeployment(state, order);
-        if (end.outcome.kind !== 'agreed') refused.set(key, order);
-        else if (end.state !== state) taken.set(key, order);
-        ({ state } = end);
-        for (const earlier of randomSample(dice, [...taken.values()])) {
+        const operation = randomOperation(random, state.revision);
+        const key = JSON.stringify(operation);
+        const result = applyToDeployment(state, operation);
+        if (result.outcome.kind !== 'agreed') rejected.set(key, operation);
+        else if (result.state !== state) accepted.set(key, operation);
+        ({ state } = result);
+        for (const earlier of randomSample(random, [...accepted.values()])) {
           const again = applyToDeployment(state, earlier);
           expect([again.outcome.kind, again.state === state]).toEqual(['agreed', true]);
         }
-        for (const lost of randomSample(dice, [...refused.values()]))
-          expect(applyToDeployment(state, lost).outcome.kind === 'agreed').toEqual(false);
+        for (const rejectedOperation of randomSample(random, [...rejected.values()]))
+          expect(applyToDeployment(state, rejectedOperation).outcome.kind === 'agreed').toEqual(false);
       }
-      expect([taken.size > 20, refused.size > 20]).toEqual([true, true]);
+      expect([accepted.size > 20, rejected.size > 20]).toEqual([true, true]);
     }
   });
 });
@@ -157,11 +157,11 @@
 }
 
 /** A change on the revision in force or one just before it, with few contents, so that some are alike. */
-function randomOperation(dice: SeededRandom, current: number): ConfigurationOperation {
-  const base = Math.max(0, current - Math.floor(dice.next() * 3));
-  const revision = current + Math.floor(dice.next() * 4) - 1;
-  const timeoutMs = 10 + Math.floor(dice.next() * 4) * 10;
-  return dice.next() < 0.5
+function randomOperation(random: SeededRandom, current: number): ConfigurationOperation {
+  const base = Math.max(0, current - Math.floor(random.next() * 3));
+  const revision = current + Math.floor(random.next() * 4) - 1;
+  const timeoutMs = 10 + Math.floor(random.next() * 4) * 10;
+  return random.next() < 0.5
     ? {
         kind: 'configuration.put',
         payload: JSON.stringify({ base, document: document(revision, timeoutMs) }),
@@ -173,27 +173,27 @@
 }
 
 function randomSample(
-  dice: SeededRandom,
-  orders: readonly ConfigurationOperation[],
+  random: SeededRandom,
+  operations: readonly ConfigurationOperation[],
 ): ConfigurationOperation[] {
-  return Array.from({ length: 3 }, () => orders[Math.floor(dice.next() * orders.length)]).filter(
-    (order) => order !== undefined,
+  return Array.from({ length: 3 }, () => operations[Math.floor(random.next() * operations.length)]).filter(
+    (operation) => operation !== undefined,
   );
 }
 
 describe('control safety, point 2: two orders under one number', () => {
   it('are not both acknowledged, by PUT and PATCH in either order', () => {
     const state = stateAtRevision(5);
-    const orders = [
-      (held: Deployment) => put(held, 5, document(9, 50)),
-      (held: Deployment) => patch(held, 5, 9, 60),
-      (held: Deployment) => put(held, 5, document(9, 70)),
-      (held: Deployment) => put(held, 5, document(8, 70)),
+    const operations = [
+      (from: Deployment) => put(from, 5, document(9, 50)),
+      (from: Deployment) => patch(from, 5, 9, 60),
+      (from: Deployment) => put(from, 5, document(9, 70)),
+      (from: Deployment) => put(from, 5, document(8, 70)),
     ];
-    for (const winner of orders) {
+    for (const winner of operations) {
       const won = winner(state).state;
-      const kinds = orders.map((order) => order(won).outcome.kind);
-      expect(kinds).toEqual(orders.map((order) => (order === winner ? 'agreed' : 'conflict')));
+      const kinds = operations.map((operation) => operation(won).outcome.kind);
+      expect(kinds).toEqual(operations.map((operation) => (operation === winner ? 'agreed' : 'conflict')));
     }
   });
 });
@@ -221,10 +221,10 @@
   it('of a zone that is not known yet are taken, of more zones than there can be refused', () => {
     let state = EMPTY_DEPLOYMENT;
     const kinds = new Set<string>();
-    for (let place = 0; place < 2000; place += 1) {
-      const end = setZone(state, 'zone.evacuate', `zone-${place}`, state.edition);
-      kinds.add(end.outcome.kind);
-      ({ state } = end);
+    for (let index = 0; index < 2000; index += 1) {
+      const result = setZone(state, 'zone.evacuate', `zone-${index}`, state.edition);
+      kinds.add(result.outcome.kind);
+      ({ state } = result);
     }
     expect([...kinds]).toEqual(['agreed', 'bad-request']);
     expect(state.evacuated.length).toEqual(1024);
@@ -242,22 +242,22 @@
     ['no document', { base: 0 }],
     ['a list as the document', { base: 0, document: [] }],
   ] as const;
-  for (const [what, payload] of PARSED) {
-    it(`with ${what} is refused and changes nothing`, () => {
+  for (const [description, payload] of PARSED) {
+    it(`with ${description} is refused and changes nothing`, () => {
       const text = JSON.stringify({ base: 0, ...payload });
-      const end = applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'configuration.put', payload: text });
-      expect([end.outcome.kind, end.state === EMPTY_DEPLOYMENT]).toEqual(['bad-spec', true]);
+      const result = applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'configuration.put', payload: text });
+      expect([result.outcome.kind, result.state === EMPTY_DEPLOYMENT]).toEqual(['bad-spec', true]);
     });
   }
 
   it('that grows the configuration beyond what one message between nodes carries is refused', () => {
     const state = stateAtRevision(1);
     const big = 'x'.repeat(2 * 1024 * 1024);
-    const ends = [
+    const results = [
       put(state, 1, { ...document(2), note: big + big }),
       patchWith(state, 1, { revision: 2, set: { note: big + big } }),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(['too-large', 'too-large']);
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual(['too-large', 'too-large']);
     const once = patchWith(state, 1, { revision: 2, set: { note: big } });
     const twice = patchWith(once.state, 2, { revision: 3, set: { more: big } });
     expect([once.outcome.kind, twice.outcome.kind]).toEqual(['agreed', 'too-large']);
@@ -266,8 +266,11 @@
   it('with names of the object prototype changes nothing but the revision', () => {
     const state = stateAtRevision(1);
     const payload = '{"base":1,"patch":{"revision":2,"set":{"__proto__":{"routes":[]},"constructor":1}}}';
-    const end = applyToDeployment(state, { kind: 'configuration.patch', payload });
-    expect([end.outcome.kind, end.state.document]).toEqual(['agreed', { ...state.document, revision: 2 }]);
+    const result = applyToDeployment(state, { kind: 'configuration.patch', payload });
+    expect([result.outcome.kind, result.state.document]).toEqual([
+      'agreed',
+      { ...state.document, revision: 2 },
+    ]);
     expect(({} as Document)['routes']).toEqual(undefined);
   });
 });
--- a/packages/configuration/src/tenant-directory.test.ts
+++ b/packages/configuration/src/tenant-directory.test.ts
@@ -14,7 +14,7 @@
     fc.array(fc.nat({ max: 4 }), { minLength: keys.length, maxLength: keys.length }).map((holders) =>
       Array.from({ length: 5 }, (_, tenant) => ({
         name: `tenant-${tenant}`,
-        apiKeys: keys.filter((_key, place) => holders[place] === tenant),
+        apiKeys: keys.filter((_key, index) => holders[index] === tenant),
         ratePerS: tenant,
         burst: 2 * tenant,
       })),
--- a/packages/configuration/src/tenants.test.ts
+++ b/packages/configuration/src/tenants.test.ts
@@ -127,13 +127,13 @@
   });
 
   it('is refused where keys differ in nothing, and not where they differ in case or spaces', () => {
-    const others = [tenant('north', ['Key']), tenant('south', ['key']), tenant('west', [' key'])];
-    expect(faultOf(others)).toEqual('none');
+    const tenants = [tenant('north', ['Key']), tenant('south', ['key']), tenant('west', [' key'])];
+    expect(faultOf(tenants)).toEqual('none');
   });
 });
 
 describe('a configuration with tenants: an invalid configuration is taken', () => {
-  const invalid: [what: string, tenants: unknown, says: RegExp][] = [
+  const invalid: [description: string, tenants: unknown, pattern: RegExp][] = [
     ['an empty key', [tenant('a', [''])], /tenants\.0\.apiKeys\.0/],
     ['a key that is a number', [tenant('a', [7_654_321])], /tenants\.0\.apiKeys\.0/],
     ['a key that is null', [tenant('a', [null])], /tenants\.0\.apiKeys\.0/],
@@ -157,10 +157,10 @@
     ['a burst that is a list', [tenant('a', [KEY_1], { burst: [SECRET] })], /tenants\.0\.burst/],
     ['a priority below 0', [tenant('a', [KEY_1], { priority: -1 })], /tenants\.0\.priority/],
   ];
-  for (const [what, tenants, says] of invalid) {
-    it(`is refused with ${what}, without showing a key`, () => {
+  for (const [description, tenants, pattern] of invalid) {
+    it(`is refused with ${description}, without showing a key`, () => {
       const fault = faultOf(tenants);
-      expect([says.test(fault), fault.startsWith('bad-spec'), fault.includes(SECRET)]).toEqual([
+      expect([pattern.test(fault), fault.startsWith('bad-spec'), fault.includes(SECRET)]).toEqual([
         true,
         true,
         false,
@@ -171,7 +171,7 @@
 
   it('is refused by PATCH for the same reasons, and what is in force stays', () => {
     const state = withTwoTenants();
-    const ends = [
+    const results = [
       { set: { tenants: [tenant('north', [''])] } },
       { set: { tenants: [tenant('north', [KEY_1], { burst: -1 })] } },
       { set: { tenants: [{ apiKeys: [KEY_3] }] } },
@@ -182,9 +182,9 @@
       { drop: SECRET },
       { set: SECRET },
     ].map((change) => patch(state, change));
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(ends.map(() => 'bad-spec'));
-    expect(ends.every((end) => end.state === state)).toEqual(true);
-    expect(ends.filter(({ outcome }) => outcome.detail.includes(SECRET))).toEqual([]);
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual(results.map(() => 'bad-spec'));
+    expect(results.every((result) => result.state === state)).toEqual(true);
+    expect(results.filter(({ outcome }) => outcome.detail.includes(SECRET))).toEqual([]);
   });
 
   it('shows no key where an operation or a stored state cannot be read', () => {
@@ -235,12 +235,13 @@
 
   it('are not opened to everyone by a PATCH with null in their place, nor changed', () => {
     const state = withTwoTenants();
-    const ends = [
+    const results = [
       patch(state, { set: { tenants: null } }),
       patch(state, { drop: { tenants: null } }),
       patch(state, { set: { routes: null, services: null, tenants: null }, drop: null }),
     ];
-    expect(ends.map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'agreed', 'agreed']);
-    for (const end of ends) expect(end.state.document?.['tenants']).toEqual(state.document?.['tenants']);
+    expect(results.map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'agreed', 'agreed']);
+    for (const result of results)
+      expect(result.state.document?.['tenants']).toEqual(state.document?.['tenants']);
   });
 });
