--- a/packages/configuration/src/configuration-spec.test.ts
+++ b/packages/configuration/src/configuration-spec.test.ts
@@ -32,11 +32,11 @@
 }
 
 describe('spec', () => {
-  it('is taken when it is sound', () => {
+  it('is accepted when it is valid', () => {
     expect(readSpec(JSON.stringify(validSpec())).isOk).toEqual(true);
   });
 
-  it('is refused whole, with the path of every fault', () => {
+  it('is refused as a whole, with the path of every fault', () => {
     expect(faultPathsOf({ extra: 1, zones: [] })).toEqual(['zones', 'extra']);
     expect(faultPathsOf({ models: [{ name: 'm', sizeMb: 1200 }] })).toEqual([
       'models.0.sizeMb',
@@ -51,7 +51,7 @@
     ).toEqual(['groups.0.models.0']);
   });
 
-  it('is taken with as many routes as are allowed, and refused with one more', () => {
+  it('is accepted with the largest number of routes, and refused with one more', () => {
     function withRoutes(count: number): string {
       return JSON.stringify({
         ...validSpec(),
@@ -65,14 +65,14 @@
     ]);
   });
 
-  it('is refused when empty, not JSON or far too large', () => {
+  it('is refused if it is empty, not JSON or too large', () => {
     const texts = ['', ' ', '{', `"${'x'.repeat(SPEC_MAX_BYTES)}"`];
     expect(texts.map((text) => readSpec(text).isErr)).toEqual([true, true, true, true]);
   });
 });
 
 describe('spec state', () => {
-  it('lets one of two racing operators win, and tells the other what is in force', () => {
+  it('accepts one of two changes on the same base, and tells the other operator the version in force', () => {
     const first = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     const second = put(first.state, 0, JSON.stringify({ ...validSpec(), deployment: 'e' }));
     expect([first.outcome.kind, second.outcome.kind, second.outcome.detail]).toEqual([
@@ -83,7 +83,7 @@
     expect(second.state).toEqual(first.state);
   });
 
-  it('changes nothing for a bad spec or an unknown operation', () => {
+  it('stays unchanged after an invalid spec, an unknown operation or an invalid placement', () => {
     expect(put(EMPTY_SPEC_STATE, 0, '{}').state).toEqual(EMPTY_SPEC_STATE);
     expect(
       applyToSpecState(EMPTY_SPEC_STATE, { id: '1', kind: 'no', payload: '{}' }, 2).outcome.kind,
@@ -93,7 +93,7 @@
     );
   });
 
-  it('merges a change, and refuses one that breaks the spec', () => {
+  it('merges a change, and refuses one that makes the spec invalid', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function change(patch: unknown): ReturnType<typeof applyToSpecState> {
       return applyToSpecState(
@@ -109,7 +109,7 @@
     expect(change({ zones: null }).outcome.kind).toEqual('bad-spec');
   });
 
-  it('lets changes to different entries both hold, and one of two to the same entry win', () => {
+  it('keeps concurrent edits of different entries, and refuses the second edit of the same entry', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function edit(
       from: typeof state,
@@ -162,7 +162,7 @@
     expect(edit(other.state, 3, {}, 1).outcome.detail).toEqual('no operation "spec.edit"');
   });
 
-  it('refuses a merge patch that would replace a list whole, unless it names its base', () => {
+  it('refuses a merge patch that replaces a list as a whole, unless it names its base version', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     function patch(more: object): string {
       return applyToSpecState(
@@ -182,7 +182,7 @@
     ]);
   });
 
-  it('empties and restores zones it knows, and forgets an emptied zone that the spec drops', () => {
+  it('evacuates only zones of the spec, and forgets an evacuated zone that a new spec drops', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     const emptied = applyToSpecState(state, { id: 'z', kind: 'zone.empty', payload: '{"zone":"north"}' }, 2);
     expect(emptied.state.evacuatedZones).toEqual(['north']);
@@ -194,7 +194,7 @@
     ).toEqual([]);
   });
 
-  it('refuses a placement from an epoch that is over', () => {
+  it('refuses a placement from an older epoch', () => {
     const later = applyToSpecState(
       EMPTY_SPEC_STATE,
       { id: 'p', kind: 'place', payload: '{"epoch":5,"workers":{}}' },
@@ -208,7 +208,7 @@
     expect(older.outcome.kind).toEqual('conflict');
   });
 
-  it('reads back what it wrote, and nothing else', () => {
+  it('is decoded as it was encoded, and incomplete bytes are refused', () => {
     const { state } = put(EMPTY_SPEC_STATE, 0, JSON.stringify(validSpec()));
     const read = decodeSpecState(encodeSpecState(state));
     expect(read.isOk && read.value).toEqual(state);
@@ -221,7 +221,7 @@
   });
 });
 
-it('a merge patch takes away, merges and replaces', () => {
+it('a merge patch removes keys, merges objects and replaces other values', () => {
   expect(mergePatch({ a: 1, b: { c: 1, d: 2 }, e: [1] }, { a: null, b: { c: 3 }, e: [2] })).toEqual({
     b: { c: 3, d: 2 },
     e: [2],
--- a/packages/configuration/src/configuration.test.ts
+++ b/packages/configuration/src/configuration.test.ts
@@ -60,7 +60,7 @@
     ['has no services', { revision: 1, routes: [] }, /services/],
     ['has no revision', { routes: [], services: [] }, /revision/],
     ['has a revision of 0', document(0), /revision/],
-    ['has a revision that is not whole', document(1.5), /revision/],
+    ['has a revision that is not an integer', document(1.5), /revision/],
     [
       'names an unknown service',
       document(1, { routes: [route('one', { service: 'nowhere' })] }),
@@ -101,29 +101,29 @@
       /weight/,
     ],
     [
-      'has two routes in one place',
+      'has two routes with the same host and prefix',
       document(1, { routes: [route('one'), route('two', { prefix: '/one/' })] }),
       /routes\.1 \(two\): host and prefix "a.example \/one\/"/,
     ],
     [
-      'has two routes in one place, but for the case of the host',
+      'has two routes with the same prefix whose hosts differ only in case',
       document(1, { routes: [route('one'), route('two', { host: 'A.Example', prefix: '/one/' })] }),
       /second time/,
     ],
     [
-      'has a time-out of 0',
+      'has a timeout of 0',
       document(1, { routes: [route('one', { timeoutMs: 0 })] }),
       /routes\.0\.timeoutMs: a time-out above 0/,
     ],
-    ['has a time-out below 0', document(1, { routes: [route('one', { timeoutMs: -5 })] }), /timeoutMs/],
-    ['has no time-out', document(1, { routes: [route('one', { timeoutMs: undefined })] }), /timeoutMs/],
+    ['has a timeout below 0', document(1, { routes: [route('one', { timeoutMs: -5 })] }), /timeoutMs/],
+    ['has no timeout', document(1, { routes: [route('one', { timeoutMs: undefined })] }), /timeoutMs/],
     [
-      'has a route of no known kind',
+      'has a route of an unknown kind',
       document(1, { routes: [route('one', { kind: 'sometimes' })] }),
       /routes\.0\.kind/,
     ],
     [
-      'has a service named twice',
+      'has two services of one name',
       document(1, { services: [{ name: 'assist' }, { name: 'assist' }] }),
       /services/,
     ],
@@ -134,7 +134,7 @@
     });
   }
 
-  it('is taken when it is whole, with the same prefix on another host, and with a part of weight 0', () => {
+  it('is accepted with the same prefix on another host, and with a part of weight 0 in a split', () => {
     const split = [
       { service: 'assist', weight: 0 },
       { service: 'lookup', weight: 3 },
@@ -152,7 +152,7 @@
     ).toEqual('none');
   });
 
-  it('keeps fields that are not known, at every depth', () => {
+  it('keeps unknown fields at every depth', () => {
     const sent = document(1, {
       more: 1,
       routes: [route('one', { colour: 'red' })],
@@ -172,14 +172,14 @@
   });
 });
 
-describe('the agreed state of a deployment', () => {
+describe('the replicated state of a deployment', () => {
   it('holds the document as it was sent', () => {
     const sent = document(5, { more: { deep: [1, null] } });
     const { state, outcome } = put(EMPTY_DEPLOYMENT, 0, sent);
     expect([outcome.kind, state.revision, state.edition, state.document]).toEqual(['agreed', 5, 1, sent]);
   });
 
-  it('refuses what is cut short, invalid, old or on another base, and stays as it is', () => {
+  it('stays unchanged by a truncated, invalid, old or unknown operation, or one on another base', () => {
     const state = atRevision5();
     const results = [
       applyToDeployment(state, {
@@ -213,7 +213,7 @@
     expect(put(atRevision5(), 5, document(5, { more: 1 })).outcome.kind).toEqual('bad-spec');
   });
 
-  it('agrees to one of two changes on the same base, and to the same call again whenever it comes', () => {
+  it('accepts one of two changes on the same base, and acknowledges it again whenever it is repeated', () => {
     const state = atRevision5();
     const one = put(state, 5, document(7));
     const other = put(one.state, 5, document(8));
@@ -228,7 +228,7 @@
     ]).toEqual(['agreed', 'conflict', 'agreed', 'agreed', 9]);
   });
 
-  it('does not agree again to a call that lost its race', () => {
+  it('refuses a change that lost to another one on the same base, also when it is repeated', () => {
     const state = put(atRevision5(), 5, document(7)).state;
     expect([put(state, 5, document(8)).outcome.kind, put(state, 5, document(8)).outcome.kind]).toEqual([
       'conflict',
@@ -236,7 +236,7 @@
     ]);
   });
 
-  it('remembers what it took through its bytes', () => {
+  it('remembers accepted changes after it is encoded and decoded, and invalid bytes are refused', () => {
     const read = decodeDeployment(encodeDeployment(put(atRevision5(), 5, document(7)).state));
     expect(read.isOk ? [put(read.value, 5, document(7)).outcome.kind, read.value.edition] : []).toEqual([
       'agreed',
@@ -246,7 +246,7 @@
     expect(decodeDeployment(new TextEncoder().encode('{"edition":"x"}')).isErr).toEqual(true);
   });
 
-  it('is patched by name: items are put in place, added and dropped, and the rest stays', () => {
+  it('is patched by name: items are replaced, added and dropped, and the rest stays', () => {
     const state = put(
       EMPTY_DEPLOYMENT,
       0,
@@ -268,7 +268,7 @@
     ]).toEqual(['agreed', ['two', 'three', 'four'], 77, 1, 8, 8]);
   });
 
-  it('lets a patch move a route to another place, and two routes change places', () => {
+  it('accepts a patch in which two routes swap their prefixes', () => {
     const state = put(EMPTY_DEPLOYMENT, 0, document(5, { routes: [route('one'), route('two')] })).state;
     const result = patch(state, 5, {
       revision: 6,
@@ -277,7 +277,7 @@
     expect(result.outcome.kind).toEqual('agreed');
   });
 
-  it('refuses a patch that would leave it invalid, is old, on another base or before the first', () => {
+  it('refuses a patch that is invalid, old, on another base or before the first document', () => {
     const state = atRevision5();
     const kinds = [
       patch(state, 5, { revision: 8, drop: { services: ['assist'] } }),
@@ -299,7 +299,7 @@
     ]);
   });
 
-  it('agrees to a repeated patch once more, without doing it again', () => {
+  it('acknowledges a repeated patch without applying it again', () => {
     const change = { revision: 8, set: { routes: [route('two')] } };
     const state = patch(atRevision5(), 5, change).state;
     const dropped = patch(state, 8, { revision: 9, drop: { routes: ['two'] } }).state;
@@ -311,7 +311,7 @@
     ]);
   });
 
-  it('evacuates zones and takes them back, each as often as it is asked', () => {
+  it('evacuates and returns zones, and acknowledges a repeated evacuation or return without a change', () => {
     function zone(state: Deployment, kind: string, name: string): ReturnType<typeof applyToDeployment> {
       return applyToDeployment(state, { kind, payload: JSON.stringify({ zone: name }) });
     }
--- a/packages/configuration/src/control-safety.test.ts
+++ b/packages/configuration/src/control-safety.test.ts
@@ -43,7 +43,7 @@
   return applyToDeployment(state, { kind, payload: JSON.stringify({ zone: name, seen }) });
 }
 
-/** The state after revisions 1 to `revision`, each a change of the one before. */
+/** Returns the state after the revisions 1 to `revision`, each of which has the one before as its base. */
 function stateAtRevision(revision: number): Deployment {
   let { state } = put(EMPTY_DEPLOYMENT, 0, document(1));
   while (state.revision < revision) ({ state } = patch(state, state.revision, state.revision + 1));
@@ -56,8 +56,8 @@
   return read.isOk ? read.value : state;
 }
 
-describe('control safety, point 2: an order that is sent again', () => {
-  it('is acknowledged again after hundreds of other changes, also once read back from a disk', () => {
+describe('control safety, point 2: an operation that is sent again', () => {
+  it('is acknowledged again after hundreds of other changes, also from the decoded state', () => {
     const state = stateAtRevision(600);
     const results = [state, decodedAgain(state)].flatMap((restored) => [
       put(restored, 0, document(1)),
@@ -68,7 +68,7 @@
     expect(results.every((result) => result.state.revision === 600)).toEqual(true);
   });
 
-  it('is left unclear, not refused, once the memory of taken changes no longer reaches back to it', () => {
+  it('ends as operation-unknown, not as refused, once its record is forgotten', () => {
     const state = decodedAgain(stateAtRevision(5000));
     const results = [
       put(state, 0, document(1)),
@@ -85,7 +85,7 @@
     expect(results.every((result) => result.state === state)).toEqual(true);
   });
 
-  it('leaves changes that cannot have been taken refused, however long ago their revision was', () => {
+  it('is refused if it cannot have been accepted, however old its revision is', () => {
     const state = stateAtRevision(5000);
     const results = [
       put(state, 5000, document(2)),
@@ -103,13 +103,13 @@
     ]);
   });
 
-  it('is the same order only with the same base: a copy of the document in force on another base is refused', () => {
+  it('counts as the same only with the same base: the document in force on another base is refused', () => {
     const { state } = put(stateAtRevision(4), 4, document(7));
     const results = [put(state, 4, document(7)), put(state, 7, document(7)), put(state, 3, document(7))];
     expect(results.map(({ outcome }) => outcome.kind)).toEqual(['agreed', 'bad-spec', 'conflict']);
   });
 
-  it('is left unclear where it was taken by an earlier build, whose records cannot be compared', () => {
+  it('ends as operation-unknown if an earlier build accepted it, whose digests cannot be compared', () => {
     const state = stateAtRevision(9);
     const earlier = { ...state, taken: [{ revision: 5, digest: 'QUJDREVGR0hJSktM' }] };
     const read = decodeDeployment(new TextEncoder().encode(JSON.stringify(earlier)));
@@ -126,7 +126,7 @@
     expect(encodeDeployment(stateAtRevision(5000)).length - small < 57 * 1024).toEqual(true);
   });
 
-  it('is acknowledged whenever it comes again, and a refused one never is', () => {
+  it('is acknowledged every time if it was accepted, and never if it was refused', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const random = new SeededRandom(seed);
       let state = stateAtRevision(1);
@@ -156,7 +156,10 @@
   readonly payload: string;
 }
 
-/** A change on the revision in force or one just before it, with few contents, so that some are alike. */
+/**
+ * Draws a change on the revision in force or one just before it. Few contents are possible, so that some are
+ * equal.
+ */
 function randomOperation(random: SeededRandom, current: number): ConfigurationOperation {
   const base = Math.max(0, current - Math.floor(random.next() * 3));
   const revision = current + Math.floor(random.next() * 4) - 1;
@@ -181,8 +184,8 @@
   );
 }
 
-describe('control safety, point 2: two orders under one number', () => {
-  it('are not both acknowledged, by PUT and PATCH in either order', () => {
+describe('control safety, point 2: two changes under one revision', () => {
+  it('are not both acknowledged, whichever of PUT and PATCH comes first', () => {
     const state = stateAtRevision(5);
     const operations = [
       (from: Deployment) => put(from, 5, document(9, 50)),
@@ -199,7 +202,7 @@
 });
 
 describe('control safety, point 2: evacuations', () => {
-  it('that come late do not undo a later return, nor the other way round', () => {
+  it('that arrive late do not undo a later return, and late returns do not undo a later evacuation', () => {
     const evacuated = setZone(EMPTY_DEPLOYMENT, 'zone.evacuate', 'west', 0).state;
     const returned = setZone(evacuated, 'zone.return', 'west', evacuated.edition).state;
     const again = setZone(returned, 'zone.evacuate', 'west', returned.edition).state;
@@ -218,7 +221,7 @@
     ]);
   });
 
-  it('of a zone that is not known yet are taken, of more zones than there can be refused', () => {
+  it('are accepted for an unknown zone, and refused beyond the largest number of zones', () => {
     let state = EMPTY_DEPLOYMENT;
     const kinds = new Set<string>();
     for (let index = 0; index < 2000; index += 1) {
@@ -234,11 +237,11 @@
 
 describe('control safety, point 1: bad input', () => {
   const PARSED = [
-    ['a revision beyond whole numbers', { document: document(2 ** 53) }],
-    ['a revision that is not whole', { document: document(7.5) }],
+    ['a revision beyond the safe integers', { document: document(2 ** 53) }],
+    ['a revision that is not an integer', { document: document(7.5) }],
     ['a revision below 1', { document: document(-7) }],
     ['a base below 0', { base: -1, document: document(7) }],
-    ['a base that is not whole', { base: 0.5, document: document(7) }],
+    ['a base that is not an integer', { base: 0.5, document: document(7) }],
     ['no document', { base: 0 }],
     ['a list as the document', { base: 0, document: [] }],
   ] as const;
--- a/packages/configuration/src/tenant-directory.test.ts
+++ b/packages/configuration/src/tenant-directory.test.ts
@@ -7,7 +7,7 @@
 
 const SECRET = new Uint8Array(TENANT_SECRET_BYTES).fill(3);
 
-/** Tenants of which no two share a key, as every configuration in force has them. */
+/** Tenants of which no two share a key, as the check of a configuration guarantees. */
 const TENANTS: fc.Arbitrary<TenantEntry[]> = fc
   .uniqueArray(fc.string({ minLength: 1, maxLength: 40 }), { maxLength: 24 })
   .chain((keys) =>
@@ -21,8 +21,8 @@
     ),
   );
 
-describe('a key that is taken for another one', () => {
-  it('does not happen: each key has exactly the tenant that lists it, and any other text has none', () => {
+describe('the look-up of an API key', () => {
+  it('finds exactly the tenant that lists the key, and none for any other text', () => {
     fc.assert(
       fc.property(TENANTS, fc.string(), (tenants, other) => {
         const directory = new TenantDirectory(tenants, SECRET);
@@ -34,7 +34,7 @@
     );
   });
 
-  it('does not happen for a missing or an empty key, a prefix of a key, or one with more behind it', () => {
+  it('finds no tenant for a missing or empty key, or a prefix, extension or other case of a key', () => {
     const directory = new TenantDirectory(
       [{ name: 'one', apiKeys: ['key-1'], ratePerS: 0, burst: 0 }],
       SECRET,
@@ -44,8 +44,8 @@
   });
 });
 
-describe('a tenant as requests are admitted by it', () => {
-  it('has its limits and priority, 0 or none where the configuration names none', () => {
+describe('a tenant in the directory', () => {
+  it('has its limits and priority, or limits of 0 and no priority where none are configured', () => {
     const directory = new TenantDirectory(
       [
         { name: 'one', apiKeys: ['key-1'], ratePerS: 3, burst: 4, priority: 2 },
@@ -60,8 +60,8 @@
   });
 });
 
-describe('a key in plain', () => {
-  it('stands in nothing that can be printed of a directory', () => {
+describe('an API key in plain text', () => {
+  it('does not appear when a directory is printed or serialized', () => {
     const directory = new TenantDirectory(
       [{ name: 'one', apiKeys: ['very-secret'], ratePerS: 0, burst: 0 }],
       SECRET,
@@ -74,7 +74,7 @@
     expect(printed.filter((text) => text.includes('very-secret'))).toEqual([]);
   });
 
-  it('is taken out of a document, in which all else stays as it was', () => {
+  it('is removed from a document, while everything else in it stays', () => {
     const document = {
       revision: 1,
       more: 'kept',
@@ -89,7 +89,7 @@
     expect(withoutApiKeys({ revision: 1, tenants: null })).toEqual({ revision: 1, tenants: null });
   });
 
-  it('is not needed for a document to stay valid, with tenants or an empty list of them', () => {
+  it('is not needed for a document to be valid, with tenants or with an empty list of them', () => {
     const document = { revision: 1, routes: [], services: [] };
     const lists = [[], [{ name: 'one', apiKeys: ['key-1'], ratePerS: 3 }]];
     const valid = lists.map((tenants) => checkConfiguration(withoutApiKeys({ ...document, tenants })).isOk);
--- a/packages/configuration/src/tenants.test.ts
+++ b/packages/configuration/src/tenants.test.ts
@@ -7,7 +7,7 @@
 type Document = Record<string, unknown>;
 type ApplyResult = ReturnType<typeof applyToDeployment>;
 
-/** Stands in every key of these tests, so that no answer may hold it. */
+/** Part of every API key in these tests, so that any outcome that contains it shows a key. */
 const SECRET = 'sk-secret';
 const KEY_1 = `${SECRET}-1`;
 const KEY_2 = `${SECRET}-2`;
@@ -35,7 +35,7 @@
   return applyToDeployment(state, { kind: 'configuration.patch', payload });
 }
 
-/** Revision 5 with tenants `north` and `south`, a key each. */
+/** Returns a state at revision 5 with the tenants `north` and `south`, which have one key each. */
 function withTwoTenants(): Deployment {
   return put(EMPTY_DEPLOYMENT, 0, document(5, [tenant('north', [KEY_1]), tenant('south', [KEY_2])])).state;
 }
@@ -49,8 +49,8 @@
   return (state.document?.['tenants'] as Document[]).map(({ name, apiKeys }) => [name, apiKeys]);
 }
 
-describe('a configuration with tenants: two tenants with one key accepted', () => {
-  it('is refused by PUT, naming both tenants and no key', () => {
+describe('a configuration with tenants: a key shared by two tenants', () => {
+  it('is refused by PUT with a message that names both tenants and shows no key', () => {
     const { state, outcome } = put(
       withTwoTenants(),
       5,
@@ -60,12 +60,12 @@
     expect(outcome.detail).toEqual('tenants.1 (south): shares a key with "north"');
   });
 
-  it('is refused before it is proposed', () => {
+  it('is refused by the check before the operation is proposed', () => {
     const sent = document(6, [tenant('north', [KEY_1]), tenant('south', [KEY_1])]);
     expect(checkOperation('configuration.put', { base: 5, document: sent }).isErr).toEqual(true);
   });
 
-  it('is refused by a PATCH that adds the key of another tenant', () => {
+  it('is refused in a PATCH that adds a tenant with the key of another one', () => {
     const { state, outcome } = patch(withTwoTenants(), {
       set: { tenants: [tenant('west', [KEY_3, KEY_1])] },
     });
@@ -76,22 +76,22 @@
     expect(state.revision).toEqual(5);
   });
 
-  it('is refused by a PATCH that changes a tenant to hold the key of another', () => {
+  it('is refused in a PATCH that changes a tenant to have the key of another one', () => {
     const { outcome } = patch(withTwoTenants(), { set: { tenants: [tenant('south', [KEY_2, KEY_1])] } });
     expect(outcome.kind).toEqual('bad-spec');
   });
 
-  it('is refused by a PATCH that upserts two tenants with one new key', () => {
+  it('is refused in a PATCH that adds two tenants with the same new key', () => {
     const set = { tenants: [tenant('west', [KEY_3]), tenant('east', [KEY_3])] };
     expect(patch(withTwoTenants(), { set }).outcome.kind).toEqual('bad-spec');
   });
 
-  it('is refused where three tenants or more share', () => {
+  it('is refused with a fault for each further tenant where three tenants share it', () => {
     const fault = faultOf([tenant('a', [KEY_1]), tenant('b', [KEY_1]), tenant('c', [KEY_1])]);
     expect(fault.split('\n').length).toEqual(2);
   });
 
-  it('is not found in a PATCH that moves a key from one tenant to another', () => {
+  it('is not reported for a PATCH that moves a key from one tenant to another', () => {
     const moved = patch(withTwoTenants(), {
       set: { tenants: [tenant('north', []), tenant('south', [KEY_2, KEY_1])] },
     });
@@ -104,12 +104,12 @@
     ]);
   });
 
-  it('is not found in a PATCH that lets two tenants swap their keys', () => {
+  it('is not reported for a PATCH in which two tenants swap their keys', () => {
     const set = { tenants: [tenant('south', [KEY_1]), tenant('north', [KEY_2])] };
     expect(patch(withTwoTenants(), { set }).outcome.kind).toEqual('agreed');
   });
 
-  it('is not found in a PATCH that removes the holder and adds the key elsewhere', () => {
+  it('is not reported for a PATCH that removes the owner of a key and adds the key to another tenant', () => {
     const change = { set: { tenants: [tenant('west', [KEY_1])] }, drop: { tenants: ['north'] } };
     const { state, outcome } = patch(withTwoTenants(), change);
     expect([outcome.kind, keysOf(state)]).toEqual([
@@ -121,28 +121,28 @@
     ]);
   });
 
-  it('is not found where one tenant names a key twice: it has one holder, and is read back as sent', () => {
+  it('is not reported where one tenant lists a key twice, and the list is kept as it was sent', () => {
     const { state, outcome } = put(EMPTY_DEPLOYMENT, 0, document(5, [tenant('north', [KEY_1, KEY_1])]));
     expect([outcome.kind, keysOf(state)]).toEqual(['agreed', [['north', [KEY_1, KEY_1]]]]);
   });
 
-  it('is refused where keys differ in nothing, and not where they differ in case or spaces', () => {
+  it('is not reported for keys that differ in case or spaces', () => {
     const tenants = [tenant('north', ['Key']), tenant('south', ['key']), tenant('west', [' key'])];
     expect(faultOf(tenants)).toEqual('none');
   });
 });
 
-describe('a configuration with tenants: an invalid configuration is taken', () => {
+describe('a configuration with tenants: an invalid configuration', () => {
   const invalid: [description: string, tenants: unknown, pattern: RegExp][] = [
     ['an empty key', [tenant('a', [''])], /tenants\.0\.apiKeys\.0/],
     ['a key that is a number', [tenant('a', [7_654_321])], /tenants\.0\.apiKeys\.0/],
     ['a key that is null', [tenant('a', [null])], /tenants\.0\.apiKeys\.0/],
     ['a key that is an object', [tenant('a', [{ [SECRET]: SECRET }])], /tenants\.0\.apiKeys\.0/],
     ['a key in place of the list', [tenant('a', SECRET)], /tenants\.0\.apiKeys/],
-    ['keys by name', [tenant('a', { [SECRET]: SECRET })], /tenants\.0\.apiKeys/],
+    ['an object in place of the list of keys', [tenant('a', { [SECRET]: SECRET })], /tenants\.0\.apiKeys/],
     ['a key in place of a tenant', [SECRET], /tenants\.0/],
     ['a key in place of all tenants', SECRET, /tenants/],
-    ['tenants by name', { a: tenant('a', [SECRET]) }, /tenants/],
+    ['an object in place of the list of tenants', { a: tenant('a', [SECRET]) }, /tenants/],
     ['a tenant without a name', [{ apiKeys: [KEY_1] }], /tenants\.0\.name/],
     ['a tenant with an empty name', [tenant('', [KEY_1])], /tenants\.0\.name/],
     ['a tenant named by a number', [tenant('a', [KEY_1], { name: 5 })], /tenants\.0\.name/],
@@ -150,10 +150,10 @@
     ['two tenants of one name and one key', [tenant('a', [KEY_1]), tenant('a', [KEY_1])], /tenants\.1 \(a\)/],
     ['a rate below 0', [tenant('a', [KEY_1], { ratePerS: -1 })], /tenants\.0\.ratePerS/],
     ['a rate that is no number', [tenant('a', [KEY_1], { ratePerS: SECRET })], /tenants\.0\.ratePerS/],
-    ['an endless rate', [tenant('a', [KEY_1], { ratePerS: Infinity })], /tenants\.0\.ratePerS/],
+    ['an infinite rate', [tenant('a', [KEY_1], { ratePerS: Infinity })], /tenants\.0\.ratePerS/],
     ['a rate of NaN', [tenant('a', [KEY_1], { ratePerS: NaN })], /tenants\.0\.ratePerS/],
     ['a burst below 0', [tenant('a', [KEY_1], { burst: -0.5 })], /tenants\.0\.burst/],
-    ['an endless burst', [tenant('a', [KEY_1], { burst: Infinity })], /tenants\.0\.burst/],
+    ['an infinite burst', [tenant('a', [KEY_1], { burst: Infinity })], /tenants\.0\.burst/],
     ['a burst that is a list', [tenant('a', [KEY_1], { burst: [SECRET] })], /tenants\.0\.burst/],
     ['a priority below 0', [tenant('a', [KEY_1], { priority: -1 })], /tenants\.0\.priority/],
   ];
@@ -169,7 +169,7 @@
     });
   }
 
-  it('is refused by PATCH for the same reasons, and what is in force stays', () => {
+  it('is refused by PATCH for the same reasons, and the state stays unchanged', () => {
     const state = withTwoTenants();
     const results = [
       { set: { tenants: [tenant('north', [''])] } },
@@ -187,7 +187,7 @@
     expect(results.filter(({ outcome }) => outcome.detail.includes(SECRET))).toEqual([]);
   });
 
-  it('shows no key where an operation or a stored state cannot be read', () => {
+  it('is refused without showing a key where an operation or a stored state cannot be decoded', () => {
     for (const cut of [`{"base":5,"x":["${SECRET}",]}`, `{"base":"${SECRET}" 1}`, SECRET]) {
       const { outcome } = applyToDeployment(withTwoTenants(), { kind: 'configuration.put', payload: cut });
       expect([outcome.kind, outcome.detail.includes('secret')]).toEqual(['bad-request', false]);
@@ -205,15 +205,15 @@
     return checked.isOk ? checked.value.tenants : checked.error.detail;
   }
 
-  it('may be absent or null: no request needs a key', () => {
+  it('may be absent or null, so that no request needs a key', () => {
     expect([tenantsIn(undefined), tenantsIn(null)]).toEqual([undefined, null]);
   });
 
-  it('may be an empty list, which is kept: no key is known', () => {
+  it('may be an empty list, which is kept, so that no key is valid', () => {
     expect(tenantsIn([])).toEqual([]);
   });
 
-  it('have no limit with a rate of 0, of null or without one, and no burst without one', () => {
+  it('have no limit if their rate is 0, null or missing, and no burst if it is null or missing', () => {
     const found = tenantsIn([
       { name: 'none' },
       { name: 'null', apiKeys: null, ratePerS: null, burst: null, priority: null },
@@ -228,12 +228,12 @@
     ]);
   });
 
-  it('stay a list once the last is removed, so that no key is known', () => {
+  it('stay an empty list once the last one is removed, so that no key is valid', () => {
     const { state, outcome } = patch(withTwoTenants(), { drop: { tenants: ['north', 'south'] } });
     expect([outcome.kind, state.document?.['tenants']]).toEqual(['agreed', []]);
   });
 
-  it('are not opened to everyone by a PATCH with null in their place, nor changed', () => {
+  it('stay unchanged by a PATCH with null in their place, which would otherwise admit every request', () => {
     const state = withTwoTenants();
     const results = [
       patch(state, { set: { tenants: null } }),
