--- a/packages/gateway/src/backlog.ts
+++ b/packages/gateway/src/backlog.ts
@@ -1,7 +1,7 @@
 /** Requests of the research groups that wait for a worker, shared fairly between the groups. */
 
 /** One waiting request, by its key in the slab. */
-export interface Waiting {
+export interface WaitingRequest {
   readonly key: number;
   readonly group: number;
   /** When its first chunk should come. */
@@ -14,12 +14,12 @@
  * @example
  * const backlog = new Backlog();
  * backlog.put({ key: 1, group: 0, dueMs: 900 });
- * backlog.order((group) => 1); // keys in the order in which to try them
+ * backlog.queuesInOrder(); // keys in the order in which to try them
  */
 export class Backlog {
-  #lanes: Waiting[][] = [];
-  #used: number[] = [];
-  #floor = 0;
+  #queues: WaitingRequest[][] = [];
+  #virtualTimes: number[] = [];
+  #minVirtualTime = 0;
   #count = 0;
 
   get count(): number {
@@ -27,41 +27,45 @@
   }
 
   countOf(group: number): number {
-    return this.#lanes[group]?.length ?? 0;
+    return this.#queues[group]?.length ?? 0;
   }
 
-  put(waiting: Waiting): void {
-    const lane = (this.#lanes[waiting.group] ??= []);
-    if (lane.length === 0) this.#used[waiting.group] = Math.max(this.#used[waiting.group] ?? 0, this.#floor);
-    let place = lane.length;
-    while (place > 0 && (lane[place - 1]?.dueMs ?? 0) > waiting.dueMs) place -= 1;
-    lane.splice(place, 0, waiting);
+  put(waiting: WaitingRequest): void {
+    const queue = (this.#queues[waiting.group] ??= []);
+    if (queue.length === 0)
+      this.#virtualTimes[waiting.group] = Math.max(
+        this.#virtualTimes[waiting.group] ?? 0,
+        this.#minVirtualTime,
+      );
+    let position = queue.length;
+    while (position > 0 && (queue[position - 1]?.dueMs ?? 0) > waiting.dueMs) position -= 1;
+    queue.splice(position, 0, waiting);
     this.#count += 1;
   }
 
   remove(key: number, group: number): boolean {
-    const lane = this.#lanes[group] ?? [];
-    const place = lane.findIndex((waiting) => waiting.key === key);
-    if (place < 0) return false;
-    lane.splice(place, 1);
+    const queue = this.#queues[group] ?? [];
+    const position = queue.findIndex((waiting) => waiting.key === key);
+    if (position < 0) return false;
+    queue.splice(position, 1);
     this.#count -= 1;
     return true;
   }
 
   /** Counts one send against a group's share. */
   charge(group: number, weight: number): void {
-    const used = Math.max(this.#used[group] ?? 0, this.#floor);
-    this.#used[group] = used + 1 / Math.max(weight, 0.001);
-    const waiting = this.#used.filter((_, other) => (this.#lanes[other]?.length ?? 0) > 0);
-    this.#floor = waiting.length > 0 ? Math.min(...waiting) : used;
+    const virtualTime = Math.max(this.#virtualTimes[group] ?? 0, this.#minVirtualTime);
+    this.#virtualTimes[group] = virtualTime + 1 / Math.max(weight, 0.001);
+    const waitingTimes = this.#virtualTimes.filter((_, other) => (this.#queues[other]?.length ?? 0) > 0);
+    this.#minVirtualTime = waitingTimes.length > 0 ? Math.min(...waitingTimes) : virtualTime;
   }
 
   /** Every lane that has someone waiting, least served first. */
-  order(): readonly (readonly Waiting[])[] {
-    return this.#lanes
-      .map((lane, group) => ({ lane, used: this.#used[group] ?? 0 }))
-      .filter(({ lane }) => lane.length > 0)
-      .sort((one, other) => one.used - other.used)
-      .map(({ lane }) => lane);
+  queuesInOrder(): readonly (readonly WaitingRequest[])[] {
+    return this.#queues
+      .map((queue, group) => ({ queue, virtualTime: this.#virtualTimes[group] ?? 0 }))
+      .filter(({ queue }) => queue.length > 0)
+      .sort((one, other) => one.virtualTime - other.virtualTime)
+      .map(({ queue }) => queue);
   }
 }
--- a/packages/gateway/src/catalogue.ts
+++ b/packages/gateway/src/catalogue.ts
@@ -24,12 +24,12 @@
 
   /** The route of a path: its own, or for lookups that of the nearest path above it. */
   route(path: string): Route | undefined {
-    const bare = path.split('?')[0] ?? path;
-    const own = this.#routes.get(bare);
-    if (own !== undefined) return own;
-    for (let end = bare.lastIndexOf('/'); end > 0; end = bare.lastIndexOf('/', end - 1)) {
-      const above = this.#routes.get(bare.slice(0, end));
-      if (above?.serve === 'lookup') return above;
+    const pathname = path.split('?')[0] ?? path;
+    const exact = this.#routes.get(pathname);
+    if (exact !== undefined) return exact;
+    for (let end = pathname.lastIndexOf('/'); end > 0; end = pathname.lastIndexOf('/', end - 1)) {
+      const parent = this.#routes.get(pathname.slice(0, end));
+      if (parent?.serve === 'lookup') return parent;
     }
     return undefined;
   }
@@ -39,7 +39,7 @@
   }
 
   /** Whether a group may use a model, and the model has the adapter, if one is named. */
-  serves(group: SpecGroup, model: string): boolean {
+  mayUseModel(group: SpecGroup, model: string): boolean {
     return this.#models.has(model) && (group.models.includes('*') || group.models.includes(model));
   }
 
--- a/packages/gateway/src/components.test.ts
+++ b/packages/gateway/src/components.test.ts
@@ -4,8 +4,8 @@
 import { Catalogue } from './catalogue.js';
 import { DrainRate } from './drain-rate.js';
 import { RetryBudget } from './retry-budget.js';
-import { StreamWatch } from './stream.js';
-import { specOf } from './testing/gateway-harness.js';
+import { EventStreamValidator } from './event-stream.js';
+import { testSpec } from './testing/gateway-harness.js';
 
 describe('components of the gateway', () => {
   it('a backlog serves groups by weight, and who is due first within a group', () => {
@@ -13,7 +13,7 @@
     for (let key = 0; key < 40; key += 1) backlog.put({ key, group: key % 2, dueMs: 100 - key });
     const served = [0, 0];
     for (let turn = 0; turn < 16; turn += 1) {
-      const next = backlog.order()[0]?.[0];
+      const next = backlog.queuesInOrder()[0]?.[0];
       if (next === undefined) break;
       backlog.remove(next.key, next.group);
       backlog.charge(next.group, next.group === 0 ? 3 : 1);
@@ -55,7 +55,7 @@
 
   it('a catalogue finds a path, or for lookups the nearest above it', () => {
     const spec = {
-      ...specOf(),
+      ...testSpec(),
       routes: [
         { path: '/look', serve: 'lookup' as const, pool: 'a' },
         { path: '/look/far', serve: 'lookup' as const, pool: 'b' },
@@ -78,14 +78,14 @@
   it('tells who is refused to come back as the backlog drains, and not all at once', () => {
     const rate = new DrainRate();
     const idle = rate.retryAfterS(0, 0, 0);
-    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.sent(nowMs);
+    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.recordSend(nowMs);
     const told = [0, 0.5, 0.99].map((chance) => rate.retryAfterS(40, chance, 60_000));
     expect([idle, told, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
   it('a stream watch knows a whole stream', () => {
-    const watch = new StreamWatch();
-    watch.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
-    expect(watch.finished).toEqual(true);
+    const validator = new EventStreamValidator();
+    validator.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
+    expect(validator.isComplete).toEqual(true);
   });
 });
--- a/packages/gateway/src/drain-rate.ts
+++ b/packages/gateway/src/drain-rate.ts
@@ -15,25 +15,25 @@
  * rate.retryAfterS(40, 0.5, nowMs); // seconds
  */
 export class DrainRate {
-  #perS = 0;
-  #atMs = 0;
+  #sendsPerS = 0;
+  #updatedMs = 0;
 
   /** One of the group's requests has left for a worker. */
-  sent(nowMs: number): void {
+  recordSend(nowMs: number): void {
     this.#decay(nowMs);
-    this.#perS += (Math.LN2 / HALF_LIFE_MS) * 1000;
+    this.#sendsPerS += (Math.LN2 / HALF_LIFE_MS) * 1000;
   }
 
-  /** `chance` in [0, 1) spreads those who are told at the same moment. */
-  retryAfterS(waiting: number, chance: number, nowMs: number): number {
+  /** `jitter` in [0, 1) spreads those who are told at the same moment. */
+  retryAfterS(waiting: number, jitter: number, nowMs: number): number {
     this.#decay(nowMs);
-    const drainS = waiting === 0 ? MIN_RETRY_AFTER_S : waiting / Math.max(this.#perS, 0.01);
-    const spreadS = Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, drainS)) * (1 + chance);
+    const drainS = waiting === 0 ? MIN_RETRY_AFTER_S : waiting / Math.max(this.#sendsPerS, 0.01);
+    const spreadS = Math.min(MAX_RETRY_AFTER_S, Math.max(MIN_RETRY_AFTER_S, drainS)) * (1 + jitter);
     return Math.ceil(spreadS);
   }
 
   #decay(nowMs: number): void {
-    this.#perS *= 0.5 ** ((nowMs - this.#atMs) / HALF_LIFE_MS);
-    this.#atMs = nowMs;
+    this.#sendsPerS *= 0.5 ** ((nowMs - this.#updatedMs) / HALF_LIFE_MS);
+    this.#updatedMs = nowMs;
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -8,10 +8,10 @@
 import { UnconfirmedSends } from './unconfirmed-sends.js';
 import type { GatewayRequestInit, EndRecord, GatewayDependencies, GatewayWorker } from './dependencies.js';
 import { GroupShares } from './group-shares.js';
-import { demandKey, Measures, type Measured } from './measures.js';
+import { demandKey, Measures, type Measurements } from './measures.js';
 import { DrainRate } from './drain-rate.js';
 import { Retries } from './retries.js';
-import { Send, type SendEnd } from './send.js';
+import { Send, type SendResult } from './send.js';
 import type { GatewayRequest, GatewayResponseSink } from './gateway-request.js';
 
 interface GatewayEvents {
@@ -19,14 +19,14 @@
 }
 
 /** A check on admission; returns why a request is rejected. */
-type Filter = (request: GatewayRequest) => Fault | undefined;
+type AdmissionCheck = (request: GatewayRequest) => Fault | undefined;
 
 /** Deadline of a request that names none, from its arrival. */
-const DEADLINE_MS = 120_000;
+const DEFAULT_DEADLINE_MS = 120_000;
 /** A send fails after this time without a byte from the worker. */
 const STALL_MS = 15_000;
 /** The same for lookups, which can be sent again. */
-const LOOKUP_SEND_MS = 1500;
+const LOOKUP_STALL_MS = 1500;
 
 /**
  * The data plane of one edge. A request passes the filters, then waits in the
@@ -47,14 +47,14 @@
   #backlog = new Backlog();
   #selector: WorkerSelector;
   #retries: Retries;
-  #filters: readonly Filter[];
+  #checks: readonly AdmissionCheck[];
   #shares: GroupShares;
   #drainRates: DrainRate[] = [];
   #measures = new Measures();
-  #unconfirmed: UnconfirmedSends;
+  #unconfirmedSends: UnconfirmedSends;
   #sends = new Set<Send>();
   #draining = false;
-  #catalogued: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
+  #cachedCatalogue: { readonly spec: Spec; readonly catalogue: Catalogue } | undefined;
   #counts = new Map<string, number>();
 
   constructor(dependencies: GatewayDependencies) {
@@ -63,8 +63,8 @@
     this.#retries = new Retries(dependencies, (name) => this.#count(name));
     this.#shares = new GroupShares(dependencies, this.#groups, this.#backlog);
     this.#selector = new WorkerSelector(dependencies.name, dependencies.zone);
-    this.#unconfirmed = new UnconfirmedSends(dependencies.sender);
-    this.#filters = [(request) => this.#checkAdmitting(request), (request) => this.#checkKnown(request)];
+    this.#unconfirmedSends = new UnconfirmedSends(dependencies.sender);
+    this.#checks = [(request) => this.#checkAdmitting(request), (request) => this.#checkNames(request)];
   }
 
   get inFlight(): number {
@@ -82,8 +82,8 @@
   /** No more is let in; what is in flight goes on. */
   drain(): void {
     this.#draining = true;
-    for (const lane of this.#backlog.order())
-      for (const { key } of [...lane]) this.#giveUp(key, fault('draining', 'this node is stopping'));
+    for (const queue of this.#backlog.queuesInOrder())
+      for (const { key } of [...queue]) this.#rejectKey(key, fault('draining', 'this node is stopping'));
   }
 
   /** Admits or rejects a request; the returned function is to be called when the client leaves. */
@@ -91,17 +91,17 @@
     const nowMs = this.#dependencies.clock.nowMs();
     const request = this.#newRequest(init, sink, nowMs);
     this.#count('entered');
-    for (const filter of this.#filters) {
-      const refused = filter(request);
-      if (refused === undefined) continue;
-      this.#reject(request, refused);
+    for (const check of this.#checks) {
+      const rejection = check(request);
+      if (rejection === undefined) continue;
+      this.#reject(request, rejection);
       return () => undefined;
     }
-    this.#noteArrival(request, nowMs);
-    const key = this.#wait(request);
+    this.#recordArrival(request, nowMs);
+    const key = this.#enqueue(request);
     this.tick();
-    const overBacklog = this.#slab.get(key) === undefined ? undefined : this.#overBacklog(request);
-    if (overBacklog !== undefined) this.#giveUp(key, overBacklog);
+    const backlogFault = this.#slab.get(key) === undefined ? undefined : this.#checkBacklog(request);
+    if (backlogFault !== undefined) this.#rejectKey(key, backlogFault);
     return () => this.#onClientLeft(request);
   }
 
@@ -110,7 +110,7 @@
     const catalogue = this.#catalogue();
     const route = catalogue?.route(init.path);
     const group = catalogue?.group(init.group);
-    const kind = kindOf(group, init.kind);
+    const kind = findKind(group, init.kind);
     return {
       id: init.id,
       sink,
@@ -128,7 +128,7 @@
       arrivedMs: nowMs,
       targetMs: kind?.targetMs ?? 0,
       maxWaitMs: kind?.patienceMs ?? 0,
-      deadlineMs: nowMs + (init.deadlineMs ?? DEADLINE_MS),
+      deadlineMs: nowMs + (init.deadlineMs ?? DEFAULT_DEADLINE_MS),
       clientLeft: false,
       attempts: 0,
       started: false,
@@ -143,15 +143,15 @@
   /** Rejects what has waited too long, and sends what can be sent now. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    for (const lane of this.#backlog.order()) {
-      for (const { key } of [...lane]) {
+    for (const queue of this.#backlog.queuesInOrder()) {
+      for (const { key } of [...queue]) {
         const request = this.#slab.get(key);
         if (request === undefined) continue;
         const waitedMs = nowMs - request.arrivedMs;
         if (nowMs > request.deadlineMs)
-          this.#giveUp(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
+          this.#rejectKey(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
         else if (waitedMs > request.maxWaitMs)
-          this.#giveUp(key, fault('no-worker', request.decisions.at(-1) ?? 'no worker came free in time'));
+          this.#rejectKey(key, fault('no-worker', request.decisions.at(-1) ?? 'no worker came free in time'));
       }
     }
     for (const send of [...this.#sends]) if (nowMs > send.deadlineMs) send.expire();
@@ -161,10 +161,10 @@
   }
 
   /** Takes the counters since the last call, for an observation. */
-  takeMeasures(): Measured {
+  takeMeasures(): Measurements {
     const backlogs = new Map<string, number>();
-    for (const lane of this.#backlog.order()) {
-      for (const { key } of lane) {
+    for (const queue of this.#backlog.queuesInOrder()) {
+      for (const { key } of queue) {
         const request = this.#slab.get(key);
         if (request === undefined || request.idempotent) continue;
         const name = this.#demandKey(request);
@@ -198,12 +198,12 @@
   /** The spec in force, made ready once for each version. */
   #catalogue(): Catalogue | undefined {
     const spec = this.#dependencies.spec();
-    if (spec !== this.#catalogued?.spec)
-      this.#catalogued = spec === undefined ? undefined : { spec, catalogue: new Catalogue(spec) };
-    return this.#catalogued?.catalogue;
+    if (spec !== this.#cachedCatalogue?.spec)
+      this.#cachedCatalogue = spec === undefined ? undefined : { spec, catalogue: new Catalogue(spec) };
+    return this.#cachedCatalogue?.catalogue;
   }
 
-  #checkKnown(request: GatewayRequest): Fault | undefined {
+  #checkNames(request: GatewayRequest): Fault | undefined {
     const catalogue = this.#catalogue();
     if (request.pool === '') return fault('not-found', `no route for ${request.path}`);
     const name = this.#groups.name(request.group);
@@ -214,7 +214,7 @@
       return fault('bad-request', `group ${name} has no such kind of work`);
     if (request.idempotent) return undefined;
     const model = this.#models.name(request.model);
-    if (!catalogue.serves(group, model)) {
+    if (!catalogue.mayUseModel(group, model)) {
       return fault('unknown-model', `group ${name} has no model "${model}"`);
     }
     const adapter = this.#adapters.name(request.adapter);
@@ -224,8 +224,8 @@
   }
 
   /** A group may not have more waiting than its share; what can be sent at once does not wait. */
-  #overBacklog(request: GatewayRequest): Fault | undefined {
-    const maxWaiting = this.#shares.mostWaiting(request.group);
+  #checkBacklog(request: GatewayRequest): Fault | undefined {
+    const maxWaiting = this.#shares.maxWaiting(request.group);
     if (this.#backlog.countOf(request.group) <= maxWaiting) return undefined;
     return fault(
       'over-share',
@@ -235,7 +235,7 @@
 
   // Waiting and sending.
 
-  #wait(request: GatewayRequest): number {
+  #enqueue(request: GatewayRequest): number {
     const key = this.#slab.put(request);
     request.cancel = () => {
       if (this.#slab.take(key) !== undefined) this.#backlog.remove(key, request.group);
@@ -244,29 +244,29 @@
     return key;
   }
 
-  #giveUp(key: number, why: Fault): void {
+  #rejectKey(key: number, rejection: Fault): void {
     const request = this.#slab.take(key);
     if (request === undefined) return;
     this.#backlog.remove(key, request.group);
-    this.#reject(request, why);
+    this.#reject(request, rejection);
   }
 
   #sendNext(nowMs: number): boolean {
     const workers = this.#dependencies.workers();
     const edges = this.#dependencies.edges();
-    const nowhere = new Set<string>();
-    for (const lane of this.#backlog.order()) {
-      for (const { key, group } of lane) {
+    const unservable = new Set<string>();
+    for (const queue of this.#backlog.queuesInOrder()) {
+      for (const { key, group } of queue) {
         const request = this.#slab.get(key);
         if (request === undefined) continue;
-        if (!request.idempotent && this.#shares.isHeldBack(group)) continue;
-        const wanted = this.#need(request);
-        const need = `${request.pool}/${this.#demandKey(request)}/${wanted.overShare}`;
-        if (nowhere.has(need)) continue;
-        const assignment = this.#selector.select(wanted, workers, edges, nowMs);
-        if (request.decisions.at(-1) !== assignment.why) request.decisions.push(assignment.why);
+        if (!request.idempotent && this.#shares.isThrottled(group)) continue;
+        const requirement = this.#requirementOf(request);
+        const requirementKey = `${request.pool}/${this.#demandKey(request)}/${requirement.overShare}`;
+        if (unservable.has(requirementKey)) continue;
+        const assignment = this.#selector.select(requirement, workers, edges, nowMs);
+        if (request.decisions.at(-1) !== assignment.reason) request.decisions.push(assignment.reason);
         if (assignment.worker === undefined) {
-          nowhere.add(need);
+          unservable.add(requirementKey);
           continue;
         }
         this.#slab.take(key);
@@ -278,7 +278,7 @@
     return false;
   }
 
-  #need(request: GatewayRequest): WorkerRequirement {
+  #requirementOf(request: GatewayRequest): WorkerRequirement {
     return {
       pool: request.pool,
       model: request.idempotent ? '' : this.#models.name(request.model),
@@ -286,7 +286,7 @@
       prefix: request.prefix,
       overShare:
         !request.idempotent &&
-        this.#shares.hasItsPart(request.group) &&
+        this.#shares.hasReachedShare(request.group) &&
         this.#shares.shareOf(request.group) < 1,
     };
   }
@@ -298,19 +298,19 @@
     request.worker = worker.name;
     this.#selector.sendStarted(worker.name, request.prefix);
     this.#backlog.charge(request.group, this.#dependencies.weight(this.#groups.name(request.group)));
-    this.#shares.begun(request.group);
-    this.#drainRate(request.group).sent(nowMs);
+    this.#shares.sendStarted(request.group);
+    this.#drainRate(request.group).recordSend(nowMs);
     this.#count('sends');
     const send = new Send(request, worker, {
       nowMs: () => clock.nowMs(),
-      mayStart: () => this.#mayStart(request, worker) && this.#retries.pay(request),
-      onEnd: (end) => {
+      mayStart: () => this.#mayStart(request, worker) && this.#retries.mayStart(request),
+      onEnd: (result) => {
         this.#sends.delete(send);
-        this.#onSendEnd(request, worker, end);
+        this.#onSendEnd(request, worker, result);
       },
     });
     this.#sends.add(send);
-    const stallMs = request.idempotent ? LOOKUP_SEND_MS : STALL_MS;
+    const stallMs = request.idempotent ? LOOKUP_STALL_MS : STALL_MS;
     const sending = sender.send(
       {
         address: worker.address,
@@ -334,39 +334,40 @@
       this.#dependencies.clock.nowMs() > request.deadlineMs
     )
       return false;
-    return mayServe(this.#dependencies.workers(), worker);
+    return mayReceiveWork(this.#dependencies.workers(), worker);
   }
 
   /** The workers are looked up once a heartbeat, and only if there is a silent send to judge. */
   #probeUnconfirmed(nowMs: number): void {
-    const granted = this.#dependencies.hasLease();
+    const hasLease = this.#dependencies.hasLease();
     let workers: readonly GatewayWorker[] | undefined;
-    this.#unconfirmed.tick(
+    this.#unconfirmedSends.tick(
       [...this.#sends],
       (send) => {
-        if (!granted) return true;
+        if (!hasLease) return true;
         workers ??= this.#dependencies.workers();
-        return !mayServe(workers, send.worker);
+        return !mayReceiveWork(workers, send.worker);
       },
       nowMs,
     );
   }
 
-  #onSendEnd(request: GatewayRequest, worker: GatewayWorker, end: SendEnd): void {
+  #onSendEnd(request: GatewayRequest, worker: GatewayWorker, result: SendResult): void {
     const nowMs = this.#dependencies.clock.nowMs();
-    this.#shares.ended(request.group);
-    this.#selector.sendEnded(worker.name, end.succeeded, nowMs);
-    if (end.done === undefined && end.tried && !request.clientLeft)
+    this.#shares.sendEnded(request.group);
+    this.#selector.sendEnded(worker.name, result.succeeded, nowMs);
+    if (result.outcome === undefined && result.tried && !request.clientLeft)
       this.#selector.recordRestartRisk(worker.name, nowMs);
-    if (!end.succeeded) this.#measures.failed(worker.name);
+    if (!result.succeeded) this.#measures.recordFailedSend(worker.name);
     request.cancel = undefined;
-    if (request.clientLeft) return this.#ended(request, 'visitor-left');
-    const mayRetry = end.done === undefined && !this.#draining && this.#retries.mayRetry(request, end, nowMs);
-    if (mayRetry) this.#wait(request);
-    else if (end.done === undefined) this.#reject(request, end.fault);
+    if (request.clientLeft) return this.#finish(request, 'visitor-left');
+    const mayRetry =
+      result.outcome === undefined && !this.#draining && this.#retries.mayRetry(request, result, nowMs);
+    if (mayRetry) this.#enqueue(request);
+    else if (result.outcome === undefined) this.#reject(request, result.fault);
     else {
-      if (end.done === 'served') this.#measureServed(request, nowMs);
-      this.#ended(request, end.done);
+      if (result.outcome === 'served') this.#measureServed(request, nowMs);
+      this.#finish(request, result.outcome);
     }
     this.tick();
   }
@@ -378,35 +379,35 @@
     const waiting = request.attempts === 0;
     request.cancel = undefined;
     cancel?.();
-    if (cancel !== undefined && waiting) this.#ended(request, 'visitor-left');
+    if (cancel !== undefined && waiting) this.#finish(request, 'visitor-left');
   }
 
   // Counting.
 
-  #reject(request: GatewayRequest, why: Fault): void {
-    request.sink.reject(this.#withRetryAfter(request, why));
-    this.#measures.refused(this.#groups.name(request.group), this.#kinds.name(request.kind));
-    request.decisions.push(`${why.kind}: ${why.detail}`);
-    this.#ended(request, why.kind);
+  #reject(request: GatewayRequest, rejection: Fault): void {
+    request.sink.reject(this.#withRetryAfter(request, rejection));
+    this.#measures.recordRefused(this.#groups.name(request.group), this.#kinds.name(request.kind));
+    request.decisions.push(`${rejection.kind}: ${rejection.detail}`);
+    this.#finish(request, rejection.kind);
   }
 
   /** A request rejected for want of capacity gets a time to retry after: as the group's backlog drains. */
-  #withRetryAfter(request: GatewayRequest, why: Fault): Fault {
-    if (why.kind !== 'over-share' && why.kind !== 'no-worker') return why;
+  #withRetryAfter(request: GatewayRequest, rejection: Fault): Fault {
+    if (rejection.kind !== 'over-share' && rejection.kind !== 'no-worker') return rejection;
     const waiting = this.#backlog.countOf(request.group);
-    const returnS = this.#drainRate(request.group).retryAfterS(
+    const retryS = this.#drainRate(request.group).retryAfterS(
       waiting,
       this.#dependencies.chance.next(),
       this.#dependencies.clock.nowMs(),
     );
-    return { ...why, retryAfterS: returnS };
+    return { ...rejection, retryAfterS: retryS };
   }
 
   #drainRate(group: number): DrainRate {
     return (this.#drainRates[group] ??= new DrainRate());
   }
 
-  #ended(request: GatewayRequest, outcome: EndRecord['outcome']): void {
+  #finish(request: GatewayRequest, outcome: EndRecord['outcome']): void {
     this.#count(outcome);
     this.#retries.release(request);
     this.emit('ended', {
@@ -435,7 +436,7 @@
 
   #measureServed(request: GatewayRequest, nowMs: number): void {
     const waitMs = (request.firstChunkMs ?? nowMs) - request.arrivedMs;
-    this.#measures.served(
+    this.#measures.recordServed(
       this.#groups.name(request.group),
       this.#kinds.name(request.kind),
       waitMs,
@@ -447,20 +448,22 @@
     return demandKey(this.#models.name(request.model), this.#adapters.name(request.adapter));
   }
 
-  #noteArrival(request: GatewayRequest, nowMs: number): void {
+  #recordArrival(request: GatewayRequest, nowMs: number): void {
     this.#shares.recordRequest(request.group, nowMs);
     if (!request.idempotent)
-      this.#measures.arrived(this.#models.name(request.model), this.#adapters.name(request.adapter));
+      this.#measures.recordArrival(this.#models.name(request.model), this.#adapters.name(request.adapter));
   }
 }
 
 /** The kind of work that is named, or the group's first where none is. */
-function kindOf(group: SpecGroup | undefined, name: string): SpecGroup['kinds'][number] | undefined {
+function findKind(group: SpecGroup | undefined, name: string): SpecGroup['kinds'][number] | undefined {
   return group?.kinds.find((known) => known.name === name) ?? (name === '' ? group?.kinds[0] : undefined);
 }
 
 /** Whether a worker may get work now, as far as this node knows. */
-function mayServe(workers: readonly GatewayWorker[], worker: GatewayWorker): boolean {
-  const now = workers.find((known) => known.name === worker.name);
-  return now !== undefined && now.address === worker.address && !now.draining && !now.evacuated;
+function mayReceiveWork(workers: readonly GatewayWorker[], worker: GatewayWorker): boolean {
+  const current = workers.find((known) => known.name === worker.name);
+  return (
+    current !== undefined && current.address === worker.address && !current.draining && !current.evacuated
+  );
 }
--- a/packages/gateway/src/group-shares.ts
+++ b/packages/gateway/src/group-shares.ts
@@ -3,7 +3,7 @@
 import type { Backlog } from './backlog.js';
 import type { GatewayDependencies } from './dependencies.js';
 
-const BACKLOG_LEAST = 8;
+const MIN_BACKLOG = 8;
 const BACKLOG_PER_SLOT = 4;
 /** A group counts among those that share for so long after it asked. */
 const ACTIVE_MS = 10_000;
@@ -12,14 +12,14 @@
  * The groups' shares, by their weights and by who has asked lately; a group
  * is its index in the register.
  * @example
- * if (shares.isHeldBack(group)) continue; // others wait, and it has its part
+ * if (shares.isThrottled(group)) continue; // others wait, and it has its part
  */
 export class GroupShares {
   #dependencies: GatewayDependencies;
   #groups: NameIndex;
   #backlog: Backlog;
   #inFlight: number[] = [];
-  #seenMs: number[] = [];
+  #lastRequestMs: number[] = [];
 
   constructor(dependencies: GatewayDependencies, groups: NameIndex, backlog: Backlog) {
     this.#dependencies = dependencies;
@@ -32,20 +32,20 @@
   }
 
   recordRequest(group: number, nowMs: number): void {
-    this.#seenMs[group] = nowMs;
+    this.#lastRequestMs[group] = nowMs;
   }
 
-  begun(group: number): void {
+  sendStarted(group: number): void {
     this.#inFlight[group] = this.inFlight(group) + 1;
   }
 
-  ended(group: number): void {
+  sendEnded(group: number): void {
     this.#inFlight[group] = Math.max(0, this.inFlight(group) - 1);
   }
 
   /** How many requests of a group may wait here. */
-  mostWaiting(group: number): number {
-    return Math.max(BACKLOG_LEAST, Math.floor(this.#slotsHere() * BACKLOG_PER_SLOT * this.shareOf(group)));
+  maxWaiting(group: number): number {
+    return Math.max(MIN_BACKLOG, Math.floor(this.#edgeSlots() * BACKLOG_PER_SLOT * this.shareOf(group)));
   }
 
   /** A group's part among the groups that have asked lately. */
@@ -53,25 +53,25 @@
     const nowMs = this.#dependencies.clock.nowMs();
     let sum = 0;
     for (let other = 0; other < this.#groups.size; other += 1) {
-      const active = other === group || nowMs - (this.#seenMs[other] ?? -Infinity) < ACTIVE_MS;
+      const active = other === group || nowMs - (this.#lastRequestMs[other] ?? -Infinity) < ACTIVE_MS;
       if (active) sum += this.#dependencies.weight(this.#groups.name(other));
     }
     return sum === 0 ? 1 : this.#dependencies.weight(this.#groups.name(group)) / sum;
   }
 
   /** Whether a group has its part of the slots in flight already. */
-  hasItsPart(group: number): boolean {
-    return this.inFlight(group) >= Math.max(1, Math.ceil(this.#slotsHere() * this.shareOf(group)));
+  hasReachedShare(group: number): boolean {
+    return this.inFlight(group) >= Math.max(1, Math.ceil(this.#edgeSlots() * this.shareOf(group)));
   }
 
   /** While others wait, a group is held to its part of the slots. */
-  isHeldBack(group: number): boolean {
+  isThrottled(group: number): boolean {
     const others = this.#backlog.count - this.#backlog.countOf(group);
-    return others > 0 && this.hasItsPart(group);
+    return others > 0 && this.hasReachedShare(group);
   }
 
   /** This edge's part of the slots of all usable workers. */
-  #slotsHere(): number {
+  #edgeSlots(): number {
     const slots = this.#dependencies
       .workers()
       .reduce((sum, worker) => sum + (worker.draining || worker.evacuated ? 0 : worker.slots), 0);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -9,6 +9,6 @@
 export * from './drain-rate.js';
 export * from './send.js';
 export * from './sender.js';
-export * from './stream.js';
+export * from './event-stream.js';
 export * from './gateway-request.js';
 export * from './link.js';
--- a/packages/gateway/src/link.test.ts
+++ b/packages/gateway/src/link.test.ts
@@ -4,10 +4,10 @@
 import { PoolLink, type LinkHandler } from './link.js';
 
 /** Notes what a send reports, and resolves when its first word of an answer comes. */
-class Noting implements LinkHandler {
-  readonly seen: string[] = [];
+class RecordingHandler implements LinkHandler {
+  readonly events: string[] = [];
   #resolve: () => void = () => undefined;
-  readonly begun = new Promise<void>((resolve) => {
+  readonly responseStarted = new Promise<void>((resolve) => {
     this.#resolve = resolve;
   });
 
@@ -16,7 +16,7 @@
   }
 
   head(status: number): void {
-    this.seen.push(`head ${status}`);
+    this.events.push(`head ${status}`);
     this.#resolve();
   }
 
@@ -25,11 +25,11 @@
   }
 
   end(): void {
-    this.seen.push('end');
+    this.events.push('end');
   }
 
   failed(sent: boolean): void {
-    this.seen.push(`failed ${sent}`);
+    this.events.push(`failed ${sent}`);
   }
 }
 
@@ -57,14 +57,14 @@
   it('control safety, point 5: a link that closes as a send is given up ends once, and the process lives', async () => {
     const address = await listen('HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhalf');
     const link = new PoolLink({ connectMs: 600, keepAliveTimeout: 30_000 });
-    const handler = new Noting();
+    const handler = new RecordingHandler();
     const send = link.send(
       { address, method: 'POST', target: '/x', headers: [], body: Buffer.from('b'), stallMs: 5000 },
       handler,
     );
-    await handler.begun;
+    await handler.responseStarted;
     send.abort();
     await link.close();
-    expect(handler.seen).toEqual(['head 200', 'failed true']);
+    expect(handler.events).toEqual(['head 200', 'failed true']);
   });
 });
--- a/packages/gateway/src/link.ts
+++ b/packages/gateway/src/link.ts
@@ -12,7 +12,7 @@
   chunk(bytes: Buffer): void;
   end(): void;
   /** `sent` tells whether any byte may have left. */
-  failed(sent: boolean, why: string): void;
+  failed(sent: boolean, reason: string): void;
 }
 
 /** A send under way. */
@@ -51,7 +51,7 @@
  * Connections whose end is an error are reset: what the system still held of a
  * request that was given up is dropped, and cannot arrive after a cut has healed.
  */
-function resetting(connectMs: number): buildConnector.connector {
+function resettingConnector(connectMs: number): buildConnector.connector {
   const connect = buildConnector({ timeout: connectMs });
   return (options, callback) => {
     connect(options, (...[thrown, socket]: Parameters<buildConnector.Callback>) => {
@@ -60,9 +60,9 @@
       let cause: Error | undefined;
       // resetAndDestroy() calls destroy() again, without the cause: undici must hear it, or it takes the end of
       // the connection for the end of an answer without a length.
-      socket.destroy = (why?: Error) => {
-        if (why === undefined || cause !== undefined) return destroy(cause);
-        cause = why;
+      socket.destroy = (reason?: Error) => {
+        if (reason === undefined || cause !== undefined) return destroy(cause);
+        cause = reason;
         return socket.resetAndDestroy();
       };
       callback(null, socket);
@@ -70,7 +70,7 @@
   };
 }
 
-class Flight implements Dispatcher.DispatchHandler, LinkSend {
+class DispatchedRequest implements Dispatcher.DispatchHandler, LinkSend {
   #handler: LinkHandler;
   #controller: Dispatcher.DispatchController | undefined;
   #method: string;
@@ -107,8 +107,8 @@
 
   onResponseStart(controller: Dispatcher.DispatchController, status: number): void {
     if (status < 200) return;
-    const headers = pairs(controller.rawHeaders);
-    if (this.#method !== 'HEAD' && !tellsItsEnd(status, headers))
+    const headers = headerPairs(controller.rawHeaders);
+    if (this.#method !== 'HEAD' && !hasExplicitEnd(status, headers))
       return controller.abort(new Error('an answer without a length'));
     this.#handler.head(status, headers);
   }
@@ -130,15 +130,16 @@
   }
 }
 
-function pairs(raw: unknown): Header[] {
+function headerPairs(raw: unknown): Header[] {
   const headers: Header[] = [];
   if (!Array.isArray(raw)) return headers;
-  for (let at = 0; at + 1 < raw.length; at += 2) headers.push([String(raw[at]), String(raw[at + 1])]);
+  for (let index = 0; index + 1 < raw.length; index += 2)
+    headers.push([String(raw[index]), String(raw[index + 1])]);
   return headers;
 }
 
 /** Whether the end of an answer can be told from a broken connection: by its length, its last chunk or its status. */
-function tellsItsEnd(status: number, headers: readonly Header[]): boolean {
+function hasExplicitEnd(status: number, headers: readonly Header[]): boolean {
   if (status === 204 || status === 304) return true;
   return headers.some(([name, value]) => {
     const lower = name.toLowerCase();
@@ -158,13 +159,13 @@
   #options: Pool.Options;
   #pools = new Map<string, Pool>();
 
-  constructor({ connectMs, ...kept }: LinkTimes) {
-    this.#options = { ...kept, pipelining: 1, connect: resetting(connectMs) };
+  constructor({ connectMs, ...poolOptions }: LinkTimes) {
+    this.#options = { ...poolOptions, pipelining: 1, connect: resettingConnector(connectMs) };
   }
 
   send(request: LinkRequest, handler: LinkHandler): LinkSend {
     const { address, method, target, headers, body, stallMs, ownConnection } = request;
-    const flight = new Flight(handler, method);
+    const flight = new DispatchedRequest(handler, method);
     const dispatcher = ownConnection === true ? this.#client(address) : this.#pool(address);
     dispatcher.dispatch(
       {
--- a/packages/gateway/src/lookups.test.ts
+++ b/packages/gateway/src/lookups.test.ts
@@ -6,10 +6,10 @@
   it('are tried again elsewhere while the budget lasts, and then answered at once', () => {
     const harness = new GatewayHarness();
     const ports = Array.from({ length: 40 }, () => {
-      const sink = harness.look();
-      for (let place = 0; place < 5 && sink.seen.length === 0; place += 1) {
-        harness.last().handler.mayStart();
-        harness.last().handler.failed(true, 'reset');
+      const sink = harness.submitLookup();
+      for (let place = 0; place < 5 && sink.events.length === 0; place += 1) {
+        harness.lastSent().handler.mayStart();
+        harness.lastSent().handler.failed(true, 'reset');
         harness.nowMs += 1;
         harness.gateway.tick();
       }
@@ -21,6 +21,6 @@
     const extra = harness.gateway.counts['retries'] ?? 0;
     expect(sends).toEqual(firsts);
     expect([extra > 0, extra <= 0.2 * (sends - extra)]).toEqual([true, true]);
-    expect(ports.every((sink) => sink.seen.length <= 1)).toEqual(true);
+    expect(ports.every((sink) => sink.events.length <= 1)).toEqual(true);
   });
 });
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -17,7 +17,7 @@
 }
 
 /** What one edge measured since it last told the others. */
-export interface Measured {
+export interface Measurements {
   readonly measures: readonly Measure[];
   readonly demands: readonly Demand[];
   /** Failed sends by worker. */
@@ -35,30 +35,30 @@
   #arrivals = new Map<string, { model: string; adapter: string; arrivals: number }>();
   #faults = new Map<string, number>();
 
-  arrived(model: string, adapter: string): void {
+  recordArrival(model: string, adapter: string): void {
     const key = demandKey(model, adapter);
     const known = this.#arrivals.get(key) ?? { model, adapter, arrivals: 0 };
     known.arrivals += 1;
     this.#arrivals.set(key, known);
   }
 
-  refused(group: string, kind: string): void {
-    this.#of(group, kind).refused += 1;
+  recordRefused(group: string, kind: string): void {
+    this.#measureFor(group, kind).refused += 1;
   }
 
-  served(group: string, kind: string, waitMs: number, targetMs: number): void {
-    const measure = this.#of(group, kind);
+  recordServed(group: string, kind: string, waitMs: number, targetMs: number): void {
+    const measure = this.#measureFor(group, kind);
     measure.served += 1;
     measure.waitSumMs += waitMs;
     if (waitMs <= targetMs) measure.prompt += 1;
   }
 
-  failed(worker: string): void {
+  recordFailedSend(worker: string): void {
     this.#faults.set(worker, (this.#faults.get(worker) ?? 0) + 1);
   }
 
   /** Everything since the last call; `backlogs` says how many wait now, by demand. */
-  take(backlogs: ReadonlyMap<string, number>): Measured {
+  take(backlogs: ReadonlyMap<string, number>): Measurements {
     const measures = [...this.#measures.values()];
     const demands = [...this.#arrivals].map(([key, arrival]) => ({
       ...arrival,
@@ -75,7 +75,7 @@
     return { measures, demands, faults };
   }
 
-  #of(group: string, kind: string): Measure {
+  #measureFor(group: string, kind: string): Measure {
     const key = `${group}/${kind}`;
     let measure = this.#measures.get(key);
     if (measure === undefined) {
--- a/packages/gateway/src/non-idempotent.test.ts
+++ b/packages/gateway/src/non-idempotent.test.ts
@@ -5,49 +5,49 @@
 describe('a non-idempotent request', () => {
   it('is sent once; without an answer its outcome is unknown', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.last().handler.mayStart();
-    harness.last().handler.failed(true, 'reset');
+    const { sink } = harness.submit();
+    harness.lastSent().handler.mayStart();
+    harness.lastSent().handler.failed(true, 'reset');
     harness.gateway.tick();
-    expect([harness.sent.length, sink.seen]).toEqual([1, ['outcome-unknown']]);
+    expect([harness.sent.length, sink.events]).toEqual([1, ['outcome-unknown']]);
   });
 
   it('is sent elsewhere only when provably no byte left, and within the budget', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
-    const early = harness.ask().sink;
-    harness.last().handler.failed(false, 'ECONNREFUSED');
-    harness.earn();
+    const early = harness.submit().sink;
+    harness.lastSent().handler.failed(false, 'ECONNREFUSED');
+    harness.earnRetry();
     const before = harness.sent.length;
-    const { sink } = harness.ask();
-    harness.last().handler.failed(false, 'ECONNREFUSED');
-    harness.reply(harness.last(), 200, '{}');
-    expect([early.seen, sink.seen, harness.sent.length - before]).toEqual([['no-worker'], ['200 {}'], 2]);
+    const { sink } = harness.submit();
+    harness.lastSent().handler.failed(false, 'ECONNREFUSED');
+    harness.reply(harness.lastSent(), 200, '{}');
+    expect([early.events, sink.events, harness.sent.length - before]).toEqual([['no-worker'], ['200 {}'], 2]);
   });
 
   it('is not started when the grant ends, or the worker is marked as leaving, before the first byte', () => {
     const harness = new GatewayHarness();
-    harness.ask();
-    harness.granted = false;
-    expect(harness.last().handler.mayStart()).toEqual(false);
-    harness.granted = true;
+    harness.submit();
+    harness.hasLease = false;
+    expect(harness.lastSent().handler.mayStart()).toEqual(false);
+    harness.hasLease = true;
     harness.workers = harness.workers.map((worker) => ({ ...worker, draining: true }));
-    expect(harness.last().handler.mayStart()).toEqual(false);
+    expect(harness.lastSent().handler.mayStart()).toEqual(false);
   });
 
   it('is given up, and its connection reset, when its worker is leaving and no way there is found', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
-    const { sink } = harness.ask();
-    harness.last().handler.mayStart();
-    const name = harness.last().request.address;
+    const { sink } = harness.submit();
+    harness.lastSent().handler.mayStart();
+    const name = harness.lastSent().request.address;
     function pass(cut: boolean): unknown {
-      harness.cut = cut;
+      harness.probesFail = cut;
       for (let place = 0; place < 4; place += 1) {
         harness.nowMs += 250;
         harness.gateway.tick();
       }
-      return [harness.probed.length > 0, [...sink.seen], harness.last().aborted];
+      return [harness.probed.length > 0, [...sink.events], harness.lastSent().aborted];
     }
     const usual = pass(true);
     harness.workers = harness.workers.map((worker) => ({ ...worker, draining: worker.name === name }));
@@ -61,21 +61,21 @@
 
   it('waits again, unsent, when the last look forbade it', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.granted = false;
-    harness.last().handler.mayStart();
-    harness.last().handler.failed(false, 'not started');
-    expect([harness.sent.length, sink.seen]).toEqual([1, []]);
-    harness.granted = true;
+    const { sink } = harness.submit();
+    harness.hasLease = false;
+    harness.lastSent().handler.mayStart();
+    harness.lastSent().handler.failed(false, 'not started');
+    expect([harness.sent.length, sink.events]).toEqual([1, []]);
+    harness.hasLease = true;
     harness.gateway.tick();
-    harness.reply(harness.last(), 200, '{}');
-    expect([harness.sent.length, sink.seen]).toEqual([2, ['200 {}']]);
+    harness.reply(harness.lastSent(), 200, '{}');
+    expect([harness.sent.length, sink.events]).toEqual([2, ['200 {}']]);
   });
 
   it('is refused at once when a worker takes no more, and not sent again', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.reply(harness.last(), 503, '{}');
-    expect([harness.sent.length, sink.seen]).toEqual([1, ['no-worker']]);
+    const { sink } = harness.submit();
+    harness.reply(harness.lastSent(), 503, '{}');
+    expect([harness.sent.length, sink.events]).toEqual([1, ['no-worker']]);
   });
 });
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -1,7 +1,7 @@
 /** Which requests may leave again, within the fleet's retry budget. */
 import { RetryBudget } from './retry-budget.js';
 import type { GatewayDependencies } from './dependencies.js';
-import type { SendEnd } from './send.js';
+import type { SendResult } from './send.js';
 import type { GatewayRequest } from './gateway-request.js';
 
 /** A request leaves so often at most. */
@@ -12,7 +12,7 @@
  * costs one. A retry is reserved when a send has failed, and spent when the
  * request leaves again.
  * @example
- * if (retries.mayRetry(request, end, nowMs)) wait(request);
+ * if (retries.mayRetry(request, result, nowMs)) wait(request);
  */
 export class Retries {
   #dependencies: GatewayDependencies;
@@ -25,14 +25,14 @@
   }
 
   /** Whether a failed send may be followed by another. */
-  mayRetry(request: GatewayRequest, end: SendEnd, nowMs: number): boolean {
+  mayRetry(request: GatewayRequest, result: SendResult, nowMs: number): boolean {
     if (nowMs > request.deadlineMs || request.attempts >= MAX_ATTEMPTS) return false;
-    if (end.sent && !request.idempotent) return false;
-    if (!end.sent && !end.tried) {
+    if (result.sent && !request.idempotent) return false;
+    if (!result.sent && !result.tried) {
       request.attempts -= 1;
       return request.retry !== 'lost';
     }
-    this.#allot();
+    this.#updateAllowance();
     if (request.retry === 'reserved') this.#budget.spend();
     request.retry = this.#budget.reserve() ? 'reserved' : 'lost';
     if (request.retry === 'lost') {
@@ -44,8 +44,8 @@
   }
 
   /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
-  pay(request: GatewayRequest): boolean {
-    this.#allot();
+  mayStart(request: GatewayRequest): boolean {
+    this.#updateAllowance();
     if (request.retry === 'reserved') {
       request.retry = this.#budget.spend() ? 'none' : 'lost';
       return request.retry === 'none';
@@ -61,7 +61,7 @@
   }
 
   /** The allowance is parted among the edges of the view; outside of it there is none. */
-  #allot(): void {
+  #updateAllowance(): void {
     const edges = this.#dependencies.edges().length;
     const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
     this.#budget.setAllowance(this.#dependencies.incarnation(), edges === 0 ? 0 : allowance / edges);
--- a/packages/gateway/src/retry-budget.ts
+++ b/packages/gateway/src/retry-budget.ts
@@ -16,31 +16,31 @@
  */
 export class RetryBudget {
   #incarnation = '';
-  #part = 0;
+  #edgeAllowance = 0;
   #tokens = 0;
   #reserved = 0;
 
   /** Says which incarnation this is and what its part of the allowance is; another incarnation begins with nothing. */
-  setAllowance(incarnation: string, part: number): void {
+  setAllowance(incarnation: string, allowance: number): void {
     if (incarnation !== this.#incarnation) this.#tokens = 0;
     this.#incarnation = incarnation;
-    this.#part = part;
-    this.#tokens = Math.min(this.#tokens, part);
+    this.#edgeAllowance = allowance;
+    this.#tokens = Math.min(this.#tokens, allowance);
   }
 
   /** Whether this edge's part can ever pay for an extra send. */
   get canEverRetry(): boolean {
-    return this.#part >= 1 - ROUNDING;
+    return this.#edgeAllowance >= 1 - ROUNDING_TOLERANCE;
   }
 
   /** A request is sent for the first time. */
   recordFirstAttempt(ratio: number): void {
-    this.#tokens = Math.min(this.#part, this.#tokens + ratio);
+    this.#tokens = Math.min(this.#edgeAllowance, this.#tokens + ratio);
   }
 
   /** Promises one extra send, if there is a token that is not promised yet. */
   reserve(): boolean {
-    if (this.#tokens - this.#reserved < 1 - ROUNDING) return false;
+    if (this.#tokens - this.#reserved < 1 - ROUNDING_TOLERANCE) return false;
     this.#reserved += 1;
     return true;
   }
@@ -53,11 +53,11 @@
   /** A reserved extra send leaves now; false when its token has gone with an earlier incarnation or a larger part. */
   spend(): boolean {
     this.#reserved -= 1;
-    if (this.#tokens < 1 - ROUNDING) return false;
+    if (this.#tokens < 1 - ROUNDING_TOLERANCE) return false;
     this.#tokens -= 1;
     return true;
   }
 }
 
 /** Five fifths make one. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,6 +1,6 @@
 /** One send of a request to one worker of the research groups' deployment. */
 import { fault, type Fault } from '@rainrun/common';
-import { StreamWatch } from './stream.js';
+import { EventStreamValidator } from './event-stream.js';
 import type { GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
 import type { GatewayRequest } from './gateway-request.js';
@@ -9,8 +9,8 @@
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
 /** How a send ended; `done` is set when the client has had a response. */
-export interface SendEnd {
-  readonly done: 'served' | 'cut' | undefined;
+export interface SendResult {
+  readonly outcome: 'served' | 'cut' | undefined;
   readonly succeeded: boolean;
   /** Whether any byte may have left. */
   readonly sent: boolean;
@@ -24,7 +24,7 @@
   nowMs(): number;
   mayStart(): boolean;
   /** Called once. */
-  onEnd(end: SendEnd): void;
+  onEnd(result: SendResult): void;
 }
 
 const NO_FAULT = fault('outcome-unknown', '');
@@ -42,12 +42,12 @@
   #sending: Sending | undefined;
   #status = 0;
   #contentType = '';
-  #stream: StreamWatch | undefined;
+  #eventStream: EventStreamValidator | undefined;
   #body: Buffer[] = [];
   #bodyBytes = 0;
   #opened = false;
   #started = false;
-  #withheld = false;
+  #startDenied = false;
   #ended = false;
 
   constructor(request: GatewayRequest, worker: GatewayWorker, context: SendContext) {
@@ -66,7 +66,7 @@
   }
 
   /** Sent, and no response of the worker yet. */
-  get silent(): boolean {
+  get isUnanswered(): boolean {
     return this.#started && this.#status === 0 && !this.#ended;
   }
 
@@ -89,14 +89,14 @@
 
   /** The client has left: the worker's connection is closed. */
   clientLeft(): void {
-    this.#end({ done: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
     this.#sending?.abort();
   }
 
   mayStart(): boolean {
     if (this.#ended) return false;
     this.#started = this.#context.mayStart();
-    this.#withheld = !this.#started;
+    this.#startDenied = !this.#started;
     return this.#started;
   }
 
@@ -106,25 +106,25 @@
     const streaming = status === 200 && contentType.startsWith('text/event-stream');
     if (status === 200 && streaming !== this.#request.streamed)
       return this.#abort(`${contentType} instead of what was asked`);
-    if (streaming) this.#stream = new StreamWatch();
+    if (streaming) this.#eventStream = new EventStreamValidator();
   }
 
   chunk(bytes: Buffer): void {
     if (this.#ended) return;
-    if (this.#stream === undefined) {
+    if (this.#eventStream === undefined) {
       this.#bodyBytes += bytes.length;
       if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('an answer without end');
       this.#body.push(bytes);
       return;
     }
-    const step = this.#stream.take(bytes);
-    if ('nonsense' in step) return this.#abort(step.nonsense);
-    if (step.events.length > 0) this.#forward(step.events);
+    const checked = this.#eventStream.take(bytes);
+    if ('violation' in checked) return this.#abort(checked.violation);
+    if (checked.events.length > 0) this.#forward(checked.events);
   }
 
   end(): void {
     if (this.#ended) return;
-    if (this.#stream !== undefined) return this.#endStream(this.#stream);
+    if (this.#eventStream !== undefined) return this.#endStream(this.#eventStream);
     const body = Buffer.concat(this.#body);
     if (this.#status === 429 || this.#status === 503) {
       return this.#fail(
@@ -139,19 +139,19 @@
       return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
     this.#request.firstChunkMs ??= this.#context.nowMs();
     this.#request.sink.respond(this.#status, this.#contentType, body);
-    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  failed(sent: boolean, why: string): void {
+  failed(sent: boolean, reason: string): void {
     if (this.#ended) return;
     if (!sent) {
-      const tried = !this.#withheld;
+      const tried = !this.#startDenied;
       this.#end({
-        done: undefined,
+        outcome: undefined,
         succeeded: !tried,
         sent: false,
         tried,
-        fault: fault('no-worker', why),
+        fault: fault('no-worker', reason),
       });
       return;
     }
@@ -161,7 +161,7 @@
       true,
       late
         ? fault('deadline-exceeded', 'the deadline passed after it was sent')
-        : fault('outcome-unknown', `${this.#worker.name}: ${why}`),
+        : fault('outcome-unknown', `${this.#worker.name}: ${reason}`),
     );
   }
 
@@ -175,35 +175,35 @@
     if (!sink.write(events, () => this.#sending?.resume())) this.#sending?.pause();
   }
 
-  #endStream(watch: StreamWatch): void {
-    if (!watch.finished) {
+  #endStream(validator: EventStreamValidator): void {
+    if (!validator.isComplete) {
       if (this.#opened) return this.#cut();
       return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended early`));
     }
-    this.#forward(watch.closing);
+    this.#forward(validator.closingEvent);
     this.#request.sink.close();
-    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  #abort(why: string): void {
+  #abort(reason: string): void {
     if (this.#opened) this.#cut();
-    else this.#fail(true, fault('worker-nonsense', `${this.#worker.name}: ${why}`));
+    else this.#fail(true, fault('worker-nonsense', `${this.#worker.name}: ${reason}`));
     this.#sending?.abort();
   }
 
   #cut(): void {
     this.#request.sink.abort();
-    this.#end({ done: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  #fail(sent: boolean, why: Fault, well = false): void {
-    this.#end({ done: undefined, succeeded: well, sent, tried: true, fault: why });
+  #fail(sent: boolean, reason: Fault, countsAsSuccess = false): void {
+    this.#end({ outcome: undefined, succeeded: countsAsSuccess, sent, tried: true, fault: reason });
   }
 
-  #end(end: SendEnd): void {
+  #end(result: SendResult): void {
     if (this.#ended) return;
     this.#ended = true;
-    this.#context.onEnd(end);
+    this.#context.onEnd(result);
   }
 }
 
--- a/packages/gateway/src/sender.ts
+++ b/packages/gateway/src/sender.ts
@@ -8,7 +8,7 @@
   start(status: number, contentType: string): void;
   chunk(bytes: Buffer): void;
   end(): void;
-  failed(sent: boolean, why: string): void;
+  failed(sent: boolean, reason: string): void;
 }
 
 /** A send under way. */
@@ -60,7 +60,7 @@
           handler.start(status, answered.find(([name]) => name.toLowerCase() === 'content-type')?.[1] ?? ''),
         chunk: (bytes) => handler.chunk(bytes),
         end: () => handler.end(),
-        failed: (sent, why) => handler.failed(sent, why),
+        failed: (sent, reason) => handler.failed(sent, reason),
       },
     );
   }
--- a/packages/gateway/src/streams.test.ts
+++ b/packages/gateway/src/streams.test.ts
@@ -6,12 +6,12 @@
 describe('streams', () => {
   function streamed(act: (handler: SendHandler) => void): { seen: string[]; aborted: boolean } {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask({ streamed: true });
-    const sent = harness.last();
+    const { sink } = harness.submit({ streamed: true });
+    const sent = harness.lastSent();
     sent.handler.mayStart();
     sent.handler.start(200, SSE);
     act(sent.handler);
-    return { seen: sink.seen, aborted: sent.aborted };
+    return { seen: sink.events, aborted: sent.aborted };
   }
 
   it('pass on whole events and end as whole only when the worker did', () => {
@@ -48,17 +48,17 @@
   it('have a definite error when nothing came, or something else did', () => {
     expect(streamed((handler) => handler.end()).seen).toEqual(['outcome-unknown']);
     const harness = new GatewayHarness();
-    const { sink } = harness.ask({ streamed: true });
-    harness.reply(harness.last(), 200, 'hello', 'text/html');
-    expect(sink.seen).toEqual(['worker-nonsense']);
+    const { sink } = harness.submit({ streamed: true });
+    harness.reply(harness.lastSent(), 200, 'hello', 'text/html');
+    expect(sink.events).toEqual(['worker-nonsense']);
   });
 
   it('close the worker when the visitor leaves', () => {
     const harness = new GatewayHarness();
-    const { leave } = harness.ask({ streamed: true });
+    const { leave } = harness.submit({ streamed: true });
     leave();
     expect([
-      harness.last().aborted,
+      harness.lastSent().aborted,
       harness.gateway.inFlight,
       harness.gateway.counts['visitor-left'],
     ]).toEqual([true, 0, 1]);
--- a/packages/gateway/src/testing/gateway-harness.ts
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -23,7 +23,7 @@
 });
 
 /** The spec in force in these tests. */
-export function specOf(): Spec {
+export function testSpec(): Spec {
   const read = readSpec(SPEC_TEXT);
   return read.isOk ? read.value : ({} as Spec);
 }
@@ -50,33 +50,33 @@
 
 /** A client that records what it is answered. */
 export class RecordingSink implements GatewayResponseSink {
-  readonly seen: string[] = [];
+  readonly events: string[] = [];
   respond(status: number, _type: string, body: Uint8Array): void {
-    this.seen.push(`${status} ${Buffer.from(body).toString()}`);
+    this.events.push(`${status} ${Buffer.from(body).toString()}`);
   }
   reject(why: { kind: string }): void {
-    this.seen.push(why.kind);
+    this.events.push(why.kind);
   }
   open(): void {
-    this.seen.push('open');
+    this.events.push('open');
   }
   write(bytes: Uint8Array): boolean {
-    this.seen.push(Buffer.from(bytes).toString().trim());
+    this.events.push(Buffer.from(bytes).toString().trim());
     return true;
   }
   close(): void {
-    this.seen.push('close');
+    this.events.push('close');
   }
   abort(): void {
-    this.seen.push('cut');
+    this.events.push('cut');
   }
 }
 
 /** A gateway with a clock, workers and a sender that a test controls. */
 export class GatewayHarness implements Sender {
   nowMs = 0;
-  granted = true;
-  spec = specOf();
+  hasLease = true;
+  spec = testSpec();
   edges = ['edge'];
   incarnation = 'incarnation-1';
   workers: GatewayWorker[] = [
@@ -86,7 +86,7 @@
   ];
   readonly sent: SentRequest[] = [];
   readonly probed: string[] = [];
-  cut = false;
+  probesFail = false;
   readonly gateway = new Gateway({
     name: 'edge',
     zone: 'z1',
@@ -97,7 +97,7 @@
     workers: () => this.workers,
     edges: () => this.edges,
     incarnation: () => this.incarnation,
-    hasLease: () => this.granted,
+    hasLease: () => this.hasLease,
     weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
   });
 
@@ -125,10 +125,10 @@
 
   probe(address: string, done: (reached: boolean) => void): void {
     this.probed.push(address);
-    done(!this.cut);
+    done(!this.probesFail);
   }
 
-  ask(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; leave: () => void } {
+  submit(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; leave: () => void } {
     const sink = new RecordingSink();
     const ask: GatewayRequestInit = {
       id: `id-${this.sent.length}`,
@@ -148,18 +148,18 @@
   }
 
   /** Five requests served earn one extra send. */
-  earn(): void {
+  earnRetry(): void {
     for (let place = 0; place < 5; place += 1) {
-      this.ask();
-      this.reply(this.last(), 200, '{}');
+      this.submit();
+      this.reply(this.lastSent(), 200, '{}');
     }
   }
 
-  look(): RecordingSink {
-    return this.ask({ path: '/look/1', method: 'GET', model: '' }).sink;
+  submitLookup(): RecordingSink {
+    return this.submit({ path: '/look/1', method: 'GET', model: '' }).sink;
   }
 
-  last(): SentRequest {
+  lastSent(): SentRequest {
     const sent = this.sent.at(-1);
     return (
       sent ??
--- a/packages/gateway/src/unconfirmed-sends.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -2,13 +2,13 @@
 import type { Send } from './send.js';
 import type { Sender } from './sender.js';
 
-const PROBE_GAP_MS = 200;
-const PROBES_FAILED = 2;
+const PROBE_INTERVAL_MS = 200;
+const MAX_FAILED_PROBES = 2;
 
 interface ProbedWorker {
   failedProbes: number;
   probeInFlight: boolean;
-  notBeforeMs: number;
+  nextProbeMs: number;
 }
 
 /**
@@ -30,31 +30,31 @@
   }
 
   tick(sends: Iterable<Send>, isUnconfirmed: (send: Send) => boolean, nowMs: number): void {
-    const silent = new Map<string, Send[]>();
+    const unanswered = new Map<string, Send[]>();
     for (const send of sends) {
-      if (!send.silent || !isUnconfirmed(send)) continue;
+      if (!send.isUnanswered || !isUnconfirmed(send)) continue;
       const { address } = send.worker;
-      silent.set(address, [...(silent.get(address) ?? []), send]);
+      unanswered.set(address, [...(unanswered.get(address) ?? []), send]);
     }
-    for (const address of this.#probed.keys()) if (!silent.has(address)) this.#probed.delete(address);
-    for (const [address, unanswered] of silent) {
+    for (const address of this.#probed.keys()) if (!unanswered.has(address)) this.#probed.delete(address);
+    for (const [address, unansweredSends] of unanswered) {
       const probed = this.#probed.get(address) ?? {
         failedProbes: 0,
         probeInFlight: false,
-        notBeforeMs: -Infinity,
+        nextProbeMs: -Infinity,
       };
       this.#probed.set(address, probed);
-      if (probed.failedProbes >= PROBES_FAILED) for (const send of unanswered) send.abandon();
-      else if (!probed.probeInFlight && nowMs >= probed.notBeforeMs) this.#probe(address, probed, nowMs);
+      if (probed.failedProbes >= MAX_FAILED_PROBES) for (const send of unansweredSends) send.abandon();
+      else if (!probed.probeInFlight && nowMs >= probed.nextProbeMs) this.#probe(address, probed, nowMs);
     }
   }
 
   #probe(address: string, probed: ProbedWorker, nowMs: number): void {
     probed.probeInFlight = true;
-    probed.notBeforeMs = nowMs + PROBE_GAP_MS;
-    this.#sender.probe(address, (reached) => {
+    probed.nextProbeMs = nowMs + PROBE_INTERVAL_MS;
+    this.#sender.probe(address, (isReachable) => {
       probed.probeInFlight = false;
-      probed.failedProbes = reached ? 0 : probed.failedProbes + 1;
+      probed.failedProbes = isReachable ? 0 : probed.failedProbes + 1;
     });
   }
 }
