--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -462,8 +462,6 @@
 
 /** Whether a worker may get work now, as far as this node knows. */
 function mayReceiveWork(workers: readonly GatewayWorker[], worker: GatewayWorker): boolean {
-  const current = workers.find((known) => known.name === worker.name);
-  return (
-    current !== undefined && current.address === worker.address && !current.draining && !current.evacuated
-  );
+  const entry = workers.find((known) => known.name === worker.name);
+  return entry !== undefined && entry.address === worker.address && !entry.draining && !entry.evacuated;
 }
