--- a/packages/gateway/src/backlog.ts
+++ b/packages/gateway/src/backlog.ts
@@ -1,24 +1,26 @@
-/** Requests of the research groups that wait for a worker, shared fairly between the groups. */
+/** Weighted fair queueing of the requests that wait for a worker. */
 
-/** One waiting request, by its key in the slab. */
+/** A waiting request, given by its key in the slab. */
 export interface WaitingRequest {
   readonly key: number;
   readonly group: number;
-  /** When its first chunk should come. */
+  /** When the first chunk of its response is due. */
   readonly dueMs: number;
 }
 
 /**
- * Requests that wait for a worker, shared fairly: the group that has had least
- * for its weight goes first; within a group, whoever is due first.
+ * Requests that wait for a worker, in weighted fair order: the group that has been served least for its
+ * weight comes first; within a group, the request with the earliest due time.
  * @example
  * const backlog = new Backlog();
  * backlog.put({ key: 1, group: 0, dueMs: 900 });
- * backlog.queuesInOrder(); // keys in the order in which to try them
+ * backlog.queuesInOrder(); // queues in the order in which to try them
  */
 export class Backlog {
   #queues: WaitingRequest[][] = [];
+  /** Sends of each group divided by its weight. */
   #virtualTimes: number[] = [];
+  /** Least virtual time of the waiting groups; a group that was idle continues from there, without credit. */
   #minVirtualTime = 0;
   #count = 0;
 
@@ -52,7 +54,7 @@
     return true;
   }
 
-  /** Counts one send against a group's share. */
+  /** Charges one send to a group's virtual time. */
   charge(group: number, weight: number): void {
     const virtualTime = Math.max(this.#virtualTimes[group] ?? 0, this.#minVirtualTime);
     this.#virtualTimes[group] = virtualTime + 1 / Math.max(weight, 0.001);
@@ -60,7 +62,7 @@
     this.#minVirtualTime = waitingTimes.length > 0 ? Math.min(...waitingTimes) : virtualTime;
   }
 
-  /** Every lane that has someone waiting, least served first. */
+  /** The queues of all groups with waiting requests, the least served group first. */
   queuesInOrder(): readonly (readonly WaitingRequest[])[] {
     return this.#queues
       .map((queue, group) => ({ queue, virtualTime: this.#virtualTimes[group] ?? 0 }))
--- a/packages/gateway/src/catalogue.ts
+++ b/packages/gateway/src/catalogue.ts
@@ -1,4 +1,4 @@
-/** A spec of the research groups' deployment, indexed for the gateway. */
+/** Index of a spec, for the gateway's look-ups. */
 import type { Spec, SpecGroup } from '@rainrun/configuration';
 
 type Route = Spec['routes'][number];
@@ -22,7 +22,7 @@
     this.#adapters = new Map(spec.adapters.map((adapter) => [adapter.name, adapter.model]));
   }
 
-  /** The route of a path: its own, or for lookups that of the nearest path above it. */
+  /** The route of a path: an exact match, or else the lookup route with the longest matching parent path. */
   route(path: string): Route | undefined {
     const pathname = path.split('?')[0] ?? path;
     const exact = this.#routes.get(pathname);
@@ -38,7 +38,7 @@
     return this.#groups.get(name);
   }
 
-  /** Whether a group may use a model, and the model has the adapter, if one is named. */
+  /** Whether the model exists and the group may use it. */
   mayUseModel(group: SpecGroup, model: string): boolean {
     return this.#models.has(model) && (group.models.includes('*') || group.models.includes(model));
   }
--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -1,9 +1,9 @@
-/** What the gateway of the research groups' deployment is given by its node. */
+/** Interfaces between the gateway of a spec-based deployment and its edge node. */
 import type { Spec } from '@rainrun/configuration';
 import type { RandomSource, Clock, FaultKind } from '@rainrun/common';
 import type { Sender } from './sender.js';
 
-/** A worker as the gateway needs to see it. */
+/** A worker's state as the gateway uses it. */
 export interface GatewayWorker {
   readonly name: string;
   readonly address: string;
@@ -14,11 +14,13 @@
   readonly reachable: boolean;
   readonly slots: number;
   readonly holdings: readonly { readonly model: string; readonly adapters: readonly string[] }[];
+  /** When the worker was first reported to hold each model (key `model`) or adapter (key `model/adapter`). */
   readonly sinceMs: ReadonlyMap<string, number>;
+  /** Requests that other edges have in flight at the worker. */
   readonly othersInFlight: number;
 }
 
-/** What the gateway asks of its node. */
+/** What the edge node provides to its gateway. */
 export interface GatewayDependencies {
   readonly name: string;
   readonly zone: string;
@@ -27,17 +29,17 @@
   readonly sender: Sender;
   spec(): Spec | undefined;
   workers(): readonly GatewayWorker[];
-  /** Names of the edges in the view; none while this node is in no view. */
+  /** Names of the edges in the view; empty while this node is in no view. */
   edges(): readonly string[];
   /** This node's incarnation in the group. */
   incarnation(): string;
   /** Whether this node holds a lease and may admit requests. */
   hasLease(): boolean;
-  /** The weight of a group now, from its share and its loop. */
+  /** The current weight of a group: its share times the output of its control loop. */
   weight(group: string): number;
 }
 
-/** A client's request, as read from HTTP. */
+/** A client's request as parsed from HTTP. */
 export interface GatewayRequestInit {
   readonly id: string;
   readonly path: string;
@@ -53,7 +55,7 @@
   readonly deadlineMs: number | undefined;
 }
 
-/** How one request ended. */
+/** Record of a finished request: its outcome, timing and routing decisions. */
 export interface EndRecord {
   readonly id: string;
   readonly group: string;
--- a/packages/gateway/src/event-stream.ts
+++ b/packages/gateway/src/event-stream.ts
@@ -1,19 +1,19 @@
-/** Checks event streams of workers, for the research groups' gateway. */
+/** Validation of the server-sent event streams that workers send. */
 
-/** The closing event. */
+/** The event that closes a complete stream. */
 const DONE = 'data: [DONE]';
 const MAX_EVENT_BYTES = 1024 * 1024;
 
-/** What became of a chunk. */
+/** Result of one chunk: the events that it completes, or how it violates the protocol. */
 export type StreamChunkResult = { readonly events: Buffer } | { readonly violation: string };
 
 /**
- * Watches a stream of server-sent events: forwards complete events only, and
- * keeps the closing one back until the worker has really ended there.
+ * Validates a stream of server-sent events. It returns complete events only, and withholds the closing event
+ * until the worker has ended the response after it.
  * @example
  * const validator = new EventStreamValidator();
  * validator.take(Buffer.from('data: {"a":1}\n\n'));
- * validator.finished; // false: no closing event yet
+ * validator.finished; // false: the closing event is missing
  */
 export class EventStreamValidator {
   #incomplete = Buffer.alloc(0);
@@ -23,13 +23,13 @@
     return this.#done && this.#incomplete.length === 0;
   }
 
-  /** The closing event, to be sent when the worker has ended. */
+  /** The closing event, to be sent to the client after the worker has ended its response. */
   get closingEvent(): Buffer {
     return Buffer.from(`${DONE}\n\n`);
   }
 
   take(chunk: Uint8Array): StreamChunkResult {
-    if (this.#done) return { violation: 'more after the closing event' };
+    if (this.#done) return { violation: 'data after the closing event' };
     this.#incomplete = Buffer.concat([this.#incomplete, chunk]);
     const complete: Buffer[] = [];
     for (;;) {
@@ -39,12 +39,12 @@
       this.#incomplete = this.#incomplete.subarray(end + 2);
       if (event.toString('utf8').trim() === DONE) {
         this.#done = true;
-        if (this.#incomplete.length > 0) return { violation: 'more after the closing event' };
+        if (this.#incomplete.length > 0) return { violation: 'data after the closing event' };
         break;
       }
       complete.push(event);
     }
-    if (this.#incomplete.length > MAX_EVENT_BYTES) return { violation: 'an event without end' };
+    if (this.#incomplete.length > MAX_EVENT_BYTES) return { violation: 'an event exceeds the size limit' };
     return { events: Buffer.concat(complete) };
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** The data plane of an edge of the research groups' deployment: admission, backlog, sends and their ends. */
+/** The data plane of an edge of a spec-based deployment: admission, backlog, sends and their outcomes. */
 import { EventEmitter } from 'eventemitter3';
 import type { Spec, SpecGroup } from '@rainrun/configuration';
 import { fault, NameIndex, Slab, type Fault } from '@rainrun/common';
@@ -18,20 +18,20 @@
   ended: (record: EndRecord) => void;
 }
 
-/** A check on admission; returns why a request is rejected. */
+/** A check on admission; returns the fault with which a request is rejected, if any. */
 type AdmissionCheck = (request: GatewayRequest) => Fault | undefined;
 
-/** Deadline of a request that names none, from its arrival. */
+/** Deadline of a request that names none, counted from its arrival. */
 const DEFAULT_DEADLINE_MS = 120_000;
 /** A send fails after this time without a byte from the worker. */
 const STALL_MS = 15_000;
-/** The same for lookups, which can be sent again. */
+/** The same limit for lookups, which is shorter because lookups are idempotent and can be retried. */
 const LOOKUP_STALL_MS = 1500;
 
 /**
- * The data plane of one edge. A request passes the filters, then waits in the
- * backlog or goes to a worker; its continuation is kept in a slab meanwhile.
- * Work that may not be repeated is sent once.
+ * The data plane of one edge. A request passes the admission checks and then waits in the backlog until a
+ * worker can take it; waiting requests are kept in a slab. A request that is not idempotent is sent to a
+ * worker at most once, unless it is certain that no byte of it was written.
  * @example
  * const gateway = new Gateway(dependencies);
  * const clientLeft = gateway.admit(init, sink);
@@ -79,14 +79,14 @@
     return Object.fromEntries(this.#counts);
   }
 
-  /** No more is let in; what is in flight goes on. */
+  /** Stops admission and rejects the waiting requests; requests in flight continue. */
   drain(): void {
     this.#draining = true;
     for (const queue of this.#backlog.queuesInOrder())
       for (const { key } of [...queue]) this.#rejectKey(key, fault('draining', 'this node is stopping'));
   }
 
-  /** Admits or rejects a request; the returned function is to be called when the client leaves. */
+  /** Admits or rejects a request; the caller calls the returned function when the client disconnects. */
   admit(init: GatewayRequestInit, sink: GatewayResponseSink): () => void {
     const nowMs = this.#dependencies.clock.nowMs();
     const request = this.#newRequest(init, sink, nowMs);
@@ -105,7 +105,9 @@
     return () => this.#onClientLeft(request);
   }
 
-  /** A request with its names as indices; names that the spec does not know become the empty name. */
+  /**
+   * Builds a request with its names as indices; a group or kind that the spec lacks becomes the empty name.
+   */
   #newRequest(init: GatewayRequestInit, sink: GatewayResponseSink, nowMs: number): GatewayRequest {
     const catalogue = this.#catalogue();
     const route = catalogue?.route(init.path);
@@ -140,7 +142,10 @@
     };
   }
 
-  /** Rejects what has waited too long, and sends what can be sent now. */
+  /**
+   * Rejects requests that have waited too long, expires sends past their deadline, and sends what can be
+   * sent.
+   */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const queue of this.#backlog.queuesInOrder()) {
@@ -149,7 +154,7 @@
         if (request === undefined) continue;
         const waitedMs = nowMs - request.arrivedMs;
         if (nowMs > request.deadlineMs)
-          this.#rejectKey(key, fault('deadline-exceeded', 'the deadline passed before it was sent'));
+          this.#rejectKey(key, fault('deadline-exceeded', 'the deadline passed before the request was sent'));
         else if (waitedMs > request.maxWaitMs)
           this.#rejectKey(key, fault('no-worker', request.decisions.at(-1) ?? 'no worker came free in time'));
       }
@@ -160,7 +165,7 @@
     while (this.#sendNext(nowMs));
   }
 
-  /** Takes the counters since the last call, for an observation. */
+  /** Returns and resets the counters, for an observation. */
   takeMeasures(): Measurements {
     const backlogs = new Map<string, number>();
     for (const queue of this.#backlog.queuesInOrder()) {
@@ -183,7 +188,7 @@
     return this.#selector.inFlight(worker);
   }
 
-  // Filters.
+  // Admission checks.
 
   #checkAdmitting(request: GatewayRequest): Fault | undefined {
     if (this.#draining) return fault('draining', 'this node is stopping');
@@ -195,7 +200,7 @@
       : undefined;
   }
 
-  /** The spec in force, made ready once for each version. */
+  /** The index of the spec in force, built once per spec version. */
   #catalogue(): Catalogue | undefined {
     const spec = this.#dependencies.spec();
     if (spec !== this.#cachedCatalogue?.spec)
@@ -223,13 +228,16 @@
       : fault('unknown-model', `model ${model} has no adapter "${adapter}"`);
   }
 
-  /** A group may not have more waiting than its share; what can be sent at once does not wait. */
+  /**
+   * Rejects a request that exceeds its group's share of the backlog. Requests that are sent at once do not
+   * count.
+   */
   #checkBacklog(request: GatewayRequest): Fault | undefined {
     const maxWaiting = this.#shares.maxWaiting(request.group);
     if (this.#backlog.countOf(request.group) <= maxWaiting) return undefined;
     return fault(
       'over-share',
-      `${maxWaiting} requests of group ${this.#groups.name(request.group)} wait here already`,
+      `${maxWaiting} requests of group ${this.#groups.name(request.group)} are already waiting at this edge`,
     );
   }
 
@@ -326,7 +334,7 @@
     request.cancel = () => send.clientLeft();
   }
 
-  /** The last check before the first byte. */
+  /** The last check before the first byte is written. */
   #mayStart(request: GatewayRequest, worker: GatewayWorker): boolean {
     if (
       request.clientLeft ||
@@ -337,7 +345,9 @@
     return mayReceiveWork(this.#dependencies.workers(), worker);
   }
 
-  /** The workers are looked up once a heartbeat, and only if there is a silent send to judge. */
+  /**
+   * Probes the workers of unconfirmed sends. Reads the worker list at most once per tick, and only if needed.
+   */
   #probeUnconfirmed(nowMs: number): void {
     const hasLease = this.#dependencies.hasLease();
     let workers: readonly GatewayWorker[] | undefined;
@@ -391,7 +401,9 @@
     this.#finish(request, rejection.kind);
   }
 
-  /** A request rejected for want of capacity gets a time to retry after: as the group's backlog drains. */
+  /**
+   * Adds a retry time to rejections for lack of capacity, from the rate at which the group's backlog drains.
+   */
   #withRetryAfter(request: GatewayRequest, rejection: Fault): Fault {
     if (rejection.kind !== 'over-share' && rejection.kind !== 'no-worker') return rejection;
     const waiting = this.#backlog.countOf(request.group);
@@ -455,12 +467,12 @@
   }
 }
 
-/** The kind of work that is named, or the group's first where none is. */
+/** The kind of work with this name, or the group's first kind if the name is empty. */
 function findKind(group: SpecGroup | undefined, name: string): SpecGroup['kinds'][number] | undefined {
   return group?.kinds.find((known) => known.name === name) ?? (name === '' ? group?.kinds[0] : undefined);
 }
 
-/** Whether a worker may get work now, as far as this node knows. */
+/** Whether a worker may be sent work, as far as this node knows. */
 function mayReceiveWork(workers: readonly GatewayWorker[], worker: GatewayWorker): boolean {
   const entry = workers.find((known) => known.name === worker.name);
   return entry !== undefined && entry.address === worker.address && !entry.draining && !entry.evacuated;
--- a/packages/gateway/src/group-shares.ts
+++ b/packages/gateway/src/group-shares.ts
@@ -1,18 +1,18 @@
-/** How an edge shares its part of the workers' slots among the research groups. */
+/** Weighted sharing of the edge's part of the workers' slots between the groups. */
 import type { NameIndex } from '@rainrun/common';
 import type { Backlog } from './backlog.js';
 import type { GatewayDependencies } from './dependencies.js';
 
 const MIN_BACKLOG = 8;
 const BACKLOG_PER_SLOT = 4;
-/** A group counts among those that share for so long after it asked. */
+/** A group counts as active for this time after its latest request. */
 const ACTIVE_MS = 10_000;
 
 /**
- * The groups' shares, by their weights and by who has asked lately; a group
- * is its index in the register.
+ * The groups' shares of this edge's slots, by weight among the active groups. Groups are given by their index
+ * in the `NameIndex`.
  * @example
- * if (shares.isThrottled(group)) continue; // others wait, and it has its part
+ * if (shares.isThrottled(group)) continue; // it has used its share, and other groups wait
  */
 export class GroupShares {
   #dependencies: GatewayDependencies;
@@ -43,12 +43,12 @@
     this.#inFlight[group] = Math.max(0, this.inFlight(group) - 1);
   }
 
-  /** How many requests of a group may wait here. */
+  /** How many requests of a group may wait at this edge. */
   maxWaiting(group: number): number {
     return Math.max(MIN_BACKLOG, Math.floor(this.#edgeSlots() * BACKLOG_PER_SLOT * this.shareOf(group)));
   }
 
-  /** A group's part among the groups that have asked lately. */
+  /** A group's fraction of the total weight of the active groups. */
   shareOf(group: number): number {
     const nowMs = this.#dependencies.clock.nowMs();
     let sum = 0;
@@ -59,18 +59,18 @@
     return sum === 0 ? 1 : this.#dependencies.weight(this.#groups.name(group)) / sum;
   }
 
-  /** Whether a group has its part of the slots in flight already. */
+  /** Whether a group's requests in flight fill its share of the slots. */
   hasReachedShare(group: number): boolean {
     return this.inFlight(group) >= Math.max(1, Math.ceil(this.#edgeSlots() * this.shareOf(group)));
   }
 
-  /** While others wait, a group is held to its part of the slots. */
+  /** Whether a group must not send now: it has reached its share, and requests of other groups wait. */
   isThrottled(group: number): boolean {
     const others = this.#backlog.count - this.#backlog.countOf(group);
     return others > 0 && this.hasReachedShare(group);
   }
 
-  /** This edge's part of the slots of all usable workers. */
+  /** This edge's part of the slots of all usable workers, divided evenly between the edges. */
   #edgeSlots(): number {
     const slots = this.#dependencies
       .workers()
--- a/packages/gateway/src/link.ts
+++ b/packages/gateway/src/link.ts
@@ -1,28 +1,28 @@
 import type { Dispatcher } from 'undici';
 import { buildConnector, Client, Pool } from './undici-client.js';
 
-/** A header as it stands on the wire. */
+/** An HTTP header as it is on the wire, with its name's case unchanged. */
 export type Header = readonly [name: string, value: string];
 
-/** What a send reports. */
+/** Callbacks through which a send reports its progress. */
 export interface LinkHandler {
-  /** Asked at the last moment before the first byte; false stops the send. */
+  /** Called just before the first byte is written; false cancels the send. */
   mayStart(): boolean;
   head(status: number, headers: readonly Header[]): void;
   chunk(bytes: Buffer): void;
   end(): void;
-  /** `sent` tells whether any byte may have left. */
+  /** The send failed; `sent` tells whether any byte may have been written. */
   failed(sent: boolean, reason: string): void;
 }
 
-/** A send under way. */
+/** Handle of a send in progress. */
 export interface LinkSend {
   abort(): void;
   pause(): void;
   resume(): void;
 }
 
-/** One request to a worker. */
+/** One HTTP request to a worker. */
 export interface LinkRequest {
   readonly address: string;
   readonly method: string;
@@ -30,16 +30,18 @@
   readonly headers: readonly Header[];
   readonly body: Uint8Array;
   readonly stallMs: number;
-  /** Whether it goes on a connection of its own, on which no answer to an earlier send can still come. */
+  /** Whether to use a new connection, on which no response to an earlier request can still arrive. */
   readonly ownConnection?: boolean;
 }
 
-/** How requests reach workers; the tests have one of their own. */
+/** Transport for requests to workers; tests supply their own implementation. */
 export interface Link {
   send(request: LinkRequest, handler: LinkHandler): LinkSend;
 }
 
-/** How long connections may take to come up, and how long they are kept without use; see undici's pools. */
+/**
+ * Connect timeout and keep-alive times of connections; the keep-alive options are those of undici's `Pool`.
+ */
 export interface LinkTimes {
   readonly connectMs: number;
   readonly keepAliveTimeout: number;
@@ -48,8 +50,9 @@
 }
 
 /**
- * Connections whose end is an error are reset: what the system still held of a
- * request that was given up is dropped, and cannot arrive after a cut has healed.
+ * A connector whose connections are reset (RST) when they are closed with an error. The reset discards bytes
+ * of an aborted request that are still in the kernel's send buffer, so they cannot arrive after a network
+ * partition heals.
  */
 function resettingConnector(connectMs: number): buildConnector.connector {
   const connect = buildConnector({ timeout: connectMs });
@@ -58,8 +61,8 @@
       if (thrown !== null) return callback(thrown, null);
       const destroy = socket.destroy.bind(socket);
       let cause: Error | undefined;
-      // resetAndDestroy() calls destroy() again, without the cause: undici must hear it, or it takes the end of
-      // the connection for the end of an answer without a length.
+      // resetAndDestroy() calls destroy() again without the cause, which is passed on here. Without the cause undici
+      // would take the close of the connection for the regular end of a response without a length.
       socket.destroy = (reason?: Error) => {
         if (reason === undefined || cause !== undefined) return destroy(cause);
         cause = reason;
@@ -70,6 +73,7 @@
   };
 }
 
+/** One request dispatched to undici: translates undici's callbacks into those of a `LinkHandler`. */
 class DispatchedRequest implements Dispatcher.DispatchHandler, LinkSend {
   #handler: LinkHandler;
   #controller: Dispatcher.DispatchController | undefined;
@@ -85,7 +89,7 @@
 
   abort(): void {
     this.#aborted = true;
-    this.#controller?.abort(new Error('given up'));
+    this.#controller?.abort(new Error('send aborted'));
   }
 
   pause(): void {
@@ -109,7 +113,7 @@
     if (status < 200) return;
     const headers = headerPairs(controller.rawHeaders);
     if (this.#method !== 'HEAD' && !hasExplicitEnd(status, headers))
-      return controller.abort(new Error('an answer without a length'));
+      return controller.abort(new Error('the response has neither content-length nor chunked encoding'));
     this.#handler.head(status, headers);
   }
 
@@ -138,7 +142,9 @@
   return headers;
 }
 
-/** Whether the end of an answer can be told from a broken connection: by its length, its last chunk or its status. */
+/**
+ * Whether the end of a response can be told from a broken connection: by its length, last chunk or status.
+ */
 function hasExplicitEnd(status: number, headers: readonly Header[]): boolean {
   if (status === 204 || status === 304) return true;
   return headers.some(([name, value]) => {
@@ -148,9 +154,8 @@
 }
 
 /**
- * Sends through undici, one pool of kept connections a worker. A request is
- * written once: undici does not repeat it, and `mayStart` is asked just before
- * its first byte.
+ * Sends requests through undici, with one pool of keep-alive connections per worker. Each request is written
+ * at most once: undici does not retry it, and `mayStart` is called just before its first byte.
  * @example
  * const link = new PoolLink({ connectMs: 600, keepAliveTimeout: 30_000 });
  * const send = link.send(request, handler);
@@ -184,7 +189,7 @@
     return flight;
   }
 
-  /** Closes the pools of workers that are gone. */
+  /** Closes the pools of all other addresses. */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, pool] of this.#pools) {
       if (addresses.has(address)) continue;
@@ -198,7 +203,7 @@
     this.#pools.clear();
   }
 
-  /** A connection for one request, closed behind it. */
+  /** A client for a single request; the caller closes it after the dispatch. */
   #client(address: string): Client {
     return new Client(`http://${address}`, this.#options);
   }
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -1,22 +1,24 @@
-/** Counters since the last observation, by group and kind. */
+/** Counters of one group and kind of work since the last observation. */
 export interface Measure {
   readonly group: string;
   readonly kind: string;
   served: number;
   refused: number;
+  /** Requests whose first chunk came within the kind's target. */
   prompt: number;
   waitSumMs: number;
 }
 
-/** What was asked of one model, or of one adapter of it, since the last observation. */
+/** Demand for one model, or for one of its adapters, since the last observation. */
 export interface Demand {
   readonly model: string;
   readonly adapter: string;
   readonly arrivals: number;
+  /** Requests that wait for a worker at the time of the observation. */
   readonly backlog: number;
 }
 
-/** What one edge measured since it last told the others. */
+/** What one edge measured since its last observation. */
 export interface Measurements {
   readonly measures: readonly Measure[];
   readonly demands: readonly Demand[];
@@ -25,7 +27,8 @@
 }
 
 /**
- * Counts what the gateway sees, to be taken twice a second as an observation.
+ * Counts arrivals, responses, refusals and failed sends at the gateway. Twice a second the counters are taken
+ * as an observation and start again from zero.
  * @example
  * measures.refused('technicians', 'question');
  * measures.take(new Map()).measures[0].refused; // 1
@@ -57,7 +60,7 @@
     this.#faults.set(worker, (this.#faults.get(worker) ?? 0) + 1);
   }
 
-  /** Everything since the last call; `backlogs` says how many wait now, by demand. */
+  /** Returns and resets the counters; `backlogs` has the number of waiting requests by demand key. */
   take(backlogs: ReadonlyMap<string, number>): Measurements {
     const measures = [...this.#measures.values()];
     const demands = [...this.#arrivals].map(([key, arrival]) => ({
@@ -87,7 +90,7 @@
 }
 
 /**
- * The key under which demand for a model and adapter is counted.
+ * Key under which demand for a model and an adapter is counted.
  * @example
  * demandKey('model-1', ''); // 'model-1/'
  */
--- a/packages/gateway/src/retries.ts
+++ b/packages/gateway/src/retries.ts
@@ -1,18 +1,17 @@
-/** Which requests may leave again, within the fleet's retry budget. */
+/** Decides which failed requests may be sent again within the retry budget. */
 import { RetryBudget } from './retry-budget.js';
 import type { GatewayDependencies } from './dependencies.js';
 import type { SendResult } from './send.js';
 import type { GatewayRequest } from './gateway-request.js';
 
-/** A request leaves so often at most. */
+/** Most attempts per request, the first one included. */
 const MAX_ATTEMPTS = 4;
 
 /**
- * This edge's retries: first sends earn a part of one, each further send
- * costs one. A retry is reserved when a send has failed, and spent when the
- * request leaves again.
+ * This edge's retries: each first attempt earns a fraction of a retry token, and each retry costs one token.
+ * The token is reserved when a send has failed, and spent when the request is sent again.
  * @example
- * if (retries.mayRetry(request, result, nowMs)) wait(request);
+ * if (retries.mayRetry(request, result, nowMs)) enqueue(request);
  */
 export class Retries {
   #dependencies: GatewayDependencies;
@@ -24,7 +23,7 @@
     this.#count = count;
   }
 
-  /** Whether a failed send may be followed by another. */
+  /** Whether a request may be sent again after a failed send; reserves a token if it may and needs one. */
   mayRetry(request: GatewayRequest, result: SendResult, nowMs: number): boolean {
     if (nowMs > request.deadlineMs || request.attempts >= MAX_ATTEMPTS) return false;
     if (result.sent && !request.idempotent) return false;
@@ -43,7 +42,7 @@
     return true;
   }
 
-  /** Each request that leaves for the first time earns a part of a retry; each that leaves again costs one. */
+  /** Accounts for a send just before its first byte; false if the token of a retry is no longer there. */
   mayStart(request: GatewayRequest): boolean {
     this.#updateAllowance();
     if (request.retry === 'reserved') {
@@ -55,12 +54,12 @@
     return true;
   }
 
-  /** A request has ended: a retry that it did not use is given back. */
+  /** Gives back the token of a finished request that did not use its retry. */
   release(request: GatewayRequest): void {
     if (request.retry === 'reserved') this.#budget.release();
   }
 
-  /** The allowance is parted among the edges of the view; outside of it there is none. */
+  /** Divides the allowance evenly among the edges of the view; outside of a view there is none. */
   #updateAllowance(): void {
     const edges = this.#dependencies.edges().length;
     const allowance = this.#dependencies.spec()?.retries.allowance ?? 0;
--- a/packages/gateway/src/retry-budget.ts
+++ b/packages/gateway/src/retry-budget.ts
@@ -1,18 +1,17 @@
 /**
- * The retry budget of one edge: a bucket that earns a ratio of a token with
- * each request that is sent for the first time, and holds no more than this
- * edge's part of the fleet's allowance. So in any window of time the extra
- * sends of all edges stay within the ratio of the first ones plus the
- * allowance, whoever restarts, joins or leaves: a new incarnation begins empty.
+ * The retry budget of one edge: a token bucket. Each first attempt adds a ratio of a token, and the bucket
+ * holds at most this edge's part of the fleet's allowance. Therefore, in any window of time, the retries of
+ * all edges stay within the ratio of the first attempts plus the allowance, also when edges restart, join or
+ * leave: a new incarnation starts with an empty bucket.
  *
- * A retry is reserved when it is promised and spent when its first byte
- * leaves, so that those which wait cannot pile up.
+ * A token is reserved when a retry is granted and spent when the retry's first byte is written, so that
+ * retries that are still waiting cannot exceed the budget together.
  * @example
  * const budget = new RetryBudget();
  * budget.setAllowance('incarnation-1', 1);
  * for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
- * budget.reserve(); // true: five requests earned one extra send
- * budget.spend(); // true: it leaves now
+ * budget.reserve(); // true: five first attempts earned one retry
+ * budget.spend(); // true: the retry is sent now
  */
 export class RetryBudget {
   #incarnation = '';
@@ -20,7 +19,7 @@
   #tokens = 0;
   #reserved = 0;
 
-  /** Says which incarnation this is and what its part of the allowance is; another incarnation begins with nothing. */
+  /** Sets the incarnation and its part of the allowance; a change of incarnation empties the bucket. */
   setAllowance(incarnation: string, allowance: number): void {
     if (incarnation !== this.#incarnation) this.#tokens = 0;
     this.#incarnation = incarnation;
@@ -28,29 +27,29 @@
     this.#tokens = Math.min(this.#tokens, allowance);
   }
 
-  /** Whether this edge's part can ever pay for an extra send. */
+  /** Whether this edge's part of the allowance is large enough for a whole token, and so for any retry. */
   get canEverRetry(): boolean {
     return this.#edgeAllowance >= 1 - ROUNDING_TOLERANCE;
   }
 
-  /** A request is sent for the first time. */
+  /** Records the first attempt of a request, which earns `ratio` of a token. */
   recordFirstAttempt(ratio: number): void {
     this.#tokens = Math.min(this.#edgeAllowance, this.#tokens + ratio);
   }
 
-  /** Promises one extra send, if there is a token that is not promised yet. */
+  /** Reserves a token for one retry; false if every token is already reserved. */
   reserve(): boolean {
     if (this.#tokens - this.#reserved < 1 - ROUNDING_TOLERANCE) return false;
     this.#reserved += 1;
     return true;
   }
 
-  /** The extra send is not wanted any more. */
+  /** Gives back a reservation that was not used. */
   release(): void {
     this.#reserved -= 1;
   }
 
-  /** A reserved extra send leaves now; false when its token has gone with an earlier incarnation or a larger part. */
+  /** Spends a reserved token; false if a change of incarnation or a smaller allowance has removed it. */
   spend(): boolean {
     this.#reserved -= 1;
     if (this.#tokens < 1 - ROUNDING_TOLERANCE) return false;
@@ -59,5 +58,5 @@
   }
 }
 
-/** Five fifths make one. */
+/** Tolerance for rounding errors, so that five additions of 0.2 count as one whole token. */
 const ROUNDING_TOLERANCE = 1e-9;
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,36 +1,37 @@
-/** One send of a request to one worker of the research groups' deployment. */
+/** One attempt to send a request to a worker, and the handling of the response. */
 import { fault, type Fault } from '@rainrun/common';
 import { EventStreamValidator } from './event-stream.js';
 import type { GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
 import type { GatewayRequest } from './gateway-request.js';
 
-/** Largest plain response that is buffered. */
+/** Largest response, other than an event stream, that is buffered. */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** How a send ended; `done` is set when the client has had a response. */
+/** Result of a send; `outcome` is set if the client has received a response or a part of one. */
 export interface SendResult {
   readonly outcome: 'served' | 'cut' | undefined;
+  /** False if the send counts as a failure of the worker, for its backoff. */
   readonly succeeded: boolean;
-  /** Whether any byte may have left. */
+  /** Whether any byte may have been written to the worker. */
   readonly sent: boolean;
-  /** Whether a connection was tried at all. */
+  /** Whether a connection was attempted. */
   readonly tried: boolean;
   readonly fault: Fault;
 }
 
-/** What a send needs of its gateway. */
+/** What the gateway provides to a send. */
 export interface SendContext {
   nowMs(): number;
   mayStart(): boolean;
-  /** Called once. */
+  /** Called exactly once, with the result. */
   onEnd(result: SendResult): void;
 }
 
 const NO_FAULT = fault('outcome-unknown', '');
 
 /**
- * One send: checks the worker's response and forwards it to the client.
+ * One send of a request to a worker: validates the worker's response and forwards it to the client.
  * @example
  * const send = new Send(request, worker, context);
  * send.attach(sender.send(request, send));
@@ -65,7 +66,7 @@
     return this.#worker;
   }
 
-  /** Sent, and no response of the worker yet. */
+  /** Whether the request was sent and the worker has not responded yet. */
   get isUnanswered(): boolean {
     return this.#started && this.#status === 0 && !this.#ended;
   }
@@ -74,20 +75,23 @@
     return this.#request.deadlineMs;
   }
 
-  /** The deadline has passed while the worker was at it. */
+  /** Ends the send because the deadline has passed; an open stream is cut. */
   expire(): void {
     if (this.#opened) this.#cut();
-    else this.#fail(true, fault('deadline-exceeded', 'the deadline passed after it was sent'));
+    else this.#fail(true, fault('deadline-exceeded', 'the deadline passed after the request was sent'));
     this.#sending?.abort();
   }
 
-  /** No way to the worker is found, and what was sent must not arrive there late. */
+  /** Ends the send because the worker cannot be reached; bytes already sent must not arrive there late. */
   abandon(): void {
-    this.#fail(true, fault('outcome-unknown', `no way to ${this.#worker.name}, which may get no more work`));
+    this.#fail(
+      true,
+      fault('outcome-unknown', `cannot reach ${this.#worker.name}, which may no longer receive work`),
+    );
     this.#sending?.abort();
   }
 
-  /** The client has left: the worker's connection is closed. */
+  /** Ends the send because the client has disconnected, and closes the connection to the worker. */
   clientLeft(): void {
     this.#end({ outcome: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
     this.#sending?.abort();
@@ -105,7 +109,7 @@
     this.#contentType = contentType;
     const streaming = status === 200 && contentType.startsWith('text/event-stream');
     if (status === 200 && streaming !== this.#request.streamed)
-      return this.#abort(`${contentType} instead of what was asked`);
+      return this.#abort(`${contentType} is not the content type that was requested`);
     if (streaming) this.#eventStream = new EventStreamValidator();
   }
 
@@ -113,7 +117,7 @@
     if (this.#ended) return;
     if (this.#eventStream === undefined) {
       this.#bodyBytes += bytes.length;
-      if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('an answer without end');
+      if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('the response exceeds the size limit');
       this.#body.push(bytes);
       return;
     }
@@ -129,14 +133,17 @@
     if (this.#status === 429 || this.#status === 503) {
       return this.#fail(
         true,
-        fault('no-worker', `${this.#worker.name} took no more`),
+        fault('no-worker', `${this.#worker.name} is at capacity`),
         !this.#request.idempotent,
       );
     }
     if (this.#status >= 500 || this.#status < 200)
-      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
+      return this.#fail(
+        true,
+        fault('worker-nonsense', `${this.#worker.name} responded with status ${this.#status}`),
+      );
     if (!isJson(body))
-      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
+      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not respond with JSON`));
     this.#request.firstChunkMs ??= this.#context.nowMs();
     this.#request.sink.respond(this.#status, this.#contentType, body);
     this.#end({ outcome: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
@@ -160,7 +167,7 @@
     this.#fail(
       true,
       late
-        ? fault('deadline-exceeded', 'the deadline passed after it was sent')
+        ? fault('deadline-exceeded', 'the deadline passed after the request was sent')
         : fault('outcome-unknown', `${this.#worker.name}: ${reason}`),
     );
   }
@@ -178,7 +185,7 @@
   #endStream(validator: EventStreamValidator): void {
     if (!validator.isComplete) {
       if (this.#opened) return this.#cut();
-      return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended early`));
+      return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended the stream early`));
     }
     this.#forward(validator.closingEvent);
     this.#request.sink.close();
--- a/packages/gateway/src/sender.ts
+++ b/packages/gateway/src/sender.ts
@@ -1,20 +1,21 @@
 import { createConnection } from 'node:net';
 import { PoolLink, type LinkSend } from './link.js';
 
-/** What a send reports; `sent` tells whether any byte may have left. */
+/** Callbacks through which a send reports its progress. */
 export interface SendHandler {
-  /** Asked at the last moment before the first byte; false stops the send. */
+  /** Called just before the first byte is written; false cancels the send. */
   mayStart(): boolean;
   start(status: number, contentType: string): void;
   chunk(bytes: Buffer): void;
   end(): void;
+  /** The send failed; `sent` tells whether any byte may have been written. */
   failed(sent: boolean, reason: string): void;
 }
 
-/** A send under way. */
+/** Handle of a send in progress. */
 export type Sending = LinkSend;
 
-/** One request to a worker. */
+/** One HTTP request to a worker. */
 export interface SendRequest {
   readonly address: string;
   readonly method: 'GET' | 'POST';
@@ -24,10 +25,10 @@
   readonly stallMs: number;
 }
 
-/** How requests reach workers; the tests have one of their own. */
+/** Transport for requests to workers; tests supply their own implementation. */
 export interface Sender {
   send(request: SendRequest, handler: SendHandler): Sending;
-  /** Tells whether there is a way to an address now; nothing is sent there. */
+  /** Tests whether an address can be reached now, without sending a request. */
   probe(address: string, done: (reached: boolean) => void): void;
 }
 
@@ -36,7 +37,7 @@
 const PROBE_MS = 600;
 
 /**
- * Sends through kept connections, one pool a worker.
+ * Sends requests through undici, with one pool of keep-alive connections per worker.
  * @example
  * const sender = new UndiciSender();
  * const sending = sender.send(request, handler);
@@ -80,7 +81,7 @@
     socket.on('close', () => done(reached));
   }
 
-  /** Closes the pools of workers that are gone. */
+  /** Closes the pools of all other addresses. */
   keepOnly(addresses: ReadonlySet<string>): void {
     this.#link.keepOnly(addresses);
   }
--- a/packages/gateway/src/unconfirmed-sends.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -1,4 +1,4 @@
-/** Gives up sends of the research groups' gateway whose bytes may be held up on the way to a worker. */
+/** Abandons sends whose bytes may be delayed in the network on the way to a worker. */
 import type { Send } from './send.js';
 import type { Sender } from './sender.js';
 
@@ -12,11 +12,10 @@
 }
 
 /**
- * Sends whose worker may get no more work, or of which this node cannot know
- * whether it may, and which have had no response from the worker yet: their bytes
- * may still be held up on the way. Each such worker is probed for a
- * connection; where two probes in a row find no way, its silent sends are
- * given up and their connections reset, so that nothing arrives there late.
+ * Handles unconfirmed sends: those without a response so far whose worker may no longer receive work, or may
+ * not as far as this node can tell. Their bytes may still be delayed in the network. Each such worker is
+ * probed by opening a connection. After two failed probes in a row its unanswered sends are abandoned and
+ * their connections reset, so that no bytes arrive there late.
  * @example
  * const unconfirmed = new UnconfirmedSends(sender);
  * unconfirmed.tick(sends, (send) => isDraining(send.worker), nowMs);
@@ -29,6 +28,7 @@
     this.#sender = sender;
   }
 
+  /** Probes the workers of all unconfirmed sends, and abandons the sends whose probes have failed. */
   tick(sends: Iterable<Send>, isUnconfirmed: (send: Send) => boolean, nowMs: number): void {
     const unanswered = new Map<string, Send[]>();
     for (const send of sends) {
--- a/packages/gateway/src/undici-modules.d.ts
+++ b/packages/gateway/src/undici-modules.d.ts
@@ -1,4 +1,7 @@
-/** The modules of undici that `undici-client.ts` loads by themselves. Its package gives types for its index only. */
+/**
+ * Types of the undici modules that `undici-client.ts` imports directly: undici ships types only for its
+ * index.
+ */
 
 declare module 'undici/lib/dispatcher/client.js' {
   export { Client as default } from 'undici';
--- a/packages/gateway/src/worker-selection.ts
+++ b/packages/gateway/src/worker-selection.ts
@@ -1,46 +1,52 @@
-/** Chooses the worker for a request of the research groups' deployment. */
+/** Selection of the worker for a request. */
 import { hashText } from '@rainrun/common';
 import type { GatewayWorker } from './dependencies.js';
 
 const MAX_REMEMBERED_PREFIXES = 4096;
+/** The number of requests that the fleet may have in flight at a warming copy doubles with each step. */
 const WARM_UP_STEP_MS = 500;
-/** Part of a worker's slots that a group beyond its share does not take. */
+/** Fraction of a worker's slots that a group beyond its share may not use. */
 const RESERVED_SLOT_RATIO = 0.25;
 const BACKOFF_FIRST_MS = 500;
 const BACKOFF_MAX_MS = 8000;
 
-/** What the selector keeps for each worker. */
+/** The selector's state of one worker. */
 interface WorkerStatus {
   inFlight: number;
   failures: number;
   backoffUntilMs: number;
-  /** When it last failed a request or took none: it may have started anew since. */
+  /** When it last failed or rejected a request; it may have restarted since then and be warming up again. */
   lastFailureMs: number;
 }
 
-/** What a request requires of a worker. */
+/** What a request requires of its worker. */
 export interface WorkerRequirement {
   readonly pool: string;
   readonly model: string;
   readonly adapter: string;
   readonly prefix: number;
-  /** Its group has its part of the slots already: it may not take a worker's last ones. */
+  /** Whether the request's group has reached its share, so that it may not use a worker's reserved slots. */
   readonly overShare: boolean;
 }
 
-/** Where a request goes, or why nowhere now. */
+/** The selected worker and why it was chosen, or why no worker can take the request now. */
 export type Selection =
   | { readonly worker: GatewayWorker; readonly reason: string }
   | { readonly worker: undefined; readonly reason: string };
 
+/**
+ * Rendezvous hash of a worker and an edge: breaks ties between workers, and ranks the edges of a warming
+ * copy.
+ */
 function rendezvousHash(name: string, self: string): number {
   return hashText(`${name}|${self}`);
 }
 
 /**
- * Chooses the worker for a request: it must hold model and adapter and have a
- * slot free; then the prefix kept, the own zone and the load decide. While a
- * copy is warming, the whole fleet sends it only a few at a time.
+ * Selects the worker for a request. A candidate must hold the model and the adapter and have a free slot. The
+ * score of a candidate adds a bonus for having served the same prompt prefix last and one for being in this
+ * edge's zone, and subtracts the load. While a copy is warming up, the whole fleet sends it only a few
+ * requests at a time.
  * @example
  * const selector = new WorkerSelector('edge-1', 'north');
  * selector.select(required, workers, edges, nowMs);
@@ -73,7 +79,7 @@
       if (!this.#serves(worker, required)) continue;
       const status = this.#status(worker.name);
       if (nowMs < status.backoffUntilMs) {
-        reason = 'its workers failed lately';
+        reason = 'the workers that hold it are in backoff after failures';
         continue;
       }
       const limit = this.#limit(worker, required, edges, nowMs);
@@ -86,7 +92,7 @@
         status.inFlight + worker.othersInFlight >=
           worker.slots - Math.ceil(worker.slots * RESERVED_SLOT_RATIO)
       ) {
-        reason = 'the last slots are kept for groups below their share';
+        reason = 'the last slots are reserved for groups below their share';
         continue;
       }
       const load = (status.inFlight + worker.othersInFlight) / worker.slots;
@@ -111,7 +117,7 @@
       this.#lastWorkerByPrefix.delete(oldest.value);
   }
 
-  /** A send that was not answered: from here on the worker counts as warming. */
+  /** Records an unanswered send: the worker may have restarted, and counts as warming up from now on. */
   recordRestartRisk(worker: string, nowMs: number): void {
     this.#status(worker).lastFailureMs = nowMs;
   }
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Whether a worker may get this at all, load aside. */
+  /** Whether a worker is eligible for a request, regardless of its load. */
   #serves(worker: GatewayWorker, required: WorkerRequirement): boolean {
     if (worker.draining || worker.evacuated || !worker.reachable || worker.pool !== required.pool)
       return false;
@@ -136,7 +142,9 @@
     return holding !== undefined && (required.adapter === '' || holding.adapters.includes(required.adapter));
   }
 
-  /** How many this edge may have in flight there: its part of the slots, of few while a copy warms. */
+  /**
+   * How many requests this edge may have in flight at a worker: its part of the slots, fewer during warm-up.
+   */
   #limit(
     worker: GatewayWorker,
     required: WorkerRequirement,
