--- a/packages/gateway/src/admission.test.ts
+++ b/packages/gateway/src/admission.test.ts
@@ -5,7 +5,7 @@
 describe('admission', () => {
   it('refuses at once, before any work', () => {
     const harness = new GatewayHarness();
-    const seen = [
+    const faultKinds = [
       harness.submit({ group: 'x' }),
       harness.submit({ kind: 'x' }),
       harness.submit({ model: 'x' }),
@@ -13,7 +13,7 @@
       harness.submit({ path: '/x' }),
       harness.submit({ deadlineMs: -1 }),
     ].map(({ sink }) => sink.events[0]);
-    expect(seen).toEqual([
+    expect(faultKinds).toEqual([
       'unknown-group',
       'bad-request',
       'unknown-model',
@@ -27,16 +27,16 @@
   it('refuses while cut off and while draining', () => {
     const harness = new GatewayHarness();
     harness.hasLease = false;
-    const cutOff = harness.submit().sink.events;
+    const withoutLease = harness.submit().sink.events;
     harness.hasLease = true;
     harness.gateway.drain();
-    expect([cutOff, harness.submit().sink.events]).toEqual([['not-admitting'], ['draining']]);
+    expect([withoutLease, harness.submit().sink.events]).toEqual([['not-admitting'], ['draining']]);
   });
 
   it('bounds what one group may have waiting, while another is still let in', () => {
     const harness = new GatewayHarness();
-    const flood = Array.from({ length: 60 }, () => harness.submit({ group: 'h' }));
-    const refused = flood.filter(({ sink }) => sink.events[0] === 'over-share').length;
+    const submitted = Array.from({ length: 60 }, () => harness.submit({ group: 'h' }));
+    const refused = submitted.filter(({ sink }) => sink.events[0] === 'over-share').length;
     expect(refused > 30).toEqual(true);
     expect(harness.submit({ group: 'g' }).sink.events).toEqual([]);
   });
@@ -45,7 +45,7 @@
     const harness = new GatewayHarness();
     const spec = testSpec();
     harness.spec = { ...spec, models: [...spec.models, { name: 'rare', sizeMb: 1 }] };
-    for (let place = 0; place < 60; place += 1) harness.submit({ model: 'rare' });
+    for (let index = 0; index < 60; index += 1) harness.submit({ model: 'rare' });
     const before = harness.sent.length;
     harness.submit();
     expect([before, harness.sent.length]).toEqual([0, 1]);
@@ -68,14 +68,14 @@
     harness.workers = [{ ...harness.worker('w1', 'models'), slots: 8 }];
     harness.submit();
     harness.reply(harness.lastSent(), 503, '{}');
-    for (let place = 0; place < 8; place += 1) harness.submit();
+    for (let index = 0; index < 8; index += 1) harness.submit();
     expect(harness.sent.length).toEqual(2);
   });
 
   it('sends no flood to a copy that is warming', () => {
     const harness = new GatewayHarness();
     harness.workers = [{ ...harness.worker('w1', 'models'), slots: 8, sinceMs: new Map([['m', 0]]) }];
-    for (let place = 0; place < 8; place += 1) harness.submit();
+    for (let index = 0; index < 8; index += 1) harness.submit();
     expect(harness.sent.length).toEqual(1);
     harness.nowMs = 600;
     harness.gateway.tick();
--- a/packages/gateway/src/components.test.ts
+++ b/packages/gateway/src/components.test.ts
@@ -12,7 +12,7 @@
     const backlog = new Backlog();
     for (let key = 0; key < 40; key += 1) backlog.put({ key, group: key % 2, dueMs: 100 - key });
     const served = [0, 0];
-    for (let turn = 0; turn < 16; turn += 1) {
+    for (let index = 0; index < 16; index += 1) {
       const next = backlog.queuesInOrder()[0]?.[0];
       if (next === undefined) break;
       backlog.remove(next.key, next.group);
@@ -24,33 +24,33 @@
 
   it('a retry budget earns a fifth of the first sends, holds its part, and begins each incarnation with nothing', () => {
     const budget = new RetryBudget();
-    function taken(): number {
+    function spendAll(): number {
       let count = 0;
       while (budget.reserve()) count += Number(budget.spend());
       return count;
     }
     budget.setAllowance('incarnation-1', 3);
-    const atFirst = taken();
+    const initial = spendAll();
     for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
-    const earned = taken();
+    const earned = spendAll();
     for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
     budget.setAllowance('incarnation-1', 2);
     budget.setAllowance('incarnation-1', 4);
-    const held = taken();
+    const afterDecrease = spendAll();
     for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
     budget.setAllowance('incarnation-2', 4);
-    expect([atFirst, earned, held, taken()]).toEqual([0, 1, 2, 0]);
+    expect([initial, earned, afterDecrease, spendAll()]).toEqual([0, 1, 2, 0]);
   });
 
   it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
     const budget = new RetryBudget();
     budget.setAllowance('incarnation-1', 2);
     for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
-    const promises = [budget.reserve(), budget.reserve()];
+    const reservations = [budget.reserve(), budget.reserve()];
     budget.release();
-    promises.push(budget.reserve());
+    reservations.push(budget.reserve());
     budget.setAllowance('incarnation-2', 2);
-    expect([promises, budget.spend()]).toEqual([[true, false, true], false]);
+    expect([reservations, budget.spend()]).toEqual([[true, false, true], false]);
   });
 
   it('a catalogue finds a path, or for lookups the nearest above it', () => {
@@ -79,8 +79,8 @@
     const rate = new DrainRate();
     const idle = rate.retryAfterS(0, 0, 0);
     for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.recordSend(nowMs);
-    const told = [0, 0.5, 0.99].map((chance) => rate.retryAfterS(40, chance, 60_000));
-    expect([idle, told, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
+    const delays = [0, 0.5, 0.99].map((jitter) => rate.retryAfterS(40, jitter, 60_000));
+    expect([idle, delays, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
   it('a stream watch knows a whole stream', () => {
--- a/packages/gateway/src/link.test.ts
+++ b/packages/gateway/src/link.test.ts
@@ -43,11 +43,11 @@
     server.close();
   });
 
-  function listen(answer: string): Promise<string> {
+  function listen(response: string): Promise<string> {
     server = createServer((socket) => {
       sockets.push(socket);
       socket.on('error', () => undefined);
-      socket.on('data', () => socket.write(answer));
+      socket.on('data', () => socket.write(response));
     });
     return new Promise((resolve) => {
       server.listen(0, '127.0.0.1', () => resolve(`127.0.0.1:${(server.address() as AddressInfo).port}`));
--- a/packages/gateway/src/lookups.test.ts
+++ b/packages/gateway/src/lookups.test.ts
@@ -5,9 +5,9 @@
 describe('lookups', () => {
   it('are tried again elsewhere while the budget lasts, and then answered at once', () => {
     const harness = new GatewayHarness();
-    const ports = Array.from({ length: 40 }, () => {
+    const sinks = Array.from({ length: 40 }, () => {
       const sink = harness.submitLookup();
-      for (let place = 0; place < 5 && sink.events.length === 0; place += 1) {
+      for (let index = 0; index < 5 && sink.events.length === 0; index += 1) {
         harness.lastSent().handler.mayStart();
         harness.lastSent().handler.failed(true, 'reset');
         harness.nowMs += 1;
@@ -17,10 +17,10 @@
       return sink;
     });
     const sends = harness.sent.length;
-    const firsts = harness.gateway.counts['sends'] ?? 0;
-    const extra = harness.gateway.counts['retries'] ?? 0;
-    expect(sends).toEqual(firsts);
-    expect([extra > 0, extra <= 0.2 * (sends - extra)]).toEqual([true, true]);
-    expect(ports.every((sink) => sink.events.length <= 1)).toEqual(true);
+    const counted = harness.gateway.counts['sends'] ?? 0;
+    const retries = harness.gateway.counts['retries'] ?? 0;
+    expect(sends).toEqual(counted);
+    expect([retries > 0, retries <= 0.2 * (sends - retries)]).toEqual([true, true]);
+    expect(sinks.every((sink) => sink.events.length <= 1)).toEqual(true);
   });
 });
--- a/packages/gateway/src/non-idempotent.test.ts
+++ b/packages/gateway/src/non-idempotent.test.ts
@@ -15,14 +15,18 @@
   it('is sent elsewhere only when provably no byte left, and within the budget', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
-    const early = harness.submit().sink;
+    const withoutBudget = harness.submit().sink;
     harness.lastSent().handler.failed(false, 'ECONNREFUSED');
     harness.earnRetry();
     const before = harness.sent.length;
     const { sink } = harness.submit();
     harness.lastSent().handler.failed(false, 'ECONNREFUSED');
     harness.reply(harness.lastSent(), 200, '{}');
-    expect([early.events, sink.events, harness.sent.length - before]).toEqual([['no-worker'], ['200 {}'], 2]);
+    expect([withoutBudget.events, sink.events, harness.sent.length - before]).toEqual([
+      ['no-worker'],
+      ['200 {}'],
+      2,
+    ]);
   });
 
   it('is not started when the grant ends, or the worker is marked as leaving, before the first byte', () => {
@@ -41,18 +45,18 @@
     const { sink } = harness.submit();
     harness.lastSent().handler.mayStart();
     const name = harness.lastSent().request.address;
-    function pass(cut: boolean): unknown {
-      harness.probesFail = cut;
-      for (let place = 0; place < 4; place += 1) {
+    function runTicks(probesFail: boolean): unknown {
+      harness.probesFail = probesFail;
+      for (let index = 0; index < 4; index += 1) {
         harness.nowMs += 250;
         harness.gateway.tick();
       }
       return [harness.probed.length > 0, [...sink.events], harness.lastSent().aborted];
     }
-    const usual = pass(true);
+    const notDraining = runTicks(true);
     harness.workers = harness.workers.map((worker) => ({ ...worker, draining: worker.name === name }));
-    const reached = pass(false);
-    expect([usual, reached, pass(true)]).toEqual([
+    const reachable = runTicks(false);
+    expect([notDraining, reachable, runTicks(true)]).toEqual([
       [false, [], false],
       [true, [], false],
       [true, ['outcome-unknown'], true],
--- a/packages/gateway/src/streams.test.ts
+++ b/packages/gateway/src/streams.test.ts
@@ -4,24 +4,24 @@
 import { GatewayHarness, SSE } from './testing/gateway-harness.js';
 
 describe('streams', () => {
-  function streamed(act: (handler: SendHandler) => void): { seen: string[]; aborted: boolean } {
+  function streamed(script: (handler: SendHandler) => void): { events: string[]; aborted: boolean } {
     const harness = new GatewayHarness();
     const { sink } = harness.submit({ streamed: true });
     const sent = harness.lastSent();
     sent.handler.mayStart();
     sent.handler.start(200, SSE);
-    act(sent.handler);
-    return { seen: sink.events, aborted: sent.aborted };
+    script(sent.handler);
+    return { events: sink.events, aborted: sent.aborted };
   }
 
   it('pass on whole events and end as whole only when the worker did', () => {
-    const { seen } = streamed((handler) => {
+    const { events } = streamed((handler) => {
       handler.chunk(Buffer.from('data: 1\n'));
       handler.chunk(Buffer.from('\ndata: 2\n\ndata: [DO'));
       handler.chunk(Buffer.from('NE]\n\n'));
       handler.end();
     });
-    expect(seen).toEqual(['open', 'data: 1\n\ndata: 2', 'data: [DONE]', 'close']);
+    expect(events).toEqual(['open', 'data: 1\n\ndata: 2', 'data: [DONE]', 'close']);
   });
 
   it('end visibly cut when the worker ends early or is lost', () => {
@@ -33,20 +33,20 @@
       handler.chunk(Buffer.from('data: 1\n\n'));
       handler.failed(true, 'reset');
     });
-    expect([early.seen.at(-1), lost.seen.at(-1)]).toEqual(['cut', 'cut']);
+    expect([early.events.at(-1), lost.events.at(-1)]).toEqual(['cut', 'cut']);
   });
 
   it('are cut when the worker sends more than its closing event', () => {
-    const { seen, aborted } = streamed((handler) => {
+    const { events, aborted } = streamed((handler) => {
       handler.chunk(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
       handler.chunk(Buffer.from('data: 2\n\n'));
       handler.end();
     });
-    expect([seen.at(-1), aborted]).toEqual(['cut', true]);
+    expect([events.at(-1), aborted]).toEqual(['cut', true]);
   });
 
   it('have a definite error when nothing came, or something else did', () => {
-    expect(streamed((handler) => handler.end()).seen).toEqual(['outcome-unknown']);
+    expect(streamed((handler) => handler.end()).events).toEqual(['outcome-unknown']);
     const harness = new GatewayHarness();
     const { sink } = harness.submit({ streamed: true });
     harness.reply(harness.lastSent(), 200, 'hello', 'text/html');
@@ -55,8 +55,8 @@
 
   it('close the worker when the visitor leaves', () => {
     const harness = new GatewayHarness();
-    const { leave } = harness.submit({ streamed: true });
-    leave();
+    const { disconnect } = harness.submit({ streamed: true });
+    disconnect();
     expect([
       harness.lastSent().aborted,
       harness.gateway.inFlight,
--- a/packages/gateway/src/testing/gateway-harness.ts
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -54,8 +54,8 @@
   respond(status: number, _type: string, body: Uint8Array): void {
     this.events.push(`${status} ${Buffer.from(body).toString()}`);
   }
-  reject(why: { kind: string }): void {
-    this.events.push(why.kind);
+  reject(fault: { kind: string }): void {
+    this.events.push(fault.kind);
   }
   open(): void {
     this.events.push('open');
@@ -128,9 +128,9 @@
     done(!this.probesFail);
   }
 
-  submit(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; leave: () => void } {
+  submit(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; disconnect: () => void } {
     const sink = new RecordingSink();
-    const ask: GatewayRequestInit = {
+    const init: GatewayRequestInit = {
       id: `id-${this.sent.length}`,
       path: '/chat',
       method: 'POST',
@@ -144,12 +144,12 @@
       deadlineMs: undefined,
       ...change,
     };
-    return { sink, leave: this.gateway.admit(ask, sink) };
+    return { sink, disconnect: this.gateway.admit(init, sink) };
   }
 
   /** Five requests served earn one extra send. */
   earnRetry(): void {
-    for (let place = 0; place < 5; place += 1) {
+    for (let index = 0; index < 5; index += 1) {
       this.submit();
       this.reply(this.lastSent(), 200, '{}');
     }
