--- a/packages/gateway/src/admission.test.ts
+++ b/packages/gateway/src/admission.test.ts
@@ -3,7 +3,7 @@
 import { GatewayHarness, testSpec } from './testing/gateway-harness.js';
 
 describe('admission', () => {
-  it('refuses at once, before any work', () => {
+  it('rejects invalid requests at once, without sending anything to a worker', () => {
     const harness = new GatewayHarness();
     const faultKinds = [
       harness.submit({ group: 'x' }),
@@ -24,7 +24,7 @@
     expect(harness.sent.length).toEqual(0);
   });
 
-  it('refuses while cut off and while draining', () => {
+  it('rejects requests while the edge has no lease and while it is draining', () => {
     const harness = new GatewayHarness();
     harness.hasLease = false;
     const withoutLease = harness.submit().sink.events;
@@ -33,7 +33,7 @@
     expect([withoutLease, harness.submit().sink.events]).toEqual([['not-admitting'], ['draining']]);
   });
 
-  it('bounds what one group may have waiting, while another is still let in', () => {
+  it('limits how many requests of one group may wait, while it still admits those of another group', () => {
     const harness = new GatewayHarness();
     const submitted = Array.from({ length: 60 }, () => harness.submit({ group: 'h' }));
     const refused = submitted.filter(({ sink }) => sink.events[0] === 'over-share').length;
@@ -41,7 +41,7 @@
     expect(harness.submit({ group: 'g' }).sink.events).toEqual([]);
   });
 
-  it('lets in what can be sent at once, though the group has its share waiting for a rare model', () => {
+  it('admits a request that can be sent at once, though its group has a full backlog', () => {
     const harness = new GatewayHarness();
     const spec = testSpec();
     harness.spec = { ...spec, models: [...spec.models, { name: 'rare', sizeMb: 1 }] };
@@ -51,7 +51,7 @@
     expect([before, harness.sent.length]).toEqual([0, 1]);
   });
 
-  it('gives up what waited beyond its patience, at once and with its kind', () => {
+  it('rejects a request with no-worker as soon as it has waited longer than patienceMs', () => {
     const harness = new GatewayHarness();
     harness.workers = [];
     const { sink } = harness.submit();
@@ -63,7 +63,7 @@
     expect(sink.events).toEqual(['no-worker']);
   });
 
-  it('sends few at first to a worker that failed and may have started anew', () => {
+  it('limits sends to a worker that rejected a request and may have restarted since', () => {
     const harness = new GatewayHarness();
     harness.workers = [{ ...harness.worker('w1', 'models'), slots: 8 }];
     harness.submit();
@@ -72,7 +72,7 @@
     expect(harness.sent.length).toEqual(2);
   });
 
-  it('sends no flood to a copy that is warming', () => {
+  it('increases the number of requests in flight at a copy step by step while it warms up', () => {
     const harness = new GatewayHarness();
     harness.workers = [{ ...harness.worker('w1', 'models'), slots: 8, sinceMs: new Map([['m', 0]]) }];
     for (let index = 0; index < 8; index += 1) harness.submit();
--- a/packages/gateway/src/components.test.ts
+++ b/packages/gateway/src/components.test.ts
@@ -8,7 +8,7 @@
 import { testSpec } from './testing/gateway-harness.js';
 
 describe('components of the gateway', () => {
-  it('a backlog serves groups by weight, and who is due first within a group', () => {
+  it('the backlog serves groups by weight, and within a group the earliest due request first', () => {
     const backlog = new Backlog();
     for (let key = 0; key < 40; key += 1) backlog.put({ key, group: key % 2, dueMs: 100 - key });
     const served = [0, 0];
@@ -22,7 +22,7 @@
     expect(served).toEqual([12, 4]);
   });
 
-  it('a retry budget earns a fifth of the first sends, holds its part, and begins each incarnation with nothing', () => {
+  it('the retry budget earns 0.2 per first attempt up to its allowance; a new incarnation starts empty', () => {
     const budget = new RetryBudget();
     function spendAll(): number {
       let count = 0;
@@ -42,7 +42,7 @@
     expect([initial, earned, afterDecrease, spendAll()]).toEqual([0, 1, 2, 0]);
   });
 
-  it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
+  it('the retry budget reserves a token once only, and drops it when the incarnation changes', () => {
     const budget = new RetryBudget();
     budget.setAllowance('incarnation-1', 2);
     for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
@@ -53,7 +53,7 @@
     expect([reservations, budget.spend()]).toEqual([[true, false, true], false]);
   });
 
-  it('a catalogue finds a path, or for lookups the nearest above it', () => {
+  it('the catalogue finds the route of a path, or for lookups that of the nearest parent path', () => {
     const spec = {
       ...testSpec(),
       routes: [
@@ -75,7 +75,7 @@
     ]);
   });
 
-  it('tells who is refused to come back as the backlog drains, and not all at once', () => {
+  it('the drain rate gives a retry time that grows with the backlog and is spread by jitter', () => {
     const rate = new DrainRate();
     const idle = rate.retryAfterS(0, 0, 0);
     for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.recordSend(nowMs);
@@ -83,7 +83,7 @@
     expect([idle, delays, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
-  it('a stream watch knows a whole stream', () => {
+  it('the event stream validator recognizes a complete stream', () => {
     const validator = new EventStreamValidator();
     validator.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
     expect(validator.isComplete).toEqual(true);
--- a/packages/gateway/src/deadlines.test.ts
+++ b/packages/gateway/src/deadlines.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'earl';
 import { GatewayHarness, SSE } from './testing/gateway-harness.js';
 
-describe('deadlines', () => {
-  it('end a send with its kind, and a stream visibly cut', () => {
+describe('a deadline that passes', () => {
+  it('fails a pending send with deadline-exceeded, and aborts an open stream', () => {
     const harness = new GatewayHarness();
     const plain = harness.submit({ deadlineMs: 500 });
     const first = harness.lastSent();
--- a/packages/gateway/src/event-stream.ts
+++ b/packages/gateway/src/event-stream.ts
@@ -13,7 +13,7 @@
  * @example
  * const validator = new EventStreamValidator();
  * validator.take(Buffer.from('data: {"a":1}\n\n'));
- * validator.finished; // false: the closing event is missing
+ * validator.isComplete; // false: the closing event is missing
  */
 export class EventStreamValidator {
   #incomplete = Buffer.alloc(0);
--- a/packages/gateway/src/link.test.ts
+++ b/packages/gateway/src/link.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl';
 import { PoolLink, type LinkHandler } from './link.js';
 
-/** Notes what a send reports, and resolves when its first word of an answer comes. */
+/** Records the callbacks of a send, and resolves `responseStarted` when the response headers arrive. */
 class RecordingHandler implements LinkHandler {
   readonly events: string[] = [];
   #resolve: () => void = () => undefined;
@@ -54,7 +54,7 @@
     });
   }
 
-  it('control safety, point 5: a link that closes as a send is given up ends once, and the process lives', async () => {
+  it('control safety, point 5: aborting a send whose connection closes fails it once and does not crash the process', async () => {
     const address = await listen('HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\nhalf');
     const link = new PoolLink({ connectMs: 600, keepAliveTimeout: 30_000 });
     const handler = new RecordingHandler();
--- a/packages/gateway/src/lookups.test.ts
+++ b/packages/gateway/src/lookups.test.ts
@@ -3,7 +3,7 @@
 import { GatewayHarness } from './testing/gateway-harness.js';
 
 describe('lookups', () => {
-  it('are tried again elsewhere while the budget lasts, and then answered at once', () => {
+  it('are retried on another worker within the retry budget, and rejected at once when it is used up', () => {
     const harness = new GatewayHarness();
     const sinks = Array.from({ length: 40 }, () => {
       const sink = harness.submitLookup();
--- a/packages/gateway/src/non-idempotent.test.ts
+++ b/packages/gateway/src/non-idempotent.test.ts
@@ -3,7 +3,7 @@
 import { GatewayHarness } from './testing/gateway-harness.js';
 
 describe('a non-idempotent request', () => {
-  it('is sent once; without an answer its outcome is unknown', () => {
+  it('is sent only once, and fails with outcome-unknown if no response arrives', () => {
     const harness = new GatewayHarness();
     const { sink } = harness.submit();
     harness.lastSent().handler.mayStart();
@@ -12,7 +12,7 @@
     expect([harness.sent.length, sink.events]).toEqual([1, ['outcome-unknown']]);
   });
 
-  it('is sent elsewhere only when provably no byte left, and within the budget', () => {
+  it('is retried on another worker only if certainly no byte was sent, and within the retry budget', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
     const withoutBudget = harness.submit().sink;
@@ -29,7 +29,7 @@
     ]);
   });
 
-  it('is not started when the grant ends, or the worker is marked as leaving, before the first byte', () => {
+  it('is not started if the lease ends or the worker starts draining before the first byte is sent', () => {
     const harness = new GatewayHarness();
     harness.submit();
     harness.hasLease = false;
@@ -39,7 +39,7 @@
     expect(harness.lastSent().handler.mayStart()).toEqual(false);
   });
 
-  it('is given up, and its connection reset, when its worker is leaving and no way there is found', () => {
+  it('is abandoned, and its connection reset, if its worker is draining and cannot be reached', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
     const { sink } = harness.submit();
@@ -63,7 +63,7 @@
     ]);
   });
 
-  it('waits again, unsent, when the last look forbade it', () => {
+  it('returns to the backlog unsent if the last check before the first byte denies the send', () => {
     const harness = new GatewayHarness();
     const { sink } = harness.submit();
     harness.hasLease = false;
@@ -76,7 +76,7 @@
     expect([harness.sent.length, sink.events]).toEqual([2, ['200 {}']]);
   });
 
-  it('is refused at once when a worker takes no more, and not sent again', () => {
+  it('is rejected at once, and not retried, if the worker responds that it is at capacity', () => {
     const harness = new GatewayHarness();
     const { sink } = harness.submit();
     harness.reply(harness.lastSent(), 503, '{}');
--- a/packages/gateway/src/streams.test.ts
+++ b/packages/gateway/src/streams.test.ts
@@ -14,7 +14,7 @@
     return { events: sink.events, aborted: sent.aborted };
   }
 
-  it('pass on whole events and end as whole only when the worker did', () => {
+  it('forward complete events only, and close only when the worker has ended the response', () => {
     const { events } = streamed((handler) => {
       handler.chunk(Buffer.from('data: 1\n'));
       handler.chunk(Buffer.from('\ndata: 2\n\ndata: [DO'));
@@ -24,7 +24,7 @@
     expect(events).toEqual(['open', 'data: 1\n\ndata: 2', 'data: [DONE]', 'close']);
   });
 
-  it('end visibly cut when the worker ends early or is lost', () => {
+  it('are aborted towards the client when the worker ends early or its connection fails', () => {
     const early = streamed((handler) => {
       handler.chunk(Buffer.from('data: 1\n\n'));
       handler.end();
@@ -36,7 +36,7 @@
     expect([early.events.at(-1), lost.events.at(-1)]).toEqual(['cut', 'cut']);
   });
 
-  it('are cut when the worker sends more than its closing event', () => {
+  it('are aborted when the worker sends data after the closing event', () => {
     const { events, aborted } = streamed((handler) => {
       handler.chunk(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
       handler.chunk(Buffer.from('data: 2\n\n'));
@@ -45,7 +45,7 @@
     expect([events.at(-1), aborted]).toEqual(['cut', true]);
   });
 
-  it('have a definite error when nothing came, or something else did', () => {
+  it('fail with a definite error if the response is empty or is not an event stream', () => {
     expect(streamed((handler) => handler.end()).events).toEqual(['outcome-unknown']);
     const harness = new GatewayHarness();
     const { sink } = harness.submit({ streamed: true });
@@ -53,7 +53,7 @@
     expect(sink.events).toEqual(['worker-nonsense']);
   });
 
-  it('close the worker when the visitor leaves', () => {
+  it('abort the send to the worker when the client disconnects', () => {
     const harness = new GatewayHarness();
     const { disconnect } = harness.submit({ streamed: true });
     disconnect();
--- a/packages/gateway/src/testing/gateway-harness.ts
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -1,4 +1,4 @@
-/** A gateway under test: fake sender, sink and workers of the research groups' deployment. */
+/** A gateway under test, with a fake sender, sink and workers. */
 import { readSpec, type Spec } from '@rainrun/configuration';
 import type { GatewayRequestInit, GatewayWorker } from '../dependencies.js';
 import type { GatewayResponseSink } from '../gateway-request.js';
@@ -28,7 +28,7 @@
   return read.isOk ? read.value : ({} as Spec);
 }
 
-/** One send, at which a test plays the worker. */
+/** One send, to which a test responds in place of the worker. */
 export class SentRequest implements Sending {
   readonly request: SendRequest;
   readonly handler: SendHandler;
@@ -48,7 +48,7 @@
   }
 }
 
-/** A client that records what it is answered. */
+/** A sink that records the events of the response. */
 export class RecordingSink implements GatewayResponseSink {
   readonly events: string[] = [];
   respond(status: number, _type: string, body: Uint8Array): void {
@@ -147,7 +147,7 @@
     return { sink, disconnect: this.gateway.admit(init, sink) };
   }
 
-  /** Five requests served earn one extra send. */
+  /** Serves five requests, which earn one retry. */
   earnRetry(): void {
     for (let index = 0; index < 5; index += 1) {
       this.submit();
