--- a/packages/storage/src/record-store.ts
+++ b/packages/storage/src/record-store.ts
@@ -17,7 +17,7 @@
 /** The newest intact record of each kind. */
 export type Records = Partial<Record<RecordKind, Uint8Array>>;
 
-const VERSIONS_KEPT = 2;
+const RETAINED_VERSIONS = 2;
 const FILE_NAME = /^(disk|promise|version)\.(\d{1,15})$/;
 
 /** Errors of system calls name the operation and the path in their message. */
@@ -35,14 +35,14 @@
 }
 
 /** Makes a folder that outlives a loss of power: each folder above that gained an entry is synced. */
-async function makeFolder(path: string): Promise<void> {
-  const firstMade = await mkdir(path, { recursive: true });
-  if (firstMade === undefined) return;
-  const top = dirname(resolve(firstMade));
-  let above = dirname(resolve(path));
-  while (above !== top) {
-    await syncFolder(above);
-    above = dirname(above);
+async function createFolder(path: string): Promise<void> {
+  const firstCreated = await mkdir(path, { recursive: true });
+  if (firstCreated === undefined) return;
+  const top = dirname(resolve(firstCreated));
+  let parent = dirname(resolve(path));
+  while (parent !== top) {
+    await syncFolder(parent);
+    parent = dirname(parent);
   }
   await syncFolder(top);
 }
@@ -59,7 +59,7 @@
       return Result.err(fault('foreign', `${join(folder, name)} is not a record of rainrun`));
     }
   }
-  for (const known of versions.values()) known.sort((one, other) => one - other);
+  for (const numbers of versions.values()) numbers.sort((one, other) => one - other);
   return Result.ok(versions);
 }
 
@@ -69,8 +69,8 @@
   versions: ReadonlyMap<RecordKind, readonly number[]>,
 ): Promise<Result<Records, Fault>> {
   const records: Records = {};
-  for (const [kind, known] of versions) {
-    const path = join(folder, `${kind}.${known.at(-1)}`);
+  for (const [kind, numbers] of versions) {
+    const path = join(folder, `${kind}.${numbers.at(-1)}`);
     const bytes = unseal(await readFile(path));
     if (bytes.isErr) return Result.err(fault(bytes.error.kind, `${path}: ${bytes.error.detail}`));
     records[kind] = bytes.value;
@@ -88,7 +88,7 @@
 export class RecordStore implements RecordWriter {
   #folder: string;
   #versions: Map<RecordKind, number[]>;
-  #tail: Promise<void> = Promise.resolve();
+  #lastWrite: Promise<void> = Promise.resolve();
 
   private constructor(folder: string, versions: Map<RecordKind, number[]>) {
     this.#folder = folder;
@@ -104,7 +104,7 @@
    */
   static async open(folder: string): Promise<Result<{ recordStore: RecordStore; records: Records }, Fault>> {
     try {
-      await makeFolder(folder);
+      await createFolder(folder);
       const versions = await listVersions(folder);
       if (versions.isErr) return Result.err(versions.error);
       const records = await readNewest(folder, versions.value);
@@ -119,27 +119,27 @@
   }
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
-    this.#tail = this.#tail
+    this.#lastWrite = this.#lastWrite
       .then(() => this.#write(kind, bytes))
       // An error of `done` is its caller's: it becomes uncaught, and later writes still go on.
       .then((result) => queueMicrotask(() => done(result)));
   }
 
   async #write(kind: RecordKind, bytes: Uint8Array): Promise<Result<Unit, Fault>> {
-    const known = this.#versions.get(kind) ?? [];
-    const number = (known.at(-1) ?? 0) + 1;
+    const numbers = this.#versions.get(kind) ?? [];
+    const number = (numbers.at(-1) ?? 0) + 1;
     const path = join(this.#folder, `${kind}.${number}`);
     try {
-      const aside = await open(`${path}.aside`, 'w');
+      const temporary = await open(`${path}.aside`, 'w');
       try {
-        await aside.writeFile(seal(bytes));
-        await aside.sync();
+        await temporary.writeFile(seal(bytes));
+        await temporary.sync();
       } finally {
-        await aside.close();
+        await temporary.close();
       }
       await rename(`${path}.aside`, path);
       await syncFolder(this.#folder);
-      this.#versions.set(kind, [...known, number]);
+      this.#versions.set(kind, [...numbers, number]);
       await this.#prune(kind);
       return Result.ok();
     } catch (thrown) {
@@ -148,8 +148,8 @@
   }
 
   async #prune(kind: RecordKind): Promise<void> {
-    const known = this.#versions.get(kind) ?? [];
-    for (const number of known.splice(0, Math.max(0, known.length - VERSIONS_KEPT))) {
+    const numbers = this.#versions.get(kind) ?? [];
+    for (const number of numbers.splice(0, Math.max(0, numbers.length - RETAINED_VERSIONS))) {
       await unlink(join(this.#folder, `${kind}.${number}`));
     }
   }
--- a/packages/storage/src/sealed-file.ts
+++ b/packages/storage/src/sealed-file.ts
@@ -26,8 +26,8 @@
   if (!file.subarray(0, MAGIC.length).equals(MAGIC))
     return Result.err(fault('foreign', 'not a record of rainrun'));
   const bytes = file.subarray(HEADER_BYTES);
-  const sum = createHash('sha256').update(bytes).digest();
-  if (!timingSafeEqual(sum, file.subarray(MAGIC.length, HEADER_BYTES))) {
+  const checksum = createHash('sha256').update(bytes).digest();
+  if (!timingSafeEqual(checksum, file.subarray(MAGIC.length, HEADER_BYTES))) {
     return Result.err(fault('damaged', 'the checksum does not match'));
   }
   return Result.ok(new Uint8Array(bytes));
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -9,18 +9,18 @@
 
 let folders: string[] = [];
 
-async function folder(): Promise<string> {
-  const made = await mkdtemp(join(tmpdir(), 'recordStore-'));
-  folders.push(made);
-  return made;
+async function createTempFolder(): Promise<string> {
+  const path = await mkdtemp(join(tmpdir(), 'recordStore-'));
+  folders.push(path);
+  return path;
 }
 
 afterEach(async () => {
-  for (const made of folders) await rm(made, { recursive: true });
+  for (const path of folders) await rm(path, { recursive: true });
   folders = [];
 });
 
-async function filled(path: string): Promise<void> {
+async function fillFolder(path: string): Promise<void> {
   const opened = await RecordStore.open(path);
   if (opened.isErr) return;
   const writes: [RecordKind, number][] = [
@@ -37,7 +37,7 @@
 }
 
 /** Paths of the handles that are synced while something is done. */
-async function syncedWhile(act: () => Promise<unknown>): Promise<string[]> {
+async function syncedWhile(action: () => Promise<unknown>): Promise<string[]> {
   const handle = await open(tmpdir());
   const prototype = Object.getPrototypeOf(handle) as FileHandle;
   await handle.close();
@@ -47,22 +47,22 @@
     return Promise.resolve();
   }
   const spy = mock.method(prototype, 'sync', recordSync);
-  await act();
+  await action();
   spy.mock.restore();
   return synced;
 }
 
 describe('recordStore', () => {
   it('keeps one file a version, the last two of each kind', async () => {
-    const path = await folder();
-    await filled(path);
+    const path = await createTempFolder();
+    await fillFolder(path);
     expect((await readdir(path)).sort()).toEqual(['disk.1', 'version.2', 'version.3']);
     const opened = await RecordStore.open(path);
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
   it('goes on writing though a caller fails on what it is told, and the error is not lost', async () => {
-    const opened = await RecordStore.open(await folder());
+    const opened = await RecordStore.open(await createTempFolder());
     if (opened.isErr) throw new Error(opened.error.detail);
     const { recordStore } = opened.value;
     const uncaught = new Promise<unknown>((resolve) => {
@@ -79,8 +79,8 @@
   });
 
   it('refuses a torn newest version instead of going back to an older one', async () => {
-    const path = await folder();
-    await filled(path);
+    const path = await createTempFolder();
+    await fillFolder(path);
     const complete = await readFile(join(path, 'version.3'));
     await writeFile(join(path, 'version.3'), complete.subarray(0, complete.length - 1));
     const opened = await RecordStore.open(path);
@@ -88,33 +88,33 @@
   });
 
   it('leaves aside what was never renamed', async () => {
-    const path = await folder();
-    await filled(path);
+    const path = await createTempFolder();
+    await fillFolder(path);
     await writeFile(join(path, 'version.4.aside'), 'half');
     const opened = await RecordStore.open(path);
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
   it('syncs the folder as it opens it: what a killed process had renamed only is not built upon', async () => {
-    const path = await folder();
-    await filled(path);
+    const path = await createTempFolder();
+    await fillFolder(path);
     const synced = await syncedWhile(() => RecordStore.open(path));
     expect(synced).toEqual([path]);
   });
 
   it('syncs the folders above a data folder that it makes', async () => {
-    const path = await folder();
+    const path = await createTempFolder();
     const synced = await syncedWhile(() => RecordStore.open(join(path, 'made', 'data')));
     expect(synced).toEqual([join(path, 'made'), path, join(path, 'made', 'data')]);
   });
 
   it('refuses a folder with something else in it, or without its own disk record', async () => {
-    const path = await folder();
+    const path = await createTempFolder();
     await writeFile(join(path, 'notes.txt'), 'mine');
     const foreign = await RecordStore.open(path);
     expect(foreign.isErr && foreign.error.kind).toEqual('foreign');
-    const other = await folder();
-    await filled(other);
+    const other = await createTempFolder();
+    await fillFolder(other);
     await rm(join(other, 'disk.1'));
     const damaged = await RecordStore.open(other);
     expect(damaged.isErr && damaged.error.kind).toEqual('damaged');
