--- a/packages/common/src/errors.test.ts
+++ b/packages/common/src/errors.test.ts
@@ -2,14 +2,14 @@
 import { expect } from 'earl';
 import { describeError, errorMessage, fault } from './errors.js';
 
-it('keeps the cause of a fault, and leaves it out where nothing was thrown', () => {
+it('a fault keeps its cause, and has no cause property if nothing was thrown', () => {
   const cause = new TypeError('not a number');
 
   expect(fault('wire', 'unreadable', { cause }).cause).toEqual(cause);
   expect(Object.keys(fault('wire', 'unreadable'))).toEqual(['kind', 'detail']);
 });
 
-it('puts what was thrown into text, with the name of the error or without', () => {
+it('a thrown value is described with the name of the error, or by its message alone', () => {
   const thrown = new TypeError('not a number');
 
   expect(describeError(thrown)).toEqual('TypeError: not a number');
--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,4 +1,7 @@
-/** Typed errors: the closed list of fault kinds, the response to each, and `Fault`, the error value of a `Result`. */
+/**
+ * Typed errors: the closed list of fault kinds, the response to each, and `Fault`, the error value of a
+ * `Result`.
+ */
 
 /** Every way in which a call to rainrun can fail. The list is closed. */
 export type FaultKind =
@@ -27,18 +30,20 @@
   | 'disk'
   | 'damaged'
   | 'foreign'
-  /** No level of the protocol is common to this node and the group. */
+  /** This node and the group have no protocol level in common. */
   | 'unbridged'
   | 'wire';
 
-/** The response to a fault: HTTP status, whether the work may have run, and after how many seconds to retry. */
+/**
+ * The response to a fault: HTTP status, whether the work may have run, and after how many seconds to retry.
+ */
 export interface FaultResponse {
   readonly status: number;
   readonly ran: 'no' | 'maybe';
   readonly retryAfterS: number;
 }
 
-/** The one table from kind to response. `retryAfterS` 0 means that a retry will not help. */
+/** The response to each kind of fault. `retryAfterS` 0 means that a retry will not help. */
 export const FAULT_RESPONSES: Readonly<Record<FaultKind, FaultResponse>> = {
   'bad-request': { status: 400, ran: 'no', retryAfterS: 0 },
   'bad-spec': { status: 422, ran: 'no', retryAfterS: 0 },
@@ -70,20 +75,20 @@
 };
 
 /**
- * Why a call failed, as a value: the `Err` side of a `Result`, never thrown. Only `kind` and `detail` leave the
- * process; status and retry advice for each kind stand in `FAULT_RESPONSES`.
+ * Why a call failed, as a value: the `Err` side of a `Result`, never thrown. Only `kind` and `detail` leave
+ * the process; `FAULT_RESPONSES` has the status and retry time of each kind.
  */
 export interface Fault {
   readonly kind: FaultKind;
   /** What went wrong, for the caller and the logs: one line in most cases. */
   readonly detail: string;
-  /** The error or other value that was thrown, where one was; for debugging, never sent or logged. */
+  /** The error or other value that was thrown, if any; for debugging, never sent or logged. */
   readonly cause?: unknown;
-  /** Seconds after which to retry, where more is known than the table says. */
+  /** Seconds after which to retry, if a better estimate than the table's is known. */
   readonly retryAfterS?: number;
 }
 
-/** What is known of a fault beside its kind and detail. */
+/** The optional properties of a fault. */
 export type FaultContext = Pick<Fault, 'cause' | 'retryAfterS'>;
 
 /**
@@ -106,7 +111,8 @@
 }
 
 /**
- * The message of a thrown value alone, where the name of the error says nothing more, as for errors of system calls.
+ * The message of a thrown value without the error's name, for errors whose name adds nothing, as those of
+ * system calls.
  * @example
  * errorMessage(new Error('EACCES: permission denied')); // 'EACCES: permission denied'
  */
@@ -115,7 +121,7 @@
 }
 
 /**
- * Tells whether a text is one of the closed list of kinds.
+ * Whether a text is one of the fault kinds.
  * @example
  * isFaultKind('conflict'); // true
  * isFaultKind('agreed'); // false
@@ -125,8 +131,8 @@
 }
 
 /**
- * Why a text is not JSON, without any part of the text: what the JavaScript engine says quotes it, and there may be
- * keys in it.
+ * Describes why a text is not valid JSON without quoting any of it: the JavaScript engine's message quotes
+ * the text, which may contain keys.
  * @example
  * describeJsonError(thrown); // 'SyntaxError: at position 17'
  */
--- a/packages/common/src/hash.ts
+++ b/packages/common/src/hash.ts
@@ -1,7 +1,7 @@
-/** Hash functions for partitioning and rendezvous choice; not cryptographic. */
+/** Hash functions for partitioning and rendezvous hashing; not cryptographic. */
 
 /**
- * FNV-1a over a text, as used for ranges, digests and prefixes.
+ * The 32-bit FNV-1a hash of a text, used for ranges, digests and prefixes.
  * @example
  * hashText('') === 2166136261; // true
  */
@@ -14,7 +14,7 @@
 }
 
 /**
- * A text as 32 well-mixed bits, for choosing one of many by the highest.
+ * A well-mixed 32-bit hash of a text, for rendezvous hashing: the candidate with the highest hash is chosen.
  * @example
  * spread('a') !== spread('b'); // true
  */
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -7,6 +7,6 @@
 
 /** A monotonic clock. */
 export interface Clock {
-  /** Milliseconds since an arbitrary moment. */
+  /** Milliseconds since an arbitrary fixed time. */
   nowMs(): number;
 }
--- a/packages/common/src/name-index.ts
+++ b/packages/common/src/name-index.ts
@@ -1,4 +1,4 @@
-/** Interning of names. */
+/** Interning of names as small integers. */
 
 /**
  * Interns names as dense indices, in the order of their first use.
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -1,4 +1,4 @@
-/** Random sources, which are passed in, so that a run can be repeated from its seed. */
+/** Random sources, passed in as dependencies so that a run can be repeated from its seed. */
 
 /** A source of numbers in [0, 1). */
 export interface RandomSource {
@@ -27,7 +27,7 @@
 }
 
 /**
- * A short random id, as used for incarnations, disk ids and operation ids.
+ * A random id of 12 hexadecimal digits, used for incarnations, disk ids and operation ids.
  * @example
  * randomId(new SeededRandom(1)).length; // 12
  */
@@ -38,7 +38,7 @@
 }
 
 /**
- * Random bytes, as unpredictable as their source.
+ * Random bytes; they are only as unpredictable as the given source.
  * @example
  * randomBytes(new SeededRandom(1), 32).length; // 32
  */
--- a/packages/common/src/slab.ts
+++ b/packages/common/src/slab.ts
@@ -1,8 +1,8 @@
 /** A slab allocator for values that are looked up by small integer keys. */
 
 /**
- * Keeps values under small integer keys and uses freed slots again.
- * A key carries the generation of its slot, so a late key finds nothing.
+ * Stores values under integer keys and reuses freed slots. A key contains the generation of its slot, so that
+ * a stale key does not find the value that uses the slot later.
  * @example
  * const slab = new Slab<string>();
  * const key = slab.put('a');
--- a/packages/failure-detector/src/failure-detector.ts
+++ b/packages/failure-detector/src/failure-detector.ts
@@ -1,17 +1,17 @@
-/** Failure detection by heartbeats: which incarnations answer, and which are suspected to have failed. */
+/** Failure detection by heartbeats: tells live incarnations from those suspected to have failed. */
 
 /** Timings of failure detection. */
 export interface FailureDetectorTimes {
-  /** A member that has not answered for so long is suspected. */
+  /** A member that has not answered for this time is suspected. */
   readonly suspectMs: number;
-  /** A longer gap between own heartbeats means that this process was frozen. */
+  /** A longer gap between this process's own heartbeats means that the process itself was suspended. */
   readonly pauseMs: number;
 }
 
 /**
- * Failure detection by round trips: a member counts as live only while it
- * answers our heartbeats, so a partition in one direction is seen from both sides.
- * A process that was suspended does not suspect the others for its own time-out.
+ * Detects failures by round trips: a member counts as live only while it answers this node's heartbeats, so
+ * that both sides detect a partition in one direction. A process that was suspended does not suspect the
+ * other members because of its own pause.
  * @example
  * const detector = new FailureDetector({ suspectMs: 1500, pauseMs: 400 });
  * detector.watch('incarnation-1', nowMs);
@@ -38,36 +38,41 @@
     this.#answeredMs.set(incarnation, nowMs);
   }
 
-  /** Reports a failure from elsewhere, such as a channel that lags too far. Final for this incarnation. */
+  /**
+   * Marks an incarnation as failed for another reason, such as a channel that lags too far. This is final.
+   */
   report(incarnation: string): void {
     this.#reported.add(incarnation);
   }
 
-  /** Stops watching an incarnation, and drops what was reported of it. */
+  /** Stops watching an incarnation, and clears its reported failure. */
   remove(incarnation: string): void {
     this.#answeredMs.delete(incarnation);
     this.#reported.delete(incarnation);
   }
 
-  /** Forgets all incarnations, as when this node rejoins as a new incarnation. */
+  /** Removes all incarnations, for example when this node rejoins as a new incarnation. */
   clear(): void {
     this.#answeredMs.clear();
     this.#reported.clear();
   }
 
-  /** Whether an incarnation has failed as far as is known here: reported, not watched, or silent for `suspectMs`. */
+  /**
+   * Whether an incarnation is suspected: reported as failed, not watched, or without an answer for
+   * `suspectMs`.
+   */
   suspects(incarnation: string, nowMs: number): boolean {
     if (this.#reported.has(incarnation)) return true;
     const answeredMs = this.#answeredMs.get(incarnation);
     return answeredMs === undefined || nowMs - answeredMs > this.#times.suspectMs;
   }
 
-  /** True while the incarnation has answered lately. */
+  /** Whether an incarnation is not suspected: the opposite of `suspects`. */
   live(incarnation: string, nowMs: number): boolean {
     return !this.suspects(incarnation, nowMs);
   }
 
-  /** To be called at every heartbeat; returns for how many milliseconds this process itself was suspended, or 0. */
+  /** Called at every heartbeat. Returns for how many milliseconds this process itself was suspended, or 0. */
   tick(nowMs: number): number {
     const gapMs = this.#heartbeatMs === undefined ? 0 : nowMs - this.#heartbeatMs;
     this.#heartbeatMs = nowMs;
--- a/packages/storage/src/record-store.ts
+++ b/packages/storage/src/record-store.ts
@@ -1,16 +1,16 @@
-/** The data folder of a node: durable records, each version a file of its own. */
+/** Durable storage of a node's records in its data folder, one file per version. */
 import { mkdir, open, readdir, readFile, rename, unlink } from 'node:fs/promises';
 import { dirname, join, resolve } from 'node:path';
 import { errorMessage, fault, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 import { seal, unseal } from './sealed-file.js';
 
-/** The kinds of record that a node keeps. */
+/** The kinds of record that a node stores. */
 export type RecordKind = 'disk' | 'promise' | 'version';
 
 /** Durable storage of records; the simulator implements its own. */
 export interface RecordWriter {
-  /** Stores one version of a record; `done` is called only after it is synced, in the order of the calls. */
+  /** Stores a new version of a record. Calls `done` once the version is synced, in the order of the calls. */
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void;
 }
 
@@ -20,7 +20,7 @@
 const RETAINED_VERSIONS = 2;
 const FILE_NAME = /^(disk|promise|version)\.(\d{1,15})$/;
 
-/** Errors of system calls name the operation and the path in their message. */
+/** A fault for a failed system call, whose message already names the operation and the path. */
 function diskFault(thrown: unknown): Fault {
   return fault('disk', errorMessage(thrown), { cause: thrown });
 }
@@ -34,7 +34,7 @@
   }
 }
 
-/** Makes a folder that outlives a loss of power: each folder above that gained an entry is synced. */
+/** Creates a folder so that it survives a power loss: syncs every parent folder that gained an entry. */
 async function createFolder(path: string): Promise<void> {
   const firstCreated = await mkdir(path, { recursive: true });
   if (firstCreated === undefined) return;
@@ -47,7 +47,7 @@
   await syncFolder(top);
 }
 
-/** The versions of each kind of record in a folder, ascending; a file of another name is a fault. */
+/** The version numbers of each kind of record in a folder, ascending. A file with another name is a fault. */
 async function listVersions(folder: string): Promise<Result<Map<RecordKind, number[]>, Fault>> {
   const versions = new Map<RecordKind, number[]>();
   for (const name of await readdir(folder)) {
@@ -56,14 +56,14 @@
       const kind = match[1] as RecordKind;
       versions.set(kind, [...(versions.get(kind) ?? []), Number(match[2])]);
     } else if (!name.endsWith('.aside')) {
-      return Result.err(fault('foreign', `${join(folder, name)} is not a record of rainrun`));
+      return Result.err(fault('foreign', `${join(folder, name)} is not a rainrun record`));
     }
   }
   for (const numbers of versions.values()) numbers.sort((one, other) => one - other);
   return Result.ok(versions);
 }
 
-/** The newest record of each kind; a damaged one is a fault. */
+/** Reads the newest record of each kind. A damaged record is a fault. */
 async function readNewest(
   folder: string,
   versions: ReadonlyMap<RecordKind, readonly number[]>,
@@ -79,8 +79,9 @@
 }
 
 /**
- * One data folder. Each version of a record is a file of its own, written
- * aside, synced, renamed, and the folder synced; the last two are kept.
+ * Stores records in one data folder. Each version of a record is a separate file: it is written under a
+ * temporary name, synced and renamed, and then the folder is synced. The last two versions of each kind are
+ * kept.
  * @example
  * const opened = await RecordStore.open('/var/lib/rainrun');
  * if (opened.isOk) opened.value.recordStore.store('promise', bytes, (result) => reply(result));
@@ -96,11 +97,10 @@
   }
 
   /**
-   * Opens or makes the folder and reads the newest record of each kind. A
-   * damaged newest record is a fault, never guessed around. The folder is synced
-   * before anything is built upon what was read: a process that was killed may
-   * have renamed a record and not synced the folder, and a later loss of power
-   * would take that record away again.
+   * Opens or creates the folder and reads the newest record of each kind. A damaged newest record is a fault;
+   * older versions never replace it. The folder is synced before the records are used: a process that was
+   * killed may have renamed a record without syncing the folder, and a later power loss would undo that
+   * rename.
    */
   static async open(folder: string): Promise<Result<{ recordStore: RecordStore; records: Records }, Fault>> {
     try {
@@ -111,7 +111,7 @@
       if (records.isErr) return Result.err(records.error);
       await syncFolder(folder);
       if (records.value.disk === undefined && versions.value.size > 0)
-        return Result.err(fault('damaged', `${folder} holds records but not the disk's own`));
+        return Result.err(fault('damaged', `${folder} holds records but no disk record`));
       return Result.ok({ recordStore: new RecordStore(folder, versions.value), records: records.value });
     } catch (thrown) {
       return Result.err(diskFault(thrown));
@@ -121,7 +121,7 @@
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
     this.#lastWrite = this.#lastWrite
       .then(() => this.#write(kind, bytes))
-      // An error of `done` is its caller's: it becomes uncaught, and later writes still go on.
+      // An error thrown by `done` becomes an uncaught exception of its caller; later writes still continue.
       .then((result) => queueMicrotask(() => done(result)));
   }
 
--- a/packages/storage/src/sealed-file.ts
+++ b/packages/storage/src/sealed-file.ts
@@ -1,4 +1,4 @@
-/** The form of one stored record: magic, SHA-256 checksum, bytes. */
+/** File format of a stored record: magic number, SHA-256 checksum, content. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
@@ -7,7 +7,7 @@
 const HEADER_BYTES = MAGIC.length + 32;
 
 /**
- * Bytes with magic and checksum before them, as they stand in a file.
+ * Prefixes the content with the magic number and its checksum, as it is stored in a file.
  * @example
  * unseal(seal(bytes)).isOk; // true
  */
@@ -16,15 +16,16 @@
 }
 
 /**
- * The bytes of a sealed file. Fails with `damaged` where it is torn or the checksum differs, with `foreign`
- * where it has no magic of ours.
+ * The content of a sealed file. Fails with `damaged` if the file is truncated or the checksum differs, and
+ * with `foreign` if the magic number is missing.
  * @example
  * unseal(Buffer.from('torn')).isErr; // true
  */
 export function unseal(file: Buffer): Result<Uint8Array, Fault> {
-  if (file.length < HEADER_BYTES) return Result.err(fault('damaged', `only ${file.length} bytes`));
+  if (file.length < HEADER_BYTES)
+    return Result.err(fault('damaged', `the file has only ${file.length} bytes`));
   if (!file.subarray(0, MAGIC.length).equals(MAGIC))
-    return Result.err(fault('foreign', 'not a record of rainrun'));
+    return Result.err(fault('foreign', 'not a rainrun record'));
   const bytes = file.subarray(HEADER_BYTES);
   const checksum = createHash('sha256').update(bytes).digest();
   if (!timingSafeEqual(checksum, file.subarray(MAGIC.length, HEADER_BYTES))) {
--- a/packages/storage/src/storage.test.ts
+++ b/packages/storage/src/storage.test.ts
@@ -36,7 +36,7 @@
   }
 }
 
-/** Paths of the handles that are synced while something is done. */
+/** Paths of the file handles that are synced during an action. */
 async function syncedWhile(action: () => Promise<unknown>): Promise<string[]> {
   const handle = await open(tmpdir());
   const prototype = Object.getPrototypeOf(handle) as FileHandle;
@@ -52,8 +52,8 @@
   return synced;
 }
 
-describe('recordStore', () => {
-  it('keeps one file a version, the last two of each kind', async () => {
+describe('the record store', () => {
+  it('stores each version in a file of its own and keeps the last two of each kind', async () => {
     const path = await createTempFolder();
     await fillFolder(path);
     expect((await readdir(path)).sort()).toEqual(['disk.1', 'version.2', 'version.3']);
@@ -61,7 +61,7 @@
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
-  it('goes on writing though a caller fails on what it is told, and the error is not lost', async () => {
+  it('continues to write after a callback throws, and the error becomes an uncaught exception', async () => {
     const opened = await RecordStore.open(await createTempFolder());
     if (opened.isErr) throw new Error(opened.error.detail);
     const { recordStore } = opened.value;
@@ -78,7 +78,7 @@
     process.setUncaughtExceptionCaptureCallback(null);
   });
 
-  it('refuses a torn newest version instead of going back to an older one', async () => {
+  it('fails on a truncated newest version instead of falling back to an older one', async () => {
     const path = await createTempFolder();
     await fillFolder(path);
     const complete = await readFile(join(path, 'version.3'));
@@ -87,7 +87,7 @@
     expect(opened.isErr && opened.error.kind).toEqual('damaged');
   });
 
-  it('leaves aside what was never renamed', async () => {
+  it('ignores a temporary file that was never renamed', async () => {
     const path = await createTempFolder();
     await fillFolder(path);
     await writeFile(join(path, 'version.4.aside'), 'half');
@@ -95,20 +95,20 @@
     expect(opened.isOk && opened.value.records.version).toEqual(new Uint8Array([3]));
   });
 
-  it('syncs the folder as it opens it: what a killed process had renamed only is not built upon', async () => {
+  it('syncs the folder when it opens it, in case a killed process renamed a record without syncing', async () => {
     const path = await createTempFolder();
     await fillFolder(path);
     const synced = await syncedWhile(() => RecordStore.open(path));
     expect(synced).toEqual([path]);
   });
 
-  it('syncs the folders above a data folder that it makes', async () => {
+  it('syncs the parents of a data folder that it creates', async () => {
     const path = await createTempFolder();
     const synced = await syncedWhile(() => RecordStore.open(join(path, 'made', 'data')));
     expect(synced).toEqual([join(path, 'made'), path, join(path, 'made', 'data')]);
   });
 
-  it('refuses a folder with something else in it, or without its own disk record', async () => {
+  it('fails on a folder with a foreign file, and on one without a disk record', async () => {
     const path = await createTempFolder();
     await writeFile(join(path, 'notes.txt'), 'mine');
     const foreign = await RecordStore.open(path);
@@ -120,7 +120,7 @@
     expect(damaged.isErr && damaged.error.kind).toEqual('damaged');
   });
 
-  it('knows a stale or foreign file by its seal', () => {
+  it('detects a damaged or foreign file by its checksum and magic number', () => {
     const sealed = seal(new Uint8Array([1, 2]));
     const wrongMagic = Buffer.from(sealed);
     wrongMagic[0] = 0;
