--- a/packages/common/src/errors.ts
+++ b/packages/common/src/errors.ts
@@ -1,7 +1,4 @@
-/**
- * Typed errors: the closed list of fault kinds, the response to each, and `Fault`, the error value of a
- * `Result`.
- */
+/** Typed errors: the fault kinds, the response to each, and `Fault`, the error value of a `Result`. */
 
 /** Every way in which a call to rainrun can fail. The list is closed. */
 export type FaultKind =
--- a/packages/failure-detector/src/failure-detector.ts
+++ b/packages/failure-detector/src/failure-detector.ts
@@ -57,10 +57,7 @@
     this.#reported.clear();
   }
 
-  /**
-   * Whether an incarnation is suspected: reported as failed, not watched, or without an answer for
-   * `suspectMs`.
-   */
+  /** Whether an incarnation is suspected: reported, not watched, or without an answer for `suspectMs`. */
   suspects(incarnation: string, nowMs: number): boolean {
     if (this.#reported.has(incarnation)) return true;
     const answeredMs = this.#answeredMs.get(incarnation);
--- a/packages/gateway/src/backlog.ts
+++ b/packages/gateway/src/backlog.ts
@@ -20,7 +20,7 @@
   #queues: WaitingRequest[][] = [];
   /** Sends of each group divided by its weight. */
   #virtualTimes: number[] = [];
-  /** Least virtual time of the waiting groups; a group that was idle continues from there, without credit. */
+  /** Least virtual time of the waiting groups. A group that was idle starts from it, so it has no credit. */
   #minVirtualTime = 0;
   #count = 0;
 
--- a/packages/gateway/src/drain-rate.ts
+++ b/packages/gateway/src/drain-rate.ts
@@ -11,7 +11,7 @@
  * clients rejected together do not all return at the same time.
  * @example
  * const rate = new DrainRate();
- * rate.sent(nowMs);
+ * rate.recordSend(nowMs);
  * rate.retryAfterS(40, 0.5, nowMs); // seconds
  */
 export class DrainRate {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -142,10 +142,7 @@
     };
   }
 
-  /**
-   * Rejects requests that have waited too long, expires sends past their deadline, and sends what can be
-   * sent.
-   */
+  /** Rejects requests that have waited too long, expires overdue sends, and sends what can be sent. */
   tick(): void {
     const nowMs = this.#dependencies.clock.nowMs();
     for (const queue of this.#backlog.queuesInOrder()) {
@@ -228,10 +225,7 @@
       : fault('unknown-model', `model ${model} has no adapter "${adapter}"`);
   }
 
-  /**
-   * Rejects a request that exceeds its group's share of the backlog. Requests that are sent at once do not
-   * count.
-   */
+  /** Rejects a request beyond its group's share of the backlog; one that is sent at once does not count. */
   #checkBacklog(request: GatewayRequest): Fault | undefined {
     const maxWaiting = this.#shares.maxWaiting(request.group);
     if (this.#backlog.countOf(request.group) <= maxWaiting) return undefined;
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -30,7 +30,7 @@
  * Counts arrivals, responses, refusals and failed sends at the gateway. Twice a second the counters are taken
  * as an observation and start again from zero.
  * @example
- * measures.refused('technicians', 'question');
+ * measures.recordRefused('technicians', 'question');
  * measures.take(new Map()).measures[0].refused; // 1
  */
 export class Measures {
