--- a/packages/gateway/src/components.test.ts
+++ b/packages/gateway/src/components.test.ts
@@ -4,16 +4,16 @@
 import { Catalogue } from './catalogue.js';
 import { DrainRate } from './drain-rate.js';
 import { RetryBudget } from './retry-budget.js';
-import { StreamWatch } from './stream.js';
-import { specOf } from './testing/gateway-harness.js';
+import { EventStreamValidator } from './event-stream.js';
+import { testSpec } from './testing/gateway-harness.js';
 
 describe('components of the gateway', () => {
-  it('a backlog serves groups by weight, and who is due first within a group', () => {
+  it('the backlog serves groups by weight, and within a group the earliest due request first', () => {
     const backlog = new Backlog();
     for (let key = 0; key < 40; key += 1) backlog.put({ key, group: key % 2, dueMs: 100 - key });
     const served = [0, 0];
-    for (let turn = 0; turn < 16; turn += 1) {
-      const next = backlog.order()[0]?.[0];
+    for (let index = 0; index < 16; index += 1) {
+      const next = backlog.queuesInOrder()[0]?.[0];
       if (next === undefined) break;
       backlog.remove(next.key, next.group);
       backlog.charge(next.group, next.group === 0 ? 3 : 1);
@@ -22,40 +22,40 @@
     expect(served).toEqual([12, 4]);
   });
 
-  it('a retry budget earns a fifth of the first sends, holds its part, and begins each incarnation with nothing', () => {
+  it('the retry budget earns 0.2 per first attempt up to its allowance; a new incarnation starts empty', () => {
     const budget = new RetryBudget();
-    function taken(): number {
+    function spendAll(): number {
       let count = 0;
       while (budget.reserve()) count += Number(budget.spend());
       return count;
     }
     budget.setAllowance('incarnation-1', 3);
-    const atFirst = taken();
+    const initial = spendAll();
     for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
-    const earned = taken();
+    const earned = spendAll();
     for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
     budget.setAllowance('incarnation-1', 2);
     budget.setAllowance('incarnation-1', 4);
-    const held = taken();
+    const afterDecrease = spendAll();
     for (let sent = 0; sent < 500; sent += 1) budget.recordFirstAttempt(0.2);
     budget.setAllowance('incarnation-2', 4);
-    expect([atFirst, earned, held, taken()]).toEqual([0, 1, 2, 0]);
+    expect([initial, earned, afterDecrease, spendAll()]).toEqual([0, 1, 2, 0]);
   });
 
-  it('a retry that is promised cannot be promised twice, and is spent when it leaves', () => {
+  it('the retry budget reserves a token once only, and drops it when the incarnation changes', () => {
     const budget = new RetryBudget();
     budget.setAllowance('incarnation-1', 2);
     for (let sent = 0; sent < 5; sent += 1) budget.recordFirstAttempt(0.2);
-    const promises = [budget.reserve(), budget.reserve()];
+    const reservations = [budget.reserve(), budget.reserve()];
     budget.release();
-    promises.push(budget.reserve());
+    reservations.push(budget.reserve());
     budget.setAllowance('incarnation-2', 2);
-    expect([promises, budget.spend()]).toEqual([[true, false, true], false]);
+    expect([reservations, budget.spend()]).toEqual([[true, false, true], false]);
   });
 
-  it('a catalogue finds a path, or for lookups the nearest above it', () => {
+  it('the catalogue finds the route of a path, or for lookups that of the nearest parent path', () => {
     const spec = {
-      ...specOf(),
+      ...testSpec(),
       routes: [
         { path: '/look', serve: 'lookup' as const, pool: 'a' },
         { path: '/look/far', serve: 'lookup' as const, pool: 'b' },
@@ -75,17 +75,17 @@
     ]);
   });
 
-  it('tells who is refused to come back as the backlog drains, and not all at once', () => {
+  it('the drain rate gives a retry time that grows with the backlog and is spread by jitter', () => {
     const rate = new DrainRate();
     const idle = rate.retryAfterS(0, 0, 0);
-    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.sent(nowMs);
-    const told = [0, 0.5, 0.99].map((chance) => rate.retryAfterS(40, chance, 60_000));
-    expect([idle, told, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
+    for (let nowMs = 0; nowMs < 60_000; nowMs += 250) rate.recordSend(nowMs);
+    const delays = [0, 0.5, 0.99].map((jitter) => rate.retryAfterS(40, jitter, 60_000));
+    expect([idle, delays, rate.retryAfterS(4000, 0, 60_000)]).toEqual([1, [11, 16, 21], 60]);
   });
 
-  it('a stream watch knows a whole stream', () => {
-    const watch = new StreamWatch();
-    watch.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
-    expect(watch.finished).toEqual(true);
+  it('the event stream validator recognizes a complete stream', () => {
+    const validator = new EventStreamValidator();
+    validator.take(Buffer.from('data: 1\n\ndata: [DONE]\n\n'));
+    expect(validator.isComplete).toEqual(true);
   });
 });
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -1,23 +1,25 @@
-/** Counters since the last observation, by group and kind. */
+/** Counters of one group and kind of work since the last observation. */
 export interface Measure {
   readonly group: string;
   readonly kind: string;
   served: number;
   refused: number;
+  /** Requests whose first chunk came within the kind's target. */
   prompt: number;
   waitSumMs: number;
 }
 
-/** What was asked of one model, or of one adapter of it, since the last observation. */
+/** Demand for one model, or for one of its adapters, since the last observation. */
 export interface Demand {
   readonly model: string;
   readonly adapter: string;
   readonly arrivals: number;
+  /** Requests that wait for a worker at the time of the observation. */
   readonly backlog: number;
 }
 
-/** What one edge measured since it last told the others. */
-export interface Measured {
+/** What one edge measured since its last observation. */
+export interface Measurements {
   readonly measures: readonly Measure[];
   readonly demands: readonly Demand[];
   /** Failed sends by worker. */
@@ -25,9 +27,10 @@
 }
 
 /**
- * Counts what the gateway sees, to be taken twice a second as an observation.
+ * Counts arrivals, responses, refusals and failed sends at the gateway. Twice a second the counters are taken
+ * as an observation and start again from zero.
  * @example
- * measures.refused('technicians', 'question');
+ * measures.recordRefused('technicians', 'question');
  * measures.take(new Map()).measures[0].refused; // 1
  */
 export class Measures {
@@ -35,30 +38,30 @@
   #arrivals = new Map<string, { model: string; adapter: string; arrivals: number }>();
   #faults = new Map<string, number>();
 
-  arrived(model: string, adapter: string): void {
+  recordArrival(model: string, adapter: string): void {
     const key = demandKey(model, adapter);
     const known = this.#arrivals.get(key) ?? { model, adapter, arrivals: 0 };
     known.arrivals += 1;
     this.#arrivals.set(key, known);
   }
 
-  refused(group: string, kind: string): void {
-    this.#of(group, kind).refused += 1;
+  recordRefused(group: string, kind: string): void {
+    this.#measureFor(group, kind).refused += 1;
   }
 
-  served(group: string, kind: string, waitMs: number, targetMs: number): void {
-    const measure = this.#of(group, kind);
+  recordServed(group: string, kind: string, waitMs: number, targetMs: number): void {
+    const measure = this.#measureFor(group, kind);
     measure.served += 1;
     measure.waitSumMs += waitMs;
     if (waitMs <= targetMs) measure.prompt += 1;
   }
 
-  failed(worker: string): void {
+  recordFailedSend(worker: string): void {
     this.#faults.set(worker, (this.#faults.get(worker) ?? 0) + 1);
   }
 
-  /** Everything since the last call; `backlogs` says how many wait now, by demand. */
-  take(backlogs: ReadonlyMap<string, number>): Measured {
+  /** Returns and resets the counters; `backlogs` has the number of waiting requests by demand key. */
+  take(backlogs: ReadonlyMap<string, number>): Measurements {
     const measures = [...this.#measures.values()];
     const demands = [...this.#arrivals].map(([key, arrival]) => ({
       ...arrival,
@@ -75,7 +78,7 @@
     return { measures, demands, faults };
   }
 
-  #of(group: string, kind: string): Measure {
+  #measureFor(group: string, kind: string): Measure {
     const key = `${group}/${kind}`;
     let measure = this.#measures.get(key);
     if (measure === undefined) {
@@ -87,7 +90,7 @@
 }
 
 /**
- * The key under which demand for a model and adapter is counted.
+ * Key under which demand for a model and an adapter is counted.
  * @example
  * demandKey('model-1', ''); // 'model-1/'
  */
--- a/packages/gateway/src/non-idempotent.test.ts
+++ b/packages/gateway/src/non-idempotent.test.ts
@@ -3,79 +3,83 @@
 import { GatewayHarness } from './testing/gateway-harness.js';
 
 describe('a non-idempotent request', () => {
-  it('is sent once; without an answer its outcome is unknown', () => {
+  it('is sent only once, and fails with outcome-unknown if no response arrives', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.last().handler.mayStart();
-    harness.last().handler.failed(true, 'reset');
+    const { sink } = harness.submit();
+    harness.lastSent().handler.mayStart();
+    harness.lastSent().handler.failed(true, 'reset');
     harness.gateway.tick();
-    expect([harness.sent.length, sink.seen]).toEqual([1, ['outcome-unknown']]);
+    expect([harness.sent.length, sink.events]).toEqual([1, ['outcome-unknown']]);
   });
 
-  it('is sent elsewhere only when provably no byte left, and within the budget', () => {
+  it('is retried on another worker only if certainly no byte was sent, and within the retry budget', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
-    const early = harness.ask().sink;
-    harness.last().handler.failed(false, 'ECONNREFUSED');
-    harness.earn();
+    const withoutBudget = harness.submit().sink;
+    harness.lastSent().handler.failed(false, 'ECONNREFUSED');
+    harness.earnRetry();
     const before = harness.sent.length;
-    const { sink } = harness.ask();
-    harness.last().handler.failed(false, 'ECONNREFUSED');
-    harness.reply(harness.last(), 200, '{}');
-    expect([early.seen, sink.seen, harness.sent.length - before]).toEqual([['no-worker'], ['200 {}'], 2]);
+    const { sink } = harness.submit();
+    harness.lastSent().handler.failed(false, 'ECONNREFUSED');
+    harness.reply(harness.lastSent(), 200, '{}');
+    expect([withoutBudget.events, sink.events, harness.sent.length - before]).toEqual([
+      ['no-worker'],
+      ['200 {}'],
+      2,
+    ]);
   });
 
-  it('is not started when the grant ends, or the worker is marked as leaving, before the first byte', () => {
+  it('is not started if the lease ends or the worker starts draining before the first byte is sent', () => {
     const harness = new GatewayHarness();
-    harness.ask();
-    harness.granted = false;
-    expect(harness.last().handler.mayStart()).toEqual(false);
-    harness.granted = true;
+    harness.submit();
+    harness.hasLease = false;
+    expect(harness.lastSent().handler.mayStart()).toEqual(false);
+    harness.hasLease = true;
     harness.workers = harness.workers.map((worker) => ({ ...worker, draining: true }));
-    expect(harness.last().handler.mayStart()).toEqual(false);
+    expect(harness.lastSent().handler.mayStart()).toEqual(false);
   });
 
-  it('is given up, and its connection reset, when its worker is leaving and no way there is found', () => {
+  it('is abandoned, and its connection reset, if its worker is draining and cannot be reached', () => {
     const harness = new GatewayHarness();
     harness.workers = [harness.worker('w1', 'models'), harness.worker('w2', 'models')];
-    const { sink } = harness.ask();
-    harness.last().handler.mayStart();
-    const name = harness.last().request.address;
-    function pass(cut: boolean): unknown {
-      harness.cut = cut;
-      for (let place = 0; place < 4; place += 1) {
+    const { sink } = harness.submit();
+    harness.lastSent().handler.mayStart();
+    const name = harness.lastSent().request.address;
+    function runTicks(probesFail: boolean): unknown {
+      harness.probesFail = probesFail;
+      for (let index = 0; index < 4; index += 1) {
         harness.nowMs += 250;
         harness.gateway.tick();
       }
-      return [harness.probed.length > 0, [...sink.seen], harness.last().aborted];
+      return [harness.probed.length > 0, [...sink.events], harness.lastSent().aborted];
     }
-    const usual = pass(true);
+    const notDraining = runTicks(true);
     harness.workers = harness.workers.map((worker) => ({ ...worker, draining: worker.name === name }));
-    const reached = pass(false);
-    expect([usual, reached, pass(true)]).toEqual([
+    const reachable = runTicks(false);
+    expect([notDraining, reachable, runTicks(true)]).toEqual([
       [false, [], false],
       [true, [], false],
       [true, ['outcome-unknown'], true],
     ]);
   });
 
-  it('waits again, unsent, when the last look forbade it', () => {
+  it('returns to the backlog unsent if the last check before the first byte denies the send', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.granted = false;
-    harness.last().handler.mayStart();
-    harness.last().handler.failed(false, 'not started');
-    expect([harness.sent.length, sink.seen]).toEqual([1, []]);
-    harness.granted = true;
+    const { sink } = harness.submit();
+    harness.hasLease = false;
+    harness.lastSent().handler.mayStart();
+    harness.lastSent().handler.failed(false, 'not started');
+    expect([harness.sent.length, sink.events]).toEqual([1, []]);
+    harness.hasLease = true;
     harness.gateway.tick();
-    harness.reply(harness.last(), 200, '{}');
-    expect([harness.sent.length, sink.seen]).toEqual([2, ['200 {}']]);
+    harness.reply(harness.lastSent(), 200, '{}');
+    expect([harness.sent.length, sink.events]).toEqual([2, ['200 {}']]);
   });
 
-  it('is refused at once when a worker takes no more, and not sent again', () => {
+  it('is rejected at once, and not retried, if the worker responds that it is at capacity', () => {
     const harness = new GatewayHarness();
-    const { sink } = harness.ask();
-    harness.reply(harness.last(), 503, '{}');
-    expect([harness.sent.length, sink.seen]).toEqual([1, ['no-worker']]);
+    const { sink } = harness.submit();
+    harness.reply(harness.lastSent(), 503, '{}');
+    expect([harness.sent.length, sink.events]).toEqual([1, ['no-worker']]);
   });
 });
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -1,36 +1,37 @@
-/** One send of a request to one worker of the research groups' deployment. */
+/** One attempt to send a request to a worker, and the handling of the response. */
 import { fault, type Fault } from '@rainrun/common';
-import { StreamWatch } from './stream.js';
+import { EventStreamValidator } from './event-stream.js';
 import type { GatewayWorker } from './dependencies.js';
 import type { SendHandler, Sending } from './sender.js';
 import type { GatewayRequest } from './gateway-request.js';
 
-/** Largest plain response that is buffered. */
+/** Largest response, other than an event stream, that is buffered. */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** How a send ended; `done` is set when the client has had a response. */
-export interface SendEnd {
-  readonly done: 'served' | 'cut' | undefined;
+/** Result of a send; `outcome` is set if the client has received a response or a part of one. */
+export interface SendResult {
+  readonly outcome: 'served' | 'cut' | undefined;
+  /** False if the send counts as a failure of the worker, for its backoff. */
   readonly succeeded: boolean;
-  /** Whether any byte may have left. */
+  /** Whether any byte may have been written to the worker. */
   readonly sent: boolean;
-  /** Whether a connection was tried at all. */
+  /** Whether a connection was attempted. */
   readonly tried: boolean;
   readonly fault: Fault;
 }
 
-/** What a send needs of its gateway. */
+/** What the gateway provides to a send. */
 export interface SendContext {
   nowMs(): number;
   mayStart(): boolean;
-  /** Called once. */
-  onEnd(end: SendEnd): void;
+  /** Called exactly once, with the result. */
+  onEnd(result: SendResult): void;
 }
 
 const NO_FAULT = fault('outcome-unknown', '');
 
 /**
- * One send: checks the worker's response and forwards it to the client.
+ * One send of a request to a worker: validates the worker's response and forwards it to the client.
  * @example
  * const send = new Send(request, worker, context);
  * send.attach(sender.send(request, send));
@@ -42,12 +43,12 @@
   #sending: Sending | undefined;
   #status = 0;
   #contentType = '';
-  #stream: StreamWatch | undefined;
+  #eventStream: EventStreamValidator | undefined;
   #body: Buffer[] = [];
   #bodyBytes = 0;
   #opened = false;
   #started = false;
-  #withheld = false;
+  #startDenied = false;
   #ended = false;
 
   constructor(request: GatewayRequest, worker: GatewayWorker, context: SendContext) {
@@ -65,8 +66,8 @@
     return this.#worker;
   }
 
-  /** Sent, and no response of the worker yet. */
-  get silent(): boolean {
+  /** Whether the request was sent and the worker has not responded yet. */
+  get isUnanswered(): boolean {
     return this.#started && this.#status === 0 && !this.#ended;
   }
 
@@ -74,29 +75,32 @@
     return this.#request.deadlineMs;
   }
 
-  /** The deadline has passed while the worker was at it. */
+  /** Ends the send because the deadline has passed; an open stream is cut. */
   expire(): void {
     if (this.#opened) this.#cut();
-    else this.#fail(true, fault('deadline-exceeded', 'the deadline passed after it was sent'));
+    else this.#fail(true, fault('deadline-exceeded', 'the deadline passed after the request was sent'));
     this.#sending?.abort();
   }
 
-  /** No way to the worker is found, and what was sent must not arrive there late. */
+  /** Ends the send because the worker cannot be reached; bytes already sent must not arrive there late. */
   abandon(): void {
-    this.#fail(true, fault('outcome-unknown', `no way to ${this.#worker.name}, which may get no more work`));
+    this.#fail(
+      true,
+      fault('outcome-unknown', `cannot reach ${this.#worker.name}, which may no longer receive work`),
+    );
     this.#sending?.abort();
   }
 
-  /** The client has left: the worker's connection is closed. */
+  /** Ends the send because the client has disconnected, and closes the connection to the worker. */
   clientLeft(): void {
-    this.#end({ done: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: undefined, succeeded: true, sent: true, tried: true, fault: NO_FAULT });
     this.#sending?.abort();
   }
 
   mayStart(): boolean {
     if (this.#ended) return false;
     this.#started = this.#context.mayStart();
-    this.#withheld = !this.#started;
+    this.#startDenied = !this.#started;
     return this.#started;
   }
 
@@ -105,53 +109,56 @@
     this.#contentType = contentType;
     const streaming = status === 200 && contentType.startsWith('text/event-stream');
     if (status === 200 && streaming !== this.#request.streamed)
-      return this.#abort(`${contentType} instead of what was asked`);
-    if (streaming) this.#stream = new StreamWatch();
+      return this.#abort(`${contentType} is not the content type that was requested`);
+    if (streaming) this.#eventStream = new EventStreamValidator();
   }
 
   chunk(bytes: Buffer): void {
     if (this.#ended) return;
-    if (this.#stream === undefined) {
+    if (this.#eventStream === undefined) {
       this.#bodyBytes += bytes.length;
-      if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('an answer without end');
+      if (this.#bodyBytes > MAX_BUFFERED_BYTES) return this.#abort('the response exceeds the size limit');
       this.#body.push(bytes);
       return;
     }
-    const step = this.#stream.take(bytes);
-    if ('nonsense' in step) return this.#abort(step.nonsense);
-    if (step.events.length > 0) this.#forward(step.events);
+    const checked = this.#eventStream.take(bytes);
+    if ('violation' in checked) return this.#abort(checked.violation);
+    if (checked.events.length > 0) this.#forward(checked.events);
   }
 
   end(): void {
     if (this.#ended) return;
-    if (this.#stream !== undefined) return this.#endStream(this.#stream);
+    if (this.#eventStream !== undefined) return this.#endStream(this.#eventStream);
     const body = Buffer.concat(this.#body);
     if (this.#status === 429 || this.#status === 503) {
       return this.#fail(
         true,
-        fault('no-worker', `${this.#worker.name} took no more`),
+        fault('no-worker', `${this.#worker.name} is at capacity`),
         !this.#request.idempotent,
       );
     }
     if (this.#status >= 500 || this.#status < 200)
-      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} answered ${this.#status}`));
+      return this.#fail(
+        true,
+        fault('worker-nonsense', `${this.#worker.name} responded with status ${this.#status}`),
+      );
     if (!isJson(body))
-      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not answer in JSON`));
+      return this.#fail(true, fault('worker-nonsense', `${this.#worker.name} did not respond with JSON`));
     this.#request.firstChunkMs ??= this.#context.nowMs();
     this.#request.sink.respond(this.#status, this.#contentType, body);
-    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  failed(sent: boolean, why: string): void {
+  failed(sent: boolean, reason: string): void {
     if (this.#ended) return;
     if (!sent) {
-      const tried = !this.#withheld;
+      const tried = !this.#startDenied;
       this.#end({
-        done: undefined,
+        outcome: undefined,
         succeeded: !tried,
         sent: false,
         tried,
-        fault: fault('no-worker', why),
+        fault: fault('no-worker', reason),
       });
       return;
     }
@@ -160,8 +167,8 @@
     this.#fail(
       true,
       late
-        ? fault('deadline-exceeded', 'the deadline passed after it was sent')
-        : fault('outcome-unknown', `${this.#worker.name}: ${why}`),
+        ? fault('deadline-exceeded', 'the deadline passed after the request was sent')
+        : fault('outcome-unknown', `${this.#worker.name}: ${reason}`),
     );
   }
 
@@ -175,35 +182,35 @@
     if (!sink.write(events, () => this.#sending?.resume())) this.#sending?.pause();
   }
 
-  #endStream(watch: StreamWatch): void {
-    if (!watch.finished) {
+  #endStream(validator: EventStreamValidator): void {
+    if (!validator.isComplete) {
       if (this.#opened) return this.#cut();
-      return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended early`));
+      return this.#fail(true, fault('outcome-unknown', `${this.#worker.name} ended the stream early`));
     }
-    this.#forward(watch.closing);
+    this.#forward(validator.closingEvent);
     this.#request.sink.close();
-    this.#end({ done: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'served', succeeded: true, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  #abort(why: string): void {
+  #abort(reason: string): void {
     if (this.#opened) this.#cut();
-    else this.#fail(true, fault('worker-nonsense', `${this.#worker.name}: ${why}`));
+    else this.#fail(true, fault('worker-nonsense', `${this.#worker.name}: ${reason}`));
     this.#sending?.abort();
   }
 
   #cut(): void {
     this.#request.sink.abort();
-    this.#end({ done: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
+    this.#end({ outcome: 'cut', succeeded: false, sent: true, tried: true, fault: NO_FAULT });
   }
 
-  #fail(sent: boolean, why: Fault, well = false): void {
-    this.#end({ done: undefined, succeeded: well, sent, tried: true, fault: why });
+  #fail(sent: boolean, reason: Fault, countsAsSuccess = false): void {
+    this.#end({ outcome: undefined, succeeded: countsAsSuccess, sent, tried: true, fault: reason });
   }
 
-  #end(end: SendEnd): void {
+  #end(result: SendResult): void {
     if (this.#ended) return;
     this.#ended = true;
-    this.#context.onEnd(end);
+    this.#context.onEnd(result);
   }
 }
 
--- a/packages/gateway/src/testing/gateway-harness.ts
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -1,4 +1,4 @@
-/** A gateway under test: fake sender, sink and workers of the research groups' deployment. */
+/** A gateway under test, with a fake sender, sink and workers. */
 import { readSpec, type Spec } from '@rainrun/configuration';
 import type { GatewayRequestInit, GatewayWorker } from '../dependencies.js';
 import type { GatewayResponseSink } from '../gateway-request.js';
@@ -23,12 +23,12 @@
 });
 
 /** The spec in force in these tests. */
-export function specOf(): Spec {
+export function testSpec(): Spec {
   const read = readSpec(SPEC_TEXT);
   return read.isOk ? read.value : ({} as Spec);
 }
 
-/** One send, at which a test plays the worker. */
+/** One send, to which a test responds in place of the worker. */
 export class SentRequest implements Sending {
   readonly request: SendRequest;
   readonly handler: SendHandler;
@@ -48,35 +48,35 @@
   }
 }
 
-/** A client that records what it is answered. */
+/** A sink that records the events of the response. */
 export class RecordingSink implements GatewayResponseSink {
-  readonly seen: string[] = [];
+  readonly events: string[] = [];
   respond(status: number, _type: string, body: Uint8Array): void {
-    this.seen.push(`${status} ${Buffer.from(body).toString()}`);
+    this.events.push(`${status} ${Buffer.from(body).toString()}`);
   }
-  reject(why: { kind: string }): void {
-    this.seen.push(why.kind);
+  reject(fault: { kind: string }): void {
+    this.events.push(fault.kind);
   }
   open(): void {
-    this.seen.push('open');
+    this.events.push('open');
   }
   write(bytes: Uint8Array): boolean {
-    this.seen.push(Buffer.from(bytes).toString().trim());
+    this.events.push(Buffer.from(bytes).toString().trim());
     return true;
   }
   close(): void {
-    this.seen.push('close');
+    this.events.push('close');
   }
   abort(): void {
-    this.seen.push('cut');
+    this.events.push('cut');
   }
 }
 
 /** A gateway with a clock, workers and a sender that a test controls. */
 export class GatewayHarness implements Sender {
   nowMs = 0;
-  granted = true;
-  spec = specOf();
+  hasLease = true;
+  spec = testSpec();
   edges = ['edge'];
   incarnation = 'incarnation-1';
   workers: GatewayWorker[] = [
@@ -86,7 +86,7 @@
   ];
   readonly sent: SentRequest[] = [];
   readonly probed: string[] = [];
-  cut = false;
+  probesFail = false;
   readonly gateway = new Gateway({
     name: 'edge',
     zone: 'z1',
@@ -97,7 +97,7 @@
     workers: () => this.workers,
     edges: () => this.edges,
     incarnation: () => this.incarnation,
-    hasLease: () => this.granted,
+    hasLease: () => this.hasLease,
     weight: (group) => this.spec.groups.find((known) => known.name === group)?.share ?? 1,
   });
 
@@ -125,12 +125,12 @@
 
   probe(address: string, done: (reached: boolean) => void): void {
     this.probed.push(address);
-    done(!this.cut);
+    done(!this.probesFail);
   }
 
-  ask(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; leave: () => void } {
+  submit(change: Partial<GatewayRequestInit> = {}): { sink: RecordingSink; disconnect: () => void } {
     const sink = new RecordingSink();
-    const ask: GatewayRequestInit = {
+    const init: GatewayRequestInit = {
       id: `id-${this.sent.length}`,
       path: '/chat',
       method: 'POST',
@@ -144,22 +144,22 @@
       deadlineMs: undefined,
       ...change,
     };
-    return { sink, leave: this.gateway.admit(ask, sink) };
+    return { sink, disconnect: this.gateway.admit(init, sink) };
   }
 
-  /** Five requests served earn one extra send. */
-  earn(): void {
-    for (let place = 0; place < 5; place += 1) {
-      this.ask();
-      this.reply(this.last(), 200, '{}');
+  /** Serves five requests, which earn one retry. */
+  earnRetry(): void {
+    for (let index = 0; index < 5; index += 1) {
+      this.submit();
+      this.reply(this.lastSent(), 200, '{}');
     }
   }
 
-  look(): RecordingSink {
-    return this.ask({ path: '/look/1', method: 'GET', model: '' }).sink;
+  submitLookup(): RecordingSink {
+    return this.submit({ path: '/look/1', method: 'GET', model: '' }).sink;
   }
 
-  last(): SentRequest {
+  lastSent(): SentRequest {
     const sent = this.sent.at(-1);
     return (
       sent ??
--- a/packages/gateway/src/unconfirmed-sends.ts
+++ b/packages/gateway/src/unconfirmed-sends.ts
@@ -1,22 +1,21 @@
-/** Gives up sends of the research groups' gateway whose bytes may be held up on the way to a worker. */
+/** Abandons sends whose bytes may be delayed in the network on the way to a worker. */
 import type { Send } from './send.js';
 import type { Sender } from './sender.js';
 
-const PROBE_GAP_MS = 200;
-const PROBES_FAILED = 2;
+const PROBE_INTERVAL_MS = 200;
+const MAX_FAILED_PROBES = 2;
 
 interface ProbedWorker {
   failedProbes: number;
   probeInFlight: boolean;
-  notBeforeMs: number;
+  nextProbeMs: number;
 }
 
 /**
- * Sends whose worker may get no more work, or of which this node cannot know
- * whether it may, and which have had no response from the worker yet: their bytes
- * may still be held up on the way. Each such worker is probed for a
- * connection; where two probes in a row find no way, its silent sends are
- * given up and their connections reset, so that nothing arrives there late.
+ * Handles unconfirmed sends: those without a response so far whose worker may no longer receive work, or may
+ * not as far as this node can tell. Their bytes may still be delayed in the network. Each such worker is
+ * probed by opening a connection. After two failed probes in a row its unanswered sends are abandoned and
+ * their connections reset, so that no bytes arrive there late.
  * @example
  * const unconfirmed = new UnconfirmedSends(sender);
  * unconfirmed.tick(sends, (send) => isDraining(send.worker), nowMs);
@@ -29,32 +28,33 @@
     this.#sender = sender;
   }
 
+  /** Probes the workers of all unconfirmed sends, and abandons the sends whose probes have failed. */
   tick(sends: Iterable<Send>, isUnconfirmed: (send: Send) => boolean, nowMs: number): void {
-    const silent = new Map<string, Send[]>();
+    const unanswered = new Map<string, Send[]>();
     for (const send of sends) {
-      if (!send.silent || !isUnconfirmed(send)) continue;
+      if (!send.isUnanswered || !isUnconfirmed(send)) continue;
       const { address } = send.worker;
-      silent.set(address, [...(silent.get(address) ?? []), send]);
+      unanswered.set(address, [...(unanswered.get(address) ?? []), send]);
     }
-    for (const address of this.#probed.keys()) if (!silent.has(address)) this.#probed.delete(address);
-    for (const [address, unanswered] of silent) {
+    for (const address of this.#probed.keys()) if (!unanswered.has(address)) this.#probed.delete(address);
+    for (const [address, unansweredSends] of unanswered) {
       const probed = this.#probed.get(address) ?? {
         failedProbes: 0,
         probeInFlight: false,
-        notBeforeMs: -Infinity,
+        nextProbeMs: -Infinity,
       };
       this.#probed.set(address, probed);
-      if (probed.failedProbes >= PROBES_FAILED) for (const send of unanswered) send.abandon();
-      else if (!probed.probeInFlight && nowMs >= probed.notBeforeMs) this.#probe(address, probed, nowMs);
+      if (probed.failedProbes >= MAX_FAILED_PROBES) for (const send of unansweredSends) send.abandon();
+      else if (!probed.probeInFlight && nowMs >= probed.nextProbeMs) this.#probe(address, probed, nowMs);
     }
   }
 
   #probe(address: string, probed: ProbedWorker, nowMs: number): void {
     probed.probeInFlight = true;
-    probed.notBeforeMs = nowMs + PROBE_GAP_MS;
-    this.#sender.probe(address, (reached) => {
+    probed.nextProbeMs = nowMs + PROBE_INTERVAL_MS;
+    this.#sender.probe(address, (isReachable) => {
       probed.probeInFlight = false;
-      probed.failedProbes = reached ? 0 : probed.failedProbes + 1;
+      probed.failedProbes = isReachable ? 0 : probed.failedProbes + 1;
     });
   }
 }
--- a/packages/gateway/src/worker-selection.ts
+++ b/packages/gateway/src/worker-selection.ts
@@ -1,55 +1,61 @@
-/** Chooses the worker for a request of the research groups' deployment. */
+/** Selection of the worker for a request. */
 import { hashText } from '@rainrun/common';
 import type { GatewayWorker } from './dependencies.js';
 
-const MAX_PREFIXES = 4096;
+const MAX_REMEMBERED_PREFIXES = 4096;
+/** The number of requests that the fleet may have in flight at a warming copy doubles with each step. */
 const WARM_UP_STEP_MS = 500;
-/** Part of a worker's slots that a group beyond its share does not take. */
+/** Fraction of a worker's slots that a group beyond its share may not use. */
 const RESERVED_SLOT_RATIO = 0.25;
 const BACKOFF_FIRST_MS = 500;
 const BACKOFF_MAX_MS = 8000;
 
-/** What the selector keeps for each worker. */
+/** The selector's state of one worker. */
 interface WorkerStatus {
   inFlight: number;
   failures: number;
   backoffUntilMs: number;
-  /** When it last failed a request or took none: it may have started anew since. */
-  failedMs: number;
+  /** When it last failed or rejected a request; it may have restarted since then and be warming up again. */
+  lastFailureMs: number;
 }
 
-/** What a request requires of a worker. */
+/** What a request requires of its worker. */
 export interface WorkerRequirement {
   readonly pool: string;
   readonly model: string;
   readonly adapter: string;
   readonly prefix: number;
-  /** Its group has its part of the slots already: it may not take a worker's last ones. */
+  /** Whether the request's group has reached its share, so that it may not use a worker's reserved slots. */
   readonly overShare: boolean;
 }
 
-/** Where a request goes, or why nowhere now. */
+/** The selected worker and why it was chosen, or why no worker can take the request now. */
 export type Selection =
-  | { readonly worker: GatewayWorker; readonly why: string }
-  | { readonly worker: undefined; readonly why: string };
+  | { readonly worker: GatewayWorker; readonly reason: string }
+  | { readonly worker: undefined; readonly reason: string };
 
-function score(name: string, self: string): number {
+/**
+ * Rendezvous hash of a worker and an edge: breaks ties between workers, and ranks the edges of a warming
+ * copy.
+ */
+function rendezvousHash(name: string, self: string): number {
   return hashText(`${name}|${self}`);
 }
 
 /**
- * Chooses the worker for a request: it must hold model and adapter and have a
- * slot free; then the prefix kept, the own zone and the load decide. While a
- * copy is warming, the whole fleet sends it only a few at a time.
+ * Selects the worker for a request. A candidate must hold the model and the adapter and have a free slot. The
+ * score of a candidate adds a bonus for having served the same prompt prefix last and one for being in this
+ * edge's zone, and subtracts the load. While a copy is warming up, the whole fleet sends it only a few
+ * requests at a time.
  * @example
  * const selector = new WorkerSelector('edge-1', 'north');
- * selector.select(need, workers, edges, nowMs);
+ * selector.select(required, workers, edges, nowMs);
  */
 export class WorkerSelector {
   #self: string;
   #zone: string;
   #statuses = new Map<string, WorkerStatus>();
-  #prefixes = new Map<number, string>();
+  #lastWorkerByPrefix = new Map<number, string>();
 
   constructor(self: string, zone: string) {
     this.#self = self;
@@ -61,101 +67,116 @@
   }
 
   select(
-    need: WorkerRequirement,
+    required: WorkerRequirement,
     workers: readonly GatewayWorker[],
     edges: readonly string[],
     nowMs: number,
   ): Selection {
     let best: GatewayWorker | undefined;
     let bestScore = -Infinity;
-    let why = 'no worker holds it';
+    let reason = 'no worker holds it';
     for (const worker of workers) {
-      if (!this.#serves(worker, need)) continue;
-      const standing = this.#status(worker.name);
-      if (nowMs < standing.backoffUntilMs) {
-        why = 'its workers failed lately';
+      if (!this.#serves(worker, required)) continue;
+      const status = this.#status(worker.name);
+      if (nowMs < status.backoffUntilMs) {
+        reason = 'the workers that hold it are in backoff after failures';
         continue;
       }
-      const most = this.#limit(worker, need, edges, nowMs);
-      if (standing.inFlight >= most) {
-        why = 'no slot is free';
+      const limit = this.#limit(worker, required, edges, nowMs);
+      if (status.inFlight >= limit) {
+        reason = 'no slot is free';
         continue;
       }
       if (
-        need.overShare &&
-        standing.inFlight + worker.othersInFlight >=
+        required.overShare &&
+        status.inFlight + worker.othersInFlight >=
           worker.slots - Math.ceil(worker.slots * RESERVED_SLOT_RATIO)
       ) {
-        why = 'the last slots are kept for groups below their share';
+        reason = 'the last slots are reserved for groups below their share';
         continue;
       }
-      const load = (standing.inFlight + worker.othersInFlight) / worker.slots;
-      const kept = this.#prefixes.get(need.prefix) === worker.name ? 0.5 : 0;
-      const near = worker.zone === this.#zone ? 0.25 : 0;
-      const points = kept + near - load + score(worker.name, this.#self) / 2 ** 36;
-      if (points > bestScore) {
+      const load = (status.inFlight + worker.othersInFlight) / worker.slots;
+      const prefixBonus = this.#lastWorkerByPrefix.get(required.prefix) === worker.name ? 0.5 : 0;
+      const zoneBonus = worker.zone === this.#zone ? 0.25 : 0;
+      const score = prefixBonus + zoneBonus - load + rendezvousHash(worker.name, this.#self) / 2 ** 36;
+      if (score > bestScore) {
         best = worker;
-        bestScore = points;
+        bestScore = score;
       }
     }
-    if (best === undefined) return { worker: undefined, why };
-    return { worker: best, why: `${best.name} in ${best.zone}, score ${bestScore.toFixed(2)}` };
+    if (best === undefined) return { worker: undefined, reason };
+    return { worker: best, reason: `${best.name} in ${best.zone}, score ${bestScore.toFixed(2)}` };
   }
 
   sendStarted(worker: string, prefix: number): void {
     this.#status(worker).inFlight += 1;
-    this.#prefixes.delete(prefix);
-    this.#prefixes.set(prefix, worker);
-    const oldest = this.#prefixes.keys().next();
-    if (this.#prefixes.size > MAX_PREFIXES && oldest.done !== true) this.#prefixes.delete(oldest.value);
+    this.#lastWorkerByPrefix.delete(prefix);
+    this.#lastWorkerByPrefix.set(prefix, worker);
+    const oldest = this.#lastWorkerByPrefix.keys().next();
+    if (this.#lastWorkerByPrefix.size > MAX_REMEMBERED_PREFIXES && oldest.done !== true)
+      this.#lastWorkerByPrefix.delete(oldest.value);
   }
 
-  /** A send that was not answered: from here on the worker counts as warming. */
+  /** Records an unanswered send: the worker may have restarted, and counts as warming up from now on. */
   recordRestartRisk(worker: string, nowMs: number): void {
-    this.#status(worker).failedMs = nowMs;
+    this.#status(worker).lastFailureMs = nowMs;
   }
 
-  sendEnded(worker: string, well: boolean, nowMs: number): void {
-    const standing = this.#status(worker);
-    standing.inFlight = Math.max(0, standing.inFlight - 1);
-    if (well) standing.failures = 0;
+  sendEnded(worker: string, succeeded: boolean, nowMs: number): void {
+    const status = this.#status(worker);
+    status.inFlight = Math.max(0, status.inFlight - 1);
+    if (succeeded) status.failures = 0;
     else {
-      standing.failures += 1;
-      const waitMs = Math.min(BACKOFF_MAX_MS, BACKOFF_FIRST_MS * 2 ** (standing.failures - 1));
-      if (standing.failures >= 2) standing.backoffUntilMs = nowMs + waitMs;
+      status.failures += 1;
+      const waitMs = Math.min(BACKOFF_MAX_MS, BACKOFF_FIRST_MS * 2 ** (status.failures - 1));
+      if (status.failures >= 2) status.backoffUntilMs = nowMs + waitMs;
     }
   }
 
-  /** Whether a worker may get this at all, load aside. */
-  #serves(worker: GatewayWorker, need: WorkerRequirement): boolean {
-    if (worker.draining || worker.evacuated || !worker.reachable || worker.pool !== need.pool) return false;
-    if (need.model === '') return true;
-    const holding = worker.holdings.find((held) => held.model === need.model);
-    return holding !== undefined && (need.adapter === '' || holding.adapters.includes(need.adapter));
+  /** Whether a worker is eligible for a request, regardless of its load. */
+  #serves(worker: GatewayWorker, required: WorkerRequirement): boolean {
+    if (worker.draining || worker.evacuated || !worker.reachable || worker.pool !== required.pool)
+      return false;
+    if (required.model === '') return true;
+    const holding = worker.holdings.find((held) => held.model === required.model);
+    return holding !== undefined && (required.adapter === '' || holding.adapters.includes(required.adapter));
   }
 
-  /** How many this edge may have in flight there: its part of the slots, of few while a copy warms. */
-  #limit(worker: GatewayWorker, need: WorkerRequirement, edges: readonly string[], nowMs: number): number {
+  /**
+   * How many requests this edge may have in flight at a worker: its part of the slots, fewer during warm-up.
+   */
+  #limit(
+    worker: GatewayWorker,
+    required: WorkerRequirement,
+    edges: readonly string[],
+    nowMs: number,
+  ): number {
     const free = worker.slots - worker.othersInFlight;
     const part = Math.ceil(worker.slots / Math.max(1, edges.length));
-    const usual = Math.max(part, Math.floor(free / 2));
-    if (need.model === '') return usual;
-    const since = [need.model, ...(need.adapter === '' ? [] : [`${need.model}/${need.adapter}`])].map(
-      (key) => worker.sinceMs.get(key) ?? nowMs,
+    const steadyLimit = Math.max(part, Math.floor(free / 2));
+    if (required.model === '') return steadyLimit;
+    const readySinceMs = [
+      required.model,
+      ...(required.adapter === '' ? [] : [`${required.model}/${required.adapter}`]),
+    ].map((key) => worker.sinceMs.get(key) ?? nowMs);
+    const warmMs = nowMs - Math.max(...readySinceMs, this.#status(worker.name).lastFailureMs);
+    const warmUpLimit = 2 ** Math.floor(warmMs / WARM_UP_STEP_MS);
+    if (warmUpLimit >= worker.slots) return steadyLimit;
+    const rank = edges.filter(
+      (edge) => rendezvousHash(worker.name, edge) > rendezvousHash(worker.name, this.#self),
+    ).length;
+    return Math.min(
+      steadyLimit,
+      Math.floor((warmUpLimit + edges.length - 1 - rank) / Math.max(1, edges.length)),
     );
-    const warmMs = nowMs - Math.max(...since, this.#status(worker.name).failedMs);
-    const allowed = 2 ** Math.floor(warmMs / WARM_UP_STEP_MS);
-    if (allowed >= worker.slots) return usual;
-    const rank = edges.filter((edge) => score(worker.name, edge) > score(worker.name, this.#self)).length;
-    return Math.min(usual, Math.floor((allowed + edges.length - 1 - rank) / Math.max(1, edges.length)));
   }
 
   #status(worker: string): WorkerStatus {
-    let standing = this.#statuses.get(worker);
-    if (standing === undefined) {
-      standing = { inFlight: 0, failures: 0, backoffUntilMs: -Infinity, failedMs: -Infinity };
-      this.#statuses.set(worker, standing);
+    let status = this.#statuses.get(worker);
+    if (status === undefined) {
+      status = { inFlight: 0, failures: 0, backoffUntilMs: -Infinity, lastFailureMs: -Infinity };
+      this.#statuses.set(worker, status);
     }
-    return standing;
+    return status;
   }
 }
