--- a/packages/runtime/src/answers-clients.test.ts
+++ b/packages/runtime/src/client-connections.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
-import { RoutingTrial } from './testing/routing-trial.js';
+import { RoutingHarness } from './testing/routing-harness.js';
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: RoutingTrial;
+let trial: RoutingHarness;
 
 afterEach(() => trial.close());
 
@@ -13,11 +13,11 @@
     'control safety, point 5: pipelined requests get their own answers in order, whichever worker is first',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       const first = trial.client.textOf({ id: 'a', path: '/once/x' });
       const second = trial.client.textOf({ id: 'b', path: '/often/x' });
       trial.client.send(first + second);
-      const calls = [await trial.next(), await trial.next()];
+      const calls = [await trial.nextCall(), await trial.nextCall()];
       calls.find((call) => call.id === 'b')?.respond();
       calls.find((call) => call.id === 'a')?.respond();
       const answers = [await trial.client.next(), await trial.client.next()];
@@ -29,9 +29,9 @@
     "control safety, point 5: what cannot be read behind a request gets no answer before that request's",
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       trial.client.send(`${trial.client.textOf({ id: 'a', path: '/once/x' })}no request at all\r\n\r\n`);
-      const call = await trial.next();
+      const call = await trial.nextCall();
       const other = await trial.edge.connect();
       other.request({ id: 'other', path: '/missing/x' });
       await other.next();
@@ -46,9 +46,9 @@
     'control safety, point 5: what cannot be read behind a stream does not break into it',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       trial.client.request({ id: 'a', path: '/tell/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.openStream();
       call.event(1);
       await trial.client.until('id: 1');
@@ -67,11 +67,11 @@
     'control safety, point 5: a stream that breaks behind an answer that is due is cut behind that answer',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       const first = trial.client.textOf({ id: 'a', path: '/once/x' });
       const second = trial.client.textOf({ id: 'b', path: '/tell/x' });
       trial.client.send(first + second);
-      const calls = [await trial.next(), await trial.next()];
+      const calls = [await trial.nextCall(), await trial.nextCall()];
       const stream = calls.find((call) => call.id === 'b');
       stream?.openStream();
       stream?.event(1);
@@ -90,10 +90,10 @@
     'headers that concern one connection do not go on, those that `Connection` names among them',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       const hop = ['Connection: keep-alive, X-Hop', 'X-Hop: 1', 'Keep-Alive: timeout=9', 'X-Note: 2'];
       trial.client.request({ id: 'a', path: '/once/x', headers: hop });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.respond({ headers: ['Connection: keep-alive, X-Back', 'X-Back: 3', 'X-Mark: 4'] });
       const { headers } = await trial.client.next();
       const atWorker = ['x-hop', 'keep-alive', 'x-note'].map((name) => call.headers.get(name));
@@ -106,9 +106,9 @@
   );
 
   it('control safety, point 5: an id that is under way here is not sent a second time', LIMIT, async () => {
-    trial = await RoutingTrial.open(2);
+    trial = await RoutingHarness.open(2);
     trial.client.request({ id: 'a', path: '/once/x' });
-    const call = await trial.next();
+    const call = await trial.nextCall();
     const other = await trial.edge.connect();
     other.request({ id: 'a', path: '/once/x' });
     const second = await other.next();
@@ -121,14 +121,14 @@
     'control safety, point 5: a request with two ids or two hosts is refused and reaches no worker',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       trial.client.request({ id: 'a', path: '/once/x', headers: ['Call-Id: b'] });
       const twoIds = await trial.client.next();
       const other = await trial.edge.connect();
       other.request({ id: 'c', path: '/once/x', headers: ['Host: b.example'] });
       const twoHosts = await other.next();
       const third = await trial.edge.connect();
-      const next = await trial.after('w0', third);
+      const next = await trial.sendNextRequest('w0', third);
       expect([twoIds.status, twoHosts.status, next.status, trial.worker('w0').received.length]).toEqual([
         400, 400, 200, 1,
       ]);
@@ -148,10 +148,10 @@
       `control safety, point 5: ${moment}: its worker's connection ends, and nobody else gets the rest`,
       LIMIT,
       async () => {
-        trial = await RoutingTrial.open(1);
-        const id = trial.idFor('w0');
+        trial = await RoutingHarness.open(1);
+        const id = trial.requestIdFor('w0');
         trial.client.request({ id, path: moment === 'within a stream' ? '/tell/x' : '/once/x' });
-        const call = await trial.next();
+        const call = await trial.nextCall();
         if (moment === 'within a plain answer') call.write(call.textOf({}).slice(0, -2));
         if (moment === 'within an answer that closes')
           call.write(call.textOf({ headers: ['Connection: close'] }).slice(0, -2));
@@ -163,7 +163,7 @@
         trial.client.reset();
         await call.closed;
         call.respond();
-        const next = await trial.after('w0', await trial.edge.connect());
+        const next = await trial.sendNextRequest('w0', await trial.edge.connect());
         expect([next.status, next.body.startsWith('of r'), trial.calls(id)]).toEqual([200, true, 1]);
       },
     );
@@ -179,9 +179,9 @@
     'control safety, point 5: lets answers that are under way go out whole, and closes behind them',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1, { graceMs: 3000 });
+      trial = await RoutingHarness.open(1, { graceMs: 3000 });
       trial.client.request({ id: 'a', path: '/tell/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.openStream();
       call.event(1);
       await trial.client.until('id: 1');
@@ -203,14 +203,14 @@
     'control safety, point 5: answers what arrived while it stalled until past its time to close',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1, { graceMs: 2000 });
+      trial = await RoutingHarness.open(1, { graceMs: 2000 });
       trial.client.request({ id: 'first', path: '/once/x' });
-      (await trial.next()).respond();
+      (await trial.nextCall()).respond();
       await trial.client.next();
       const stopped = trial.edge.node.stop();
       trial.client.request({ id: 'a', path: '/once/x' });
       stall(1100);
-      void trial.next().then((call) => call.respond());
+      void trial.nextCall().then((call) => call.respond());
       const answer = await trial.client.next();
       await stopped;
       expect([answer.status, answer.whole, answer.body]).toEqual([200, true, 'of a']);
@@ -221,9 +221,9 @@
     'control safety, point 5: gives a complete answer to what is unanswered at the end of its grace',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1, { graceMs: 1000 });
+      trial = await RoutingHarness.open(1, { graceMs: 1000 });
       trial.client.request({ id: 'a', path: '/once/x' });
-      await trial.next();
+      await trial.nextCall();
       await trial.edge.core.list([]);
       const waiting = await trial.edge.connect();
       waiting.request({ id: 'b', path: '/once/x' });
@@ -243,15 +243,15 @@
     'control safety, point 5: thawed after the time of a request, it gives 504, and the late answer reaches nobody',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       trial.edge.clockJumpMs += 60_000;
       const answer = await trial.client.next();
       await call.closed;
       call.respond();
-      const next = await trial.after('w0');
+      const next = await trial.sendNextRequest('w0');
       expect([answer.status, answer.whole, next.body.startsWith('of r'), trial.calls(id)]).toEqual([
         504,
         true,
@@ -265,10 +265,10 @@
     'control safety, point 5: thawed before the time of a request, it passes its own answer on',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       trial.edge.clockJumpMs += 4000;
       await trial.edge.nextTick();
       call.respond();
--- a/packages/runtime/src/client-connections.ts
+++ b/packages/runtime/src/client-connections.ts
@@ -41,7 +41,7 @@
     const connection = this.#connections.get(request.socket);
     if (connection === undefined) return;
     connection.open.delete(request);
-    closeIfDue(connection);
+    closeIfDone(connection);
   }
 
   /** Whether the response to a completely received request is still pending. */
@@ -55,7 +55,7 @@
     const connection = this.#connections.get(socket);
     if (connection === undefined) return;
     connection.ending = 'when answered';
-    closeIfDue(connection);
+    closeIfDone(connection);
   }
 
   /** Ends every connection, now or behind its last answer. */
@@ -63,7 +63,7 @@
     this.#draining = true;
     for (const connection of this.#connections.values()) {
       if (connection.ending === 'no') connection.ending = 'when closed';
-      closeIfDue(connection);
+      closeIfDone(connection);
     }
   }
 }
@@ -72,7 +72,7 @@
   return [...connection.open].some((request) => request.complete);
 }
 
-function closeIfDue(connection: Connection): void {
+function closeIfDone(connection: Connection): void {
   const due =
     (connection.ending === 'when closed' && connection.open.size === 0) ||
     (connection.ending === 'when answered' && !hasPendingResponse(connection));
--- a/packages/runtime/src/client-response.ts
+++ b/packages/runtime/src/client-response.ts
@@ -21,7 +21,7 @@
 
   respond(status: number, headers: readonly Header[], body: Buffer): void {
     if (this.#res.destroyed) return;
-    this.#head(status, this.#bodiless(status) ? headers : withLength(headers, body.length));
+    this.#head(status, this.#hasNoBody(status) ? headers : withLength(headers, body.length));
     this.#res.end(body);
   }
 
@@ -69,7 +69,7 @@
   }
 
   /** These have no body, and a length of 0 would not be the worker's. */
-  #bodiless(status: number): boolean {
+  #hasNoBody(status: number): boolean {
     return status === 204 || status === 304 || this.#res.req.method === 'HEAD';
   }
 
--- a/packages/runtime/src/client-server.test.ts
+++ b/packages/runtime/src/client-server.test.ts
@@ -9,7 +9,7 @@
 import { ClientServer } from './client-server.js';
 import { RawClient } from './testing/raw-client.js';
 
-const WORDS = {
+const HEADER_NAMES = {
   requestId: 'x-id',
   deadlineMs: 'x-deadline',
   model: 'x-model',
@@ -38,23 +38,23 @@
   });
 }
 
-class Bench {
-  readonly taken: { ask: ClientRequest; port: ResponseSink }[] = [];
-  left = 0;
-  leaving = false;
+class ClientServerHarness {
+  readonly receivedRequests: { ask: ClientRequest; port: ResponseSink }[] = [];
+  cancelledCount = 0;
+  isDraining = false;
   /** Called for each request that is taken. */
-  onTake: (ask: ClientRequest, port: ResponseSink) => void = (_, port) =>
+  onRequest: (ask: ClientRequest, port: ResponseSink) => void = (_, port) =>
     port.respond(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
-  readonly front = new ClientServer({
-    headerNames: WORDS,
+  readonly clientServer = new ClientServer({
+    headerNames: HEADER_NAMES,
     limits: () => ({ ...DEFAULT_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
-    isDraining: () => this.leaving,
+    isDraining: () => this.isDraining,
     onRequest: (ask, port) => {
-      this.taken.push({ ask, port });
-      this.onTake(ask, port);
+      this.receivedRequests.push({ ask, port });
+      this.onRequest(ask, port);
       return () => {
-        this.left += 1;
+        this.cancelledCount += 1;
       };
     },
   });
@@ -62,7 +62,7 @@
 
   async open(): Promise<this> {
     this.#port = await freePort();
-    await this.front.listen(`127.0.0.1:${this.#port}`);
+    await this.clientServer.listen(`127.0.0.1:${this.#port}`);
     return this;
   }
 
@@ -72,10 +72,10 @@
 
   close(): void {
     this.agent.destroy();
-    this.front.close();
+    this.clientServer.close();
   }
 
-  ask(headers: Record<string, string>, body = ''): Promise<Answer> {
+  send(headers: Record<string, string>, body = ''): Promise<Answer> {
     return new Promise((resolve, reject) => {
       const req = request(
         { host: '127.0.0.1', port: this.#port, method: 'POST', path: '/a/1?b=2', headers, agent: this.agent },
@@ -100,12 +100,12 @@
 }
 
 describe('the front door', () => {
-  let bench: Bench | undefined;
+  let bench: ClientServerHarness | undefined;
   afterEach(() => bench?.close());
 
   it('hands on method, path, body and headers as they came, without those of the connection', async () => {
-    bench = await new Bench().open();
-    const answer = await bench.ask(
+    bench = await new ClientServerHarness().open();
+    const answer = await bench.send(
       {
         'x-id': '7',
         'x-model': 'big/a2',
@@ -116,7 +116,7 @@
       },
       'work',
     );
-    const ask = bench.taken[0]?.ask;
+    const ask = bench.receivedRequests[0]?.ask;
     expect([answer.status, answer.body, answer.headers['x-mark']]).toEqual([200, 'well', 'm']);
     expect([ask?.id, ask?.method, ask?.target, ask?.host, ask?.body.toString(), ask?.deadlineMs]).toEqual([
       '7',
@@ -136,42 +136,44 @@
   });
 
   it('refuses what has no id, too long headers or too large a body, and hands none of it on', async () => {
-    bench = await new Bench().open();
-    const anonymous = await bench.ask({});
-    const endless = await bench.ask({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
-    const large = await bench.ask({ 'x-id': '2' }, 'z'.repeat(101));
-    expect([anonymous.status, endless.status, large.status, bench.taken.length]).toEqual([400, 431, 413, 0]);
+    bench = await new ClientServerHarness().open();
+    const anonymous = await bench.send({});
+    const endless = await bench.send({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
+    const large = await bench.send({ 'x-id': '2' }, 'z'.repeat(101));
+    expect([anonymous.status, endless.status, large.status, bench.receivedRequests.length]).toEqual([
+      400, 431, 413, 0,
+    ]);
   });
 
   it('says with a promise when to come back', async () => {
-    bench = await new Bench().open();
-    bench.onTake = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
-    const answer = await bench.ask({ 'x-id': '1' });
+    bench = await new ClientServerHarness().open();
+    bench.onRequest = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
+    const answer = await bench.send({ 'x-id': '1' });
     expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.2']);
   });
 
   it('lets a client see that a stream is cut, and that another is whole', async () => {
-    bench = await new Bench().open();
-    bench.onTake = (ask, port) => {
+    bench = await new ClientServerHarness().open();
+    bench.onRequest = (ask, port) => {
       port.open(200, [['content-type', 'text/event-stream']]);
       port.write(Buffer.from('id: 1\n\n'), () => undefined);
       if (ask.id === 'cut') port.abort();
       else port.close();
     };
-    const whole = await bench.ask({ 'x-id': 'whole' });
-    const cut = await bench.ask({ 'x-id': 'cut' }).catch(() => undefined);
+    const whole = await bench.send({ 'x-id': 'whole' });
+    const cut = await bench.send({ 'x-id': 'cut' }).catch(() => undefined);
     expect([whole.whole, whole.body, cut?.whole ?? false]).toEqual([true, 'id: 1\n\n', false]);
   });
 
   it('answers what is under way when it closes, and tells the client to come on another connection', async () => {
-    bench = await new Bench().open();
-    const { front } = bench;
-    bench.onTake = (_, port) => {
-      if (bench !== undefined) bench.leaving = true;
+    bench = await new ClientServerHarness().open();
+    const { clientServer: front } = bench;
+    bench.onRequest = (_, port) => {
+      if (bench !== undefined) bench.isDraining = true;
       front.close();
       setImmediate(() => port.respond(200, [], Buffer.from('late')));
     };
-    const answer = await bench.ask({ 'x-id': '1' });
+    const answer = await bench.send({ 'x-id': '1' });
     expect([answer.status, answer.body, answer.headers.connection, front.openRequests]).toEqual([
       200,
       'late',
@@ -184,14 +186,14 @@
     'control safety, point 5: writes an answer out whole to a client that reads slowly, also when it closes',
     { timeout: 30_000 },
     async () => {
-      bench = await new Bench().open();
-      const { front } = bench;
+      bench = await new ClientServerHarness().open();
+      const { clientServer: front } = bench;
       const body = Buffer.alloc(16 * 1024 * 1024, 'x');
       const client = await RawClient.connect(bench.port);
       client.pause();
       const answered = new Promise<void>((resolve) => {
         if (bench !== undefined)
-          bench.onTake = (_, port) => {
+          bench.onRequest = (_, port) => {
             port.respond(200, [], body);
             resolve();
           };
@@ -209,12 +211,12 @@
     'control safety, point 5: closes a connection behind its last answer, and hands nothing on after that',
     { timeout: 30_000 },
     async () => {
-      bench = await new Bench().open();
-      const { front, taken } = bench;
+      bench = await new ClientServerHarness().open();
+      const { clientServer: front, receivedRequests: taken } = bench;
       let answer: (() => void) | undefined;
       const took = new Promise<void>((resolve) => {
         if (bench !== undefined)
-          bench.onTake = (_, port) => {
+          bench.onRequest = (_, port) => {
             port.open(200, [['content-type', 'text/event-stream']]);
             answer = () => port.close();
             resolve();
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -12,7 +12,7 @@
 
 const HEADERS_MAX_BYTES = 128 * 1024;
 /** The answer to what cannot be read, by the code of node's error. */
-const UNREADABLE_STATUS: ReadonlyMap<string, string> = new Map([
+const MALFORMED_REQUEST_STATUS: ReadonlyMap<string, string> = new Map([
   ['ERR_HTTP_REQUEST_TIMEOUT', '408 Request Timeout'],
   ['HPE_HEADER_OVERFLOW', '431 Request Header Fields Too Large'],
 ]);
@@ -95,7 +95,7 @@
     if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
     if (this.#connections.hasPendingResponse(socket))
       return this.#connections.closeAfterPendingResponses(socket);
-    const status = UNREADABLE_STATUS.get(thrown.code ?? '') ?? '400 Bad Request';
+    const status = MALFORMED_REQUEST_STATUS.get(thrown.code ?? '') ?? '400 Bad Request';
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 
@@ -111,7 +111,7 @@
     const rejection = checkHead(req, this.#dependencies.headerNames, limits);
     if (rejection !== undefined) return response.end(rejection.status, rejection.why, true);
     this.#readBody(req, limits.bodyBytes, response, (body) => {
-      if (!res.destroyed) this.#handOn(req, res, body, response);
+      if (!res.destroyed) this.#dispatch(req, res, body, response);
     });
   }
 
@@ -140,7 +140,7 @@
     });
   }
 
-  #handOn(req: IncomingMessage, res: ServerResponse, body: Buffer, response: ClientResponse): void {
+  #dispatch(req: IncomingMessage, res: ServerResponse, body: Buffer, response: ClientResponse): void {
     const { headerNames } = this.#dependencies;
     const cancel = this.#dependencies.onRequest(toClientRequest(req, headerNames, body), response);
     res.on('close', () => {
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -56,17 +56,17 @@
   #onFatal: (why: Fault) => void;
   #transport: PeerTransport;
   #replica: CoreReplica;
-  #link = new PoolLink(WORKER_CONNECTION_TIMES);
+  #workerLink = new PoolLink(WORKER_CONNECTION_TIMES);
   #operators: OperatorService;
   #operatorServer: OperatorServer;
   #timers: NodeJS.Timeout[] = [];
-  #isListing = false;
+  #isPollingList = false;
   #listFailures = 0;
-  #listedMs = -Infinity;
+  #lastListPollMs = -Infinity;
   #stopping = false;
   #wasCoordinator = false;
   #ticks = 0;
-  #waitLoggedMs = -Infinity;
+  #lastWaitLogMs = -Infinity;
 
   private constructor(
     settings: PlatformSettings,
@@ -168,25 +168,26 @@
     const { isCoordinator: leading } = this.#replica.group;
     if (!leading && this.#ticks % NON_COORDINATOR_TICK_DIVISOR !== 0) return;
     this.#replica.tick();
-    this.#reportWaits();
+    this.#checkWaits();
     if (leading !== this.#wasCoordinator) {
       this.#wasCoordinator = leading;
-      this.#listedMs = -Infinity;
+      this.#lastListPollMs = -Infinity;
       this.#log.info({ leading, epoch: this.#replica.group.epoch }, 'coordination');
     }
-    if (leading && MONOTONIC_CLOCK.nowMs() - this.#listedMs >= LIST_INTERVAL_MS) void this.#pollWorkerList();
+    if (leading && MONOTONIC_CLOCK.nowMs() - this.#lastListPollMs >= LIST_INTERVAL_MS)
+      void this.#pollWorkerList();
   }
 
   /** Says what this core waits for, and ends the process where that will hardly come. */
-  #reportWaits(): void {
+  #checkWaits(): void {
     const { group } = this.#replica;
     const { diskWaitMs } = group;
     if (diskWaitMs > DISK_HANG_MAX_MS)
       return this.#onFatal(fault('disk', `no write was synced for ${Math.round(diskWaitMs)} ms`));
     const wait = group.coordinatorWait();
     const nowMs = MONOTONIC_CLOCK.nowMs();
-    if (wait === undefined || nowMs - this.#waitLoggedMs < WAIT_LOG_INTERVAL_MS) return;
-    this.#waitLoggedMs = nowMs;
+    if (wait === undefined || nowMs - this.#lastWaitLogMs < WAIT_LOG_INTERVAL_MS) return;
+    this.#lastWaitLogMs = nowMs;
     const { isListening: listening } = this.#transport;
     this.#log.warn({ wait, listening }, 'no coordinator');
   }
@@ -194,11 +195,11 @@
   // The platform's list.
 
   async #pollWorkerList(): Promise<void> {
-    if (this.#isListing) return;
-    this.#isListing = true;
-    this.#listedMs = MONOTONIC_CLOCK.nowMs();
+    if (this.#isPollingList) return;
+    this.#isPollingList = true;
+    this.#lastListPollMs = MONOTONIC_CLOCK.nowMs();
     const list = await this.#readWorkerList();
-    this.#isListing = false;
+    this.#isPollingList = false;
     if (list.isOk) {
       this.#listFailures = 0;
       this.#replica.learnList(list.value);
@@ -236,7 +237,7 @@
 
   #sendOrder(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
     const body = this.#dialect.writeOrder(order, this.#replica.group.self.incarnation);
-    this.#call(
+    this.#callWorker(
       row,
       'POST',
       this.#dialect.orderPath,
@@ -250,7 +251,7 @@
   }
 
   #requestReport(row: WorkerRecord, done: (reply: ReportReply) => void): void {
-    this.#call(
+    this.#callWorker(
       row,
       'GET',
       this.#dialect.reportPath,
@@ -263,7 +264,7 @@
   }
 
   /** One call to a worker; `done` comes once, with nothing where there was no complete response. */
-  #call(
+  #callWorker(
     row: WorkerRecord,
     method: string,
     target: string,
@@ -285,7 +286,7 @@
       [this.#dialect.workerHeaderNames.expectInstance, row.id],
     ];
     if (body !== '') headers.push(['content-type', 'application/json']);
-    const send = this.#link.send(
+    const send = this.#workerLink.send(
       { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_TIMEOUT_MS },
       {
         mayStart: () => open && mayStart(),
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -23,10 +23,10 @@
 const URGENT_REQUEST_DELAY_MS = 7;
 const COUNTERS_INTERVAL_MS = 10_000;
 /** The platform checks readiness every second and acts on the second miss: so long new connections still come. */
-const DEREGISTRATION_LAG_MS = 3000;
-const GRACE_RESERVE_MS = 700;
+const DEREGISTRATION_DELAY_MS = 3000;
+const SHUTDOWN_RESERVE_MS = 700;
 /** The last responses of our own get so long to be sent. */
-const FINAL_RESPONSES_MS = 300;
+const FINAL_RESPONSES_TIMEOUT_MS = 300;
 /** So long the goodbye to the cores gets to be sent. */
 const GOODBYE_FLUSH_MS = 30;
 
@@ -43,7 +43,7 @@
   #log: Log;
   #transport: PeerTransport;
   #replica: EdgeReplica;
-  #link = new PoolLink(WORKER_CONNECTION_TIMES);
+  #workerLink = new PoolLink(WORKER_CONNECTION_TIMES);
   #router: Router;
   #clientServer: ClientServer;
   #readiness: Server;
@@ -77,7 +77,7 @@
     this.#router = new Router({
       zone: settings.zone,
       clock,
-      link: this.#link,
+      link: this.#workerLink,
       headerNames: dialect.workerHeaderNames,
       retries: settings.retries,
       configuration: () => this.#replica.configuration,
@@ -114,7 +114,7 @@
     await this.#clientServer.listen(listen.clients);
     this.#readiness.listen(splitAddress(listen.readiness).port, host);
     this.#timers.push(
-      setInterval(() => this.#log.info(this.#countersLine(), 'counters'), COUNTERS_INTERVAL_MS),
+      setInterval(() => this.#log.info(this.#counterLogFields(), 'counters'), COUNTERS_INTERVAL_MS),
     );
     this.#tick();
     this.#log.info({ clients: listen.clients }, 'started');
@@ -131,9 +131,9 @@
     if (this.#stopping) return;
     this.#stopping = true;
     const startMs = this.#clock.nowMs();
-    const endMs = startMs + this.#settings.graceMs - GRACE_RESERVE_MS;
+    const endMs = startMs + this.#settings.graceMs - SHUTDOWN_RESERVE_MS;
     this.#log.info({ open: this.#clientServer.openRequests }, 'stopping');
-    await pause(Math.min(DEREGISTRATION_LAG_MS, this.#settings.graceMs / 2));
+    await pause(Math.min(DEREGISTRATION_DELAY_MS, this.#settings.graceMs / 2));
     // Timers come before sockets in a turn: after a stall, requests that have arrived meanwhile are read first.
     await nextTurn();
     await nextTurn();
@@ -141,10 +141,10 @@
     while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < endMs) await pause(25);
     this.#router.close();
     this.#replica.leave();
-    const lastMs = this.#clock.nowMs() + FINAL_RESPONSES_MS;
+    const lastMs = this.#clock.nowMs() + FINAL_RESPONSES_TIMEOUT_MS;
     do await pause(GOODBYE_FLUSH_MS);
     while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < lastMs);
-    this.#log.info(this.#countersLine(), 'stopped');
+    this.#log.info(this.#counterLogFields(), 'stopped');
     await this.close();
   }
 
@@ -157,7 +157,7 @@
     this.#clientServer.closeAllConnections();
     this.#readiness.close();
     this.#transport.close();
-    await this.#link.close();
+    await this.#workerLink.close();
   }
 
   #tick(): void {
@@ -207,7 +207,8 @@
         { revision: this.#replica.state.revision, evacuated: this.#replica.state.evacuated },
         'configuration',
       );
-    } else this.#link.keepOnly(new Set([...this.#replica.workers.values()].map((worker) => worker.address)));
+    } else
+      this.#workerLink.keepOnly(new Set([...this.#replica.workers.values()].map((worker) => worker.address)));
     this.#router.tick();
   }
 
@@ -216,7 +217,7 @@
   }
 
   /** With the requests by tenant where the configuration has tenants. */
-  #countersLine(): object {
+  #counterLogFields(): object {
     const counters = this.#counters();
     return this.#replica.tenants === undefined
       ? { counters }
--- a/packages/runtime/src/operator-server.ts
+++ b/packages/runtime/src/operator-server.ts
@@ -11,10 +11,10 @@
 
 /** A configuration is 3 MiB at most; its JSON text may be written with more space than ours. */
 export const BODY_MAX_BYTES = 4 * 1024 * 1024;
-const DEPTH_MAX = 64;
+const JSON_DEPTH_MAX = 64;
 
 /** What the server needs of the operators' side. */
-export type OperatorAnswers = Pick<OperatorService, 'answer' | 'failure'>;
+export type OperatorCallHandler = Pick<OperatorService, 'answer' | 'failure'>;
 
 /**
  * Reads calls of operators, has them answered and logs each. A call whose
@@ -25,13 +25,13 @@
  */
 export class OperatorServer {
   #dialect: Dialect;
-  #answers: OperatorAnswers;
+  #handler: OperatorCallHandler;
   #log: Log;
   #server: Server;
 
-  constructor(dialect: Dialect, answers: OperatorAnswers, log: Log) {
+  constructor(dialect: Dialect, answers: OperatorCallHandler, log: Log) {
     this.#dialect = dialect;
-    this.#answers = answers;
+    this.#handler = answers;
     this.#log = log;
     this.#server = createServer((req, res) => {
       this.#receive(req, res).catch((thrown: unknown) => {
@@ -75,22 +75,25 @@
     const call = body.andThen((text) =>
       this.#dialect.readCall(req.method ?? '', req.url ?? '', req.headers, text),
     );
-    const reply = call.isOk ? await this.#execute(call.value, req) : this.#answers.failure(call.error);
-    this.#log.info(call.isOk ? logFields(call.value, reply) : refusalFields(call.error, reply), 'operator');
+    const reply = call.isOk ? await this.#execute(call.value, req) : this.#handler.failure(call.error);
+    this.#log.info(
+      call.isOk ? callLogFields(call.value, reply) : rejectionLogFields(call.error, reply),
+      'operator',
+    );
     return reply;
   }
 
   #execute(call: OperatorCall, req: IncomingMessage): Promise<OperatorReply> {
-    return new Promise((resolve) => this.#answers.answer(call, resolve, () => isCallerGone(req)));
+    return new Promise((resolve) => this.#handler.answer(call, resolve, () => isCallerGone(req)));
   }
 }
 
-function logFields(call: OperatorCall, { status }: OperatorReply): Record<string, unknown> {
+function callLogFields(call: OperatorCall, { status }: OperatorReply): Record<string, unknown> {
   return { call: call.kind, base: 'base' in call ? call.base : undefined, status };
 }
 
 /** Never the cause of the fault: what was thrown may quote the body. */
-function refusalFields({ kind, detail }: Fault, { status }: OperatorReply): Record<string, unknown> {
+function rejectionLogFields({ kind, detail }: Fault, { status }: OperatorReply): Record<string, unknown> {
   return { refused: { kind, detail }, status };
 }
 
@@ -127,8 +130,8 @@
     () => fault('bad-request', 'the body is not UTF-8 text'),
     () => new TextDecoder('utf-8', { fatal: true }).decode(bytes),
   ).andThen((text) =>
-    jsonDepth(text) > DEPTH_MAX
-      ? Result.err<string, Fault>(fault('bad-request', `the body is nested deeper than ${DEPTH_MAX}`))
+    jsonDepth(text) > JSON_DEPTH_MAX
+      ? Result.err<string, Fault>(fault('bad-request', `the body is nested deeper than ${JSON_DEPTH_MAX}`))
       : Result.ok<string, Fault>(text),
   );
 }
--- a/packages/runtime/src/peer-transport.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -5,7 +5,7 @@
 import { backoffMs, fault, type BackoffPolicy, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
-const BACKLOG_MAX_BYTES = 16 * 1024 * 1024;
+const SEND_BUFFER_MAX_BYTES = 16 * 1024 * 1024;
 const RECONNECT_DELAY_MS = 100;
 /** A connection whose sent frames stay unacknowledged for so long is reset. */
 const ACK_TIMEOUT_MS = 1000;
@@ -54,7 +54,7 @@
   #onFrame: (frame: Frame) => void;
   #server: Server | undefined;
   #connections = new Map<string, PeerConnection>();
-  #failedMs = new Map<string, number>();
+  #lastFailureMs = new Map<string, number>();
   #acceptedSockets = new Set<Socket>();
   #closed = false;
   readonly counts: TransportCounts = {
@@ -123,7 +123,7 @@
   /** Sends a frame, or drops and counts it where the peer is not connected or its backlog is full. */
   send(address: string, frame: Frame): void {
     const connection = this.#connectionTo(address);
-    if (connection === undefined || connection.socket.writableLength > BACKLOG_MAX_BYTES) {
+    if (connection === undefined || connection.socket.writableLength > SEND_BUFFER_MAX_BYTES) {
       this.counts.dropped += 1;
       return;
     }
@@ -153,7 +153,7 @@
       this.#connections.delete(address);
       known.socket.resetAndDestroy();
     }
-    if (this.#closed || nowMs - (this.#failedMs.get(address) ?? -Infinity) < RECONNECT_DELAY_MS)
+    if (this.#closed || nowMs - (this.#lastFailureMs.get(address) ?? -Infinity) < RECONNECT_DELAY_MS)
       return undefined;
     const socket = createConnection({ ...splitAddress(address), localAddress: this.#host, noDelay: true });
     const connection: PeerConnection = { socket, unacknowledgedSinceMs: undefined };
@@ -165,7 +165,7 @@
     socket.on('close', () => {
       if (this.#connections.get(address) !== connection) return;
       this.#connections.delete(address);
-      this.#failedMs.set(address, performance.now());
+      this.#lastFailureMs.set(address, performance.now());
     });
     return connection;
   }
--- a/packages/runtime/src/platform-program.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -23,11 +23,11 @@
  * await runEdge(dialect, '/etc/rainrun/settings.toml');
  */
 export async function runEdge(dialect: Dialect, path: string): Promise<void> {
-  const setup = setUp(dialect, path);
+  const setup = prepareProgram(dialect, path);
   if (setup === undefined) return;
   const node = new EdgeNode(setup.settings, dialect, setup.log);
-  onStop(() => node.stop());
-  return node.start(endOn);
+  stopOnSignal(() => node.stop());
+  return node.start(exitOnFatalFault);
 }
 
 /**
@@ -36,19 +36,19 @@
  * await runCore(dialect, '/etc/rainrun/settings.toml');
  */
 export async function runCore(dialect: Dialect, path: string): Promise<void> {
-  const setup = setUp(dialect, path);
+  const setup = prepareProgram(dialect, path);
   if (setup === undefined) return;
-  const opened = await CoreNode.open(setup.settings, dialect, setup.log, endOn);
+  const opened = await CoreNode.open(setup.settings, dialect, setup.log, exitOnFatalFault);
   if (opened.isErr) {
-    end(EXIT_CODES.badDisk, [opened.error]);
+    exitWithFaults(EXIT_CODES.badDisk, [opened.error]);
     return;
   }
-  onStop(() => opened.value.stop());
+  stopOnSignal(() => opened.value.stop());
   opened.value.start();
 }
 
 /** Reads the settings and opens the log; where the settings are bad the program ends, and nothing is returned. */
-function setUp(dialect: Dialect, path: string): ProgramSetup | undefined {
+function prepareProgram(dialect: Dialect, path: string): ProgramSetup | undefined {
   const read = tryOrElse(
     (thrown) => [
       fault('bad-setting', `settings: found ${JSON.stringify(path)}, expected a file (${String(thrown)})`),
@@ -56,7 +56,7 @@
     () => readFileSync(path, 'utf8'),
   ).andThen((text) => dialect.readSettings(text));
   if (read.isErr) {
-    end(EXIT_CODES.badSetting, read.error);
+    exitWithFaults(EXIT_CODES.badSetting, read.error);
     return undefined;
   }
   const settings = read.value;
@@ -68,7 +68,7 @@
 }
 
 /** Stops the node on a signal; a further one changes nothing, the process ends once the first has been seen through. */
-function onStop(stop: () => Promise<void>): void {
+function stopOnSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   function handle(): void {
     if (isStopping) return;
@@ -80,11 +80,11 @@
 }
 
 /** Ends the process on what a running node cannot go on without: its disk, or its port for the other nodes. */
-function endOn(why: Fault): void {
-  end(why.kind === 'bad-setting' ? EXIT_CODES.noListener : EXIT_CODES.badDisk, [why]);
+function exitOnFatalFault(why: Fault): void {
+  exitWithFaults(why.kind === 'bad-setting' ? EXIT_CODES.noListener : EXIT_CODES.badDisk, [why]);
 }
 
-function end(code: number, why: readonly Fault[]): void {
+function exitWithFaults(code: number, why: readonly Fault[]): void {
   for (const { kind, detail } of why) console.error(`${kind}: ${detail}`);
   process.exit(code);
 }
--- a/packages/runtime/src/process-environment.ts
+++ b/packages/runtime/src/process-environment.ts
@@ -9,10 +9,12 @@
 export const SYSTEM_RANDOM: RandomSource = { next: () => Math.random() };
 
 /** How many different numbers the source for secrets gives: the most that one call of the system allows. */
-const SECURE_STEPS = 2 ** 48 - 1;
+const SECURE_RANDOM_RANGE = 2 ** 48 - 1;
 
 /** For secrets: unpredictable, and slower. */
-export const SECURE_RANDOM: RandomSource = { next: () => randomInt(SECURE_STEPS) / SECURE_STEPS };
+export const SECURE_RANDOM: RandomSource = {
+  next: () => randomInt(SECURE_RANDOM_RANGE) / SECURE_RANDOM_RANGE,
+};
 
 /** Processor time since the process began, in milliseconds, and resident memory, in MiB. */
 export interface ProcessUsage {
--- a/packages/runtime/src/request-recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -19,7 +19,7 @@
 }
 
 /** The text of a request's messages; empty where its body is no chat completion. */
-function promptIn(body: Uint8Array | undefined): string {
+function extractPrompt(body: Uint8Array | undefined): string {
   if (body === undefined) return '';
   const read = v.safeParse(PromptSchema, Buffer.from(body).toString('utf8'));
   return read.success ? read.output.messages.map((message) => message.content).join('\n') : '';
@@ -30,9 +30,9 @@
  * @example
  * toCall(record, startMs, false).prompt; // undefined
  */
-export function toCall(record: EndRecord, startMs: number, contents: boolean): Call {
+export function toRecordedCall(record: EndRecord, startMs: number, contents: boolean): Call {
   const { group, kind, model, adapter, stream, prefix, outcome, worker, arrivedMs, firstPieceMs } = record;
-  const prompt = promptIn(record.body);
+  const prompt = extractPrompt(record.body);
   return {
     atMs: Math.max(0, Math.round(arrivedMs - startMs)),
     group,
@@ -77,7 +77,7 @@
   }
 
   record(record: EndRecord): void {
-    this.#write(callLine(toCall(record, this.#startMs, this.#settings.recordContents)));
+    this.#write(callLine(toRecordedCall(record, this.#startMs, this.#settings.recordContents)));
   }
 
   close(): Promise<void> {
--- a/packages/runtime/src/runtime.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -9,7 +9,7 @@
 import { readSettings } from './settings.js';
 import { PeerTransport } from './peer-transport.js';
 
-const GOOD = {
+const VALID_FLAGS = {
   name: 'edge-1',
   deployment: 'd',
   zone: 'north',
@@ -19,13 +19,13 @@
 };
 
 function faults(change: Record<string, unknown>, role: 'edge' | 'core' = 'edge'): string[] {
-  const read = readSettings({ ...GOOD, ...change }, role);
+  const read = readSettings({ ...VALID_FLAGS, ...change }, role);
   return read.isErr ? read.error.map((one) => one.detail) : [];
 }
 
 describe('settings', () => {
   it('are taken from flags', () => {
-    const read = readSettings(GOOD, 'edge');
+    const read = readSettings(VALID_FLAGS, 'edge');
     expect(read.isOk && read.value.seeds).toEqual(['127.0.0.1:7002', '127.0.0.1:7003']);
   });
 
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -49,11 +49,11 @@
 /** The checked settings of one node. */
 export type Settings = v.InferOutput<typeof SettingsSchema>;
 
-const LISTS = new Set(['seeds', 'founders']);
-const NUMBERS = new Set(['drainMs', 'bodyMaxBytes', 'recordMaxBytes']);
+const LIST_SETTINGS = new Set(['seeds', 'founders']);
+const NUMBER_SETTINGS = new Set(['drainMs', 'bodyMaxBytes', 'recordMaxBytes']);
 
 /** Flags that are not settings themselves. */
-const NOT_SETTINGS = new Set(['settings', 'check']);
+const FLAGS_WITHOUT_SETTING = new Set(['settings', 'check']);
 
 type Flags = readonly (readonly [key: string, value: unknown])[];
 
@@ -67,14 +67,14 @@
   flags: Readonly<Record<string, unknown>>,
   role: 'edge' | 'core',
 ): Result<Settings, Fault[]> {
-  return singleFlags(flags)
+  return rejectRepeatedFlags(flags)
     .andThen((given) => mergedWithFile(given))
     .andThen((merged) => parseSettings(merged))
     .andThen((settings) => checkFolder(settings, role));
 }
 
 /** A flag that is given twice has no one value. */
-function singleFlags(flags: Readonly<Record<string, unknown>>): Result<Flags, Fault[]> {
+function rejectRepeatedFlags(flags: Readonly<Record<string, unknown>>): Result<Flags, Fault[]> {
   const given = Object.entries(flags).map(([key, value]): [string, unknown] => [
     key,
     Array.isArray(value) && value.length < 2 ? value[0] : value,
@@ -95,7 +95,7 @@
       ...Object.fromEntries(
         given
           .filter(([key, value]) => isGiven(key, value))
-          .map(([key, value]) => [key, fromFlag(key, value)]),
+          .map(([key, value]) => [key, parseFlagValue(key, value)]),
       ),
     }))
     .mapErr((why) => [why]);
@@ -103,7 +103,7 @@
 
 /** Whether a flag says anything; `recordContents` is false unless it is given. */
 function isGiven(key: string, value: unknown): boolean {
-  if (value === undefined || value === '' || NOT_SETTINGS.has(key)) return false;
+  if (value === undefined || value === '' || FLAGS_WITHOUT_SETTING.has(key)) return false;
   return !(key === 'recordContents' && value === false);
 }
 
@@ -132,12 +132,12 @@
   return Result.ok(settings);
 }
 
-function fromFlag(key: string, value: unknown): unknown {
-  if (LISTS.has(key))
+function parseFlagValue(key: string, value: unknown): unknown {
+  if (LIST_SETTINGS.has(key))
     return String(value)
       .split(',')
       .filter((part) => part !== '');
-  return NUMBERS.has(key) ? Number(value) : value;
+  return NUMBER_SETTINGS.has(key) ? Number(value) : value;
 }
 
 function readFile(path: unknown): Result<Record<string, unknown>, Fault> {
--- a/packages/runtime/src/spec-http-services.ts
+++ b/packages/runtime/src/spec-http-services.ts
@@ -48,28 +48,28 @@
   return {
     name: 'operator',
     actions: {
-      view: action(() => operators.fresh(() => operators.queries.view())),
-      spec: action(() => operators.fresh(() => operators.queries.spec())),
-      history: action(() => operators.fresh(() => operators.queries.history())),
+      view: action(() => operators.readCurrent(() => operators.queries.view())),
+      spec: action(() => operators.readCurrent(() => operators.queries.spec())),
+      history: action(() => operators.readCurrent(() => operators.queries.history())),
       check: action((params) => operators.check(text(params['text']))),
       put: action((params) => operators.put(text(params['text']), base(params), text(params['id']))),
       change: action((params) => operators.change(params['patch'] ?? {}, base(params), text(params['id']))),
       operation: action((params) => operators.operation(text(params['id']))),
-      zones: action(() => operators.fresh(() => operators.queries.zones())),
+      zones: action(() => operators.readCurrent(() => operators.queries.zones())),
       empty: action((params) =>
         operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id'])),
       ),
       restore: action((params) =>
         operators.submit('zone.restore', { zone: text(params['zone']) }, text(params['id'])),
       ),
-      workers: action(() => operators.fromCoordinator('workers', '')),
-      groups: action(() => operators.fromCoordinator('groups', '')),
-      counters: action((params) => operators.rowsOfNodes('counters', text(params['node']))),
-      status: action((params) => operators.rowsOfNodes('status', text(params['node']))),
+      workers: action(() => operators.queryCoordinator('workers', '')),
+      groups: action(() => operators.queryCoordinator('groups', '')),
+      counters: action((params) => operators.queryNodes('counters', text(params['node']))),
+      status: action((params) => operators.queryNodes('status', text(params['node']))),
       ready: action(() => operators.queries.ready()),
       explain: action((params) => operators.explain(text(params['id']))),
-      explainModel: action((params) => operators.fromCoordinator('explainModel', text(params['model']))),
-      forget: action((params) => operators.fromCoordinator('forget', text(params['name']))),
+      explainModel: action((params) => operators.queryCoordinator('explainModel', text(params['model']))),
+      forget: action((params) => operators.queryCoordinator('forget', text(params['name']))),
       metrics(ctx: Context<unknown, { $responseType?: string }>) {
         ctx.meta.$responseType = 'text/plain; version=0.0.4';
         return operators.queries.metrics();
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -26,9 +26,9 @@
 const LIST_INTERVAL_MS = 500;
 const COUNTERS_INTERVAL_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 10_000;
-const EXPLAINED_REQUESTS_MAX = 2000;
+const END_RECORDS_MAX = 2000;
 /** A stopping node answers callers that keep their connections for so long. */
-const LINGER_MS = 5000;
+const DRAIN_LINGER_MS = 5000;
 
 /** What kind of node a program runs. */
 export type Role = 'edge' | 'core';
@@ -59,7 +59,7 @@
   #timers: NodeJS.Timeout[] = [];
   #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
   #recorder: RequestRecorder | undefined;
-  #isListing = false;
+  #isPollingList = false;
   #listFailures = 0;
 
   private constructor(
@@ -98,7 +98,7 @@
       role === 'core' ? await openDisk(settings, onFatal) : Result.ok<undefined, Fault>(undefined);
     if (acceptor.isErr) return Result.err(acceptor.error);
     const node = new SpecNode(settings, role, acceptor.value, log, onFatal);
-    const open = await node.#open();
+    const open = await node.#startServices();
     return open.map(() => node);
   }
 
@@ -111,7 +111,7 @@
     while ((this.#edge?.gateway.inFlight ?? 0) > 0 && MONOTONIC_CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
-    await this.#httpServer.waitUntilIdle(Math.min(LINGER_MS, this.#settings.drainMs));
+    await this.#httpServer.waitUntilIdle(Math.min(DRAIN_LINGER_MS, this.#settings.drainMs));
     for (const timer of this.#timers) clearInterval(timer);
     this.#log.info({ counters: this.#counters() }, 'stopped');
     setTimeout(() => this.#httpServer.closeAllConnections(), 500).unref();
@@ -151,16 +151,16 @@
   #makeEdge(): SpecEdge {
     const { name, zone } = this.#settings;
     const edge = new SpecEdge(this.#clusterNode, name, zone, MONOTONIC_CLOCK, SYSTEM_RANDOM, this.#sender);
-    edge.gateway.on('ended', (record) => this.#remember(record));
+    edge.gateway.on('ended', (record) => this.#recordEnd(record));
     return edge;
   }
 
-  #remember(record: EndRecord): void {
+  #recordEnd(record: EndRecord): void {
     const { body: _, ...rest } = record;
     this.#endRecords.set(record.id, rest);
     this.#recorder?.record(record);
     const oldest = this.#endRecords.keys().next();
-    if (this.#endRecords.size > EXPLAINED_REQUESTS_MAX && oldest.done !== true)
+    if (this.#endRecords.size > END_RECORDS_MAX && oldest.done !== true)
       this.#endRecords.delete(oldest.value);
   }
 
@@ -175,7 +175,7 @@
     this.#edge?.gateway.tick();
   }
 
-  async #open(): Promise<Result<Unit, Fault>> {
+  async #startServices(): Promise<Result<Unit, Fault>> {
     const listening = await this.#transport.listen(this.#settings.bind);
     if (listening.isErr) return listening;
     for (const schema of this.#services()) this.#broker.createService(schema);
@@ -202,10 +202,10 @@
   }
 
   async #pollWorkerList(): Promise<void> {
-    if (this.#isListing || this.#settings.platform === '') return;
-    this.#isListing = true;
+    if (this.#isPollingList || this.#settings.platform === '') return;
+    this.#isPollingList = true;
     const list = await readSpecWorkerList(this.#settings.platform);
-    this.#isListing = false;
+    this.#isPollingList = false;
     if (list.isOk) {
       if (this.#listFailures > 0)
         this.#log.info({ failures: this.#listFailures }, 'worker list available again');
--- a/packages/runtime/src/spec-operator-service.ts
+++ b/packages/runtime/src/spec-operator-service.ts
@@ -7,8 +7,8 @@
 import { failure, operationReply, type OperatorReply } from './operator-reply.js';
 import { SpecNodeQueries, type NodeQueryDependencies } from './spec-node-queries.js';
 
-const ANSWER_WAIT_MS = 5000;
-const FRESH_WAIT_MS = 1500;
+const AGREEMENT_TIMEOUT_MS = 5000;
+const CURRENT_STATE_TIMEOUT_MS = 1500;
 const POLL_MS = 20;
 const OPERATION_ID = /^[A-Za-z0-9._-]{1,64}$/;
 
@@ -38,7 +38,7 @@
    * Answers once this node holds all that was agreed before the question, so
    * that every node answers alike; one that cannot know says so.
    */
-  async fresh(read: () => OperatorReply): Promise<OperatorReply> {
+  async readCurrent(read: () => OperatorReply): Promise<OperatorReply> {
     const informed = await this.#waitUntilCurrent();
     const { status, body } = read();
     return informed
@@ -50,7 +50,7 @@
     const { group } = this.#dependencies.clusterNode;
     const askedMs = this.#dependencies.clock.nowMs();
     while (group.currentAsOfMs() < askedMs) {
-      if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > FRESH_WAIT_MS)
+      if (group.view === undefined || this.#dependencies.clock.nowMs() - askedMs > CURRENT_STATE_TIMEOUT_MS)
         return false;
       await pause(POLL_MS);
     }
@@ -67,7 +67,7 @@
   async operation(id: string): Promise<OperatorReply> {
     const { group } = this.#dependencies.clusterNode;
     await this.#waitUntilCurrent();
-    const endMs = this.#dependencies.clock.nowMs() + FRESH_WAIT_MS;
+    const endMs = this.#dependencies.clock.nowMs() + CURRENT_STATE_TIMEOUT_MS;
     while (
       group.state?.answers.some((answer) => answer.id === id) === true &&
       group.operationResult(id) === undefined
@@ -90,7 +90,7 @@
   }
 
   /** What the coordinator knows; it hears every measure and decides every placement. */
-  async fromCoordinator(kind: string, text: string): Promise<OperatorReply> {
+  async queryCoordinator(kind: string, text: string): Promise<OperatorReply> {
     await this.#waitUntilCurrent();
     const { group } = this.#dependencies.clusterNode;
     const incarnation = group.coordinatorIncarnation;
@@ -116,7 +116,7 @@
   }
 
   /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
-  async rowsOfNodes(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
+  async queryNodes(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
     const members = this.#dependencies.clusterNode.group.view?.members ?? [
       this.#dependencies.clusterNode.group.self,
     ];
@@ -178,7 +178,7 @@
     return new Promise((resolve) => {
       const timer = setTimeout(
         () => resolve(failure('operation-unknown', 'not known to be agreed yet; ask by id', { id })),
-        ANSWER_WAIT_MS,
+        AGREEMENT_TIMEOUT_MS,
       );
       const sent = this.#dependencies.clusterNode.submit(id, kind, JSON.stringify(data), (answer) => {
         clearTimeout(timer);
--- a/packages/runtime/src/spec-platform-client.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -27,17 +27,17 @@
   busy: v.optional(v.boolean(), false),
 });
 
-const LIST_MAX_BYTES = 4 * 1024 * 1024;
-const LIST_WAIT_MS = 1500;
-const INVENTORY_WAIT_MS = 2000;
-const LOAD_WAIT_MS = 60_000;
+const RESPONSE_MAX_BYTES = 4 * 1024 * 1024;
+const LIST_TIMEOUT_MS = 1500;
+const INVENTORY_TIMEOUT_MS = 2000;
+const LOAD_TIMEOUT_MS = 60_000;
 
 async function readBody(body: AsyncIterable<Buffer>): Promise<string> {
   const parts: Buffer[] = [];
   let bytes = 0;
   for await (const part of body) {
     bytes += part.length;
-    if (bytes > LIST_MAX_BYTES) return '';
+    if (bytes > RESPONSE_MAX_BYTES) return '';
     parts.push(part);
   }
   return Buffer.concat(parts).toString('utf8');
@@ -52,7 +52,7 @@
   try {
     const text = source.startsWith('http://')
       ? await readBody(
-          (await request(source, { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS })).body,
+          (await request(source, { headersTimeout: LIST_TIMEOUT_MS, bodyTimeout: LIST_TIMEOUT_MS })).body,
         )
       : await readFile(source, 'utf8');
     const parsed = v.safeParse(ListSchema, JSON.parse(text));
@@ -84,7 +84,7 @@
   address: string,
   order: SpecOrder,
 ): Promise<Result<SpecOrderReply, Fault>> {
-  const waitMs = order.action === 'load' ? LOAD_WAIT_MS : INVENTORY_WAIT_MS;
+  const waitMs = order.action === 'load' ? LOAD_TIMEOUT_MS : INVENTORY_TIMEOUT_MS;
   try {
     const { statusCode, body } = await request(`http://${address}/orders`, {
       method: 'POST',
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -48,7 +48,7 @@
 };
 
 /** A log that tells when a line of this text is written. */
-class AwaitingLog implements Log {
+class LogWaiter implements Log {
   #expected: string;
   #seen: () => void = () => undefined;
   readonly seen: Promise<void>;
@@ -78,7 +78,7 @@
 }
 
 const CORE_INCARNATION = 'stand-in-core';
-const TABLE = '1-table';
+const TABLE_ID = '1-table';
 
 /** A worker as the stand-in core lists it. */
 export interface ListedStandIn {
@@ -100,7 +100,7 @@
   #edition = 1;
   #row = 0;
   #workers: readonly ListedStandIn[] = [];
-  #onKnown: (() => void)[] = [];
+  #waitingForEdge: (() => void)[] = [];
 
   private constructor(port: number, document: Readonly<Record<string, unknown>>) {
     this.#address = `127.0.0.1:${port}`;
@@ -118,14 +118,14 @@
   list(workers: readonly ListedStandIn[]): Promise<void> {
     this.#workers = workers;
     this.#row += 1;
-    return new Promise((resolve) => this.#onKnown.push(resolve));
+    return new Promise((resolve) => this.#waitingForEdge.push(resolve));
   }
 
   /** Puts another configuration in force; resolves once an edge holds it. */
   configure(document: Readonly<Record<string, unknown>>): Promise<void> {
     this.#edition += 1;
     this.#state = encodeState(this.#edition, document);
-    return new Promise((resolve) => this.#onKnown.push(resolve));
+    return new Promise((resolve) => this.#waitingForEdge.push(resolve));
   }
 
   close(): void {
@@ -136,8 +136,8 @@
     if (frame.body.case !== 'subscribe') return;
     const follow = frame.body.value;
     if (follow.tableRow === this.#row && follow.edition === this.#edition) {
-      for (const resolve of this.#onKnown) resolve();
-      this.#onKnown = [];
+      for (const resolve of this.#waitingForEdge) resolve();
+      this.#waitingForEdge = [];
     }
     this.#sendUpdate(follow);
   }
@@ -154,7 +154,7 @@
       hasLease: true,
       coordinator: seat,
       cores: [seat],
-      tableId: TABLE,
+      tableId: TABLE_ID,
       tableRow: this.#row,
       snapshot: follow.tableRow !== this.#row,
       baseRow: this.#row,
@@ -291,7 +291,7 @@
       ports.core,
       testDocument(options.tenants === undefined ? {} : { tenants: options.tenants }),
     );
-    const ready = new AwaitingLog('readiness');
+    const ready = new LogWaiter('readiness');
     const edge = new EdgeUnderTest(core, ports, options, ready);
     void core.list(workers.map(({ name, address }) => ({ id: name, address })));
     await edge.node.start((why) => {
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -21,7 +21,7 @@
   readonly body?: string;
 }
 
-const NOTHING: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
+const NO_RESPONSE: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
 
 /**
  * A client that speaks raw TCP: it may send several requests at once or half
@@ -36,10 +36,10 @@
   #names: StandInNames;
   #rest = '';
   /** The next answer is not whole before so many characters stand in the rest. */
-  #needed = 0;
+  #minBytes = 0;
   #methods: string[] = [];
   #responses = new AsyncQueue<ClientResponse>();
-  #texts: { text: string; found: () => void }[] = [];
+  #textWaiters: { text: string; found: () => void }[] = [];
   #ended = false;
   /** All that came. */
   text = '';
@@ -98,7 +98,7 @@
   /** Resolves once this text has come. */
   until(text: string): Promise<void> {
     if (this.text.includes(text)) return Promise.resolve();
-    return new Promise((found) => this.#texts.push({ text, found }));
+    return new Promise((found) => this.#textWaiters.push({ text, found }));
   }
 
   pause(): void {
@@ -120,10 +120,10 @@
   #receive(text: string): void {
     this.text += text;
     this.#rest += text;
-    for (let answer = this.#readAnswer(); answer !== undefined; answer = this.#readAnswer())
+    for (let answer = this.#readResponse(); answer !== undefined; answer = this.#readResponse())
       this.#responses.put(answer);
-    for (const waiting of this.#texts.filter((one) => this.text.includes(one.text))) waiting.found();
-    this.#texts = this.#texts.filter((one) => !this.text.includes(one.text));
+    for (const waiting of this.#textWaiters.filter((one) => this.text.includes(one.text))) waiting.found();
+    this.#textWaiters = this.#textWaiters.filter((one) => !this.text.includes(one.text));
   }
 
   #close(): void {
@@ -131,13 +131,13 @@
     const headEnd = this.#rest.indexOf('\r\n\r\n');
     this.#responses.put(
       headEnd < 0
-        ? NOTHING
+        ? NO_RESPONSE
         : { ...readHead(this.#rest.slice(0, headEnd)), body: this.#rest.slice(headEnd + 4), whole: false },
     );
   }
 
-  #readAnswer(): ClientResponse | undefined {
-    if (this.#rest.length < this.#needed) return undefined;
+  #readResponse(): ClientResponse | undefined {
+    if (this.#rest.length < this.#minBytes) return undefined;
     const headEnd = this.#rest.indexOf('\r\n\r\n');
     if (headEnd < 0) return undefined;
     const head = readHead(this.#rest.slice(0, headEnd));
@@ -149,10 +149,10 @@
         ? readChunks(after)
         : readLength(after, length);
     if (read === undefined) {
-      this.#needed = Number.isFinite(length) ? headEnd + 4 + length : 0;
+      this.#minBytes = Number.isFinite(length) ? headEnd + 4 + length : 0;
       return undefined;
     }
-    this.#needed = 0;
+    this.#minBytes = 0;
     this.#methods.shift();
     this.#rest = read.rest;
     return { ...head, body: read.body, whole: true };
--- a/packages/runtime/src/testing/routing-trial.ts
+++ b/packages/runtime/src/testing/routing-harness.ts
@@ -11,7 +11,7 @@
  * trial.client.request({ id: trial.idFor('w1'), path: '/once/x' });
  * (await trial.next()).answer();
  */
-export class RoutingTrial {
+export class RoutingHarness {
   readonly edge: EdgeUnderTest;
   readonly client: RawClient;
   readonly workers: readonly StandInWorker[];
@@ -30,12 +30,12 @@
     this.#calls = calls;
   }
 
-  static async open(workerCount: number, options: EdgeOptions = {}): Promise<RoutingTrial> {
+  static async open(workerCount: number, options: EdgeOptions = {}): Promise<RoutingHarness> {
     const calls = new AsyncQueue<WorkerCall>();
     const names = Array.from({ length: workerCount }, (_, place) => `w${place}`);
     const workers = await Promise.all(names.map((name) => StandInWorker.open(name, calls)));
     const edge = await EdgeUnderTest.open(workers, options);
-    return new RoutingTrial(edge, await edge.connect(), workers, calls);
+    return new RoutingHarness(edge, await edge.connect(), workers, calls);
   }
 
   worker(name: string): StandInWorker {
@@ -43,12 +43,12 @@
   }
 
   /** The next whole request at any worker. */
-  next(): Promise<WorkerCall> {
+  nextCall(): Promise<WorkerCall> {
     return this.#calls.next();
   }
 
   /** A new request id that the balancer sends to this worker while all are alike. */
-  idFor(name: string): string {
+  requestIdFor(name: string): string {
     for (;;) {
       this.#requestCount += 1;
       const id = `r${this.#requestCount}`;
@@ -65,15 +65,15 @@
   }
 
   /** A request that is answered well at this worker, so that connections are there to be reused. */
-  async warm(name: string): Promise<void> {
-    this.client.request({ id: this.idFor(name), path: '/once/warm' });
-    (await this.next()).respond();
+  async warmUpConnection(name: string): Promise<void> {
+    this.client.request({ id: this.requestIdFor(name), path: '/once/warm' });
+    (await this.nextCall()).respond();
     await this.client.next();
   }
 
   /** Requests that are answered well, each of which earns a part of the retry budget. */
-  async earn(count: number): Promise<void> {
-    for (let done = 0; done < count; done += 1) await this.warm('w0');
+  async earnRetryBudget(count: number): Promise<void> {
+    for (let done = 0; done < count; done += 1) await this.warmUpConnection('w0');
   }
 
   /** Another client asks and is answered: the edge has meanwhile taken in what was on its way to it. */
@@ -84,10 +84,10 @@
   }
 
   /** Asks on the same client connection, to the same worker, and answers well; gives what the client got. */
-  async after(name: string, client = this.client): Promise<ClientResponse> {
-    const id = this.idFor(name);
+  async sendNextRequest(name: string, client = this.client): Promise<ClientResponse> {
+    const id = this.requestIdFor(name);
     client.request({ id, path: '/once/after' });
-    (await this.next()).respond();
+    (await this.nextCall()).respond();
     return client.next();
   }
 
--- a/packages/runtime/src/testing/stand-in-worker.ts
+++ b/packages/runtime/src/testing/stand-in-worker.ts
@@ -170,7 +170,7 @@
   }
 
   /** Writes bytes on a connection on which no request waits. */
-  writeUnasked(connection: number, text: string): void {
+  writeUnsolicited(connection: number, text: string): void {
     this.#sockets[connection]?.write(text);
   }
 
--- a/packages/runtime/src/answers.test.ts
+++ b/packages/runtime/src/worker-responses.test.ts
@@ -1,16 +1,16 @@
 import { afterEach, describe, it } from 'node:test';
 import { expect } from 'earl';
 import type { ConnectionFault, WorkerCall } from './testing/stand-in-worker.js';
-import { RoutingTrial } from './testing/routing-trial.js';
+import { RoutingHarness } from './testing/routing-harness.js';
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: RoutingTrial;
+let trial: RoutingHarness;
 
 afterEach(() => trial.close());
 
 /** What a worker may do to a request that it has read whole, so that nobody can tell whether it ran. */
-const UNCLEAR_ENDS: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
+const AMBIGUOUS_FAILURES: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
   ['resets the connection', (call) => call.reset()],
   ['closes the connection', (call) => call.close()],
   ['answers another request', (call) => call.respond({ id: 'another', body: 'of another' })],
@@ -19,14 +19,20 @@
   ['answers without a signature', (call) => call.respond({ signature: null })],
   ['sends bytes that are no answer', (call) => call.write('what is this\r\n\r\n')],
   ['answers in an unheard protocol', (call) => call.write('HTTP/9.7 200 OK\r\nContent-Length: 0\r\n\r\n')],
-  ['breaks a plain answer off with a close', (call) => half(call, (one) => one.close())],
-  ['breaks a plain answer off with a reset', (call) => half(call, (one) => one.reset())],
-  ['breaks a chunked answer off with a close', (call) => halfChunked(call, (one) => one.close())],
-  ['breaks a chunked answer off with a reset', (call) => halfChunked(call, (one) => one.reset())],
-  ['sends a chunk without a length', (call) => badChunk(call)],
+  ['breaks a plain answer off with a close', (call) => sendPartialResponse(call, (one) => one.close())],
+  ['breaks a plain answer off with a reset', (call) => sendPartialResponse(call, (one) => one.reset())],
+  [
+    'breaks a chunked answer off with a close',
+    (call) => sendPartialChunkedResponse(call, (one) => one.close()),
+  ],
+  [
+    'breaks a chunked answer off with a reset',
+    (call) => sendPartialChunkedResponse(call, (one) => one.reset()),
+  ],
+  ['sends a chunk without a length', (call) => sendMalformedChunk(call)],
   ['gives two lengths', (call) => call.respond({ headers: ['Content-Length: 1'] })],
-  ['answers without a length and closes', (call) => unframed(call, (one) => one.close())],
-  ['answers without a length and resets', (call) => unframed(call, (one) => one.reset())],
+  ['answers without a length and closes', (call) => sendUnframedResponse(call, (one) => one.close())],
+  ['answers without a length and resets', (call) => sendUnframedResponse(call, (one) => one.reset())],
   ['declines without an id', (call) => call.decline({ id: null })],
   ['declines another request', (call) => call.decline({ id: 'another' })],
   [
@@ -38,47 +44,47 @@
   ['wants to upgrade', (call) => call.write('HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n')],
 ];
 
-function half(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendPartialResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
   const text = call.textOf({});
   call.write(text.slice(0, -2));
   setImmediate(() => end(call));
 }
 
-function halfChunked(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendPartialChunkedResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
   call.write(
     `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nof\r\n`,
   );
   setImmediate(() => end(call));
 }
 
-function badChunk(call: WorkerCall): void {
+function sendMalformedChunk(call: WorkerCall): void {
   call.write(
     `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nof\r\n`,
   );
 }
 
-function unframed(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendUnframedResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
   call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\n\r\nhalf of it`);
   setImmediate(() => end(call));
 }
 
 for (const connection of ['fresh', 'reused'] as const) {
   describe(`control safety, point 5: on a ${connection} connection, a worker that`, () => {
-    for (const [what, act] of UNCLEAR_ENDS) {
+    for (const [what, act] of AMBIGUOUS_FAILURES) {
       for (const kind of ['once', 'tell'] as const)
         it(
           `control safety, point 5: ${what} leaves a ${kind} request run once and failed (${connection})`,
           LIMIT,
           async () => {
-            trial = await RoutingTrial.open(2);
-            if (connection === 'reused') await trial.warm('w0');
-            const id = trial.idFor('w0');
+            trial = await RoutingHarness.open(2);
+            if (connection === 'reused') await trial.warmUpConnection('w0');
+            const id = trial.requestIdFor('w0');
             trial.client.request({ id, path: `/${kind}/x` });
-            const call = await trial.next();
+            const call = await trial.nextCall();
             act(call);
             const answer = await trial.client.next();
             await call.closed;
-            const next = await trial.after('w1');
+            const next = await trial.sendNextRequest('w1');
             expect([answer.status, answer.whole, trial.calls(id), next.status]).toEqual([502, true, 1, 200]);
           },
         );
@@ -88,13 +94,13 @@
           `control safety, point 5: ${what} leaves a ${kind} request to another worker (${connection})`,
           LIMIT,
           async () => {
-            trial = await RoutingTrial.open(2);
-            if (connection === 'reused') await trial.warm('w0');
-            const id = trial.idFor('w0');
+            trial = await RoutingHarness.open(2);
+            if (connection === 'reused') await trial.warmUpConnection('w0');
+            const id = trial.requestIdFor('w0');
             trial.client.request({ id, path: `/${kind}/x` });
-            const first = await trial.next();
+            const first = await trial.nextCall();
             act(first);
-            const second = await trial.next();
+            const second = await trial.nextCall();
             second.respond();
             const answer = await trial.client.next();
             await first.closed;
@@ -115,11 +121,11 @@
   for (const fault of faults)
     for (const kind of ['once', 'often'] as const)
       it(`control safety, point 5: ${fault}, ${kind}: sent again only where it may be`, LIMIT, async () => {
-        trial = await RoutingTrial.open(2);
+        trial = await RoutingHarness.open(2);
         trial.worker('w0').fault = fault;
-        const id = trial.idFor('w0');
+        const id = trial.requestIdFor('w0');
         trial.client.request({ id, path: `/${kind}/x`, body: 'b'.repeat(200_000) });
-        if (kind === 'often') (await trial.next()).respond();
+        if (kind === 'often') (await trial.nextCall()).respond();
         const answer = await trial.client.next();
         expect([answer.status, trial.calls(id)]).toEqual(kind === 'often' ? [200, 1] : [502, 0]);
       });
@@ -128,11 +134,11 @@
     'control safety, point 5: reset on accept: sent again only if the reset came before the first byte',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(2);
+      trial = await RoutingHarness.open(2);
       trial.worker('w0').fault = 'reset on accept';
-      const id = trial.idFor('w0');
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      void trial.next().then((call) => call.respond());
+      void trial.nextCall().then((call) => call.respond());
       const { status } = await trial.client.next();
       expect([status, trial.calls(id)]).toEqual(status === 502 ? [502, 0] : [200, 1]);
     },
@@ -142,14 +148,14 @@
     'control safety, point 5: a kept connection that its worker forgot: a once request fails, others go on',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(2);
-      await trial.warm('w0');
+      trial = await RoutingHarness.open(2);
+      await trial.warmUpConnection('w0');
       trial.worker('w0').fault = 'reset on bytes';
-      trial.client.request({ id: trial.idFor('w0'), path: '/once/x' });
+      trial.client.request({ id: trial.requestIdFor('w0'), path: '/once/x' });
       const once = await trial.client.next();
-      const often = trial.idFor('w1');
+      const often = trial.requestIdFor('w1');
       trial.client.request({ id: often, path: '/often/x' });
-      (await trial.next()).respond();
+      (await trial.nextCall()).respond();
       expect([once.status, (await trial.client.next()).body]).toEqual([502, `of ${often}`]);
     },
   );
@@ -158,11 +164,11 @@
     'control safety, point 5: a worker that cannot be reached has run nothing: the request goes to another',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(2);
+      trial = await RoutingHarness.open(2);
       trial.worker('w0').close();
-      const id = trial.idFor('w0');
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.respond();
       expect([(await trial.client.next()).body, call.worker]).toEqual([`of ${id}`, 'w1']);
     },
@@ -174,14 +180,14 @@
     "control safety, point 5: a surplus answer behind the first, in the same write, is nobody's",
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.write(call.textOf({}) + call.textOf({ body: 'surplus' }));
       const answer = await trial.client.next();
       await call.closed;
-      const next = await trial.after('w0');
+      const next = await trial.sendNextRequest('w0');
       expect([answer.body, next.status, next.body.startsWith('of r'), trial.client.rest]).toEqual([
         `of ${id}`,
         200,
@@ -195,15 +201,15 @@
     "control safety, point 5: a surplus answer on an idle connection closes it and is nobody's",
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.respond();
       await trial.client.next();
       call.respond({ body: 'surplus' });
       await call.closed;
-      const next = await trial.after('w0');
+      const next = await trial.sendNextRequest('w0');
       expect([next.status, trial.worker('w0').connections, trial.client.rest]).toEqual([200, 2, '']);
     },
   );
@@ -212,14 +218,14 @@
     'control safety, point 5: bytes beyond the length of an answer close its connection',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.write(`${call.textOf({})}more than there should be`);
       const answer = await trial.client.next();
       await call.closed;
-      expect([answer.body, (await trial.after('w0')).status]).toEqual([`of ${id}`, 200]);
+      expect([answer.body, (await trial.sendNextRequest('w0')).status]).toEqual([`of ${id}`, 200]);
     },
   );
 
@@ -228,16 +234,16 @@
       `control safety, point 5: the surplus answer of the request before is not taken for a ${kind} request`,
       LIMIT,
       async () => {
-        trial = await RoutingTrial.open(2);
-        const first = trial.idFor('w0');
+        trial = await RoutingHarness.open(2);
+        const first = trial.requestIdFor('w0');
         trial.client.request({ id: first, path: '/once/x' });
-        (await trial.next()).respond();
+        (await trial.nextCall()).respond();
         await trial.client.next();
-        const second = trial.idFor('w0');
+        const second = trial.requestIdFor('w0');
         trial.client.request({ id: second, path: `/${kind}/x` });
-        const call = await trial.next();
+        const call = await trial.nextCall();
         call.write(call.textOf({ id: first, body: 'surplus' }) + call.textOf({}));
-        if (kind === 'often') (await trial.next()).respond();
+        if (kind === 'often') (await trial.nextCall()).respond();
         const answer = await trial.client.next();
         expect([
           call.connection,
@@ -249,13 +255,13 @@
     );
 
   it('control safety, point 5: a late answer after the time-out reaches nobody', LIMIT, async () => {
-    trial = await RoutingTrial.open(1);
-    trial.client.request({ id: trial.idFor('w0'), path: '/brief/x' });
-    const call = await trial.next();
+    trial = await RoutingHarness.open(1);
+    trial.client.request({ id: trial.requestIdFor('w0'), path: '/brief/x' });
+    const call = await trial.nextCall();
     const answer = await trial.client.next();
     await call.closed;
     call.respond({ body: 'late' });
-    const next = await trial.after('w0');
+    const next = await trial.sendNextRequest('w0');
     expect([answer.status, next.status, next.body.startsWith('of r'), trial.client.rest]).toEqual([
       504,
       200,
@@ -268,13 +274,13 @@
     'control safety, point 5: a worker declines twice: the second word does not stand for a run that goes on',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      await trial.warm('w0');
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      await trial.warmUpConnection('w0');
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const first = await trial.next();
+      const first = await trial.nextCall();
       first.decline();
-      const second = await trial.next();
+      const second = await trial.nextCall();
       first.decline();
       second.respond();
       const answer = await trial.client.next();
@@ -285,11 +291,11 @@
 
 describe('control safety, point 5: what a worker did not run', () => {
   it('control safety, point 5: declined, the request goes to another worker', LIMIT, async () => {
-    trial = await RoutingTrial.open(2);
-    const id = trial.idFor('w0');
+    trial = await RoutingHarness.open(2);
+    const id = trial.requestIdFor('w0');
     trial.client.request({ id, path: '/once/x' });
-    (await trial.next()).decline();
-    (await trial.next()).respond();
+    (await trial.nextCall()).decline();
+    (await trial.nextCall()).respond();
     expect((await trial.client.next()).body).toEqual(`of ${id}`);
   });
 
@@ -297,13 +303,13 @@
     'control safety, point 5: an address that another service reuses answers 421, and the request goes on',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(2);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(2);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const first = await trial.next();
+      const first = await trial.nextCall();
       const wanted = first.headers.get('only');
       first.respond({ status: 421, body: '' });
-      const second = await trial.next();
+      const second = await trial.nextCall();
       second.respond();
       expect([wanted, second.headers.get('only'), (await trial.client.next()).body]).toEqual([
         'w0',
@@ -317,11 +323,11 @@
     'control safety, point 5: declined by all, it is refused at once with a promise and a time',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(3);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(3);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      (await trial.next()).decline();
-      (await trial.next()).decline();
+      (await trial.nextCall()).decline();
+      (await trial.nextCall()).decline();
       const answer = await trial.client.next();
       expect([answer.status, answer.headers.has('retry-after'), trial.calls(id)]).toEqual([503, true, 2]);
     },
@@ -331,11 +337,11 @@
     'control safety, point 5: declined after another worker may have run it, it is failed without a promise',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(2);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(2);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/often/x' });
-      (await trial.next()).reset();
-      (await trial.next()).decline();
+      (await trial.nextCall()).reset();
+      (await trial.nextCall()).decline();
       const answer = await trial.client.next();
       expect([answer.status, answer.headers.has('retry-after')]).toEqual([502, false]);
     },
@@ -347,10 +353,10 @@
     'control safety, point 5: interim answers are left out, and the answer is passed on',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.write('HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n');
       call.respond();
       const answer = await trial.client.next();
@@ -366,12 +372,12 @@
     'control safety, point 5: an answer that closes its connection is whole, and the next goes on another',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x' });
-      (await trial.next()).respond({ headers: ['Connection: close'] });
+      (await trial.nextCall()).respond({ headers: ['Connection: close'] });
       const answer = await trial.client.next();
-      const next = await trial.after('w0');
+      const next = await trial.sendNextRequest('w0');
       expect([answer.body, next.status, trial.worker('w0').connections]).toEqual([`of ${id}`, 200, 2]);
     },
   );
@@ -380,14 +386,14 @@
     "control safety, point 5: 204 and 304 come without a body, and the next answer is the next request's",
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
+      trial = await RoutingHarness.open(1);
       for (const status of [204, 304]) {
-        const id = trial.idFor('w0');
+        const id = trial.requestIdFor('w0');
         trial.client.request({ id, path: '/once/x' });
-        const call = await trial.next();
+        const call = await trial.nextCall();
         call.write(`HTTP/1.1 ${status} X\r\nCall-Id: ${id}\r\nMark: s\r\n\r\n`);
         const answer = await trial.client.next();
-        const next = await trial.after('w0');
+        const next = await trial.sendNextRequest('w0');
         expect([answer.status, answer.headers.has('content-length'), answer.body, next.status]).toEqual([
           status,
           false,
@@ -402,22 +408,22 @@
     'control safety, point 5: the answer to HEAD keeps the length that its worker gave, and has no body',
     LIMIT,
     async () => {
-      trial = await RoutingTrial.open(1);
-      const id = trial.idFor('w0');
+      trial = await RoutingHarness.open(1);
+      const id = trial.requestIdFor('w0');
       trial.client.request({ id, path: '/once/x', method: 'HEAD', body: '' });
-      const call = await trial.next();
+      const call = await trial.nextCall();
       call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${id}\r\nMark: s\r\nContent-Length: 5\r\n\r\n`);
       const answer = await trial.client.next();
-      const next = await trial.after('w0');
+      const next = await trial.sendNextRequest('w0');
       expect([answer.status, answer.headers.get('content-length'), next.status]).toEqual([200, '5', 200]);
     },
   );
 
   it('control safety, point 5: a head whose body comes later is passed on whole', LIMIT, async () => {
-    trial = await RoutingTrial.open(1);
-    const id = trial.idFor('w0');
+    trial = await RoutingHarness.open(1);
+    const id = trial.requestIdFor('w0');
     trial.client.request({ id, path: '/once/x' });
-    const call = await trial.next();
+    const call = await trial.nextCall();
     const text = call.textOf({});
     call.write(text.slice(0, -3));
     await new Promise((resolve) => setImmediate(resolve));
