--- a/packages/runtime/src/acceptor-disk.ts
+++ b/packages/runtime/src/acceptor-disk.ts
@@ -1,28 +1,31 @@
-/** Opens the disk of a core, for the cores of both systems. */
+/** Opens the disk of a core node; shared by both systems. */
 import { Acceptor, readRecords, type OpenedDisk } from '@rainrun/process-group';
 import { RecordStore } from '@rainrun/storage';
 import { randomId, type Fault, type RandomSource } from '@rainrun/common';
 import { Result } from 'true-myth';
 
-/** Which disk is opened, and who hears of its failures. */
+/** The disk to open, and the callback for its failures. */
 export interface AcceptorDiskOptions {
   /** The data folder. */
   readonly folder: string;
-  /** Name of the deployment that a new disk is marked with. */
+  /** Name of the deployment, written to a new disk. */
   readonly deployment: string;
-  /** The founding cores, where this is the first start of one of them; kept on the disk until the group is founded. */
+  /**
+   * Names or addresses of the founding cores, at the first start of one of them; kept on disk until the group
+   * is founded.
+   */
   readonly founders?: readonly string[];
-  /** For the identity of a new disk. */
+  /** Source of the random identity of a new disk. */
   readonly random: RandomSource;
-  /** Says why a disk that can be read is not this node's; undefined where it is. */
+  /** Returns a fault if a readable disk belongs to another node or deployment, otherwise undefined. */
   check?(opening: OpenedDisk): Fault | undefined;
-  /** The disk failed after it was opened: the process has to end. */
+  /** Called when the disk fails after it was opened; the process must exit then. */
   onFatal(why: Fault): void;
 }
 
 /**
- * Reads the records of a data folder and makes a voter's acceptor of them; a
- * new disk is marked. Faults: `damaged`, whatever the folder itself cannot do, and those of `check`.
+ * Reads the records of a data folder and creates a voter's acceptor from them; writes the disk record of a
+ * new disk. Faults: `damaged`, those of opening the folder, and those of `check`.
  * @example
  * const acceptor = await openAcceptor({ folder: '/var/lib/rainrun', deployment: 'system', random, onFatal });
  */
--- a/packages/runtime/src/chat-completions.ts
+++ b/packages/runtime/src/chat-completions.ts
@@ -1,4 +1,4 @@
-/** Chat completions over HTTP at an edge of the research groups' system. */
+/** Chat completion requests over HTTP on an edge of the research groups' system. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { GatewayRequestInit, Gateway, GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, fault, hashText, randomId, type RandomSource, type Fault } from '@rainrun/common';
@@ -16,14 +16,16 @@
 
 type Chat = v.InferOutput<typeof ChatSchema>;
 
-/** Characters of the first message that tell prompts with a common prefix. */
+/**
+ * Length of the first message's start, in characters, by which prompts with a common prefix are recognized.
+ */
 const PREFIX_CHARS = 256;
 
-/** A request as moleculer-web hands it on, its body read. */
+/** A request as moleculer-web passes it on, with its body read. */
 export type ChatRequest = IncomingMessage & { body?: unknown; originalUrl?: string };
 
 /**
- * The answer for a fault, by the table of kinds, sent at once.
+ * Sends the error response that `FAULT_RESPONSES` gives for the kind of the fault.
  * @example
  * sendFault(res, fault('over-share', 'too many wait'), 'id-1');
  */
@@ -34,8 +36,8 @@
     return;
   }
   const headers: Record<string, string> = { 'content-type': 'application/json', 'rainrun-id': id };
-  const returnS = why.retryAfterS ?? row.retryAfterS;
-  if (returnS > 0) headers['retry-after'] = String(returnS);
+  const retryAfterS = why.retryAfterS ?? row.retryAfterS;
+  if (retryAfterS > 0) headers['retry-after'] = String(retryAfterS);
   res.writeHead(row.status, headers);
   res.end(JSON.stringify({ error: { kind: why.kind, message: why.detail, ran: row.ran, id } }));
 }
@@ -80,7 +82,7 @@
     this.#res.end();
   }
 
-  /** The chunked body is left without its end, so that the client sees that it is incomplete. */
+  /** Closes the connection without the final chunk, so that the client sees that the body is incomplete. */
   abort(): void {
     this.#res.destroy();
   }
@@ -116,7 +118,7 @@
     });
   }
   if (req.method !== 'POST') return Result.err(fault('bad-request', `method ${req.method ?? ''}`));
-  if (!Buffer.isBuffer(req.body)) return Result.err(fault('bad-request', 'no body'));
+  if (!Buffer.isBuffer(req.body)) return Result.err(fault('bad-request', 'the request has no body'));
   const body = req.body;
   return readChat(body).map(({ model, adapter, stream, messages }) => {
     const prefix = hashText(`${model}/${adapter}/${(messages[0]?.content ?? '').slice(0, PREFIX_CHARS)}`);
@@ -124,7 +126,7 @@
   });
 }
 
-/** A chat completion from its JSON body; the fault names each field that is wrong. */
+/** Parses the JSON body of a chat completion; the fault names each invalid field. */
 function readChat(body: Buffer): Result<Chat, Fault> {
   const parsed = v.safeParse(ChatBodySchema, body.toString('utf8'));
   if (parsed.success) return Result.ok(parsed.output);
@@ -137,9 +139,9 @@
 }
 
 /**
- * Takes a client's request from HTTP to the gateway.
+ * Passes a client's HTTP request to the gateway, and cancels it there if the client disconnects.
  * @example
- * visit(gateway, 'edge-1', chance, req, res);
+ * handleChatRequest(gateway, 'edge-1', chance, req, res);
  */
 export function handleChatRequest(
   gateway: Gateway,
--- a/packages/runtime/src/client-connections.ts
+++ b/packages/runtime/src/client-connections.ts
@@ -1,18 +1,17 @@
-/** Connections of clients to an edge on the platform, and when each may be closed. */
+/** Tracks client connections to an edge on the platform, and when each may be closed. */
 import type { IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Duplex } from 'node:stream';
 
 interface Connection {
   readonly socket: Socket;
-  /** Requests whose head was read and whose response has not been sent completely. */
+  /** Requests whose head has been read and whose response is not complete. */
   readonly open: Set<IncomingMessage>;
   ending: 'no' | 'when closed' | 'when answered';
 }
 
 /**
- * The connections of clients: ends each of them only once the answers that are
- * due on it have gone out.
+ * Tracks client connections and closes each one only after its pending responses have been sent.
  * @example
  * const connections = new ClientConnections();
  * server.on('connection', (socket) => connections.add(socket));
@@ -27,7 +26,10 @@
     socket.on('close', () => this.#connections.delete(socket));
   }
 
-  /** The head of a request was read; false: its connection is at its end, and the request is not taken. */
+  /**
+   * Registers a request whose head has been read; false if its connection is closing and the request must be
+   * ignored.
+   */
   requestStarted(request: IncomingMessage): boolean {
     const connection = this.#connections.get(request.socket);
     if (connection === undefined || connection.ending === 'when answered' || !request.socket.writable)
@@ -36,7 +38,7 @@
     return true;
   }
 
-  /** The answer to a request has gone out, or its connection is lost. */
+  /** Unregisters a request whose response has been sent or whose connection is lost. */
   responseClosed(request: IncomingMessage): void {
     const connection = this.#connections.get(request.socket);
     if (connection === undefined) return;
@@ -50,7 +52,7 @@
     return connection !== undefined && hasPendingResponse(connection);
   }
 
-  /** What follows on this connection cannot be read: it ends behind the answers that are due. */
+  /** Closes a connection on which no further input can be parsed, after its pending responses. */
   closeAfterPendingResponses(socket: Duplex): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined) return;
@@ -58,7 +60,7 @@
     closeIfDone(connection);
   }
 
-  /** Ends every connection, now or behind its last answer. */
+  /** Closes every connection, immediately or after its last pending response. */
   drain(): void {
     this.#draining = true;
     for (const connection of this.#connections.values()) {
@@ -73,8 +75,8 @@
 }
 
 function closeIfDone(connection: Connection): void {
-  const due =
+  const isDone =
     (connection.ending === 'when closed' && connection.open.size === 0) ||
     (connection.ending === 'when answered' && !hasPendingResponse(connection));
-  if (due) connection.socket.destroySoon();
+  if (isDone) connection.socket.destroySoon();
 }
--- a/packages/runtime/src/client-request.ts
+++ b/packages/runtime/src/client-request.ts
@@ -6,16 +6,17 @@
 import { endToEndHeaders, type ClientRequest } from '@rainrun/router';
 import type { ClientHeaderNames } from './dialect.js';
 
-/** Why a request is answered without being read further, and with which HTTP status. */
+/** The fault and HTTP status with which a request is rejected before its body is read. */
 export interface HeadRejection {
   readonly status: number;
   readonly why: Fault;
 }
 
 /**
- * Checks the size of the head, the one id and host, and the announced size of the body.
+ * Checks the size of the head, that there is exactly one id and at most one host, and the announced size of
+ * the body.
  * @example
- * checkHead(req, headerNames, DEFAULT_LIMITS)?.status; // 413 where the body is announced as too large
+ * checkHead(req, headerNames, DEFAULT_LIMITS)?.status; // 413 if the announced body is too large
  */
 export function checkHead(
   req: IncomingMessage,
@@ -24,18 +25,18 @@
 ): HeadRejection | undefined {
   const bytes = headBytes(req);
   if (bytes > limits.headerBytes)
-    return { status: 431, why: fault('too-large', `headers of ${bytes} bytes`) };
+    return { status: 431, why: fault('too-large', `the request headers are too large: ${bytes} bytes`) };
   if (requestId(req, headerNames) === '')
-    return { status: 400, why: fault('bad-request', 'a request without an id') };
+    return { status: 400, why: fault('bad-request', 'the request has no id header') };
   if (isRepeated(req, headerNames.requestId) || isRepeated(req, 'host'))
-    return { status: 400, why: fault('bad-request', 'a request with two ids or two hosts') };
+    return { status: 400, why: fault('bad-request', 'the request has more than one id or host header') };
   if (Number(req.headers['content-length'] ?? 0) > limits.bodyBytes)
     return { status: 413, why: fault('too-large', 'the body is too large') };
   return undefined;
 }
 
 /**
- * The request as the router takes it; times are in milliseconds.
+ * Converts an HTTP request to the router's request type; times are in milliseconds.
  * @example
  * const request = toClientRequest(req, headerNames, body);
  */
@@ -63,8 +64,8 @@
 }
 
 /**
- * The headers that go on to the worker: those that concern the whole way, without `Expect`, the key, and what only an
- * edge may set.
+ * The headers that are forwarded to the worker: the end-to-end headers except `Expect`, the API key and the
+ * tenant, which only an edge may set.
  */
 function forwardedHeaders(rawHeaders: readonly string[], { apiKey, tenant }: ClientHeaderNames): Header[] {
   const withheld = new Set(['expect', apiKey, tenant]);
@@ -74,20 +75,26 @@
   return endToEndHeaders(headers).filter(([name]) => !withheld.has(name.toLowerCase()));
 }
 
-/** The client's key, in UTF-8. A request with two of them has none: which one counts would be a guess. */
+/**
+ * The client's API key, decoded as UTF-8; undefined if the header is repeated, since neither value can be
+ * trusted.
+ */
 function readApiKey(req: IncomingMessage, name: string): string | undefined {
   const apiKey = firstValue(req.headers[name]);
   if (apiKey === undefined || isRepeated(req, name)) return undefined;
   return Buffer.from(apiKey, 'latin1').toString('utf8');
 }
 
-/** Milliseconds that the client still waits; undefined where it does not say so in a number from 0. */
+/** Milliseconds that the client still waits; undefined unless the header holds a number of at least 0. */
 function readDeadlineMs(text: string | undefined): number | undefined {
   const deadlineMs = Number(text ?? NaN);
   return Number.isFinite(deadlineMs) && deadlineMs >= 0 ? deadlineMs : undefined;
 }
 
-/** Names of the prompt's blocks without their lengths; the last block is the request's own and left out. */
+/**
+ * Names of the prompt's blocks without their lengths; the last block is left out, as it is unique to the
+ * request.
+ */
 function readPrefix(text: string): string[] {
   const blocks = text.split(',').filter((block) => block !== '');
   return blocks.slice(0, -1).map((block) => block.split(':')[0] ?? '');
@@ -101,7 +108,7 @@
   return headerText(req, headerNames.requestId);
 }
 
-/** Bytes of the head as it was sent, within a few. */
+/** Approximate size of the head as it was sent, in bytes. */
 function headBytes(req: IncomingMessage): number {
   return req.rawHeaders.reduce((sum, text) => sum + text.length + 2, (req.url ?? '').length + 12);
 }
--- a/packages/runtime/src/client-response.ts
+++ b/packages/runtime/src/client-response.ts
@@ -1,11 +1,11 @@
-/** The HTTP response to a client of an edge on the platform. */
+/** The HTTP response that an edge on the platform sends to a client. */
 import type { ServerResponse } from 'node:http';
 import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import type { Header } from '@rainrun/gateway';
 import type { ResponseSink } from '@rainrun/router';
 
 /**
- * Writes one response; nothing is written once the connection is gone.
+ * Writes one response; after the connection is closed, further writes are ignored.
  * @example
  * const response = new ClientResponse(res, () => draining);
  * response.reject(fault('over-share', 'too many requests wait here'));
@@ -25,12 +25,12 @@
     this.#res.end(body);
   }
 
-  /** Answers with the status that belongs to the fault's kind. */
+  /** Sends an error response with the status that `FAULT_RESPONSES` gives for the kind of the fault. */
   reject(why: Fault): void {
     this.end(FAULT_RESPONSES[why.kind].status, why, false);
   }
 
-  /** Answers with a fault of our own, as JSON; the connection is closed afterwards where `close` is set. */
+  /** Sends a fault as JSON with this status; closes the connection afterwards if `close` is set. */
   end(status: number, why: Fault, close: boolean): void {
     if (this.#res.destroyed || this.#res.headersSent) return;
     const { retryAfterS, ran } = FAULT_RESPONSES[why.kind];
@@ -39,8 +39,8 @@
       ['Content-Type', 'application/json'],
       ['Content-Length', String(body.length)],
     ];
-    const returnS = why.retryAfterS ?? retryAfterS;
-    if (returnS > 0) headers.push(['Retry-After', String(returnS)]);
+    const retryDelayS = why.retryAfterS ?? retryAfterS;
+    if (retryDelayS > 0) headers.push(['Retry-After', String(retryDelayS)]);
     if (close) this.#res.shouldKeepAlive = false;
     this.#head(status, headers);
     this.#res.end(body);
@@ -54,21 +54,24 @@
 
   write(bytes: Buffer, drained: () => void): boolean {
     if (this.#res.destroyed) return true;
-    const more = this.#res.write(bytes);
-    if (!more) this.#res.once('drain', drained);
-    return more;
+    const hasCapacity = this.#res.write(bytes);
+    if (!hasCapacity) this.#res.once('drain', drained);
+    return hasCapacity;
   }
 
   close(): void {
     if (!this.#res.destroyed) this.#res.end();
   }
 
-  /** Also where the answer still waits behind another one on its connection. */
+  /** Closes the connection, also if this response is still queued behind another one on it. */
   abort(): void {
     this.#res.destroy();
   }
 
-  /** These have no body, and a length of 0 would not be the worker's. */
+  /**
+   * Whether a response has no body by definition; a `Content-Length: 0` would then contradict the worker's
+   * header.
+   */
   #hasNoBody(status: number): boolean {
     return status === 204 || status === 304 || this.#res.req.method === 'HEAD';
   }
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server of an edge on the platform, where clients connect. */
+/** The HTTP server to which clients of an edge on the platform connect. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import { DEFAULT_LIMITS, type Limits } from '@rainrun/configuration';
@@ -11,24 +11,24 @@
 import { splitAddress } from './peer-transport.js';
 
 const HEADERS_MAX_BYTES = 128 * 1024;
-/** The answer to what cannot be read, by the code of node's error. */
+/** Status line for a request that cannot be parsed, by the code of Node's error. */
 const MALFORMED_REQUEST_STATUS: ReadonlyMap<string, string> = new Map([
   ['ERR_HTTP_REQUEST_TIMEOUT', '408 Request Timeout'],
   ['HPE_HEADER_OVERFLOW', '431 Request Header Fields Too Large'],
 ]);
 
-/** What the client server needs of its node. */
+/** What the client server needs from its node. */
 export interface ClientServerDependencies {
   readonly headerNames: ClientHeaderNames;
   limits(): Limits | undefined;
-  /** Whether connections are to be closed after their answer. */
+  /** Whether each connection is closed after its current response. */
   isDraining(): boolean;
   onRequest(request: ClientRequest, port: ResponseSink): () => void;
 }
 
 /**
- * Where clients come in: reads each request whole within the limits in force
- * and hands it on.
+ * Accepts client connections, reads each request completely within the configured limits and passes it to
+ * `onRequest`.
  * @example
  * const clientServer = new ClientServer(dependencies);
  * await clientServer.listen('10.0.0.4:8000');
@@ -49,17 +49,17 @@
     this.#server.on('clientError', (thrown: NodeJS.ErrnoException, socket) =>
       this.#rejectMalformed(thrown, socket),
     );
-    // What node calls idle includes answers that are still being written out.
+    // Called by `Server.close`. Node's own version also closes connections whose responses are still being flushed.
     this.#server.closeIdleConnections = () => this.#connections.drain();
     this.applyLimits();
   }
 
-  /** Requests without a complete response. */
+  /** Number of requests without a complete response. */
   get openRequests(): number {
     return this.#openRequests;
   }
 
-  /** Takes over the limits in force. */
+  /** Applies the timeouts of the current configuration to the server. */
   applyLimits(): void {
     const { headerMs, idleMs } = this.#dependencies.limits() ?? DEFAULT_LIMITS;
     this.#server.headersTimeout = headerMs;
@@ -75,21 +75,20 @@
     });
   }
 
-  /** Takes no new connections; the others end behind the answers that are due on them. */
+  /** Accepts no new connections; each open one closes after its pending responses. */
   close(): void {
     this.#server.close();
   }
 
-  /** Ends every connection, with or without an answer. */
+  /** Closes every connection immediately, also those with pending responses. */
   closeAllConnections(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 
   /**
-   * What a client sends cannot be read, or does not come in time. An answer to
-   * it may be written only where no other is due on the connection: the client
-   * would take it for that one.
+   * Handles a request that cannot be parsed or does not arrive in time. An error response may be written only
+   * if no other response is pending on the connection: the client would take it for that one.
    */
   #rejectMalformed(thrown: NodeJS.ErrnoException, socket: Duplex): void {
     if (!socket.writable || thrown.code === 'ECONNRESET') return void socket.destroy();
@@ -115,7 +114,7 @@
     });
   }
 
-  /** Reads the body; one above the bound is rejected at once, and the rest of it is dropped. */
+  /** Reads the body; one above the limit is rejected immediately, and the rest of it is discarded. */
   #readBody(
     req: IncomingMessage,
     maxBytes: number,
@@ -133,7 +132,7 @@
       rejected = true;
       response.end(413, fault('too-large', 'the body is too large'), true);
     });
-    // A connection that breaks is seen by the response's own 'close'.
+    // A broken connection is handled by the response's 'close' event.
     req.on('error', () => undefined);
     req.on('end', () => {
       if (!rejected && req.complete) complete(Buffer.concat(chunks));
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,4 +1,7 @@
-/** A core on the platform (the programs under `platform/`): its sockets, timers, disk and calls to workers. */
+/**
+ * A core node on the platform (the programs under `platform/`): its sockets, timers, disk and calls to
+ * workers.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
 import { PLATFORM_TIMES, type Acceptor } from '@rainrun/process-group';
@@ -24,27 +27,27 @@
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
 const TICK_MS = 25;
-/** A core that does not coordinate acts at every second tick only. */
+/** A core that is not the coordinator acts on every second tick only. */
 const NON_COORDINATOR_TICK_DIVISOR = 2;
 const LIST_INTERVAL_MS = 500;
 const LIST_TIMEOUT_MS = 900;
 const ORDER_TIMEOUT_MS = 800;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** A core without a coordinator says at this interval what it waits for. */
+/** Interval at which a core without a coordinator logs what it waits for. */
 const WAIT_LOG_INTERVAL_MS = 1000;
-/** A disk that has synced nothing for so long, while this process ran, is given up: the process ends. */
+/** Running time without a synced write after which the disk counts as failed and the process exits. */
 const DISK_HANG_MAX_MS = 30_000;
 
-/** The answer of a worker. */
+/** The complete HTTP response of a worker. */
 interface WorkerReply {
   readonly status: number;
   readonly body: string;
 }
 
 /**
- * A core on a platform: a member of the group that holds the deployment, with
- * a disk; answers operators, and while it coordinates reads the platform's
- * list and orders the workers.
+ * A core node on a platform: a member of the group that replicates the deployment, with a disk. It answers
+ * operators; while it is the coordinator it also polls the platform's worker list and sends orders to
+ * workers.
  * @example
  * const node = await CoreNode.open(settings, dialect, log, onFatal);
  * if (node.isOk) await node.value.start();
@@ -114,8 +117,8 @@
   }
 
   /**
-   * Opens the disk; a fault says why it cannot be used. `onFatal` is told what must end the process later: a disk that
-   * fails or hangs (`disk`), or a peer port that stays taken (`bad-setting`).
+   * Opens the disk; a fault says why it cannot be used. `onFatal` is called later with a fault after which
+   * the process must exit: the disk fails or hangs (`disk`), or the peer port stays in use (`bad-setting`).
    */
   static async open(
     settings: PlatformSettings,
@@ -133,7 +136,7 @@
     return acceptor.map((opened) => new CoreNode(settings, dialect, log, opened, onFatal));
   }
 
-  /** Listens and begins to take part in the group. */
+  /** Starts the listeners and timers, with which the node joins the group. */
   start(): void {
     const { host, listenAddresses: listen } = this.#settings;
     void this.#listenForPeers();
@@ -151,7 +154,10 @@
     if (bound.isErr) this.#onFatal(bound.error);
   }
 
-  /** Graceful shutdown: rejects operators, takes leave of the group and stops its timers; the process is to exit then. */
+  /**
+   * Graceful shutdown: rejects operator calls, leaves the group and stops the timers; the process should exit
+   * then.
+   */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
@@ -178,7 +184,7 @@
       void this.#pollWorkerList();
   }
 
-  /** Says what this core waits for, and ends the process where that will hardly come. */
+  /** Logs what this core waits for, and reports a fatal fault where the disk has hung for too long. */
   #checkWaits(): void {
     const { group } = this.#replica;
     const { diskWaitMs } = group;
@@ -192,7 +198,7 @@
     this.#log.warn({ wait, listening }, 'no coordinator');
   }
 
-  // The platform's list.
+  // Worker list of the platform.
 
   async #pollWorkerList(): Promise<void> {
     if (this.#isPollingList) return;
@@ -221,7 +227,7 @@
         );
         const text = await body.text();
         if (statusCode !== 200)
-          return Result.err(fault('unreached', `the platform's list answered ${statusCode}`));
+          return Result.err(fault('unreached', `the platform's worker list returned status ${statusCode}`));
         const page = this.#dialect.readPage(text);
         if (page.isErr) return Result.err(page.error);
         workers.push(...page.value.workers);
@@ -233,7 +239,7 @@
     }
   }
 
-  // Orders.
+  // Calls to workers.
 
   #sendOrder(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
     const body = this.#dialect.writeOrder(order, this.#replica.group.self.incarnation);
@@ -263,7 +269,7 @@
     );
   }
 
-  /** One call to a worker; `done` comes once, with nothing where there was no complete response. */
+  /** Calls a worker; `done` is called exactly once, with `undefined` if no complete response arrived. */
   #callWorker(
     row: WorkerRecord,
     method: string,
@@ -272,12 +278,12 @@
     mayStart: () => boolean,
     done: (reply: WorkerReply | undefined) => void,
   ): void {
-    let open = true;
+    let isPending = true;
     let status = 0;
     const parts: Buffer[] = [];
     function finish(reply: WorkerReply | undefined): void {
-      if (!open) return;
-      open = false;
+      if (!isPending) return;
+      isPending = false;
       clearTimeout(timer);
       done(reply);
     }
@@ -289,7 +295,7 @@
     const send = this.#workerLink.send(
       { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_TIMEOUT_MS },
       {
-        mayStart: () => open && mayStart(),
+        mayStart: () => isPending && mayStart(),
         head: (code) => {
           status = code;
         },
@@ -315,7 +321,7 @@
       'without coordinator ms': group.coordinatorWait()?.waitedMs ?? 0,
       'disk wait ms': Math.round(group.diskWaitMs),
       followers,
-      // The number of the table's last change, not a count of rows; the metric keeps its name.
+      // Sequence number of the table's last change, not a count of rows; the metric name is kept for compatibility.
       rows: workerTable.number,
       ...planner.counts,
       framesIn: this.#transport.counts.framesIn,
@@ -327,7 +333,7 @@
   }
 }
 
-/** Where the seeds listen for the other nodes. */
+/** Addresses at which the seed nodes listen for peers. */
 function seedAddresses({ ports, seeds }: PlatformSettings): string[] {
   return seeds.map((host) => `${host}:${ports[0]}`);
 }
--- a/packages/runtime/src/dialect.ts
+++ b/packages/runtime/src/dialect.ts
@@ -8,7 +8,7 @@
 
 export type { OperatorCall } from '@rainrun/cluster-node';
 
-/** The settings of a node that runs on a platform, in our terms. */
+/** The settings of a node on a platform, independent of the platform's own names. */
 export interface PlatformSettings {
   readonly name: string;
   readonly zone: string;
@@ -16,16 +16,16 @@
   readonly regions: Readonly<Record<string, string>>;
   /** IP number of this machine. */
   readonly host: string;
-  /** Ports at which nodes may listen for each other, the same on every machine. */
+  /** Range of ports at which nodes listen for peers, the same on every machine. */
   readonly ports: readonly [first: number, last: number];
-  /** IP numbers of machines that are cores. */
+  /** IP numbers of the machines that run cores. */
   readonly seeds: readonly string[];
   /** True only at the first start of the whole system. */
   readonly founding: boolean;
   readonly folder: string;
-  /** So many machines with a disk may be lost at once. */
+  /** Number of machines with a disk that may be lost at the same time. */
   readonly toleratedLosses: number;
-  /** Addresses IP:PORT; empty where this node does not serve them. */
+  /** IP:PORT for each kind of caller; empty if this node does not serve it. */
   readonly listenAddresses: {
     readonly clients: string;
     readonly readiness: string;
@@ -33,15 +33,15 @@
   };
   readonly provider: { readonly address: string; readonly callsPerS: number; readonly lagMs: number };
   readonly retries: { readonly ratio: number; readonly extra: number };
-  /** How far the requests of a tenant, over all edges, may go above its limit. */
+  /** How far a tenant's requests, summed over all edges, may exceed its limit. */
   readonly quota: QuotaBounds;
-  /** When a key that was taken away must no longer be served. */
+  /** When a revoked API key must no longer be served. */
   readonly revocation: RevocationGuardSettings;
   readonly graceMs: number;
   readonly memoryMb: number;
 }
 
-/** Names of the headers that an edge reads from its clients, lower case. */
+/** Names, in lower case, of the headers that an edge reads from client requests. */
 export interface ClientHeaderNames {
   readonly requestId: string;
   readonly deadlineMs: string;
@@ -49,26 +49,28 @@
   readonly prefix: string;
   readonly tokens: string;
   readonly lastEventId: string;
-  /** The key of a tenant's client; never forwarded. */
+  /** The API key of a tenant's client; never forwarded. */
   readonly apiKey: string;
-  /** The name of the key's tenant, which only an edge sets; never forwarded as a client sent it. */
+  /** The name of the key's tenant, which only an edge sets; a client's own value is never forwarded. */
   readonly tenant: string;
 }
 
-/** One page of the platform's list. */
+/** One page of the platform's worker list. */
 export interface ListPage {
   readonly workers: readonly ListedWorker[];
   readonly next: string | undefined;
 }
 
-/** What a platform calls things that an edge meets. */
+/** The names of headers and paths on a platform that an edge uses. */
 export interface EdgeDialect {
   readonly clientHeaderNames: ClientHeaderNames;
   readonly workerHeaderNames: HeaderNames;
   readonly readinessPath: string;
 }
 
-/** What a platform calls things: it only translates, and decides nothing. */
+/**
+ * Translates between the names and formats of a platform and those of this project; it makes no decisions.
+ */
 export interface Dialect extends EdgeDialect, OperatorFormat {
   readonly orderPath: string;
   readonly reportPath: string;
@@ -82,7 +84,7 @@
   listPath(next: string | undefined): string;
   readPage(text: string): Result<ListPage, Fault>;
   writeOrder(order: WorkerOrder, holder: string): string;
-  /** What a worker says it holds; one that cannot be read is no answer. */
+  /** Parses a worker's report of its holdings; an unreadable report counts as `no-answer`. */
   readReport(text: string): ReportReply;
   readOrderReply(status: number): WorkerOrderReply;
 }
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -1,4 +1,4 @@
-/** An edge on the platform (the programs under `platform/`): its sockets, timers and connections. */
+/** An edge node on the platform (the programs under `platform/`): its sockets, timers and connections. */
 import { createServer, type Server } from 'node:http';
 import { setImmediate as nextTurn, setTimeout as pause } from 'node:timers/promises';
 import { create } from '@bufbuild/protobuf';
@@ -15,24 +15,30 @@
 import { listenForPeers } from './peer-listener.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
-/** Interval of ticks while requests wait here, and while this edge is not ready. */
+/** Tick interval while requests wait here, and while this edge is not ready. */
 const TICK_MS = 50;
-/** The same while nothing waits here: waking the process costs more than the tick itself. */
+/** Tick interval while this edge is ready and idle: waking the process costs more than the tick itself. */
 const IDLE_TICK_MS = 100;
-/** A model without a worker is reported to the cores after this, together with what else came meanwhile. */
+/**
+ * Delay before a model without a worker is reported to the cores, so that further reports share the message.
+ */
 const URGENT_REQUEST_DELAY_MS = 7;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** The platform checks readiness every second and acts on the second miss: so long new connections still come. */
+/**
+ * Time in which new connections still arrive: the platform checks readiness every second, acts on the second
+ * miss.
+ */
 const DEREGISTRATION_DELAY_MS = 3000;
+/** Part of the grace period kept for the final responses and the goodbye to the cores. */
 const SHUTDOWN_RESERVE_MS = 700;
-/** The last responses of our own get so long to be sent. */
+/** Time to send the responses that this node itself gives to requests that are unanswered at shutdown. */
 const FINAL_RESPONSES_TIMEOUT_MS = 300;
-/** So long the goodbye to the cores gets to be sent. */
+/** Time to send the goodbye to the cores. */
 const GOODBYE_FLUSH_MS = 30;
 
 /**
- * An edge on a platform: clients come in, requests go out to workers; what it
- * knows comes from the cores that it subscribes to.
+ * An edge node on a platform: accepts client requests and routes them to workers. Its configuration and
+ * worker table come from the cores that it subscribes to.
  * @example
  * const node = new EdgeNode(settings, dialect, log);
  * await node.start();
@@ -105,8 +111,8 @@
   }
 
   /**
-   * Listens for cores, clients and readiness checks, and begins to subscribe. `onFatal` is told if the port for
-   * the cores stays taken (`bad-setting`): the process is to end then.
+   * Listens for cores, clients and readiness checks, and starts to subscribe. `onFatal` is called if the port
+   * for the cores stays in use (`bad-setting`): the process must exit then.
    */
   async start(onFatal: (why: Fault) => void): Promise<void> {
     const { host, listenAddresses: listen } = this.#settings;
@@ -126,7 +132,10 @@
     if (bound.isErr) onFatal(bound.error);
   }
 
-  /** Graceful shutdown: not ready any more, then no new connections, then responses in flight within the grace period. */
+  /**
+   * Graceful shutdown: fails readiness checks, then stops accepting, then waits for open requests within the
+   * grace.
+   */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
@@ -134,7 +143,7 @@
     const endMs = startMs + this.#settings.graceMs - SHUTDOWN_RESERVE_MS;
     this.#log.info({ open: this.#clientServer.openRequests }, 'stopping');
     await pause(Math.min(DEREGISTRATION_DELAY_MS, this.#settings.graceMs / 2));
-    // Timers come before sockets in a turn: after a stall, requests that have arrived meanwhile are read first.
+    // Timers run before sockets in the event loop: after a stall, this reads requests that have already arrived.
     await nextTurn();
     await nextTurn();
     this.#clientServer.close();
@@ -148,7 +157,7 @@
     await this.close();
   }
 
-  /** Ends at once: timers, sockets and connections. */
+  /** Closes timers, sockets and connections immediately. */
   async close(): Promise<void> {
     this.#closed = true;
     for (const timer of this.#timers) clearInterval(timer);
@@ -165,11 +174,11 @@
     this.#replica.tick();
     this.#router.tick();
     this.#logReadiness();
-    const isResting = this.#replica.ready && this.#router.waiting === 0;
-    this.#tickWithin(isResting ? IDLE_TICK_MS : TICK_MS);
+    const isIdle = this.#replica.ready && this.#router.waiting === 0;
+    this.#tickWithin(isIdle ? IDLE_TICK_MS : TICK_MS);
   }
 
-  /** Lets the next tick come within this time at the latest. */
+  /** Schedules the next tick to run after at most `waitMs`. */
   #tickWithin(waitMs: number): void {
     if (this.#closed) return;
     const atMs = this.#clock.nowMs() + waitMs;
@@ -216,7 +225,7 @@
     return this.#router.demands().map((demand) => create(ModelDemandSchema, demand));
   }
 
-  /** With the requests by tenant where the configuration has tenants. */
+  /** The counters, with requests by tenant if the configuration has tenants. */
   #counterLogFields(): object {
     const counters = this.#counters();
     return this.#replica.tenants === undefined
--- a/packages/runtime/src/graceful-http-server.ts
+++ b/packages/runtime/src/graceful-http-server.ts
@@ -1,8 +1,8 @@
-/** HTTP server with graceful shutdown, of a node of the research groups' system. */
+/** HTTP server with graceful shutdown for a node of the research groups' system. */
 import { setTimeout as pause } from 'node:timers/promises';
 import { createServer, type RequestListener, type Server, type ServerResponse } from 'node:http';
 
-/** Limits of the HTTP side, in milliseconds. */
+/** Timeouts of the HTTP server, in milliseconds. */
 export interface HttpServerLimits {
   readonly headersTimeout: number;
   readonly requestTimeout: number;
@@ -12,10 +12,9 @@
 const POLL_MS = 50;
 
 /**
- * The HTTP server of a node, and its orderly end: once it drains, every answer
- * asks the caller to close the connection, and a connection that is still open
- * goes on being answered until its caller has closed it or a bound has passed.
- * So a caller that was not notified gets a definite response, not a reset.
+ * The HTTP server of a node, with graceful shutdown. While it drains, every response asks the caller to close
+ * the connection, and open connections are still served until the caller closes them or a time limit passes,
+ * so that a caller that does not know of the shutdown gets a definite response, not a reset.
  * @example
  * const httpServer = new GracefulHttpServer(limits);
  * const server = httpServer.create(handler);
@@ -33,7 +32,10 @@
     this.#limits = limits;
   }
 
-  /** Our own limits, checked every second: a client may not hold a connection by never ending its headers. */
+  /**
+   * Creates the server with timeouts checked every second, so that unfinished headers do not hold a
+   * connection open.
+   */
   create(handler: RequestListener): Server {
     const server = createServer({ ...this.#limits, connectionsCheckingInterval: 1000 }, (req, res) => {
       this.#openResponses.add(res);
@@ -56,7 +58,7 @@
     for (const res of this.#openResponses) res.shouldKeepAlive = false;
   }
 
-  /** Resolves once no caller is connected any more, or after a while. */
+  /** Resolves when no caller is connected any more, or after `waitMs`. */
   async waitUntilIdle(waitMs: number): Promise<void> {
     const endMs = performance.now() + waitMs;
     while (this.#connections > 0 && performance.now() < endMs) await pause(POLL_MS);
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -1,8 +1,8 @@
-/** The log as the platform's nodes see it. */
-/** What nodes log through; pino has this shape. */
+/** The logging interface of the platform's nodes. */
+/** A structured log; a pino logger satisfies this interface. */
 export interface Log {
-  debug(data: object, text: string): void;
-  info(data: object, text: string): void;
-  warn(data: object, text: string): void;
-  error(data: object, text: string): void;
+  debug(data: object, message: string): void;
+  info(data: object, message: string): void;
+  warn(data: object, message: string): void;
+  error(data: object, message: string): void;
 }
--- a/packages/runtime/src/operator-server.ts
+++ b/packages/runtime/src/operator-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP side of a core, where operators call. */
+/** The HTTP server for operator calls on a core of the platform. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { setImmediate as nextTurn } from 'node:timers/promises';
 import type { OperatorCall, OperatorReply, OperatorService } from '@rainrun/cluster-node';
@@ -9,16 +9,18 @@
 import { jsonDepth } from './json-depth.js';
 import type { Log } from './log.js';
 
-/** A configuration is 3 MiB at most; its JSON text may be written with more space than ours. */
+/**
+ * Limit for a request body: a configuration has at most 3 MiB, but a caller's JSON may hold more whitespace.
+ */
 export const BODY_MAX_BYTES = 4 * 1024 * 1024;
 const JSON_DEPTH_MAX = 64;
 
-/** What the server needs of the operators' side. */
+/** The part of the operator service that this server calls. */
 export type OperatorCallHandler = Pick<OperatorService, 'answer' | 'failure'>;
 
 /**
- * Reads calls of operators, has them answered and logs each. A call whose
- * caller has gone meanwhile is dropped: it has been sent to another node.
+ * Reads operator calls, passes them to the operator service and logs each. A call whose caller has
+ * disconnected is dropped: the caller may already have sent it to another node.
  * @example
  * const server = new OperatorServer(dialect, service, log);
  * server.listen('10.0.0.4', 8146);
@@ -29,9 +31,9 @@
   #log: Log;
   #server: Server;
 
-  constructor(dialect: Dialect, answers: OperatorCallHandler, log: Log) {
+  constructor(dialect: Dialect, handler: OperatorCallHandler, log: Log) {
     this.#dialect = dialect;
-    this.#handler = answers;
+    this.#handler = handler;
     this.#log = log;
     this.#server = createServer((req, res) => {
       this.#receive(req, res).catch((thrown: unknown) => {
@@ -41,7 +43,7 @@
     });
   }
 
-  /** The port it listens on, 0 before it does. */
+  /** The port on which the server listens, 0 before it does. */
   get port(): number {
     const bound = this.#server.address();
     return typeof bound === 'object' && bound !== null ? bound.port : 0;
@@ -58,7 +60,7 @@
 
   async #receive(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const body = await readBody(req);
-    // The end of the connection is read one turn of the event loop after the call.
+    // The end of a connection is read one turn of the event loop after the call on it.
     await nextTurn();
     await nextTurn();
     if (isCallerGone(req)) return;
@@ -92,20 +94,23 @@
   return { call: call.kind, base: 'base' in call ? call.base : undefined, status };
 }
 
-/** Never the cause of the fault: what was thrown may quote the body. */
+/** Leaves out the cause of the fault: a thrown error may quote the body, which can hold secrets. */
 function rejectionLogFields({ kind, detail }: Fault, { status }: OperatorReply): Record<string, unknown> {
   return { refused: { kind, detail }, status };
 }
 
 /**
- * Whether the caller has closed its connection. What it sent may have waited
- * here, in a process that was frozen or behind a cut that healed.
+ * Whether the caller has closed its connection. Its call may have been delayed in a frozen process or by a
+ * network partition that has healed.
  */
 function isCallerGone(req: IncomingMessage): boolean {
   return req.socket.readableEnded || req.socket.destroyed;
 }
 
-/** The body of a call as text. What is too large is read on and let go, so that the caller meets the answer and not a reset. */
+/**
+ * The body of a call as text. One that is too large is read and discarded, so that the caller gets a
+ * response, not a reset.
+ */
 function readBody(req: IncomingMessage): Promise<Result<string, Fault>> {
   const tooLarge = fault('too-large', `the body is larger than ${BODY_MAX_BYTES} bytes`);
   return new Promise((resolve) => {
--- a/packages/runtime/src/peer-listener.ts
+++ b/packages/runtime/src/peer-listener.ts
@@ -1,12 +1,12 @@
-/** The listener for peers of a program on a platform: bound again where it fails, with a line in the log for each attempt. */
+/** The peer listener of a platform node: retries to bind its port and logs each failed attempt. */
 import type { Fault } from '@rainrun/common';
 import type { Result, Unit } from 'true-myth';
 import type { Log } from './log.js';
 import type { PeerTransport } from './peer-transport.js';
 
 /**
- * Listens for peers at IP:PORT, again and again where the port is taken. Fault after `LISTEN_GIVE_UP_MS`:
- * `bad-setting`; the process is to end then, since it hears nobody.
+ * Listens for peers at IP:PORT and retries while the port is in use. Fault `bad-setting` after
+ * `LISTEN_GIVE_UP_MS`: the process must exit then, since no peer can reach it.
  * @example
  * const bound = await listenForPeers(transport, '10.0.0.4:7660', log);
  */
--- a/packages/runtime/src/peer-transport.test.ts
+++ b/packages/runtime/src/peer-transport.test.ts
@@ -1,4 +1,6 @@
-/** The transport over networks that fail below it: connections that are open and dead, resets, taken ports. */
+/**
+ * The transport over networks that fail below it: connections that are open and dead, resets, taken ports.
+ */
 import { createConnection, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { after, describe, it } from 'node:test';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -9,7 +11,9 @@
 
 const HOST = '127.0.0.1';
 const SEND_INTERVAL_MS = 50;
-/** The bound for a dead connection to be replaced: the acknowledgement time-out, a reconnect and its frames. */
+/**
+ * The bound for a dead connection to be replaced: the acknowledgement time-out, a reconnect and its frames.
+ */
 const RECOVERY_MAX_MS = 3000;
 
 const FRAME = create(FrameSchema, {
--- a/packages/runtime/src/peer-transport.ts
+++ b/packages/runtime/src/peer-transport.ts
@@ -1,22 +1,23 @@
-/** Frames between nodes over TCP, for both systems. */
+/** Transport of frames between nodes over TCP, shared by both systems. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { setTimeout as pause } from 'node:timers/promises';
 import { FRAME_MAX_BYTES, encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import { backoffMs, fault, type BackoffPolicy, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
+/** Bytes buffered for one peer above which further frames are dropped. */
 const SEND_BUFFER_MAX_BYTES = 16 * 1024 * 1024;
 const RECONNECT_DELAY_MS = 100;
-/** A connection whose sent frames stay unacknowledged for so long is reset. */
+/** Time without an acknowledgement of sent frames after which a connection is reset. */
 const ACK_TIMEOUT_MS = 1000;
 const ACK = Buffer.from([1]);
-/** Acknowledgements wait this long for more to acknowledge: well below the time-out of the sender. */
+/** Delay that lets one acknowledgement cover several frames: well below the sender's `ACK_TIMEOUT_MS`. */
 const ACK_DELAY_MS = 200;
-/** An accepted connection that brings nothing for so long is closed: its sender has gone without a word. */
+/** Time without data after which an accepted connection is closed: its peer is gone without closing it. */
 const ACCEPTED_IDLE_MS = 60_000;
-/** Waits between two attempts to listen. */
+/** Backoff between attempts to listen. */
 const LISTEN_RETRY: BackoffPolicy = { firstMs: 100, maxMs: 2000 };
-/** A port that is not free for so long will hardly become so. */
+/** Time after which listening on a port that stays in use is given up. */
 export const LISTEN_GIVE_UP_MS = 30_000;
 
 /** Counters of the transport. */
@@ -28,22 +29,24 @@
   malformed: number;
   foreign: number;
   dropped: number;
-  /** Connections made anew since nothing on them was acknowledged. */
+  /** Connections reset because sent frames were not acknowledged in time. */
   resets: number;
-  /** Attempts to listen that failed. */
+  /** Failed attempts to listen. */
   listenFailures: number;
 }
 
 interface PeerConnection {
   readonly socket: Socket;
-  /** Since when something is unacknowledged; the other end says so by a byte for each lot that it read. */
+  /**
+   * When the first frame since the last acknowledgement was sent; the peer acknowledges each batch that it
+   * reads with one byte.
+   */
   unacknowledgedSinceMs: number | undefined;
 }
 
 /**
- * Carries frames between nodes over TCP, each with its length before it. It
- * owns its sockets; what cannot be sent now is dropped, as the channels above
- * expect of a network.
+ * Sends and receives length-prefixed frames between nodes over TCP, and owns the sockets. A frame that cannot
+ * be sent now is dropped: the channels above expect a lossy network.
  * @example
  * const transport = new PeerTransport('vejsargs', (frame) => clusterNode.receive(frame));
  * await transport.listen('127.0.0.1:7001');
@@ -69,18 +72,18 @@
     listenFailures: 0,
   };
 
-  constructor(deployment: string, take: (frame: Frame) => void) {
+  constructor(deployment: string, onFrame: (frame: Frame) => void) {
     this.#deployment = deployment;
-    this.#onFrame = take;
+    this.#onFrame = onFrame;
   }
 
-  /** The port it listens on. */
+  /** The port on which the transport listens, 0 before it does. */
   get port(): number {
     const bound = this.#server?.address();
     return typeof bound === 'object' && bound !== null ? bound.port : 0;
   }
 
-  /** Listens for peers at IP:PORT; connections to them come from the same IP. Fault: `bad-setting`. */
+  /** Listens for peers at IP:PORT; outgoing connections use the same local IP. Fault: `bad-setting`. */
   listen(address: string): Promise<Result<Unit, Fault>> {
     const { host, port } = splitAddress(address);
     this.#host = host;
@@ -95,8 +98,8 @@
   }
 
   /**
-   * Listens like `listen`, again with growing waits where that fails, for `giveUpMs` at most; `onFailure` is told
-   * of each attempt but the last. A process that hears nobody must not run on without a word.
+   * Listens like `listen`, retrying with backoff for at most `giveUpMs`. `onFailure` is called for each
+   * failed attempt but the last: a process that no peer can reach must not keep running silently.
    */
   async listenPersistently(
     address: string,
@@ -120,7 +123,7 @@
     return this.#server?.listening ?? false;
   }
 
-  /** Sends a frame, or drops and counts it where the peer is not connected or its backlog is full. */
+  /** Sends a frame, or drops and counts it if the peer is not connected or its send buffer is full. */
   send(address: string, frame: Frame): void {
     const connection = this.#connectionTo(address);
     if (connection === undefined || connection.socket.writableLength > SEND_BUFFER_MAX_BYTES) {
@@ -129,14 +132,14 @@
     }
     connection.unacknowledgedSinceMs ??= performance.now();
     const bytes = encodeFrame(frame);
-    const head = Buffer.alloc(4);
-    head.writeUInt32BE(bytes.length);
-    connection.socket.write(Buffer.concat([head, bytes]));
+    const lengthPrefix = Buffer.alloc(4);
+    lengthPrefix.writeUInt32BE(bytes.length);
+    connection.socket.write(Buffer.concat([lengthPrefix, bytes]));
     this.counts.framesOut += 1;
     this.counts.bytesOut += bytes.length + 4;
   }
 
-  /** Closes the listener and every connection; what was not sent yet is lost. */
+  /** Closes the listener and every connection; frames that are still buffered are lost. */
   close(): void {
     this.#closed = true;
     this.#server?.close();
@@ -171,11 +174,11 @@
   }
 
   #accept(socket: Socket): void {
-    let rest: Buffer = Buffer.alloc(0);
-    let acking: NodeJS.Timeout | undefined;
+    let buffered: Buffer = Buffer.alloc(0);
+    let ackTimer: NodeJS.Timeout | undefined;
     function acknowledgeSoon(): void {
-      acking ??= setTimeout(() => {
-        acking = undefined;
+      ackTimer ??= setTimeout(() => {
+        ackTimer = undefined;
         if (!socket.destroyed) socket.write(ACK);
       }, ACK_DELAY_MS);
     }
@@ -184,29 +187,29 @@
     socket.setTimeout(ACCEPTED_IDLE_MS, () => socket.destroy());
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      clearTimeout(acking);
+      clearTimeout(ackTimer);
       this.#acceptedSockets.delete(socket);
     });
     socket.on('data', (chunk: Buffer) => {
-      rest = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
-      let taken = false;
+      buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
+      let hasReadFrame = false;
       for (;;) {
-        if (taken && rest.length < 4) acknowledgeSoon();
-        if (rest.length < 4) return;
-        const length = rest.readUInt32BE();
+        if (hasReadFrame && buffered.length < 4) acknowledgeSoon();
+        if (buffered.length < 4) return;
+        const length = buffered.readUInt32BE();
         if (length > FRAME_MAX_BYTES) {
           this.counts.malformed += 1;
           socket.destroy();
           return;
         }
-        if (rest.length < 4 + length) {
+        if (buffered.length < 4 + length) {
           acknowledgeSoon();
           return;
         }
-        const bytes = rest.subarray(4, 4 + length);
-        rest = rest.subarray(4 + length);
+        const bytes = buffered.subarray(4, 4 + length);
+        buffered = buffered.subarray(4 + length);
         this.#receive(bytes);
-        taken = true;
+        hasReadFrame = true;
       }
     });
   }
@@ -223,16 +226,17 @@
 }
 
 /**
- * A partition delays bytes without an error, and TCP retransmits at growing intervals: a new connection recovers
- * sooner. It counts from the first byte: a peer that loses power just after the connection came up has never
- * acknowledged anything, and never will.
+ * Whether a connection has to be replaced. A partition delays bytes without an error, and TCP retransmits at
+ * growing intervals, so a new connection recovers sooner. The time counts from the first unacknowledged byte,
+ * also on a new connection: a peer that loses power right after the connection is established never
+ * acknowledges anything.
  */
 function isAckOverdue({ unacknowledgedSinceMs }: PeerConnection, nowMs: number): boolean {
   return unacknowledgedSinceMs !== undefined && nowMs - unacknowledgedSinceMs > ACK_TIMEOUT_MS;
 }
 
 /**
- * Host and port of an address such as `127.0.0.1:7001`.
+ * Splits an address such as `127.0.0.1:7001` into host and port.
  * @example
  * splitAddress('127.0.0.1:7001').port; // 7001
  */
--- a/packages/runtime/src/platform-program.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -1,4 +1,4 @@
-/** The programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
+/** Entry points of the programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
 import { readFileSync } from 'node:fs';
 import { fault, type Fault } from '@rainrun/common';
 import { pino } from 'pino';
@@ -11,14 +11,14 @@
 /** Exit codes of the programs on a platform. */
 const EXIT_CODES = { success: 0, badSetting: 2, badDisk: 3, noListener: 5 } as const;
 
-/** A program's settings, and the log that it writes to. */
+/** A program's settings and its log. */
 interface ProgramSetup {
   readonly settings: PlatformSettings;
   readonly log: Log;
 }
 
 /**
- * Runs an edge on a platform: settings by the dialect, then the node until a signal.
+ * Runs an edge on a platform until a signal; the dialect reads the settings file.
  * @example
  * await runEdge(dialect, '/etc/rainrun/settings.toml');
  */
@@ -31,7 +31,7 @@
 }
 
 /**
- * Runs a core on a platform: settings by the dialect, its disk, then the node until a signal.
+ * Opens the disk and runs a core on a platform until a signal; the dialect reads the settings file.
  * @example
  * await runCore(dialect, '/etc/rainrun/settings.toml');
  */
@@ -47,7 +47,7 @@
   opened.value.start();
 }
 
-/** Reads the settings and opens the log; where the settings are bad the program ends, and nothing is returned. */
+/** Reads the settings and opens the log; exits the process if the settings are invalid. */
 function prepareProgram(dialect: Dialect, path: string): ProgramSetup | undefined {
   const read = tryOrElse(
     (thrown) => [
@@ -67,7 +67,7 @@
   return { settings, log };
 }
 
-/** Stops the node on a signal; a further one changes nothing, the process ends once the first has been seen through. */
+/** Stops the node on SIGTERM or SIGINT and exits afterwards; further signals are ignored. */
 function stopOnSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   function handle(): void {
@@ -79,7 +79,7 @@
   process.on('SIGINT', handle);
 }
 
-/** Ends the process on what a running node cannot go on without: its disk, or its port for the other nodes. */
+/** Exits on a fault that a running node cannot survive: its disk failed, or its peer port stays in use. */
 function exitOnFatalFault(why: Fault): void {
   exitWithFaults(why.kind === 'bad-setting' ? EXIT_CODES.noListener : EXIT_CODES.badDisk, [why]);
 }
--- a/packages/runtime/src/process-environment.ts
+++ b/packages/runtime/src/process-environment.ts
@@ -1,29 +1,29 @@
-/** What a process takes from its surroundings: clock, chance and its own use of the machine. */
+/** Process-wide facilities: clock, random numbers and resource usage. */
 import { randomInt } from 'node:crypto';
 import type { Clock, RandomSource } from '@rainrun/common';
 
-/** Milliseconds since the process began; never goes back. */
+/** Monotonic clock: milliseconds since the process started. */
 export const MONOTONIC_CLOCK: Clock = { nowMs: () => performance.now() };
 
-/** Not for secrets. */
+/** Fast random numbers, not suitable for secrets. */
 export const SYSTEM_RANDOM: RandomSource = { next: () => Math.random() };
 
-/** How many different numbers the source for secrets gives: the most that one call of the system allows. */
+/** Number of distinct values of `SECURE_RANDOM`: the largest range that `randomInt` accepts. */
 const SECURE_RANDOM_RANGE = 2 ** 48 - 1;
 
-/** For secrets: unpredictable, and slower. */
+/** Cryptographically secure random numbers, slower than `SYSTEM_RANDOM`. */
 export const SECURE_RANDOM: RandomSource = {
   next: () => randomInt(SECURE_RANDOM_RANGE) / SECURE_RANDOM_RANGE,
 };
 
-/** Processor time since the process began, in milliseconds, and resident memory, in MiB. */
+/** Processor time since the process started, in milliseconds, and resident memory, in MiB. */
 export interface ProcessUsage {
   readonly cpuMs: number;
   readonly heldMb: number;
 }
 
 /**
- * What this process has used, under the names of its counters.
+ * The resource usage of this process, under the names of its counters.
  * @example
  * processUsage().cpuMs; // 412
  */
--- a/packages/runtime/src/request-recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -1,4 +1,4 @@
-/** Records the requests of an edge of the research groups' system, to be replayed later. */
+/** Records the requests of an edge of the research groups' system for a later replay. */
 import { createWriteStream, type WriteStream } from 'node:fs';
 import type { EndRecord } from '@rainrun/gateway';
 import { callLine, headLine, type Call } from '@rainrun/workloads';
@@ -10,7 +10,7 @@
   v.object({ messages: v.array(v.object({ content: v.string() })) }),
 );
 
-/** What is recorded, and how much of it. */
+/** What the recorder writes, and up to which size. */
 export interface RecorderSettings {
   readonly deployment: string;
   readonly recordFile: string;
@@ -18,17 +18,17 @@
   readonly recordContents: boolean;
 }
 
-/** The text of a request's messages; empty where its body is no chat completion. */
+/** The text of a request's messages, or an empty string if its body is not a chat completion. */
 function extractPrompt(body: Uint8Array | undefined): string {
   if (body === undefined) return '';
-  const read = v.safeParse(PromptSchema, Buffer.from(body).toString('utf8'));
-  return read.success ? read.output.messages.map((message) => message.content).join('\n') : '';
+  const parsed = v.safeParse(PromptSchema, Buffer.from(body).toString('utf8'));
+  return parsed.success ? parsed.output.messages.map((message) => message.content).join('\n') : '';
 }
 
 /**
- * A request that ended, as a call of a recorded day; its contents only if asked for.
+ * Converts a finished request to a recorded call, with its prompt only if `contents` is set.
  * @example
- * toCall(record, startMs, false).prompt; // undefined
+ * toRecordedCall(record, startMs, false).prompt; // undefined
  */
 export function toRecordedCall(record: EndRecord, startMs: number, contents: boolean): Call {
   const { group, kind, model, adapter, stream, prefix, outcome, worker, arrivedMs, firstPieceMs } = record;
@@ -51,7 +51,7 @@
 }
 
 /**
- * Records an edge's day up to a bound.
+ * Writes an edge's finished requests to a file of at most `recordMaxBytes`.
  * @example
  * const recorder = new RequestRecorder(settings, nowMs);
  * gateway.on('ended', (record) => recorder.record(record));
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -20,11 +20,11 @@
   name: Name,
   deployment: Name,
   zone: Name,
-  /** Where this node listens for the other nodes, and from where it connects to them. */
+  /** IP:PORT at which this node listens for peers; its connections to them use the same IP. */
   bind: Address,
-  /** Where the other nodes reach this one, if that is another address. */
+  /** IP:PORT at which peers reach this node, if it differs from `bind`. */
   reach: v.optional(Address),
-  /** Where visitors and operators reach this node. */
+  /** IP:PORT of the HTTP server for clients and operators. */
   http: Address,
   seeds: v.pipe(v.array(Address), v.minLength(1), v.maxLength(3, 'at most three seed addresses')),
   /** Names of the founding cores; only on core nodes. */
@@ -38,10 +38,10 @@
     v.pipe(v.number(), v.integer(), v.minValue(1024), v.maxValue(64 * 1024 * 1024)),
     4 * 1024 * 1024,
   ),
-  /** File into which an edge records its day; none is recorded without it. */
+  /** File into which an edge records its requests; without it nothing is recorded. */
   recordFile: v.optional(v.string(), ''),
   recordMaxBytes: v.optional(v.pipe(v.number(), v.integer(), v.minValue(1024)), 64 * 1024 * 1024),
-  /** Whether prompts are recorded too. */
+  /** Whether the prompts are recorded as well. */
   recordContents: v.optional(v.boolean(), false),
   logLevel: v.optional(v.picklist(['debug', 'info', 'warn', 'error', 'silent']), 'info'),
 });
@@ -52,28 +52,28 @@
 const LIST_SETTINGS = new Set(['seeds', 'founders']);
 const NUMBER_SETTINGS = new Set(['drainMs', 'bodyMaxBytes', 'recordMaxBytes']);
 
-/** Flags that are not settings themselves. */
+/** Flags that do not correspond to a setting. */
 const FLAGS_WITHOUT_SETTING = new Set(['settings', 'check']);
 
 type Flags = readonly (readonly [key: string, value: unknown])[];
 
 /**
- * Puts settings file and flags together, flags first, and checks the whole.
- * A fault names the key, the value found and what was expected.
+ * Merges the settings file with the flags, which take precedence, and validates the result. A fault names the
+ * key, the value found and what was expected.
  * @example
- * readSettings({ name: 'edge-1', zone: 'north' }, 'edge').isErr; // true: much is missing
+ * readSettings({ name: 'edge-1', zone: 'north' }, 'edge').isErr; // true: required settings are missing
  */
 export function readSettings(
   flags: Readonly<Record<string, unknown>>,
   role: 'edge' | 'core',
 ): Result<Settings, Fault[]> {
   return rejectRepeatedFlags(flags)
-    .andThen((given) => mergedWithFile(given))
+    .andThen((given) => mergeWithFile(given))
     .andThen((merged) => parseSettings(merged))
     .andThen((settings) => checkFolder(settings, role));
 }
 
-/** A flag that is given twice has no one value. */
+/** Rejects a flag that is given more than once; all others become pairs of key and value. */
 function rejectRepeatedFlags(flags: Readonly<Record<string, unknown>>): Result<Flags, Fault[]> {
   const given = Object.entries(flags).map(([key, value]): [string, unknown] => [
     key,
@@ -87,7 +87,7 @@
   return faults.length > 0 ? Result.err(faults) : Result.ok(given);
 }
 
-function mergedWithFile(given: Flags): Result<Record<string, unknown>, Fault[]> {
+function mergeWithFile(given: Flags): Result<Record<string, unknown>, Fault[]> {
   const path = given.find(([key]) => key === 'settings')?.[1];
   return readFile(path)
     .map((file) => ({
@@ -101,7 +101,7 @@
     .mapErr((why) => [why]);
 }
 
-/** Whether a flag says anything; `recordContents` is false unless it is given. */
+/** Whether a flag was given; `recordContents` is false by default, so false counts as not given. */
 function isGiven(key: string, value: unknown): boolean {
   if (value === undefined || value === '' || FLAGS_WITHOUT_SETTING.has(key)) return false;
   return !(key === 'recordContents' && value === false);
--- a/packages/runtime/src/spec-http-services.ts
+++ b/packages/runtime/src/spec-http-services.ts
@@ -1,4 +1,4 @@
-/** HTTP side of a node of the research groups' system: moleculer services for operators and for clients. */
+/** HTTP interface of a node of the research groups' system: moleculer services for operators and clients. */
 import { createRequire } from 'node:module';
 import type { IncomingMessage, RequestListener, Server, ServerResponse } from 'node:http';
 import { fault } from '@rainrun/common';
@@ -11,10 +11,10 @@
 
 const ApiGateway = createRequire(import.meta.url)('moleculer-web') as ServiceSchema;
 
-/** Largest request body of an operator. */
+/** Limit for the request body of an operator call. */
 const SPEC_BODY_MAX = '3mb';
 
-/** Operators' paths, and the actions that answer them. */
+/** Operator routes and the moleculer actions that answer them. */
 const OPERATOR_ALIASES = {
   'GET view': 'operator.view',
   'GET spec': 'operator.spec',
@@ -40,7 +40,7 @@
 type Params = Record<string, unknown>;
 
 /**
- * The operators' actions, each answered by the service.
+ * The moleculer service with the operator actions, each answered by the operator service.
  * @example
  * broker.createService(operatorActions(operators));
  */
@@ -51,25 +51,27 @@
       view: action(() => operators.readCurrent(() => operators.queries.view())),
       spec: action(() => operators.readCurrent(() => operators.queries.spec())),
       history: action(() => operators.readCurrent(() => operators.queries.history())),
-      check: action((params) => operators.check(text(params['text']))),
-      put: action((params) => operators.put(text(params['text']), base(params), text(params['id']))),
-      change: action((params) => operators.change(params['patch'] ?? {}, base(params), text(params['id']))),
-      operation: action((params) => operators.operation(text(params['id']))),
+      check: action((params) => operators.check(toText(params['text']))),
+      put: action((params) => operators.put(toText(params['text']), readBase(params), toText(params['id']))),
+      change: action((params) =>
+        operators.change(params['patch'] ?? {}, readBase(params), toText(params['id'])),
+      ),
+      operation: action((params) => operators.operation(toText(params['id']))),
       zones: action(() => operators.readCurrent(() => operators.queries.zones())),
       empty: action((params) =>
-        operators.submit('zone.empty', { zone: text(params['zone']) }, text(params['id'])),
+        operators.submit('zone.empty', { zone: toText(params['zone']) }, toText(params['id'])),
       ),
       restore: action((params) =>
-        operators.submit('zone.restore', { zone: text(params['zone']) }, text(params['id'])),
+        operators.submit('zone.restore', { zone: toText(params['zone']) }, toText(params['id'])),
       ),
       workers: action(() => operators.queryCoordinator('workers', '')),
       groups: action(() => operators.queryCoordinator('groups', '')),
-      counters: action((params) => operators.queryNodes('counters', text(params['node']))),
-      status: action((params) => operators.queryNodes('status', text(params['node']))),
+      counters: action((params) => operators.queryNodes('counters', toText(params['node']))),
+      status: action((params) => operators.queryNodes('status', toText(params['node']))),
       ready: action(() => operators.queries.ready()),
-      explain: action((params) => operators.explain(text(params['id']))),
-      explainModel: action((params) => operators.queryCoordinator('explainModel', text(params['model']))),
-      forget: action((params) => operators.queryCoordinator('forget', text(params['name']))),
+      explain: action((params) => operators.explain(toText(params['id']))),
+      explainModel: action((params) => operators.queryCoordinator('explainModel', toText(params['model']))),
+      forget: action((params) => operators.queryCoordinator('forget', toText(params['name']))),
       metrics(ctx: Context<unknown, { $responseType?: string }>) {
         ctx.meta.$responseType = 'text/plain; version=0.0.4';
         return operators.queries.metrics();
@@ -86,15 +88,15 @@
   };
 }
 
-function text(value: unknown): string {
+function toText(value: unknown): string {
   return typeof value === 'string' ? value : value === undefined ? '' : JSON.stringify(value);
 }
 
-function base(params: Params): number | undefined {
+function readBase(params: Params): number | undefined {
   return params['base'] === undefined ? undefined : Number(params['base']);
 }
 
-/** Where the HTTP side listens, and who answers clients. */
+/** Address and limits of the HTTP server, and the handler of client requests. */
 export interface ApiOptions {
   /** IP:PORT. */
   readonly address: string;
@@ -104,7 +106,8 @@
 }
 
 /**
- * The HTTP server's routes: operators' paths below `/rainrun/v1`, all others are clients'.
+ * The moleculer-web service with the routes of the HTTP server: operator calls are below `/rainrun/v1`, all
+ * other paths are client requests.
  * @example
  * broker.createService(apiService({ address: '127.0.0.1:8001', httpServer, bodyMaxBytes, onClientRequest }));
  */
@@ -146,7 +149,7 @@
   };
 }
 
-/** Answers a request that the HTTP layer could not read or find. */
+/** Responds to a request that the HTTP layer could not parse or route. */
 function answerError(
   _req: IncomingMessage,
   res: ServerResponse,
--- a/packages/runtime/src/spec-node-queries.ts
+++ b/packages/runtime/src/spec-node-queries.ts
@@ -1,18 +1,18 @@
-/** What one node of the research groups' system answers to operators from its own state. */
+/** Operator queries that a node of the research groups' system answers from its own state. */
 import type { EndRecord } from '@rainrun/gateway';
 import type { ClusterNode } from '@rainrun/cluster-node';
 import { failure, type OperatorReply } from './operator-reply.js';
 
-/** What the queries read of their node. */
+/** What the queries need from their node. */
 export interface NodeQueryDependencies {
   readonly clusterNode: ClusterNode;
   counters(): Record<string, number>;
-  /** How a request ended that came to this node. */
+  /** The end record of a request that arrived at this node. */
   explain(id: string): Omit<EndRecord, 'body'> | undefined;
 }
 
 /**
- * Answers from what this node knows now; nothing is waited for or asked elsewhere.
+ * Answers queries from the current state of this node, without waiting and without asking other nodes.
  * @example
  * const queries = new SpecNodeQueries(dependencies);
  * queries.answer('status', '').body; // { node: 'edge-1', zone: 'north', ... }
@@ -26,7 +26,7 @@
 
   view(): OperatorReply {
     const { group } = this.#dependencies.clusterNode;
-    const held = group.state;
+    const groupState = group.state;
     return {
       status: 200,
       body: {
@@ -34,11 +34,11 @@
         self: { name: group.self.name, incarnation: group.self.incarnation, zone: group.self.zone },
         admitting: group.holdsLease(),
         coordinator:
-          held?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)?.name ??
-          null,
+          groupState?.view.members.find((member) => member.incarnation === group.coordinatorIncarnation)
+            ?.name ?? null,
         epoch: group.epoch,
-        number: held?.number ?? 0,
-        level: held?.level ?? 0,
+        number: groupState?.number ?? 0,
+        level: groupState?.level ?? 0,
         agreed: group.committedVersion,
         view: group.view === undefined ? null : { epoch: group.view.epoch, number: group.view.number },
         members: (group.view?.members ?? []).map(({ name, zone, address, disk, maxLevel: speaks }) => ({
@@ -48,7 +48,7 @@
           core: disk !== '',
           speaks: Math.max(1, speaks),
         })),
-        voters: (held?.voters ?? []).map(({ name, disk }) => ({ name, disk })),
+        voters: (groupState?.voters ?? []).map(({ name, disk }) => ({ name, disk })),
       },
     };
   }
@@ -64,10 +64,10 @@
   }
 
   zones(): OperatorReply {
-    const { state: stage } = this.#dependencies.clusterNode;
-    const zones = (stage.spec?.spec.zones ?? []).map((zone) => ({
+    const { state: specState } = this.#dependencies.clusterNode;
+    const zones = (specState.spec?.spec.zones ?? []).map((zone) => ({
       zone,
-      emptied: stage.evacuatedZones.includes(zone),
+      emptied: specState.evacuatedZones.includes(zone),
     }));
     return { status: 200, body: { zones } };
   }
@@ -98,8 +98,15 @@
     const measured = clusterNode.groups;
     const groups = (clusterNode.state.spec?.spec.groups ?? []).flatMap((group) =>
       group.kinds.map((kind) => {
-        const picture = measured.find((known) => known.group === group.name && known.kind === kind.name);
-        const { served = 0, refused = 0, prompt = 0, waitMs = 0, inFlight = 0, backlog = 0 } = picture ?? {};
+        const measurement = measured.find((known) => known.group === group.name && known.kind === kind.name);
+        const {
+          served = 0,
+          refused = 0,
+          prompt = 0,
+          waitMs = 0,
+          inFlight = 0,
+          backlog = 0,
+        } = measurement ?? {};
         return {
           group: group.name,
           kind: kind.name,
@@ -152,7 +159,7 @@
       body: {
         model,
         copies,
-        reason: clusterNode.reason(model) ?? 'decided before the present coordinator led',
+        reason: clusterNode.reason(model) ?? 'decided by an earlier coordinator',
         placedBy: clusterNode.state.placedBy,
       },
     };
@@ -163,7 +170,7 @@
       return { status: 200, body: { outcome: 'noted', name } };
     return failure(
       'conflict',
-      `${this.#dependencies.clusterNode.group.self.name} coordinates no more; ask again`,
+      `${this.#dependencies.clusterNode.group.self.name} is no longer the coordinator; ask again`,
     );
   }
 
@@ -198,7 +205,7 @@
     };
   }
 
-  /** Answers a question for the node at which an operator asked it. */
+  /** Answers a query that another node or this one forwards for an operator. */
   answer(kind: string, text: string): OperatorReply {
     switch (kind) {
       case 'workers':
@@ -216,7 +223,7 @@
       case 'counters':
         return this.#counters();
       default:
-        return failure('bad-request', `no question "${kind}"`);
+        return failure('bad-request', `unknown query "${kind}"`);
     }
   }
 }
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -1,4 +1,7 @@
-/** A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and services. */
+/**
+ * A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and
+ * services.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { ServerResponse } from 'node:http';
 import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
@@ -26,16 +29,16 @@
 const LIST_INTERVAL_MS = 500;
 const COUNTERS_INTERVAL_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 10_000;
+/** Number of finished requests kept for `explain`; the oldest are dropped first. */
 const END_RECORDS_MAX = 2000;
-/** A stopping node answers callers that keep their connections for so long. */
+/** Time during which a stopping node still responds on connections that callers keep open. */
 const DRAIN_LINGER_MS = 5000;
 
-/** What kind of node a program runs. */
+/** The kind of node that a program runs. */
 export type Role = 'edge' | 'core';
 
 /**
- * A node as a process: the deterministic parts put together with sockets,
- * disk, clock and services.
+ * A node as a process: connects the deterministic parts to sockets, disk, clock and HTTP services.
  * @example
  * const started = await SpecNode.start(settings, 'edge');
  * if (started.isOk) await started.value.stop();
@@ -87,7 +90,7 @@
     });
   }
 
-  /** Starts a node; a fault means that nothing was left open. */
+  /** Starts a node; when it returns a fault, nothing is left open. */
   static async start(
     settings: Settings,
     role: Role,
@@ -98,11 +101,11 @@
       role === 'core' ? await openDisk(settings, onFatal) : Result.ok<undefined, Fault>(undefined);
     if (acceptor.isErr) return Result.err(acceptor.error);
     const node = new SpecNode(settings, role, acceptor.value, log, onFatal);
-    const open = await node.#startServices();
-    return open.map(() => node);
+    const services = await node.#startServices();
+    return services.map(() => node);
   }
 
-  /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
+  /** Graceful shutdown: rejects new requests, waits for those in flight, then leaves the group. */
   async stop(): Promise<void> {
     this.#log.info({ inFlight: this.#edge?.gateway.inFlight ?? 0 }, 'stopping');
     this.#edge?.gateway.drain();
@@ -138,7 +141,7 @@
       order: (address, order, done) => {
         void sendSpecOrder(address, order).then(done);
       },
-      onStateChange: (held, entry) => this.#onStateChange(held, entry),
+      onStateChange: (groupState, entry) => this.#onStateChange(groupState, entry),
       onCast: () => undefined,
       protocolLevels: PROTOCOL_LEVELS,
       answerQuery: (kind, text) => this.#operators.queries.answer(kind, text),
@@ -156,19 +159,19 @@
   }
 
   #recordEnd(record: EndRecord): void {
-    const { body: _, ...rest } = record;
-    this.#endRecords.set(record.id, rest);
+    const { body: _, ...endRecord } = record;
+    this.#endRecords.set(record.id, endRecord);
     this.#recorder?.record(record);
     const oldest = this.#endRecords.keys().next();
     if (this.#endRecords.size > END_RECORDS_MAX && oldest.done !== true)
       this.#endRecords.delete(oldest.value);
   }
 
-  #onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void {
+  #onStateChange(groupState: GroupState<SpecState>, entry: Entry | undefined): void {
     if (entry === undefined || entry.view !== undefined) {
-      const { epoch, number, members } = held.view;
+      const { epoch, number, members } = groupState.view;
       this.#log.info(
-        { epoch, view: number, members: members.map((member) => member.name), version: held.number },
+        { epoch, view: number, members: members.map((member) => member.name), version: groupState.number },
         'view',
       );
     }
@@ -261,9 +264,9 @@
     deployment,
     random: SYSTEM_RANDOM,
     onFatal,
-    check: (opening) =>
-      opening.deployment === '' || opening.deployment === deployment
+    check: (opened) =>
+      opened.deployment === '' || opened.deployment === deployment
         ? undefined
-        : fault('foreign', `${folder} belongs to deployment "${opening.deployment}", not "${deployment}"`),
+        : fault('foreign', `${folder} belongs to deployment "${opened.deployment}", not "${deployment}"`),
   });
 }
--- a/packages/runtime/src/spec-operator-service.ts
+++ b/packages/runtime/src/spec-operator-service.ts
@@ -1,4 +1,4 @@
-/** What operators may ask and order at any node of the research groups' system. */
+/** Operator calls of the research groups' system, which every node accepts. */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { Member } from '@rainrun/messages';
 import { RETAINED_ANSWERS_MAX } from '@rainrun/process-group';
@@ -12,21 +12,21 @@
 const POLL_MS = 20;
 const OPERATION_ID = /^[A-Za-z0-9._-]{1,64}$/;
 
-/** What the operators' side needs of a node. */
+/** What the operator service needs from its node. */
 export interface SpecOperatorDependencies extends NodeQueryDependencies {
   readonly chance: RandomSource;
   readonly clock: Clock;
 }
 
 /**
- * What operators may ask and order. Every node answers the same.
+ * Executes operator calls: queries and changes. Every node gives the same answers.
  * @example
  * const operators = new SpecOperatorService(dependencies);
  * const reply = await operators.submit('zone.empty', { zone: 'north' }, '');
  */
 export class SpecOperatorService {
   #dependencies: SpecOperatorDependencies;
-  /** What this node answers by itself. */
+  /** Queries that this node answers from its own state. */
   readonly queries: SpecNodeQueries;
 
   constructor(dependencies: SpecOperatorDependencies) {
@@ -35,13 +35,13 @@
   }
 
   /**
-   * Answers once this node holds all that was agreed before the question, so
-   * that every node answers alike; one that cannot know says so.
+   * Answers once this node has applied all that was agreed before the call, so that every node gives the same
+   * answer. A node that cannot confirm this in time marks its answer as `stale`.
    */
   async readCurrent(read: () => OperatorReply): Promise<OperatorReply> {
-    const informed = await this.#waitUntilCurrent();
+    const isCurrent = await this.#waitUntilCurrent();
     const { status, body } = read();
-    return informed
+    return isCurrent
       ? { status, body }
       : { status, body: { ...(body as Record<string, unknown>), stale: true } };
   }
@@ -63,7 +63,7 @@
     return { status: 200, body: { ok: true } };
   }
 
-  /** How an operation ended; one that is chosen and not yet agreed is waited for a little. */
+  /** The outcome of an operation; waits a short time for one that is chosen but not yet agreed. */
   async operation(id: string): Promise<OperatorReply> {
     const { group } = this.#dependencies.clusterNode;
     await this.#waitUntilCurrent();
@@ -89,33 +89,40 @@
     return new Promise((resolve) => clusterNode.query(incarnation, kind, text, resolve));
   }
 
-  /** What the coordinator knows; it hears every measure and decides every placement. */
+  /** Queries the coordinator, which receives every measurement and decides every placement. */
   async queryCoordinator(kind: string, text: string): Promise<OperatorReply> {
     await this.#waitUntilCurrent();
     const { group } = this.#dependencies.clusterNode;
     const incarnation = group.coordinatorIncarnation;
     const name = group.view?.members.find((member) => member.incarnation === incarnation)?.name ?? '';
     if (incarnation === undefined)
-      return failure('unreached', 'no coordinator can be reached from here, and only it knows');
+      return failure('unreached', 'this node reaches no coordinator, and only the coordinator can answer');
     return (
       (await this.#query(incarnation, kind, text)) ??
-      failure('unreached', `${name} coordinates, and did not answer`)
+      failure('unreached', `coordinator ${name} did not answer`)
     );
   }
 
-  /** What the edge knows that a request came to: its name stands before the dot in the id. */
+  /**
+   * Asks the edge that received a request how it ended; the edge's name precedes the last dot of the request
+   * id.
+   */
   async explain(id: string): Promise<OperatorReply> {
     const name = id.slice(0, Math.max(0, id.lastIndexOf('.')));
     const member = this.#member(name);
-    if (name === '') return failure('bad-request', `"${id}" is no id of a request: EDGE.WORD`);
-    if (member === undefined) return failure('unreached', `${name} is not in the view, and only it knows`);
+    if (name === '') return failure('bad-request', `"${id}" is not a request id of the form EDGE.WORD`);
+    if (member === undefined)
+      return failure('unreached', `edge ${name} is not in the view, and only it can answer`);
     return (
       (await this.#query(member.incarnation, 'explain', id)) ??
-      failure('unreached', `${name} did not answer, and only it knows`)
+      failure('unreached', `edge ${name} did not answer, and only it can answer`)
     );
   }
 
-  /** One row for a node, or for each node of the fleet; one that does not answer has a row that says so. */
+  /**
+   * One row for the named node, or for every node in the view; the row of a node that does not answer says
+   * so.
+   */
   async queryNodes(kind: 'status' | 'counters', name: string): Promise<OperatorReply> {
     const members = this.#dependencies.clusterNode.group.view?.members ?? [
       this.#dependencies.clusterNode.group.self,
@@ -139,33 +146,41 @@
   }
 
   /**
-   * Puts a whole spec in force. Without a base it is meant for the version
-   * that is in force when this node is asked, so that of two that race one
-   * wins and the other is told.
+   * Replaces the whole spec. Without `base`, the base is the version in force at the time of the call, so
+   * that of two concurrent calls one succeeds and the other gets a conflict.
    */
-  async put(text: string, base: number | undefined, wishedId: string): Promise<OperatorReply> {
-    return this.submit('spec.put', { base: base ?? (await this.#currentVersion()), text }, wishedId);
+  async put(text: string, base: number | undefined, requestedId: string): Promise<OperatorReply> {
+    return this.submit('spec.put', { base: base ?? (await this.#currentVersion()), text }, requestedId);
   }
 
-  /** Makes a change: an edit that names its entries, or a merge patch. */
-  async change(data: unknown, base: number | undefined, wishedId: string): Promise<OperatorReply> {
-    const based = base === undefined ? {} : { base };
-    if (!isEdit(data)) return this.submit('spec.change', { ...based, patch: data }, wishedId);
+  /** Changes the spec by an edit that names its entries, or by a merge patch. */
+  async change(data: unknown, base: number | undefined, requestedId: string): Promise<OperatorReply> {
+    const baseField = base === undefined ? {} : { base };
+    if (!isEdit(data)) return this.submit('spec.change', { ...baseField, patch: data }, requestedId);
     const read = readEdit(data);
     if (read.isErr) return failure('bad-request', 'the change has faults', { faults: read.error });
-    return this.submit('spec.edit', { ...based, seen: await this.#currentVersion(), edit: data }, wishedId);
+    return this.submit(
+      'spec.edit',
+      { ...baseField, seen: await this.#currentVersion(), edit: data },
+      requestedId,
+    );
   }
 
-  /** The version in force now, all that was agreed before the question included. */
+  /** The version in force, including all that was agreed before the call. */
   async #currentVersion(): Promise<number> {
     await this.#waitUntilCurrent();
     return this.#dependencies.clusterNode.state.spec?.version ?? 0;
   }
 
-  /** Submits an operation and waits a while for the agreed answer. */
-  submit(kind: string, data: unknown, wishedId: string): Promise<OperatorReply> {
-    if (wishedId !== '' && !OPERATION_ID.test(wishedId))
-      return Promise.resolve(failure('bad-request', 'the operation id is not a word of up to 64 letters'));
+  /** Submits an operation and waits at most `AGREEMENT_TIMEOUT_MS` for its agreed answer. */
+  submit(kind: string, data: unknown, requestedId: string): Promise<OperatorReply> {
+    if (requestedId !== '' && !OPERATION_ID.test(requestedId))
+      return Promise.resolve(
+        failure(
+          'bad-request',
+          'the operation id must be 1 to 64 letters, digits, dots, underscores or hyphens',
+        ),
+      );
     if (this.#dependencies.clusterNode.group.isFull) {
       return Promise.resolve(
         failure(
@@ -174,7 +189,7 @@
         ),
       );
     }
-    const id = wishedId === '' ? randomId(this.#dependencies.chance) : wishedId;
+    const id = requestedId === '' ? randomId(this.#dependencies.chance) : requestedId;
     return new Promise((resolve) => {
       const timer = setTimeout(
         () => resolve(failure('operation-unknown', 'not known to be agreed yet; ask by id', { id })),
--- a/packages/runtime/src/spec-platform-client.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -1,4 +1,4 @@
-/** What a node of the research groups' system reads from its platform and orders of its workers. */
+/** Client for the platform's worker list and for orders to workers, in the research groups' system. */
 import { readFile } from 'node:fs/promises';
 import { create } from '@bufbuild/protobuf';
 import { WorkerListSchema, type WorkerList } from '@rainrun/messages';
@@ -44,7 +44,7 @@
 }
 
 /**
- * Reads the platform's list of workers from an http address or a file.
+ * Reads the platform's worker list from an http address or a file.
  * @example
  * const list = await readSpecWorkerList('http://127.0.0.1:9000/workers');
  */
@@ -57,7 +57,9 @@
       : await readFile(source, 'utf8');
     const parsed = v.safeParse(ListSchema, JSON.parse(text));
     if (!parsed.success)
-      return Result.err(fault('wire', `the platform's list cannot be read: ${parsed.issues[0].message}`));
+      return Result.err(
+        fault('wire', `the platform's worker list is malformed: ${parsed.issues[0].message}`),
+      );
     const { generation, workers } = parsed.output;
     return Result.ok(
       create(WorkerListSchema, {
@@ -71,7 +73,7 @@
       }),
     );
   } catch (thrown) {
-    return Result.err(fault('unreached', `the platform's list: ${String(thrown)}`));
+    return Result.err(fault('unreached', `the platform's worker list cannot be read: ${String(thrown)}`));
   }
 }
 
@@ -84,17 +86,18 @@
   address: string,
   order: SpecOrder,
 ): Promise<Result<SpecOrderReply, Fault>> {
-  const waitMs = order.action === 'load' ? LOAD_TIMEOUT_MS : INVENTORY_TIMEOUT_MS;
+  const timeoutMs = order.action === 'load' ? LOAD_TIMEOUT_MS : INVENTORY_TIMEOUT_MS;
   try {
     const { statusCode, body } = await request(`http://${address}/orders`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(order),
-      headersTimeout: waitMs,
-      bodyTimeout: waitMs,
+      headersTimeout: timeoutMs,
+      bodyTimeout: timeoutMs,
     });
     const text = await readBody(body);
-    if (statusCode !== 200) return Result.err(fault('worker-nonsense', `order answered ${statusCode}`));
+    if (statusCode !== 200)
+      return Result.err(fault('worker-nonsense', `the order was answered with status ${statusCode}`));
     const parsed = v.safeParse(ReplySchema, JSON.parse(text));
     return parsed.success
       ? Result.ok(parsed.output)
--- a/packages/runtime/src/spec-program.ts
+++ b/packages/runtime/src/spec-program.ts
@@ -3,7 +3,7 @@
 import { SpecNode, type Role } from './spec-node.js';
 import { readSettings } from './settings.js';
 
-/** Exit codes of the daemons. */
+/** Exit codes of the programs `edge` and `core`. */
 export const EXIT_CODES = { success: 0, failed: 1, badSetting: 2, badDisk: 3, rejected: 4 } as const;
 
 const HELP = `
@@ -33,7 +33,7 @@
     --founders      names of the founding cores, with commas between
 `;
 
-/** Flags with a value; each may be given once, which the settings check. */
+/** Flags with a value; `readSettings` rejects one that is given more than once. */
 const STRING_FLAGS = [
   'settings',
   'name',
@@ -54,7 +54,7 @@
 ];
 
 /**
- * Runs one of the daemons: settings, node, signals.
+ * Runs one of the two programs: reads the settings, starts the node and stops it on a signal.
  * @example
  * await runProgram('edge', 'edge', import.meta);
  */
--- a/packages/runtime/src/testing/async-queue.ts
+++ b/packages/runtime/src/testing/async-queue.ts
@@ -1,18 +1,18 @@
 /**
- * Hands each item to whoever waited first; what nobody waits for is kept.
+ * A queue that gives each item to the receiver that has waited longest, or keeps it until one asks.
  * @example
- * const waiters = new Waiters<number>();
- * waiters.put(1);
- * await waiters.next(); // 1
+ * const queue = new AsyncQueue<number>();
+ * queue.put(1);
+ * await queue.next(); // 1
  */
 export class AsyncQueue<Item> {
   #items: Item[] = [];
   #receivers: ((item: Item) => void)[] = [];
 
   put(item: Item): void {
-    const waiter = this.#receivers.shift();
-    if (waiter === undefined) this.#items.push(item);
-    else waiter(item);
+    const receiver = this.#receivers.shift();
+    if (receiver === undefined) this.#items.push(item);
+    else receiver(item);
   }
 
   next(): Promise<Item> {
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -21,7 +21,7 @@
 import { RawClient } from './raw-client.js';
 import type { StandInWorker } from './stand-in-worker.js';
 
-/** The names on the wire that stand-in workers and raw clients use. */
+/** The dialect with the header names that stand-in workers and raw clients use. */
 export const TEST_DIALECT: EdgeDialect = {
   clientHeaderNames: {
     requestId: TEST_NAMES.requestId,
@@ -47,7 +47,7 @@
   readinessPath: '/ready',
 };
 
-/** A log that tells when a line of this text is written. */
+/** A log whose `seen` resolves when an info line with the expected message is written. */
 class LogWaiter implements Log {
   #expected: string;
   #seen: () => void = () => undefined;
@@ -64,8 +64,8 @@
     return;
   }
 
-  info(_data: object, text: string): void {
-    if (text === this.#expected) this.#seen();
+  info(_data: object, message: string): void {
+    if (message === this.#expected) this.#seen();
   }
 
   warn(): void {
@@ -80,7 +80,7 @@
 const CORE_INCARNATION = 'stand-in-core';
 const TABLE_ID = '1-table';
 
-/** A worker as the stand-in core lists it. */
+/** A stand-in worker in the worker table of the stand-in core. */
 export interface ListedStandIn {
   readonly id: string;
   readonly address: string;
@@ -88,7 +88,7 @@
 }
 
 /**
- * A core that tells the edges that follow it one configuration and one list of workers.
+ * A stand-in for a core that sends a configuration and a worker table to the edges that subscribe to it.
  * @example
  * const core = await StandInCore.open(7001, { revision: 1, routes: [], services: [] });
  * core.list([{ id: 'w1', address: '127.0.0.1:8001' }]);
@@ -114,14 +114,14 @@
     return core;
   }
 
-  /** Lists these workers from now on; resolves once an edge knows them. */
+  /** Replaces the worker table; resolves when an edge has confirmed it. */
   list(workers: readonly ListedStandIn[]): Promise<void> {
     this.#workers = workers;
     this.#row += 1;
     return new Promise((resolve) => this.#waitingForEdge.push(resolve));
   }
 
-  /** Puts another configuration in force; resolves once an edge holds it. */
+  /** Replaces the configuration; resolves when an edge has confirmed it. */
   configure(document: Readonly<Record<string, unknown>>): Promise<void> {
     this.#edition += 1;
     this.#state = encodeState(this.#edition, document);
@@ -134,34 +134,34 @@
 
   #receive(frame: Frame): void {
     if (frame.body.case !== 'subscribe') return;
-    const follow = frame.body.value;
-    if (follow.tableRow === this.#row && follow.edition === this.#edition) {
+    const subscribe = frame.body.value;
+    if (subscribe.tableRow === this.#row && subscribe.edition === this.#edition) {
       for (const resolve of this.#waitingForEdge) resolve();
       this.#waitingForEdge = [];
     }
-    this.#sendUpdate(follow);
+    this.#sendUpdate(subscribe);
   }
 
-  #sendUpdate(follow: Subscribe): void {
-    const seat = create(MemberSchema, {
+  #sendUpdate(subscribe: Subscribe): void {
+    const member = create(MemberSchema, {
       name: 'core',
       incarnation: CORE_INCARNATION,
       address: this.#address,
     });
     const value = create(StateUpdateSchema, {
       edition: this.#edition,
-      state: follow.edition === this.#edition ? new Uint8Array() : this.#state,
+      state: subscribe.edition === this.#edition ? new Uint8Array() : this.#state,
       hasLease: true,
-      coordinator: seat,
-      cores: [seat],
+      coordinator: member,
+      cores: [member],
       tableId: TABLE_ID,
       tableRow: this.#row,
-      snapshot: follow.tableRow !== this.#row,
+      snapshot: subscribe.tableRow !== this.#row,
       baseRow: this.#row,
       rows:
-        follow.tableRow === this.#row
+        subscribe.tableRow === this.#row
           ? []
-          : this.#workers.map(({ id, address, leaving }, place) =>
+          : this.#workers.map(({ id, address, leaving }, index) =>
               create(WorkerRowSchema, {
                 id,
                 address,
@@ -169,7 +169,7 @@
                 zone: 'north',
                 slots: 8,
                 draining: leaving ?? false,
-                number: this.#row * 100 + place,
+                number: this.#row * 100 + index,
               }),
             ),
       edgeCount: 1,
@@ -178,10 +178,10 @@
       wire: WIRE_VERSION,
       deployment: 'system',
       from: CORE_INCARNATION,
-      to: follow.subscriber?.incarnation ?? '',
+      to: subscribe.subscriber?.incarnation ?? '',
     });
     frame.body = { case: 'stateUpdate', value };
-    this.#transport.send(follow.subscriber?.address ?? '', frame);
+    this.#transport.send(subscribe.subscriber?.address ?? '', frame);
   }
 }
 
@@ -189,7 +189,7 @@
   return encodeDeployment({ ...EMPTY_DEPLOYMENT, edition, revision: edition, document });
 }
 
-/** Routes of each kind; all go to the service of the stand-in workers. */
+/** A configuration with a route of each kind, all to the service of the stand-in workers. */
 export function testDocument(change: object = {}): Readonly<Record<string, unknown>> {
   const shared = { host: 'a.example', service: 'look', timeoutMs: 5000, targetMs: 300, attempts: 3 };
   return {
@@ -216,14 +216,14 @@
   };
 }
 
-/** Where an edge and its stand-in core listen; the edge hears its core at the port after the core's. */
+/** Ports of an edge and its stand-in core; the edge listens for the core at the port after the core's own. */
 export interface EdgePorts {
   readonly core: number;
   readonly clients: number;
   readonly readiness: number;
 }
 
-/** Ports of this machine that are free now; the first two are neighbours. */
+/** Finds free ports on this machine; the port after `core` is free as well. */
 export async function freePorts(): Promise<EdgePorts> {
   for (;;) {
     const core = await freePort();
@@ -252,15 +252,14 @@
   });
 }
 
-/** What an edge under test may be given beyond the usual. */
+/** Options of an edge under test that differ from the defaults. */
 export interface EdgeOptions {
   readonly graceMs?: number;
   readonly tenants?: readonly object[];
 }
 
 /**
- * The real edge program's node in this process, with a stand-in core that
- * lists stand-in workers.
+ * Runs the node of the real edge program in this process, with a stand-in core that lists stand-in workers.
  * @example
  * const edge = await EdgeUnderTest.open([worker]);
  * const client = await edge.connect();
@@ -268,7 +267,7 @@
 export class EdgeUnderTest {
   readonly core: StandInCore;
   readonly node: EdgeNode;
-  /** Added to the edge's monotonic clock: what a freeze of the machine does to it. */
+  /** Added to the edge's monotonic clock, to simulate a machine that was frozen for this time. */
   clockJumpMs = 0;
   #clockReads = 0;
   #clientPort: number;
@@ -307,10 +306,10 @@
     return client;
   }
 
-  /** Resolves once the edge has had two of its heartbeats, at which it ends what is past its time. */
+  /** Resolves after two ticks of the edge, on which it ends requests that are past their deadline. */
   async nextTick(): Promise<void> {
     const from = this.#clockReads;
-    // Each heartbeat reads the clock; the follower and the router both do.
+    // The replica and the router each read the clock on every tick.
     while (this.#clockReads < from + 4) await new Promise((resolve) => setImmediate(resolve));
   }
 
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -2,13 +2,13 @@
 import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
 import { AsyncQueue } from './async-queue.js';
 
-/** An answer as it came over the wire. */
+/** An HTTP response as a client received it. */
 export interface ClientResponse {
-  /** 0 where the connection ended before an answer began. */
+  /** HTTP status, or 0 if the connection closed before a response began. */
   readonly status: number;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
-  /** Whether it ended as its head says. */
+  /** Whether the body is complete according to the headers. */
   readonly whole: boolean;
 }
 
@@ -24,8 +24,8 @@
 const NO_RESPONSE: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
 
 /**
- * A client that speaks raw TCP: it may send several requests at once or half
- * ones, and sees every byte that comes back.
+ * An HTTP client over raw TCP that can pipeline requests, send partial ones and read every byte of the
+ * responses.
  * @example
  * const client = await RawClient.connect(8000);
  * client.request({ id: 'r1', path: '/often/x' });
@@ -35,13 +35,13 @@
   #socket: Socket;
   #names: StandInNames;
   #rest = '';
-  /** The next answer is not whole before so many characters stand in the rest. */
+  /** Length of `#rest` below which the next response is known to be incomplete. */
   #minBytes = 0;
   #methods: string[] = [];
   #responses = new AsyncQueue<ClientResponse>();
   #textWaiters: { text: string; found: () => void }[] = [];
   #ended = false;
-  /** All that came. */
+  /** All text received so far. */
   text = '';
 
   private constructor(socket: Socket, names: StandInNames) {
@@ -77,7 +77,7 @@
     this.send(this.textOf(request));
   }
 
-  /** The text of a request; its answer is expected from now on. */
+  /** The text of a request; from now on its response is expected. */
   textOf({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
     this.#methods.push(method);
     const lines = [
@@ -90,12 +90,12 @@
     return `${lines.join('\r\n')}\r\n\r\n${body}`;
   }
 
-  /** The next answer; one with status 0 or not whole where the connection ends first. */
+  /** The next response; its status is 0 or it is not whole if the connection closes first. */
   next(): Promise<ClientResponse> {
     return this.#responses.next();
   }
 
-  /** Resolves once this text has come. */
+  /** Resolves when this text has been received. */
   until(text: string): Promise<void> {
     if (this.text.includes(text)) return Promise.resolve();
     return new Promise((found) => this.#textWaiters.push({ text, found }));
@@ -120,9 +120,9 @@
   #receive(text: string): void {
     this.text += text;
     this.#rest += text;
-    for (let answer = this.#readResponse(); answer !== undefined; answer = this.#readResponse())
-      this.#responses.put(answer);
-    for (const waiting of this.#textWaiters.filter((one) => this.text.includes(one.text))) waiting.found();
+    for (let response = this.#readResponse(); response !== undefined; response = this.#readResponse())
+      this.#responses.put(response);
+    for (const waiter of this.#textWaiters.filter((one) => this.text.includes(one.text))) waiter.found();
     this.#textWaiters = this.#textWaiters.filter((one) => !this.text.includes(one.text));
   }
 
--- a/packages/runtime/src/testing/routing-harness.ts
+++ b/packages/runtime/src/testing/routing-harness.ts
@@ -5,11 +5,11 @@
 import { AsyncQueue } from './async-queue.js';
 
 /**
- * An edge under test with stand-in workers and one client.
+ * Connects an edge under test with stand-in workers and one client.
  * @example
- * const trial = await Trial.open(2);
- * trial.client.request({ id: trial.idFor('w1'), path: '/once/x' });
- * (await trial.next()).answer();
+ * const harness = await RoutingHarness.open(2);
+ * harness.client.request({ id: harness.requestIdFor('w1'), path: '/once/x' });
+ * (await harness.nextCall()).respond();
  */
 export class RoutingHarness {
   readonly edge: EdgeUnderTest;
@@ -32,7 +32,7 @@
 
   static async open(workerCount: number, options: EdgeOptions = {}): Promise<RoutingHarness> {
     const calls = new AsyncQueue<WorkerCall>();
-    const names = Array.from({ length: workerCount }, (_, place) => `w${place}`);
+    const names = Array.from({ length: workerCount }, (_, index) => `w${index}`);
     const workers = await Promise.all(names.map((name) => StandInWorker.open(name, calls)));
     const edge = await EdgeUnderTest.open(workers, options);
     return new RoutingHarness(edge, await edge.connect(), workers, calls);
@@ -42,12 +42,12 @@
     return this.workers.find((worker) => worker.name === name) as StandInWorker;
   }
 
-  /** The next whole request at any worker. */
+  /** The next complete request that any worker receives. */
   nextCall(): Promise<WorkerCall> {
     return this.#calls.next();
   }
 
-  /** A new request id that the balancer sends to this worker while all are alike. */
+  /** A new request id that the balancer sends to this worker while all workers have the same load. */
   requestIdFor(name: string): string {
     for (;;) {
       this.#requestCount += 1;
@@ -59,31 +59,37 @@
     }
   }
 
-  /** How often workers received this request whole. */
+  /** How many times workers received this request completely. */
   calls(id: string): number {
     return this.workers.flatMap(({ received }) => received).filter((call) => call.id === id).length;
   }
 
-  /** A request that is answered well at this worker, so that connections are there to be reused. */
+  /** Sends a request that this worker answers with 200, so that there is a connection to be reused. */
   async warmUpConnection(name: string): Promise<void> {
     this.client.request({ id: this.requestIdFor(name), path: '/once/warm' });
     (await this.nextCall()).respond();
     await this.client.next();
   }
 
-  /** Requests that are answered well, each of which earns a part of the retry budget. */
+  /** Sends this many requests that are answered with 200, each of which adds to the retry budget. */
   async earnRetryBudget(count: number): Promise<void> {
     for (let done = 0; done < count; done += 1) await this.warmUpConnection('w0');
   }
 
-  /** Another client asks and is answered: the edge has meanwhile taken in what was on its way to it. */
+  /**
+   * Sends a request on another connection; its response shows that the edge has processed what was sent
+   * before.
+   */
   async roundTrip(): Promise<void> {
     const other = await this.edge.connect();
     other.request({ id: 'round-trip', path: '/missing/x' });
     await other.next();
   }
 
-  /** Asks on the same client connection, to the same worker, and answers well; gives what the client got. */
+  /**
+   * Sends a request to this worker on a client connection, answers it with 200 and returns the client's
+   * response.
+   */
   async sendNextRequest(name: string, client = this.client): Promise<ClientResponse> {
     const id = this.requestIdFor(name);
     client.request({ id, path: '/once/after' });
--- a/packages/runtime/src/testing/stand-in-worker.ts
+++ b/packages/runtime/src/testing/stand-in-worker.ts
@@ -2,18 +2,18 @@
 import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
 import { AsyncQueue } from './async-queue.js';
 
-/** What a stand-in worker writes as one answer; everything that is left out is as a sound worker has it. */
+/** A response of a stand-in worker; fields that are left out take the values of a correct response. */
 export interface WorkerResponse {
   readonly status?: number;
   readonly body?: string;
-  /** The id that is echoed; `null` leaves the header out. */
+  /** The request id to echo; `null` omits the header. */
   readonly id?: string | null;
-  /** The signature; `null` leaves the header out. */
+  /** The signature; `null` omits the header. */
   readonly signature?: string | null;
   readonly headers?: readonly string[];
 }
 
-/** One whole request as a stand-in worker received it, with the means to answer it well or badly. */
+/** A complete request that a stand-in worker received, with methods for correct and faulty responses. */
 export class WorkerCall {
   readonly method: string;
   readonly target: string;
@@ -21,7 +21,7 @@
   readonly body: string;
   /** Name of the worker that received it. */
   readonly worker: string;
-  /** Which of the worker's connections brought it, counted from 0. */
+  /** Index of the worker's connection on which it arrived, counted from 0. */
   readonly connection: number;
   #socket: Socket;
   #names: StandInNames;
@@ -48,7 +48,7 @@
     return this.headers.get(this.#names.requestId) ?? '';
   }
 
-  /** Resolves when the connection is gone. */
+  /** Resolves when the connection is closed. */
   get closed(): Promise<void> {
     if (this.#socket.destroyed) return Promise.resolve();
     return new Promise((resolve) => this.#socket.once('close', () => resolve()));
@@ -62,20 +62,20 @@
     this.write(this.textOf(answer));
   }
 
-  /** The worker says that it has not run the request. */
+  /** Responds that the worker has not run the request. */
   decline(answer: WorkerResponse = {}): void {
     this.respond({ status: 503, body: '', headers: [`${this.#names.notRun}: 1`], ...answer });
   }
 
-  /** The text of one whole answer. */
+  /** The text of one complete response. */
   textOf({ status = 200, body = `of ${this.id}`, id, signature, headers = [] }: WorkerResponse): string {
     return `${this.#head(status, id, signature, [...headers, `Content-Length: ${body.length}`])}${body}`;
   }
 
-  /** Writes the head of a stream of events, chunked. */
+  /** Writes the head of a chunked event stream. */
   openStream(signature = 's', headers: readonly string[] = []): void {
-    const own = ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked', ...headers];
-    this.write(this.#head(200, undefined, signature, own));
+    const allHeaders = ['Content-Type: text/event-stream', 'Transfer-Encoding: chunked', ...headers];
+    this.write(this.#head(200, undefined, signature, allHeaders));
   }
 
   /** Writes a chunk that holds one event. */
@@ -112,23 +112,23 @@
   }
 }
 
-/** What a stand-in worker does with a connection before any request on it is whole. */
+/** What a stand-in worker does with a connection before a request on it is complete. */
 export type ConnectionFault =
   | 'none'
-  /** Reset as soon as it is accepted. */
+  /** Resets the connection as soon as it is accepted. */
   | 'reset on accept'
-  /** Reset once the first bytes of a request came. */
+  /** Resets the connection on the first bytes of a request. */
   | 'reset on bytes'
-  /** Reset once the head of a request came, before its body is whole. */
+  /** Resets the connection after the head of a request, before its body is complete. */
   | 'reset on head';
 
 /**
- * A worker that speaks raw TCP and does nothing by itself: the test takes each
- * request with `next` and says byte by byte what comes back.
+ * A worker over raw TCP that never responds by itself: the test receives each request from the queue of calls
+ * and decides byte by byte what is sent back.
  * @example
- * const calls = new Waiters<WorkerCall>();
+ * const calls = new AsyncQueue<WorkerCall>();
  * const worker = await StandInWorker.open('w0', calls);
- * (await calls.next()).answer({ body: 'well' });
+ * (await calls.next()).respond({ body: 'ok' });
  */
 export class StandInWorker {
   #server: Server;
@@ -136,9 +136,9 @@
   #calls: AsyncQueue<WorkerCall>;
   readonly name: string;
   readonly names: StandInNames;
-  /** Every whole request, in order of arrival. */
+  /** Every complete request, in order of arrival. */
   readonly received: WorkerCall[] = [];
-  /** How requests on connections that come, or that are kept, are met from now on. */
+  /** Fault applied from now on to new connections and to requests on open ones. */
   fault: ConnectionFault = 'none';
 
   private constructor(name: string, calls: AsyncQueue<WorkerCall>, names: StandInNames) {
@@ -148,7 +148,7 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Whole requests are put into `calls`, which workers may share. */
+  /** Starts a worker that puts complete requests into `calls`, which several workers may share. */
   static open(
     name: string,
     calls: AsyncQueue<WorkerCall>,
@@ -164,12 +164,12 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** How many connections were accepted. */
+  /** Number of connections accepted so far. */
   get connections(): number {
     return this.#sockets.length;
   }
 
-  /** Writes bytes on a connection on which no request waits. */
+  /** Writes text on a connection without a pending request. */
   writeUnsolicited(connection: number, text: string): void {
     this.#sockets[connection]?.write(text);
   }
@@ -197,7 +197,7 @@
     });
   }
 
-  /** Takes whole requests from what has come, and returns what is left. */
+  /** Reads the complete requests in `text` and returns the remaining text. */
   #receive(text: string, connection: number, socket: Socket): string {
     const headEnd = text.indexOf('\r\n\r\n');
     if (headEnd < 0) return text;
--- a/packages/runtime/src/worker-connections.ts
+++ b/packages/runtime/src/worker-connections.ts
@@ -1,7 +1,10 @@
-/** Times of connections from edges and cores on the platform to workers. */
+/** Timeouts of connections from edges and cores on the platform to workers. */
 import type { LinkTimes } from '@rainrun/gateway';
 
-/** Connections to workers on a platform: new ones are dear, so they are kept as long as a worker keeps them. */
+/**
+ * Timeouts for connections to workers: new ones are expensive, so idle ones are kept as long as the worker
+ * allows.
+ */
 export const WORKER_CONNECTION_TIMES: LinkTimes = {
   connectMs: 600,
   keepAliveTimeout: 30_000,
--- a/packages/runtime/src/worker-responses.test.ts
+++ b/packages/runtime/src/worker-responses.test.ts
@@ -10,7 +10,7 @@
 afterEach(() => trial.close());
 
 /** What a worker may do to a request that it has read whole, so that nobody can tell whether it ran. */
-const AMBIGUOUS_FAILURES: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
+const UNCLEAR_OUTCOMES: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
   ['resets the connection', (call) => call.reset()],
   ['closes the connection', (call) => call.close()],
   ['answers another request', (call) => call.respond({ id: 'another', body: 'of another' })],
@@ -19,20 +19,14 @@
   ['answers without a signature', (call) => call.respond({ signature: null })],
   ['sends bytes that are no answer', (call) => call.write('what is this\r\n\r\n')],
   ['answers in an unheard protocol', (call) => call.write('HTTP/9.7 200 OK\r\nContent-Length: 0\r\n\r\n')],
-  ['breaks a plain answer off with a close', (call) => sendPartialResponse(call, (one) => one.close())],
-  ['breaks a plain answer off with a reset', (call) => sendPartialResponse(call, (one) => one.reset())],
-  [
-    'breaks a chunked answer off with a close',
-    (call) => sendPartialChunkedResponse(call, (one) => one.close()),
-  ],
-  [
-    'breaks a chunked answer off with a reset',
-    (call) => sendPartialChunkedResponse(call, (one) => one.reset()),
-  ],
-  ['sends a chunk without a length', (call) => sendMalformedChunk(call)],
+  ['breaks a plain answer off with a close', (call) => sendHalf(call, (one) => one.close())],
+  ['breaks a plain answer off with a reset', (call) => sendHalf(call, (one) => one.reset())],
+  ['breaks a chunked answer off with a close', (call) => sendHalfChunked(call, (one) => one.close())],
+  ['breaks a chunked answer off with a reset', (call) => sendHalfChunked(call, (one) => one.reset())],
+  ['sends a chunk without a length', (call) => sendBadChunk(call)],
   ['gives two lengths', (call) => call.respond({ headers: ['Content-Length: 1'] })],
-  ['answers without a length and closes', (call) => sendUnframedResponse(call, (one) => one.close())],
-  ['answers without a length and resets', (call) => sendUnframedResponse(call, (one) => one.reset())],
+  ['answers without a length and closes', (call) => sendUnframed(call, (one) => one.close())],
+  ['answers without a length and resets', (call) => sendUnframed(call, (one) => one.reset())],
   ['declines without an id', (call) => call.decline({ id: null })],
   ['declines another request', (call) => call.decline({ id: 'another' })],
   [
@@ -44,33 +38,33 @@
   ['wants to upgrade', (call) => call.write('HTTP/1.1 101 Up\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n')],
 ];
 
-function sendPartialResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendHalf(call: WorkerCall, end: (call: WorkerCall) => void): void {
   const text = call.textOf({});
   call.write(text.slice(0, -2));
   setImmediate(() => end(call));
 }
 
-function sendPartialChunkedResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendHalfChunked(call: WorkerCall, end: (call: WorkerCall) => void): void {
   call.write(
     `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nof\r\n`,
   );
   setImmediate(() => end(call));
 }
 
-function sendMalformedChunk(call: WorkerCall): void {
+function sendBadChunk(call: WorkerCall): void {
   call.write(
     `HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nof\r\n`,
   );
 }
 
-function sendUnframedResponse(call: WorkerCall, end: (call: WorkerCall) => void): void {
+function sendUnframed(call: WorkerCall, end: (call: WorkerCall) => void): void {
   call.write(`HTTP/1.1 200 OK\r\nCall-Id: ${call.id}\r\nMark: s\r\n\r\nhalf of it`);
   setImmediate(() => end(call));
 }
 
 for (const connection of ['fresh', 'reused'] as const) {
   describe(`control safety, point 5: on a ${connection} connection, a worker that`, () => {
-    for (const [what, act] of AMBIGUOUS_FAILURES) {
+    for (const [what, act] of UNCLEAR_OUTCOMES) {
       for (const kind of ['once', 'tell'] as const)
         it(
           `control safety, point 5: ${what} leaves a ${kind} request run once and failed (${connection})`,
