--- a/packages/runtime/src/api-key-forwarding.test.ts
+++ b/packages/runtime/src/api-key-forwarding.test.ts
@@ -5,28 +5,28 @@
 import { RoutingHarness } from './testing/routing-harness.js';
 
 const LIMIT = { timeout: 20_000 };
-const ONE = { name: 'one', apiKeys: ['key-1'] };
-const TWO = { name: 'two', apiKeys: ['key-2'] };
+const TENANT_ONE = { name: 'one', apiKeys: ['key-1'] };
+const TENANT_TWO = { name: 'two', apiKeys: ['key-2'] };
 
-describe('a key on its way through an edge', () => {
-  let trial: RoutingHarness;
+describe('the API key of a request at an edge', () => {
+  let harness: RoutingHarness;
 
-  afterEach(() => trial.close());
+  afterEach(() => harness.close());
 
-  /** Asks on the trial's connection; the worker answers what reaches it. */
-  async function ask(
+  /** Sends a request, by default on the harness's connection; the worker answers it if it arrives. */
+  async function send(
     path: string,
     headers: readonly string[],
-    client = trial.client,
+    client = harness.client,
   ): Promise<ClientResponse & { readonly holder: string | undefined; readonly sent: string }> {
-    const id = trial.requestIdFor('w0');
+    const id = harness.requestIdFor('w0');
     client.request({ id, path, headers });
     let worker: { readonly holder: string | undefined; readonly sent: string } = {
       holder: undefined,
       sent: '',
     };
     const answered = client.next();
-    const called = trial.nextCall().then((call) => {
+    const called = harness.nextCall().then((call) => {
       worker = {
         holder: call.headers.get('holder'),
         sent: [...call.headers].map((header) => header.join(': ')).join('\n'),
@@ -39,12 +39,12 @@
   }
 
   function apply(tenants: readonly object[]): Promise<void> {
-    return trial.edge.core.configure(testDocument({ tenants }));
+    return harness.edge.core.configure(testDocument({ tenants }));
   }
 
-  it('reaches no worker, and a forged name of a tenant is replaced', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE, TWO] });
-    const { status, holder, sent } = await ask('/often/x', ['KEY: key-1', 'Holder: two', 'X-Own: kept']);
+  it('is not forwarded to the worker, and a forged tenant name is replaced', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE, TENANT_TWO] });
+    const { status, holder, sent } = await send('/often/x', ['KEY: key-1', 'Holder: two', 'X-Own: kept']);
     expect([status, holder]).toEqual([200, 'one']);
     expect([sent.includes('key-1'), sent.includes('two'), sent.includes('x-own: kept')]).toEqual([
       false,
@@ -53,29 +53,33 @@
     ]);
   });
 
-  it('reaches no worker where the configuration has no tenants, nor does a forged name', LIMIT, async () => {
-    trial = await RoutingHarness.open(1);
-    const { status, holder, sent } = await ask('/often/x', ['Key: key-1', 'Holder: two']);
-    expect([status, holder, sent.includes('key-1')]).toEqual([200, undefined, false]);
-  });
+  it(
+    'is not forwarded, nor is a forged tenant name, if the configuration has no tenants',
+    LIMIT,
+    async () => {
+      harness = await RoutingHarness.open(1);
+      const { status, holder, sent } = await send('/often/x', ['Key: key-1', 'Holder: two']);
+      expect([status, holder, sent.includes('key-1')]).toEqual([200, undefined, false]);
+    },
+  );
 
-  it('gets 401 where no tenant holds it, where there is none, and where there are two', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE, TWO] });
+  it('causes 401 if no tenant holds it, if it is missing and if it is repeated', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE, TENANT_TWO] });
     const heads = [['Key: key-9'], [], ['Key: key-1', 'key: key-2'], ['Key: key-1', 'Key: key-1'], ['Key:']];
     const statuses: number[] = [];
     for (const headers of heads) {
-      trial.client.request({ id: trial.requestIdFor('w0'), path: '/often/x', headers });
-      statuses.push((await trial.client.next()).status);
+      harness.client.request({ id: harness.requestIdFor('w0'), path: '/often/x', headers });
+      statuses.push((await harness.client.next()).status);
     }
-    expect([statuses, trial.worker('w0').received.length]).toEqual([[401, 401, 401, 401, 401], 0]);
+    expect([statuses, harness.worker('w0').received.length]).toEqual([[401, 401, 401, 401, 401], 0]);
   });
 
-  it('and the name of its tenant are UTF-8 on the wire, beyond ASCII too', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [{ name: 'Vējsargs', apiKeys: ['kéy'] }] });
+  it('may hold non-ASCII characters as UTF-8, like the name of its tenant', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [{ name: 'Vējsargs', apiKeys: ['kéy'] }] });
     const utf8 = Buffer.from('Key: kéy').toString('latin1');
-    const { status, holder } = await ask('/often/x', [utf8]);
-    trial.client.request({ id: trial.requestIdFor('w0'), path: '/often/x', headers: ['Key: key'] });
-    const other = await trial.client.next();
+    const { status, holder } = await send('/often/x', [utf8]);
+    harness.client.request({ id: harness.requestIdFor('w0'), path: '/often/x', headers: ['Key: key'] });
+    const other = await harness.client.next();
     expect([status, Buffer.from(holder ?? '', 'latin1').toString(), other.status]).toEqual([
       200,
       'Vējsargs',
@@ -83,23 +87,23 @@
     ]);
   });
 
-  it('is not needed on a public route, to which a forged name does not help either', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE] });
-    const { status, holder } = await ask('/open/x', ['Holder: one']);
+  it('is not needed on a public route, where a forged tenant name is dropped as well', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE] });
+    const { status, holder } = await send('/open/x', ['Holder: one']);
     expect([status, holder]).toEqual([200, undefined]);
   });
 
-  it('that is dropped is not served on, on any connection that is open', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE, TWO] });
-    const other = await trial.edge.connect();
-    const before = [await ask('/often/x', ['Key: key-2']), await ask('/often/x', ['Key: key-2'], other)];
-    await apply([ONE]);
+  it('causes 401 on every open connection after it is removed from the configuration', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE, TENANT_TWO] });
+    const other = await harness.edge.connect();
+    const before = [await send('/often/x', ['Key: key-2']), await send('/often/x', ['Key: key-2'], other)];
+    await apply([TENANT_ONE]);
     const statuses: number[] = [];
-    for (const client of [trial.client, other]) {
-      client.request({ id: trial.requestIdFor('w0'), path: '/often/x', headers: ['Key: key-2'] });
+    for (const client of [harness.client, other]) {
+      client.request({ id: harness.requestIdFor('w0'), path: '/often/x', headers: ['Key: key-2'] });
       statuses.push((await client.next()).status);
     }
-    const kept = await ask('/often/x', ['Key: key-1'], other);
+    const kept = await send('/often/x', ['Key: key-1'], other);
     expect([before.map(({ status }) => status), statuses, kept.holder]).toEqual([
       [200, 200],
       [401, 401],
@@ -107,19 +111,19 @@
     ]);
   });
 
-  it('that passes to another tenant is served as that one on the same connection', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE, TWO] });
-    const before = await ask('/often/x', ['Key: key-2']);
+  it('counts for its new tenant on the same connection after it moves to another tenant', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE, TENANT_TWO] });
+    const before = await send('/often/x', ['Key: key-2']);
     await apply([{ name: 'heir', apiKeys: ['key-1', 'key-2'] }]);
-    const after = await ask('/often/x', ['Key: key-2']);
+    const after = await send('/often/x', ['Key: key-2']);
     expect([before.holder, after.holder]).toEqual(['two', 'heir']);
   });
 
-  it('of one request is not that of the next on the same connection', LIMIT, async () => {
-    trial = await RoutingHarness.open(1, { tenants: [ONE, TWO] });
-    const holders = [await ask('/often/x', ['Key: key-1']), await ask('/often/x', ['Key: key-2'])];
-    trial.client.request({ id: trial.requestIdFor('w0'), path: '/often/x' });
-    const bare = await trial.client.next();
+  it('is not carried over to the next request on the same connection', LIMIT, async () => {
+    harness = await RoutingHarness.open(1, { tenants: [TENANT_ONE, TENANT_TWO] });
+    const holders = [await send('/often/x', ['Key: key-1']), await send('/often/x', ['Key: key-2'])];
+    harness.client.request({ id: harness.requestIdFor('w0'), path: '/often/x' });
+    const bare = await harness.client.next();
     expect([holders.map(({ holder }) => holder), bare.status]).toEqual([['one', 'two'], 401]);
   });
 });
--- a/packages/runtime/src/client-server.test.ts
+++ b/packages/runtime/src/client-server.test.ts
@@ -20,14 +20,14 @@
   tenant: 'holder',
 };
 
-interface Answer {
+interface ClientResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
   readonly whole: boolean;
 }
 
-/** A port of this machine that is free now. */
+/** Finds a free port on this machine. */
 function freePort(): Promise<number> {
   return new Promise((resolve) => {
     const server = createServer();
@@ -39,20 +39,20 @@
 }
 
 class ClientServerHarness {
-  readonly receivedRequests: { ask: ClientRequest; port: ResponseSink }[] = [];
+  readonly receivedRequests: { clientRequest: ClientRequest; sink: ResponseSink }[] = [];
   cancelledCount = 0;
   isDraining = false;
-  /** Called for each request that is taken. */
-  onRequest: (ask: ClientRequest, port: ResponseSink) => void = (_, port) =>
-    port.respond(200, [['x-mark', 'm']], Buffer.from('well'));
+  /** Called for each request that the server passes on. */
+  onRequest: (clientRequest: ClientRequest, sink: ResponseSink) => void = (_, sink) =>
+    sink.respond(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
   readonly clientServer = new ClientServer({
     headerNames: HEADER_NAMES,
     limits: () => ({ ...DEFAULT_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
     isDraining: () => this.isDraining,
-    onRequest: (ask, port) => {
-      this.receivedRequests.push({ ask, port });
-      this.onRequest(ask, port);
+    onRequest: (clientRequest, sink) => {
+      this.receivedRequests.push({ clientRequest, sink });
+      this.onRequest(clientRequest, sink);
       return () => {
         this.cancelledCount += 1;
       };
@@ -75,7 +75,7 @@
     this.clientServer.close();
   }
 
-  send(headers: Record<string, string>, body = ''): Promise<Answer> {
+  send(headers: Record<string, string>, body = ''): Promise<ClientResponse> {
     return new Promise((resolve, reject) => {
       const req = request(
         { host: '127.0.0.1', port: this.#port, method: 'POST', path: '/a/1?b=2', headers, agent: this.agent },
@@ -99,13 +99,13 @@
   }
 }
 
-describe('the front door', () => {
-  let bench: ClientServerHarness | undefined;
-  afterEach(() => bench?.close());
+describe('the client server', () => {
+  let harness: ClientServerHarness | undefined;
+  afterEach(() => harness?.close());
 
-  it('hands on method, path, body and headers as they came, without those of the connection', async () => {
-    bench = await new ClientServerHarness().open();
-    const answer = await bench.send(
+  it('passes on method, path, body and headers unchanged, without hop-by-hop headers', async () => {
+    harness = await new ClientServerHarness().open();
+    const answer = await harness.send(
       {
         'x-id': '7',
         'x-model': 'big/a2',
@@ -116,65 +116,65 @@
       },
       'work',
     );
-    const ask = bench.receivedRequests[0]?.ask;
+    const clientRequest = harness.receivedRequests[0]?.clientRequest;
     expect([answer.status, answer.body, answer.headers['x-mark']]).toEqual([200, 'well', 'm']);
-    expect([ask?.id, ask?.method, ask?.target, ask?.host, ask?.body.toString(), ask?.deadlineMs]).toEqual([
-      '7',
-      'POST',
-      '/a/1?b=2',
-      'h.example',
-      'work',
-      900,
-    ]);
-    expect([ask?.model, ask?.adapter, ask?.prefix, ask?.promptTokens]).toEqual([
-      'big',
-      'a2',
-      ['aa', 'bb'],
-      60,
-    ]);
-    expect(ask?.headers.some(([name]) => name.toLowerCase() === 'connection')).toEqual(false);
+    expect([
+      clientRequest?.id,
+      clientRequest?.method,
+      clientRequest?.target,
+      clientRequest?.host,
+      clientRequest?.body.toString(),
+      clientRequest?.deadlineMs,
+    ]).toEqual(['7', 'POST', '/a/1?b=2', 'h.example', 'work', 900]);
+    expect([
+      clientRequest?.model,
+      clientRequest?.adapter,
+      clientRequest?.prefix,
+      clientRequest?.promptTokens,
+    ]).toEqual(['big', 'a2', ['aa', 'bb'], 60]);
+    expect(clientRequest?.headers.some(([name]) => name.toLowerCase() === 'connection')).toEqual(false);
   });
 
-  it('refuses what has no id, too long headers or too large a body, and hands none of it on', async () => {
-    bench = await new ClientServerHarness().open();
-    const anonymous = await bench.send({});
-    const endless = await bench.send({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
-    const large = await bench.send({ 'x-id': '2' }, 'z'.repeat(101));
-    expect([anonymous.status, endless.status, large.status, bench.receivedRequests.length]).toEqual([
+  it('rejects requests without an id, with too long headers or too large a body, and passes none of them on', async () => {
+    harness = await new ClientServerHarness().open();
+    const anonymous = await harness.send({});
+    const endless = await harness.send({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
+    const large = await harness.send({ 'x-id': '2' }, 'z'.repeat(101));
+    expect([anonymous.status, endless.status, large.status, harness.receivedRequests.length]).toEqual([
       400, 431, 413, 0,
     ]);
   });
 
-  it('says with a promise when to come back', async () => {
-    bench = await new ClientServerHarness().open();
-    bench.onRequest = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
-    const answer = await bench.send({ 'x-id': '1' });
+  it('sends Retry-After with a fault that promises that nothing ran', async () => {
+    harness = await new ClientServerHarness().open();
+    harness.onRequest = (_, sink) => sink.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
+    const answer = await harness.send({ 'x-id': '1' });
     expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.2']);
   });
 
-  it('lets a client see that a stream is cut, and that another is whole', async () => {
-    bench = await new ClientServerHarness().open();
-    bench.onRequest = (ask, port) => {
-      port.open(200, [['content-type', 'text/event-stream']]);
-      port.write(Buffer.from('id: 1\n\n'), () => undefined);
-      if (ask.id === 'cut') port.abort();
-      else port.close();
+  it('lets a client distinguish a stream that was cut from a complete one', async () => {
+    harness = await new ClientServerHarness().open();
+    harness.onRequest = (clientRequest, sink) => {
+      sink.open(200, [['content-type', 'text/event-stream']]);
+      sink.write(Buffer.from('id: 1\n\n'), () => undefined);
+      if (clientRequest.id === 'cut') sink.abort();
+      else sink.close();
     };
-    const whole = await bench.send({ 'x-id': 'whole' });
-    const cut = await bench.send({ 'x-id': 'cut' }).catch(() => undefined);
+    const whole = await harness.send({ 'x-id': 'whole' });
+    const cut = await harness.send({ 'x-id': 'cut' }).catch(() => undefined);
     expect([whole.whole, whole.body, cut?.whole ?? false]).toEqual([true, 'id: 1\n\n', false]);
   });
 
-  it('answers what is under way when it closes, and tells the client to come on another connection', async () => {
-    bench = await new ClientServerHarness().open();
-    const { clientServer: front } = bench;
-    bench.onRequest = (_, port) => {
-      if (bench !== undefined) bench.isDraining = true;
-      front.close();
-      setImmediate(() => port.respond(200, [], Buffer.from('late')));
+  it('completes open requests when it closes, and asks clients to close their connections', async () => {
+    harness = await new ClientServerHarness().open();
+    const { clientServer } = harness;
+    harness.onRequest = (_, sink) => {
+      if (harness !== undefined) harness.isDraining = true;
+      clientServer.close();
+      setImmediate(() => sink.respond(200, [], Buffer.from('late')));
     };
-    const answer = await bench.send({ 'x-id': '1' });
-    expect([answer.status, answer.body, answer.headers.connection, front.openRequests]).toEqual([
+    const answer = await harness.send({ 'x-id': '1' });
+    expect([answer.status, answer.body, answer.headers.connection, clientServer.openRequests]).toEqual([
       200,
       'late',
       'close',
@@ -183,24 +183,24 @@
   });
 
   it(
-    'control safety, point 5: writes an answer out whole to a client that reads slowly, also when it closes',
+    'control safety, point 5: sends a complete response to a client that reads slowly, also while it closes',
     { timeout: 30_000 },
     async () => {
-      bench = await new ClientServerHarness().open();
-      const { clientServer: front } = bench;
+      harness = await new ClientServerHarness().open();
+      const { clientServer } = harness;
       const body = Buffer.alloc(16 * 1024 * 1024, 'x');
-      const client = await RawClient.connect(bench.port);
+      const client = await RawClient.connect(harness.port);
       client.pause();
       const answered = new Promise<void>((resolve) => {
-        if (bench !== undefined)
-          bench.onRequest = (_, port) => {
-            port.respond(200, [], body);
+        if (harness !== undefined)
+          harness.onRequest = (_, sink) => {
+            sink.respond(200, [], body);
             resolve();
           };
       });
       client.send('POST /a/1 HTTP/1.1\r\nHost: a.example\r\nX-Id: 1\r\n\r\n');
       await answered;
-      front.close();
+      clientServer.close();
       client.resume();
       const answer = await client.next();
       expect([answer.status, answer.whole, answer.body.length]).toEqual([200, true, body.length]);
@@ -208,30 +208,30 @@
   );
 
   it(
-    'control safety, point 5: closes a connection behind its last answer, and hands nothing on after that',
+    'control safety, point 5: closes a connection after its last response, and passes on no request after that',
     { timeout: 30_000 },
     async () => {
-      bench = await new ClientServerHarness().open();
-      const { clientServer: front, receivedRequests: taken } = bench;
+      harness = await new ClientServerHarness().open();
+      const { clientServer, receivedRequests } = harness;
       let answer: (() => void) | undefined;
       const took = new Promise<void>((resolve) => {
-        if (bench !== undefined)
-          bench.onRequest = (_, port) => {
-            port.open(200, [['content-type', 'text/event-stream']]);
-            answer = () => port.close();
+        if (harness !== undefined)
+          harness.onRequest = (_, sink) => {
+            sink.open(200, [['content-type', 'text/event-stream']]);
+            answer = () => sink.close();
             resolve();
           };
       });
-      const idle = await RawClient.connect(bench.port);
-      const client = await RawClient.connect(bench.port);
+      const idle = await RawClient.connect(harness.port);
+      const client = await RawClient.connect(harness.port);
       client.send('POST /a/1 HTTP/1.1\r\nHost: a.example\r\nX-Id: 1\r\n\r\n');
       await took;
-      front.close();
+      clientServer.close();
       const idleEnd = await idle.next();
       answer?.();
       const whole = await client.next();
       const end = await client.next();
-      expect([idleEnd.status, whole.whole, end.status, taken.length]).toEqual([0, true, 0, 1]);
+      expect([idleEnd.status, whole.whole, end.status, receivedRequests.length]).toEqual([0, true, 0, 1]);
     },
   );
 });
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -23,7 +23,7 @@
   limits(): Limits | undefined;
   /** Whether each connection is closed after its current response. */
   isDraining(): boolean;
-  onRequest(request: ClientRequest, port: ResponseSink): () => void;
+  onRequest(request: ClientRequest, sink: ResponseSink): () => void;
 }
 
 /**
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -101,7 +101,7 @@
       headerNames: dialect.clientHeaderNames,
       limits: () => this.#replica.configuration?.limits ?? undefined,
       isDraining: () => this.#stopping,
-      onRequest: (request, port) => this.#router.submit(request, port),
+      onRequest: (request, sink) => this.#router.submit(request, sink),
     });
     this.#readiness = createServer((req, res) => {
       const ready = req.url === dialect.readinessPath && this.#replica.ready && !this.#stopping;
--- a/packages/runtime/src/operator-server.test.ts
+++ b/packages/runtime/src/operator-server.test.ts
@@ -28,7 +28,7 @@
 
 const SILENT = { info: () => undefined, error: () => undefined } as unknown as Log;
 
-/** A server whose calls are answered with 200 and listed. */
+/** Opens a server that answers every call with 200 and collects the calls. */
 async function open(
   dialect: Pick<Dialect, 'readCall'> = { readCall },
   log: Log = SILENT,
@@ -52,8 +52,8 @@
   return reply.statusCode;
 }
 
-describe('control safety, point 1: bad input of operators', () => {
-  it('is refused with a status, and the server goes on', async () => {
+describe('control safety, point 1: malformed input of operators', () => {
+  it('is rejected with an error status, and the server keeps running', async () => {
     const { server, calls, address } = await open();
     const depth = 200_000;
     const statuses = [
@@ -70,8 +70,8 @@
   });
 });
 
-describe('control safety, point 2: a call whose caller has gone', () => {
-  it('is not carried out: it was held up here, and its caller has asked another node', async () => {
+describe('control safety, point 2: a call whose caller has disconnected', () => {
+  it('is not executed: it was delayed here, and its caller may have called another node', async () => {
     const { server, calls, address } = await open();
     const socket = connect(server.port, '127.0.0.1');
     await once(socket, 'connect');
@@ -85,9 +85,9 @@
 });
 
 describe('the log of operator calls', () => {
-  it('holds nothing of the body, nor of what was thrown when it could not be read', async () => {
+  it('contains neither the body nor the error thrown while parsing it', async () => {
     const lines: string[] = [];
-    function keep(...line: unknown[]): void {
+    function keepLine(...line: unknown[]): void {
       lines.push(inspect(line, { depth: 9 }));
     }
     const refusing = {
@@ -96,7 +96,7 @@
           ? Result.err<OperatorCall, Fault>(fault('bad-request', 'not JSON', { cause: new Error(body) }))
           : readCall(method, path, headers, body),
     };
-    const { server, address } = await open(refusing, { info: keep, error: keep } as unknown as Log);
+    const { server, address } = await open(refusing, { info: keepLine, error: keepLine } as unknown as Log);
     const statuses = [
       await send(address, '/refused', '{"tenants":["sk-secret",]}'),
       await send(address, '/', '{"tenants":["sk-secret"]}'),
@@ -107,8 +107,8 @@
   });
 });
 
-describe('the depth of a JSON text', () => {
-  it('counts lists and objects, not what stands in texts', () => {
+describe('the nesting depth of a JSON text', () => {
+  it('counts arrays and objects, but no brackets within strings', () => {
     expect(['1', '{}', '{"a":[{"b":"[[["}]}', '"\\"[["', '[[]'].map(jsonDepth)).toEqual([0, 1, 3, 0, 2]);
   });
 });
--- a/packages/runtime/src/peer-transport.test.ts
+++ b/packages/runtime/src/peer-transport.test.ts
@@ -1,5 +1,5 @@
 /**
- * The transport over networks that fail below it: connections that are open and dead, resets, taken ports.
+ * Tests of the peer transport under network faults: open but dead connections, resets and ports in use.
  */
 import { createConnection, createServer, type AddressInfo, type Server, type Socket } from 'node:net';
 import { after, describe, it } from 'node:test';
@@ -35,7 +35,7 @@
   return made;
 }
 
-/** Listens with a plain server that does with each connection what `accept` says; resolves with its port. */
+/** Starts a plain TCP server that passes each connection to `accept`. */
 async function listenPlain(port: number, accept: (socket: Socket) => void): Promise<Server> {
   const sockets = new Set<Socket>();
   const server = createServer((socket) => {
@@ -55,7 +55,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Sends frames until something holds, and says how long that took. */
+/** Sends frames until a condition holds, and returns how long that took. */
 async function sendUntil(holds: () => boolean, from: PeerTransport, to: string): Promise<number> {
   const startMs = performance.now();
   while (!holds() && performance.now() - startMs < 2 * RECOVERY_MAX_MS) {
@@ -66,7 +66,7 @@
 }
 
 describe('a peer transport', () => {
-  it('replaces a connection that was open and has never been acknowledged', async () => {
+  it('replaces an open connection on which nothing was ever acknowledged', async () => {
     let isHealthy = false;
     const frames: Frame[] = [];
     const healthy = await transport((frame) => frames.push(frame));
@@ -84,7 +84,7 @@
     expect(sender.counts.resets).toEqual(1);
   });
 
-  it('recovers from connections that are reset as soon as they are up', async () => {
+  it('recovers from connections that are reset as soon as they are established', async () => {
     let resets = 0;
     const frames: Frame[] = [];
     const healthy = await transport((frame) => frames.push(frame));
@@ -107,7 +107,7 @@
     expect([sender.counts.resets, frames.length > 20]).toEqual([0, true]);
   });
 
-  it('listens once a port that was taken is free', async () => {
+  it('listens on a port that was in use as soon as it is free', async () => {
     const holder = await listenPlain(0, (socket) => socket.destroy());
     const port = portOf(holder);
     const late = new PeerTransport('d', () => undefined);
@@ -122,7 +122,7 @@
     expect(late.counts.listenFailures).toEqual(failures.length);
   });
 
-  it('says so where a port stays taken', async () => {
+  it('returns a fault if a port stays in use', async () => {
     const holder = await listenPlain(0, (socket) => socket.destroy());
     const never = new PeerTransport('d', () => undefined);
     closers.push(() => never.close());
@@ -131,7 +131,7 @@
   });
 });
 
-/** Hands what comes on a socket to a transport, and its acknowledgements back. */
+/** Forwards what arrives on a socket to a transport, and its acknowledgements back. */
 function forward(socket: Socket, port: number): void {
   const onward = createConnection({ host: HOST, port });
   onward.on('error', () => undefined);
--- a/packages/runtime/src/runtime.test.ts
+++ b/packages/runtime/src/runtime.test.ts
@@ -23,13 +23,13 @@
   return read.isErr ? read.error.map((one) => one.detail) : [];
 }
 
-describe('settings', () => {
-  it('are taken from flags', () => {
+describe('settings of a node', () => {
+  it('are read from flags', () => {
     const read = readSettings(VALID_FLAGS, 'edge');
     expect(read.isOk && read.value.seeds).toEqual(['127.0.0.1:7002', '127.0.0.1:7003']);
   });
 
-  it('name key, value found and what was expected', () => {
+  it('that are invalid give faults with the key, the value found and what was expected', () => {
     expect(faults({ bind: 'localhost' })[0]?.startsWith('bind: found "localhost", expected')).toEqual(true);
     expect(faults({ seeds: '1.1.1.1:1,1.1.1.1:2,1.1.1.1:3,1.1.1.1:4' })[0]?.startsWith('seeds:')).toEqual(
       true,
@@ -41,12 +41,12 @@
   });
 });
 
-describe('wire', () => {
-  it('counts what is malformed, oversized or foreign, and stays up', async () => {
+describe('the peer transport', () => {
+  it('counts malformed, oversized and foreign frames, and keeps running', async () => {
     const frames: Frame[] = [];
-    const wire = new PeerTransport('d', (frame) => frames.push(frame));
-    await wire.listen('127.0.0.1:0');
-    const { port } = wire;
+    const transport = new PeerTransport('d', (frame) => frames.push(frame));
+    await transport.listen('127.0.0.1:0');
+    const { port } = transport;
     const frame = create(FrameSchema, {
       wire: WIRE_VERSION,
       deployment: 'd',
@@ -68,18 +68,22 @@
     oversized.on('error', () => undefined);
     oversized.write(Buffer.from([255, 255, 255, 255]));
     await closed;
-    const sound = createConnection({ host: '127.0.0.1', port });
-    sound.write(bytes);
+    const valid = createConnection({ host: '127.0.0.1', port });
+    valid.write(bytes);
     while (frames.length === 0) await new Promise((resolve) => setImmediate(resolve));
-    sound.destroy();
-    wire.close();
-    expect([frames[0]?.from, wire.counts.malformed, wire.counts.foreign]).toEqual(['a', 2, 1]);
+    valid.destroy();
+    transport.close();
+    expect([frames[0]?.from, transport.counts.malformed, transport.counts.foreign]).toEqual(['a', 2, 1]);
   });
 });
 
-it('a door that drains answers kept connections with a definite end, and is empty when they are closed', async () => {
-  const door = new GracefulHttpServer({ headersTimeout: 5000, requestTimeout: 5000, keepAliveTimeout: 5000 });
-  const server = door.create((_, res) => res.end('well'));
+it('a draining HTTP server answers on kept-alive connections with Connection: close, and is idle once they are closed', async () => {
+  const httpServer = new GracefulHttpServer({
+    headersTimeout: 5000,
+    requestTimeout: 5000,
+    keepAliveTimeout: 5000,
+  });
+  const server = httpServer.create((_, res) => res.end('well'));
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const agent = new Agent({ keepAlive: true, maxSockets: 1 });
@@ -92,9 +96,9 @@
     });
   }
   const before = await ask();
-  door.drain();
+  httpServer.drain();
   const after = await ask();
-  await door.waitUntilIdle(2000);
+  await httpServer.waitUntilIdle(2000);
   server.close();
   expect([before, after]).toEqual(['200 keep-alive', '200 close']);
 });
--- a/packages/runtime/src/spec-platform-client.test.ts
+++ b/packages/runtime/src/spec-platform-client.test.ts
@@ -8,7 +8,7 @@
 
 const LIST = { generation: 3, workers: [{ name: 'w', address: '127.0.0.1:1', zone: 'z', kind: 'model' }] };
 
-it('the platform list is read from a file, or refused whole', async () => {
+it('the worker list of the platform is read from a file, or rejected as a whole', async () => {
   const folder = await mkdtemp(join(tmpdir(), 'list-'));
   const [good, bad] = [join(folder, 'good.json'), join(folder, 'bad.json')];
   await writeFile(good, JSON.stringify(LIST));
@@ -30,7 +30,7 @@
   expect(read.map((one) => one.isOk)).toEqual([true, false, false]);
 });
 
-it('an order that is refused, answered with nonsense or not answered is a fault, never a guess', async () => {
+it('an order without a valid reply from the worker gives a fault', async () => {
   const answers = ['{"holdings":[]}', '{"holdings":7}', '<html>'];
   const server = createServer((_, res) => res.end(answers.shift() ?? ''));
   await new Promise<void>((resolve) => {
--- a/packages/runtime/src/streaming-responses.test.ts
+++ b/packages/runtime/src/streaming-responses.test.ts
@@ -5,17 +5,17 @@
 
 const LIMIT = { timeout: 30_000 };
 
-let trial: RoutingHarness;
+let harness: RoutingHarness;
 
-afterEach(() => trial.close());
+afterEach(() => harness.close());
 
 const STREAM_FAILURES: readonly (readonly [what: string, act: (call: WorkerCall) => void])[] = [
   ['is reset', (call) => call.reset()],
   ['is closed', (call) => call.close()],
   ['ends within an event', (call) => sendPartialEvent(call, (one) => one.endStream())],
   ['is closed within an event', (call) => sendPartialEvent(call, (one) => one.close())],
-  ['goes on with a chunk without a length', (call) => call.write('zz\r\nid: 2\ndata: e2\n\n\r\n')],
-  ['goes on with another answer', (call) => call.respond({ body: 'surplus' })],
+  ['continues with a chunk with a malformed length', (call) => call.write('zz\r\nid: 2\ndata: e2\n\n\r\n')],
+  ['continues with another response', (call) => call.respond({ body: 'surplus' })],
 ];
 
 function sendPartialEvent(call: WorkerCall, end: (call: WorkerCall) => void): void {
@@ -23,14 +23,14 @@
   end(call);
 }
 
-/** Asks for a stream at w0 and waits until its first event has reached the client. */
-async function openStream(kind: 'tell' | 'talk'): Promise<{ id: string; call: WorkerCall }> {
-  const id = trial.requestIdFor('w0');
-  trial.client.request({ id, path: `/${kind}/x` });
-  const call = await trial.nextCall();
+/** Requests a stream from w0 and waits until its first event has reached the client. */
+async function startStream(kind: 'tell' | 'talk'): Promise<{ id: string; call: WorkerCall }> {
+  const id = harness.requestIdFor('w0');
+  harness.client.request({ id, path: `/${kind}/x` });
+  const call = await harness.nextCall();
   call.openStream('first');
   call.event(1);
-  await trial.client.until('id: 1\ndata: e1\n\n');
+  await harness.client.until('id: 1\ndata: e1\n\n');
   return { id, call };
 }
 
@@ -40,81 +40,89 @@
 describe('control safety, point 5: a stream that breaks after its first event', () => {
   for (const [what, act] of STREAM_FAILURES) {
     it(
-      `control safety, point 5: a stream that may not be resumed and ${what} is visibly cut, run once`,
+      `control safety, point 5: a non-resumable stream that ${what} is visibly cut for the client and runs once`,
       LIMIT,
       async () => {
-        trial = await RoutingHarness.open(2);
-        const { id, call } = await openStream('tell');
+        harness = await RoutingHarness.open(2);
+        const { id, call } = await startStream('tell');
         act(call);
-        const answer = await trial.client.next();
+        const answer = await harness.client.next();
         expect([
           answer.whole,
           answer.status,
           answer.body.includes(FIRST_EVENT.slice(0, 5)),
-          trial.calls(id),
+          harness.calls(id),
         ]).toEqual([false, 200, true, 1]);
-        expect(trial.client.text.includes('id: 2')).toEqual(false);
+        expect(harness.client.text.includes('id: 2')).toEqual(false);
       },
     );
 
     it(
-      `control safety, point 5: a stream that may be resumed and ${what} goes on after its last whole event`,
+      `control safety, point 5: a resumable stream that ${what} continues after its last complete event`,
       LIMIT,
       async () => {
-        trial = await RoutingHarness.open(2);
-        const { id, call } = await openStream('talk');
+        harness = await RoutingHarness.open(2);
+        const { id, call } = await startStream('talk');
         act(call);
-        const second = await trial.nextCall();
+        const second = await harness.nextCall();
         second.openStream('second');
         second.event(2);
         second.endStream();
-        const answer = await trial.client.next();
+        const answer = await harness.client.next();
         expect([answer.whole, answer.body, answer.headers.get('mark')]).toEqual([
           true,
           FIRST_EVENT + SECOND_EVENT,
           'first',
         ]);
-        expect([second.headers.get('last-event-id'), second.worker, trial.calls(id)]).toEqual(['1', 'w1', 2]);
+        expect([second.headers.get('last-event-id'), second.worker, harness.calls(id)]).toEqual([
+          '1',
+          'w1',
+          2,
+        ]);
       },
     );
   }
 
-  it("control safety, point 5: a worker's events after a surplus beginning are nobody's", LIMIT, async () => {
-    trial = await RoutingHarness.open(1);
-    const { id, call } = await openStream('tell');
-    call.endStream();
-    const answer = await trial.client.next();
-    call.openStream('surplus');
-    call.event(7);
-    await call.closed;
-    const next = await trial.sendNextRequest('w0');
-    expect([answer.body, next.status, trial.client.text.includes('id: 7'), trial.calls(id)]).toEqual([
-      FIRST_EVENT,
-      200,
-      false,
-      1,
-    ]);
-  });
+  it(
+    'control safety, point 5: events of a surplus stream from a worker are delivered to no client',
+    LIMIT,
+    async () => {
+      harness = await RoutingHarness.open(1);
+      const { id, call } = await startStream('tell');
+      call.endStream();
+      const answer = await harness.client.next();
+      call.openStream('surplus');
+      call.event(7);
+      await call.closed;
+      const next = await harness.sendNextRequest('w0');
+      expect([answer.body, next.status, harness.client.text.includes('id: 7'), harness.calls(id)]).toEqual([
+        FIRST_EVENT,
+        200,
+        false,
+        1,
+      ]);
+    },
+  );
 });
 
-describe('control safety, point 5: a resumed stream that is refused', () => {
+describe('control safety, point 5: a resumed stream that workers decline', () => {
   it(
-    'control safety, point 5: is taken up again at a worker that it was sent to before, not cut',
+    'control safety, point 5: a declined stream is resumed on a worker that it was sent to before, instead of being cut',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(3);
-      await trial.earnRetryBudget(6);
-      const { id, call } = await openStream('talk');
+      harness = await RoutingHarness.open(3);
+      await harness.earnRetryBudget(6);
+      const { id, call } = await startStream('talk');
       call.reset();
-      (await trial.nextCall()).decline();
-      (await trial.nextCall()).decline();
-      const fourth = await trial.nextCall();
+      (await harness.nextCall()).decline();
+      (await harness.nextCall()).decline();
+      const fourth = await harness.nextCall();
       fourth.openStream('fourth');
       fourth.event(2);
       fourth.endStream();
-      const answer = await trial.client.next();
-      const sentTo = new Set(trial.workers.filter(({ received }) => received.some((one) => one.id === id)));
-      expect([answer.whole, answer.body, trial.calls(id), sentTo.size]).toEqual([
+      const answer = await harness.client.next();
+      const sentTo = new Set(harness.workers.filter(({ received }) => received.some((one) => one.id === id)));
+      expect([answer.whole, answer.body, harness.calls(id), sentTo.size]).toEqual([
         true,
         FIRST_EVENT + SECOND_EVENT,
         4,
@@ -123,142 +131,154 @@
     },
   );
 
-  it('control safety, point 5: never goes to more workers than its route allows', LIMIT, async () => {
-    trial = await RoutingHarness.open(5);
-    await trial.earnRetryBudget(6);
-    const { id, call } = await openStream('talk');
-    call.reset();
-    for (let turn = 0; turn < 4; turn += 1) (await trial.nextCall()).decline();
-    const last = await trial.nextCall();
-    last.openStream();
-    last.event(2);
-    last.endStream();
-    const answer = await trial.client.next();
-    const sentTo = trial.workers.filter(({ received }) => received.some((one) => one.id === id));
-    expect([answer.whole, answer.body, sentTo.length]).toEqual([true, FIRST_EVENT + SECOND_EVENT, 3]);
-  });
+  it(
+    'control safety, point 5: a resumed stream never goes to more workers than its route allows',
+    LIMIT,
+    async () => {
+      harness = await RoutingHarness.open(5);
+      await harness.earnRetryBudget(6);
+      const { id, call } = await startStream('talk');
+      call.reset();
+      for (let attempt = 0; attempt < 4; attempt += 1) (await harness.nextCall()).decline();
+      const last = await harness.nextCall();
+      last.openStream();
+      last.event(2);
+      last.endStream();
+      const answer = await harness.client.next();
+      const sentTo = harness.workers.filter(({ received }) => received.some((one) => one.id === id));
+      expect([answer.whole, answer.body, sentTo.length]).toEqual([true, FIRST_EVENT + SECOND_EVENT, 3]);
+    },
+  );
 
-  it('control safety, point 5: is cut once the client bears its silence no longer', LIMIT, async () => {
-    trial = await RoutingHarness.open(1);
-    const { call } = await openStream('talk');
-    trial.worker('w0').close();
-    call.reset();
-    await trial.edge.core.list([]);
-    trial.edge.clockJumpMs += 3000;
-    const answer = await trial.client.next();
-    expect([answer.whole, answer.status]).toEqual([false, 200]);
-  });
+  it(
+    'control safety, point 5: a stream that cannot be resumed is cut after the longest gap that its client accepts',
+    LIMIT,
+    async () => {
+      harness = await RoutingHarness.open(1);
+      const { call } = await startStream('talk');
+      harness.worker('w0').close();
+      call.reset();
+      await harness.edge.core.list([]);
+      harness.edge.clockJumpMs += 3000;
+      const answer = await harness.client.next();
+      expect([answer.whole, answer.status]).toEqual([false, 200]);
+    },
+  );
 });
 
-describe('control safety, point 5: a stream of which nothing has gone to the client', () => {
+describe('control safety, point 5: a stream of which nothing has reached the client', () => {
   it(
-    'control safety, point 5: gets a complete answer when its worker breaks off and the next refuses',
+    'control safety, point 5: a stream without events gets a complete error response if its worker fails and the next one declines',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(2);
-      const id = trial.requestIdFor('w0');
-      trial.client.request({ id, path: '/talk/x' });
-      const first = await trial.nextCall();
+      harness = await RoutingHarness.open(2);
+      const id = harness.requestIdFor('w0');
+      harness.client.request({ id, path: '/talk/x' });
+      const first = await harness.nextCall();
       first.openStream('first');
       first.chunk('id: 1\nda');
       first.reset();
-      (await trial.nextCall()).decline();
-      const answer = await trial.client.next();
+      (await harness.nextCall()).decline();
+      const answer = await harness.client.next();
       expect([answer.status, answer.whole]).toEqual([502, true]);
     },
   );
 
   it(
-    'control safety, point 5: gets a complete answer when it may run once and its worker breaks off',
+    'control safety, point 5: a non-resumable stream without events gets a complete error response if its worker fails',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(2);
-      const id = trial.requestIdFor('w0');
-      trial.client.request({ id, path: '/tell/x' });
-      const first = await trial.nextCall();
+      harness = await RoutingHarness.open(2);
+      const id = harness.requestIdFor('w0');
+      harness.client.request({ id, path: '/tell/x' });
+      const first = await harness.nextCall();
       first.openStream('first');
       first.reset();
-      const answer = await trial.client.next();
-      expect([answer.status, answer.whole, trial.calls(id)]).toEqual([502, true, 1]);
+      const answer = await harness.client.next();
+      expect([answer.status, answer.whole, harness.calls(id)]).toEqual([502, true, 1]);
     },
   );
 
-  it('control safety, point 5: is refused at once with a promise when all decline', LIMIT, async () => {
-    trial = await RoutingHarness.open(3);
-    await trial.earnRetryBudget(3);
-    const id = trial.requestIdFor('w0');
-    trial.client.request({ id, path: '/tell/x' });
-    for (let turn = 0; turn < 3; turn += 1) (await trial.nextCall()).decline();
-    const answer = await trial.client.next();
-    expect([answer.status, answer.whole, answer.headers.has('retry-after')]).toEqual([503, true, true]);
-  });
+  it(
+    'control safety, point 5: a stream is rejected immediately with 503 and Retry-After if all workers decline',
+    LIMIT,
+    async () => {
+      harness = await RoutingHarness.open(3);
+      await harness.earnRetryBudget(3);
+      const id = harness.requestIdFor('w0');
+      harness.client.request({ id, path: '/tell/x' });
+      for (let attempt = 0; attempt < 3; attempt += 1) (await harness.nextCall()).decline();
+      const answer = await harness.client.next();
+      expect([answer.status, answer.whole, answer.headers.has('retry-after')]).toEqual([503, true, true]);
+    },
+  );
 });
 
 describe('control safety, point 5: a silent worker', () => {
   it(
-    'control safety, point 5: keeps a stream that no other worker can take, and its next event is passed on',
+    'control safety, point 5: a stream stays with its silent worker if no other can take it, and its next event is forwarded',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(1);
-      const { id, call } = await openStream('talk');
-      trial.edge.clockJumpMs += 1500;
-      const other = await trial.edge.connect();
-      other.request({ id: trial.requestIdFor('w0'), path: '/missing/x' });
+      harness = await RoutingHarness.open(1);
+      const { id, call } = await startStream('talk');
+      harness.edge.clockJumpMs += 1500;
+      const other = await harness.edge.connect();
+      other.request({ id: harness.requestIdFor('w0'), path: '/missing/x' });
       await other.next();
-      await trial.edge.nextTick();
+      await harness.edge.nextTick();
       call.event(2);
       call.endStream();
-      const answer = await trial.client.next();
-      expect([answer.whole, answer.body, trial.calls(id)]).toEqual([true, FIRST_EVENT + SECOND_EVENT, 1]);
+      const answer = await harness.client.next();
+      expect([answer.whole, answer.body, harness.calls(id)]).toEqual([true, FIRST_EVENT + SECOND_EVENT, 1]);
     },
   );
 
   it(
-    'control safety, point 5: loses a stream that may be resumed to a worker that takes it',
+    'control safety, point 5: a resumable stream moves from its silent worker to another one',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(2);
-      const { call } = await openStream('talk');
-      trial.edge.clockJumpMs += 1500;
-      const second = await trial.nextCall();
+      harness = await RoutingHarness.open(2);
+      const { call } = await startStream('talk');
+      harness.edge.clockJumpMs += 1500;
+      const second = await harness.nextCall();
       await call.closed;
       second.openStream('second');
       second.event(2);
       second.endStream();
-      const answer = await trial.client.next();
+      const answer = await harness.client.next();
       expect([answer.whole, answer.body]).toEqual([true, FIRST_EVENT + SECOND_EVENT]);
     },
   );
 
   it(
-    'control safety, point 5: loses a plain request that may be repeated, which gets a complete answer where no worker takes it',
+    'control safety, point 5: a repeatable request gets a complete error response if no other worker takes it',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(1);
-      trial.client.request({ id: trial.requestIdFor('w0'), path: '/often/x' });
-      const call = await trial.nextCall();
-      trial.edge.clockJumpMs += 1500;
-      const answer = await trial.client.next();
+      harness = await RoutingHarness.open(1);
+      harness.client.request({ id: harness.requestIdFor('w0'), path: '/often/x' });
+      const call = await harness.nextCall();
+      harness.edge.clockJumpMs += 1500;
+      const answer = await harness.client.next();
       await call.closed;
       expect([answer.status, answer.whole]).toEqual([502, true]);
     },
   );
 
   it(
-    'control safety, point 5: keeps a request that may run once until its time is over, then 504',
+    'control safety, point 5: a non-repeatable request stays with its silent worker until its timeout, then gets 504',
     LIMIT,
     async () => {
-      trial = await RoutingHarness.open(2);
-      const id = trial.requestIdFor('w0');
-      trial.client.request({ id, path: '/once/x' });
-      const call = await trial.nextCall();
-      trial.edge.clockJumpMs += 4000;
-      await trial.edge.nextTick();
-      const waited = trial.client.text;
-      trial.edge.clockJumpMs += 1500;
-      const answer = await trial.client.next();
+      harness = await RoutingHarness.open(2);
+      const id = harness.requestIdFor('w0');
+      harness.client.request({ id, path: '/once/x' });
+      const call = await harness.nextCall();
+      harness.edge.clockJumpMs += 4000;
+      await harness.edge.nextTick();
+      const waited = harness.client.text;
+      harness.edge.clockJumpMs += 1500;
+      const answer = await harness.client.next();
       await call.closed;
-      expect([waited, answer.status, answer.whole, trial.calls(id)]).toEqual(['', 504, true, 1]);
+      expect([waited, answer.status, answer.whole, harness.calls(id)]).toEqual(['', 504, true, 1]);
     },
   );
 });
