--- a/packages/runtime/src/answers-clients.test.ts
+++ b/packages/runtime/src/answers-clients.test.ts
@@ -14,8 +14,8 @@
     LIMIT,
     async () => {
       harness = await RoutingHarness.open(1);
-      const first = harness.client.textOf({ id: 'a', path: '/once/x' });
-      const second = harness.client.textOf({ id: 'b', path: '/often/x' });
+      const first = harness.client.requestText({ id: 'a', path: '/once/x' });
+      const second = harness.client.requestText({ id: 'b', path: '/often/x' });
       harness.client.send(first + second);
       const calls = [await harness.nextCall(), await harness.nextCall()];
       calls.find((call) => call.id === 'b')?.respond();
@@ -30,7 +30,9 @@
     LIMIT,
     async () => {
       harness = await RoutingHarness.open(1);
-      harness.client.send(`${harness.client.textOf({ id: 'a', path: '/once/x' })}no request at all\r\n\r\n`);
+      harness.client.send(
+        `${harness.client.requestText({ id: 'a', path: '/once/x' })}no request at all\r\n\r\n`,
+      );
       const call = await harness.nextCall();
       const other = await harness.edge.connect();
       other.request({ id: 'other', path: '/missing/x' });
@@ -68,8 +70,8 @@
     LIMIT,
     async () => {
       harness = await RoutingHarness.open(1);
-      const first = harness.client.textOf({ id: 'a', path: '/once/x' });
-      const second = harness.client.textOf({ id: 'b', path: '/tell/x' });
+      const first = harness.client.requestText({ id: 'a', path: '/once/x' });
+      const second = harness.client.requestText({ id: 'b', path: '/tell/x' });
       harness.client.send(first + second);
       const calls = [await harness.nextCall(), await harness.nextCall()];
       const stream = calls.find((call) => call.id === 'b');
@@ -152,9 +154,9 @@
         const id = harness.requestIdFor('w0');
         harness.client.request({ id, path: moment === 'within a stream' ? '/tell/x' : '/once/x' });
         const call = await harness.nextCall();
-        if (moment === 'within a response with a length') call.write(call.textOf({}).slice(0, -2));
+        if (moment === 'within a response with a length') call.write(call.responseText({}).slice(0, -2));
         if (moment === 'within a response with Connection: close')
-          call.write(call.textOf({ headers: ['Connection: close'] }).slice(0, -2));
+          call.write(call.responseText({ headers: ['Connection: close'] }).slice(0, -2));
         if (moment === 'within a stream') {
           call.openStream();
           call.event(1);
--- a/packages/runtime/src/answers.test.ts
+++ b/packages/runtime/src/answers.test.ts
@@ -38,7 +38,7 @@
 ];
 
 function sendHalf(call: WorkerCall, end: (call: WorkerCall) => void): void {
-  const text = call.textOf({});
+  const text = call.responseText({});
   call.write(text.slice(0, -2));
   setImmediate(() => end(call));
 }
@@ -182,7 +182,7 @@
       const id = harness.requestIdFor('w0');
       harness.client.request({ id, path: '/once/x' });
       const call = await harness.nextCall();
-      call.write(call.textOf({}) + call.textOf({ body: 'surplus' }));
+      call.write(call.responseText({}) + call.responseText({ body: 'surplus' }));
       const answer = await harness.client.next();
       await call.closed;
       const next = await harness.sendNextRequest('w0');
@@ -220,7 +220,7 @@
       const id = harness.requestIdFor('w0');
       harness.client.request({ id, path: '/once/x' });
       const call = await harness.nextCall();
-      call.write(`${call.textOf({})}more than there should be`);
+      call.write(`${call.responseText({})}more than there should be`);
       const answer = await harness.client.next();
       await call.closed;
       expect([answer.body, (await harness.sendNextRequest('w0')).status]).toEqual([`of ${id}`, 200]);
@@ -240,7 +240,7 @@
         const second = harness.requestIdFor('w0');
         harness.client.request({ id: second, path: `/${kind}/x` });
         const call = await harness.nextCall();
-        call.write(call.textOf({ id: first, body: 'surplus' }) + call.textOf({}));
+        call.write(call.responseText({ id: first, body: 'surplus' }) + call.responseText({}));
         if (kind === 'often') (await harness.nextCall()).respond();
         const answer = await harness.client.next();
         expect([
@@ -422,7 +422,7 @@
     const id = harness.requestIdFor('w0');
     harness.client.request({ id, path: '/once/x' });
     const call = await harness.nextCall();
-    const text = call.textOf({});
+    const text = call.responseText({});
     call.write(text.slice(0, -3));
     await new Promise((resolve) => setImmediate(resolve));
     call.write(text.slice(-3));
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -74,11 +74,11 @@
   }
 
   request(request: ClientRequest): void {
-    this.send(this.textOf(request));
+    this.send(this.requestText(request));
   }
 
   /** The text of a request; from now on its response is expected. */
-  textOf({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
+  requestText({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
     this.#methods.push(method);
     const lines = [
       `${method} ${path} HTTP/1.1`,
--- a/packages/runtime/src/testing/stand-in-worker.ts
+++ b/packages/runtime/src/testing/stand-in-worker.ts
@@ -59,7 +59,7 @@
   }
 
   respond(answer: WorkerResponse = {}): void {
-    this.write(this.textOf(answer));
+    this.write(this.responseText(answer));
   }
 
   /** Responds that the worker has not run the request. */
@@ -68,7 +68,13 @@
   }
 
   /** The text of one complete response. */
-  textOf({ status = 200, body = `of ${this.id}`, id, signature, headers = [] }: WorkerResponse): string {
+  responseText({
+    status = 200,
+    body = `of ${this.id}`,
+    id,
+    signature,
+    headers = [],
+  }: WorkerResponse): string {
     return `${this.#head(status, id, signature, [...headers, `Content-Length: ${body.length}`])}${body}`;
   }
 
