--- a/packages/runtime/src/client-request.ts
+++ b/packages/runtime/src/client-request.ts
@@ -76,8 +76,8 @@
 }
 
 /**
- * The client's API key, decoded as UTF-8; undefined if the header is repeated, since neither value can be
- * trusted.
+ * The client's API key, decoded as UTF-8; undefined if the header is repeated, as it is unclear which value
+ * counts.
  */
 function readApiKey(req: IncomingMessage, name: string): string | undefined {
   const apiKey = firstValue(req.headers[name]);
--- a/packages/runtime/src/client-server.ts
+++ b/packages/runtime/src/client-server.ts
@@ -11,7 +11,7 @@
 import { splitAddress } from './peer-transport.js';
 
 const HEADERS_MAX_BYTES = 128 * 1024;
-/** Status line for a request that cannot be parsed, by the code of Node's error. */
+/** Status line for a request that cannot be parsed or read in time, by the code of Node's error. */
 const MALFORMED_REQUEST_STATUS: ReadonlyMap<string, string> = new Map([
   ['ERR_HTTP_REQUEST_TIMEOUT', '408 Request Timeout'],
   ['HPE_HEADER_OVERFLOW', '431 Request Header Fields Too Large'],
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -35,7 +35,10 @@
 const COUNTERS_INTERVAL_MS = 10_000;
 /** Interval at which a core without a coordinator logs what it waits for. */
 const WAIT_LOG_INTERVAL_MS = 1000;
-/** Running time without a synced write after which the disk counts as failed and the process exits. */
+/**
+ * A disk that has synced nothing for this long, while the process was running, counts as failed: the process
+ * exits.
+ */
 const DISK_HANG_MAX_MS = 30_000;
 
 /** The complete HTTP response of a worker. */
@@ -184,7 +187,7 @@
       void this.#pollWorkerList();
   }
 
-  /** Logs what this core waits for, and reports a fatal fault where the disk has hung for too long. */
+  /** Logs what this core waits for, and reports a fatal fault if the disk has hung for too long. */
   #checkWaits(): void {
     const { group } = this.#replica;
     const { diskWaitMs } = group;
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -25,7 +25,7 @@
 const URGENT_REQUEST_DELAY_MS = 7;
 const COUNTERS_INTERVAL_MS = 10_000;
 /**
- * Time in which new connections still arrive: the platform checks readiness every second, acts on the second
+ * Delay until no new connections arrive: the platform checks readiness every second and acts on the second
  * miss.
  */
 const DEREGISTRATION_DELAY_MS = 3000;
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Graceful shutdown: fails readiness checks, then stops accepting, then waits for open requests within the
-   * grace.
+   * Graceful shutdown: fails readiness checks, then stops accepting, then waits for open requests within
+   * the grace period.
    */
   async stop(): Promise<void> {
     if (this.#stopping) return;
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -64,7 +64,7 @@
     return this.#ended;
   }
 
-  /** Bytes that belong to no answer so far. */
+  /** Received text that does not belong to a complete response yet. */
   get rest(): string {
     return this.#rest;
   }
