--- a/packages/runtime/src/spec-platform-client.test.ts
+++ b/packages/runtime/src/spec-platform-client.test.ts
@@ -30,7 +30,7 @@
   expect(read.map((one) => one.isOk)).toEqual([true, false, false]);
 });
 
-it('an order without a valid reply from the worker gives a fault', async () => {
+it('an order without a valid reply from the worker gives a fault, not a presumed success', async () => {
   const answers = ['{"holdings":[]}', '{"holdings":7}', '<html>'];
   const server = createServer((_, res) => res.end(answers.shift() ?? ''));
   await new Promise<void>((resolve) => {
