--- a/packages/runtime/src/client-server.test.ts
+++ b/packages/runtime/src/client-server.test.ts
@@ -9,7 +9,7 @@
 import { ClientServer } from './client-server.js';
 import { RawClient } from './testing/raw-client.js';
 
-const WORDS = {
+const HEADER_NAMES = {
   requestId: 'x-id',
   deadlineMs: 'x-deadline',
   model: 'x-model',
@@ -20,14 +20,14 @@
   tenant: 'holder',
 };
 
-interface Answer {
+interface ClientResponse {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
   readonly whole: boolean;
 }
 
-/** A port of this machine that is free now. */
+/** Finds a free port on this machine. */
 function freePort(): Promise<number> {
   return new Promise((resolve) => {
     const server = createServer();
@@ -38,23 +38,23 @@
   });
 }
 
-class Bench {
-  readonly taken: { ask: ClientRequest; port: ResponseSink }[] = [];
-  left = 0;
-  leaving = false;
-  /** Called for each request that is taken. */
-  onTake: (ask: ClientRequest, port: ResponseSink) => void = (_, port) =>
-    port.respond(200, [['x-mark', 'm']], Buffer.from('well'));
+class ClientServerHarness {
+  readonly receivedRequests: { clientRequest: ClientRequest; sink: ResponseSink }[] = [];
+  cancelledCount = 0;
+  isDraining = false;
+  /** Called for each request that the server passes on. */
+  onRequest: (clientRequest: ClientRequest, sink: ResponseSink) => void = (_, sink) =>
+    sink.respond(200, [['x-mark', 'm']], Buffer.from('well'));
   readonly agent = new Agent({ keepAlive: true, maxSockets: 1 });
-  readonly front = new ClientServer({
-    headerNames: WORDS,
+  readonly clientServer = new ClientServer({
+    headerNames: HEADER_NAMES,
     limits: () => ({ ...DEFAULT_LIMITS, headerBytes: 2000, bodyBytes: 100 }),
-    isDraining: () => this.leaving,
-    onRequest: (ask, port) => {
-      this.taken.push({ ask, port });
-      this.onTake(ask, port);
+    isDraining: () => this.isDraining,
+    onRequest: (clientRequest, sink) => {
+      this.receivedRequests.push({ clientRequest, sink });
+      this.onRequest(clientRequest, sink);
       return () => {
-        this.left += 1;
+        this.cancelledCount += 1;
       };
     },
   });
@@ -62,7 +62,7 @@
 
   async open(): Promise<this> {
     this.#port = await freePort();
-    await this.front.listen(`127.0.0.1:${this.#port}`);
+    await this.clientServer.listen(`127.0.0.1:${this.#port}`);
     return this;
   }
 
@@ -72,10 +72,10 @@
 
   close(): void {
     this.agent.destroy();
-    this.front.close();
+    this.clientServer.close();
   }
 
-  ask(headers: Record<string, string>, body = ''): Promise<Answer> {
+  send(headers: Record<string, string>, body = ''): Promise<ClientResponse> {
     return new Promise((resolve, reject) => {
       const req = request(
         { host: '127.0.0.1', port: this.#port, method: 'POST', path: '/a/1?b=2', headers, agent: this.agent },
@@ -99,13 +99,13 @@
   }
 }
 
-describe('the front door', () => {
-  let bench: Bench | undefined;
-  afterEach(() => bench?.close());
+describe('the client server', () => {
+  let harness: ClientServerHarness | undefined;
+  afterEach(() => harness?.close());
 
-  it('hands on method, path, body and headers as they came, without those of the connection', async () => {
-    bench = await new Bench().open();
-    const answer = await bench.ask(
+  it('passes on method, path, body and headers unchanged, without hop-by-hop headers', async () => {
+    harness = await new ClientServerHarness().open();
+    const answer = await harness.send(
       {
         'x-id': '7',
         'x-model': 'big/a2',
@@ -116,63 +116,65 @@
       },
       'work',
     );
-    const ask = bench.taken[0]?.ask;
+    const clientRequest = harness.receivedRequests[0]?.clientRequest;
     expect([answer.status, answer.body, answer.headers['x-mark']]).toEqual([200, 'well', 'm']);
-    expect([ask?.id, ask?.method, ask?.target, ask?.host, ask?.body.toString(), ask?.deadlineMs]).toEqual([
-      '7',
-      'POST',
-      '/a/1?b=2',
-      'h.example',
-      'work',
-      900,
-    ]);
-    expect([ask?.model, ask?.adapter, ask?.prefix, ask?.promptTokens]).toEqual([
-      'big',
-      'a2',
-      ['aa', 'bb'],
-      60,
-    ]);
-    expect(ask?.headers.some(([name]) => name.toLowerCase() === 'connection')).toEqual(false);
+    expect([
+      clientRequest?.id,
+      clientRequest?.method,
+      clientRequest?.target,
+      clientRequest?.host,
+      clientRequest?.body.toString(),
+      clientRequest?.deadlineMs,
+    ]).toEqual(['7', 'POST', '/a/1?b=2', 'h.example', 'work', 900]);
+    expect([
+      clientRequest?.model,
+      clientRequest?.adapter,
+      clientRequest?.prefix,
+      clientRequest?.promptTokens,
+    ]).toEqual(['big', 'a2', ['aa', 'bb'], 60]);
+    expect(clientRequest?.headers.some(([name]) => name.toLowerCase() === 'connection')).toEqual(false);
   });
 
-  it('refuses what has no id, too long headers or too large a body, and hands none of it on', async () => {
-    bench = await new Bench().open();
-    const anonymous = await bench.ask({});
-    const endless = await bench.ask({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
-    const large = await bench.ask({ 'x-id': '2' }, 'z'.repeat(101));
-    expect([anonymous.status, endless.status, large.status, bench.taken.length]).toEqual([400, 431, 413, 0]);
+  it('rejects requests without an id, with too long headers or too large a body, and passes none of them on', async () => {
+    harness = await new ClientServerHarness().open();
+    const anonymous = await harness.send({});
+    const endless = await harness.send({ 'x-id': '1', 'x-long': 'y'.repeat(3000) });
+    const large = await harness.send({ 'x-id': '2' }, 'z'.repeat(101));
+    expect([anonymous.status, endless.status, large.status, harness.receivedRequests.length]).toEqual([
+      400, 431, 413, 0,
+    ]);
   });
 
-  it('says with a promise when to come back', async () => {
-    bench = await new Bench().open();
-    bench.onTake = (_, port) => port.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
-    const answer = await bench.ask({ 'x-id': '1' });
+  it('sends Retry-After with a fault that promises that nothing ran', async () => {
+    harness = await new ClientServerHarness().open();
+    harness.onRequest = (_, sink) => sink.reject({ ...fault('no-worker', 'none is free'), retryAfterS: 0.2 });
+    const answer = await harness.send({ 'x-id': '1' });
     expect([answer.status, answer.headers['retry-after']]).toEqual([503, '0.2']);
   });
 
-  it('lets a client see that a stream is cut, and that another is whole', async () => {
-    bench = await new Bench().open();
-    bench.onTake = (ask, port) => {
-      port.open(200, [['content-type', 'text/event-stream']]);
-      port.write(Buffer.from('id: 1\n\n'), () => undefined);
-      if (ask.id === 'cut') port.abort();
-      else port.close();
+  it('lets a client distinguish a stream that was cut from a complete one', async () => {
+    harness = await new ClientServerHarness().open();
+    harness.onRequest = (clientRequest, sink) => {
+      sink.open(200, [['content-type', 'text/event-stream']]);
+      sink.write(Buffer.from('id: 1\n\n'), () => undefined);
+      if (clientRequest.id === 'cut') sink.abort();
+      else sink.close();
     };
-    const whole = await bench.ask({ 'x-id': 'whole' });
-    const cut = await bench.ask({ 'x-id': 'cut' }).catch(() => undefined);
+    const whole = await harness.send({ 'x-id': 'whole' });
+    const cut = await harness.send({ 'x-id': 'cut' }).catch(() => undefined);
     expect([whole.whole, whole.body, cut?.whole ?? false]).toEqual([true, 'id: 1\n\n', false]);
   });
 
-  it('answers what is under way when it closes, and tells the client to come on another connection', async () => {
-    bench = await new Bench().open();
-    const { front } = bench;
-    bench.onTake = (_, port) => {
-      if (bench !== undefined) bench.leaving = true;
-      front.close();
-      setImmediate(() => port.respond(200, [], Buffer.from('late')));
+  it('completes open requests when it closes, and asks clients to close their connections', async () => {
+    harness = await new ClientServerHarness().open();
+    const { clientServer } = harness;
+    harness.onRequest = (_, sink) => {
+      if (harness !== undefined) harness.isDraining = true;
+      clientServer.close();
+      setImmediate(() => sink.respond(200, [], Buffer.from('late')));
     };
-    const answer = await bench.ask({ 'x-id': '1' });
-    expect([answer.status, answer.body, answer.headers.connection, front.openRequests]).toEqual([
+    const answer = await harness.send({ 'x-id': '1' });
+    expect([answer.status, answer.body, answer.headers.connection, clientServer.openRequests]).toEqual([
       200,
       'late',
       'close',
@@ -181,24 +183,24 @@
   });
 
   it(
-    'control safety, point 5: writes an answer out whole to a client that reads slowly, also when it closes',
+    'control safety, point 5: sends a complete response to a client that reads slowly, also while it closes',
     { timeout: 30_000 },
     async () => {
-      bench = await new Bench().open();
-      const { front } = bench;
+      harness = await new ClientServerHarness().open();
+      const { clientServer } = harness;
       const body = Buffer.alloc(16 * 1024 * 1024, 'x');
-      const client = await RawClient.connect(bench.port);
+      const client = await RawClient.connect(harness.port);
       client.pause();
       const answered = new Promise<void>((resolve) => {
-        if (bench !== undefined)
-          bench.onTake = (_, port) => {
-            port.respond(200, [], body);
+        if (harness !== undefined)
+          harness.onRequest = (_, sink) => {
+            sink.respond(200, [], body);
             resolve();
           };
       });
       client.send('POST /a/1 HTTP/1.1\r\nHost: a.example\r\nX-Id: 1\r\n\r\n');
       await answered;
-      front.close();
+      clientServer.close();
       client.resume();
       const answer = await client.next();
       expect([answer.status, answer.whole, answer.body.length]).toEqual([200, true, body.length]);
@@ -206,30 +208,30 @@
   );
 
   it(
-    'control safety, point 5: closes a connection behind its last answer, and hands nothing on after that',
+    'control safety, point 5: closes a connection after its last response, and passes on no request after that',
     { timeout: 30_000 },
     async () => {
-      bench = await new Bench().open();
-      const { front, taken } = bench;
+      harness = await new ClientServerHarness().open();
+      const { clientServer, receivedRequests } = harness;
       let answer: (() => void) | undefined;
       const took = new Promise<void>((resolve) => {
-        if (bench !== undefined)
-          bench.onTake = (_, port) => {
-            port.open(200, [['content-type', 'text/event-stream']]);
-            answer = () => port.close();
+        if (harness !== undefined)
+          harness.onRequest = (_, sink) => {
+            sink.open(200, [['content-type', 'text/event-stream']]);
+            answer = () => sink.close();
             resolve();
           };
       });
-      const idle = await RawClient.connect(bench.port);
-      const client = await RawClient.connect(bench.port);
+      const idle = await RawClient.connect(harness.port);
+      const client = await RawClient.connect(harness.port);
       client.send('POST /a/1 HTTP/1.1\r\nHost: a.example\r\nX-Id: 1\r\n\r\n');
       await took;
-      front.close();
+      clientServer.close();
       const idleEnd = await idle.next();
       answer?.();
       const whole = await client.next();
       const end = await client.next();
-      expect([idleEnd.status, whole.whole, end.status, taken.length]).toEqual([0, true, 0, 1]);
+      expect([idleEnd.status, whole.whole, end.status, receivedRequests.length]).toEqual([0, true, 0, 1]);
     },
   );
 });
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -1,4 +1,7 @@
-/** A core on the platform (the programs under `platform/`): its sockets, timers, disk and calls to workers. */
+/**
+ * A core node on the platform (the programs under `platform/`): its sockets, timers, disk and calls to
+ * workers.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
 import { PLATFORM_TIMES, type Acceptor } from '@rainrun/process-group';
@@ -24,27 +27,30 @@
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
 const TICK_MS = 25;
-/** A core that does not coordinate acts at every second tick only. */
+/** A core that is not the coordinator acts on every second tick only. */
 const NON_COORDINATOR_TICK_DIVISOR = 2;
 const LIST_INTERVAL_MS = 500;
 const LIST_TIMEOUT_MS = 900;
 const ORDER_TIMEOUT_MS = 800;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** A core without a coordinator says at this interval what it waits for. */
+/** Interval at which a core without a coordinator logs what it waits for. */
 const WAIT_LOG_INTERVAL_MS = 1000;
-/** A disk that has synced nothing for so long, while this process ran, is given up: the process ends. */
+/**
+ * A disk that has synced nothing for this long, while the process was running, counts as failed: the process
+ * exits.
+ */
 const DISK_HANG_MAX_MS = 30_000;
 
-/** The answer of a worker. */
+/** The complete HTTP response of a worker. */
 interface WorkerReply {
   readonly status: number;
   readonly body: string;
 }
 
 /**
- * A core on a platform: a member of the group that holds the deployment, with
- * a disk; answers operators, and while it coordinates reads the platform's
- * list and orders the workers.
+ * A core node on a platform: a member of the group that replicates the deployment, with a disk. It answers
+ * operators; while it is the coordinator it also polls the platform's worker list and sends orders to
+ * workers.
  * @example
  * const node = await CoreNode.open(settings, dialect, log, onFatal);
  * if (node.isOk) await node.value.start();
@@ -56,17 +62,17 @@
   #onFatal: (why: Fault) => void;
   #transport: PeerTransport;
   #replica: CoreReplica;
-  #link = new PoolLink(WORKER_CONNECTION_TIMES);
+  #workerLink = new PoolLink(WORKER_CONNECTION_TIMES);
   #operators: OperatorService;
   #operatorServer: OperatorServer;
   #timers: NodeJS.Timeout[] = [];
-  #isListing = false;
+  #isPollingList = false;
   #listFailures = 0;
-  #listedMs = -Infinity;
+  #lastListPollMs = -Infinity;
   #stopping = false;
   #wasCoordinator = false;
   #ticks = 0;
-  #waitLoggedMs = -Infinity;
+  #lastWaitLogMs = -Infinity;
 
   private constructor(
     settings: PlatformSettings,
@@ -114,8 +120,8 @@
   }
 
   /**
-   * Opens the disk; a fault says why it cannot be used. `onFatal` is told what must end the process later: a disk that
-   * fails or hangs (`disk`), or a peer port that stays taken (`bad-setting`).
+   * Opens the disk; a fault says why it cannot be used. `onFatal` is called later with a fault after which
+   * the process must exit: the disk fails or hangs (`disk`), or the peer port stays in use (`bad-setting`).
    */
   static async open(
     settings: PlatformSettings,
@@ -133,7 +139,7 @@
     return acceptor.map((opened) => new CoreNode(settings, dialect, log, opened, onFatal));
   }
 
-  /** Listens and begins to take part in the group. */
+  /** Starts the listeners and timers, with which the node joins the group. */
   start(): void {
     const { host, listenAddresses: listen } = this.#settings;
     void this.#listenForPeers();
@@ -151,7 +157,10 @@
     if (bound.isErr) this.#onFatal(bound.error);
   }
 
-  /** Graceful shutdown: rejects operators, takes leave of the group and stops its timers; the process is to exit then. */
+  /**
+   * Graceful shutdown: rejects operator calls, leaves the group and stops the timers; the process should exit
+   * then.
+   */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
@@ -168,37 +177,38 @@
     const { isCoordinator: leading } = this.#replica.group;
     if (!leading && this.#ticks % NON_COORDINATOR_TICK_DIVISOR !== 0) return;
     this.#replica.tick();
-    this.#reportWaits();
+    this.#checkWaits();
     if (leading !== this.#wasCoordinator) {
       this.#wasCoordinator = leading;
-      this.#listedMs = -Infinity;
+      this.#lastListPollMs = -Infinity;
       this.#log.info({ leading, epoch: this.#replica.group.epoch }, 'coordination');
     }
-    if (leading && MONOTONIC_CLOCK.nowMs() - this.#listedMs >= LIST_INTERVAL_MS) void this.#pollWorkerList();
+    if (leading && MONOTONIC_CLOCK.nowMs() - this.#lastListPollMs >= LIST_INTERVAL_MS)
+      void this.#pollWorkerList();
   }
 
-  /** Says what this core waits for, and ends the process where that will hardly come. */
-  #reportWaits(): void {
+  /** Logs what this core waits for, and reports a fatal fault if the disk has hung for too long. */
+  #checkWaits(): void {
     const { group } = this.#replica;
     const { diskWaitMs } = group;
     if (diskWaitMs > DISK_HANG_MAX_MS)
       return this.#onFatal(fault('disk', `no write was synced for ${Math.round(diskWaitMs)} ms`));
     const wait = group.coordinatorWait();
     const nowMs = MONOTONIC_CLOCK.nowMs();
-    if (wait === undefined || nowMs - this.#waitLoggedMs < WAIT_LOG_INTERVAL_MS) return;
-    this.#waitLoggedMs = nowMs;
+    if (wait === undefined || nowMs - this.#lastWaitLogMs < WAIT_LOG_INTERVAL_MS) return;
+    this.#lastWaitLogMs = nowMs;
     const { isListening: listening } = this.#transport;
     this.#log.warn({ wait, listening }, 'no coordinator');
   }
 
-  // The platform's list.
+  // Worker list of the platform.
 
   async #pollWorkerList(): Promise<void> {
-    if (this.#isListing) return;
-    this.#isListing = true;
-    this.#listedMs = MONOTONIC_CLOCK.nowMs();
+    if (this.#isPollingList) return;
+    this.#isPollingList = true;
+    this.#lastListPollMs = MONOTONIC_CLOCK.nowMs();
     const list = await this.#readWorkerList();
-    this.#isListing = false;
+    this.#isPollingList = false;
     if (list.isOk) {
       this.#listFailures = 0;
       this.#replica.learnList(list.value);
@@ -220,7 +230,7 @@
         );
         const text = await body.text();
         if (statusCode !== 200)
-          return Result.err(fault('unreached', `the platform's list answered ${statusCode}`));
+          return Result.err(fault('unreached', `the platform's worker list returned status ${statusCode}`));
         const page = this.#dialect.readPage(text);
         if (page.isErr) return Result.err(page.error);
         workers.push(...page.value.workers);
@@ -232,11 +242,11 @@
     }
   }
 
-  // Orders.
+  // Calls to workers.
 
   #sendOrder(row: WorkerRecord, order: WorkerOrder, done: (reply: WorkerOrderReply) => void): void {
     const body = this.#dialect.writeOrder(order, this.#replica.group.self.incarnation);
-    this.#call(
+    this.#callWorker(
       row,
       'POST',
       this.#dialect.orderPath,
@@ -250,7 +260,7 @@
   }
 
   #requestReport(row: WorkerRecord, done: (reply: ReportReply) => void): void {
-    this.#call(
+    this.#callWorker(
       row,
       'GET',
       this.#dialect.reportPath,
@@ -262,8 +272,8 @@
     );
   }
 
-  /** One call to a worker; `done` comes once, with nothing where there was no complete response. */
-  #call(
+  /** Calls a worker; `done` is called exactly once, with `undefined` if no complete response arrived. */
+  #callWorker(
     row: WorkerRecord,
     method: string,
     target: string,
@@ -271,12 +281,12 @@
     mayStart: () => boolean,
     done: (reply: WorkerReply | undefined) => void,
   ): void {
-    let open = true;
+    let isPending = true;
     let status = 0;
     const parts: Buffer[] = [];
     function finish(reply: WorkerReply | undefined): void {
-      if (!open) return;
-      open = false;
+      if (!isPending) return;
+      isPending = false;
       clearTimeout(timer);
       done(reply);
     }
@@ -285,10 +295,10 @@
       [this.#dialect.workerHeaderNames.expectInstance, row.id],
     ];
     if (body !== '') headers.push(['content-type', 'application/json']);
-    const send = this.#link.send(
+    const send = this.#workerLink.send(
       { address: row.address, method, target, headers, body: Buffer.from(body), stallMs: ORDER_TIMEOUT_MS },
       {
-        mayStart: () => open && mayStart(),
+        mayStart: () => isPending && mayStart(),
         head: (code) => {
           status = code;
         },
@@ -314,7 +324,7 @@
       'without coordinator ms': group.coordinatorWait()?.waitedMs ?? 0,
       'disk wait ms': Math.round(group.diskWaitMs),
       followers,
-      // The number of the table's last change, not a count of rows; the metric keeps its name.
+      // Sequence number of the table's last change, not a count of rows; the metric name is kept for compatibility.
       rows: workerTable.number,
       ...planner.counts,
       framesIn: this.#transport.counts.framesIn,
@@ -326,7 +336,7 @@
   }
 }
 
-/** Where the seeds listen for the other nodes. */
+/** Addresses at which the seed nodes listen for peers. */
 function seedAddresses({ ports, seeds }: PlatformSettings): string[] {
   return seeds.map((host) => `${host}:${ports[0]}`);
 }
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -1,4 +1,4 @@
-/** An edge on the platform (the programs under `platform/`): its sockets, timers and connections. */
+/** An edge node on the platform (the programs under `platform/`): its sockets, timers and connections. */
 import { createServer, type Server } from 'node:http';
 import { setImmediate as nextTurn, setTimeout as pause } from 'node:timers/promises';
 import { create } from '@bufbuild/protobuf';
@@ -15,24 +15,30 @@
 import { listenForPeers } from './peer-listener.js';
 import { splitAddress, PeerTransport } from './peer-transport.js';
 
-/** Interval of ticks while requests wait here, and while this edge is not ready. */
+/** Tick interval while requests wait here, and while this edge is not ready. */
 const TICK_MS = 50;
-/** The same while nothing waits here: waking the process costs more than the tick itself. */
+/** Tick interval while this edge is ready and idle: waking the process costs more than the tick itself. */
 const IDLE_TICK_MS = 100;
-/** A model without a worker is reported to the cores after this, together with what else came meanwhile. */
+/**
+ * Delay before a model without a worker is reported to the cores, so that further reports share the message.
+ */
 const URGENT_REQUEST_DELAY_MS = 7;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** The platform checks readiness every second and acts on the second miss: so long new connections still come. */
-const DEREGISTRATION_LAG_MS = 3000;
-const GRACE_RESERVE_MS = 700;
-/** The last responses of our own get so long to be sent. */
-const FINAL_RESPONSES_MS = 300;
-/** So long the goodbye to the cores gets to be sent. */
+/**
+ * Delay until no new connections arrive: the platform checks readiness every second and acts on the second
+ * miss.
+ */
+const DEREGISTRATION_DELAY_MS = 3000;
+/** Part of the grace period kept for the final responses and the goodbye to the cores. */
+const SHUTDOWN_RESERVE_MS = 700;
+/** Time to send the responses that this node itself gives to requests that are unanswered at shutdown. */
+const FINAL_RESPONSES_TIMEOUT_MS = 300;
+/** Time to send the goodbye to the cores. */
 const GOODBYE_FLUSH_MS = 30;
 
 /**
- * An edge on a platform: clients come in, requests go out to workers; what it
- * knows comes from the cores that it subscribes to.
+ * An edge node on a platform: accepts client requests and routes them to workers. Its configuration and
+ * worker table come from the cores that it subscribes to.
  * @example
  * const node = new EdgeNode(settings, dialect, log);
  * await node.start();
@@ -43,7 +49,7 @@
   #log: Log;
   #transport: PeerTransport;
   #replica: EdgeReplica;
-  #link = new PoolLink(WORKER_CONNECTION_TIMES);
+  #workerLink = new PoolLink(WORKER_CONNECTION_TIMES);
   #router: Router;
   #clientServer: ClientServer;
   #readiness: Server;
@@ -77,7 +83,7 @@
     this.#router = new Router({
       zone: settings.zone,
       clock,
-      link: this.#link,
+      link: this.#workerLink,
       headerNames: dialect.workerHeaderNames,
       retries: settings.retries,
       configuration: () => this.#replica.configuration,
@@ -95,7 +101,7 @@
       headerNames: dialect.clientHeaderNames,
       limits: () => this.#replica.configuration?.limits ?? undefined,
       isDraining: () => this.#stopping,
-      onRequest: (request, port) => this.#router.submit(request, port),
+      onRequest: (request, sink) => this.#router.submit(request, sink),
     });
     this.#readiness = createServer((req, res) => {
       const ready = req.url === dialect.readinessPath && this.#replica.ready && !this.#stopping;
@@ -105,8 +111,8 @@
   }
 
   /**
-   * Listens for cores, clients and readiness checks, and begins to subscribe. `onFatal` is told if the port for
-   * the cores stays taken (`bad-setting`): the process is to end then.
+   * Listens for cores, clients and readiness checks, and starts to subscribe. `onFatal` is called if the port
+   * for the cores stays in use (`bad-setting`): the process must exit then.
    */
   async start(onFatal: (why: Fault) => void): Promise<void> {
     const { host, listenAddresses: listen } = this.#settings;
@@ -114,7 +120,7 @@
     await this.#clientServer.listen(listen.clients);
     this.#readiness.listen(splitAddress(listen.readiness).port, host);
     this.#timers.push(
-      setInterval(() => this.#log.info(this.#countersLine(), 'counters'), COUNTERS_INTERVAL_MS),
+      setInterval(() => this.#log.info(this.#counterLogFields(), 'counters'), COUNTERS_INTERVAL_MS),
     );
     this.#tick();
     this.#log.info({ clients: listen.clients }, 'started');
@@ -126,29 +132,32 @@
     if (bound.isErr) onFatal(bound.error);
   }
 
-  /** Graceful shutdown: not ready any more, then no new connections, then responses in flight within the grace period. */
+  /**
+   * Graceful shutdown: fails readiness checks, then stops accepting, then waits for open requests within
+   * the grace period.
+   */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
     const startMs = this.#clock.nowMs();
-    const endMs = startMs + this.#settings.graceMs - GRACE_RESERVE_MS;
+    const endMs = startMs + this.#settings.graceMs - SHUTDOWN_RESERVE_MS;
     this.#log.info({ open: this.#clientServer.openRequests }, 'stopping');
-    await pause(Math.min(DEREGISTRATION_LAG_MS, this.#settings.graceMs / 2));
-    // Timers come before sockets in a turn: after a stall, requests that have arrived meanwhile are read first.
+    await pause(Math.min(DEREGISTRATION_DELAY_MS, this.#settings.graceMs / 2));
+    // Timers run before sockets in the event loop: after a stall, this reads requests that have already arrived.
     await nextTurn();
     await nextTurn();
     this.#clientServer.close();
     while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < endMs) await pause(25);
     this.#router.close();
     this.#replica.leave();
-    const lastMs = this.#clock.nowMs() + FINAL_RESPONSES_MS;
+    const lastMs = this.#clock.nowMs() + FINAL_RESPONSES_TIMEOUT_MS;
     do await pause(GOODBYE_FLUSH_MS);
     while (this.#clientServer.openRequests > 0 && this.#clock.nowMs() < lastMs);
-    this.#log.info(this.#countersLine(), 'stopped');
+    this.#log.info(this.#counterLogFields(), 'stopped');
     await this.close();
   }
 
-  /** Ends at once: timers, sockets and connections. */
+  /** Closes timers, sockets and connections immediately. */
   async close(): Promise<void> {
     this.#closed = true;
     for (const timer of this.#timers) clearInterval(timer);
@@ -157,7 +166,7 @@
     this.#clientServer.closeAllConnections();
     this.#readiness.close();
     this.#transport.close();
-    await this.#link.close();
+    await this.#workerLink.close();
   }
 
   #tick(): void {
@@ -165,11 +174,11 @@
     this.#replica.tick();
     this.#router.tick();
     this.#logReadiness();
-    const isResting = this.#replica.ready && this.#router.waiting === 0;
-    this.#tickWithin(isResting ? IDLE_TICK_MS : TICK_MS);
+    const isIdle = this.#replica.ready && this.#router.waiting === 0;
+    this.#tickWithin(isIdle ? IDLE_TICK_MS : TICK_MS);
   }
 
-  /** Lets the next tick come within this time at the latest. */
+  /** Schedules the next tick to run after at most `waitMs`. */
   #tickWithin(waitMs: number): void {
     if (this.#closed) return;
     const atMs = this.#clock.nowMs() + waitMs;
@@ -207,7 +216,8 @@
         { revision: this.#replica.state.revision, evacuated: this.#replica.state.evacuated },
         'configuration',
       );
-    } else this.#link.keepOnly(new Set([...this.#replica.workers.values()].map((worker) => worker.address)));
+    } else
+      this.#workerLink.keepOnly(new Set([...this.#replica.workers.values()].map((worker) => worker.address)));
     this.#router.tick();
   }
 
@@ -215,8 +225,8 @@
     return this.#router.demands().map((demand) => create(ModelDemandSchema, demand));
   }
 
-  /** With the requests by tenant where the configuration has tenants. */
-  #countersLine(): object {
+  /** The counters, with requests by tenant if the configuration has tenants. */
+  #counterLogFields(): object {
     const counters = this.#counters();
     return this.#replica.tenants === undefined
       ? { counters }
--- a/packages/runtime/src/platform-program.ts
+++ b/packages/runtime/src/platform-program.ts
@@ -1,4 +1,4 @@
-/** The programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
+/** Entry points of the programs `edge` and `core` on the platform: settings, log, signals, exit codes. */
 import { readFileSync } from 'node:fs';
 import { fault, type Fault } from '@rainrun/common';
 import { pino } from 'pino';
@@ -11,44 +11,44 @@
 /** Exit codes of the programs on a platform. */
 const EXIT_CODES = { success: 0, badSetting: 2, badDisk: 3, noListener: 5 } as const;
 
-/** A program's settings, and the log that it writes to. */
+/** A program's settings and its log. */
 interface ProgramSetup {
   readonly settings: PlatformSettings;
   readonly log: Log;
 }
 
 /**
- * Runs an edge on a platform: settings by the dialect, then the node until a signal.
+ * Runs an edge on a platform until a signal; the dialect reads the settings file.
  * @example
  * await runEdge(dialect, '/etc/rainrun/settings.toml');
  */
 export async function runEdge(dialect: Dialect, path: string): Promise<void> {
-  const setup = setUp(dialect, path);
+  const setup = prepareProgram(dialect, path);
   if (setup === undefined) return;
   const node = new EdgeNode(setup.settings, dialect, setup.log);
-  onStop(() => node.stop());
-  return node.start(endOn);
+  stopOnSignal(() => node.stop());
+  return node.start(exitOnFatalFault);
 }
 
 /**
- * Runs a core on a platform: settings by the dialect, its disk, then the node until a signal.
+ * Opens the disk and runs a core on a platform until a signal; the dialect reads the settings file.
  * @example
  * await runCore(dialect, '/etc/rainrun/settings.toml');
  */
 export async function runCore(dialect: Dialect, path: string): Promise<void> {
-  const setup = setUp(dialect, path);
+  const setup = prepareProgram(dialect, path);
   if (setup === undefined) return;
-  const opened = await CoreNode.open(setup.settings, dialect, setup.log, endOn);
+  const opened = await CoreNode.open(setup.settings, dialect, setup.log, exitOnFatalFault);
   if (opened.isErr) {
-    end(EXIT_CODES.badDisk, [opened.error]);
+    exitWithFaults(EXIT_CODES.badDisk, [opened.error]);
     return;
   }
-  onStop(() => opened.value.stop());
+  stopOnSignal(() => opened.value.stop());
   opened.value.start();
 }
 
-/** Reads the settings and opens the log; where the settings are bad the program ends, and nothing is returned. */
-function setUp(dialect: Dialect, path: string): ProgramSetup | undefined {
+/** Reads the settings and opens the log; exits the process if the settings are invalid. */
+function prepareProgram(dialect: Dialect, path: string): ProgramSetup | undefined {
   const read = tryOrElse(
     (thrown) => [
       fault('bad-setting', `settings: found ${JSON.stringify(path)}, expected a file (${String(thrown)})`),
@@ -56,7 +56,7 @@
     () => readFileSync(path, 'utf8'),
   ).andThen((text) => dialect.readSettings(text));
   if (read.isErr) {
-    end(EXIT_CODES.badSetting, read.error);
+    exitWithFaults(EXIT_CODES.badSetting, read.error);
     return undefined;
   }
   const settings = read.value;
@@ -67,8 +67,8 @@
   return { settings, log };
 }
 
-/** Stops the node on a signal; a further one changes nothing, the process ends once the first has been seen through. */
-function onStop(stop: () => Promise<void>): void {
+/** Stops the node on SIGTERM or SIGINT and exits afterwards; further signals are ignored. */
+function stopOnSignal(stop: () => Promise<void>): void {
   let isStopping = false;
   function handle(): void {
     if (isStopping) return;
@@ -79,12 +79,12 @@
   process.on('SIGINT', handle);
 }
 
-/** Ends the process on what a running node cannot go on without: its disk, or its port for the other nodes. */
-function endOn(why: Fault): void {
-  end(why.kind === 'bad-setting' ? EXIT_CODES.noListener : EXIT_CODES.badDisk, [why]);
+/** Exits on a fault that a running node cannot survive: its disk failed, or its peer port stays in use. */
+function exitOnFatalFault(why: Fault): void {
+  exitWithFaults(why.kind === 'bad-setting' ? EXIT_CODES.noListener : EXIT_CODES.badDisk, [why]);
 }
 
-function end(code: number, why: readonly Fault[]): void {
+function exitWithFaults(code: number, why: readonly Fault[]): void {
   for (const { kind, detail } of why) console.error(`${kind}: ${detail}`);
   process.exit(code);
 }
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -1,4 +1,7 @@
-/** A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and services. */
+/**
+ * A node of the research groups' system (the programs `edge` and `core`): its sockets, timers, disk and
+ * services.
+ */
 import { setTimeout as pause } from 'node:timers/promises';
 import type { ServerResponse } from 'node:http';
 import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
@@ -26,16 +29,16 @@
 const LIST_INTERVAL_MS = 500;
 const COUNTERS_INTERVAL_MS = 10_000;
 const HEADERS_TIMEOUT_MS = 10_000;
-const EXPLAINED_REQUESTS_MAX = 2000;
-/** A stopping node answers callers that keep their connections for so long. */
-const LINGER_MS = 5000;
+/** Number of finished requests kept for `explain`; the oldest are dropped first. */
+const END_RECORDS_MAX = 2000;
+/** Time during which a stopping node still responds on connections that callers keep open. */
+const DRAIN_LINGER_MS = 5000;
 
-/** What kind of node a program runs. */
+/** The kind of node that a program runs. */
 export type Role = 'edge' | 'core';
 
 /**
- * A node as a process: the deterministic parts put together with sockets,
- * disk, clock and services.
+ * A node as a process: connects the deterministic parts to sockets, disk, clock and HTTP services.
  * @example
  * const started = await SpecNode.start(settings, 'edge');
  * if (started.isOk) await started.value.stop();
@@ -59,7 +62,7 @@
   #timers: NodeJS.Timeout[] = [];
   #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
   #recorder: RequestRecorder | undefined;
-  #isListing = false;
+  #isPollingList = false;
   #listFailures = 0;
 
   private constructor(
@@ -87,7 +90,7 @@
     });
   }
 
-  /** Starts a node; a fault means that nothing was left open. */
+  /** Starts a node; when it returns a fault, nothing is left open. */
   static async start(
     settings: Settings,
     role: Role,
@@ -98,11 +101,11 @@
       role === 'core' ? await openDisk(settings, onFatal) : Result.ok<undefined, Fault>(undefined);
     if (acceptor.isErr) return Result.err(acceptor.error);
     const node = new SpecNode(settings, role, acceptor.value, log, onFatal);
-    const open = await node.#open();
-    return open.map(() => node);
+    const services = await node.#startServices();
+    return services.map(() => node);
   }
 
-  /** Stops without losing answers in flight: lets no one in, waits, says goodbye. */
+  /** Graceful shutdown: rejects new requests, waits for those in flight, then leaves the group. */
   async stop(): Promise<void> {
     this.#log.info({ inFlight: this.#edge?.gateway.inFlight ?? 0 }, 'stopping');
     this.#edge?.gateway.drain();
@@ -111,7 +114,7 @@
     while ((this.#edge?.gateway.inFlight ?? 0) > 0 && MONOTONIC_CLOCK.nowMs() < endMs) await pause(50);
     this.#clusterNode.group.leave();
     await pause(200);
-    await this.#httpServer.waitUntilIdle(Math.min(LINGER_MS, this.#settings.drainMs));
+    await this.#httpServer.waitUntilIdle(Math.min(DRAIN_LINGER_MS, this.#settings.drainMs));
     for (const timer of this.#timers) clearInterval(timer);
     this.#log.info({ counters: this.#counters() }, 'stopped');
     setTimeout(() => this.#httpServer.closeAllConnections(), 500).unref();
@@ -138,7 +141,7 @@
       order: (address, order, done) => {
         void sendSpecOrder(address, order).then(done);
       },
-      onStateChange: (held, entry) => this.#onStateChange(held, entry),
+      onStateChange: (groupState, entry) => this.#onStateChange(groupState, entry),
       onCast: () => undefined,
       protocolLevels: PROTOCOL_LEVELS,
       answerQuery: (kind, text) => this.#operators.queries.answer(kind, text),
@@ -151,31 +154,31 @@
   #makeEdge(): SpecEdge {
     const { name, zone } = this.#settings;
     const edge = new SpecEdge(this.#clusterNode, name, zone, MONOTONIC_CLOCK, SYSTEM_RANDOM, this.#sender);
-    edge.gateway.on('ended', (record) => this.#remember(record));
+    edge.gateway.on('ended', (record) => this.#recordEnd(record));
     return edge;
   }
 
-  #remember(record: EndRecord): void {
-    const { body: _, ...rest } = record;
-    this.#endRecords.set(record.id, rest);
+  #recordEnd(record: EndRecord): void {
+    const { body: _, ...endRecord } = record;
+    this.#endRecords.set(record.id, endRecord);
     this.#recorder?.record(record);
     const oldest = this.#endRecords.keys().next();
-    if (this.#endRecords.size > EXPLAINED_REQUESTS_MAX && oldest.done !== true)
+    if (this.#endRecords.size > END_RECORDS_MAX && oldest.done !== true)
       this.#endRecords.delete(oldest.value);
   }
 
-  #onStateChange(held: GroupState<SpecState>, entry: Entry | undefined): void {
+  #onStateChange(groupState: GroupState<SpecState>, entry: Entry | undefined): void {
     if (entry === undefined || entry.view !== undefined) {
-      const { epoch, number, members } = held.view;
+      const { epoch, number, members } = groupState.view;
       this.#log.info(
-        { epoch, view: number, members: members.map((member) => member.name), version: held.number },
+        { epoch, view: number, members: members.map((member) => member.name), version: groupState.number },
         'view',
       );
     }
     this.#edge?.gateway.tick();
   }
 
-  async #open(): Promise<Result<Unit, Fault>> {
+  async #startServices(): Promise<Result<Unit, Fault>> {
     const listening = await this.#transport.listen(this.#settings.bind);
     if (listening.isErr) return listening;
     for (const schema of this.#services()) this.#broker.createService(schema);
@@ -202,10 +205,10 @@
   }
 
   async #pollWorkerList(): Promise<void> {
-    if (this.#isListing || this.#settings.platform === '') return;
-    this.#isListing = true;
+    if (this.#isPollingList || this.#settings.platform === '') return;
+    this.#isPollingList = true;
     const list = await readSpecWorkerList(this.#settings.platform);
-    this.#isListing = false;
+    this.#isPollingList = false;
     if (list.isOk) {
       if (this.#listFailures > 0)
         this.#log.info({ failures: this.#listFailures }, 'worker list available again');
@@ -261,9 +264,9 @@
     deployment,
     random: SYSTEM_RANDOM,
     onFatal,
-    check: (opening) =>
-      opening.deployment === '' || opening.deployment === deployment
+    check: (opened) =>
+      opened.deployment === '' || opened.deployment === deployment
         ? undefined
-        : fault('foreign', `${folder} belongs to deployment "${opening.deployment}", not "${deployment}"`),
+        : fault('foreign', `${folder} belongs to deployment "${opened.deployment}", not "${deployment}"`),
   });
 }
--- a/packages/runtime/src/spec-platform-client.ts
+++ b/packages/runtime/src/spec-platform-client.ts
@@ -1,4 +1,4 @@
-/** What a node of the research groups' system reads from its platform and orders of its workers. */
+/** Client for the platform's worker list and for orders to workers, in the research groups' system. */
 import { readFile } from 'node:fs/promises';
 import { create } from '@bufbuild/protobuf';
 import { WorkerListSchema, type WorkerList } from '@rainrun/messages';
@@ -27,24 +27,24 @@
   busy: v.optional(v.boolean(), false),
 });
 
-const LIST_MAX_BYTES = 4 * 1024 * 1024;
-const LIST_WAIT_MS = 1500;
-const INVENTORY_WAIT_MS = 2000;
-const LOAD_WAIT_MS = 60_000;
+const RESPONSE_MAX_BYTES = 4 * 1024 * 1024;
+const LIST_TIMEOUT_MS = 1500;
+const INVENTORY_TIMEOUT_MS = 2000;
+const LOAD_TIMEOUT_MS = 60_000;
 
 async function readBody(body: AsyncIterable<Buffer>): Promise<string> {
   const parts: Buffer[] = [];
   let bytes = 0;
   for await (const part of body) {
     bytes += part.length;
-    if (bytes > LIST_MAX_BYTES) return '';
+    if (bytes > RESPONSE_MAX_BYTES) return '';
     parts.push(part);
   }
   return Buffer.concat(parts).toString('utf8');
 }
 
 /**
- * Reads the platform's list of workers from an http address or a file.
+ * Reads the platform's worker list from an http address or a file.
  * @example
  * const list = await readSpecWorkerList('http://127.0.0.1:9000/workers');
  */
@@ -52,12 +52,14 @@
   try {
     const text = source.startsWith('http://')
       ? await readBody(
-          (await request(source, { headersTimeout: LIST_WAIT_MS, bodyTimeout: LIST_WAIT_MS })).body,
+          (await request(source, { headersTimeout: LIST_TIMEOUT_MS, bodyTimeout: LIST_TIMEOUT_MS })).body,
         )
       : await readFile(source, 'utf8');
     const parsed = v.safeParse(ListSchema, JSON.parse(text));
     if (!parsed.success)
-      return Result.err(fault('wire', `the platform's list cannot be read: ${parsed.issues[0].message}`));
+      return Result.err(
+        fault('wire', `the platform's worker list is malformed: ${parsed.issues[0].message}`),
+      );
     const { generation, workers } = parsed.output;
     return Result.ok(
       create(WorkerListSchema, {
@@ -71,7 +73,7 @@
       }),
     );
   } catch (thrown) {
-    return Result.err(fault('unreached', `the platform's list: ${String(thrown)}`));
+    return Result.err(fault('unreached', `the platform's worker list cannot be read: ${String(thrown)}`));
   }
 }
 
@@ -84,17 +86,18 @@
   address: string,
   order: SpecOrder,
 ): Promise<Result<SpecOrderReply, Fault>> {
-  const waitMs = order.action === 'load' ? LOAD_WAIT_MS : INVENTORY_WAIT_MS;
+  const timeoutMs = order.action === 'load' ? LOAD_TIMEOUT_MS : INVENTORY_TIMEOUT_MS;
   try {
     const { statusCode, body } = await request(`http://${address}/orders`, {
       method: 'POST',
       headers: { 'content-type': 'application/json' },
       body: JSON.stringify(order),
-      headersTimeout: waitMs,
-      bodyTimeout: waitMs,
+      headersTimeout: timeoutMs,
+      bodyTimeout: timeoutMs,
     });
     const text = await readBody(body);
-    if (statusCode !== 200) return Result.err(fault('worker-nonsense', `order answered ${statusCode}`));
+    if (statusCode !== 200)
+      return Result.err(fault('worker-nonsense', `the order was answered with status ${statusCode}`));
     const parsed = v.safeParse(ReplySchema, JSON.parse(text));
     return parsed.success
       ? Result.ok(parsed.output)
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -2,13 +2,13 @@
 import { TEST_NAMES, type StandInNames } from './stand-in-names.js';
 import { AsyncQueue } from './async-queue.js';
 
-/** An answer as it came over the wire. */
+/** An HTTP response as a client received it. */
 export interface ClientResponse {
-  /** 0 where the connection ended before an answer began. */
+  /** HTTP status, or 0 if the connection closed before a response began. */
   readonly status: number;
   readonly headers: ReadonlyMap<string, string>;
   readonly body: string;
-  /** Whether it ended as its head says. */
+  /** Whether the body is complete according to the headers. */
   readonly whole: boolean;
 }
 
@@ -21,11 +21,11 @@
   readonly body?: string;
 }
 
-const NOTHING: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
+const NO_RESPONSE: ClientResponse = { status: 0, headers: new Map(), body: '', whole: false };
 
 /**
- * A client that speaks raw TCP: it may send several requests at once or half
- * ones, and sees every byte that comes back.
+ * An HTTP client over raw TCP that can pipeline requests, send partial ones and read every byte of the
+ * responses.
  * @example
  * const client = await RawClient.connect(8000);
  * client.request({ id: 'r1', path: '/often/x' });
@@ -35,13 +35,13 @@
   #socket: Socket;
   #names: StandInNames;
   #rest = '';
-  /** The next answer is not whole before so many characters stand in the rest. */
-  #needed = 0;
+  /** Length of `#rest` below which the next response is known to be incomplete. */
+  #minBytes = 0;
   #methods: string[] = [];
   #responses = new AsyncQueue<ClientResponse>();
-  #texts: { text: string; found: () => void }[] = [];
+  #textWaiters: { text: string; found: () => void }[] = [];
   #ended = false;
-  /** All that came. */
+  /** All text received so far. */
   text = '';
 
   private constructor(socket: Socket, names: StandInNames) {
@@ -64,7 +64,7 @@
     return this.#ended;
   }
 
-  /** Bytes that belong to no answer so far. */
+  /** Received text that does not belong to a complete response yet. */
   get rest(): string {
     return this.#rest;
   }
@@ -74,11 +74,11 @@
   }
 
   request(request: ClientRequest): void {
-    this.send(this.textOf(request));
+    this.send(this.requestText(request));
   }
 
-  /** The text of a request; its answer is expected from now on. */
-  textOf({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
+  /** The text of a request; from now on its response is expected. */
+  requestText({ id, path, method = 'POST', headers = [], body = 'work' }: ClientRequest): string {
     this.#methods.push(method);
     const lines = [
       `${method} ${path} HTTP/1.1`,
@@ -90,15 +90,15 @@
     return `${lines.join('\r\n')}\r\n\r\n${body}`;
   }
 
-  /** The next answer; one with status 0 or not whole where the connection ends first. */
+  /** The next response; its status is 0 or it is not whole if the connection closes first. */
   next(): Promise<ClientResponse> {
     return this.#responses.next();
   }
 
-  /** Resolves once this text has come. */
+  /** Resolves when this text has been received. */
   until(text: string): Promise<void> {
     if (this.text.includes(text)) return Promise.resolve();
-    return new Promise((found) => this.#texts.push({ text, found }));
+    return new Promise((found) => this.#textWaiters.push({ text, found }));
   }
 
   pause(): void {
@@ -120,10 +120,10 @@
   #receive(text: string): void {
     this.text += text;
     this.#rest += text;
-    for (let answer = this.#readAnswer(); answer !== undefined; answer = this.#readAnswer())
-      this.#responses.put(answer);
-    for (const waiting of this.#texts.filter((one) => this.text.includes(one.text))) waiting.found();
-    this.#texts = this.#texts.filter((one) => !this.text.includes(one.text));
+    for (let response = this.#readResponse(); response !== undefined; response = this.#readResponse())
+      this.#responses.put(response);
+    for (const waiter of this.#textWaiters.filter((one) => this.text.includes(one.text))) waiter.found();
+    this.#textWaiters = this.#textWaiters.filter((one) => !this.text.includes(one.text));
   }
 
   #close(): void {
@@ -131,13 +131,13 @@
     const headEnd = this.#rest.indexOf('\r\n\r\n');
     this.#responses.put(
       headEnd < 0
-        ? NOTHING
+        ? NO_RESPONSE
         : { ...readHead(this.#rest.slice(0, headEnd)), body: this.#rest.slice(headEnd + 4), whole: false },
     );
   }
 
-  #readAnswer(): ClientResponse | undefined {
-    if (this.#rest.length < this.#needed) return undefined;
+  #readResponse(): ClientResponse | undefined {
+    if (this.#rest.length < this.#minBytes) return undefined;
     const headEnd = this.#rest.indexOf('\r\n\r\n');
     if (headEnd < 0) return undefined;
     const head = readHead(this.#rest.slice(0, headEnd));
@@ -149,10 +149,10 @@
         ? readChunks(after)
         : readLength(after, length);
     if (read === undefined) {
-      this.#needed = Number.isFinite(length) ? headEnd + 4 + length : 0;
+      this.#minBytes = Number.isFinite(length) ? headEnd + 4 + length : 0;
       return undefined;
     }
-    this.#needed = 0;
+    this.#minBytes = 0;
     this.#methods.shift();
     this.#rest = read.rest;
     return { ...head, body: read.body, whole: true };
