--- a/packages/messages/src/gossip.ts
+++ b/packages/messages/src/gossip.ts
@@ -14,11 +14,11 @@
 } from './gen/rainrun_pb.js';
 
 /** Ranges into which the keys are partitioned for digests. */
-export const RANGES = 32;
+export const KEY_RANGES = 32;
 
 const FANOUT = 3;
 
-function newer(one: GossipItem, other: GossipItem): boolean {
+function isNewer(one: GossipItem, other: GossipItem): boolean {
   return one.major !== other.major ? one.major > other.major : one.minor > other.minor;
 }
 
@@ -67,54 +67,54 @@
   }
 
   onDigest(digest: GossipDigest): GossipRepair | undefined {
-    const mine = this.#digest().ranges;
+    const localRanges = this.#digest().ranges;
     const ranges: number[] = [];
-    for (let range = 0; range < RANGES; range += 1)
-      if (mine[range] !== digest.ranges[range]) ranges.push(range);
+    for (let range = 0; range < KEY_RANGES; range += 1)
+      if (localRanges[range] !== digest.ranges[range]) ranges.push(range);
     if (ranges.length === 0) return undefined;
     return create(GossipRepairSchema, { ranges, items: this.#inRanges(ranges) });
   }
 
   onRepair(repair: GossipRepair): GossipRepair | undefined {
-    const mine = this.#inRanges(repair.ranges);
-    const theirs = new Map<string, GossipItem>();
+    const localItems = this.#inRanges(repair.ranges);
+    const remoteItems = new Map<string, GossipItem>();
     for (const item of repair.items) {
-      theirs.set(item.key, item);
+      remoteItems.set(item.key, item);
       this.#store(item);
     }
     if (repair.answered) return undefined;
-    const better: GossipItem[] = [];
-    for (const item of mine) {
-      const other = theirs.get(item.key);
-      if (other === undefined || newer(item, other)) better.push(item);
+    const newerItems: GossipItem[] = [];
+    for (const item of localItems) {
+      const remote = remoteItems.get(item.key);
+      if (remote === undefined || isNewer(item, remote)) newerItems.push(item);
     }
-    return better.length === 0
+    return newerItems.length === 0
       ? undefined
-      : create(GossipRepairSchema, { ranges: repair.ranges, items: better, answered: true });
+      : create(GossipRepairSchema, { ranges: repair.ranges, items: newerItems, answered: true });
   }
 
   #randomPeers(members: readonly string[]): string[] {
     const pool = [...members];
-    const few: string[] = [];
-    while (few.length < FANOUT && pool.length > 0) {
-      few.push(...pool.splice(Math.floor(this.#random.next() * pool.length), 1));
+    const peers: string[] = [];
+    while (peers.length < FANOUT && pool.length > 0) {
+      peers.push(...pool.splice(Math.floor(this.#random.next() * pool.length), 1));
     }
-    return few;
+    return peers;
   }
 
   #store(item: GossipItem): void {
     const known = this.#items.get(item.key);
-    if (known !== undefined && !newer(item, known)) return;
+    if (known !== undefined && !isNewer(item, known)) return;
     this.#items.set(item.key, item);
     this.#unsent.push(item);
     this.#onItem(item);
   }
 
   #digest(): GossipDigest {
-    const ranges = new Array<number>(RANGES).fill(0);
+    const ranges = new Array<number>(KEY_RANGES).fill(0);
     for (const item of this.#items.values()) {
       const hash = hashText(item.key);
-      const range = hash % RANGES;
+      const range = hash % KEY_RANGES;
       const sum = (ranges[range] ?? 0) + hashText(`${item.major}.${item.minor}`, hash);
       ranges[range] = sum >>> 0;
     }
@@ -123,6 +123,6 @@
 
   #inRanges(ranges: readonly number[]): GossipItem[] {
     const wanted = new Set(ranges);
-    return [...this.#items.values()].filter((item) => wanted.has(hashText(item.key) % RANGES));
+    return [...this.#items.values()].filter((item) => wanted.has(hashText(item.key) % KEY_RANGES));
   }
 }
--- a/packages/messages/src/messages.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -10,28 +10,28 @@
 describe('ordered channel', () => {
   it('delivers once and in order over a network that loses, duplicates and reorders', () => {
     const random = new SeededRandom(5);
-    const near = new OrderedChannel();
-    const far = new OrderedChannel();
-    const got: string[] = [];
+    const sender = new OrderedChannel();
+    const receiver = new OrderedChannel();
+    const delivered: string[] = [];
     let inTransit: { to: OrderedChannel; message: SequencedMessage }[] = [];
-    function carry(to: OrderedChannel, messages: SequencedMessage[]): void {
+    function transmit(to: OrderedChannel, messages: SequencedMessage[]): void {
       for (const message of messages) {
         const copies = random.next() < 0.3 ? 0 : random.next() < 0.2 ? 2 : 1;
         for (let copy = 0; copy < copies; copy += 1) inTransit.push({ to, message: { ...message } });
       }
     }
-    for (let place = 0; place < 300; place += 1)
-      near.post({ case: 'answer', value: create(AnswerSchema, { id: String(place) }) });
-    for (let nowMs = 0; nowMs < 60_000 && got.length < 300; nowMs += 50) {
-      carry(far, near.tick(nowMs));
-      carry(near, far.tick(nowMs));
+    for (let index = 0; index < 300; index += 1)
+      sender.post({ case: 'answer', value: create(AnswerSchema, { id: String(index) }) });
+    for (let nowMs = 0; nowMs < 60_000 && delivered.length < 300; nowMs += 50) {
+      transmit(receiver, sender.tick(nowMs));
+      transmit(sender, receiver.tick(nowMs));
       const due = inTransit.sort(() => random.next() - 0.5);
       inTransit = [];
       for (const { to, message } of due) {
-        for (const body of to.receive(message)) if (body.case === 'answer') got.push(body.value.id);
+        for (const body of to.receive(message)) if (body.case === 'answer') delivered.push(body.value.id);
       }
     }
-    expect(got).toEqual(Array.from({ length: 300 }, (_, place) => String(place)));
+    expect(delivered).toEqual(Array.from({ length: 300 }, (_, index) => String(index)));
   });
 
   it('reports its lag, and does not count its own suspension', () => {
@@ -85,8 +85,8 @@
     one.publish('b', 1, 0, new Uint8Array([3]));
     const digest = one.tick(['x']).find((frame) => frame.body.case === 'gossipDigest');
     const repair = digest?.body.case === 'gossipDigest' ? other.onDigest(digest.body.value) : undefined;
-    const back = repair === undefined ? undefined : one.onRepair(repair);
-    if (back !== undefined) other.onRepair(back);
+    const answer = repair === undefined ? undefined : one.onRepair(repair);
+    if (answer !== undefined) other.onRepair(answer);
     expect([one.get('a')?.value, other.get('a')?.value, other.get('b')?.value]).toEqual([
       new Uint8Array([2]),
       new Uint8Array([2]),
--- a/packages/messages/src/ordered-channel.ts
+++ b/packages/messages/src/ordered-channel.ts
@@ -39,8 +39,8 @@
   }
 
   /** Does not count time against the member in which this process slept itself. */
-  slept(awayMs: number): void {
-    for (const flight of this.#unacknowledged) flight.firstSentMs += awayMs;
+  slept(suspendedMs: number): void {
+    for (const pending of this.#unacknowledged) pending.firstSentMs += suspendedMs;
   }
 
   /** Receives a message and returns the bodies that are now in order. */
@@ -64,11 +64,11 @@
   /** The messages that are due now: new ones, retransmissions, or a bare acknowledgement. */
   tick(nowMs: number): SequencedMessage[] {
     const due: SequencedMessage[] = [];
-    for (const flight of this.#unacknowledged) {
-      if (nowMs - flight.sentMs < RESEND_INTERVAL_MS) continue;
-      flight.sentMs = nowMs;
-      flight.message.ack = this.#received;
-      due.push(flight.message);
+    for (const pending of this.#unacknowledged) {
+      if (nowMs - pending.sentMs < RESEND_INTERVAL_MS) continue;
+      pending.sentMs = nowMs;
+      pending.message.ack = this.#received;
+      due.push(pending.message);
     }
     while (this.#unacknowledged.length < WINDOW && this.#backlog.length > 0) {
       this.#sequence += 1;
--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -5,7 +5,7 @@
 /** Format of recorded days; a reader refuses any newer one. */
 export const DAY_VERSION = 1;
 
-const HeadSchema = v.strictObject({
+const HeaderSchema = v.strictObject({
   format: v.literal('rainrun-day'),
   version: v.number(),
   deployment: v.string(),
@@ -75,23 +75,25 @@
   if (!text.endsWith('\n'))
     return Result.err(fault('damaged', `line ${text.split('\n').length}: cut off, no end of line`));
   const lines = text.slice(0, -1).split('\n');
-  const head = v.safeParse(HeadSchema, parse(lines[0] ?? ''));
-  if (!head.success) return Result.err(fault('foreign', 'line 1: not the head of a recorded day'));
-  if (head.output.version > DAY_VERSION) {
-    return Result.err(fault('foreign', `line 1: format ${head.output.version} is newer than ${DAY_VERSION}`));
+  const header = v.safeParse(HeaderSchema, parse(lines[0] ?? ''));
+  if (!header.success) return Result.err(fault('foreign', 'line 1: not the head of a recorded day'));
+  if (header.output.version > DAY_VERSION) {
+    return Result.err(
+      fault('foreign', `line 1: format ${header.output.version} is newer than ${DAY_VERSION}`),
+    );
   }
   const calls: Call[] = [];
-  for (let place = 1; place < lines.length; place += 1) {
-    const call = v.safeParse(CallSchema, parse(lines[place] ?? ''));
+  for (let index = 1; index < lines.length; index += 1) {
+    const call = v.safeParse(CallSchema, parse(lines[index] ?? ''));
     if (!call.success) {
       const issue = call.issues[0];
       return Result.err(
-        fault('damaged', `line ${place + 1}: ${v.getDotPath(issue) ?? 'call'}: ${issue.message}`),
+        fault('damaged', `line ${index + 1}: ${v.getDotPath(issue) ?? 'call'}: ${issue.message}`),
       );
     }
     calls.push(call.output);
   }
-  return Result.ok({ deployment: head.output.deployment, calls });
+  return Result.ok({ deployment: header.output.deployment, calls });
 }
 
 /**
@@ -99,8 +101,8 @@
  * @example
  * promptOf({ ...call, prefix: 7, chars: 40 }, 3);
  */
-export function promptOf(call: Call, place: number): string {
+export function promptOf(call: Call, index: number): string {
   if (call.prompt !== undefined) return call.prompt;
-  const begin = `prefix ${call.prefix} `.repeat(20).slice(0, Math.max(0, call.chars - 16));
-  return `${begin}question ${place}`;
+  const sharedPrefix = `prefix ${call.prefix} `.repeat(20).slice(0, Math.max(0, call.chars - 16));
+  return `${sharedPrefix}question ${index}`;
 }
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
-interface KindShape {
+interface RequestKindShape {
   readonly group: string;
   readonly share: number;
   readonly kind: string;
@@ -24,15 +24,15 @@
   readonly models: number;
   readonly adapters: number;
   readonly modelWord: string;
-  readonly adapterWord: string;
+  readonly adapterNamePrefix: string;
   readonly pool: string;
   readonly lookupPath: string;
   readonly lookupGroup: string;
   readonly lookupsPerS: number;
-  readonly kinds: readonly KindShape[];
+  readonly kinds: readonly RequestKindShape[];
 }
 
-const CHAT = '/v1/chat/completions';
+const CHAT_PATH = '/v1/chat/completions';
 
 /** The known deployments' shapes by name. */
 export const SHAPES: Readonly<Record<string, Shape>> = {
@@ -46,7 +46,7 @@
     models: 36,
     adapters: 40,
     modelWord: 'turbine',
-    adapterWord: 'site',
+    adapterNamePrefix: 'site',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
     lookupGroup: 'dashboards',
@@ -97,7 +97,7 @@
     models: 30,
     adapters: 55,
     modelWord: 'ticket',
-    adapterWord: 'barangay',
+    adapterNamePrefix: 'barangay',
     pool: 'seat-board',
     lookupPath: '/v1/lookup/seats',
     lookupGroup: 'seat-board',
@@ -159,7 +159,7 @@
     models: 8,
     adapters: 6,
     modelWord: 'model',
-    adapterWord: 'adapter',
+    adapterNamePrefix: 'adapter',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
     lookupGroup: 'dashboards',
@@ -197,15 +197,15 @@
  * exampleSpec(SHAPES['vejsargs']);
  */
 export function exampleSpec(shape: Shape): Record<string, unknown> {
-  const dice = new SeededRandom(shape.models);
-  const models = Array.from({ length: shape.models }, (_, place) => ({
-    name: `${shape.modelWord}-${place + 1}`,
-    sizeMb: 4000 + Math.floor(dice.next() * 12) * 1000,
+  const random = new SeededRandom(shape.models);
+  const models = Array.from({ length: shape.models }, (_, index) => ({
+    name: `${shape.modelWord}-${index + 1}`,
+    sizeMb: 4000 + Math.floor(random.next() * 12) * 1000,
   }));
-  const adapters = Array.from({ length: shape.adapters }, (_, place) => ({
-    name: `${shape.adapterWord}-${place + 1}`,
-    model: models[place % Math.ceil(shape.models / 2)]?.name ?? '',
-    sizeMb: 50 + Math.floor(dice.next() * 6) * 50,
+  const adapters = Array.from({ length: shape.adapters }, (_, index) => ({
+    name: `${shape.adapterNamePrefix}-${index + 1}`,
+    model: models[index % Math.ceil(shape.models / 2)]?.name ?? '',
+    sizeMb: 50 + Math.floor(random.next() * 6) * 50,
   }));
   const groups = shape.kinds.map(({ group, share, kind, targetMs, patienceMs }) => ({
     name: group,
@@ -229,14 +229,14 @@
     adapters,
     groups,
     routes: [
-      { path: CHAT, serve: 'chat' },
+      { path: CHAT_PATH, serve: 'chat' },
       { path: shape.lookupPath, serve: 'lookup', pool: shape.pool },
     ],
   };
 }
 
-function rare(dice: SeededRandom, count: number): number {
-  return Math.min(count - 1, Math.floor(count * dice.next() ** 2.5));
+function skewedIndex(random: SeededRandom, count: number): number {
+  return Math.min(count - 1, Math.floor(count * random.next() ** 2.5));
 }
 
 /**
@@ -245,33 +245,35 @@
  * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
 export function makeDay(shape: Shape, seconds: number, seed: number): string {
-  const dice = new SeededRandom(seed);
+  const random = new SeededRandom(seed);
   const spec = exampleSpec(shape) as { adapters: { name: string; model: string }[] };
   const calls: Call[] = [];
   for (const kind of shape.kinds) {
-    for (let atMs = gapMs(dice, kind.perS); atMs < seconds * 1000; atMs += gapMs(dice, kind.perS)) {
-      const model = `${shape.modelWord}-${1 + rare(dice, shape.models)}`;
-      const fitting = spec.adapters.filter((adapter) => adapter.model === model);
+    for (let atMs = gapMs(random, kind.perS); atMs < seconds * 1000; atMs += gapMs(random, kind.perS)) {
+      const model = `${shape.modelWord}-${1 + skewedIndex(random, shape.models)}`;
+      const modelAdapters = spec.adapters.filter((adapter) => adapter.model === model);
       const adapter =
-        fitting.length > 0 && dice.next() < 0.4 ? (fitting[rare(dice, fitting.length)]?.name ?? '') : '';
+        modelAdapters.length > 0 && random.next() < 0.4
+          ? (modelAdapters[skewedIndex(random, modelAdapters.length)]?.name ?? '')
+          : '';
       const { group, kind: name, stream, chars, prefixes } = kind;
       calls.push({
         atMs: Math.round(atMs),
         group,
         kind: name,
-        path: CHAT,
+        path: CHAT_PATH,
         model,
         adapter,
         stream,
-        prefix: rare(dice, prefixes),
+        prefix: skewedIndex(random, prefixes),
         chars,
       });
     }
   }
   for (
-    let atMs = gapMs(dice, shape.lookupsPerS);
+    let atMs = gapMs(random, shape.lookupsPerS);
     atMs < seconds * 1000;
-    atMs += gapMs(dice, shape.lookupsPerS)
+    atMs += gapMs(random, shape.lookupsPerS)
   ) {
     calls.push({
       atMs: Math.round(atMs),
@@ -299,6 +301,6 @@
   return makeDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
 }
 
-function gapMs(dice: SeededRandom, perS: number): number {
-  return (-Math.log(1 - dice.next()) / perS) * 1000;
+function gapMs(random: SeededRandom, perS: number): number {
+  return (-Math.log(1 - random.next()) / perS) * 1000;
 }
--- a/programs/edge/src/edge.test.ts
+++ b/programs/edge/src/edge.test.ts
@@ -10,7 +10,7 @@
   return { status, stderr };
 }
 
-const GOOD = [
+const VALID_FLAGS = [
   '--name',
   'edge-1',
   '--deployment',
@@ -26,20 +26,20 @@
 ];
 
 it('checks its settings and exits', () => {
-  expect(run(...GOOD, '--check').status).toEqual(0);
+  expect(run(...VALID_FLAGS, '--check').status).toEqual(0);
 });
 
 it('exits with 2 on a bad setting, naming key, value and what was expected', () => {
   const { status, stderr } = run(
-    ...GOOD.map((word) => (word === '127.0.0.1:7001' ? 'nowhere' : word)),
+    ...VALID_FLAGS.map((word) => (word === '127.0.0.1:7001' ? 'nowhere' : word)),
     '--check',
   );
   expect([status, stderr.startsWith('edge: bind: found "nowhere", expected')]).toEqual([2, true]);
 });
 
 it('exits with 2 on an unknown flag and on one given twice', () => {
-  expect(run(...GOOD, '--colour', 'red').status).toEqual(2);
-  expect(run(...GOOD, '--name', 'edge-2').stderr.trim()).toEqual(
+  expect(run(...VALID_FLAGS, '--colour', 'red').status).toEqual(2);
+  expect(run(...VALID_FLAGS, '--name', 'edge-2').stderr.trim()).toEqual(
     'edge: name: found ["edge-1","edge-2"], expected one value',
   );
 });
--- a/programs/rainrun/src/commands.ts
+++ b/programs/rainrun/src/commands.ts
@@ -2,7 +2,7 @@
 import { readFile } from 'node:fs/promises';
 
 /** One call to a node, its path below `/rainrun/v1/`. */
-export interface Call {
+export interface NodeCall {
   readonly method: 'GET' | 'POST' | 'PUT' | 'PATCH';
   readonly path: string;
   readonly body?: unknown;
@@ -26,45 +26,45 @@
 
 /** A command's words after its name, with the flags. */
 interface CommandInput {
-  readonly words: readonly string[];
+  readonly args: readonly string[];
   readonly flags: ChangeFlags;
 }
 
-type Command = (input: CommandInput) => Call | Promise<Call>;
+type Command = (input: CommandInput) => NodeCall | Promise<NodeCall>;
 
 const COMMANDS: Readonly<Record<string, Command>> = {
   view: () => ({ method: 'GET', path: 'view' }),
   workers: () => ({ method: 'GET', path: 'workers' }),
   groups: () => ({ method: 'GET', path: 'groups' }),
-  status: ({ words }) => nodeRowsCall('status', words[0]),
-  counters: ({ words }) => nodeRowsCall('counters', words[0]),
+  status: ({ args }) => nodeRowsCall('status', args[0]),
+  counters: ({ args }) => nodeRowsCall('counters', args[0]),
   spec: specCall,
   zones: zonesCall,
-  operation: ({ words }) => ({ method: 'GET', path: `operations/${requiredSegment(words[0], 'the id')}` }),
+  operation: ({ args }) => ({ method: 'GET', path: `operations/${requiredSegment(args[0], 'the id')}` }),
   explain: explainCall,
-  forget: ({ words }) => ({ method: 'POST', path: `forget/${requiredSegment(words[0], 'the name')}` }),
+  forget: ({ args }) => ({ method: 'POST', path: `forget/${requiredSegment(args[0], 'the name')}` }),
 };
 
 /**
  * The call for a command line.
  * @throws {UsageError} where the command is unknown, a word is missing or its file cannot be read
  * @example
- * await callOf(['zones', 'empty', 'north'], {}); // { method: 'POST', path: 'zones/north/empty', body: {} }
+ * await callForCommand(['zones', 'empty', 'north'], {}); // { method: 'POST', path: 'zones/north/empty', body: {} }
  */
-export async function callOf(input: readonly string[], flags: ChangeFlags): Promise<Call> {
-  const [name, ...words] = input;
+export async function callForCommand(input: readonly string[], flags: ChangeFlags): Promise<NodeCall> {
+  const [name, ...args] = input;
   if (name === undefined) throw new UsageError('no command');
   const command = Object.hasOwn(COMMANDS, name) ? COMMANDS[name] : undefined;
   if (command === undefined) throw new UsageError(`unknown command "${name}"`);
-  return command({ words, flags });
+  return command({ args, flags });
 }
 
-function nodeRowsCall(kind: 'status' | 'counters', node: string | undefined): Call {
+function nodeRowsCall(kind: 'status' | 'counters', node: string | undefined): NodeCall {
   return { method: 'GET', path: node === undefined ? kind : `${kind}?node=${encodeURIComponent(node)}` };
 }
 
-async function specCall({ words: [verb, file], flags }: CommandInput): Promise<Call> {
-  switch (verb) {
+async function specCall({ args: [subcommand, file], flags }: CommandInput): Promise<NodeCall> {
+  switch (subcommand) {
     case 'get':
       return { method: 'GET', path: 'spec' };
     case 'history':
@@ -72,41 +72,46 @@
     case 'check':
       return { method: 'POST', path: 'spec/check', body: { text: await readText(file) } };
     case 'apply':
-      return { method: 'PUT', path: 'spec', body: { text: await readText(file), ...given(flags) } };
+      return { method: 'PUT', path: 'spec', body: { text: await readText(file), ...givenFlags(flags) } };
     case 'change':
       return {
         method: 'PATCH',
         path: 'spec',
-        body: { patch: parsePatch(await readText(file)), ...given(flags) },
+        body: { patch: parsePatch(await readText(file)), ...givenFlags(flags) },
       };
     default:
-      throw new UsageError(`unknown command "spec ${verb ?? ''}"`);
+      throw new UsageError(`unknown command "spec ${subcommand ?? ''}"`);
   }
 }
 
-function zonesCall({ words: [verb, zone], flags }: CommandInput): Call {
-  if (verb === undefined) return { method: 'GET', path: 'zones' };
-  if (verb !== 'empty' && verb !== 'restore') throw new UsageError(`unknown command "zones ${verb}"`);
-  return { method: 'POST', path: `zones/${requiredSegment(zone, 'the zone')}/${verb}`, body: given(flags) };
+function zonesCall({ args: [subcommand, zone], flags }: CommandInput): NodeCall {
+  if (subcommand === undefined) return { method: 'GET', path: 'zones' };
+  if (subcommand !== 'empty' && subcommand !== 'restore')
+    throw new UsageError(`unknown command "zones ${subcommand}"`);
+  return {
+    method: 'POST',
+    path: `zones/${requiredSegment(zone, 'the zone')}/${subcommand}`,
+    body: givenFlags(flags),
+  };
 }
 
-function explainCall({ words: [what, name] }: CommandInput): Call {
-  if (what !== 'request' && what !== 'model') throw new UsageError('explain what: request or model');
+function explainCall({ args: [subject, name] }: CommandInput): NodeCall {
+  if (subject !== 'request' && subject !== 'model') throw new UsageError('explain what: request or model');
   return { method: 'GET', path: `explain/${what}s/${requiredSegment(name, 'the name')}` };
 }
 
 /** The flags that were given. */
-function given({ base, id }: ChangeFlags): Record<string, unknown> {
+function givenFlags({ base, id }: ChangeFlags): Record<string, unknown> {
   return { ...(base === undefined ? {} : { base }), ...(id === undefined ? {} : { id }) };
 }
 
-function required(word: string | undefined, what: string): string {
-  if (word === undefined) throw new UsageError(`${what} is missing`);
-  return word;
+function required(arg: string | undefined, what: string): string {
+  if (arg === undefined) throw new UsageError(`${what} is missing`);
+  return arg;
 }
 
-function requiredSegment(word: string | undefined, what: string): string {
-  return encodeURIComponent(required(word, what));
+function requiredSegment(arg: string | undefined, what: string): string {
+  return encodeURIComponent(required(arg, what));
 }
 
 async function readText(path: string | undefined): Promise<string> {
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -2,8 +2,8 @@
 /** The command line of operators: one call to one node, its answer on the screen. */
 import meow from 'meow';
 import { request } from 'undici';
-import { callOf, UsageError, type Call } from './commands.js';
-import { show } from './show.js';
+import { callForCommand, UsageError, type NodeCall } from './commands.js';
+import { formatAnswer } from './answer-format.js';
 
 const EXIT_CODES = { success: 0, rejected: 1, usage: 2, unknown: 3, unreached: 4, notCurrent: 5 } as const;
 
@@ -73,7 +73,7 @@
   }
 }
 
-async function send(call: Call, node: string): Promise<Answer> {
+async function send(call: NodeCall, node: string): Promise<Answer> {
   try {
     const reply = await request(`http://${node}/rainrun/v1/${call.path}`, {
       method: call.method,
@@ -105,10 +105,10 @@
 }
 
 async function run(): Promise<number> {
-  const answer = await send(await callOf(cli.input, cli.flags), cli.flags.node);
+  const answer = await send(await callForCommand(cli.input, cli.flags), cli.flags.node);
   const text = cli.flags.json
     ? JSON.stringify(answer.body, undefined, 2)
-    : show(cli.input.slice(0, 2).join(' '), answer.body);
+    : formatAnswer(cli.input.slice(0, 2).join(' '), answer.body);
   const exitCode = exitCodeOf(answer);
   if (exitCode === EXIT_CODES.success) console.log(text);
   else console.error(text);
--- a/programs/rainrun/src/rainrun.test.ts
+++ b/programs/rainrun/src/rainrun.test.ts
@@ -4,7 +4,7 @@
 import { it } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { expect } from 'earl';
-import { show } from './show.js';
+import { formatAnswer } from './answer-format.js';
 
 const MAIN = fileURLToPath(new URL('./main.js', import.meta.url));
 
@@ -24,37 +24,37 @@
 });
 
 it('shows tables, pairs and faults', () => {
-  expect(show('zones', { zones: [{ zone: 'north', emptied: false }] })).toEqual(
+  expect(formatAnswer('zones', { zones: [{ zone: 'north', emptied: false }] })).toEqual(
     'zone   emptied\nnorth  false',
   );
-  expect(show('view', { epoch: 3, admitting: true })).toEqual('epoch: 3\nadmitting: true');
+  expect(formatAnswer('view', { epoch: 3, admitting: true })).toEqual('epoch: 3\nadmitting: true');
   expect(
-    show('spec check', {
+    formatAnswer('spec check', {
       error: { kind: 'bad-spec', message: 'has faults', faults: [{ path: 'zones', message: 'missing' }] },
     }),
   ).toEqual('bad-spec: has faults\n  zones: missing');
 });
 
 /** Runs `rainrun view` against a node that answers so. */
-async function view(status: number, body: object): Promise<{ code: unknown; out: string; told: string }> {
+async function view(status: number, body: object): Promise<{ code: unknown; out: string; err: string }> {
   const server = createServer((_req, res) => res.writeHead(status).end(JSON.stringify(body)));
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const bound = server.address();
   const port = typeof bound === 'object' && bound !== null ? bound.port : 0;
   const child = spawn(process.execPath, [MAIN, 'view', '--node', `127.0.0.1:${port}`]);
-  let [out, told] = ['', ''];
+  let [out, err] = ['', ''];
   child.stdout.on('data', (part: Buffer) => (out += part.toString()));
-  child.stderr.on('data', (part: Buffer) => (told += part.toString()));
+  child.stderr.on('data', (part: Buffer) => (err += part.toString()));
   const [code] = (await once(child, 'close')) as [number];
   server.close();
-  return { code, out, told };
+  return { code, out, err };
 }
 
 it('control safety, point 1: view does not present as current what a node without a majority knows', async () => {
   const known = { node: 'core-1', epoch: 3, voters: [{ name: 'core-2', version: 41 }] };
   const current = await view(200, known);
-  const ends = [
+  const staleAnswers = [
     await view(503, { error: { kind: 'not-admitting', message: 'ask another node' }, lastKnown: known }),
     await view(200, { ...known, stale: true }),
   ];
@@ -62,8 +62,8 @@
     0,
     'node: core-1\nepoch: 3\nvoters:\nname    version\ncore-2  41\n',
   ]);
-  for (const { code, out, told } of ends) {
+  for (const { code, out, err } of staleAnswers) {
     expect([code, out]).toEqual([5, '']);
-    expect(told.includes('not current') && told.includes('epoch: 3')).toEqual(true);
+    expect(err.includes('not current') && err.includes('epoch: 3')).toEqual(true);
   }
 });
