--- a/programs/rainrun/src/commands.ts
+++ b/programs/rainrun/src/commands.ts
@@ -97,7 +97,7 @@
 
 function explainCall({ args: [subject, name] }: CommandInput): NodeCall {
   if (subject !== 'request' && subject !== 'model') throw new UsageError('explain what: request or model');
-  return { method: 'GET', path: `explain/${what}s/${requiredSegment(name, 'the name')}` };
+  return { method: 'GET', path: `explain/${subject}s/${requiredSegment(name, 'the name')}` };
 }
 
 /** The flags that were given. */
