--- a/packages/messages/src/codec.ts
+++ b/packages/messages/src/codec.ts
@@ -1,36 +1,36 @@
-/** Frames between nodes as bytes, and which versions and deployments are understood. */
+/** Encodes and decodes frames between nodes; rejects frames of another wire version or deployment. */
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import { FrameSchema, type Frame } from './gen/rainrun_pb.js';
 
-/** Version of the frames on the wire; nodes of another version are not understood. */
+/** Version of the frames on the wire; frames of another version are rejected. */
 export const WIRE_VERSION = 1;
 
-/** Levels of the protocol that a program speaks, both inclusive. */
+/** Range of protocol levels that a program supports, both ends inclusive. */
 export interface ProtocolLevels {
   readonly min: number;
   readonly max: number;
 }
 
-/** What this build speaks: its own level and the one before, so that neighbours can be rolled out. */
+/** Levels that this build supports: its own and the one before, so that a rolling upgrade can mix the two. */
 export const PROTOCOL_LEVELS: ProtocolLevels = { min: 1, max: 2 };
 
-/** No frame is larger. */
+/** Largest frame that is decoded, in bytes. */
 export const FRAME_MAX_BYTES = 8 * 1024 * 1024;
 
-/** Who a frame is from and for. */
+/** Deployment, sender and addressee of a frame. */
 export interface FrameRoute {
   readonly deployment: string;
   /** Incarnation of the sender. */
   readonly from: string;
-  /** Incarnation of the addressee; empty: anybody at the address. */
+  /** Incarnation of the addressee; empty if any incarnation at the address may take the frame. */
   readonly to: string;
 }
 
 /**
- * A frame of this build's version.
+ * Creates a frame of this build's wire version.
  * @example
  * send(address, newFrame({ deployment, from: self.incarnation, to: '' }, { case: 'subscribe', value }));
  */
@@ -41,7 +41,7 @@
 }
 
 /**
- * A frame as bytes.
+ * Encodes a frame.
  * @example
  * const bytes = encodeFrame(newFrame(route, body));
  */
@@ -50,12 +50,13 @@
 }
 
 /**
- * Bytes as a frame of this deployment, or why not.
+ * Decodes a frame; the error is `wire` if it is malformed and `foreign` if it belongs to another deployment.
  * @example
  * decodeFrame(new Uint8Array([255]), 'd').isErr; // true
  */
 export function decodeFrame(bytes: Uint8Array, deployment: string): Result<Frame, Fault> {
-  if (bytes.length > FRAME_MAX_BYTES) return Result.err(fault('wire', `frame of ${bytes.length} bytes`));
+  if (bytes.length > FRAME_MAX_BYTES)
+    return Result.err(fault('wire', `frame of ${bytes.length} bytes is too large`));
   const read = tryOrElse(
     (thrown) => fault('wire', describeError(thrown), { cause: thrown }),
     () => fromBinary(FrameSchema, bytes),
@@ -65,9 +66,9 @@
   if (frame.wire !== WIRE_VERSION)
     return Result.err(fault('wire', `wire version ${frame.wire}, expected ${WIRE_VERSION}`));
   if (frame.deployment !== deployment) {
-    return Result.err(fault('foreign', `frame of deployment "${frame.deployment}"`));
+    return Result.err(fault('foreign', `frame belongs to another deployment, "${frame.deployment}"`));
   }
   if (frame.from === '' || frame.body.case === undefined)
-    return Result.err(fault('wire', 'frame without sender or body'));
+    return Result.err(fault('wire', 'frame has no sender or no body'));
   return Result.ok(frame);
 }
--- a/packages/messages/src/gossip.ts
+++ b/packages/messages/src/gossip.ts
@@ -13,7 +13,7 @@
   type GossipItem,
 } from './gen/rainrun_pb.js';
 
-/** Ranges into which the keys are partitioned for digests. */
+/** Number of ranges into which the keys are partitioned by hash for digests. */
 export const KEY_RANGES = 32;
 
 const FANOUT = 3;
@@ -23,8 +23,9 @@
 }
 
 /**
- * The newest item for each key, forwarded to a few peers at each heartbeat; gaps are
- * found by digests over ranges of keys and repaired from the newer replica (anti-entropy).
+ * Replicated table of the newest item for each key. Updates are forwarded to a few random peers
+ * at each heartbeat; differences are found by digests over ranges of keys and repaired from the
+ * newer replica (anti-entropy).
  * @example
  * const table = new GossipTable(random, (item) => learn(item));
  * table.publish('worker/w1', 3, 1, bytes);
@@ -48,7 +49,7 @@
     this.#store(create(GossipItemSchema, { key, major, minor, value }));
   }
 
-  /** Frames to send this heartbeat: fresh items to a few members, and one digest. */
+  /** Returns the frames to send at this heartbeat: new items to a few members, and a digest to one. */
   tick(members: readonly string[]): { to: string; body: Frame['body'] }[] {
     const frames: { to: string; body: Frame['body'] }[] = [];
     if (members.length === 0) return frames;
@@ -66,6 +67,7 @@
     for (const item of update.items) this.#store(item);
   }
 
+  /** Compares a peer's digest with this table; returns the items of the ranges that differ, if any. */
   onDigest(digest: GossipDigest): GossipRepair | undefined {
     const localRanges = this.#digest().ranges;
     const ranges: number[] = [];
@@ -75,6 +77,7 @@
     return create(GossipRepairSchema, { ranges, items: this.#inRanges(ranges) });
   }
 
+  /** Stores a peer's items and, unless they are an answer, returns those for which this table is newer. */
   onRepair(repair: GossipRepair): GossipRepair | undefined {
     const localItems = this.#inRanges(repair.ranges);
     const remoteItems = new Map<string, GossipItem>();
--- a/packages/messages/src/messages.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -34,7 +34,7 @@
     expect(delivered).toEqual(Array.from({ length: 300 }, (_, index) => String(index)));
   });
 
-  it('reports its lag, and does not count its own suspension', () => {
+  it('reports the lag of the other end without the time for which its own process was suspended', () => {
     const channel = new OrderedChannel();
     channel.post({ case: 'answer', value: create(AnswerSchema) });
     channel.tick(0);
@@ -43,7 +43,7 @@
     expect(channel.lagMs(3000)).toEqual(500);
   });
 
-  it('rejects more than its bound', () => {
+  it('rejects a body once 4096 are queued', () => {
     const channel = new OrderedChannel();
     const accepts = Array.from({ length: 5000 }, () =>
       channel.post({ case: 'answer', value: create(AnswerSchema) }),
@@ -60,12 +60,12 @@
     body: { case: 'goodbye', value: create(GoodbyeSchema) },
   });
 
-  it('decodes what it encoded', () => {
+  it('decodes a frame that it encoded', () => {
     const read = decodeFrame(encodeFrame(frame), 'd');
     expect(read.isOk && read.value.from).toEqual('a');
   });
 
-  it('rejects what is malformed, of another version or of another deployment', () => {
+  it('rejects frames that are malformed, of another wire version or of another deployment', () => {
     const kinds = [
       decodeFrame(new Uint8Array([255, 255, 255]), 'd'),
       decodeFrame(encodeFrame({ ...frame, wire: WIRE_VERSION + 1 }), 'd'),
@@ -77,7 +77,7 @@
 });
 
 describe('gossip', () => {
-  it('repairs gaps from the newer replica, whichever side asks', () => {
+  it('repairs differences from the newer replica, whichever side sends the digest', () => {
     const one = new GossipTable(new SeededRandom(1), () => undefined);
     const other = new GossipTable(new SeededRandom(2), () => undefined);
     one.publish('a', 1, 5, new Uint8Array([1]));
@@ -94,7 +94,7 @@
     ]);
   });
 
-  it('never accepts an older item', () => {
+  it('never replaces an item by an older one', () => {
     const table = new GossipTable(new SeededRandom(1), () => undefined);
     table.publish('a', 2, 0, new Uint8Array([2]));
     table.publish('a', 1, 9, new Uint8Array([1]));
--- a/packages/messages/src/ordered-channel.ts
+++ b/packages/messages/src/ordered-channel.ts
@@ -2,7 +2,7 @@
 import { create } from '@bufbuild/protobuf';
 import { SequencedMessageSchema, type SequencedMessage } from './gen/rainrun_pb.js';
 
-/** What one sequenced message carries. */
+/** Body of a sequenced message. */
 export type SequencedBody = SequencedMessage['body'];
 
 const WINDOW = 64;
@@ -10,8 +10,8 @@
 const BACKLOG_MAX = 4096;
 
 /**
- * One end of a channel between two incarnations. Bodies arrive once and in order as
- * long as both live; nothing but the report that the member failed ends it.
+ * One end of a channel between two incarnations. Bodies are delivered exactly once and in order
+ * while both run. The channel has no timeout: it ends only when the other member is reported failed.
  * @example
  * const channel = new OrderedChannel();
  * channel.post({ case: 'submit', value: submit });
@@ -25,7 +25,7 @@
   #outOfOrder = new Map<number, SequencedBody>();
   #ackDue = false;
 
-  /** Queues a body to send; false when the backlog is full, since the member lags too far. */
+  /** Queues a body to send; returns false if the backlog is full because the other end lags too far. */
   post(body: SequencedBody): boolean {
     if (this.#backlog.length >= BACKLOG_MAX) return false;
     this.#backlog.push(body);
@@ -38,12 +38,12 @@
     return oldest === undefined ? 0 : nowMs - oldest.firstSentMs;
   }
 
-  /** Does not count time against the member in which this process slept itself. */
+  /** Excludes the time for which this process itself was suspended from the lag of the other end. */
   slept(suspendedMs: number): void {
     for (const pending of this.#unacknowledged) pending.firstSentMs += suspendedMs;
   }
 
-  /** Receives a message and returns the bodies that are now in order. */
+  /** Takes a message and returns the bodies that can now be delivered in order. */
   receive(message: SequencedMessage): SequencedBody[] {
     while ((this.#unacknowledged[0]?.message.sequence ?? Infinity) <= message.ack)
       this.#unacknowledged.shift();
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The messages that are due now: new ones, retransmissions, or a bare acknowledgement. */
+  /** Returns the messages that are due: retransmissions, new messages, or a bare acknowledgement. */
   tick(nowMs: number): SequencedMessage[] {
     const due: SequencedMessage[] = [];
     for (const pending of this.#unacknowledged) {
--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -2,7 +2,7 @@
 import { Result } from 'true-myth';
 import * as v from 'valibot';
 
-/** Format of recorded days; a reader refuses any newer one. */
+/** Version of the format of recorded days; a reader rejects any newer one. */
 export const DAY_VERSION = 1;
 
 const HeaderSchema = v.strictObject({
@@ -12,7 +12,7 @@
 });
 
 const CallSchema = v.strictObject({
-  /** Milliseconds since the day began. */
+  /** Milliseconds since the start of the recording. */
   atMs: v.pipe(v.number(), v.minValue(0)),
   group: v.string(),
   kind: v.string(),
@@ -20,28 +20,29 @@
   model: v.optional(v.string(), ''),
   adapter: v.optional(v.string(), ''),
   stream: v.optional(v.boolean(), false),
-  /** Stands for the shared beginning of the prompt; equal beginnings have equal numbers. */
+  /** Number of the shared prefix of the prompt; prompts with the same prefix have the same number. */
   prefix: v.optional(v.number(), 0),
-  /** Length of the prompt; the prompt itself only if the recorder was asked for it. */
+  /** Length of the prompt. */
   chars: v.optional(v.number(), 0),
+  /** The prompt itself; present only if the recorder was asked for it. */
   prompt: v.optional(v.string()),
-  /** What came of it, where it was recorded. */
+  /** Outcome of the call, if it was recorded. */
   outcome: v.optional(v.string()),
   firstPieceMs: v.optional(v.number()),
   worker: v.optional(v.string()),
 });
 
-/** One call of a recorded day. */
+/** One request of a recorded day. */
 export type Call = v.InferOutput<typeof CallSchema>;
 
-/** A recorded day. */
+/** A recorded day of traffic of one deployment. */
 export interface Day {
   readonly deployment: string;
   readonly calls: readonly Call[];
 }
 
 /**
- * The first line of a recorded day.
+ * Formats the first line of a recorded day: format, version and deployment.
  * @example
  * headLine('vejsargs'); // {"format":"rainrun-day","version":1,"deployment":"vejsargs"}
  */
@@ -50,7 +51,7 @@
 }
 
 /**
- * One call as a line.
+ * Formats one request as a line of a recorded day.
  * @example
  * callLine({ atMs: 5, group: 'buyers', kind: 'seat', path: '/v1/chat/completions', ... });
  */
@@ -67,19 +68,19 @@
 }
 
 /**
- * Reads a recorded day whole, or says at which line and why it cannot be read.
+ * Parses a recorded day; the error names the first line that cannot be read and the reason.
  * @example
  * readDay('not a day').isErr; // true
  */
 export function readDay(text: string): Result<Day, Fault> {
   if (!text.endsWith('\n'))
-    return Result.err(fault('damaged', `line ${text.split('\n').length}: cut off, no end of line`));
+    return Result.err(fault('damaged', `line ${text.split('\n').length}: truncated, no end of line`));
   const lines = text.slice(0, -1).split('\n');
   const header = v.safeParse(HeaderSchema, parse(lines[0] ?? ''));
-  if (!header.success) return Result.err(fault('foreign', 'line 1: not the head of a recorded day'));
+  if (!header.success) return Result.err(fault('foreign', 'line 1: not the header of a recorded day'));
   if (header.output.version > DAY_VERSION) {
     return Result.err(
-      fault('foreign', `line 1: format ${header.output.version} is newer than ${DAY_VERSION}`),
+      fault('foreign', `line 1: format version ${header.output.version} is newer than ${DAY_VERSION}`),
     );
   }
   const calls: Call[] = [];
@@ -97,7 +98,7 @@
 }
 
 /**
- * A prompt of the recorded length that begins as all with the same prefix do.
+ * Returns the recorded prompt, or else a synthetic one; synthetic prompts of the same prefix begin alike.
  * @example
  * promptOf({ ...call, prefix: 7, chars: 40 }, 3);
  */
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,29 +1,37 @@
 import { SeededRandom } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
+/** Traffic of one group of users: its share, latency targets, rate and prompts. */
 interface RequestKindShape {
   readonly group: string;
   readonly share: number;
   readonly kind: string;
   readonly targetMs: number;
   readonly patienceMs: number;
+  /** Mean requests per second; arrivals are a Poisson process. */
   readonly perS: number;
   readonly stream: boolean;
+  /** Length of each prompt, in characters. */
   readonly chars: number;
+  /** Number of distinct prompt prefixes. */
   readonly prefixes: number;
 }
 
-/** The outline of a deployment. */
+/** Size, models and traffic of a deployment, from which example specs and days are generated. */
 export interface Shape {
   readonly deployment: string;
   readonly edges: number;
   readonly cores: number;
   readonly zones: readonly string[];
+  /** Number of workers that serve models. */
   readonly workers: number;
+  /** Number of workers that serve lookups. */
   readonly lookups: number;
   readonly models: number;
   readonly adapters: number;
+  /** Prefix of the names of models: `turbine` gives `turbine-1`. */
   readonly modelWord: string;
+  /** Prefix of the names of adapters. */
   readonly adapterNamePrefix: string;
   readonly pool: string;
   readonly lookupPath: string;
@@ -34,7 +42,7 @@
 
 const CHAT_PATH = '/v1/chat/completions';
 
-/** The known deployments' shapes by name. */
+/** Shapes of the known deployments, by name. */
 export const SHAPES: Readonly<Record<string, Shape>> = {
   vejsargs: {
     deployment: 'vejsargs',
@@ -192,7 +200,7 @@
 };
 
 /**
- * The example spec of a deployment.
+ * Generates the example spec of a deployment; the same shape always gives the same spec.
  * @example
  * exampleSpec(SHAPES['vejsargs']);
  */
@@ -235,12 +243,13 @@
   };
 }
 
+/** Draws an index below `count`; low indices are drawn far more often, as popular models are. */
 function skewedIndex(random: SeededRandom, count: number): number {
   return Math.min(count - 1, Math.floor(count * random.next() ** 2.5));
 }
 
 /**
- * A day of traffic of the deployment's kinds, the same for the same seed.
+ * Generates a day of traffic of the deployment's request kinds; the same seed gives the same day.
  * @example
  * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
@@ -292,7 +301,8 @@
 }
 
 /**
- * A flood from one group: every call of one kind, at a rate far beyond its share.
+ * Generates an overload by one group: each of its request kinds arrives at `perS`, a rate far beyond the
+ * share of the group, and almost nothing else does.
  * @example
  * makeFlood(SHAPES['vejsargs'], 'overnight', 60, 20, 1);
  */
@@ -301,6 +311,7 @@
   return makeDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
 }
 
+/** Draws an exponentially distributed interval between arrivals, in milliseconds. */
 function gapMs(random: SeededRandom, perS: number): number {
   return (-Math.log(1 - random.next()) / perS) * 1000;
 }
--- a/packages/workloads/src/workloads.test.ts
+++ b/packages/workloads/src/workloads.test.ts
@@ -14,12 +14,12 @@
   chars: 80,
 };
 
-it('a day reads back what was written', () => {
+it('a recorded day is parsed back to the requests that were written', () => {
   const day = readDay(`${headLine('d')}\n${callLine(CALL)}\n`);
   expect(day.isOk && day.value.calls).toEqual([CALL]);
 });
 
-it('a damaged, truncated, foreign or newer day is refused with its place', () => {
+it('a damaged, truncated, foreign or newer day is rejected with the number of the line', () => {
   const texts = [
     `${headLine('d')}\n${callLine(CALL)}\n{"atMs":-1}\n`,
     `${headLine('d')}\n${callLine(CALL).slice(0, 20)}`,
@@ -33,6 +33,6 @@
   expect(found).toEqual(['line 3:', 'line 2:', 'line 1:', 'line 1:']);
 });
 
-it('prompts with one prefix begin alike', () => {
+it('prompts with the same prefix number share their beginning', () => {
   expect(promptOf(CALL, 1).slice(0, 40)).toEqual(promptOf(CALL, 2).slice(0, 40));
 });
--- a/programs/edge/src/edge.test.ts
+++ b/programs/edge/src/edge.test.ts
@@ -25,11 +25,11 @@
   '127.0.0.1:7002',
 ];
 
-it('checks its settings and exits', () => {
+it('exits with 0 after checking valid settings', () => {
   expect(run(...VALID_FLAGS, '--check').status).toEqual(0);
 });
 
-it('exits with 2 on a bad setting, naming key, value and what was expected', () => {
+it('exits with 2 on a bad setting and names the key, the value found and the value expected', () => {
   const { status, stderr } = run(
     ...VALID_FLAGS.map((word) => (word === '127.0.0.1:7001' ? 'nowhere' : word)),
     '--check',
@@ -37,7 +37,7 @@
   expect([status, stderr.startsWith('edge: bind: found "nowhere", expected')]).toEqual([2, true]);
 });
 
-it('exits with 2 on an unknown flag and on one given twice', () => {
+it('exits with 2 on an unknown flag and on a flag that is given twice', () => {
   expect(run(...VALID_FLAGS, '--colour', 'red').status).toEqual(2);
   expect(run(...VALID_FLAGS, '--name', 'edge-2').stderr.trim()).toEqual(
     'edge: name: found ["edge-1","edge-2"], expected one value',
--- a/programs/rainrun/src/answer-format.ts
+++ b/programs/rainrun/src/answer-format.ts
@@ -38,7 +38,7 @@
 }
 
 /**
- * An answer as a person reads it.
+ * Formats a node's answer as text: a list as a table, other fields as `key: value` lines, or the error.
  * @example
  * formatAnswer('zones', { zones: [{ zone: 'north', emptied: false }] });
  */
--- a/programs/rainrun/src/commands.ts
+++ b/programs/rainrun/src/commands.ts
@@ -1,4 +1,4 @@
-/** Translates a command line of `rainrun` into the HTTP call that a node answers. */
+/** Translates a command line of `rainrun` into the HTTP call to a node. */
 import { readFile } from 'node:fs/promises';
 
 /** One call to a node, its path below `/rainrun/v1/`. */
@@ -8,13 +8,13 @@
   readonly body?: unknown;
 }
 
-/** Flags that accompany a change: the version that must be in force, and the operation's own name. */
+/** Flags of commands that change state: the version that must be in force, and the id of the operation. */
 export interface ChangeFlags {
   readonly base?: number | undefined;
   readonly id?: string | undefined;
 }
 
-/** The command line cannot be carried out as it stands; nothing was sent. */
+/** The command line is invalid; nothing was sent. */
 export class UsageError extends Error {
   readonly code = 'usage';
 
@@ -24,7 +24,7 @@
   }
 }
 
-/** A command's words after its name, with the flags. */
+/** The arguments after a command's name, and the flags. */
 interface CommandInput {
   readonly args: readonly string[];
   readonly flags: ChangeFlags;
@@ -46,10 +46,11 @@
 };
 
 /**
- * The call for a command line.
- * @throws {UsageError} where the command is unknown, a word is missing or its file cannot be read
+ * Returns the call for a command line.
+ * @throws {UsageError} if the command is unknown, an argument is missing or its file cannot be read
  * @example
- * await callForCommand(['zones', 'empty', 'north'], {}); // { method: 'POST', path: 'zones/north/empty', body: {} }
+ * await callForCommand(['zones', 'empty', 'north'], {});
+ * // { method: 'POST', path: 'zones/north/empty', body: {} }
  */
 export async function callForCommand(input: readonly string[], flags: ChangeFlags): Promise<NodeCall> {
   const [name, ...args] = input;
@@ -100,7 +101,7 @@
   return { method: 'GET', path: `explain/${subject}s/${requiredSegment(name, 'the name')}` };
 }
 
-/** The flags that were given. */
+/** Returns only the flags that were given, as fields of a request body. */
 function givenFlags({ base, id }: ChangeFlags): Record<string, unknown> {
   return { ...(base === undefined ? {} : { base }), ...(id === undefined ? {} : { id }) };
 }
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The command line of operators: one call to one node, its answer on the screen. */
+/** Command line for operators: sends one call to one node and prints the answer. */
 import meow from 'meow';
 import { request } from 'undici';
 import { callForCommand, UsageError, type NodeCall } from './commands.js';
@@ -55,13 +55,13 @@
   },
 );
 
-/** A node's answer, or what kept it from being read. */
+/** Status and parsed JSON body of a node's answer. */
 interface Answer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** The node gave no answer; `outcomeUnknown` where the call may still have taken effect. */
+/** The node gave no answer; `outcomeUnknown` is set if the call may still have taken effect. */
 class UnreachedError extends Error {
   readonly code = 'unreached';
   readonly outcomeUnknown: boolean;
@@ -92,7 +92,7 @@
   }
 }
 
-/** False where a node shows what it knew last and cannot know whether that is still so. */
+/** False if the node hears no majority and answers with its last known state, which may be outdated. */
 function isCurrent(body: unknown): boolean {
   const { stale, lastKnown } = body as { stale?: boolean; lastKnown?: unknown };
   return stale !== true && lastKnown === undefined;
@@ -115,7 +115,7 @@
   return exitCode;
 }
 
-/** Prints why nothing can be shown; anything unforeseen is thrown on. */
+/** Prints the reason for a failure and returns its exit code; rethrows unexpected errors. */
 function reportFailure(thrown: unknown): number {
   if (thrown instanceof UsageError) {
     console.error(`rainrun: ${thrown.message}; see rainrun --help`);
--- a/programs/rainrun/src/rainrun.test.ts
+++ b/programs/rainrun/src/rainrun.test.ts
@@ -12,7 +12,7 @@
   return spawnSync(process.execPath, [MAIN, ...words], { encoding: 'utf8' }).status;
 }
 
-it('exits with 2 on wrong usage and 4 when the node is not reached', () => {
+it('exits with 2 on wrong usage and with 4 if the node is not reached', () => {
   const node = ['--node', '127.0.0.1:1'];
   expect([
     run(),
@@ -23,7 +23,7 @@
   ]).toEqual([2, 2, 2, 2, 4]);
 });
 
-it('shows tables, pairs and faults', () => {
+it('formats lists as tables, fields as key: value lines and the faults of a spec', () => {
   expect(formatAnswer('zones', { zones: [{ zone: 'north', emptied: false }] })).toEqual(
     'zone   emptied\nnorth  false',
   );
@@ -35,7 +35,7 @@
   ).toEqual('bad-spec: has faults\n  zones: missing');
 });
 
-/** Runs `rainrun view` against a node that answers so. */
+/** Runs `rainrun view` against a node that answers with this status and body. */
 async function view(status: number, body: object): Promise<{ code: unknown; out: string; err: string }> {
   const server = createServer((_req, res) => res.writeHead(status).end(JSON.stringify(body)));
   server.listen(0, '127.0.0.1');
@@ -51,7 +51,7 @@
   return { code, out, err };
 }
 
-it('control safety, point 1: view does not present as current what a node without a majority knows', async () => {
+it('control safety, point 1: view does not present the state of a node without a majority as current', async () => {
   const known = { node: 'core-1', epoch: 3, voters: [{ name: 'core-2', version: 41 }] };
   const current = await view(200, known);
   const staleAnswers = [
