--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -3,7 +3,7 @@
 import * as v from 'valibot';
 
 /** Version of the format of recorded days; a reader rejects any newer one. */
-export const DAY_VERSION = 1;
+export const DAY_FORMAT_VERSION = 1;
 
 const HeaderSchema = v.strictObject({
   format: v.literal('rainrun-day'),
@@ -36,7 +36,7 @@
 export type Call = v.InferOutput<typeof CallSchema>;
 
 /** A recorded day of traffic of one deployment. */
-export interface Day {
+export interface RecordedDay {
   readonly deployment: string;
   readonly calls: readonly Call[];
 }
@@ -47,7 +47,7 @@
  * headLine('vejsargs'); // {"format":"rainrun-day","version":1,"deployment":"vejsargs"}
  */
 export function headLine(deployment: string): string {
-  return JSON.stringify({ format: 'rainrun-day', version: DAY_VERSION, deployment });
+  return JSON.stringify({ format: 'rainrun-day', version: DAY_FORMAT_VERSION, deployment });
 }
 
 /**
@@ -72,15 +72,15 @@
  * @example
  * readDay('not a day').isErr; // true
  */
-export function readDay(text: string): Result<Day, Fault> {
+export function readDay(text: string): Result<RecordedDay, Fault> {
   if (!text.endsWith('\n'))
     return Result.err(fault('damaged', `line ${text.split('\n').length}: truncated, no end of line`));
   const lines = text.slice(0, -1).split('\n');
   const header = v.safeParse(HeaderSchema, parse(lines[0] ?? ''));
   if (!header.success) return Result.err(fault('foreign', 'line 1: not the header of a recorded day'));
-  if (header.output.version > DAY_VERSION) {
+  if (header.output.version > DAY_FORMAT_VERSION) {
     return Result.err(
-      fault('foreign', `line 1: format version ${header.output.version} is newer than ${DAY_VERSION}`),
+      fault('foreign', `line 1: format version ${header.output.version} is newer than ${DAY_FORMAT_VERSION}`),
     );
   }
   const calls: Call[] = [];
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
-/** Traffic of one group of users: its share, latency targets, rate and prompts. */
+/** Traffic of one request kind of one group: latency target, rate and prompts, with the share of the group. */
 interface RequestKindShape {
   readonly group: string;
   readonly share: number;
