--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,40 +1,48 @@
 import { SeededRandom } from '@rainrun/common';
 import { callLine, headLine, type Call } from './day.js';
 
-interface KindShape {
+/** Traffic of one request kind of one group: latency target, rate and prompts, with the share of the group. */
+interface RequestKindShape {
   readonly group: string;
   readonly share: number;
   readonly kind: string;
   readonly targetMs: number;
   readonly patienceMs: number;
+  /** Mean requests per second; arrivals are a Poisson process. */
   readonly perS: number;
   readonly stream: boolean;
+  /** Length of each prompt, in characters. */
   readonly chars: number;
+  /** Number of distinct prompt prefixes. */
   readonly prefixes: number;
 }
 
-/** The outline of a deployment. */
+/** Size, models and traffic of a deployment, from which example specs and days are generated. */
 export interface Shape {
   readonly deployment: string;
   readonly edges: number;
   readonly cores: number;
   readonly zones: readonly string[];
+  /** Number of workers that serve models. */
   readonly workers: number;
+  /** Number of workers that serve lookups. */
   readonly lookups: number;
   readonly models: number;
   readonly adapters: number;
+  /** Prefix of the names of models: `turbine` gives `turbine-1`. */
   readonly modelWord: string;
-  readonly adapterWord: string;
+  /** Prefix of the names of adapters. */
+  readonly adapterNamePrefix: string;
   readonly pool: string;
   readonly lookupPath: string;
   readonly lookupGroup: string;
   readonly lookupsPerS: number;
-  readonly kinds: readonly KindShape[];
+  readonly kinds: readonly RequestKindShape[];
 }
 
-const CHAT = '/v1/chat/completions';
+const CHAT_PATH = '/v1/chat/completions';
 
-/** The known deployments' shapes by name. */
+/** Shapes of the known deployments, by name. */
 export const SHAPES: Readonly<Record<string, Shape>> = {
   vejsargs: {
     deployment: 'vejsargs',
@@ -46,7 +54,7 @@
     models: 36,
     adapters: 40,
     modelWord: 'turbine',
-    adapterWord: 'site',
+    adapterNamePrefix: 'site',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
     lookupGroup: 'dashboards',
@@ -97,7 +105,7 @@
     models: 30,
     adapters: 55,
     modelWord: 'ticket',
-    adapterWord: 'barangay',
+    adapterNamePrefix: 'barangay',
     pool: 'seat-board',
     lookupPath: '/v1/lookup/seats',
     lookupGroup: 'seat-board',
@@ -159,7 +167,7 @@
     models: 8,
     adapters: 6,
     modelWord: 'model',
-    adapterWord: 'adapter',
+    adapterNamePrefix: 'adapter',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
     lookupGroup: 'dashboards',
@@ -192,20 +200,20 @@
 };
 
 /**
- * The example spec of a deployment.
+ * Generates the example spec of a deployment; the same shape always gives the same spec.
  * @example
  * exampleSpec(SHAPES['vejsargs']);
  */
 export function exampleSpec(shape: Shape): Record<string, unknown> {
-  const dice = new SeededRandom(shape.models);
-  const models = Array.from({ length: shape.models }, (_, place) => ({
-    name: `${shape.modelWord}-${place + 1}`,
-    sizeMb: 4000 + Math.floor(dice.next() * 12) * 1000,
+  const random = new SeededRandom(shape.models);
+  const models = Array.from({ length: shape.models }, (_, index) => ({
+    name: `${shape.modelWord}-${index + 1}`,
+    sizeMb: 4000 + Math.floor(random.next() * 12) * 1000,
   }));
-  const adapters = Array.from({ length: shape.adapters }, (_, place) => ({
-    name: `${shape.adapterWord}-${place + 1}`,
-    model: models[place % Math.ceil(shape.models / 2)]?.name ?? '',
-    sizeMb: 50 + Math.floor(dice.next() * 6) * 50,
+  const adapters = Array.from({ length: shape.adapters }, (_, index) => ({
+    name: `${shape.adapterNamePrefix}-${index + 1}`,
+    model: models[index % Math.ceil(shape.models / 2)]?.name ?? '',
+    sizeMb: 50 + Math.floor(random.next() * 6) * 50,
   }));
   const groups = shape.kinds.map(({ group, share, kind, targetMs, patienceMs }) => ({
     name: group,
@@ -229,49 +237,52 @@
     adapters,
     groups,
     routes: [
-      { path: CHAT, serve: 'chat' },
+      { path: CHAT_PATH, serve: 'chat' },
       { path: shape.lookupPath, serve: 'lookup', pool: shape.pool },
     ],
   };
 }
 
-function rare(dice: SeededRandom, count: number): number {
-  return Math.min(count - 1, Math.floor(count * dice.next() ** 2.5));
+/** Draws an index below `count`; low indices are drawn far more often, as popular models are. */
+function skewedIndex(random: SeededRandom, count: number): number {
+  return Math.min(count - 1, Math.floor(count * random.next() ** 2.5));
 }
 
 /**
- * A day of traffic of the deployment's kinds, the same for the same seed.
+ * Generates a day of traffic of the deployment's request kinds; the same seed gives the same day.
  * @example
  * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
 export function makeDay(shape: Shape, seconds: number, seed: number): string {
-  const dice = new SeededRandom(seed);
+  const random = new SeededRandom(seed);
   const spec = exampleSpec(shape) as { adapters: { name: string; model: string }[] };
   const calls: Call[] = [];
   for (const kind of shape.kinds) {
-    for (let atMs = gapMs(dice, kind.perS); atMs < seconds * 1000; atMs += gapMs(dice, kind.perS)) {
-      const model = `${shape.modelWord}-${1 + rare(dice, shape.models)}`;
-      const fitting = spec.adapters.filter((adapter) => adapter.model === model);
+    for (let atMs = gapMs(random, kind.perS); atMs < seconds * 1000; atMs += gapMs(random, kind.perS)) {
+      const model = `${shape.modelWord}-${1 + skewedIndex(random, shape.models)}`;
+      const modelAdapters = spec.adapters.filter((adapter) => adapter.model === model);
       const adapter =
-        fitting.length > 0 && dice.next() < 0.4 ? (fitting[rare(dice, fitting.length)]?.name ?? '') : '';
+        modelAdapters.length > 0 && random.next() < 0.4
+          ? (modelAdapters[skewedIndex(random, modelAdapters.length)]?.name ?? '')
+          : '';
       const { group, kind: name, stream, chars, prefixes } = kind;
       calls.push({
         atMs: Math.round(atMs),
         group,
         kind: name,
-        path: CHAT,
+        path: CHAT_PATH,
         model,
         adapter,
         stream,
-        prefix: rare(dice, prefixes),
+        prefix: skewedIndex(random, prefixes),
         chars,
       });
     }
   }
   for (
-    let atMs = gapMs(dice, shape.lookupsPerS);
+    let atMs = gapMs(random, shape.lookupsPerS);
     atMs < seconds * 1000;
-    atMs += gapMs(dice, shape.lookupsPerS)
+    atMs += gapMs(random, shape.lookupsPerS)
   ) {
     calls.push({
       atMs: Math.round(atMs),
@@ -290,7 +301,8 @@
 }
 
 /**
- * A flood from one group: every call of one kind, at a rate far beyond its share.
+ * Generates an overload by one group: each of its request kinds arrives at `perS`, a rate far beyond the
+ * share of the group, and almost nothing else does.
  * @example
  * makeFlood(SHAPES['vejsargs'], 'overnight', 60, 20, 1);
  */
@@ -299,6 +311,7 @@
   return makeDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
 }
 
-function gapMs(dice: SeededRandom, perS: number): number {
-  return (-Math.log(1 - dice.next()) / perS) * 1000;
+/** Draws an exponentially distributed interval between arrivals, in milliseconds. */
+function gapMs(random: SeededRandom, perS: number): number {
+  return (-Math.log(1 - random.next()) / perS) * 1000;
 }
--- a/programs/rainrun/src/main.ts
+++ b/programs/rainrun/src/main.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
-/** The command line of operators: one call to one node, its answer on the screen. */
+/** Command line for operators: sends one call to one node and prints the answer. */
 import meow from 'meow';
 import { request } from 'undici';
-import { callOf, UsageError, type Call } from './commands.js';
-import { show } from './show.js';
+import { callForCommand, UsageError, type NodeCall } from './commands.js';
+import { formatAnswer } from './answer-format.js';
 
 const EXIT_CODES = { success: 0, rejected: 1, usage: 2, unknown: 3, unreached: 4, notCurrent: 5 } as const;
 
@@ -55,13 +55,13 @@
   },
 );
 
-/** A node's answer, or what kept it from being read. */
+/** Status and parsed JSON body of a node's answer. */
 interface Answer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** The node gave no answer; `outcomeUnknown` where the call may still have taken effect. */
+/** The node gave no answer; `outcomeUnknown` is set if the call may still have taken effect. */
 class UnreachedError extends Error {
   readonly code = 'unreached';
   readonly outcomeUnknown: boolean;
@@ -73,7 +73,7 @@
   }
 }
 
-async function send(call: Call, node: string): Promise<Answer> {
+async function send(call: NodeCall, node: string): Promise<Answer> {
   try {
     const reply = await request(`http://${node}/rainrun/v1/${call.path}`, {
       method: call.method,
@@ -92,7 +92,7 @@
   }
 }
 
-/** False where a node shows what it knew last and cannot know whether that is still so. */
+/** False if the node hears no majority and answers with its last known state, which may be outdated. */
 function isCurrent(body: unknown): boolean {
   const { stale, lastKnown } = body as { stale?: boolean; lastKnown?: unknown };
   return stale !== true && lastKnown === undefined;
@@ -105,17 +105,17 @@
 }
 
 async function run(): Promise<number> {
-  const answer = await send(await callOf(cli.input, cli.flags), cli.flags.node);
+  const answer = await send(await callForCommand(cli.input, cli.flags), cli.flags.node);
   const text = cli.flags.json
     ? JSON.stringify(answer.body, undefined, 2)
-    : show(cli.input.slice(0, 2).join(' '), answer.body);
+    : formatAnswer(cli.input.slice(0, 2).join(' '), answer.body);
   const exitCode = exitCodeOf(answer);
   if (exitCode === EXIT_CODES.success) console.log(text);
   else console.error(text);
   return exitCode;
 }
 
-/** Prints why nothing can be shown; anything unforeseen is thrown on. */
+/** Prints the reason for a failure and returns its exit code; rethrows unexpected errors. */
 function reportFailure(thrown: unknown): number {
   if (thrown instanceof UsageError) {
     console.error(`rainrun: ${thrown.message}; see rainrun --help`);
