--- a/packages/compatibility/src/cluster-node-script.ts
+++ b/packages/compatibility/src/cluster-node-script.ts
@@ -77,7 +77,7 @@
 }
 
 /** Three cores that founded a site, took operations and placed models. */
-export function settledSite(): SiteGroup {
+export function siteAfterPlacement(): SiteGroup {
   const group = newSiteGroup(SEEDS.first);
   for (const name of FOUNDERS) group.add(name, {});
   group.run(FOUNDING_MS);
--- a/packages/compatibility/src/command-line-samples.ts
+++ b/packages/compatibility/src/command-line-samples.ts
@@ -22,16 +22,16 @@
 };
 
 /** So many commands run at once. */
-const LANES = 4;
+const BATCH_COUNT = 4;
 
-const NO_FILE = '/no/such/file';
-const NOBODY = '127.0.0.1:1';
+const MISSING_FILE = '/no/such/file';
+const UNREACHABLE_NODE = '127.0.0.1:1';
 
 type Body = Readonly<Record<string, unknown>>;
 
 /** One command, and what the node answers. */
 interface Command {
-  readonly words: readonly string[];
+  readonly args: readonly string[];
   readonly status?: number;
   readonly body?: Body;
 }
@@ -104,22 +104,22 @@
 
 /** Every verb, with every option, and every kind of answer. */
 const COMMANDS: readonly Command[] = [
-  { words: ['view'], body: VIEW },
-  { words: ['view', '--json'], body: VIEW },
-  { words: ['view'], body: { ...VIEW, stale: true } },
-  { words: ['view'], status: 503, body: LAST_KNOWN },
-  { words: ['spec', 'get'], body: { version: 2, operation: 'op-1', text: '{\n  "deployment": "site"\n}' } },
-  { words: ['spec', 'get'], status: 404, body: NOT_FOUND },
-  { words: ['spec', 'check', 'spec.json'], body: { ok: true } },
-  { words: ['spec', 'check', 'spec.json'], status: 422, body: BAD_SPEC },
-  { words: ['spec', 'check', 'spec.json', '--json'], status: 422, body: BAD_SPEC },
-  { words: ['spec', 'apply', 'spec.json'], body: OPERATION },
-  { words: ['spec', 'apply', 'spec.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
-  { words: ['spec', 'apply', 'spec.json'], status: 504, body: UNKNOWN },
-  { words: ['spec', 'change', 'edit.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
-  { words: ['spec', 'change', 'not-json.txt'] },
+  { args: ['view'], body: VIEW },
+  { args: ['view', '--json'], body: VIEW },
+  { args: ['view'], body: { ...VIEW, stale: true } },
+  { args: ['view'], status: 503, body: LAST_KNOWN },
+  { args: ['spec', 'get'], body: { version: 2, operation: 'op-1', text: '{\n  "deployment": "site"\n}' } },
+  { args: ['spec', 'get'], status: 404, body: NOT_FOUND },
+  { args: ['spec', 'check', 'spec.json'], body: { ok: true } },
+  { args: ['spec', 'check', 'spec.json'], status: 422, body: BAD_SPEC },
+  { args: ['spec', 'check', 'spec.json', '--json'], status: 422, body: BAD_SPEC },
+  { args: ['spec', 'apply', 'spec.json'], body: OPERATION },
+  { args: ['spec', 'apply', 'spec.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
+  { args: ['spec', 'apply', 'spec.json'], status: 504, body: UNKNOWN },
+  { args: ['spec', 'change', 'edit.json', '--base', '3', '--id', 'op-1'], body: OPERATION },
+  { args: ['spec', 'change', 'not-json.txt'] },
   {
-    words: ['spec', 'history'],
+    args: ['spec', 'history'],
     body: {
       history: [
         { version: 1, operation: 'op-1', bytes: 434 },
@@ -128,7 +128,7 @@
     },
   },
   {
-    words: ['zones'],
+    args: ['zones'],
     body: {
       zones: [
         { zone: 'coast', emptied: false },
@@ -136,13 +136,13 @@
       ],
     },
   },
-  { words: ['zones'], body: { zones: [] } },
-  { words: ['zones', 'empty', 'a zone/b', '--id', 'op-1'], body: OPERATION },
-  { words: ['zones', 'restore', 'inland'], body: OPERATION },
-  { words: ['workers'], body: WORKERS },
-  { words: ['groups'], body: GROUPS },
+  { args: ['zones'], body: { zones: [] } },
+  { args: ['zones', 'empty', 'a zone/b', '--id', 'op-1'], body: OPERATION },
+  { args: ['zones', 'restore', 'inland'], body: OPERATION },
+  { args: ['workers'], body: WORKERS },
+  { args: ['groups'], body: GROUPS },
   {
-    words: ['status'],
+    args: ['status'],
     body: {
       status: [
         { node: 'core-1', admitting: true, epoch: 3 },
@@ -150,13 +150,13 @@
       ],
     },
   },
-  { words: ['status', 'core 1'], body: { status: [{ node: 'core 1', admitting: true, epoch: 3 }] } },
-  { words: ['counters'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
-  { words: ['counters', 'core-1'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
-  { words: ['operation', 'op/1'], body: OPERATION },
-  { words: ['operation', 'op-9'], status: 404, body: NOT_FOUND },
+  { args: ['status', 'core 1'], body: { status: [{ node: 'core 1', admitting: true, epoch: 3 }] } },
+  { args: ['counters'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
+  { args: ['counters', 'core-1'], body: { counters: [{ node: 'core-1', framesIn: 7 }] } },
+  { args: ['operation', 'op/1'], body: OPERATION },
+  { args: ['operation', 'op-9'], status: 404, body: NOT_FOUND },
   {
-    words: ['explain', 'request', 'edge-1.ab'],
+    args: ['explain', 'request', 'edge-1.ab'],
     body: {
       edge: 'edge-1',
       id: 'edge-1.ab',
@@ -166,34 +166,34 @@
     },
   },
   {
-    words: ['explain', 'model', 'model-1'],
+    args: ['explain', 'model', 'model-1'],
     body: { model: 'model-1', copies: ['worker-1', 'worker-2'], reason: 'asked for', placedBy: 3 },
   },
-  { words: ['forget', 'core-9'], body: { outcome: 'noted', name: 'core-9' } },
-  { words: ['forget', 'core-9', '--node', NOBODY] },
-  { words: ['view', '--node', NOBODY] },
-  { words: [] },
-  { words: ['--help'] },
-  { words: ['--version'] },
-  { words: ['dance'] },
-  { words: ['view', '--colour'] },
-  { words: ['spec'] },
-  { words: ['spec', 'dance'] },
-  { words: ['spec', 'check'] },
-  { words: ['spec', 'check', NO_FILE] },
-  { words: ['zones', 'dance'] },
-  { words: ['zones', 'empty'] },
-  { words: ['operation'] },
-  { words: ['explain'] },
-  { words: ['explain', 'model'] },
-  { words: ['forget'] },
+  { args: ['forget', 'core-9'], body: { outcome: 'noted', name: 'core-9' } },
+  { args: ['forget', 'core-9', '--node', UNREACHABLE_NODE] },
+  { args: ['view', '--node', UNREACHABLE_NODE] },
+  { args: [] },
+  { args: ['--help'] },
+  { args: ['--version'] },
+  { args: ['dance'] },
+  { args: ['view', '--colour'] },
+  { args: ['spec'] },
+  { args: ['spec', 'dance'] },
+  { args: ['spec', 'check'] },
+  { args: ['spec', 'check', MISSING_FILE] },
+  { args: ['zones', 'dance'] },
+  { args: ['zones', 'empty'] },
+  { args: ['operation'] },
+  { args: ['explain'] },
+  { args: ['explain', 'model'] },
+  { args: ['forget'] },
 ];
 
 /** The daemons, as far as they end by themselves. */
 const DAEMONS: readonly (readonly [program: string, path: string, words: readonly string[]])[] = [
   ['core', CORE, ['--help']],
   ['core', CORE, []],
-  ['core', CORE, ['--check', '--settings', NO_FILE]],
+  ['core', CORE, ['--check', '--settings', MISSING_FILE]],
   ['edge', EDGE, ['--help']],
   ['edge', EDGE, ['--colour', 'red']],
   [
@@ -219,7 +219,7 @@
 ];
 
 /** How a program ended. */
-interface Ending {
+interface ProgramResult {
   readonly exit: number | null;
   readonly out: readonly string[];
   readonly err: readonly string[];
@@ -228,7 +228,7 @@
 /** Answers each call as the script says, and notes it. */
 class ScriptedOperatorEndpoint {
   readonly calls: unknown[] = [];
-  #next: Command = { words: [] };
+  #next: Command = { args: [] };
   #server: Server = createServer((request, response) => void this.#answer(request, response));
 
   async listen(): Promise<string> {
@@ -237,7 +237,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  expect(command: Command): void {
+  respondTo(command: Command): void {
     this.#next = command;
     this.calls.length = 0;
   }
@@ -249,7 +249,7 @@
 
   async #answer(request: IncomingMessage, response: ServerResponse): Promise<void> {
     let text = '';
-    for await (const part of request) text += String(part);
+    for await (const chunk of request) text += String(chunk);
     this.calls.push([request.method, request.url, request.headers['content-type'], text]);
     response.writeHead(this.#next.status ?? 200).end(JSON.stringify(this.#next.body ?? {}));
   }
@@ -261,18 +261,18 @@
 
 async function run(
   path: string,
-  words: readonly string[],
+  args: readonly string[],
   folder: string,
   environment: Readonly<Record<string, string>>,
-): Promise<Ending> {
-  const child = spawn(process.execPath, [path, ...words], {
+): Promise<ProgramResult> {
+  const child = spawn(process.execPath, [path, ...args], {
     cwd: folder,
     env: environment,
     stdio: ['ignore', 'pipe', 'pipe'],
   });
   let [out, err] = ['', ''];
-  child.stdout.on('data', (part: Buffer) => (out += part.toString()));
-  child.stderr.on('data', (part: Buffer) => (err += part.toString()));
+  child.stdout.on('data', (chunk: Buffer) => (out += chunk.toString()));
+  child.stderr.on('data', (chunk: Buffer) => (err += chunk.toString()));
   const [exit] = (await once(child, 'close')) as [number | null];
   return { exit, out: linesOf(out), err: linesOf(err) };
 }
@@ -286,37 +286,37 @@
 async function runAgainstEndpoint(commands: readonly Command[], folder: string): Promise<unknown[]> {
   const endpoint = new ScriptedOperatorEndpoint();
   const environment = { RAINRUN_NODE: await endpoint.listen() };
-  const endings: unknown[] = [];
+  const results: unknown[] = [];
   try {
     for (const command of commands) {
-      endpoint.expect(command);
-      const ending = await run(RAINRUN, command.words, folder, environment);
-      endings.push({ command: command.words, sent: [...endpoint.calls], ...ending });
+      endpoint.respondTo(command);
+      const result = await run(RAINRUN, command.args, folder, environment);
+      results.push({ command: command.args, sent: [...endpoint.calls], ...result });
     }
   } finally {
     endpoint.close();
   }
-  return endings;
+  return results;
 }
 
 /** For every verb of `rainrun`: what it sends, prints and exits with. */
 export function rainrunCommands(): Promise<unknown> {
   return inNewFolder(async (folder) => {
     for (const [name, text] of Object.entries(FILES)) await writeFile(join(folder, name), text);
-    const perLane = Math.ceil(COMMANDS.length / LANES);
-    const lanes = Array.from({ length: LANES }, (_, lane) =>
-      runAgainstEndpoint(COMMANDS.slice(lane * perLane, (lane + 1) * perLane), folder),
+    const batchSize = Math.ceil(COMMANDS.length / BATCH_COUNT);
+    const batches = Array.from({ length: BATCH_COUNT }, (_, batch) =>
+      runAgainstEndpoint(COMMANDS.slice(batch * batchSize, (batch + 1) * batchSize), folder),
     );
-    return (await Promise.all(lanes)).flat();
+    return (await Promise.all(batches)).flat();
   });
 }
 
 /** What the daemons print and exit with where they do not start. */
 export function daemonCommands(): Promise<unknown> {
   return inNewFolder(async (folder) => {
-    const endings: unknown[] = [];
+    const results: unknown[] = [];
     for (const [program, path, words] of DAEMONS)
-      endings.push({ program, words, ...(await run(path, words, folder, { RAINRUN_CONFIG: NO_FILE })) });
-    return endings;
+      results.push({ program, words, ...(await run(path, words, folder, { RAINRUN_CONFIG: MISSING_FILE })) });
+    return results;
   });
 }
--- a/packages/compatibility/src/core-replica-script.ts
+++ b/packages/compatibility/src/core-replica-script.ts
@@ -60,7 +60,7 @@
 }
 
 /** Three cores that founded a deployment and took operations. */
-export function settledCores(): CoreGroup {
+export function coresAfterOperations(): CoreGroup {
   const group = newCoreGroup(SEEDS.first);
   for (const name of FOUNDERS) group.add(name, {});
   group.run(FOUNDING_MS);
@@ -70,7 +70,7 @@
 
 /** The same, once a lost core is just being replaced as a voter by a new one. */
 export function coresReplacingVoter(): CoreGroup {
-  const group = settledCores();
+  const group = coresAfterOperations();
   group.kill('core-3');
   group.add('core-4', {});
   group.runUntil(
--- a/packages/compatibility/src/data-folder-fixtures.ts
+++ b/packages/compatibility/src/data-folder-fixtures.ts
@@ -1,13 +1,18 @@
 /** The data folders that are fixtures: what wrote them, and what is read from them. */
 import { readdir } from 'node:fs/promises';
 import { join } from 'node:path';
-import { newSiteGroup, settledSite, stateOfSite } from './cluster-node-script.js';
-import { coresReplacingVoter, newCoreGroup, settledCores, stateOfCores } from './core-replica-script.js';
+import { newSiteGroup, siteAfterPlacement, stateOfSite } from './cluster-node-script.js';
+import {
+  coresReplacingVoter,
+  newCoreGroup,
+  coresAfterOperations,
+  stateOfCores,
+} from './core-replica-script.js';
 import {
   contentOf,
   inNewFolder,
   openCopy,
-  openingOf,
+  recoveredState,
   writeDataFolder,
   type FolderContent,
 } from './data-folders.js';
@@ -18,7 +23,7 @@
 export interface DataFolderFixture {
   readonly name: string;
   /** How the cores came to it. */
-  readonly story: string;
+  readonly scenario: string;
   /** The files that today's code writes when the same happens, by core. */
   write(): Promise<Readonly<Record<string, FolderContent>>>;
   /** What today's code reads from the fixture. */
@@ -27,19 +32,19 @@
 
 /** Every fixture of data folders. */
 export const DATA_FOLDER_FIXTURES: readonly DataFolderFixture[] = [
-  fixtureOf('core-replica', 'cores of a deployment that took operations', {
-    first: settledCores,
-    again: () => newCoreGroup(SEEDS.again),
+  defineFixture('core-replica', 'cores of a deployment that took operations', {
+    runScenario: coresAfterOperations,
+    createEmptyGroup: () => newCoreGroup(SEEDS.afterRestart),
     stateOf: stateOfCores,
   }),
-  fixtureOf('core-replica-replacing-voter', 'cores that are replacing a lost voter', {
-    first: coresReplacingVoter,
-    again: () => newCoreGroup(SEEDS.again),
+  defineFixture('core-replica-replacing-voter', 'cores that are replacing a lost voter', {
+    runScenario: coresReplacingVoter,
+    createEmptyGroup: () => newCoreGroup(SEEDS.afterRestart),
     stateOf: stateOfCores,
   }),
-  fixtureOf('cluster-node', 'cores of a site that took operations and placed models', {
-    first: settledSite,
-    again: () => newSiteGroup(SEEDS.again),
+  defineFixture('cluster-node', 'cores of a site that took operations and placed models', {
+    runScenario: siteAfterPlacement,
+    createEmptyGroup: () => newSiteGroup(SEEDS.afterRestart),
     stateOf: stateOfSite,
   }),
 ];
@@ -49,19 +54,23 @@
   return fixturePath(join('data-folders', name));
 }
 
-interface Runs<N extends ScriptedNode> {
-  first(): ScriptedGroup<N>;
+interface ScenarioGroups<N extends ScriptedNode> {
+  runScenario(): ScriptedGroup<N>;
   /** A group without members, to be started on the data folders. */
-  again(): ScriptedGroup<N>;
+  createEmptyGroup(): ScriptedGroup<N>;
   stateOf(group: ScriptedGroup<N>): unknown;
 }
 
-function fixtureOf<N extends ScriptedNode>(name: string, story: string, runs: Runs<N>): DataFolderFixture {
+function defineFixture<N extends ScriptedNode>(
+  name: string,
+  scenario: string,
+  groups: ScenarioGroups<N>,
+): DataFolderFixture {
   return {
     name,
-    story,
-    write: () => filesWritten(runs.first()),
-    read: () => readFixture(folderOf(name), runs),
+    scenario,
+    write: () => filesWritten(groups.runScenario()),
+    read: () => readFixture(folderOf(name), groups),
   };
 }
 
@@ -79,14 +88,17 @@
   });
 }
 
-async function readFixture<N extends ScriptedNode>(folder: string, runs: Runs<N>): Promise<unknown> {
+async function readFixture<N extends ScriptedNode>(
+  folder: string,
+  groups: ScenarioGroups<N>,
+): Promise<unknown> {
   const names = (await readdir(folder)).sort();
-  const group = runs.again();
+  const group = groups.createEmptyGroup();
   const openings: Record<string, unknown> = {};
   for (const name of names) {
     const records = await openCopy(join(folder, name));
-    openings[name] = openingOf(records);
+    openings[name] = recoveredState(records);
     group.add(name, records);
   }
-  return asJson({ openings, state: runs.stateOf(group) });
+  return asJson({ openings, state: groups.stateOf(group) });
 }
--- a/packages/compatibility/src/data-folder.test.ts
+++ b/packages/compatibility/src/data-folder.test.ts
@@ -10,8 +10,8 @@
 import { contentOf } from './data-folders.js';
 import { readGolden } from './golden-files.js';
 
-for (const { name, story, read, write } of DATA_FOLDER_FIXTURES)
-  describe(`given the data folders of ${story}`, () => {
+for (const { name, scenario, read, write } of DATA_FOLDER_FIXTURES)
+  describe(`given the data folders of ${scenario}`, () => {
     it('when cores start on copies of them, then they read the same, agree on the same state and go on from it', async () => {
       expect(await read()).toEqual(await readGolden(`data-folders/${name}.json`));
     });
--- a/packages/compatibility/src/data-folders.ts
+++ b/packages/compatibility/src/data-folders.ts
@@ -14,10 +14,10 @@
 export type FolderContent = Readonly<Record<string, string>>;
 
 /** Does something in a new folder, which is removed afterwards. */
-export async function inNewFolder<T>(act: (folder: string) => Promise<T>): Promise<T> {
+export async function inNewFolder<T>(action: (folder: string) => Promise<T>): Promise<T> {
   const folder = await mkdtemp(join(tmpdir(), 'compatibility-'));
   try {
-    return await act(folder);
+    return await action(folder);
   } finally {
     await rm(folder, { recursive: true });
   }
@@ -52,7 +52,7 @@
 }
 
 /** What a core reads from its disk before it starts; messages stand by field number. */
-export function openingOf(records: Records): unknown {
+export function recoveredState(records: Records): unknown {
   const { disk, deployment, promisedEpoch, promisedTo, accepted } = readRecords(
     records,
     'a disk that has no id yet',
--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -9,9 +9,9 @@
 const WORKER = 'w-1';
 const REQUEST_ID = 'request-1';
 const START_MS = 1000;
-const LATER_MS = 10_000;
+const LONG_DURATION_MS = 10_000;
 
-const NOTHING = {
+const NO_OP_CONTROLS = {
   abort: () => undefined,
   pause: () => undefined,
   resume: () => undefined,
@@ -38,7 +38,7 @@
 
   send(request: LinkRequest, handler: LinkHandler) {
     this.sent.push({ request, handler });
-    return NOTHING;
+    return NO_OP_CONTROLS;
   }
 
   /** The newest send. */
@@ -50,9 +50,9 @@
 }
 
 /** A router with one worker, and one client. */
-class RouterBench {
+class RouterHarness {
   nowMs = START_MS;
-  leaving = false;
+  isWorkerDraining = false;
   isWorkerListed = true;
   readonly refusals: Fault[] = [];
   readonly link = new ScriptedLink();
@@ -80,7 +80,7 @@
   }
 
   /** Asks; what is returned says that the client has left. */
-  ask(target: string): () => void {
+  submitRequest(target: string): () => void {
     return this.router.submit(
       {
         id: REQUEST_ID,
@@ -114,7 +114,7 @@
   }
 
   /** The worker's answer begins. */
-  head(status: number, ...headers: readonly (readonly [string, string])[]): void {
+  startResponse(status: number, ...headers: readonly (readonly [string, string])[]): void {
     const { requestId, signature } = DIALECT.workerHeaderNames;
     this.link.handler.mayStart();
     this.link.handler.head(status, [[requestId, REQUEST_ID], [signature, 's'], ...headers]);
@@ -126,7 +126,7 @@
       service: 'look',
       address: '10.0.1.1:9000',
       zone: 'coast',
-      draining: this.leaving,
+      draining: this.isWorkerDraining,
       slots: 4,
       warmUpUntilMs: -Infinity,
       models: new Map<string, ReadonlySet<string>>(),
@@ -136,78 +136,78 @@
   }
 }
 
-type RouterCase = (bench: RouterBench) => void;
+type RouterCase = (harness: RouterHarness) => void;
 
 const ROUTER_CASES: Readonly<Record<string, RouterCase>> = {
-  'no route': (bench) => {
-    bench.ask('/none');
+  'no route': (harness) => {
+    harness.submitRequest('/none');
   },
-  'after the end': (bench) => {
-    bench.router.close();
-    bench.ask('/once');
+  'after the end': (harness) => {
+    harness.router.close();
+    harness.submitRequest('/once');
   },
-  answered: (bench) => {
-    bench.ask('/once');
-    bench.head(200);
-    bench.link.handler.end();
+  answered: (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(200);
+    harness.link.handler.end();
   },
-  'declined by another worker': (bench) => {
-    bench.ask('/once');
-    bench.head(421);
+  'declined by another worker': (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(421);
   },
-  'declined as not run': (bench) => {
-    bench.ask('/once');
-    bench.head(503, [DIALECT.workerHeaderNames.notRun, '1']);
+  'declined as not run': (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(503, [DIALECT.workerHeaderNames.notRun, '1']);
   },
-  'worker gone before the first byte': (bench) => {
-    bench.ask('/once');
-    bench.leaving = true;
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(false, 'withheld');
+  'worker gone before the first byte': (harness) => {
+    harness.submitRequest('/once');
+    harness.isWorkerDraining = true;
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(false, 'withheld');
   },
-  'worker not reached': (bench) => {
-    bench.ask('/once');
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(false, 'refused');
+  'worker not reached': (harness) => {
+    harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(false, 'refused');
   },
-  'worker failed': (bench) => {
-    bench.ask('/once');
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(true, 'reset');
+  'worker failed': (harness) => {
+    harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(true, 'reset');
   },
-  'stream broken': (bench) => {
-    bench.ask('/tell');
-    bench.head(200, ['content-type', 'text/event-stream']);
-    bench.link.handler.chunk(Buffer.from('data: 1\n\n'));
-    bench.link.handler.failed(true, 'reset');
+  'stream broken': (harness) => {
+    harness.submitRequest('/tell');
+    harness.startResponse(200, ['content-type', 'text/event-stream']);
+    harness.link.handler.chunk(Buffer.from('data: 1\n\n'));
+    harness.link.handler.failed(true, 'reset');
   },
-  'client left during a send': (bench) => {
-    const leave = bench.ask('/once');
-    bench.link.handler.mayStart();
-    leave();
+  'client left during a send': (harness) => {
+    const disconnect = harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    disconnect();
   },
-  'client left while waiting': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask('/once')();
+  'client left while waiting': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest('/once')();
   },
-  'no worker in time': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask('/once');
-    bench.nowMs += LATER_MS;
-    bench.router.tick();
+  'no worker in time': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest('/once');
+    harness.nowMs += LONG_DURATION_MS;
+    harness.router.tick();
   },
 };
 
 /** Counters of the router and refusals to the client for each way to end, and what a worker is sent. */
 export function routerCounters(): unknown {
-  return Object.entries(ROUTER_CASES).map(([name, play]) => {
-    const bench = new RouterBench();
-    play(bench);
+  return Object.entries(ROUTER_CASES).map(([name, run]) => {
+    const harness = new RouterHarness();
+    run(harness);
     return {
       case: name,
-      counters: bench.router.counts,
-      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
-      sent: bench.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
+      counters: harness.router.counts,
+      refusals: harness.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
+      sent: harness.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
     };
   });
 }
@@ -233,9 +233,9 @@
 }
 
 /** A gateway with one worker, and one visitor. */
-class GatewayBench {
+class GatewayHarness {
   nowMs = START_MS;
-  granted = true;
+  hasLease = true;
   isWorkerListed = true;
   readonly refusals: Fault[] = [];
   readonly sent: { readonly request: unknown; readonly handler: SendHandler }[] = [];
@@ -251,7 +251,7 @@
       sender: {
         send: ({ method, path, headers }, handler) => {
           this.sent.push({ request: [method, path, headers], handler });
-          return NOTHING;
+          return NO_OP_CONTROLS;
         },
         probe: (_address, done) => done(true),
       },
@@ -259,12 +259,12 @@
       workers: () => (this.isWorkerListed ? [this.#worker()] : []),
       edges: () => ['edge-1'],
       incarnation: () => 'incarnation-1',
-      hasLease: () => this.granted,
+      hasLease: () => this.hasLease,
       weight: () => 1,
     });
   }
 
-  forbidRetries(): void {
+  disableRetries(): void {
     this.#spec = specWith(0);
   }
 
@@ -275,7 +275,7 @@
   }
 
   /** Asks; what is returned says that the visitor has left. */
-  ask(change: { path?: string; group?: string; model?: string } = {}): () => void {
+  submitRequest(change: { path?: string; group?: string; model?: string } = {}): () => void {
     return this.gateway.admit(
       {
         id: 'edge-1.request',
@@ -319,73 +319,73 @@
   }
 }
 
-type GatewayCase = (bench: GatewayBench) => void;
+type GatewayCase = (harness: GatewayHarness) => void;
 
 const GATEWAY_CASES: Readonly<Record<string, GatewayCase>> = {
-  answered: (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.start(200, 'application/json');
-    bench.handler.chunk(Buffer.from('{}'));
-    bench.handler.end();
+  answered: (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.start(200, 'application/json');
+    harness.handler.chunk(Buffer.from('{}'));
+    harness.handler.end();
   },
-  'worker not reached, sent again': (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(false, 'refused');
-    bench.nowMs += 100;
-    bench.gateway.tick();
+  'worker not reached, sent again': (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(false, 'refused');
+    harness.nowMs += 100;
+    harness.gateway.tick();
   },
-  'worker not reached, and no retry left': (bench) => {
-    bench.forbidRetries();
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(false, 'refused');
+  'worker not reached, and no retry left': (harness) => {
+    harness.disableRetries();
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(false, 'refused');
   },
-  'worker failed': (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(true, 'reset');
+  'worker failed': (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(true, 'reset');
   },
-  'path unknown': (bench) => {
-    bench.ask({ path: '/none' });
+  'path unknown': (harness) => {
+    harness.submitRequest({ path: '/none' });
   },
-  'group unknown': (bench) => {
-    bench.ask({ group: 'nobody' });
+  'group unknown': (harness) => {
+    harness.submitRequest({ group: 'nobody' });
   },
-  'model unknown': (bench) => {
-    bench.ask({ model: 'none' });
+  'model unknown': (harness) => {
+    harness.submitRequest({ model: 'none' });
   },
-  'node may not admit': (bench) => {
-    bench.granted = false;
-    bench.ask();
+  'node may not admit': (harness) => {
+    harness.hasLease = false;
+    harness.submitRequest();
   },
-  'node drains': (bench) => {
-    bench.gateway.drain();
-    bench.ask();
+  'node drains': (harness) => {
+    harness.gateway.drain();
+    harness.submitRequest();
   },
-  'visitor left': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask()();
+  'visitor left': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest()();
   },
-  'no worker in time': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask();
-    bench.nowMs += LATER_MS;
-    bench.gateway.tick();
+  'no worker in time': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest();
+    harness.nowMs += LONG_DURATION_MS;
+    harness.gateway.tick();
   },
 };
 
 /** Counters of the gateway and refusals to the visitor for each way to end, and what a worker is sent. */
 export function gatewayCounters(): unknown {
-  return Object.entries(GATEWAY_CASES).map(([name, play]) => {
-    const bench = new GatewayBench();
-    play(bench);
+  return Object.entries(GATEWAY_CASES).map(([name, run]) => {
+    const harness = new GatewayHarness();
+    run(harness);
     return {
       case: name,
-      counters: bench.gateway.counts,
-      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
-      sent: bench.sent.map(({ request }) => request),
+      counters: harness.gateway.counts,
+      refusals: harness.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
+      sent: harness.sent.map(({ request }) => request),
     };
   });
 }
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -10,7 +10,7 @@
 const KINDS = Object.keys(FAULT_RESPONSES).filter(isFaultKind).sort();
 
 /** Every kind of fault, with its status, whether the work may have run, and when to come back. */
-export function faultAnswers(): unknown {
+export function faultResponses(): unknown {
   return KINDS.map((kind) => {
     const { status, ran, retryAfterS } = FAULT_RESPONSES[kind];
     const onPlatform = DIALECT.statusOf(fault(kind, 'detail')) ?? status;
@@ -37,7 +37,7 @@
 }
 
 /** Chance that always gives the same, so that ids do. */
-const NO_CHANCE: RandomSource = { next: () => 0.5 };
+const CONSTANT_RANDOM: RandomSource = { next: () => 0.5 };
 
 const CHAT = {
   model: 'model-1',
@@ -53,27 +53,27 @@
   return request;
 }
 
-/** Sends a request of a visitor to a gateway that lets `serve` answer it. */
-function visited(
+/** Sends a request of a visitor to a gateway that lets `handle` answer it. */
+function exchange(
   request: IncomingMessage,
-  serve: (ask: GatewayRequestInit, port: GatewayResponseSink) => void,
+  handle: (init: GatewayRequestInit, sink: GatewayResponseSink) => void,
 ): unknown {
   const response = new RecordedResponse(request);
   const gateway = {
-    admit: (ask: GatewayRequestInit, port: GatewayResponseSink) => {
-      serve(ask, port);
+    admit: (init: GatewayRequestInit, sink: GatewayResponseSink) => {
+      handle(init, sink);
       return () => undefined;
     },
   };
-  handleChatRequest(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
+  handleChatRequest(gateway as unknown as Gateway, 'edge-1', CONSTANT_RANDOM, request, response);
   return response.record;
 }
 
 /** What visitors send to an edge of a site, and what they are answered. */
-export function visitorExchanges(): unknown {
+export function clientExchanges(): unknown {
   const headers = { 'rainrun-group': 'group-1', 'rainrun-kind': 'short', 'rainrun-deadline-ms': '1500' };
   const asked: unknown[] = [];
-  function note({
+  function recordRequest({
     id,
     path,
     method,
@@ -88,25 +88,25 @@
   }: GatewayRequestInit): void {
     asked.push([id, path, method, group, kind, model, adapter, prefix, streamed, body?.length, deadlineMs]);
   }
-  visited(requestOf('POST', headers, CHAT), note);
-  visited(requestOf('GET', headers, {}), note);
-  visited(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), note);
+  exchange(requestOf('POST', headers, CHAT), recordRequest);
+  exchange(requestOf('GET', headers, {}), recordRequest);
+  exchange(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), recordRequest);
   return {
     asked,
-    answered: visited(requestOf('GET', {}, {}), (_ask, port) =>
-      port.respond(200, 'text/plain', Buffer.from('well')),
+    answered: exchange(requestOf('GET', {}, {}), (_init, sink) =>
+      sink.respond(200, 'text/plain', Buffer.from('well')),
     ),
-    streamed: visited(requestOf('GET', {}, {}), (_ask, port) => port.open('text/event-stream')),
+    streamed: exchange(requestOf('GET', {}, {}), (_init, sink) => sink.open('text/event-stream')),
     refused: KINDS.map((kind: FaultKind) =>
-      visited(requestOf('GET', {}, {}), (_ask, port) => port.reject(fault(kind, 'why'))),
+      exchange(requestOf('GET', {}, {}), (_init, sink) => sink.reject(fault(kind, 'why'))),
     ),
-    refusedForAWhile: visited(requestOf('GET', {}, {}), (_ask, port) =>
-      port.reject({ ...fault('over-share', 'why'), retryAfterS: 7 }),
+    refusedForAWhile: exchange(requestOf('GET', {}, {}), (_init, sink) =>
+      sink.reject({ ...fault('over-share', 'why'), retryAfterS: 7 }),
     ),
     malformed: [
       requestOf('GET', { 'rainrun-deadline-ms': 'soon' }, {}),
       requestOf('DELETE', {}, {}),
       requestOf('POST', {}, { model: '', messages: [] }),
-    ].map((request) => visited(request, () => undefined)),
+    ].map((request) => exchange(request, () => undefined)),
   };
 }
--- a/packages/compatibility/src/node-samples.ts
+++ b/packages/compatibility/src/node-samples.ts
@@ -1,7 +1,7 @@
 /** Real nodes: the names of their metrics and counters, and the forms of their answers to operators. */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
-import { setTimeout as pause } from 'node:timers/promises';
+import { setTimeout as delay } from 'node:timers/promises';
 import type { Fault } from '@rainrun/common';
 import { DIALECT } from '@rainrun/platform/dialect';
 import { soleNodeSettings } from '@rainrun/platform/testing/settings-samples';
@@ -14,9 +14,9 @@
 const NETWORK = `127.${(process.pid >> 8) % 256}.${process.pid % 256}`;
 const CORE = { bind: `${NETWORK}.1:17701`, http: `${NETWORK}.1:18701` } as const;
 const EDGE = { bind: `${NETWORK}.2:17701`, http: `${NETWORK}.2:18701` } as const;
-const PATIENCE_MS = 30_000;
+const TIMEOUT_MS = 30_000;
 const POLL_MS = 50;
-const WELL = 200;
+const STATUS_OK = 200;
 
 const SPEC = {
   deployment: 'site',
@@ -36,13 +36,13 @@
   workers: [{ name: 'lookup-1', address: `${NETWORK}.9:9000`, zone: 'coast', kind: 'lookup', pool: 'desks' }],
 };
 
-interface Answer {
+interface OperatorResponse {
   readonly status: number;
   readonly type: string | null;
   readonly text: string;
 }
 
-async function call(http: string, method: string, path: string, body?: object): Promise<Answer> {
+async function call(http: string, method: string, path: string, body?: object): Promise<OperatorResponse> {
   const reply = await fetch(`http://${http}/rainrun/v1/${path}`, {
     method,
     headers: body === undefined ? {} : { 'content-type': 'application/json' },
@@ -51,14 +51,14 @@
   return { status: reply.status, type: reply.headers.get('content-type'), text: await reply.text() };
 }
 
-/** Calls again until it answers well and with this word in its text. */
-async function until(http: string, path: string, word = ''): Promise<void> {
-  const endMs = performance.now() + PATIENCE_MS;
+/** Calls again until it answers well and with this text in its text. */
+async function waitUntilOk(http: string, path: string, expectedText = ''): Promise<void> {
+  const endMs = performance.now() + TIMEOUT_MS;
   for (;;) {
     const answer = await call(http, 'GET', path);
-    if (answer.status === WELL && answer.text.includes(word)) return;
+    if (answer.status === STATUS_OK && answer.text.includes(expectedText)) return;
     if (performance.now() > endMs) throw new Error(`${path} answers ${answer.status}: ${answer.text}`);
-    await pause(POLL_MS);
+    await delay(POLL_MS);
   }
 }
 
@@ -73,7 +73,7 @@
 }
 
 /** Does something with a core and an edge of a site, the core's spec agreed. */
-async function withSite<T>(act: () => Promise<T>): Promise<T> {
+async function withSite<T>(action: () => Promise<T>): Promise<T> {
   return inNewFolder(async (folder) => {
     const platform = join(folder, 'workers.json');
     await writeFile(platform, JSON.stringify(WORKERS));
@@ -81,12 +81,12 @@
     const core = await start('core', { ...CORE, name: 'core-1', founders: 'core-1', folder: data, platform });
     const edge = await start('edge', { ...EDGE, name: 'edge-1' });
     try {
-      await until(CORE.http, 'status?node=edge-1', '"view"');
+      await waitUntilOk(CORE.http, 'status?node=edge-1', '"view"');
       await call(CORE.http, 'PUT', 'spec', { text: JSON.stringify(SPEC), base: 0, id: 'op-1' });
-      await until(CORE.http, 'ready');
-      await until(EDGE.http, 'ready');
-      await until(CORE.http, 'workers', 'lookup-1');
-      return await act();
+      await waitUntilOk(CORE.http, 'ready');
+      await waitUntilOk(EDGE.http, 'ready');
+      await waitUntilOk(CORE.http, 'workers', 'lookup-1');
+      return await action();
     } finally {
       await edge.stop();
       await core.stop();
@@ -95,19 +95,19 @@
 }
 
 /** The names and labels of a text of metrics, in their order. */
-function metricNames({ status, type, text }: Answer): unknown {
+function metricNames({ status, type, text }: OperatorResponse): unknown {
   const names = text.split('\n').map((line) => line.replace(/ -?[0-9.e+-]+$/, ''));
   return { status, type, names };
 }
 
 /** The form of a JSON value: keys, and types in place of values. */
-function formOf(value: unknown): unknown {
-  if (Array.isArray(value)) return value.length === 0 ? [] : [formOf(value[0])];
+function shapeOf(value: unknown): unknown {
+  if (Array.isArray(value)) return value.length === 0 ? [] : [shapeOf(value[0])];
   if (typeof value !== 'object' || value === null) return value === null ? null : typeof value;
-  return Object.fromEntries(Object.entries(value).map(([key, inside]) => [key, formOf(inside)]));
+  return Object.fromEntries(Object.entries(value).map(([key, nested]) => [key, shapeOf(nested)]));
 }
 
-const QUESTIONS: readonly (readonly [method: string, path: string, body?: object])[] = [
+const OPERATOR_CALLS: readonly (readonly [method: string, path: string, body?: object])[] = [
   ['GET', 'view'],
   ['GET', 'spec'],
   ['POST', 'spec/check', { text: JSON.stringify(SPEC) }],
@@ -138,16 +138,16 @@
 ];
 
 /** The names of the metrics of a core and of an edge, and the form of every answer to an operator. */
-export function siteNames(): Promise<unknown> {
+export function siteMetricsAndAnswers(): Promise<unknown> {
   return withSite(async () => {
     const metrics = {
       core: metricNames(await call(CORE.http, 'GET', 'metrics')),
       edge: metricNames(await call(EDGE.http, 'GET', 'metrics')),
     };
     const answers: unknown[] = [];
-    for (const [method, path, body] of QUESTIONS) {
+    for (const [method, path, body] of OPERATOR_CALLS) {
       const { status, type, text } = await call(CORE.http, method, path, body);
-      answers.push([method, path, status, type, formOf(JSON.parse(text))]);
+      answers.push([method, path, status, type, shapeOf(JSON.parse(text))]);
     }
     return { metrics, answers };
   });
--- a/packages/compatibility/src/public-name-fixtures.ts
+++ b/packages/compatibility/src/public-name-fixtures.ts
@@ -3,8 +3,8 @@
 import { gatewayCounters, routerCounters } from './data-plane-counters.js';
 import { operatorCalls, platformBodies, platformNames } from '@rainrun/platform/testing/format-samples';
 import { platformSettings } from '@rainrun/platform/testing/settings-samples';
-import { faultAnswers, visitorExchanges } from './http-samples.js';
-import { platformCounterNames, siteNames } from './node-samples.js';
+import { faultResponses, clientExchanges } from './http-samples.js';
+import { platformCounterNames, siteMetricsAndAnswers } from './node-samples.js';
 import { programSettings } from './settings-samples.js';
 
 /** One fixture, with the words of its test. */
@@ -33,7 +33,7 @@
     name: 'http/faults.json',
     given: 'every kind of fault',
     then: 'its status, whether the work may have run and when to come back are',
-    produce: faultAnswers,
+    produce: faultResponses,
   },
   {
     name: 'http/platform-names.json',
@@ -57,7 +57,7 @@
     name: 'http/visitors.json',
     given: 'requests of visitors of a site, with every header and every way to be answered',
     then: 'they are read and answered',
-    produce: visitorExchanges,
+    produce: clientExchanges,
   },
   {
     name: 'metrics/router.json',
@@ -75,7 +75,7 @@
     name: 'metrics/site.json',
     given: 'a core and an edge of a site that run',
     then: 'their metrics have the same names, and their answers to operators the same form,',
-    produce: siteNames,
+    produce: siteMetricsAndAnswers,
   },
   {
     name: 'metrics/platform.json',
--- a/packages/compatibility/src/public-names.test.ts
+++ b/packages/compatibility/src/public-names.test.ts
@@ -27,9 +27,9 @@
   }
   if (typeof value !== 'object' || value === null) return value;
   const kept: [string, unknown][] = [];
-  for (const [key, held] of Object.entries(value)) {
+  for (const [key, nested] of Object.entries(value)) {
     if (names.includes(key)) seen.add(key);
-    else kept.push([key, withoutNames(held, names, seen)]);
+    else kept.push([key, withoutNames(nested, names, seen)]);
   }
   return Object.fromEntries(kept);
 }
--- a/packages/compatibility/src/scripted-group.ts
+++ b/packages/compatibility/src/scripted-group.ts
@@ -18,11 +18,11 @@
 export const FOUNDERS = ['core-1', 'core-2', 'core-3'] as const;
 
 /** Where the cores stand. */
-const ZONES: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
-const OTHER_ZONE = 'north';
+const ZONE_BY_CORE: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
+const DEFAULT_ZONE = 'north';
 
 /** The chance of the first run of a group, and of a run after all its cores were stopped. */
-export const SEEDS = { first: 7, again: 8 } as const;
+export const SEEDS = { first: 7, afterRestart: 8 } as const;
 
 /** One record that a core wrote. */
 export interface WrittenRecord {
@@ -31,7 +31,7 @@
 }
 
 /** A disk in memory that syncs at once and remembers every write in its order. */
-class MemoryRecords implements RecordWriter {
+class MemoryRecordWriter implements RecordWriter {
   readonly written: WrittenRecord[] = [];
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -41,7 +41,7 @@
 }
 
 /** Chance by the generator of Park and Miller. */
-class ScriptedChance implements RandomSource {
+class SeededRandom implements RandomSource {
   #state: number;
 
   constructor(seed: number) {
@@ -88,8 +88,8 @@
 }
 
 /** Ends a run on what must not happen in it. */
-export function fail(why: Fault): never {
-  throw new Error(`${why.kind}: ${why.detail}`);
+export function fail(fault: Fault): never {
+  throw new Error(`${fault.kind}: ${fault.detail}`);
 }
 
 /**
@@ -103,12 +103,12 @@
   #deployment: string;
   #makeNode: (common: CommonDependencies) => N;
   #nowMs = 0;
-  #chance: RandomSource;
+  #random: RandomSource;
   #cores = new Map<string, ScriptedCore<N>>();
   #inFlight: { readonly address: string; readonly bytes: Uint8Array }[] = [];
 
   constructor(deployment: string, seed: number, makeNode: (common: CommonDependencies) => N) {
-    this.#chance = new ScriptedChance(seed);
+    this.#random = new SeededRandom(seed);
     this.#deployment = deployment;
     this.#makeNode = makeNode;
   }
@@ -120,33 +120,33 @@
 
   /** The core that coordinates and reaches a majority. */
   get leader(): N {
-    const found = this.cores.find(({ node }) => node.group.isCoordinator && node.group.holdsLease());
-    if (found === undefined) throw new Error('no core coordinates');
-    return found.node;
+    const leader = this.cores.find(({ node }) => node.group.isCoordinator && node.group.holdsLease());
+    if (leader === undefined) throw new Error('no core coordinates');
+    return leader.node;
   }
 
   /** Starts a core on a disk with these records. */
   add(name: string, records: Records): void {
-    const vault = new MemoryRecords();
-    const opening = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
-    const acceptor = new Acceptor(opening, vault, this.#deployment, fail);
+    const recordWriter = new MemoryRecordWriter();
+    const recovered = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
+    const acceptor = new Acceptor(recovered, recordWriter, this.#deployment, fail);
     if (records.disk === undefined) acceptor.writeDiskRecord();
     const node = this.#makeNode({
       name,
       address: addressOf(name),
-      zone: ZONES[name] ?? OTHER_ZONE,
+      zone: ZONE_BY_CORE[name] ?? DEFAULT_ZONE,
       deployment: this.#deployment,
       seeds: FOUNDERS.map(addressOf),
       founders: FOUNDERS,
       desiredVoterCount: VOTER_COUNT,
       clock: { nowMs: () => this.#nowMs },
-      chance: this.#chance,
+      chance: this.#random,
       times: GROUP_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
       send: (address, frame) => void this.#inFlight.push({ address, bytes: encodeFrame(frame) }),
     });
-    this.#cores.set(addressOf(name), { name, node, acceptor, written: vault.written });
+    this.#cores.set(addressOf(name), { name, node, acceptor, written: recordWriter.written });
   }
 
   /** Ends a core without a word. */
@@ -155,27 +155,27 @@
   }
 
   /** Runs for this time. */
-  run(forMs: number): void {
-    for (const endMs = this.#nowMs + forMs; this.#nowMs < endMs;) this.#step();
+  run(durationMs: number): void {
+    for (const endMs = this.#nowMs + durationMs; this.#nowMs < endMs;) this.#step();
   }
 
   /** Runs until something is so, and fails where that takes too long. */
-  runUntil(isSo: () => boolean, atMostMs: number): void {
-    const endMs = this.#nowMs + atMostMs;
-    while (!isSo()) {
-      if (this.#nowMs >= endMs) throw new Error(`not so after ${atMostMs} ms`);
+  runUntil(condition: () => boolean, timeoutMs: number): void {
+    const endMs = this.#nowMs + timeoutMs;
+    while (!condition()) {
+      if (this.#nowMs >= endMs) throw new Error(`not so after ${timeoutMs} ms`);
       this.#step();
     }
   }
 
   #step(): void {
     this.#nowMs += TICK_MS;
-    const arriving = this.#inFlight;
+    const arrivingFrames = this.#inFlight;
     this.#inFlight = [];
-    for (const { address, bytes } of arriving) {
-      const read = decodeFrame(bytes, this.#deployment);
-      if (read.isErr) fail(read.error);
-      else this.#cores.get(address)?.node.receive(read.value);
+    for (const { address, bytes } of arrivingFrames) {
+      const decoded = decodeFrame(bytes, this.#deployment);
+      if (decoded.isErr) fail(decoded.error);
+      else this.#cores.get(address)?.node.receive(decoded.value);
     }
     for (const { node } of this.#cores.values()) node.tick();
   }
--- a/packages/compatibility/src/wire-format.test.ts
+++ b/packages/compatibility/src/wire-format.test.ts
@@ -70,8 +70,8 @@
 describe('given a frame of an earlier build', () => {
   for (const { wasNamed, hex, fields } of goldenSamples.filter(({ message }) => message === FRAME))
     it(`when a node takes it off the wire and puts it back, then ${wasNamed} is the same byte for byte`, () => {
-      const read = decodeFrame(Buffer.from(hex, 'hex'), String(fields[DEPLOYMENT_FIELD]));
-      const answer = read.isOk ? Buffer.from(encodeFrame(read.value)).toString('hex') : read.error.detail;
+      const frame = decodeFrame(Buffer.from(hex, 'hex'), String(fields[DEPLOYMENT_FIELD]));
+      const answer = frame.isOk ? Buffer.from(encodeFrame(frame.value)).toString('hex') : frame.error.detail;
       expect(answer).toEqual(hex);
     });
 });
--- a/packages/compatibility/src/wire-schema.ts
+++ b/packages/compatibility/src/wire-schema.ts
@@ -50,7 +50,7 @@
   return MESSAGES.map((message) => ({
     wasNamed: message.name,
     fields: [...message.fields]
-      .sort((one, other) => one.number - other.number)
+      .sort((left, right) => left.number - right.number)
       .map((field) => `${field.number}:${typeOf(field)}:${labelOf(field)}`),
   }));
 }
