--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -313,7 +313,7 @@
       reachable: true,
       slots: 2,
       holdings: [{ model: 'model-1', adapters: [] }],
-      sinceMs: new Map([['model-1', -LATER_MS]]),
+      sinceMs: new Map([['model-1', -LONG_DURATION_MS]]),
       othersInFlight: 0,
     };
   }
