--- a/packages/compatibility/src/write-fixtures.ts
+++ b/packages/compatibility/src/write-fixtures.ts
@@ -42,10 +42,10 @@
   'command-line': () => writeEach(COMMAND_LINE_FIXTURES),
 };
 
-const asked = process.argv.slice(2);
+const requested = process.argv.slice(2);
 const known = Object.keys(WRITERS).join(', ');
-if (asked.length === 0 || asked.some((name) => WRITERS[name] === undefined)) {
+if (requested.length === 0 || requested.some((name) => WRITERS[name] === undefined)) {
   console.error(`usage: write-fixtures NAME...; fixtures: ${known}`);
   process.exit(2);
 }
-for (const name of asked) await WRITERS[name]?.();
+for (const name of requested) await WRITERS[name]?.();
