--- a/packages/compatibility/src/cluster-node-script.ts
+++ b/packages/compatibility/src/cluster-node-script.ts
@@ -1,4 +1,4 @@
-/** What happens to the cores of a site whose data folders are fixtures. */
+/** The scenario of the cores of a site whose data folders are fixtures. */
 import { ClusterNode } from '@rainrun/cluster-node';
 import { create } from '@bufbuild/protobuf';
 import { WorkerListSchema } from '@rainrun/messages';
@@ -25,7 +25,7 @@
   routes: [{ path: '/v1/chat', serve: 'chat' }],
 };
 
-/** The operations, in this order; each takes effect or is refused. */
+/** The operations of the scenario, in order; each takes effect or is rejected. */
 const OPERATIONS: readonly (readonly [id: string, kind: string, payload: object])[] = [
   ['op-1', 'spec.put', { base: 0, text: JSON.stringify(SPEC) }],
   ['op-2', 'spec.put', { base: 0, text: '{}' }],
@@ -43,7 +43,7 @@
 
 type SiteGroup = ScriptedGroup<ClusterNode>;
 
-/** A group of cores that has no member yet. */
+/** A group of cores without members. */
 export function newSiteGroup(seed: number): SiteGroup {
   return new ScriptedGroup('site', seed, makeNode);
 }
@@ -76,7 +76,7 @@
   });
 }
 
-/** Three cores that founded a site, took operations and placed models. */
+/** Three cores that founded a site, executed the operations and placed models. */
 export function siteAfterPlacement(): SiteGroup {
   const group = newSiteGroup(SEEDS.first);
   for (const name of FOUNDERS) group.add(name, {});
@@ -87,7 +87,7 @@
   return group;
 }
 
-/** Submits an operation at the coordinator and gives its answer. */
+/** Submits an operation at the coordinator and returns its answer. */
 function submit(group: SiteGroup, id: string, kind: string, payload: object): string {
   let outcome = '';
   group.leader.submit(id, kind, JSON.stringify(payload), (answer) => {
@@ -98,14 +98,14 @@
   return outcome;
 }
 
-/** Operations that show what is remembered: one that was answered before, one that races, a new one. */
+/** Operations after a restart, which show what was stored: a repeated, a conflicting and a new one. */
 const LATER_OPERATIONS: readonly (readonly [id: string, kind: string, payload: object])[] = [
   ['op-5', 'zone.empty', { zone: 'coast' }],
   ['op-9', 'spec.edit', { seen: 2, edit: { set: { store: { pullsPerMinute: 9, concurrentPulls: 2 } } } }],
   ['op-10', 'zone.restore', { zone: 'inland' }],
 ];
 
-/** What cores know that were started again, and how they go on from it. */
+/** The state of restarted cores, and the answers to further operations. */
 export function stateOfSite(group: SiteGroup): unknown {
   for (const { node } of group.cores) node.learnList(workerList());
   group.run(FOUNDING_MS);
--- a/packages/compatibility/src/core-replica-script.ts
+++ b/packages/compatibility/src/core-replica-script.ts
@@ -1,4 +1,4 @@
-/** What happens to the cores of a deployment whose data folders are fixtures. */
+/** The scenarios of core replicas whose data folders are fixtures. */
 import { CoreReplica, coreStatus } from '@rainrun/cluster-node';
 import { STRICT_QUOTA_BOUNDS } from '@rainrun/quotas';
 import { FOUNDERS, ScriptedGroup, SEEDS, type CommonDependencies } from './scripted-group.js';
@@ -23,7 +23,7 @@
   note: { kept: true, text: 'ünïcode' },
 };
 
-/** The operations, in this order; each takes effect or is refused. */
+/** The operations of the scenario, in order; each takes effect or is rejected. */
 const OPERATIONS: readonly (readonly [kind: string, payload: object])[] = [
   ['configuration.put', { base: 0, document: DOCUMENT }],
   [
@@ -39,7 +39,7 @@
 
 type CoreGroup = ScriptedGroup<CoreReplica>;
 
-/** A group of cores that has no member yet. */
+/** A group of cores without members. */
 export function newCoreGroup(seed: number): CoreGroup {
   return new ScriptedGroup('system', seed, makeCore);
 }
@@ -59,7 +59,7 @@
   });
 }
 
-/** Three cores that founded a deployment and took operations. */
+/** Three cores that founded a deployment and executed the operations. */
 export function coresAfterOperations(): CoreGroup {
   const group = newCoreGroup(SEEDS.first);
   for (const name of FOUNDERS) group.add(name, {});
@@ -68,7 +68,7 @@
   return group;
 }
 
-/** The same, once a lost core is just being replaced as a voter by a new one. */
+/** The cores of `coresAfterOperations` while a new core replaces a lost one as voter. */
 export function coresReplacingVoter(): CoreGroup {
   const group = coresAfterOperations();
   group.kill('core-3');
@@ -80,7 +80,7 @@
   return group;
 }
 
-/** Submits an operation at the coordinator and gives its answer. */
+/** Submits an operation at the coordinator and returns its answer. */
 function submit(group: CoreGroup, kind: string, payload: object): string {
   let outcome = '';
   group.leader.submit(kind, payload, (answer) => {
@@ -91,7 +91,7 @@
   return outcome;
 }
 
-/** Operations that show what is remembered: one that was taken before, one that is late, a new one. */
+/** Operations after a restart, which show what was stored: a repeated one, outdated ones and a new one. */
 const LATER_OPERATIONS: readonly (readonly [kind: string, payload: object])[] = [
   ['configuration.patch', { base: 5, patch: { revision: 8, drop: { routes: ['answers'] } } }],
   ['zone.return', { zone: 'inland', seen: 4 }],
@@ -99,7 +99,7 @@
   ['zone.return', { zone: 'north', seen: 6 }],
 ];
 
-/** What cores know that were started again, and how they go on from it. */
+/** The state of restarted cores, and the answers to further operations. */
 export function stateOfCores(group: CoreGroup): unknown {
   group.run(FOUNDING_MS);
   const { state, group: agreed } = group.leader;
--- a/packages/compatibility/src/data-folder-fixtures.ts
+++ b/packages/compatibility/src/data-folder-fixtures.ts
@@ -1,4 +1,4 @@
-/** The data folders that are fixtures: what wrote them, and what is read from them. */
+/** The data folder fixtures: the scenarios that write them, and the state that is read from them. */
 import { readdir } from 'node:fs/promises';
 import { join } from 'node:path';
 import { newSiteGroup, siteAfterPlacement, stateOfSite } from './cluster-node-script.js';
@@ -19,20 +19,20 @@
 import { asJson, fixturePath } from './golden-files.js';
 import { SEEDS, type ScriptedGroup, type ScriptedNode } from './scripted-group.js';
 
-/** One fixture: the data folders of all cores of a group, at one moment. */
+/** One fixture: the data folders of all cores of a group at one point of a scenario. */
 export interface DataFolderFixture {
   readonly name: string;
-  /** How the cores came to it. */
+  /** What the cores did before, as part of a test title. */
   readonly scenario: string;
-  /** The files that today's code writes when the same happens, by core. */
+  /** Runs the scenario with the current code and returns the files that it writes, by core. */
   write(): Promise<Readonly<Record<string, FolderContent>>>;
-  /** What today's code reads from the fixture. */
+  /** The state that the current code reads from the fixture. */
   read(): Promise<unknown>;
 }
 
-/** Every fixture of data folders. */
+/** All data folder fixtures. */
 export const DATA_FOLDER_FIXTURES: readonly DataFolderFixture[] = [
-  defineFixture('core-replica', 'cores of a deployment that took operations', {
+  defineFixture('core-replica', 'cores of a deployment that executed operations', {
     runScenario: coresAfterOperations,
     createEmptyGroup: () => newCoreGroup(SEEDS.afterRestart),
     stateOf: stateOfCores,
@@ -42,21 +42,21 @@
     createEmptyGroup: () => newCoreGroup(SEEDS.afterRestart),
     stateOf: stateOfCores,
   }),
-  defineFixture('cluster-node', 'cores of a site that took operations and placed models', {
+  defineFixture('cluster-node', 'cores of a site that executed operations and placed models', {
     runScenario: siteAfterPlacement,
     createEmptyGroup: () => newSiteGroup(SEEDS.afterRestart),
     stateOf: stateOfSite,
   }),
 ];
 
-/** The folder of the data folders of a fixture. */
+/** The path under which a fixture has one data folder per core. */
 export function folderOf(name: string): string {
   return fixturePath(join('data-folders', name));
 }
 
 interface ScenarioGroups<N extends ScriptedNode> {
   runScenario(): ScriptedGroup<N>;
-  /** A group without members, to be started on the data folders. */
+  /** A group without members, whose cores are then started on the data folders. */
   createEmptyGroup(): ScriptedGroup<N>;
   stateOf(group: ScriptedGroup<N>): unknown;
 }
--- a/packages/compatibility/src/data-folder.test.ts
+++ b/packages/compatibility/src/data-folder.test.ts
@@ -1,6 +1,7 @@
 /**
- * Data folders of an earlier build still open, say the same and are written the
- * same: the fixtures were written by the build of commit ff944b4.
+ * Guards the format of data folders: those of an earlier build still open and
+ * yield the same state, and this build writes the same bytes. The fixtures were
+ * written by the build of commit ff944b4.
  */
 import { readdir } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -12,11 +13,11 @@
 
 for (const { name, scenario, read, write } of DATA_FOLDER_FIXTURES)
   describe(`given the data folders of ${scenario}`, () => {
-    it('when cores start on copies of them, then they read the same, agree on the same state and go on from it', async () => {
+    it('when cores start on copies of them, then they read the same records, agree on the same state and continue from it', async () => {
       expect(await read()).toEqual(await readGolden(`data-folders/${name}.json`));
     });
 
-    it('when the same happens to cores of this build, then they write the same files byte for byte', async () => {
+    it('when this build runs the same scenario, then its cores write the same files byte for byte', async () => {
       const folder = folderOf(name);
       const cores = (await readdir(folder)).sort();
       const files = await Promise.all(
--- a/packages/compatibility/src/data-folders.ts
+++ b/packages/compatibility/src/data-folders.ts
@@ -1,4 +1,4 @@
-/** The data folders of cores: written from what a scripted core stored, opened like a program does. */
+/** Writes data folders from the records of scripted cores, and opens them as the programs do. */
 import { cp, mkdtemp, readdir, readFile, rm } from 'node:fs/promises';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -10,10 +10,10 @@
 import { fieldValues } from './message-samples.js';
 import { fail, type WrittenRecord } from './scripted-group.js';
 
-/** The files of a folder: name to content in base64. */
+/** The files of a folder, from name to content in base64. */
 export type FolderContent = Readonly<Record<string, string>>;
 
-/** Does something in a new folder, which is removed afterwards. */
+/** Runs an action in a new temporary folder, which is removed afterwards. */
 export async function inNewFolder<T>(action: (folder: string) => Promise<T>): Promise<T> {
   const folder = await mkdtemp(join(tmpdir(), 'compatibility-'));
   try {
@@ -23,7 +23,7 @@
   }
 }
 
-/** Writes records into a data folder, in their order. */
+/** Writes records into a data folder, in the given order. */
 export async function writeDataFolder(folder: string, written: readonly WrittenRecord[]): Promise<void> {
   const { recordStore } = (await RecordStore.open(folder)).unwrapOrElse(fail);
   for (const { kind, bytes } of written) {
@@ -34,7 +34,7 @@
   }
 }
 
-/** The records of a copy of a data folder. */
+/** Opens a copy of a data folder and returns its records. */
 export function openCopy(folder: string): Promise<Records> {
   return inNewFolder(async (copy) => {
     await cp(folder, copy, { recursive: true });
@@ -51,7 +51,7 @@
   return Object.fromEntries(files);
 }
 
-/** What a core reads from its disk before it starts; messages stand by field number. */
+/** The state that a core recovers from its disk before it starts; messages are keyed by field number. */
 export function recoveredState(records: Records): unknown {
   const { disk, deployment, promisedEpoch, promisedTo, accepted } = readRecords(
     records,
--- a/packages/compatibility/src/scripted-group.ts
+++ b/packages/compatibility/src/scripted-group.ts
@@ -1,7 +1,7 @@
 /**
- * A group of cores in one process, with time, chance, network and disks that
- * are the same in every run: what they write is the same byte for byte as long
- * as neither the formats nor the behaviour change.
+ * A deterministic group of cores in one process, with simulated clock, random
+ * source, network and disks. What the cores write is the same byte for byte in
+ * every run, as long as neither the formats nor the behaviour change.
  */
 import type { RandomSource, Clock, Fault } from '@rainrun/common';
 import { encodeFrame, PROTOCOL_LEVELS, decodeFrame, type Frame } from '@rainrun/messages';
@@ -17,11 +17,11 @@
 /** The names of the cores that found a group. */
 export const FOUNDERS = ['core-1', 'core-2', 'core-3'] as const;
 
-/** Where the cores stand. */
+/** The zones of the cores; a core that is not listed is in `DEFAULT_ZONE`. */
 const ZONE_BY_CORE: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
 const DEFAULT_ZONE = 'north';
 
-/** The chance of the first run of a group, and of a run after all its cores were stopped. */
+/** The random seeds of the first run of a group, and of the run after a restart of all its cores. */
 export const SEEDS = { first: 7, afterRestart: 8 } as const;
 
 /** One record that a core wrote. */
@@ -30,7 +30,7 @@
   readonly bytes: Uint8Array;
 }
 
-/** A disk in memory that syncs at once and remembers every write in its order. */
+/** A disk in memory that syncs at once and keeps every write in order. */
 class MemoryRecordWriter implements RecordWriter {
   readonly written: WrittenRecord[] = [];
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** Chance by the generator of Park and Miller. */
+/** The pseudorandom number generator of Park and Miller (a Lehmer generator). */
 class SeededRandom implements RandomSource {
   #state: number;
 
@@ -54,14 +54,14 @@
   }
 }
 
-/** What the script needs of a node. */
+/** The part of a node that the script uses. */
 export interface ScriptedNode {
   readonly group: { readonly isCoordinator: boolean; holdsLease(): boolean };
   receive(frame: Frame): void;
   tick(): void;
 }
 
-/** What every node of the group is given alike. */
+/** Dependencies that every node of the group gets. */
 export interface CommonDependencies {
   readonly name: string;
   readonly address: string;
@@ -83,17 +83,17 @@
   readonly name: string;
   readonly node: N;
   readonly acceptor: Acceptor;
-  /** What it wrote so far, in this order. */
+  /** The records that the core wrote to its disk, in order. */
   readonly written: readonly WrittenRecord[];
 }
 
-/** Ends a run on what must not happen in it. */
+/** Throws an error for a fault that must not occur in a run. */
 export function fail(fault: Fault): never {
   throw new Error(`${fault.kind}: ${fault.detail}`);
 }
 
 /**
- * The group: nodes are added, time is run, frames go through their binary form.
+ * A group of scripted cores. Frames between them are encoded to and decoded from their binary form.
  * @example
  * const group = new ScriptedGroup('system', SEEDS.first, (common) => new CoreReplica({ ...common, ...rest }));
  * group.add('core-1', {});
@@ -113,19 +113,19 @@
     this.#makeNode = makeNode;
   }
 
-  /** The cores that run, by the order in which they were added. */
+  /** The running cores, in the order in which they were added. */
   get cores(): ScriptedCore<N>[] {
     return [...this.#cores.values()];
   }
 
-  /** The core that coordinates and reaches a majority. */
+  /** The core that is coordinator and holds the lease, that is, reaches a majority. */
   get leader(): N {
     const leader = this.cores.find(({ node }) => node.group.isCoordinator && node.group.holdsLease());
-    if (leader === undefined) throw new Error('no core coordinates');
+    if (leader === undefined) throw new Error('no core is coordinator and holds the lease');
     return leader.node;
   }
 
-  /** Starts a core on a disk with these records. */
+  /** Starts a core whose disk holds these records. */
   add(name: string, records: Records): void {
     const recordWriter = new MemoryRecordWriter();
     const recovered = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
@@ -149,21 +149,21 @@
     this.#cores.set(addressOf(name), { name, node, acceptor, written: recordWriter.written });
   }
 
-  /** Ends a core without a word. */
+  /** Stops a core without notifying the others, like a crash. */
   kill(name: string): void {
     this.#cores.delete(addressOf(name));
   }
 
-  /** Runs for this time. */
+  /** Advances the simulated time by `durationMs`. */
   run(durationMs: number): void {
     for (const endMs = this.#nowMs + durationMs; this.#nowMs < endMs;) this.#step();
   }
 
-  /** Runs until something is so, and fails where that takes too long. */
+  /** Advances the simulated time until the condition holds, and throws an error after `timeoutMs`. */
   runUntil(condition: () => boolean, timeoutMs: number): void {
     const endMs = this.#nowMs + timeoutMs;
     while (!condition()) {
-      if (this.#nowMs >= endMs) throw new Error(`not so after ${timeoutMs} ms`);
+      if (this.#nowMs >= endMs) throw new Error(`the condition does not hold after ${timeoutMs} ms`);
       this.#step();
     }
   }
