--- a/packages/compatibility/src/message-samples.ts
+++ b/packages/compatibility/src/message-samples.ts
@@ -1,6 +1,7 @@
 /**
- * Sample messages with every field set to a value of its own, and messages
- * read back by field number. No message or field is called by its name here.
+ * Sample messages with every field set to a distinct value, and messages read
+ * back by field number. No message or field is referred to by name, because
+ * names may change without a change of the binary form.
  */
 import {
   fromBinary,
@@ -14,33 +15,33 @@
 import { FrameSchema, WIRE_VERSION } from '@rainrun/messages';
 import { MESSAGES } from './wire-schema.js';
 
-/** A message by field number; fields that are not set are left out. */
+/** The values of a message by field number; fields that are not set are omitted. */
 export interface FieldValues {
   readonly [number: number]: unknown;
 }
 
-/** One message in its binary form, with what it says. */
+/** One message in its binary form, with its field values. */
 export interface MessageSample {
   /** Position of the message in the schema. */
   readonly message: number;
-  /** The name when the fixture was written: for readers only, it is not compared. */
+  /** The name at the time the fixture was written, for readers only; it is not compared. */
   readonly wasNamed: string;
   readonly hex: string;
-  /** What a message with every field set is now, where later builds added fields. */
+  /** The binary form with every field set, where later builds added fields to the message. */
   readonly grownHex?: string;
   readonly fields: FieldValues;
 }
 
-/** Values of samples begin here, so that integers take more than one byte. */
+/** Sample values are above this one, so that integers take more than one byte. */
 const FIRST_VALUE = 300;
 
-/** Number of the field of a frame with the version of the protocol; a frame of another version is not taken. */
+/** Number of the frame's field for the protocol version; frames of another version are rejected. */
 const FRAME_WIRE_FIELD = 1;
 
-/** Elements of each repeated field. */
+/** Number of elements of each repeated field. */
 const LIST_LENGTH = 2;
 
-/** Gives each scalar field of a sample another value. */
+/** Generates a distinct value for each scalar field of a sample. */
 class DistinctValues {
   #last = FIRST_VALUE;
 
@@ -61,7 +62,7 @@
   }
 }
 
-/** The field chosen in each one-of of a message and of the messages inside it. */
+/** The field that is set in each oneof of a message and of its nested messages. */
 type Choices = ReadonlyMap<DescMessage, DescField>;
 
 function fill(message: DescMessage, choices: Choices, values: DistinctValues): ReflectMessage {
@@ -90,7 +91,7 @@
   else if (field.fieldKind === 'scalar') filled.set(field, values.next(field.scalar));
 }
 
-/** Every way to choose in the one-ofs of a message and of the chosen messages inside it. */
+/** All combinations of oneof cases of a message and of the nested messages that these cases hold. */
 function allChoices(message: DescMessage): Choices[] {
   const cases = message.oneofs.flatMap((oneof) => oneof.fields);
   if (cases.length === 0) return [new Map()];
@@ -101,7 +102,7 @@
   );
 }
 
-/** Samples of every message of the schema: one for each case of its one-ofs, of the inner ones too. */
+/** Samples of every message of the schema: one for each case of its oneofs, nested ones included. */
 export function messageSamples(): MessageSample[] {
   return MESSAGES.flatMap((message, position) =>
     allChoices(message).map((choices) => {
@@ -116,7 +117,7 @@
   );
 }
 
-/** What a message says, by field number; bytes stand as hex. */
+/** The values of a message by field number, with bytes as hex; throws an error on unknown fields. */
 export function fieldValues(descriptor: DescMessage, message: Message): FieldValues {
   const read = reflect(descriptor, message);
   if (message.$unknown !== undefined && message.$unknown.length > 0)
@@ -145,12 +146,12 @@
   return value instanceof Uint8Array ? Buffer.from(value).toString('hex') : value;
 }
 
-/** Reads the binary form of the message at this position of the schema. */
+/** Decodes the binary form of the message at this position of the schema. */
 export function decodeAt(position: number, hex: string): Message {
   return fromBinary(descriptorAt(position), Buffer.from(hex, 'hex'));
 }
 
-/** Writes the message at this position of the schema in its binary form. */
+/** Encodes the message at this position of the schema, as hex. */
 export function encodeAt(position: number, message: Message): string {
   return Buffer.from(toBinary(descriptorAt(position), message)).toString('hex');
 }
--- a/packages/compatibility/src/wire-schema.ts
+++ b/packages/compatibility/src/wire-schema.ts
@@ -1,7 +1,7 @@
 /**
- * The protobuf schema without its names: the number, type and label of every
- * field, by the position of its message in the file. Names of messages and
- * fields are not part of the binary form and may change; the rest may not.
+ * The protobuf schema without names: the number, type and label of every field,
+ * by the position of its message in the file. Names of messages and fields are
+ * not part of the binary form and may change; numbers, types and labels may not.
  */
 import { ScalarType, type DescField, type DescMessage } from '@bufbuild/protobuf';
 import { FeatureSet_FieldPresence } from '@bufbuild/protobuf/wkt';
@@ -12,7 +12,7 @@
 
 /** One message of the schema. */
 export interface MessageShape {
-  /** The name when the fixture was written: for readers only, it is not compared. */
+  /** The name at the time the fixture was written, for readers only; it is not compared. */
   readonly wasNamed: string;
   /** `number:type:label` of each field. */
   readonly fields: readonly string[];
