--- a/packages/compatibility/src/command-line-samples.ts
+++ b/packages/compatibility/src/command-line-samples.ts
@@ -1,4 +1,4 @@
-/** What the programs say at the command line, and what `rainrun` sends to a node. */
+/** What the programs print at the command line, and what `rainrun` sends to a node. */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { writeFile } from 'node:fs/promises';
@@ -14,14 +14,14 @@
 const PLATFORM_CORE = programPath('@rainrun/platform/dist/core.js');
 const PLATFORM_EDGE = programPath('@rainrun/platform/dist/edge.js');
 
-/** Files that commands name; each stands in a folder of its own in every run. */
+/** Files that commands refer to; every run writes them to a new folder. */
 const FILES: Readonly<Record<string, string>> = {
   'spec.json': '{"deployment":"site"}',
   'edit.json': '{"add":{"zones":["north"]}}',
   'not-json.txt': '{',
 };
 
-/** So many commands run at once. */
+/** Number of batches of commands that run concurrently. */
 const BATCH_COUNT = 4;
 
 const MISSING_FILE = '/no/such/file';
@@ -29,7 +29,7 @@
 
 type Body = Readonly<Record<string, unknown>>;
 
-/** One command, and what the node answers. */
+/** One command, and the node's response to it. */
 interface Command {
   readonly args: readonly string[];
   readonly status?: number;
@@ -102,7 +102,7 @@
   lastKnown: { node: 'core-1', epoch: 3, evacuated: [], voters: [{ name: 'core-2', version: 41 }] },
 };
 
-/** Every verb, with every option, and every kind of answer. */
+/** Every verb, with every option and every kind of response. */
 const COMMANDS: readonly Command[] = [
   { args: ['view'], body: VIEW },
   { args: ['view', '--json'], body: VIEW },
@@ -189,7 +189,7 @@
   { args: ['forget'] },
 ];
 
-/** The daemons, as far as they end by themselves. */
+/** Invocations of the daemons that exit by themselves. */
 const DAEMONS: readonly (readonly [program: string, path: string, words: readonly string[]])[] = [
   ['core', CORE, ['--help']],
   ['core', CORE, []],
@@ -218,14 +218,14 @@
   ['edge on a platform', PLATFORM_EDGE, []],
 ];
 
-/** How a program ended. */
+/** The exit code and output of a program. */
 interface ProgramResult {
   readonly exit: number | null;
   readonly out: readonly string[];
   readonly err: readonly string[];
 }
 
-/** Answers each call as the script says, and notes it. */
+/** An operator endpoint that records each call and answers it with the response of the command. */
 class ScriptedOperatorEndpoint {
   readonly calls: unknown[] = [];
   #next: Command = { args: [] };
@@ -277,12 +277,12 @@
   return { exit, out: linesOf(out), err: linesOf(err) };
 }
 
-/** What the JavaScript engine says of a JSON text that it cannot read is not ours. */
+/** Splits output into lines, without the detail of JSON syntax errors, which varies with the engine. */
 function linesOf(text: string): string[] {
   return text.replace(/SyntaxError: [^;]*/, 'SyntaxError').split('\n');
 }
 
-/** Runs these commands one after the other against a node of their own. */
+/** Runs these commands sequentially against an endpoint of their own. */
 async function runAgainstEndpoint(commands: readonly Command[], folder: string): Promise<unknown[]> {
   const endpoint = new ScriptedOperatorEndpoint();
   const environment = { RAINRUN_NODE: await endpoint.listen() };
@@ -299,7 +299,7 @@
   return results;
 }
 
-/** For every verb of `rainrun`: what it sends, prints and exits with. */
+/** For every verb of `rainrun`: what it sends and prints, and its exit code. */
 export function rainrunCommands(): Promise<unknown> {
   return inNewFolder(async (folder) => {
     for (const [name, text] of Object.entries(FILES)) await writeFile(join(folder, name), text);
@@ -311,7 +311,7 @@
   });
 }
 
-/** What the daemons print and exit with where they do not start. */
+/** What the daemons print when they do not start, and their exit codes. */
 export function daemonCommands(): Promise<unknown> {
   return inNewFolder(async (folder) => {
     const results: unknown[] = [];
--- a/packages/compatibility/src/command-line.test.ts
+++ b/packages/compatibility/src/command-line.test.ts
@@ -1,4 +1,4 @@
-/** The command line stays what it was in the build of commit ff944b4. */
+/** Guards the command line: calls, output and exit codes stay as in the build of commit ff944b4. */
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { asJson, readGolden } from './golden-files.js';
--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -1,4 +1,4 @@
-/** The counters of both data planes: what each way for a request to end is counted as. */
+/** The counters of both data planes, the router and the gateway, for each outcome of a request. */
 import { checkConfiguration, readSpec, type Configuration, type Spec } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import { Gateway, type Link, type LinkHandler, type LinkRequest, type SendHandler } from '@rainrun/gateway';
@@ -32,7 +32,7 @@
   return checkConfiguration(DOCUMENT).unwrapOrElse(fail);
 }
 
-/** A link that leaves it to the script how each send goes on. */
+/** A link that records each send; the script drives its handler. */
 class ScriptedLink implements Link {
   readonly sent: { readonly request: LinkRequest; readonly handler: LinkHandler }[] = [];
 
@@ -41,15 +41,15 @@
     return NO_OP_CONTROLS;
   }
 
-  /** The newest send. */
+  /** The handler of the last send. */
   get handler(): LinkHandler {
     const last = this.sent.at(-1);
-    if (last === undefined) throw new Error('nothing was sent');
+    if (last === undefined) throw new Error('no request was sent to a worker');
     return last.handler;
   }
 }
 
-/** A router with one worker, and one client. */
+/** A router with one worker and one client. */
 class RouterHarness {
   nowMs = START_MS;
   isWorkerDraining = false;
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Asks; what is returned says that the client has left. */
+  /** Submits a request; the returned function reports that the client has disconnected. */
   submitRequest(target: string): () => void {
     return this.router.submit(
       {
@@ -113,7 +113,7 @@
     );
   }
 
-  /** The worker's answer begins. */
+  /** Delivers the head of the worker's response. */
   startResponse(status: number, ...headers: readonly (readonly [string, string])[]): void {
     const { requestId, signature } = DIALECT.workerHeaderNames;
     this.link.handler.mayStart();
@@ -198,7 +198,7 @@
   },
 };
 
-/** Counters of the router and refusals to the client for each way to end, and what a worker is sent. */
+/** For each outcome of a request: the router's counters, the rejections and what the worker is sent. */
 export function routerCounters(): unknown {
   return Object.entries(ROUTER_CASES).map(([name, run]) => {
     const harness = new RouterHarness();
@@ -225,14 +225,14 @@
   routes: [{ path: '/chat', serve: 'chat' }],
 };
 
-/** The spec with this budget for retries. */
+/** The spec with this retry budget ratio. */
 function specWith(ratio: number): Spec {
   const read = readSpec(JSON.stringify({ ...SPEC, retries: { ratio, allowance: 10 } }));
   if (read.isErr) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
 
-/** A gateway with one worker, and one visitor. */
+/** A gateway with one worker and one client. */
 class GatewayHarness {
   nowMs = START_MS;
   hasLease = true;
@@ -270,11 +270,11 @@
 
   get handler(): SendHandler {
     const last = this.sent.at(-1);
-    if (last === undefined) throw new Error('nothing was sent');
+    if (last === undefined) throw new Error('no request was sent to a worker');
     return last.handler;
   }
 
-  /** Asks; what is returned says that the visitor has left. */
+  /** Submits a request; the returned function reports that the client has disconnected. */
   submitRequest(change: { path?: string; group?: string; model?: string } = {}): () => void {
     return this.gateway.admit(
       {
@@ -376,7 +376,7 @@
   },
 };
 
-/** Counters of the gateway and refusals to the visitor for each way to end, and what a worker is sent. */
+/** For each outcome of a request: the gateway's counters, the rejections and what the worker is sent. */
 export function gatewayCounters(): unknown {
   return Object.entries(GATEWAY_CASES).map(([name, run]) => {
     const harness = new GatewayHarness();
--- a/packages/compatibility/src/golden-files.ts
+++ b/packages/compatibility/src/golden-files.ts
@@ -11,17 +11,17 @@
   return fileURLToPath(new URL(name, FIXTURES));
 }
 
-/** Reads a fixture that is a text. */
+/** Reads a text fixture. */
 export function readGoldenText(name: string): Promise<string> {
   return readFile(fixturePath(name), 'utf8');
 }
 
-/** Reads a fixture that is a JSON value. */
+/** Reads a JSON fixture. */
 export async function readGolden(name: string): Promise<unknown> {
   return JSON.parse(await readGoldenText(name)) as unknown;
 }
 
-/** Writes bytes, or a text, as a fixture. */
+/** Writes bytes or text as a fixture. */
 export async function writeGoldenBytes(name: string, content: Uint8Array | string): Promise<void> {
   const path = fixturePath(name);
   await mkdir(dirname(path), { recursive: true });
@@ -34,7 +34,7 @@
   await writeGoldenBytes(name, await format(JSON.stringify(value), { ...options, parser: 'json' }));
 }
 
-/** A value as it comes back from a JSON file, to compare it with a golden. */
+/** Converts a value to what a JSON file of it would yield, for comparison with a golden fixture. */
 export function asJson(value: unknown): unknown {
   return JSON.parse(JSON.stringify(value)) as unknown;
 }
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -1,4 +1,4 @@
-/** What goes over HTTP: names of headers and paths, bodies, and the answers to faults. */
+/** Samples of the HTTP interface for clients: headers, bodies, and the responses for faults. */
 import { IncomingMessage, ServerResponse } from 'node:http';
 import { Socket } from 'node:net';
 import { FAULT_RESPONSES, fault, isFaultKind, type RandomSource, type FaultKind } from '@rainrun/common';
@@ -6,10 +6,10 @@
 import { DIALECT } from '@rainrun/platform/dialect';
 import { handleChatRequest } from '@rainrun/runtime';
 
-/** In the order of their names: the order of the table is not public. */
+/** All fault kinds, sorted by name because the order of `FAULT_RESPONSES` is not public. */
 const KINDS = Object.keys(FAULT_RESPONSES).filter(isFaultKind).sort();
 
-/** Every kind of fault, with its status, whether the work may have run, and when to come back. */
+/** For every kind of fault: its status, whether the work may have run, and when to retry. */
 export function faultResponses(): unknown {
   return KINDS.map((kind) => {
     const { status, ran, retryAfterS } = FAULT_RESPONSES[kind];
@@ -18,7 +18,7 @@
   });
 }
 
-/** An answer as it was written to a client. */
+/** Records the response that is written to a client. */
 class RecordedResponse extends ServerResponse {
   readonly record: unknown[] = [];
 
@@ -36,7 +36,7 @@
   }
 }
 
-/** Chance that always gives the same, so that ids do. */
+/** A random source with a constant value, which makes request ids deterministic. */
 const CONSTANT_RANDOM: RandomSource = { next: () => 0.5 };
 
 const CHAT = {
@@ -53,7 +53,7 @@
   return request;
 }
 
-/** Sends a request of a visitor to a gateway that lets `handle` answer it. */
+/** Passes a client's request to a gateway whose requests `handle` answers, and returns the response. */
 function exchange(
   request: IncomingMessage,
   handle: (init: GatewayRequestInit, sink: GatewayResponseSink) => void,
@@ -69,7 +69,7 @@
   return response.record;
 }
 
-/** What visitors send to an edge of a site, and what they are answered. */
+/** What clients send to an edge of a site, and the responses that they get. */
 export function clientExchanges(): unknown {
   const headers = { 'rainrun-group': 'group-1', 'rainrun-kind': 'short', 'rainrun-deadline-ms': '1500' };
   const asked: unknown[] = [];
--- a/packages/compatibility/src/node-samples.ts
+++ b/packages/compatibility/src/node-samples.ts
@@ -1,4 +1,4 @@
-/** Real nodes: the names of their metrics and counters, and the forms of their answers to operators. */
+/** Metric and counter names of running nodes, and the shapes of their responses to operators. */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import { setTimeout as delay } from 'node:timers/promises';
@@ -10,7 +10,7 @@
 import { inNewFolder } from './data-folders.js';
 import { fail } from './scripted-group.js';
 
-/** Addresses of this process alone, so that several test runs may go at once. */
+/** Loopback addresses derived from the process id, so that several test runs can go on at once. */
 const NETWORK = `127.${(process.pid >> 8) % 256}.${process.pid % 256}`;
 const CORE = { bind: `${NETWORK}.1:17701`, http: `${NETWORK}.1:18701` } as const;
 const EDGE = { bind: `${NETWORK}.2:17701`, http: `${NETWORK}.2:18701` } as const;
@@ -51,7 +51,7 @@
   return { status: reply.status, type: reply.headers.get('content-type'), text: await reply.text() };
 }
 
-/** Calls again until it answers well and with this text in its text. */
+/** Repeats a call until its status is 200 and its body contains the expected text. */
 async function waitUntilOk(http: string, path: string, expectedText = ''): Promise<void> {
   const endMs = performance.now() + TIMEOUT_MS;
   for (;;) {
@@ -72,7 +72,7 @@
   return started.unwrapOrElse(fail);
 }
 
-/** Does something with a core and an edge of a site, the core's spec agreed. */
+/** Runs an action while a core and an edge of a site run and the site's spec is agreed. */
 async function withSite<T>(action: () => Promise<T>): Promise<T> {
   return inNewFolder(async (folder) => {
     const platform = join(folder, 'workers.json');
@@ -94,13 +94,13 @@
   });
 }
 
-/** The names and labels of a text of metrics, in their order. */
+/** The names and labels of the metrics in a response, in order. */
 function metricNames({ status, type, text }: OperatorResponse): unknown {
   const names = text.split('\n').map((line) => line.replace(/ -?[0-9.e+-]+$/, ''));
   return { status, type, names };
 }
 
-/** The form of a JSON value: keys, and types in place of values. */
+/** The shape of a JSON value: its keys, with types in place of values. */
 function shapeOf(value: unknown): unknown {
   if (Array.isArray(value)) return value.length === 0 ? [] : [shapeOf(value[0])];
   if (typeof value !== 'object' || value === null) return value === null ? null : typeof value;
@@ -137,7 +137,7 @@
   ['GET', 'nothing'],
 ];
 
-/** The names of the metrics of a core and of an edge, and the form of every answer to an operator. */
+/** The metric names of a core and of an edge, and the shape of every response to an operator. */
 export function siteMetricsAndAnswers(): Promise<unknown> {
   return withSite(async () => {
     const metrics = {
@@ -153,7 +153,7 @@
   });
 }
 
-/** A log that keeps the names of the counters that are written to it. */
+/** A log that keeps the names of the counters that are logged to it. */
 class CounterLog implements Log {
   names: readonly string[] = [];
 
--- a/packages/compatibility/src/public-names.test.ts
+++ b/packages/compatibility/src/public-names.test.ts
@@ -1,13 +1,13 @@
 /**
- * Settings, headers, paths, bodies and answers that callers, operators and
- * platforms rely on stay what they were in the build of commit ff944b4.
+ * Guards the settings, headers, paths, bodies and responses that callers,
+ * operators and platforms rely on: they stay as in the build of commit ff944b4.
  */
 import { describe, it } from 'node:test';
 import { expect } from 'earl';
 import { asJson, readGolden } from './golden-files.js';
 import { PUBLIC_NAME_FIXTURES } from './public-name-fixtures.js';
 
-/** Names that later builds added, by fixture: readers of an earlier build's names miss nothing by them. */
+/** Names that later builds added, by fixture; additions do not break readers of the earlier names. */
 const ADDED_NAMES: Readonly<Record<string, readonly string[]>> = {
   'metrics/site.json': ['rainrun_resets', 'rainrun_listenFailures', 'resets', 'listenFailures'],
   'metrics/platform.json': [
@@ -19,7 +19,7 @@
   ],
 };
 
-/** Takes names out of lists and objects, and notes each that was there. */
+/** Removes names from lists and objects at any depth, and adds each name found to `seen`. */
 function withoutNames(value: unknown, names: readonly string[], seen: Set<string>): unknown {
   if (Array.isArray(value)) {
     for (const name of names) if (value.includes(name)) seen.add(name);
--- a/packages/compatibility/src/settings-samples.ts
+++ b/packages/compatibility/src/settings-samples.ts
@@ -1,4 +1,4 @@
-/** The settings of all programs: each key set, each key left out, each key wrong. */
+/** Settings of the programs `core` and `edge`: each key set, omitted and invalid. */
 import { writeFile } from 'node:fs/promises';
 import { join } from 'node:path';
 import type { Fault } from '@rainrun/common';
@@ -59,7 +59,7 @@
     : { faults: read.error.map(({ kind, detail }) => `${kind} ${detail}`) };
 }
 
-/** Keys of settings are keys of the settings file: they are compared by their names. */
+/** Reads flags as a program does. Settings are compared by name: each is also a key of the settings file. */
 function fromFlags(flags: Keys, role: Role): unknown {
   return outcome(readSettings(flags, role), (settings) => settings);
 }
@@ -77,7 +77,7 @@
   return typeof value === 'number' ? String(value) : value;
 }
 
-/** What the settings of the programs `core` and `edge` come to. */
+/** The settings that the programs `core` and `edge` read, or the faults that they report. */
 export async function programSettings(): Promise<unknown> {
   const flags = Object.fromEntries(Object.entries(ALL).map(([key, value]) => [key, asFlag(value)]));
   const { folder, ...withoutFolder } = ALL;
--- a/packages/compatibility/src/write-fixtures.ts
+++ b/packages/compatibility/src/write-fixtures.ts
@@ -1,8 +1,8 @@
 /**
- * Writes the golden fixtures anew: `npm run fixtures -w @rainrun/compatibility -- wire`.
- * The fixtures prove that a later build reads and writes what an earlier one
- * did, so this is run only when a format is added to on purpose; then the
- * difference of the fixtures is part of the review. No test and no build runs it.
+ * Regenerates the golden fixtures: `npm run fixtures -w @rainrun/compatibility -- wire`.
+ * The fixtures prove that a later build reads and writes the same formats as an
+ * earlier one, so run this only when a format is extended on purpose; the diff of
+ * the fixtures is then part of the review. No test and no build runs this script.
  */
 import { rm } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -45,7 +45,7 @@
 const requested = process.argv.slice(2);
 const known = Object.keys(WRITERS).join(', ');
 if (requested.length === 0 || requested.some((name) => WRITERS[name] === undefined)) {
-  console.error(`usage: write-fixtures NAME...; fixtures: ${known}`);
+  console.error(`usage: write-fixtures NAME...; known fixtures: ${known}`);
   process.exit(2);
 }
 for (const name of requested) await WRITERS[name]?.();
