--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -1,4 +1,4 @@
-/** The counters of both data planes: what each way for a request to end is counted as. */
+/** The counters of both data planes, the router and the gateway, for each outcome of a request. */
 import { checkConfiguration, readSpec, type Configuration, type Spec } from '@rainrun/configuration';
 import type { Fault } from '@rainrun/common';
 import { Gateway, type Link, type LinkHandler, type LinkRequest, type SendHandler } from '@rainrun/gateway';
@@ -9,9 +9,9 @@
 const WORKER = 'w-1';
 const REQUEST_ID = 'request-1';
 const START_MS = 1000;
-const LATER_MS = 10_000;
+const LONG_DURATION_MS = 10_000;
 
-const NOTHING = {
+const NO_OP_CONTROLS = {
   abort: () => undefined,
   pause: () => undefined,
   resume: () => undefined,
@@ -32,27 +32,27 @@
   return checkConfiguration(DOCUMENT).unwrapOrElse(fail);
 }
 
-/** A link that leaves it to the script how each send goes on. */
+/** A link that records each send; the script drives its handler. */
 class ScriptedLink implements Link {
   readonly sent: { readonly request: LinkRequest; readonly handler: LinkHandler }[] = [];
 
   send(request: LinkRequest, handler: LinkHandler) {
     this.sent.push({ request, handler });
-    return NOTHING;
+    return NO_OP_CONTROLS;
   }
 
-  /** The newest send. */
+  /** The handler of the last send. */
   get handler(): LinkHandler {
     const last = this.sent.at(-1);
-    if (last === undefined) throw new Error('nothing was sent');
+    if (last === undefined) throw new Error('no request was sent to a worker');
     return last.handler;
   }
 }
 
-/** A router with one worker, and one client. */
-class RouterBench {
+/** A router with one worker and one client. */
+class RouterHarness {
   nowMs = START_MS;
-  leaving = false;
+  isWorkerDraining = false;
   isWorkerListed = true;
   readonly refusals: Fault[] = [];
   readonly link = new ScriptedLink();
@@ -79,8 +79,8 @@
     });
   }
 
-  /** Asks; what is returned says that the client has left. */
-  ask(target: string): () => void {
+  /** Submits a request; the returned function reports that the client has disconnected. */
+  submitRequest(target: string): () => void {
     return this.router.submit(
       {
         id: REQUEST_ID,
@@ -113,8 +113,8 @@
     );
   }
 
-  /** The worker's answer begins. */
-  head(status: number, ...headers: readonly (readonly [string, string])[]): void {
+  /** Delivers the head of the worker's response. */
+  startResponse(status: number, ...headers: readonly (readonly [string, string])[]): void {
     const { requestId, signature } = DIALECT.workerHeaderNames;
     this.link.handler.mayStart();
     this.link.handler.head(status, [[requestId, REQUEST_ID], [signature, 's'], ...headers]);
@@ -126,7 +126,7 @@
       service: 'look',
       address: '10.0.1.1:9000',
       zone: 'coast',
-      draining: this.leaving,
+      draining: this.isWorkerDraining,
       slots: 4,
       warmUpUntilMs: -Infinity,
       models: new Map<string, ReadonlySet<string>>(),
@@ -136,78 +136,78 @@
   }
 }
 
-type RouterCase = (bench: RouterBench) => void;
+type RouterCase = (harness: RouterHarness) => void;
 
 const ROUTER_CASES: Readonly<Record<string, RouterCase>> = {
-  'no route': (bench) => {
-    bench.ask('/none');
+  'no route': (harness) => {
+    harness.submitRequest('/none');
   },
-  'after the end': (bench) => {
-    bench.router.close();
-    bench.ask('/once');
+  'after the end': (harness) => {
+    harness.router.close();
+    harness.submitRequest('/once');
   },
-  answered: (bench) => {
-    bench.ask('/once');
-    bench.head(200);
-    bench.link.handler.end();
+  answered: (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(200);
+    harness.link.handler.end();
   },
-  'declined by another worker': (bench) => {
-    bench.ask('/once');
-    bench.head(421);
+  'declined by another worker': (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(421);
   },
-  'declined as not run': (bench) => {
-    bench.ask('/once');
-    bench.head(503, [DIALECT.workerHeaderNames.notRun, '1']);
+  'declined as not run': (harness) => {
+    harness.submitRequest('/once');
+    harness.startResponse(503, [DIALECT.workerHeaderNames.notRun, '1']);
   },
-  'worker gone before the first byte': (bench) => {
-    bench.ask('/once');
-    bench.leaving = true;
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(false, 'withheld');
+  'worker gone before the first byte': (harness) => {
+    harness.submitRequest('/once');
+    harness.isWorkerDraining = true;
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(false, 'withheld');
   },
-  'worker not reached': (bench) => {
-    bench.ask('/once');
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(false, 'refused');
+  'worker not reached': (harness) => {
+    harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(false, 'refused');
   },
-  'worker failed': (bench) => {
-    bench.ask('/once');
-    bench.link.handler.mayStart();
-    bench.link.handler.failed(true, 'reset');
+  'worker failed': (harness) => {
+    harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    harness.link.handler.failed(true, 'reset');
   },
-  'stream broken': (bench) => {
-    bench.ask('/tell');
-    bench.head(200, ['content-type', 'text/event-stream']);
-    bench.link.handler.chunk(Buffer.from('data: 1\n\n'));
-    bench.link.handler.failed(true, 'reset');
+  'stream broken': (harness) => {
+    harness.submitRequest('/tell');
+    harness.startResponse(200, ['content-type', 'text/event-stream']);
+    harness.link.handler.chunk(Buffer.from('data: 1\n\n'));
+    harness.link.handler.failed(true, 'reset');
   },
-  'client left during a send': (bench) => {
-    const leave = bench.ask('/once');
-    bench.link.handler.mayStart();
-    leave();
+  'client left during a send': (harness) => {
+    const disconnect = harness.submitRequest('/once');
+    harness.link.handler.mayStart();
+    disconnect();
   },
-  'client left while waiting': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask('/once')();
+  'client left while waiting': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest('/once')();
   },
-  'no worker in time': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask('/once');
-    bench.nowMs += LATER_MS;
-    bench.router.tick();
+  'no worker in time': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest('/once');
+    harness.nowMs += LONG_DURATION_MS;
+    harness.router.tick();
   },
 };
 
-/** Counters of the router and refusals to the client for each way to end, and what a worker is sent. */
+/** For each outcome of a request: the router's counters, the rejections and what the worker is sent. */
 export function routerCounters(): unknown {
-  return Object.entries(ROUTER_CASES).map(([name, play]) => {
-    const bench = new RouterBench();
-    play(bench);
+  return Object.entries(ROUTER_CASES).map(([name, run]) => {
+    const harness = new RouterHarness();
+    run(harness);
     return {
       case: name,
-      counters: bench.router.counts,
-      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
-      sent: bench.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
+      counters: harness.router.counts,
+      refusals: harness.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
+      sent: harness.link.sent.map(({ request }) => [request.method, request.target, request.headers]),
     };
   });
 }
@@ -225,17 +225,17 @@
   routes: [{ path: '/chat', serve: 'chat' }],
 };
 
-/** The spec with this budget for retries. */
+/** The spec with this retry budget ratio. */
 function specWith(ratio: number): Spec {
   const read = readSpec(JSON.stringify({ ...SPEC, retries: { ratio, allowance: 10 } }));
   if (read.isErr) throw new Error(JSON.stringify(read.error));
   return read.value;
 }
 
-/** A gateway with one worker, and one visitor. */
-class GatewayBench {
+/** A gateway with one worker and one client. */
+class GatewayHarness {
   nowMs = START_MS;
-  granted = true;
+  hasLease = true;
   isWorkerListed = true;
   readonly refusals: Fault[] = [];
   readonly sent: { readonly request: unknown; readonly handler: SendHandler }[] = [];
@@ -251,7 +251,7 @@
       sender: {
         send: ({ method, path, headers }, handler) => {
           this.sent.push({ request: [method, path, headers], handler });
-          return NOTHING;
+          return NO_OP_CONTROLS;
         },
         probe: (_address, done) => done(true),
       },
@@ -259,23 +259,23 @@
       workers: () => (this.isWorkerListed ? [this.#worker()] : []),
       edges: () => ['edge-1'],
       incarnation: () => 'incarnation-1',
-      hasLease: () => this.granted,
+      hasLease: () => this.hasLease,
       weight: () => 1,
     });
   }
 
-  forbidRetries(): void {
+  disableRetries(): void {
     this.#spec = specWith(0);
   }
 
   get handler(): SendHandler {
     const last = this.sent.at(-1);
-    if (last === undefined) throw new Error('nothing was sent');
+    if (last === undefined) throw new Error('no request was sent to a worker');
     return last.handler;
   }
 
-  /** Asks; what is returned says that the visitor has left. */
-  ask(change: { path?: string; group?: string; model?: string } = {}): () => void {
+  /** Submits a request; the returned function reports that the client has disconnected. */
+  submitRequest(change: { path?: string; group?: string; model?: string } = {}): () => void {
     return this.gateway.admit(
       {
         id: 'edge-1.request',
@@ -313,79 +313,79 @@
       reachable: true,
       slots: 2,
       holdings: [{ model: 'model-1', adapters: [] }],
-      sinceMs: new Map([['model-1', -LATER_MS]]),
+      sinceMs: new Map([['model-1', -LONG_DURATION_MS]]),
       othersInFlight: 0,
     };
   }
 }
 
-type GatewayCase = (bench: GatewayBench) => void;
+type GatewayCase = (harness: GatewayHarness) => void;
 
 const GATEWAY_CASES: Readonly<Record<string, GatewayCase>> = {
-  answered: (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.start(200, 'application/json');
-    bench.handler.chunk(Buffer.from('{}'));
-    bench.handler.end();
+  answered: (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.start(200, 'application/json');
+    harness.handler.chunk(Buffer.from('{}'));
+    harness.handler.end();
   },
-  'worker not reached, sent again': (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(false, 'refused');
-    bench.nowMs += 100;
-    bench.gateway.tick();
+  'worker not reached, sent again': (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(false, 'refused');
+    harness.nowMs += 100;
+    harness.gateway.tick();
   },
-  'worker not reached, and no retry left': (bench) => {
-    bench.forbidRetries();
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(false, 'refused');
+  'worker not reached, and no retry left': (harness) => {
+    harness.disableRetries();
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(false, 'refused');
   },
-  'worker failed': (bench) => {
-    bench.ask();
-    bench.handler.mayStart();
-    bench.handler.failed(true, 'reset');
+  'worker failed': (harness) => {
+    harness.submitRequest();
+    harness.handler.mayStart();
+    harness.handler.failed(true, 'reset');
   },
-  'path unknown': (bench) => {
-    bench.ask({ path: '/none' });
+  'path unknown': (harness) => {
+    harness.submitRequest({ path: '/none' });
   },
-  'group unknown': (bench) => {
-    bench.ask({ group: 'nobody' });
+  'group unknown': (harness) => {
+    harness.submitRequest({ group: 'nobody' });
   },
-  'model unknown': (bench) => {
-    bench.ask({ model: 'none' });
+  'model unknown': (harness) => {
+    harness.submitRequest({ model: 'none' });
   },
-  'node may not admit': (bench) => {
-    bench.granted = false;
-    bench.ask();
+  'node may not admit': (harness) => {
+    harness.hasLease = false;
+    harness.submitRequest();
   },
-  'node drains': (bench) => {
-    bench.gateway.drain();
-    bench.ask();
+  'node drains': (harness) => {
+    harness.gateway.drain();
+    harness.submitRequest();
   },
-  'visitor left': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask()();
+  'visitor left': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest()();
   },
-  'no worker in time': (bench) => {
-    bench.isWorkerListed = false;
-    bench.ask();
-    bench.nowMs += LATER_MS;
-    bench.gateway.tick();
+  'no worker in time': (harness) => {
+    harness.isWorkerListed = false;
+    harness.submitRequest();
+    harness.nowMs += LONG_DURATION_MS;
+    harness.gateway.tick();
   },
 };
 
-/** Counters of the gateway and refusals to the visitor for each way to end, and what a worker is sent. */
+/** For each outcome of a request: the gateway's counters, the rejections and what the worker is sent. */
 export function gatewayCounters(): unknown {
-  return Object.entries(GATEWAY_CASES).map(([name, play]) => {
-    const bench = new GatewayBench();
-    play(bench);
+  return Object.entries(GATEWAY_CASES).map(([name, run]) => {
+    const harness = new GatewayHarness();
+    run(harness);
     return {
       case: name,
-      counters: bench.gateway.counts,
-      refusals: bench.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
-      sent: bench.sent.map(({ request }) => request),
+      counters: harness.gateway.counts,
+      refusals: harness.refusals.map(({ kind, detail, retryAfterS }) => [kind, detail, retryAfterS]),
+      sent: harness.sent.map(({ request }) => request),
     };
   });
 }
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -1,4 +1,4 @@
-/** What goes over HTTP: names of headers and paths, bodies, and the answers to faults. */
+/** Samples of the HTTP interface for clients: headers, bodies, and the responses for faults. */
 import { IncomingMessage, ServerResponse } from 'node:http';
 import { Socket } from 'node:net';
 import { FAULT_RESPONSES, fault, isFaultKind, type RandomSource, type FaultKind } from '@rainrun/common';
@@ -6,11 +6,11 @@
 import { DIALECT } from '@rainrun/platform/dialect';
 import { handleChatRequest } from '@rainrun/runtime';
 
-/** In the order of their names: the order of the table is not public. */
+/** All fault kinds, sorted by name because the order of `FAULT_RESPONSES` is not public. */
 const KINDS = Object.keys(FAULT_RESPONSES).filter(isFaultKind).sort();
 
-/** Every kind of fault, with its status, whether the work may have run, and when to come back. */
-export function faultAnswers(): unknown {
+/** For every kind of fault: its status, whether the work may have run, and when to retry. */
+export function faultResponses(): unknown {
   return KINDS.map((kind) => {
     const { status, ran, retryAfterS } = FAULT_RESPONSES[kind];
     const onPlatform = DIALECT.statusOf(fault(kind, 'detail')) ?? status;
@@ -18,7 +18,7 @@
   });
 }
 
-/** An answer as it was written to a client. */
+/** Records the response that is written to a client. */
 class RecordedResponse extends ServerResponse {
   readonly record: unknown[] = [];
 
@@ -36,8 +36,8 @@
   }
 }
 
-/** Chance that always gives the same, so that ids do. */
-const NO_CHANCE: RandomSource = { next: () => 0.5 };
+/** A random source with a constant value, which makes request ids deterministic. */
+const CONSTANT_RANDOM: RandomSource = { next: () => 0.5 };
 
 const CHAT = {
   model: 'model-1',
@@ -53,27 +53,27 @@
   return request;
 }
 
-/** Sends a request of a visitor to a gateway that lets `serve` answer it. */
-function visited(
+/** Passes a client's request to a gateway whose requests `handle` answers, and returns the response. */
+function exchange(
   request: IncomingMessage,
-  serve: (ask: GatewayRequestInit, port: GatewayResponseSink) => void,
+  handle: (init: GatewayRequestInit, sink: GatewayResponseSink) => void,
 ): unknown {
   const response = new RecordedResponse(request);
   const gateway = {
-    admit: (ask: GatewayRequestInit, port: GatewayResponseSink) => {
-      serve(ask, port);
+    admit: (init: GatewayRequestInit, sink: GatewayResponseSink) => {
+      handle(init, sink);
       return () => undefined;
     },
   };
-  handleChatRequest(gateway as unknown as Gateway, 'edge-1', NO_CHANCE, request, response);
+  handleChatRequest(gateway as unknown as Gateway, 'edge-1', CONSTANT_RANDOM, request, response);
   return response.record;
 }
 
-/** What visitors send to an edge of a site, and what they are answered. */
-export function visitorExchanges(): unknown {
+/** What clients send to an edge of a site, and the responses that they get. */
+export function clientExchanges(): unknown {
   const headers = { 'rainrun-group': 'group-1', 'rainrun-kind': 'short', 'rainrun-deadline-ms': '1500' };
   const asked: unknown[] = [];
-  function note({
+  function recordRequest({
     id,
     path,
     method,
@@ -88,25 +88,25 @@
   }: GatewayRequestInit): void {
     asked.push([id, path, method, group, kind, model, adapter, prefix, streamed, body?.length, deadlineMs]);
   }
-  visited(requestOf('POST', headers, CHAT), note);
-  visited(requestOf('GET', headers, {}), note);
-  visited(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), note);
+  exchange(requestOf('POST', headers, CHAT), recordRequest);
+  exchange(requestOf('GET', headers, {}), recordRequest);
+  exchange(requestOf('POST', {}, { model: 'model-1', messages: CHAT.messages }), recordRequest);
   return {
     asked,
-    answered: visited(requestOf('GET', {}, {}), (_ask, port) =>
-      port.respond(200, 'text/plain', Buffer.from('well')),
+    answered: exchange(requestOf('GET', {}, {}), (_init, sink) =>
+      sink.respond(200, 'text/plain', Buffer.from('well')),
     ),
-    streamed: visited(requestOf('GET', {}, {}), (_ask, port) => port.open('text/event-stream')),
+    streamed: exchange(requestOf('GET', {}, {}), (_init, sink) => sink.open('text/event-stream')),
     refused: KINDS.map((kind: FaultKind) =>
-      visited(requestOf('GET', {}, {}), (_ask, port) => port.reject(fault(kind, 'why'))),
+      exchange(requestOf('GET', {}, {}), (_init, sink) => sink.reject(fault(kind, 'why'))),
     ),
-    refusedForAWhile: visited(requestOf('GET', {}, {}), (_ask, port) =>
-      port.reject({ ...fault('over-share', 'why'), retryAfterS: 7 }),
+    refusedForAWhile: exchange(requestOf('GET', {}, {}), (_init, sink) =>
+      sink.reject({ ...fault('over-share', 'why'), retryAfterS: 7 }),
     ),
     malformed: [
       requestOf('GET', { 'rainrun-deadline-ms': 'soon' }, {}),
       requestOf('DELETE', {}, {}),
       requestOf('POST', {}, { model: '', messages: [] }),
-    ].map((request) => visited(request, () => undefined)),
+    ].map((request) => exchange(request, () => undefined)),
   };
 }
--- a/packages/compatibility/src/scripted-group.ts
+++ b/packages/compatibility/src/scripted-group.ts
@@ -1,7 +1,7 @@
 /**
- * A group of cores in one process, with time, chance, network and disks that
- * are the same in every run: what they write is the same byte for byte as long
- * as neither the formats nor the behaviour change.
+ * A deterministic group of cores in one process, with simulated clock, random
+ * source, network and disks. What the cores write is the same byte for byte in
+ * every run, as long as neither the formats nor the behaviour change.
  */
 import type { RandomSource, Clock, Fault } from '@rainrun/common';
 import { encodeFrame, PROTOCOL_LEVELS, decodeFrame, type Frame } from '@rainrun/messages';
@@ -17,12 +17,12 @@
 /** The names of the cores that found a group. */
 export const FOUNDERS = ['core-1', 'core-2', 'core-3'] as const;
 
-/** Where the cores stand. */
-const ZONES: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
-const OTHER_ZONE = 'north';
+/** The zones of the cores; a core that is not listed is in `DEFAULT_ZONE`. */
+const ZONE_BY_CORE: Readonly<Record<string, string>> = { 'core-1': 'coast', 'core-2': 'inland' };
+const DEFAULT_ZONE = 'north';
 
-/** The chance of the first run of a group, and of a run after all its cores were stopped. */
-export const SEEDS = { first: 7, again: 8 } as const;
+/** The random seeds of the first run of a group, and of the run after a restart of all its cores. */
+export const SEEDS = { first: 7, afterRestart: 8 } as const;
 
 /** One record that a core wrote. */
 export interface WrittenRecord {
@@ -30,8 +30,8 @@
   readonly bytes: Uint8Array;
 }
 
-/** A disk in memory that syncs at once and remembers every write in its order. */
-class MemoryRecords implements RecordWriter {
+/** A disk in memory that syncs at once and keeps every write in order. */
+class MemoryRecordWriter implements RecordWriter {
   readonly written: WrittenRecord[] = [];
 
   store(kind: RecordKind, bytes: Uint8Array, done: (result: Result<Unit, Fault>) => void): void {
@@ -40,8 +40,8 @@
   }
 }
 
-/** Chance by the generator of Park and Miller. */
-class ScriptedChance implements RandomSource {
+/** The pseudorandom number generator of Park and Miller (a Lehmer generator). */
+class SeededRandom implements RandomSource {
   #state: number;
 
   constructor(seed: number) {
@@ -54,14 +54,14 @@
   }
 }
 
-/** What the script needs of a node. */
+/** The part of a node that the script uses. */
 export interface ScriptedNode {
   readonly group: { readonly isCoordinator: boolean; holdsLease(): boolean };
   receive(frame: Frame): void;
   tick(): void;
 }
 
-/** What every node of the group is given alike. */
+/** Dependencies that every node of the group gets. */
 export interface CommonDependencies {
   readonly name: string;
   readonly address: string;
@@ -83,17 +83,17 @@
   readonly name: string;
   readonly node: N;
   readonly acceptor: Acceptor;
-  /** What it wrote so far, in this order. */
+  /** The records that the core wrote to its disk, in order. */
   readonly written: readonly WrittenRecord[];
 }
 
-/** Ends a run on what must not happen in it. */
-export function fail(why: Fault): never {
-  throw new Error(`${why.kind}: ${why.detail}`);
+/** Throws an error for a fault that must not occur in a run. */
+export function fail(fault: Fault): never {
+  throw new Error(`${fault.kind}: ${fault.detail}`);
 }
 
 /**
- * The group: nodes are added, time is run, frames go through their binary form.
+ * A group of scripted cores. Frames between them are encoded to and decoded from their binary form.
  * @example
  * const group = new ScriptedGroup('system', SEEDS.first, (common) => new CoreReplica({ ...common, ...rest }));
  * group.add('core-1', {});
@@ -103,79 +103,79 @@
   #deployment: string;
   #makeNode: (common: CommonDependencies) => N;
   #nowMs = 0;
-  #chance: RandomSource;
+  #random: RandomSource;
   #cores = new Map<string, ScriptedCore<N>>();
   #inFlight: { readonly address: string; readonly bytes: Uint8Array }[] = [];
 
   constructor(deployment: string, seed: number, makeNode: (common: CommonDependencies) => N) {
-    this.#chance = new ScriptedChance(seed);
+    this.#random = new SeededRandom(seed);
     this.#deployment = deployment;
     this.#makeNode = makeNode;
   }
 
-  /** The cores that run, by the order in which they were added. */
+  /** The running cores, in the order in which they were added. */
   get cores(): ScriptedCore<N>[] {
     return [...this.#cores.values()];
   }
 
-  /** The core that coordinates and reaches a majority. */
+  /** The core that is coordinator and holds the lease, that is, reaches a majority. */
   get leader(): N {
-    const found = this.cores.find(({ node }) => node.group.isCoordinator && node.group.holdsLease());
-    if (found === undefined) throw new Error('no core coordinates');
-    return found.node;
+    const leader = this.cores.find(({ node }) => node.group.isCoordinator && node.group.holdsLease());
+    if (leader === undefined) throw new Error('no core is coordinator and holds the lease');
+    return leader.node;
   }
 
-  /** Starts a core on a disk with these records. */
+  /** Starts a core whose disk holds these records. */
   add(name: string, records: Records): void {
-    const vault = new MemoryRecords();
-    const opening = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
-    const acceptor = new Acceptor(opening, vault, this.#deployment, fail);
+    const recordWriter = new MemoryRecordWriter();
+    const recovered = readRecords(records, `disk-of-${name}`).unwrapOrElse(fail);
+    const acceptor = new Acceptor(recovered, recordWriter, this.#deployment, fail);
     if (records.disk === undefined) acceptor.writeDiskRecord();
     const node = this.#makeNode({
       name,
       address: addressOf(name),
-      zone: ZONES[name] ?? OTHER_ZONE,
+      zone: ZONE_BY_CORE[name] ?? DEFAULT_ZONE,
       deployment: this.#deployment,
       seeds: FOUNDERS.map(addressOf),
       founders: FOUNDERS,
       desiredVoterCount: VOTER_COUNT,
       clock: { nowMs: () => this.#nowMs },
-      chance: this.#chance,
+      chance: this.#random,
       times: GROUP_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
       send: (address, frame) => void this.#inFlight.push({ address, bytes: encodeFrame(frame) }),
     });
-    this.#cores.set(addressOf(name), { name, node, acceptor, written: vault.written });
+    this.#cores.set(addressOf(name), { name, node, acceptor, written: recordWriter.written });
   }
 
-  /** Ends a core without a word. */
+  /** Stops a core without notifying the others, like a crash. */
   kill(name: string): void {
     this.#cores.delete(addressOf(name));
   }
 
-  /** Runs for this time. */
-  run(forMs: number): void {
-    for (const endMs = this.#nowMs + forMs; this.#nowMs < endMs;) this.#step();
+  /** Advances the simulated time by `durationMs`. */
+  run(durationMs: number): void {
+    for (const endMs = this.#nowMs + durationMs; this.#nowMs < endMs;) this.#step();
   }
 
-  /** Runs until something is so, and fails where that takes too long. */
-  runUntil(isSo: () => boolean, atMostMs: number): void {
-    const endMs = this.#nowMs + atMostMs;
-    while (!isSo()) {
-      if (this.#nowMs >= endMs) throw new Error(`not so after ${atMostMs} ms`);
+  /** Advances the simulated time until the condition holds, and throws an error after `timeoutMs`. */
+  runUntil(condition: () => boolean, timeoutMs: number): void {
+    const endMs = this.#nowMs + timeoutMs;
+    while (!condition()) {
+      if (this.#nowMs >= endMs) throw new Error(`the condition does not hold after ${timeoutMs} ms`);
       this.#step();
     }
   }
 
   #step(): void {
     this.#nowMs += TICK_MS;
-    const arriving = this.#inFlight;
+    const arrivingFrames = this.#inFlight;
     this.#inFlight = [];
-    for (const { address, bytes } of arriving) {
-      const read = decodeFrame(bytes, this.#deployment);
-      if (read.isErr) fail(read.error);
-      else this.#cores.get(address)?.node.receive(read.value);
+    for (const { address, bytes } of arrivingFrames) {
+      const decoded = decodeFrame(bytes, this.#deployment);
+      if (decoded.isErr) fail(decoded.error);
+      else this.#cores.get(address)?.node.receive(decoded.value);
     }
     for (const { node } of this.#cores.values()) node.tick();
   }
