--- a/packages/simulator/src/control-safety.test.ts
+++ b/packages/simulator/src/control-safety.test.ts
@@ -48,7 +48,7 @@
     it(`(${kind}) serves no old state, refuses no valid order, acknowledges nothing that is lost`, () => {
       const wrong = [1, 2].flatMap((seed) => {
         const site = openSite(seed, THREE);
-        site.faults.core(leaderOf(site.system), kind, 20_000);
+        site.faults.injectCoreFault(leaderOf(site.system), kind, 20_000);
         site.load.storm(150, 24_000);
         runFor(site, 26_000);
         return breachesOf(site);
@@ -65,7 +65,7 @@
       site.system.operators.answerLossRatio = 0.7;
       for (let race = 0; race < 8; race += 1) {
         site.load.race();
-        if (race === 4) site.faults.core(leaderOf(site.system), 'kill', 1000);
+        if (race === 4) site.faults.injectCoreFault(leaderOf(site.system), 'kill', 1000);
         runFor(site, 3000);
       }
       site.system.operators.answerLossRatio = 0;
@@ -82,7 +82,7 @@
       [THREE, FIVE].flatMap((size) => {
         const site = openSite(seed, size);
         site.load.storm(300, 8000);
-        site.faults.secondLoss();
+        site.faults.loseAgainAfterCatchUp();
         runFor(site, 16_000);
         return breachesOf(site);
       }),
@@ -95,7 +95,7 @@
       const site = openSite(seed, THREE);
       site.load.storm(300, 36_000);
       for (let turn = 0; turn < 3; turn += 1) {
-        site.faults.planned();
+        site.faults.replaceAsPlanned();
         runFor(site, 2 * BOUNDS.catchUpMs + 4000);
       }
       return breachesOf(site);
@@ -130,7 +130,7 @@
     const wrong = moments.flatMap((waitMs) => {
       const { system, load, faults } = openSite(waitMs, THREE);
       load.put();
-      system.time.after(waitMs, () => faults.allCores('power'));
+      system.time.after(waitMs, () => faults.failAllCores('power'));
       system.time.runUntil(QUIET_MS + 8000);
       system.put(system.acked.revision, sampleDocument(system.acked.revision + 9, THREE.models, 'after'));
       return breachesOf({ system, load, faults }).map((text) => `${waitMs} ms: ${text}`);
--- a/packages/simulator/src/placement-orders.test.ts
+++ b/packages/simulator/src/placement-orders.test.ts
@@ -3,7 +3,7 @@
 import { sampleDocument } from './system/configuration.js';
 import { Faults } from './system/faults.js';
 import { SMALL_SYSTEM, type SystemSize } from './system/size.js';
-import { SOUND_CALLS, type CallFaults } from './system/worker-calls.js';
+import { NO_CALL_FAULTS, type CallFaults } from './system/worker-calls.js';
 import { System } from './system.js';
 
 const SIZE: SystemSize = { ...SMALL_SYSTEM, edges: 1, workers: 4, models: 10, heartbeatMs: 50 };
@@ -30,7 +30,7 @@
 }
 
 /** Demand moves on while calls to workers go wrong and the coordinator is in trouble; what it broke. */
-function play(seed: number, faults: CallFaults, trouble: CoreTrouble): string[] {
+function runDay(seed: number, faults: CallFaults, trouble: CoreTrouble): string[] {
   const system = new System(seed, SIZE);
   const { time } = system;
   const injected = new Faults(system);
@@ -44,58 +44,60 @@
     const leader = system.leader();
     if (trouble !== 'none' && leader !== undefined && time.nowMs() - troubledMs >= FAULT_MS) {
       troubledMs = time.nowMs();
-      injected.core(leader, trouble, FAULT_MS / 2);
+      injected.injectCoreFault(leader, trouble, FAULT_MS / 2);
     }
     time.runUntil(time.nowMs() + SHIFT_MS);
   }
-  system.workerCalls.faults = SOUND_CALLS;
+  system.workerCalls.faults = NO_CALL_FAULTS;
   time.runUntil(time.nowMs() + REST_MS);
   injected.restoreAll();
   system.checkEnd();
   return system.breaches.map(({ rule, detail }) => `seed ${seed}: ${rule}: ${detail}`);
 }
 
-function playAll(faults: Partial<CallFaults>, trouble: CoreTrouble = 'none'): string[] {
-  return SEEDS.flatMap((seed) => play(seed, { ...SOUND_CALLS, ...faults }, trouble));
+function runAllSeeds(faults: Partial<CallFaults>, trouble: CoreTrouble = 'none'): string[] {
+  return SEEDS.flatMap((seed) => runDay(seed, { ...NO_CALL_FAULTS, ...faults }, trouble));
 }
 
 describe('orders to workers over an unsound network', () => {
   it('stay within the room while all goes well', () => {
-    expect(playAll({})).toEqual([]);
+    expect(runAllSeeds({})).toEqual([]);
   });
 
   it('stay within the room when some arrive long after their sender gave up waiting', () => {
-    expect(playAll({ delayed: 0.3 })).toEqual([]);
+    expect(runAllSeeds({ delayed: 0.3 })).toEqual([]);
   });
 
   it('stay within the room when workers take them and the answers are lost', () => {
-    expect(playAll({ answerLost: 0.3 })).toEqual([]);
+    expect(runAllSeeds({ answerLost: 0.3 })).toEqual([]);
   });
 
   it('stay within the room when workers refuse some without a reason', () => {
-    expect(playAll({ refused: 0.3 })).toEqual([]);
+    expect(runAllSeeds({ refused: 0.3 })).toEqual([]);
   });
 
   it('stay within the room when coordinators change while workers cannot be read', () => {
-    expect(playAll({ unreadable: 0.7 }, 'freeze')).toEqual([]);
+    expect(runAllSeeds({ unreadable: 0.7 }, 'freeze')).toEqual([]);
   });
 
   it('stay within the room when coordinators change while orders are late', () => {
     expect(
-      (['freeze', 'cut', 'kill'] as const).flatMap((trouble) => playAll({ delayed: 0.3 }, trouble)),
+      (['freeze', 'cut', 'kill'] as const).flatMap((trouble) => runAllSeeds({ delayed: 0.3 }, trouble)),
     ).toEqual([]);
   });
 
   it('stay within the room when answers come in the place of the next ones', () => {
-    expect(playAll({ surplus: 0.2, answerLost: 0.2 })).toEqual([]);
+    expect(runAllSeeds({ surplus: 0.2, answerLost: 0.2 })).toEqual([]);
   });
 
   it('stay within the room when the values of a report are of different age', () => {
-    expect(playAll({ torn: 0.5, answerLost: 0.2 })).toEqual([]);
+    expect(runAllSeeds({ torn: 0.5, answerLost: 0.2 })).toEqual([]);
   });
 
   it('stay within the room when everything goes wrong at once', () => {
     const faults = { delayed: 0.2, answerLost: 0.2, refused: 0.2, unreadable: 0.5 };
-    expect((['none', 'freeze', 'cut'] as const).flatMap((trouble) => playAll(faults, trouble))).toEqual([]);
+    expect((['none', 'freeze', 'cut'] as const).flatMap((trouble) => runAllSeeds(faults, trouble))).toEqual(
+      [],
+    );
   });
 });
--- a/packages/simulator/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -43,7 +43,7 @@
   loads += result.loads;
   if (result.breaches.length > 0) {
     failed += 1;
-    console.log(`seed ${seed} (${profile}) FAILED after: ${result.troubles.join('; ')}`);
+    console.log(`seed ${seed} (${profile}) FAILED after: ${result.injectedFaults.join('; ')}`);
     for (const { rule, detail, atMs } of result.breaches)
       console.log(`  ${atMs.toFixed(0)} ms  ${rule}: ${detail}`);
   }
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -9,16 +9,16 @@
 /** How long the parts of a day are. */
 export interface DaySpans {
   readonly trafficMs: number;
-  readonly troubleMs: number;
+  readonly faultMs: number;
   readonly calmMs: number;
-  readonly backMs: number;
+  readonly recoveryMs: number;
 }
 
 /** A whole day, one with hundreds of changes, and one for tests that are run often. */
 export const SPANS: Readonly<Record<'whole' | 'short' | 'long', DaySpans>> = {
-  whole: { trafficMs: 8000, troubleMs: 32_000, calmMs: 9000, backMs: 14_000 },
-  long: { trafficMs: 8000, troubleMs: 150_000, calmMs: 9000, backMs: 14_000 },
-  short: { trafficMs: 4000, troubleMs: 10_000, calmMs: 5000, backMs: 11_000 },
+  whole: { trafficMs: 8000, faultMs: 32_000, calmMs: 9000, recoveryMs: 14_000 },
+  long: { trafficMs: 8000, faultMs: 150_000, calmMs: 9000, recoveryMs: 14_000 },
+  short: { trafficMs: 4000, faultMs: 10_000, calmMs: 5000, recoveryMs: 11_000 },
 };
 
 /** Sizes of simulated systems by name. */
@@ -34,7 +34,7 @@
 export type Profile = (typeof PROFILES)[number] | 'quotas';
 
 /** What a day injects, by its weight. */
-type Act =
+type DayAction =
   | 'core'
   | 'edge'
   | 'worker'
@@ -56,7 +56,7 @@
   | 'power after acknowledgement'
   | 'unsound calls';
 
-const WEIGHTS: Readonly<Record<Profile, Readonly<Partial<Record<Act, number>>>>> = {
+const WEIGHTS: Readonly<Record<Profile, Readonly<Partial<Record<DayAction, number>>>>> = {
   mixed: {
     core: 24,
     edge: 16,
@@ -135,17 +135,17 @@
 };
 
 /** A change goes out so often on a day of changes: hundreds a day. */
-const STORM_MS = 150;
+const STORM_INTERVAL_MS = 150;
 const STORM_LENGTH_MS = 4000;
-const LONGEST_TROUBLE_MS = 34_000;
-const STEP_MS = 500;
+const MAX_REPAIR_MS = 34_000;
+const POLL_MS = 500;
 
 /** How one simulated day of a system ended. */
 export interface SystemResult {
   readonly breaches: readonly SystemBreach[];
   readonly acked: number;
   readonly loads: number;
-  readonly troubles: readonly string[];
+  readonly injectedFaults: readonly string[];
   readonly timeline: string;
 }
 
@@ -167,25 +167,25 @@
   run(): void {
     const { system, faults } = this;
     const { time } = system;
-    const { trafficMs, troubleMs, calmMs, backMs } = this.#spans;
+    const { trafficMs, faultMs, calmMs, recoveryMs } = this.#spans;
     system.start();
     this.load.putFirst();
     time.runUntil(trafficMs);
     if (system.acked.revision === 0)
       system.breach('late answer', 'the first configuration is not acknowledged');
     this.#shiftDemand();
-    if (this.#profile === 'quotas') system.quotaLoad.open();
-    if (this.#profile === 'changes') this.load.storm(STORM_MS, troubleMs);
-    for (let atMs = trafficMs + STEP_MS; atMs < trafficMs + troubleMs; atMs += 400 + this.#roll(1600)) {
+    if (this.#profile === 'quotas') system.quotaLoad.start();
+    if (this.#profile === 'changes') this.load.storm(STORM_INTERVAL_MS, faultMs);
+    for (let atMs = trafficMs + POLL_MS; atMs < trafficMs + faultMs; atMs += 400 + this.#randomBelow(1600)) {
       time.runUntil(atMs);
-      this.#inject(this.#draw());
+      this.#inject(this.#drawAction());
     }
     this.#waitForRepairs();
     time.runUntil(time.nowMs() + 6000 + calmMs);
     faults.restoreAll();
     time.runUntil(time.nowMs() + calmMs);
-    this.#close();
-    time.runUntil(time.nowMs() + backMs);
+    this.#injectClosingFault();
+    time.runUntil(time.nowMs() + recoveryMs);
     faults.restoreAll();
     system.checkEnd();
   }
@@ -193,89 +193,90 @@
   /** Until nothing is lost any more; the longest cuts end after the last fault was injected. */
   #waitForRepairs(): void {
     const { time } = this.system;
-    const endMs = time.nowMs() + LONGEST_TROUBLE_MS;
-    while (this.faults.lost > 0 && time.nowMs() < endMs) time.runUntil(time.nowMs() + STEP_MS);
+    const endMs = time.nowMs() + MAX_REPAIR_MS;
+    while (this.faults.lostCoreCount > 0 && time.nowMs() < endMs) time.runUntil(time.nowMs() + POLL_MS);
   }
 
-  #roll(most: number): number {
+  #randomBelow(most: number): number {
     return Math.floor(this.system.random.next() * most);
   }
 
-  #draw(): Act {
-    const weights = Object.entries(WEIGHTS[this.#profile]) as [Act, number][];
+  #drawAction(): DayAction {
+    const weights = Object.entries(WEIGHTS[this.#profile]) as [DayAction, number][];
     const sum = weights.reduce((total, [, weight]) => total + weight, 0);
     let left = this.system.random.next() * sum;
     return weights.find(([, weight]) => (left -= weight) < 0)?.[0] ?? 'order';
   }
 
-  #inject(act: Act): void {
+  #inject(act: DayAction): void {
     const { faults, load } = this;
     function send(): void {
       load.put();
     }
     switch (act) {
       case 'core':
-        return faults.anyCore();
+        return faults.injectRandomCoreFault();
       case 'edge':
-        return faults.anyEdge();
+        return faults.injectRandomEdgeFault();
       case 'worker':
-        return faults.anyWorker();
+        return faults.injectRandomWorkerFault();
       case 'demand':
         return this.#shiftDemand();
       case 'order':
-        return load.any();
+        return load.sendRandom();
       case 'evacuation':
         return load.zone();
       case 'storm':
-        return load.storm(STORM_MS, STORM_LENGTH_MS);
+        return load.storm(STORM_INTERVAL_MS, STORM_LENGTH_MS);
       case 'answers lost':
         return faults.loseAnswers();
       case 'long cut':
-        return faults.longCut();
+        return faults.cutCoordinatorLong();
       case 'zone loss':
-        return faults.zone('loss');
+        return faults.failZone('loss');
       case 'zone cut':
-        return faults.zone('cut');
+        return faults.failZone('cut');
       case 'second loss':
-        return faults.secondLoss();
+        return faults.loseAgainAfterCatchUp();
       case 'planned':
-        return faults.planned();
+        return faults.replaceAsPlanned();
       case 'disk slow':
         return faults.slowDisk();
       case 'lossy':
-        return faults.lossy();
+        return faults.makeNetworkLossy();
       case 'all killed':
-        return this.#whenWhole(() => faults.allCores('kill'));
+        return this.#whenAllDisksIntact(() => faults.failAllCores('kill'));
       case 'all without power':
-        return this.#whenWhole(() => faults.allCores('power'));
+        return this.#whenAllDisksIntact(() => faults.failAllCores('power'));
       case 'power during change':
-        return this.#whenWhole(() => faults.powerDuringChange(send));
+        return this.#whenAllDisksIntact(() => faults.powerDuringChange(send));
       case 'power after acknowledgement':
-        return this.#whenWhole(() => faults.powerAfterAcknowledgement(send));
+        return this.#whenAllDisksIntact(() => faults.powerAfterAcknowledgement(send));
       case 'unsound calls':
-        return faults.unsoundCalls();
+        return faults.injectCallFaults();
     }
   }
 
   /** All at once only while every disk is there: one that was wiped has to catch up first. */
-  #whenWhole(act: () => void): void {
-    if (this.faults.mayLosePowerEverywhere) act();
+  #whenAllDisksIntact(act: () => void): void {
+    if (this.faults.mayAllLosePower) act();
   }
 
   /** Demand moves to other models. */
   #shiftDemand(): void {
     const needs: Need[] = [];
     for (let count = 0; count < 6; count += 1) {
-      const model = `m${this.#roll(this.system.size.models)}`;
+      const model = `m${this.#randomBelow(this.system.size.models)}`;
       if (needs.some((need) => need.model === model)) continue;
-      needs.push({ model, adapter: '', count: 1 + this.#roll(4) });
-      if (this.system.random.next() < 0.6) needs.push({ model, adapter: `a${this.#roll(4)}`, count: 1 });
+      needs.push({ model, adapter: '', count: 1 + this.#randomBelow(4) });
+      if (this.system.random.next() < 0.6)
+        needs.push({ model, adapter: `a${this.#randomBelow(4)}`, count: 1 });
     }
     this.system.needs = needs;
   }
 
   /** Without a zone the workers that are left have room for two models each, and no more is asked for. */
-  #fitDemand(): void {
+  #reduceDemandToCapacity(): void {
     const { system } = this;
     const { zones } = system.expectations;
     if (![...zones.values()].some(({ evacuated }) => evacuated)) return;
@@ -285,23 +286,23 @@
   }
 
   /** What may close a day, right after something was acknowledged. */
-  #close(): void {
+  #injectClosingFault(): void {
     const { system, faults, load } = this;
-    this.#fitDemand();
+    this.#reduceDemandToCapacity();
     const kinds = ['calm', 'power', 'kill', 'wipe', 'race'] as const;
-    const kind = kinds[this.#roll(kinds.length)] ?? 'calm';
+    const kind = kinds[this.#randomBelow(kinds.length)] ?? 'calm';
     faults.injected.push(`closing ${kind}`);
     system.note('', `closing ${kind}`);
     if (kind === 'calm') return;
     if (kind === 'race') {
       load.race();
-      return system.time.after(this.#roll(30), () => {
+      return system.time.after(this.#randomBelow(30), () => {
         const leader = system.leader();
         if (leader !== undefined) system.kill(leader);
         system.time.after(1000, () => faults.restoreAll());
       });
     }
-    const wiped = system.cores.filter((core) => !core.removed)[this.#roll(system.size.cores)];
+    const wiped = system.cores.filter((core) => !core.removed)[this.#randomBelow(system.size.cores)];
     system.operators.onAnswer = (answer) => {
       if (answer !== 'agreed') return;
       system.operators.onAnswer = undefined;
@@ -310,7 +311,7 @@
         else system.losePower(machine);
       }
       if (kind === 'wipe') wiped?.disk?.wipe();
-      system.time.after(500 + this.#roll(1000), () => faults.restoreAll());
+      system.time.after(500 + this.#randomBelow(1000), () => faults.restoreAll());
     };
     load.put();
   }
@@ -339,7 +340,7 @@
     breaches: system.breaches,
     acked: load.acknowledged,
     loads: system.workers.loads.length,
-    troubles: faults.injected,
+    injectedFaults: faults.injected,
     timeline: renderTimeline(
       system.machines.map((machine) => machine.name),
       system.timeline,
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -11,7 +11,7 @@
 const MODELS = SMALL.models;
 
 /** A system with its first configuration, undisturbed for a while. */
-function opened(seed: number, size: SystemSize = SMALL): System {
+function startSystem(seed: number, size: SystemSize = SMALL): System {
   const system = new System(seed, size);
   system.start();
   system.put(0, sampleDocument(5, size.models, 'first'));
@@ -23,7 +23,7 @@
   for (const machine of system.machines) system.boot(machine);
 }
 
-function ended(system: System): string[] {
+function finalBreaches(system: System): string[] {
   system.checkEnd();
   return system.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
 }
@@ -43,13 +43,13 @@
 }
 
 /** As soon as an operator is told of a change, something happens; all come back and the end is looked at. */
-function closed(
+function breachesAfterFault(
   seed: number,
   size: SystemSize,
   strike: (system: System, leader: Machine) => void,
   stalled?: StalledDisks,
 ): string[] {
-  const system = opened(seed, size);
+  const system = startSystem(seed, size);
   const leader = leaderOf(system);
   const struck: string[] = [];
   system.operators.onAnswer = (kind) => {
@@ -62,7 +62,7 @@
   system.put(5, sampleDocument(8, size.models, 'last'));
   system.zone('east', true);
   system.time.runUntil(20_000);
-  const wrong = ended(system);
+  const wrong = finalBreaches(system);
   if (struck.length === 0) wrong.push('nothing was acknowledged');
   if (system.acked.revision !== 8) wrong.push(`revision ${system.acked.revision} was the last acknowledged`);
   return wrong;
@@ -74,13 +74,13 @@
 
 describe('what was acknowledged', () => {
   it('outlives the loss of power of all at once', () => {
-    expect([1, 2, 3].flatMap((seed) => closed(seed, SMALL, powerOff))).toEqual([]);
+    expect([1, 2, 3].flatMap((seed) => breachesAfterFault(seed, SMALL, powerOff))).toEqual([]);
   });
 
   it('outlives a wiped disk while all others lose power, whichever disk it is', () => {
     const wrong = [1, 2].flatMap((seed) =>
       [0, 1, 2].flatMap((place) =>
-        closed(seed, SMALL, (system) => {
+        breachesAfterFault(seed, SMALL, (system) => {
           powerOff(system);
           system.cores[place]?.disk?.wipe();
         }),
@@ -93,7 +93,7 @@
     const wrong = [1, 2].flatMap((seed) =>
       (['one', 'both'] as const).flatMap((stalled) =>
         [true, false].flatMap((leads) =>
-          closed(
+          breachesAfterFault(
             seed,
             SMALL,
             (system, leader) => {
@@ -110,14 +110,14 @@
   });
 
   it('outlives the kill of the coordinator', () => {
-    expect([1, 2].flatMap((seed) => closed(seed, SMALL, (system, leader) => system.kill(leader)))).toEqual(
-      [],
-    );
+    expect(
+      [1, 2].flatMap((seed) => breachesAfterFault(seed, SMALL, (system, leader) => system.kill(leader))),
+    ).toEqual([]);
   });
 
   it('outlives the replacement of a core by an empty one, then of another', () => {
     const wrong = [1, 2].flatMap((seed) => {
-      const system = opened(seed);
+      const system = startSystem(seed);
       system.put(5, sampleDocument(8, MODELS, 'last'));
       system.time.runUntil(6000);
       for (const place of [0, 1]) {
@@ -131,7 +131,7 @@
       powerOff(system);
       system.time.after(500, () => restore(system));
       system.time.runUntil(system.time.nowMs() + 10_000);
-      return [...ended(system), ...(system.acked.revision === 8 ? [] : ['never acknowledged'])];
+      return [...finalBreaches(system), ...(system.acked.revision === 8 ? [] : ['never acknowledged'])];
     });
     expect(wrong).toEqual([]);
   });
@@ -139,7 +139,7 @@
   it('stays when a call that the operator has given up on is still carried by a core that was cut off', () => {
     const wrong = [1, 2, 3, 4, 5, 6].flatMap((seed) =>
       [1500, 6000].flatMap((cutMs) => {
-        const system = opened(seed);
+        const system = startSystem(seed);
         const [far] = system.cores.filter((core) => core !== leaderOf(system)) as [Machine];
         const heal = system.cut('off', (from, to) => (from === far.name) !== (to === far.name));
         const replica = far.running?.replica;
@@ -150,7 +150,7 @@
         system.time.runUntil(5000 + cutMs);
         heal();
         system.time.runUntil(18_000);
-        return ended(system).map((text) => `seed ${seed}, cut for ${cutMs}: ${text}`);
+        return finalBreaches(system).map((text) => `seed ${seed}, cut for ${cutMs}: ${text}`);
       }),
     );
     expect(wrong).toEqual([]);
@@ -160,7 +160,7 @@
 describe('changes', () => {
   it('on the same version: one is agreed, also when the coordinator dies, and a repeated call is agreed again', () => {
     const wrong = [1, 2, 3, 4].flatMap((seed) => {
-      const system = opened(seed);
+      const system = startSystem(seed);
       const ends: OrderEnd[] = [];
       const one = sampleDocument(7, MODELS, 'one');
       const other = sampleDocument(9, MODELS, 'other');
@@ -178,7 +178,7 @@
         .sort()
         .join(' ');
       return [
-        ...ended(system),
+        ...finalBreaches(system),
         ...(kinds === 'agreed conflict' ? [] : [`ended ${kinds}`]),
         ...(repeated[0]?.kind === 'agreed' ? [] : ['the repeated call was not agreed']),
       ];
@@ -187,7 +187,7 @@
   });
 
   it('reach every edge that reaches a core with a majority, though the coordinator is cut off from it', () => {
-    const system = opened(1);
+    const system = startSystem(1);
     const leader = leaderOf(system);
     const { name } = system.edges[0] as Machine;
     system.cut(
@@ -202,7 +202,7 @@
 
   it('five cores bear the loss of two, and their voters are five', () => {
     const five: SystemSize = { ...SMALL, cores: 5, lossesBorne: 2 };
-    const system = opened(3, five);
+    const system = startSystem(3, five);
     const voters = system.voters();
     for (const core of [leaderOf(system), system.cores[4] as Machine]) system.kill(core);
     system.time.runUntil(9000);
@@ -211,14 +211,14 @@
     system.time.runUntil(12_000);
     restore(system);
     system.time.runUntil(20_000);
-    expect([voters, ends.map((end) => end.kind), ended(system)]).toEqual([5, ['agreed'], []]);
+    expect([voters, ends.map((end) => end.kind), finalBreaches(system)]).toEqual([5, ['agreed'], []]);
   });
 });
 
 describe('the group of cores', () => {
   it('goes on while its machines are stopped and started in turn', () => {
     const wrong = [1, 2].flatMap((seed) => {
-      const system = opened(seed);
+      const system = startSystem(seed);
       const ends: string[] = [];
       let revision = 5;
       for (const machine of system.machines) {
@@ -234,7 +234,7 @@
       system.time.runUntil(system.time.nowMs() + 5000);
       const kinds = ends.join(' ');
       return [
-        ...ended(system),
+        ...finalBreaches(system),
         ...(kinds === 'agreed agreed agreed agreed agreed' ? [] : [`answered ${kinds}`]),
       ];
     });
@@ -243,7 +243,7 @@
 
   it('agrees on nothing while no majority meets, and goes on soon after', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
-      const system = opened(seed);
+      const system = startSystem(seed);
       const apart = system.cut(
         'cores from each other',
         (from, to) => from.startsWith('core') && to.startsWith('core'),
@@ -262,7 +262,7 @@
       const late = ends.map((end) => end.kind).join(' ');
       system.time.runUntil(24_000);
       return [
-        ...ended(system),
+        ...finalBreaches(system),
         ...(early === 0 && holders === 0 && informed === 0
           ? []
           : [`${early} answers, ${holders} holders, ${informed} informed while apart`]),
@@ -274,7 +274,7 @@
 
   it('goes on without the cores of one side, and those take over what was agreed when they are back', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
-      const system = opened(seed);
+      const system = startSystem(seed);
       const leader = leaderOf(system);
       const heal = system.cut('coordinator', (from, to) => (from === leader.name) !== (to === leader.name));
       const ends: OrderEnd[] = [];
@@ -286,7 +286,7 @@
       heal();
       system.time.runUntil(20_000);
       return [
-        ...ended(system),
+        ...finalBreaches(system),
         ...(ends[0]?.kind === 'agreed' ? [] : ['not agreed']),
         ...(alone ? ['the one cut off still acts'] : []),
       ];
@@ -296,7 +296,7 @@
 
   it('gives back its duty before another takes it, also when the coordinator froze', () => {
     const wrong = [1, 2, 3, 4].flatMap((seed) => {
-      const system = opened(seed, { ...SMALL, workers: 4, models: 8 });
+      const system = startSystem(seed, { ...SMALL, workers: 4, models: 8 });
       system.needs = ['m0', 'm5', 'm6', 'm7'].map((model) => ({ model, adapter: '', count: 2 }));
       for (let turn = 0; turn < 4; turn += 1) {
         system.freeze(leaderOf(system), 700 + 900 * turn);
@@ -308,17 +308,17 @@
         system.time.runUntil(system.time.nowMs() + 6000);
       }
       system.time.runUntil(system.time.nowMs() + 6000);
-      return ended(system);
+      return finalBreaches(system);
     });
     expect(wrong).toEqual([]);
   });
 
   it('loses a whole zone, edges and workers with it, and the others serve on', () => {
-    const system = opened(4, { ...SMALL, edges: 3, workers: 3, models: 4 });
+    const system = startSystem(4, { ...SMALL, edges: 3, workers: 3, models: 4 });
     system.needs = ['m0', 'm1'].map((model) => ({ model, adapter: '', count: 2 }));
     const zone = leaderOf(system).zone;
     for (const machine of system.machines) if (machine.zone === zone) system.losePower(machine);
-    for (const worker of system.workers.members) if (worker.zone === zone) worker.away = true;
+    for (const worker of system.workers.members) if (worker.zone === zone) worker.isAway = true;
     system.time.runUntil(9000);
     const ends: OrderEnd[] = [];
     system.put(5, sampleDocument(8, 4, 'without a zone'), (end) => ends.push(end));
@@ -327,18 +327,18 @@
       .map((edge) => edge.running?.follower?.state.revision ?? 0)
       .filter((revision) => revision > 0);
     for (const worker of system.workers.members) {
-      if (worker.away) worker.restart();
-      worker.away = false;
+      if (worker.isAway) worker.restart();
+      worker.isAway = false;
     }
     restore(system);
     system.time.runUntil(22_000);
-    expect([ends.map((end) => end.kind), revisions, ended(system)]).toEqual([['agreed'], [8, 8], []]);
+    expect([ends.map((end) => end.kind), revisions, finalBreaches(system)]).toEqual([['agreed'], [8, 8], []]);
   });
 });
 
 describe('what all edges share', () => {
-  /** The fewest edges that one of them believed in, while all were at work. */
-  function fewest(system: System, forMs: number): number {
+  /** The fewestKnownEdges edges that one of them believed in, while all were at work. */
+  function fewestKnownEdges(system: System, forMs: number): number {
     let least = Infinity;
     for (const endMs = system.time.nowMs() + forMs; system.time.nowMs() < endMs;) {
       system.time.runUntil(system.time.nowMs() + 20);
@@ -349,18 +349,18 @@
   const edges = 4;
 
   it('is divided by as many as there are, in a calm system of five cores', () => {
-    const system = opened(2, { ...SMALL, cores: 5, lossesBorne: 2, edges });
-    expect(fewest(system, 4000)).toEqual(edges);
+    const system = startSystem(2, { ...SMALL, cores: 5, lossesBorne: 2, edges });
+    expect(fewestKnownEdges(system, 4000)).toEqual(edges);
   });
 
   it('is divided by as many as there are, when a core is replaced or starts again', () => {
-    const replaced = opened(2, { ...SMALL, edges });
+    const replaced = startSystem(2, { ...SMALL, edges });
     replaced.remove(replaced.cores.find((core) => core !== leaderOf(replaced)) as Machine);
     replaced.boot(replaced.addCore());
-    const again = opened(3, { ...SMALL, edges });
+    const again = startSystem(3, { ...SMALL, edges });
     again.kill(leaderOf(again));
     again.time.after(500, () => restore(again));
-    expect([fewest(replaced, 6000), fewest(again, 6000)]).toEqual([edges, edges]);
+    expect([fewestKnownEdges(replaced, 6000), fewestKnownEdges(again, 6000)]).toEqual([edges, edges]);
   });
 });
 
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -58,7 +58,7 @@
   #processes: Processes;
   #invariants: Invariants;
   #created = 0;
-  #told = new Set<string>();
+  #reportedBreaches = new Set<string>();
 
   constructor(seed: number, size: SystemSize) {
     const { time, cores, edges, expectations } = this;
@@ -91,14 +91,14 @@
       note,
       calls: this.workerCalls,
       listedCores: () => directory.list(),
-      disturbed: (machine) => this.disturbed(machine),
+      recordDisturbance: (machine) => this.recordDisturbance(machine),
     });
     this.network = network;
     this.workers = workers;
     this.operators = operators;
     this.#demand = demand;
     this.#directory = directory;
-    workers.counted = () => this.settled();
+    workers.countsLoads = () => this.settled();
     this.quotaLoad = new QuotaLoad(seed, { time, edges, breach, settled: () => this.settled() });
     this.#populate();
   }
@@ -144,12 +144,12 @@
 
   /** Every machine starts for the first time, within 0.3 s of each other. */
   start(): void {
-    this.workers.open();
-    this.#directory.open();
-    this.#processes.found(this.cores);
+    this.workers.start();
+    this.#directory.startSampling();
+    this.#processes.setFounders(this.cores);
     for (const machine of this.machines)
       this.time.after(this.random.next() * FIRST_START_SPREAD_MS, () => this.boot(machine, true));
-    this.#invariants.open();
+    this.#invariants.start();
   }
 
   note(node: string, text: string): void {
@@ -157,8 +157,8 @@
   }
 
   breach(rule: string, detail: string): void {
-    if (this.#told.has(`${rule} ${detail}`)) return;
-    this.#told.add(`${rule} ${detail}`);
+    if (this.#reportedBreaches.has(`${rule} ${detail}`)) return;
+    this.#reportedBreaches.add(`${rule} ${detail}`);
     this.breaches.push({ atMs: this.time.nowMs(), rule, detail });
     this.note('', `BREACH ${rule}: ${detail}`);
   }
@@ -192,20 +192,20 @@
   cut(what: string, cut: Cut): () => void {
     this.network.addCut(cut);
     this.note('', `cut ${what}`);
-    this.#disturbedBy(cut);
+    this.#recordDisturbanceBy(cut);
     return () => {
       if (!this.network.removeCut(cut)) return;
       this.note('', `heals ${what}`);
-      this.#disturbedBy(cut);
+      this.#recordDisturbanceBy(cut);
     };
   }
 
-  #disturbedBy(cut: Cut): void {
+  #recordDisturbanceBy(cut: Cut): void {
     for (const machine of this.machines) {
       const met = this.cores.some(
         (core) => core !== machine && (cut(core.name, machine.name) || cut(machine.name, core.name)),
       );
-      if (met) this.disturbed(machine);
+      if (met) this.recordDisturbance(machine);
     }
   }
 
@@ -217,8 +217,8 @@
   }
 
   /** Something happened to a machine: the bounds count anew for it, and for all if it is a core. */
-  disturbed(machine: Machine): void {
-    this.#invariants.disturbed(machine);
+  recordDisturbance(machine: Machine): void {
+    this.#invariants.recordDisturbance(machine);
   }
 
   // What is seen from outside.
@@ -242,8 +242,8 @@
   }
 
   /** What the acknowledged state lacks in a node's state, or undefined. */
-  lacks(state: Deployment, ackedBeforeMs: number): string | undefined {
-    return this.expectations.lacks(state, ackedBeforeMs);
+  findMissing(state: Deployment, ackedBeforeMs: number): string | undefined {
+    return this.expectations.findMissing(state, ackedBeforeMs);
   }
 
   checkEnd(): void {
--- a/packages/simulator/src/system/configuration.ts
+++ b/packages/simulator/src/system/configuration.ts
@@ -13,7 +13,7 @@
   readonly drop: Readonly<Record<string, readonly string[]>>;
 }
 
-const ADAPTERS_EACH = 4;
+const ADAPTERS_PER_MODEL = 4;
 
 function routeOf(name: string, prefix: string, note: string): Record<string, unknown> {
   return { name, host: 'a.example', prefix, service: SERVICE, kind: 'streaming', timeoutMs: 5000, note };
@@ -25,7 +25,7 @@
     name,
     sizeMb: sizeOf(name),
     loadS: ENGINE.loadMs / 1000,
-    adapters: ADAPTERS_EACH,
+    adapters: ADAPTERS_PER_MODEL,
     adapterMb: ENGINE.adapterMb,
   };
 }
@@ -89,7 +89,7 @@
 }
 
 /** The first tenant's key at a second one. */
-function sharingTenant(mark: string): Record<string, unknown> {
+function tenantSharingKey(mark: string): Record<string, unknown> {
   const [first] = sampleTenants();
   return {
     ...tenantOf('sharing', mark),
@@ -99,7 +99,7 @@
 
 /** A change that adds a route to a service that does not exist, or a tenant with the key of another. */
 export function sampleInvalidPatch(revision: number, mark: string): Patch {
-  if (sharesKey(mark)) return { revision, set: { mark, tenants: [sharingTenant(mark)] }, drop: {} };
+  if (sharesKey(mark)) return { revision, set: { mark, tenants: [tenantSharingKey(mark)] }, drop: {} };
   const route = { ...routeOf('invalid', '/invalid/', mark), service: 'nowhere' };
   return { revision, set: { mark, routes: [route] }, drop: {} };
 }
@@ -107,7 +107,7 @@
 /** The same configuration with a route to a service that does not exist, or with a tenant that has the key of another. */
 export function makeInvalid(document: Document): Record<string, unknown> {
   const mark = String(document['mark']);
-  if (sharesKey(mark)) return { ...document, tenants: [...sampleTenants(), sharingTenant(mark)] };
+  if (sharesKey(mark)) return { ...document, tenants: [...sampleTenants(), tenantSharingKey(mark)] };
   const [route, ...others] = document['routes'] as Record<string, unknown>[];
   return { ...document, routes: [{ ...route, service: 'nowhere' }, ...others] };
 }
--- a/packages/simulator/src/system/core-directory.ts
+++ b/packages/simulator/src/system/core-directory.ts
@@ -24,11 +24,11 @@
   }
 
   /** Begins to remember. */
-  open(): void {
+  startSampling(): void {
     const atMs = this.#time.nowMs();
     this.#samples.push({ atMs, cores: this.#cores().filter((core) => !core.removed) });
     if (this.#samples.length > 2 + BOUNDS.seedLagMs / SAMPLE_MS) this.#samples.shift();
-    this.#time.after(SAMPLE_MS, () => this.open());
+    this.#time.after(SAMPLE_MS, () => this.startSampling());
   }
 
   list(): readonly Machine[] {
--- a/packages/simulator/src/system/demand.ts
+++ b/packages/simulator/src/system/demand.ts
@@ -27,9 +27,9 @@
   }
 
   /** What an edge tells the coordinator that it wants. */
-  wantsOf(follower: EdgeReplica): ModelDemand[] {
+  demandsOf(follower: EdgeReplica): ModelDemand[] {
     return this.needs.map(({ model, adapter, count }) => {
-      const known = knows(follower, model, adapter);
+      const known = knowsHolder(follower, model, adapter);
       return create(ModelDemandSchema, {
         service: SERVICE,
         model,
@@ -43,11 +43,11 @@
 
   /** Whether an edge lacks a worker for something that is asked for. */
   isUnserved(follower: EdgeReplica): boolean {
-    return this.needs.some(({ model, adapter }) => !knows(follower, model, adapter));
+    return this.needs.some(({ model, adapter }) => !knowsHolder(follower, model, adapter));
   }
 
   /** Whether an edge knows a worker that holds a model, and that worker does hold it. */
-  finds(edge: Machine, { model, adapter }: Need): boolean {
+  isServed(edge: Machine, { model, adapter }: Need): boolean {
     const { follower } = edge.running ?? {};
     if (follower === undefined) return false;
     for (const known of follower.workers.values()) {
@@ -61,7 +61,7 @@
   }
 }
 
-function knows(follower: EdgeReplica, model: string, adapter: string): boolean {
+function knowsHolder(follower: EdgeReplica, model: string, adapter: string): boolean {
   for (const worker of follower.workers.values()) {
     const adapters = worker.models.get(model);
     if (worker.draining || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
--- a/packages/simulator/src/system/expectations.ts
+++ b/packages/simulator/src/system/expectations.ts
@@ -26,23 +26,23 @@
   /** Acknowledged revisions, oldest first, for looks back in time. */
   #acknowledged: { readonly revision: number; readonly atMs: number }[] = [];
   /** The newest acknowledged document as edges hold it. */
-  #withoutKeys: string | undefined;
-  #texts = new WeakMap<Deployment, string>();
+  #documentWithoutKeys: string | undefined;
+  #textCache = new WeakMap<Deployment, string>();
 
   acknowledge(revision: number, document: Document | undefined, atMs: number): void {
     if (revision <= this.acked.revision) return;
     const text = document === undefined ? undefined : canonicalText(document);
-    this.#withoutKeys = document === undefined ? undefined : canonicalText(withoutApiKeys(document));
+    this.#documentWithoutKeys = document === undefined ? undefined : canonicalText(withoutApiKeys(document));
     this.acked = { revision, document: text, atMs };
     this.#acknowledged.push({ revision, atMs });
   }
 
   /** What was acknowledged before a moment and is missing in a state; undefined if nothing is. Edges hold no keys. */
-  lacks(state: Deployment, beforeMs: number, isEdge = false): string | undefined {
+  findMissing(state: Deployment, beforeMs: number, isEdge = false): string | undefined {
     const due = this.#acknowledged.findLast((known) => known.atMs <= beforeMs)?.revision ?? 0;
     if (state.revision < due) return `revision ${state.revision}, acknowledged was ${due}`;
     const { revision } = this.acked;
-    const document = isEdge ? this.#withoutKeys : this.acked.document;
+    const document = isEdge ? this.#documentWithoutKeys : this.acked.document;
     if (state.revision === revision && document !== undefined && this.#textOf(state) !== document)
       return `another document under revision ${state.revision}`;
     for (const [zone, { evacuated, atMs }] of this.zones) {
@@ -53,10 +53,10 @@
   }
 
   #textOf(state: Deployment): string {
-    let text = this.#texts.get(state);
+    let text = this.#textCache.get(state);
     if (text === undefined) {
       text = canonicalText(state.document);
-      this.#texts.set(state, text);
+      this.#textCache.set(state, text);
     }
     return text;
   }
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -4,7 +4,7 @@
 import type { Cut, SimDisk } from '../world.js';
 import type { Machine } from './machine.js';
 import { BOUNDS } from './size.js';
-import { SOUND_CALLS } from './worker-calls.js';
+import { NO_CALL_FAULTS } from './worker-calls.js';
 
 /** Faults of one core; each counts as a loss while it lasts and for `catchUpMs` after. */
 const CORE_FAULTS = [
@@ -26,13 +26,13 @@
 const WORKER_FAULTS = ['restart', 'dark', 'leave'] as const;
 
 const LONG_CUT_MS = 20_000;
-const STOPPED_MS = 200;
+const SHUTDOWN_MS = 200;
 const DRAIN_MS = 4000;
 const SLOW_DISK_MS = 40;
-const SLOWEST_DISK_MS = 200;
-const LOSSY_RATIO = 0.05;
-const MOST_CALLS_DELAYED = 0.4;
-const MOST_CALLS_FAILED = 0.3;
+const MAX_SLOW_DISK_MS = 200;
+const LOSSY_NETWORK_RATIO = 0.05;
+const MAX_DELAYED_CALL_RATIO = 0.4;
+const MAX_FAILED_CALL_RATIO = 0.3;
 /** A successor has joined, been made a voter and caught up by then. */
 const SUCCESSOR_MS = BOUNDS.catchUpMs;
 
@@ -56,20 +56,20 @@
   /** Until when each core counts as lost. */
   #lostUntilMs = new Map<Machine, number>();
   /** Of those, the ones whose disk was lost as well. */
-  #emptied = new Set<Machine>();
-  #replacing = false;
+  #wipedCores = new Set<Machine>();
+  #isReplacing = false;
 
   constructor(system: System) {
     this.#system = system;
     this.#random = system.random;
   }
 
-  #roll(most: number): number {
+  #randomBelow(most: number): number {
     return Math.floor(this.#random.next() * most);
   }
 
   #pick<T>(list: readonly T[]): T | undefined {
-    return list[this.#roll(list.length)];
+    return list[this.#randomBelow(list.length)];
   }
 
   #inject(what: string, machine?: Machine): void {
@@ -84,33 +84,33 @@
   // Losses.
 
   /** Cores that count as lost now. */
-  get lost(): number {
+  get lostCoreCount(): number {
     const nowMs = this.#system.time.nowMs();
     for (const [core, untilMs] of this.#lostUntilMs) {
       if (untilMs >= nowMs) continue;
       this.#lostUntilMs.delete(core);
-      this.#emptied.delete(core);
+      this.#wipedCores.delete(core);
     }
     return this.#lostUntilMs.size;
   }
 
   /** Whether every disk that counts holds all that it ever synced, so that all cores may lose power. */
-  get mayLosePowerEverywhere(): boolean {
-    return this.lost === 0 || this.#emptied.size === 0;
+  get mayAllLosePower(): boolean {
+    return this.lostCoreCount === 0 || this.#wipedCores.size === 0;
   }
 
   /** Whether another core may be lost now. */
-  get mayLose(): boolean {
-    return this.lost < this.#system.size.lossesBorne && !this.#replacing;
+  get mayLoseCore(): boolean {
+    return this.lostCoreCount < this.#system.size.lossesBorne && !this.#isReplacing;
   }
 
-  #lose(core: Machine, forMs: number): void {
+  #countAsLost(core: Machine, forMs: number): void {
     const untilMs = this.#system.time.nowMs() + forMs + BOUNDS.catchUpMs;
     this.#lostUntilMs.set(core, Math.max(untilMs, this.#lostUntilMs.get(core) ?? 0));
   }
 
   /** A core that is not lost; the coordinator as often as all others together. */
-  wholeCore(): Machine | undefined {
+  pickHealthyCore(): Machine | undefined {
     const { cores } = this.#system;
     const whole = cores.filter((core) => core.running !== undefined && !this.#lostUntilMs.has(core));
     const leader = this.#system.leader();
@@ -121,15 +121,16 @@
   // Faults of cores.
 
   /** Any fault of one core, for up to some seconds. */
-  anyCore(): void {
-    const core = this.mayLose ? this.wholeCore() : undefined;
-    if (core !== undefined) this.core(core, this.#pick(CORE_FAULTS) ?? 'kill', 300 + this.#roll(4000));
+  injectRandomCoreFault(): void {
+    const core = this.mayLoseCore ? this.pickHealthyCore() : undefined;
+    if (core !== undefined)
+      this.injectCoreFault(core, this.#pick(CORE_FAULTS) ?? 'kill', 300 + this.#randomBelow(4000));
   }
 
-  core(core: Machine, kind: CoreFault, forMs: number): void {
+  injectCoreFault(core: Machine, kind: CoreFault, forMs: number): void {
     const system = this.#system;
     this.#inject(kind, core);
-    this.#lose(core, forMs);
+    this.#countAsLost(core, forMs);
     switch (kind) {
       case 'kill':
         system.kill(core);
@@ -139,7 +140,7 @@
         return this.#bootAfter(core, forMs);
       case 'stop':
         system.stop(core);
-        return this.#bootAfter(core, forMs + STOPPED_MS);
+        return this.#bootAfter(core, forMs + SHUTDOWN_MS);
       case 'freeze':
         return system.freeze(core, forMs);
       case 'cut':
@@ -149,14 +150,14 @@
       case 'wipe':
         system.losePower(core);
         core.disk?.wipe();
-        this.#emptied.add(core);
+        this.#wipedCores.add(core);
         return this.#bootAfter(core, forMs);
       case 'replace':
         return this.#replace(core, forMs);
       case 'disk stall':
         if (core.disk !== undefined) core.disk.stallUntilMs = system.time.nowMs() + forMs;
-        system.disturbed(core);
-        return this.#after(forMs, () => system.disturbed(core));
+        system.recordDisturbance(core);
+        return this.#after(forMs, () => system.recordDisturbance(core));
       case 'disk full':
         return this.#fillDisk(core, forMs);
     }
@@ -171,8 +172,8 @@
     this.#system.remove(core);
     const successor = this.#system.addCore(core.zone);
     this.#lostUntilMs.delete(core);
-    this.#emptied.add(successor);
-    this.#lose(successor, forMs);
+    this.#wipedCores.add(successor);
+    this.#countAsLost(successor, forMs);
     this.#bootAfter(successor, forMs);
   }
 
@@ -181,61 +182,65 @@
     const { disk } = core;
     if (disk === undefined) return;
     disk.full = true;
-    this.#system.disturbed(core);
+    this.#system.recordDisturbance(core);
     this.#after(forMs, () => {
       disk.full = false;
-      this.#system.disturbed(core);
+      this.#system.recordDisturbance(core);
       this.#system.boot(core);
     });
   }
 
   /** A disk that is slow, but does sync: the core is not lost. */
   slowDisk(): void {
-    const core = this.wholeCore();
+    const core = this.pickHealthyCore();
     if (core?.disk === undefined) return;
     const { disk } = core;
     this.#inject('disk slow', core);
     disk.slowMs = SLOW_DISK_MS;
-    this.#after(1000 + this.#roll(6000), () => {
+    this.#after(1000 + this.#randomBelow(6000), () => {
       disk.slowMs = 0;
     });
   }
 
   /** The coordinator is cut off for 20 s and more, in both directions or in one. */
-  longCut(): void {
+  cutCoordinatorLong(): void {
     const leader = this.#system.leader();
-    if (!this.mayLose || leader === undefined) return;
-    this.core(leader, this.#pick(['cut', 'deaf', 'mute'] as const) ?? 'cut', LONG_CUT_MS + this.#roll(6000));
+    if (!this.mayLoseCore || leader === undefined) return;
+    this.injectCoreFault(
+      leader,
+      this.#pick(['cut', 'deaf', 'mute'] as const) ?? 'cut',
+      LONG_CUT_MS + this.#randomBelow(6000),
+    );
   }
 
   /** As many cores as may be lost at once; and as many others right after those have caught up. */
-  secondLoss(): void {
+  loseAgainAfterCatchUp(): void {
     const { size } = this.#system;
-    if (this.lost > 0 || this.#replacing) return;
-    const forMs = 300 + this.#roll(2000);
+    if (this.lostCoreCount > 0 || this.#isReplacing) return;
+    const forMs = 300 + this.#randomBelow(2000);
     const kinds = ['kill', 'power', 'wipe', 'replace'] as const;
     this.#inject('second loss after catch-up');
     const first: Machine[] = [];
     for (let count = 0; count < size.lossesBorne; count += 1) {
-      const core = this.wholeCore();
+      const core = this.pickHealthyCore();
       if (core === undefined) continue;
       first.push(core);
-      this.core(core, this.#pick(kinds) ?? 'kill', forMs);
+      this.injectCoreFault(core, this.#pick(kinds) ?? 'kill', forMs);
     }
     this.#after(forMs + BOUNDS.catchUpMs + 10, () => {
-      if (this.lost > 0) return;
+      if (this.lostCoreCount > 0) return;
       const others = this.#system.cores.filter((core) => core.running !== undefined && !first.includes(core));
       for (const core of others.slice(0, size.lossesBorne))
-        this.core(core, this.#pick(kinds) ?? 'kill', forMs);
+        this.injectCoreFault(core, this.#pick(kinds) ?? 'kill', forMs);
     });
   }
 
   /** Planned replacement: the new machine first, then the old one is asked to end and is removed. */
-  planned(): void {
+  replaceAsPlanned(): void {
     const system = this.#system;
-    const core = this.lost > 0 || this.#replacing ? undefined : this.wholeCore();
+    const core = this.lostCoreCount > 0 || this.#isReplacing ? undefined : this.pickHealthyCore();
     if (core === undefined) return;
-    this.#replacing = true;
+    this.#isReplacing = true;
     this.#inject('planned replacement', core);
     const successor = system.addCore(core.zone);
     system.boot(successor);
@@ -244,58 +249,58 @@
 
   /** Ends and removes a core once its successor has caught up and nothing else is lost. */
   #retire(core: Machine, successor: Machine): void {
-    if (this.lost > 0) {
+    if (this.lostCoreCount > 0) {
       this.#after(SUCCESSOR_MS, () => this.#retire(core, successor));
       return;
     }
     this.#system.stop(core);
-    this.#lose(successor, 0);
-    this.#after(STOPPED_MS, () => {
+    this.#countAsLost(successor, 0);
+    this.#after(SHUTDOWN_MS, () => {
       this.#system.remove(core);
-      this.#replacing = false;
+      this.#isReplacing = false;
     });
   }
 
   /** All cores are killed, or lose power, and come back. */
-  allCores(kind: 'kill' | 'power'): void {
+  failAllCores(kind: 'kill' | 'power'): void {
     const { cores } = this.#system;
     this.#inject(`all cores ${kind}`);
     for (const core of cores) {
       if (kind === 'kill') this.#system.kill(core);
       else this.#system.losePower(core);
-      if (!core.removed) this.#lose(core, 1500);
+      if (!core.removed) this.#countAsLost(core, 1500);
       if (core.disk !== undefined) core.disk.full = false;
     }
-    for (const core of cores) this.#bootAfter(core, 300 + this.#roll(1200));
+    for (const core of cores) this.#bootAfter(core, 300 + this.#randomBelow(1200));
   }
 
   /** Power of all cores is lost soon after a change was sent, before or after it is acknowledged. */
   powerDuringChange(send: () => void): void {
     send();
-    this.#after(5 + this.#roll(395), () => this.allCores('power'));
+    this.#after(5 + this.#randomBelow(395), () => this.failAllCores('power'));
   }
 
   /** All cores lose power as soon as the next order is acknowledged; at times all disks are slow before. */
   powerAfterAcknowledgement(send: () => void): void {
     const { operators, cores } = this.#system;
-    const slowMs = this.#random.next() < 0.5 ? SLOWEST_DISK_MS * this.#random.next() : 0;
+    const slowMs = this.#random.next() < 0.5 ? MAX_SLOW_DISK_MS * this.#random.next() : 0;
     for (const core of cores) if (core.disk !== undefined) core.disk.slowMs = slowMs;
     operators.onAnswer = (kind) => {
       if (kind !== 'agreed') return;
       operators.onAnswer = undefined;
       for (const core of cores) if (core.disk !== undefined) core.disk.slowMs = 0;
-      this.allCores('power');
+      this.failAllCores('power');
     };
     send();
   }
 
   // Faults of other machines and of the network.
 
-  anyEdge(): void {
+  injectRandomEdgeFault(): void {
     const system = this.#system;
     const edge = this.#pick(system.edges.filter((known) => known.running !== undefined));
     if (edge === undefined) return;
-    const forMs = 300 + this.#roll(5000);
+    const forMs = 300 + this.#randomBelow(5000);
     const kind = this.#pick(EDGE_FAULTS) ?? 'kill';
     this.#inject(kind, edge);
     switch (kind) {
@@ -307,49 +312,49 @@
         return this.#after(forMs, system.cut(`${kind} ${edge.name}`, cutOf(kind, edge.name)));
       case 'stop':
         system.stop(edge);
-        return this.#bootAfter(edge, forMs + STOPPED_MS);
+        return this.#bootAfter(edge, forMs + SHUTDOWN_MS);
       case 'kill':
         system.kill(edge);
         return this.#bootAfter(edge, forMs);
     }
   }
 
-  anyWorker(): void {
+  injectRandomWorkerFault(): void {
     const { workers, time } = this.#system;
-    if (workers.members.some((known) => known.away || known.leaving)) return;
-    const worker = this.#pick(workers.members.filter((known) => !known.dark));
+    if (workers.members.some((known) => known.isAway || known.leaving)) return;
+    const worker = this.#pick(workers.members.filter((known) => !known.isSilent));
     if (worker === undefined) return;
-    const forMs = 300 + this.#roll(3000);
+    const forMs = 300 + this.#randomBelow(3000);
     const kind = this.#pick(WORKER_FAULTS) ?? 'restart';
     this.#inject(`${kind} worker ${worker.address}`);
     if (kind === 'restart') return worker.restart();
     if (kind === 'dark') {
-      worker.dark = true;
+      worker.isSilent = true;
       return time.after(forMs, () => {
-        worker.dark = false;
+        worker.isSilent = false;
       });
     }
     workers.leave(worker);
     this.#after(DRAIN_MS, () => {
-      worker.away = true;
+      worker.isAway = true;
       this.#after(forMs, () => {
-        worker.away = false;
+        worker.isAway = false;
         worker.restart();
       });
     });
   }
 
   /** A whole zone goes down or is cut off: its cores, edges and workers. */
-  zone(kind: 'loss' | 'cut'): void {
+  failZone(kind: 'loss' | 'cut'): void {
     const system = this.#system;
     const zone = this.#pick(system.size.zones) ?? '';
     const cores = system.cores.filter((core) => core.zone === zone && !core.removed);
-    if (!this.mayLose || this.lost + cores.length > system.size.lossesBorne) return;
-    const forMs = 1000 + this.#roll(4000);
+    if (!this.mayLoseCore || this.lostCoreCount + cores.length > system.size.lossesBorne) return;
+    const forMs = 1000 + this.#randomBelow(4000);
     this.#inject(`zone ${kind} ${zone}`);
     const machines = system.machines.filter((machine) => machine.zone === zone);
     const workers = system.workers.members.filter((worker) => worker.zone === zone);
-    for (const core of cores) this.#lose(core, forMs);
+    for (const core of cores) this.#countAsLost(core, forMs);
     if (kind === 'cut') {
       const inside = new Set([...machines.map(({ name }) => name), ...workers.map(({ address }) => address)]);
       const heal = system.cut(`zone ${zone}`, (from, to) => inside.has(from) !== inside.has(to));
@@ -359,41 +364,41 @@
       system.losePower(machine);
       this.#bootAfter(machine, forMs);
     }
-    for (const worker of workers.filter((known) => !known.away && !known.leaving)) {
-      worker.away = true;
+    for (const worker of workers.filter((known) => !known.isAway && !known.leaving)) {
+      worker.isAway = true;
       this.#after(forMs, () => {
-        worker.away = false;
+        worker.isAway = false;
         worker.restart();
       });
     }
   }
 
   /** More frames are lost for a while. */
-  lossy(): void {
+  makeNetworkLossy(): void {
     const { network } = this.#system;
     const before = network.lossRatio;
-    if (before === LOSSY_RATIO) return;
+    if (before === LOSSY_NETWORK_RATIO) return;
     this.#inject('lossy network');
-    network.lossRatio = LOSSY_RATIO;
-    this.#after(1000 + this.#roll(4000), () => {
+    network.lossRatio = LOSSY_NETWORK_RATIO;
+    this.#after(1000 + this.#randomBelow(4000), () => {
       network.lossRatio = before;
     });
   }
 
   /** Orders, their answers, reports and the platform's list are late, lost, refused or unreadable for a while. */
-  unsoundCalls(): void {
+  injectCallFaults(): void {
     const { workerCalls } = this.#system;
-    if (workerCalls.faults !== SOUND_CALLS) return;
+    if (workerCalls.faults !== NO_CALL_FAULTS) return;
     this.#inject('unsound calls to workers');
     workerCalls.faults = {
-      ...SOUND_CALLS,
-      delayed: MOST_CALLS_DELAYED * this.#random.next(),
-      answerLost: MOST_CALLS_FAILED * this.#random.next(),
-      refused: MOST_CALLS_FAILED * this.#random.next(),
+      ...NO_CALL_FAULTS,
+      delayed: MAX_DELAYED_CALL_RATIO * this.#random.next(),
+      answerLost: MAX_FAILED_CALL_RATIO * this.#random.next(),
+      refused: MAX_FAILED_CALL_RATIO * this.#random.next(),
       unreadable: this.#random.next(),
     };
-    this.#after(1000 + this.#roll(6000), () => {
-      workerCalls.faults = SOUND_CALLS;
+    this.#after(1000 + this.#randomBelow(6000), () => {
+      workerCalls.faults = NO_CALL_FAULTS;
     });
   }
 
@@ -403,7 +408,7 @@
     if (operators.answerLossRatio > 0) return;
     this.#inject('answers lost');
     operators.answerLossRatio = 0.2 + this.#random.next() * 0.5;
-    this.#after(2000 + this.#roll(8000), () => {
+    this.#after(2000 + this.#randomBelow(8000), () => {
       operators.answerLossRatio = 0;
     });
   }
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -16,7 +16,7 @@
 import type { WorkerPool } from './workers.js';
 import { checkZones } from './zone-history.js';
 
-const PROBE_MS = 50;
+const PROBE_INTERVAL_MS = 50;
 
 /** What the checks look at. */
 export interface InvariantContext {
@@ -50,15 +50,15 @@
     this.#context = context;
   }
 
-  open(): void {
-    this.#context.time.after(PROBE_MS, () => this.open());
+  start(): void {
+    this.#context.time.after(PROBE_INTERVAL_MS, () => this.start());
     this.#probe();
   }
 
   /** The bounds count anew for a machine, and for all if it is a core. */
-  disturbed(machine: Machine): void {
+  recordDisturbance(machine: Machine): void {
     const nowMs = this.#context.time.nowMs();
-    if (machine.running !== undefined) machine.running.touchMs = nowMs;
+    if (machine.running !== undefined) machine.running.undisturbedSinceMs = nowMs;
     if (machine.disk !== undefined) this.#disturbedMs = nowMs;
   }
 
@@ -66,58 +66,60 @@
   settled(): boolean {
     return (
       this.#context.time.nowMs() - this.#disturbedMs > BOUNDS.contactMs &&
-      this.#reaching().length > this.#context.size.cores / 2
+      this.#coresWithMajority().length > this.#context.size.cores / 2
     );
   }
 
   /** Running cores that reach, both ways, more than half of the core. */
-  #reaching(): Machine[] {
+  #coresWithMajority(): Machine[] {
     const { cores, network, size } = this.#context;
     const up = cores.filter((core) => core.running?.frozen === false);
     return up.filter((core) => {
-      const met = up.filter((other) => other === core || !network.isApart(core.name, other.name));
+      const met = up.filter((other) => other === core || !network.isCutEitherWay(core.name, other.name));
       return met.length > size.cores / 2;
     });
   }
 
   #probe(): void {
-    const reaching = this.#reaching();
+    const majorityCores = this.#coresWithMajority();
     const settled = this.settled();
-    for (const core of this.#context.cores) this.#probeCore(core, reaching, settled);
-    for (const edge of this.#context.edges) this.#probeEdge(edge, reaching, settled);
+    for (const core of this.#context.cores) this.#probeCore(core, majorityCores, settled);
+    for (const edge of this.#context.edges) this.#probeEdge(edge, majorityCores, settled);
     this.#probeShares();
     this.#probeHolders();
     if (settled) this.#probeOrders();
   }
 
-  #probeCore(core: Machine, reaching: readonly Machine[], settled: boolean): void {
-    this.#neverBack(core);
+  #probeCore(core: Machine, majorityCores: readonly Machine[], settled: boolean): void {
+    this.#checkEditionMonotonic(core);
     const { running } = core;
     if (running?.replica === undefined || running.frozen) return;
     const nowMs = this.#context.time.nowMs();
-    if (!reaching.includes(core)) running.touchMs = nowMs;
+    if (!majorityCores.includes(core)) running.undisturbedSinceMs = nowMs;
     const { state, group } = running.replica;
     if (group.singletonEpoch() !== undefined)
-      this.#checkLack('leads with old state', core, state, nowMs - LEASE_MS);
-    if (settled && nowMs - running.touchMs > BOUNDS.contactMs)
-      this.#checkLack('core behind', core, state, nowMs - BOUNDS.applyMs);
+      this.#checkMissing('leads with old state', core, state, nowMs - LEASE_MS);
+    if (settled && nowMs - running.undisturbedSinceMs > BOUNDS.contactMs)
+      this.#checkMissing('core behind', core, state, nowMs - BOUNDS.applyMs);
   }
 
-  #checkLack(rule: string, machine: Machine, state: Deployment, beforeMs: number): void {
-    const lack = this.#context.expectations.lacks(state, beforeMs, isEdge(machine));
+  #checkMissing(rule: string, machine: Machine, state: Deployment, beforeMs: number): void {
+    const lack = this.#context.expectations.findMissing(state, beforeMs, isEdge(machine));
     if (lack !== undefined) this.#context.breach(rule, `${machine.name}: ${lack}`);
   }
 
-  #probeEdge(edge: Machine, reaching: readonly Machine[], settled: boolean): void {
-    this.#neverBack(edge);
+  #probeEdge(edge: Machine, majorityCores: readonly Machine[], settled: boolean): void {
+    this.#checkEditionMonotonic(edge);
     const { running } = edge;
     if (running?.follower === undefined || running.frozen) return;
     const nowMs = this.#context.time.nowMs();
     const { network } = this.#context;
-    const reached = reaching.length > 0 && reaching.every((core) => !network.isApart(core.name, edge.name));
-    if (!reached) running.touchMs = nowMs;
-    if (!settled || nowMs - running.touchMs <= BOUNDS.contactMs) return;
-    this.#checkLack('applied in time', edge, running.follower.state, nowMs - BOUNDS.applyMs);
+    const reached =
+      majorityCores.length > 0 &&
+      majorityCores.every((core) => !network.isCutEitherWay(core.name, edge.name));
+    if (!reached) running.undisturbedSinceMs = nowMs;
+    if (!settled || nowMs - running.undisturbedSinceMs <= BOUNDS.contactMs) return;
+    this.#checkMissing('applied in time', edge, running.follower.state, nowMs - BOUNDS.applyMs);
     this.#probeDrains(edge, running.follower);
   }
 
@@ -139,7 +141,8 @@
   #probeShares(): void {
     const nowMs = this.#context.time.nowMs();
     const steady = this.#context.edges.filter(
-      ({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs,
+      ({ running }) =>
+        running !== undefined && !running.frozen && nowMs - running.undisturbedSinceMs > BOUNDS.contactMs,
     );
     for (const { name, running } of steady) {
       const edges = running?.follower?.edgeCount ?? 0;
@@ -163,14 +166,18 @@
   #probeOrders(): void {
     const { operators, time } = this.#context;
     if (operators.answerLossRatio > 0) return;
-    for (const order of operators.underWay) {
-      const sinceMs = Math.max(order.bornMs, this.#disturbedMs + BOUNDS.contactMs, operators.lossEndedMs);
+    for (const order of operators.pendingOrders) {
+      const sinceMs = Math.max(
+        order.createdMs,
+        this.#disturbedMs + BOUNDS.contactMs,
+        operators.answerLossChangedMs,
+      );
       if (time.nowMs() - sinceMs > BOUNDS.ackMs)
-        this.#context.breach('late answer', `${order.request.kind} of ${order.bornMs.toFixed(0)}`);
+        this.#context.breach('late answer', `${order.request.kind} of ${order.createdMs.toFixed(0)}`);
     }
   }
 
-  #neverBack(machine: Machine): void {
+  #checkEditionMonotonic(machine: Machine): void {
     const { running } = machine;
     const state = stateOf(running);
     if (running === undefined || state === undefined) return;
@@ -192,7 +199,7 @@
     if (this.#seenStates.has(state) || state.document === undefined) return;
     this.#seenStates.add(state);
     const text = canonicalText(state.document);
-    const key = seenKey(machine, changeIdOf(state.revision, state.document) ?? '');
+    const key = firstSeenKey(machine, changeIdOf(state.revision, state.document) ?? '');
     const known = this.#firstSeen.get(key);
     if (known !== undefined && known.text !== text)
       this.#context.breach('one document', `${machine.name} holds another document under ${key}`);
@@ -220,7 +227,7 @@
     const wanted = Math.min(2 * size.lossesBorne + 1, cores.filter((core) => !core.removed).length);
     const voters = countVoters(cores);
     if (voters < wanted) this.#context.breach('recovers', `${voters} voters, wanted ${wanted}`);
-    for (const order of this.#context.operators.underWay)
+    for (const order of this.#context.operators.pendingOrders)
       this.#context.breach('late answer', `${order.request.kind} is not answered`);
     this.#checkDemand();
     this.#checkHistory();
@@ -234,7 +241,7 @@
       return;
     }
     const state = stateOf(running);
-    if (state !== undefined) this.#checkLack('acknowledged stays', machine, state, Infinity);
+    if (state !== undefined) this.#checkMissing('acknowledged stays', machine, state, Infinity);
     const { replica, follower } = running;
     if (replica?.group.holdsLease() === false)
       breach('recovers', `${machine.name} is not in a group with a majority`);
@@ -259,7 +266,7 @@
     for (const need of demand.needs) {
       const what = need.adapter === '' ? need.model : `${need.model}/${need.adapter}`;
       for (const edge of edges)
-        if (!demand.finds(edge, need))
+        if (!demand.isServed(edge, need))
           this.#context.breach('placed', `${edge.name} knows no worker with ${what}`);
     }
   }
@@ -331,7 +338,7 @@
 }
 
 /** Edges hold documents without the keys of tenants, so theirs are compared by themselves. */
-function seenKey(machine: Machine, changeId: string): string {
+function firstSeenKey(machine: Machine, changeId: string): string {
   const kind: NodeKind = isEdge(machine) ? 'edge' : 'core';
   return `${kind} ${changeId}`;
 }
--- a/packages/simulator/src/system/linearizability.ts
+++ b/packages/simulator/src/system/linearizability.ts
@@ -16,7 +16,7 @@
 } from './history.js';
 
 /** No more candidate chains are tried; a history that needs more is reported as undecided. */
-const CHAINS_TRIED_MOST = 2000;
+const MAX_CHAINS_TRIED = 2000;
 
 /** What the check found. */
 export interface Linearization {
@@ -47,13 +47,13 @@
  * checkLinearizable({ changes: [], reads: [] }).violations; // []
  */
 export function checkLinearizable(history: History): Linearization {
-  const violations = findPlainViolations(history);
+  const violations = findDirectViolations(history);
   if (violations.length > 0) return { violations, chain: [], chainsTried: 0 };
   return new ChainSearch(history).run();
 }
 
 /** Violations that can be named without a search. */
-function findPlainViolations({ changes, reads }: History): string[] {
+function findDirectViolations({ changes, reads }: History): string[] {
   const violations: string[] = [];
   const acknowledgedByBase = new Map<number, ChangeOrder>();
   for (const change of changes) {
@@ -116,11 +116,11 @@
   #readsOf = new Map<ChangeOrder | undefined, Read[]>();
   #refusalsOnBase = new Map<number, Refusal[]>();
   #chain: Link[] = [START];
-  #tried = 0;
+  #chainsTried = 0;
   /** Links that are known to lead nowhere, each with the earliest moment of its effect and the required changes before it. */
   #deadEnds = new Map<ChangeOrder, Set<string>>();
   /** Why the chain that came furthest failed. */
-  #best = { length: -1, why: 'no chain of changes explains the answers' };
+  #furthestFailure = { length: -1, why: 'no chain of changes explains the answers' };
 
   constructor({ changes, reads }: History) {
     const byId = new Map(changes.map((change) => [change.id, change]));
@@ -138,11 +138,13 @@
 
   run(): Linearization {
     const found = this.#extend(-Infinity, 0);
-    const chainsTried = this.#tried;
+    const chainsTried = this.#chainsTried;
     if (found)
       return { violations: [], chain: this.#chain.flatMap((link) => link.change ?? []), chainsTried };
-    const undecided = chainsTried >= CHAINS_TRIED_MOST;
-    const why = undecided ? `undecided after ${chainsTried} chains: ${this.#best.why}` : this.#best.why;
+    const undecided = chainsTried >= MAX_CHAINS_TRIED;
+    const why = undecided
+      ? `undecided after ${chainsTried} chains: ${this.#furthestFailure.why}`
+      : this.#furthestFailure.why;
     return { violations: [why], chain: [], chainsTried };
   }
 
@@ -157,23 +159,23 @@
     const link = this.#chain.at(-1) ?? START;
     const key = `${effectMs} ${requiredSoFar}`;
     if (link.change !== undefined && this.#deadEnds.get(link.change)?.has(key) === true) return false;
-    const triedBefore = this.#tried;
+    const triedBefore = this.#chainsTried;
     if (requiredSoFar === this.#required.size && this.#explainsAll()) return true;
     for (const next of this.#successors(link.revision)) {
-      if (this.#tried >= CHAINS_TRIED_MOST) return false;
-      const earliestMs = this.#earliestMs(link, effectMs, next);
-      const why = this.#whyNot(link, next, earliestMs);
+      if (this.#chainsTried >= MAX_CHAINS_TRIED) return false;
+      const earliestMs = this.#earliestEffectMs(link, effectMs, next);
+      const why = this.#reasonAgainst(link, next, earliestMs);
       if (why !== undefined) {
-        this.#fail(why);
+        this.#recordFailure(why);
         continue;
       }
       this.#chain.push({ change: next, revision: next.revision });
       if (this.#extend(earliestMs, requiredSoFar + (this.#required.has(next) ? 1 : 0))) return true;
       this.#chain.pop();
     }
-    const wholeChainFailed = this.#tried > triedBefore;
+    const wholeChainFailed = this.#chainsTried > triedBefore;
     if (link.change !== undefined && !wholeChainFailed) this.#markDeadEnd(link.change, key);
-    this.#failForMissing(requiredSoFar);
+    this.#recordMissingChange(requiredSoFar);
     return false;
   }
 
@@ -185,27 +187,28 @@
   }
 
   /** A change takes effect after it was sent, after its predecessor, and after the last read of that began. */
-  #earliestMs(link: Link, effectMs: number, next: ChangeOrder): number {
+  #earliestEffectMs(link: Link, effectMs: number, next: ChangeOrder): number {
     const readMs = (this.#readsOf.get(link.change) ?? []).map((read) => read.invokedMs);
     return Math.max(effectMs, firstInvokedMs(next.attempts), ...readMs);
   }
 
   /** Why a change cannot follow a link, if it takes effect no earlier than this. */
-  #whyNot(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
-    const latest = this.#latestOf(next);
+  #reasonAgainst(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
+    const latest = this.#latestEffectMs(next);
     if (earliestMs > latest) {
       const stale = (this.#readsOf.get(link.change) ?? []).find((read) => read.invokedMs > latest);
       if (stale !== undefined) return `${describeRead(stale)}, after ${describeChange(next)} took effect`;
       return `${describeChange(next)} took effect before it could follow ${describeLink(link)}`;
     }
-    const refusal = this.#refusalWithinReign(link, earliestMs);
+    const refusal = this.#refusalWhileInForce(link, earliestMs);
     return refusal === undefined ? undefined : describeRefusal(refusal);
   }
 
   /** A refusal of an attempt during all of which the base of its change was in force. */
-  #refusalWithinReign(link: Link, succeededMs: number): Refusal | undefined {
+  #refusalWhileInForce(link: Link, succeededMs: number): Refusal | undefined {
     return (this.#refusalsOnBase.get(link.revision) ?? []).find(
-      ({ attempt }) => succeededMs > attempt.respondedMs && this.#latestOf(link.change) < attempt.invokedMs,
+      ({ attempt }) =>
+        succeededMs > attempt.respondedMs && this.#latestEffectMs(link.change) < attempt.invokedMs,
     );
   }
 
@@ -215,19 +218,19 @@
     this.#deadEnds.set(change, keys);
   }
 
-  #failForMissing(requiredSoFar: number): void {
+  #recordMissingChange(requiredSoFar: number): void {
     if (requiredSoFar === this.#required.size) return;
     const inChain = new Set(this.#chain.map((link) => link.change));
     const missing = [...this.#required].find((change) => !inChain.has(change));
     if (missing === undefined) return;
-    this.#fail(
+    this.#recordFailure(
       `${describeChange(missing)} took effect, but no chain of changes leads to it beyond ${describeLink(this.#chain.at(-1) ?? START)}`,
     );
   }
 
-  #fail(why: string): void {
-    if (this.#chain.length <= this.#best.length) return;
-    this.#best = { length: this.#chain.length, why };
+  #recordFailure(why: string): void {
+    if (this.#chain.length <= this.#furthestFailure.length) return;
+    this.#furthestFailure = { length: this.#chain.length, why };
   }
 
   /**
@@ -237,26 +240,26 @@
    * succeeded before the answer. The least moments are raised until all hold.
    */
   #explainsAll(): boolean {
-    this.#tried += 1;
+    this.#chainsTried += 1;
     const momentsMs = this.#chain.map(() => -Infinity);
     for (let raised = true; raised;) {
-      this.#settleMoments(momentsMs);
+      this.#raiseToLowerBounds(momentsMs);
       raised = false;
       for (const [place, link] of this.#chain.entries()) {
         const succeededMs = momentsMs[place + 1] ?? Infinity;
-        const refusal = this.#refusalWithinReign(link, succeededMs);
+        const refusal = this.#refusalWhileInForce(link, succeededMs);
         if (refusal !== undefined) {
-          this.#fail(describeRefusal(refusal));
+          this.#recordFailure(describeRefusal(refusal));
           return false;
         }
-        raised ||= this.#raise(momentsMs, place, link, succeededMs);
+        raised ||= this.#raisePastRefusals(momentsMs, place, link, succeededMs);
       }
     }
-    return momentsMs.every((momentMs, place) => momentMs <= this.#latestOf(this.#chain[place]?.change));
+    return momentsMs.every((momentMs, place) => momentMs <= this.#latestEffectMs(this.#chain[place]?.change));
   }
 
   /** Moves a link's moment behind the start of an attempt that was refused before the link was succeeded. */
-  #raise(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
+  #raisePastRefusals(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
     const momentMs = momentsMs[place] ?? -Infinity;
     let raisedMs = momentMs;
     for (const { attempt } of this.#refusalsOnBase.get(link.revision) ?? [])
@@ -266,18 +269,18 @@
   }
 
   /** Raises each moment to the least that its predecessor and its own order allow. */
-  #settleMoments(momentsMs: number[]): void {
+  #raiseToLowerBounds(momentsMs: number[]): void {
     for (let place = 1; place < this.#chain.length; place += 1) {
       const link = this.#chain[place - 1] ?? START;
       const next = this.#chain[place]?.change;
       if (next === undefined) continue;
-      const earliestMs = this.#earliestMs(link, momentsMs[place - 1] ?? -Infinity, next);
+      const earliestMs = this.#earliestEffectMs(link, momentsMs[place - 1] ?? -Infinity, next);
       momentsMs[place] = Math.max(momentsMs[place] ?? -Infinity, earliestMs);
     }
   }
 
   /** A change has taken effect by the time it is acknowledged or has been read. */
-  #latestOf(change: ChangeOrder | undefined): number {
+  #latestEffectMs(change: ChangeOrder | undefined): number {
     if (change === undefined) return -Infinity;
     const reads = this.#readsOf.get(change) ?? [];
     return Math.min(firstAcknowledgedMs(change.attempts), ...reads.map((read) => read.respondedMs));
--- a/packages/simulator/src/system/machine.ts
+++ b/packages/simulator/src/system/machine.ts
@@ -14,13 +14,13 @@
   readonly follower: EdgeReplica | undefined;
   frozen: boolean;
   /** What arrived while the process was frozen. */
-  waiting: (() => void)[];
+  queuedCalls: (() => void)[];
   leading: boolean;
-  listedMs: number;
+  listReadMs: number;
   /** Newest edition that the process has held. */
   edition: number;
   /** Since when it runs undisturbed, connected both ways to every core that reaches most of them. */
-  touchMs: number;
+  undisturbedSinceMs: number;
 }
 
 /** A machine of the simulated system, with or without a process on it. */
@@ -42,9 +42,9 @@
   }
 
   /** Runs an act in a process: now, when it thaws, or never if it has ended. */
-  perform(process: Process, act: () => void): void {
+  runInProcess(process: Process, act: () => void): void {
     if (this.running !== process) return;
-    if (process.frozen) process.waiting.push(act);
+    if (process.frozen) process.queuedCalls.push(act);
     else act();
   }
 }
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -4,12 +4,12 @@
 import type { Cut, VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 
-const LEAST_LATENCY_MS = 0.5;
+const MIN_LATENCY_MS = 0.5;
 const JITTER_MS = 2;
-const SLOW_SHARE = 0.01;
-const SLOW_MS = 60;
+const SLOW_FRAME_RATIO = 0.01;
+const SLOW_FRAME_DELAY_MS = 60;
 /** A frozen process loses what arrives beyond so many waiting acts. */
-const WAITING_MOST = 5000;
+const MAX_QUEUED_CALLS = 5000;
 
 /**
  * Carries frames between machines; late, lossy, cut in one or both directions.
@@ -47,29 +47,29 @@
   }
 
   /** Whether two machines are cut off from each other in either direction. */
-  isApart(one: string, other: string): boolean {
+  isCutEitherWay(one: string, other: string): boolean {
     return this.isCut(one, other) || this.isCut(other, one);
   }
 
-  post(sender: Machine, address: string, frame: Frame): void {
+  send(sender: Machine, address: string, frame: Frame): void {
     const target = this.#machines().find((known) => known.address === address);
     if (sender.running === undefined || target === undefined) return;
     const bytes = encodeFrame(frame);
     if (this.#random.next() < this.lossRatio) return;
     const nowMs = this.#time.nowMs();
     const direction = `${sender.name} ${address}`;
-    const slowMs = this.#random.next() < SLOW_SHARE ? SLOW_MS : 0;
-    const latencyMs = LEAST_LATENCY_MS + this.#random.next() * JITTER_MS + slowMs;
+    const slowMs = this.#random.next() < SLOW_FRAME_RATIO ? SLOW_FRAME_DELAY_MS : 0;
+    const latencyMs = MIN_LATENCY_MS + this.#random.next() * JITTER_MS + slowMs;
     const atMs = Math.max(this.#arrivals.get(direction) ?? 0, nowMs + latencyMs);
     this.#arrivals.set(direction, atMs);
-    this.#time.after(atMs - nowMs, () => this.#arrive(sender, target, bytes));
+    this.#time.after(atMs - nowMs, () => this.#deliver(sender, target, bytes));
   }
 
-  #arrive(sender: Machine, target: Machine, bytes: Uint8Array): void {
+  #deliver(sender: Machine, target: Machine, bytes: Uint8Array): void {
     const { running } = target;
     if (running === undefined || this.isCut(sender.name, target.name)) return;
     const frame = decodeFrame(bytes, 'system');
-    if (frame.isErr || running.waiting.length > WAITING_MOST) return;
-    target.perform(running, () => (running.replica ?? running.follower)?.receive(frame.value));
+    if (frame.isErr || running.queuedCalls.length > MAX_QUEUED_CALLS) return;
+    target.runInProcess(running, () => (running.replica ?? running.follower)?.receive(frame.value));
   }
 }
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -27,9 +27,9 @@
 /** An order that is under way or done. */
 export interface Order {
   readonly request: OperatorRequest;
-  readonly bornMs: number;
+  readonly createdMs: number;
   /** It is sent again until this moment. */
-  readonly untilMs: number;
+  readonly giveUpAtMs: number;
   /** Recorded attempts; shared with the history's entry. */
   readonly attempts: Attempt[];
   end: OrderEnd | undefined;
@@ -44,13 +44,13 @@
   note(node: string, text: string): void;
 }
 
-const PATIENCE_MS = 1000;
-const REDIRECTS_MOST = 2;
-const FIRST_PAUSE_MS = 20;
-const PAUSE_GROWTH = 1.5;
-const LONGEST_PAUSE_MS = 500;
+const RESPONSE_TIMEOUT_MS = 1000;
+const MAX_REDIRECTS = 2;
+const INITIAL_BACKOFF_MS = 20;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF_MS = 500;
 /** Statuses that say nothing clear: the order is sent again. */
-const UNCLEAR: ReadonlySet<number> = new Set([408, 429]);
+const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([408, 429]);
 
 /**
  * Sends orders and keeps their history.
@@ -59,7 +59,7 @@
  */
 export class OperatorClient {
   /** When answers were last lost on their way. */
-  lossEndedMs = -Infinity;
+  answerLossChangedMs = -Infinity;
   readonly orders: Order[] = [];
   readonly changes: ChangeOrder[] = [];
   readonly reads: Read[] = [];
@@ -81,7 +81,7 @@
 
   set answerLossRatio(ratio: number) {
     this.#answerLossRatio = ratio;
-    this.lossEndedMs = this.#context.time.nowMs();
+    this.answerLossChangedMs = this.#context.time.nowMs();
   }
 
   /** What was sent for a change. */
@@ -94,7 +94,7 @@
   }
 
   /** Orders without a clear answer. */
-  get underWay(): readonly Order[] {
+  get pendingOrders(): readonly Order[] {
     return this.orders.filter((order) => order.end === undefined);
   }
 
@@ -105,16 +105,16 @@
     done: (end: OrderEnd) => void = () => undefined,
     forMs = Infinity,
   ): Order {
-    const bornMs = this.#context.time.nowMs();
+    const createdMs = this.#context.time.nowMs();
     const order: Order = {
       request,
-      bornMs,
-      untilMs: bornMs + forMs,
+      createdMs,
+      giveUpAtMs: createdMs + forMs,
       attempts: this.#record(request, valid),
       end: undefined,
     };
     this.orders.push(order);
-    this.#attempt(order, undefined, FIRST_PAUSE_MS, done);
+    this.#attempt(order, undefined, INITIAL_BACKOFF_MS, done);
     return order;
   }
 
@@ -143,11 +143,11 @@
   #attempt(
     order: Order,
     previous: Machine | undefined,
-    pauseMs: number,
+    backoffMs: number,
     done: (end: OrderEnd) => void,
   ): void {
     const { time, directory, dice } = this.#context;
-    if (time.nowMs() > order.untilMs)
+    if (time.nowMs() > order.giveUpAtMs)
       return this.#finish(order, { kind: 'given up', atMs: time.nowMs() }, done);
     const listed = directory.list();
     const others = listed.filter((core) => core !== previous);
@@ -155,16 +155,16 @@
     const core = choice[Math.floor(dice.next() * choice.length)];
     const attempt: Attempt = { invokedMs: time.nowMs(), respondedMs: Infinity, outcome: 'unknown' };
     order.attempts.push(attempt);
-    this.#exchange(order, core, REDIRECTS_MOST, (reply) => {
+    this.#exchange(order, core, MAX_REDIRECTS, (reply) => {
       attempt.respondedMs = time.nowMs();
       attempt.outcome = outcomeOf(order.request, reply);
       if (attempt.outcome === 'unknown' || reply === undefined) {
-        time.after(pauseMs * (0.5 + dice.next()), () =>
-          this.#attempt(order, core, Math.min(LONGEST_PAUSE_MS, pauseMs * PAUSE_GROWTH), done),
+        time.after(backoffMs * (0.5 + dice.next()), () =>
+          this.#attempt(order, core, Math.min(MAX_BACKOFF_MS, backoffMs * BACKOFF_FACTOR), done),
         );
         return;
       }
-      this.#take(order, attempt, core, reply, done);
+      this.#handleReply(order, attempt, core, reply, done);
     });
   }
 
@@ -183,7 +183,7 @@
       if (reply?.status !== 307 || redirects === 0) return done(reply);
       this.#exchange(order, this.#context.machineAt(reply.location ?? ''), redirects - 1, done);
     };
-    time.after(PATIENCE_MS, () => finish(undefined));
+    time.after(RESPONSE_TIMEOUT_MS, () => finish(undefined));
     time.after(0.5 + dice.next() * 2, () => {
       const running = core?.running;
       const service = running?.operators;
@@ -195,11 +195,11 @@
         if (dice.next() < this.answerLossRatio) return;
         time.after(0.5 + dice.next() * 2, () => finish(reply));
       };
-      core.perform(running, () => answerOperator(service, order.request, deliver, () => !open));
+      core.runInProcess(running, () => answerOperator(service, order.request, deliver, () => !open));
     });
   }
 
-  #take(
+  #handleReply(
     order: Order,
     attempt: Attempt,
     core: Machine | undefined,
@@ -229,7 +229,12 @@
 
 /** A read before the first configuration is answered with 404: that is a clear answer. */
 function outcomeOf(request: OperatorRequest, reply: OperatorReply | undefined): Outcome {
-  if (reply === undefined || reply.status >= 500 || UNCLEAR.has(reply.status) || reply.status === 307)
+  if (
+    reply === undefined ||
+    reply.status >= 500 ||
+    RETRYABLE_STATUSES.has(reply.status) ||
+    reply.status === 307
+  )
     return 'unknown';
   if (reply.status < 300 || (request.kind === 'read' && reply.status === 404)) return 'acknowledged';
   return 'refused';
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -6,16 +6,16 @@
 import { BOUNDS } from './size.js';
 
 /** No more orders are under way at once. */
-const UNDER_WAY_MOST = 8;
-const OPERATORS = 2;
-const LARGE_ROUTES = 150;
+const MAX_PENDING_ORDERS = 8;
+const OPERATOR_COUNT = 2;
+const LARGE_ROUTE_COUNT = 150;
 /** An order that was taken is sent again no later than this. */
-const REPEAT_WITHIN_MS = 10_000;
+const MAX_REPEAT_DELAY_MS = 10_000;
 
 type OrderKind = 'put' | 'large' | 'patch' | 'race' | 'invalid' | 'zone' | 'read';
 
 /** Weights out of 100. */
-const MIX: readonly (readonly [kind: OrderKind, weight: number])[] = [
+const ORDER_WEIGHTS: readonly (readonly [kind: OrderKind, weight: number])[] = [
   ['put', 30],
   ['patch', 33],
   ['race', 14],
@@ -40,8 +40,8 @@
 export class OperatorLoad {
   acknowledged = 0;
   #system: System;
-  #beliefs: Belief[] = Array.from({ length: OPERATORS }, () => ({ revision: 0 }));
-  #marks = 0;
+  #beliefs: Belief[] = Array.from({ length: OPERATOR_COUNT }, () => ({ revision: 0 }));
+  #markCount = 0;
   #zonesBusy = new Set<string>();
 
   constructor(system: System) {
@@ -49,8 +49,8 @@
   }
 
   /** Orders that are under way. */
-  get underWay(): number {
-    return this.#system.operators.underWay.length;
+  get pendingCount(): number {
+    return this.#system.operators.pendingOrders.length;
   }
 
   /** The first configuration, before traffic. */
@@ -59,11 +59,11 @@
   }
 
   /** One order of any kind, if not too many are under way. */
-  any(): void {
-    if (this.underWay >= UNDER_WAY_MOST) return;
+  sendRandom(): void {
+    if (this.pendingCount >= MAX_PENDING_ORDERS) return;
     const belief = this.#belief();
-    let weight = this.#roll(100);
-    const kind = MIX.find(([, share]) => (weight -= share) < 0)?.[0] ?? 'put';
+    let weight = this.#randomBelow(100);
+    const kind = ORDER_WEIGHTS.find(([, share]) => (weight -= share) < 0)?.[0] ?? 'put';
     switch (kind) {
       case 'put':
       case 'patch':
@@ -86,7 +86,7 @@
     const endMs = time.nowMs() + forMs;
     const next = (): void => {
       if (time.nowMs() > endMs) return;
-      this.any();
+      this.sendRandom();
       time.after(everyMs * (0.5 + dice.next()), next);
     };
     next();
@@ -104,7 +104,7 @@
     const sameNumber = this.#system.random.next() < 0.5 ? this.#nextRevision(base) : undefined;
     for (const belief of this.#beliefs) {
       belief.revision = base;
-      this.#change(belief, this.#roll(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
+      this.#change(belief, this.#randomBelow(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
     }
   }
 
@@ -119,16 +119,16 @@
     );
   }
 
-  #roll(most: number): number {
+  #randomBelow(most: number): number {
     return Math.floor(this.#system.random.next() * most);
   }
 
   #belief(): Belief {
-    return this.#beliefs[this.#roll(OPERATORS)] as Belief;
+    return this.#beliefs[this.#randomBelow(OPERATOR_COUNT)] as Belief;
   }
 
   #nextRevision(base: number): number {
-    return base + 1 + this.#roll(4);
+    return base + 1 + this.#randomBelow(4);
   }
 
   #change(
@@ -139,22 +139,22 @@
   ): void {
     const request = this.#requestFor(belief.revision, kind, revision);
     this.#system.order(request, true, (end) => {
-      this.#learn(belief, revision, end);
-      if (end.kind === 'agreed' && this.#roll(10) === 0) this.#repeatLater(request);
+      this.#updateBelief(belief, revision, end);
+      if (end.kind === 'agreed' && this.#randomBelow(10) === 0) this.#repeatLater(request);
       done(end);
     });
   }
 
   #requestFor(base: number, kind: 'put' | 'patch' | 'large', revision: number): OperatorRequest {
-    this.#marks += 1;
-    const mark = `change-${this.#marks}`;
+    this.#markCount += 1;
+    const mark = `change-${this.#markCount}`;
     if (kind === 'patch' && base > 0)
-      return { kind: 'patch', base, patch: samplePatch(revision, mark, this.#roll(4)) };
-    const routes = kind === 'large' ? LARGE_ROUTES : this.#roll(3);
+      return { kind: 'patch', base, patch: samplePatch(revision, mark, this.#randomBelow(4)) };
+    const routes = kind === 'large' ? LARGE_ROUTE_COUNT : this.#randomBelow(3);
     return { kind: 'put', base, document: sampleDocument(revision, this.#system.size.models, mark, routes) };
   }
 
-  #learn(belief: Belief, revision: number, end: OrderEnd): void {
+  #updateBelief(belief: Belief, revision: number, end: OrderEnd): void {
     if (end.kind === 'agreed') {
       this.acknowledged += 1;
       belief.revision = Math.max(belief.revision, revision);
@@ -164,18 +164,18 @@
   /** The same order once more: what was taken is acknowledged again. */
   #repeatLater(request: OperatorRequest): void {
     const { time, random: dice } = this.#system;
-    time.after(dice.next() * REPEAT_WITHIN_MS, () => this.#system.order(request, true));
+    time.after(dice.next() * MAX_REPEAT_DELAY_MS, () => this.#system.order(request, true));
   }
 
   #invalid({ revision: base }: Belief): void {
-    this.#marks += 1;
-    this.#system.order(this.#invalidRequest(base, `invalid-${this.#marks}`), false);
+    this.#markCount += 1;
+    this.#system.order(this.#invalidRequest(base, `invalid-${this.#markCount}`), false);
   }
 
   /** A route to an unknown service, or a revision that is not above its base. */
   #invalidRequest(base: number, mark: string): OperatorRequest {
     const { models } = this.#system.size;
-    switch (this.#roll(3)) {
+    switch (this.#randomBelow(3)) {
       case 0:
         return { kind: 'put', base, document: sampleDocument(base, models, mark) };
       case 1:
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -17,9 +17,9 @@
 export const LEASE_MS = PLATFORM_TIMES.leaseMs;
 const CORE_TICK_MS = 20;
 const EDGE_TICK_MS = 25;
-const LIST_MS = 500;
-const STOP_MS = 150;
-const SEEDS = 3;
+const LIST_POLL_MS = 500;
+const SHUTDOWN_MS = 150;
+const SEED_COUNT = 3;
 
 /** What processes need of the system around them. */
 export interface ProcessContext {
@@ -33,7 +33,7 @@
   /** Cores as a settings file that is written now would name them. */
   listedCores(): readonly Machine[];
   /** The bounds count anew for this machine, and for all if it is a core. */
-  disturbed(machine: Machine): void;
+  recordDisturbance(machine: Machine): void;
   note(node: string, text: string): void;
   breach(rule: string, detail: string): void;
 }
@@ -52,8 +52,8 @@
   }
 
   /** Names the cores that found the system at its first start. */
-  found(cores: readonly Machine[]): void {
-    this.#founders = cores.slice(0, SEEDS).map((core) => core.address);
+  setFounders(cores: readonly Machine[]): void {
+    this.#founders = cores.slice(0, SEED_COUNT).map((core) => core.address);
   }
 
   boot(machine: Machine, founding = false): void {
@@ -66,7 +66,7 @@
       if (acceptor === undefined) return;
       this.#run(machine, skewMs, this.#replica(machine, skewMs, acceptor, founding), undefined);
     }
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, 'boots');
   }
 
@@ -102,7 +102,7 @@
 
   #end(machine: Machine, why: string): void {
     machine.running = undefined;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, why);
   }
 
@@ -110,14 +110,14 @@
   stop(machine: Machine): void {
     const running = machine.running;
     if (running === undefined) return;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, 'stops');
-    machine.perform(running, () => {
+    machine.runInProcess(running, () => {
       running.operators?.drain();
       running.replica?.group.leave();
       running.follower?.leave();
     });
-    this.#context.time.after(STOP_MS, () => {
+    this.#context.time.after(SHUTDOWN_MS, () => {
       if (machine.running === running) this.kill(machine);
     });
   }
@@ -126,16 +126,16 @@
     const running = machine.running;
     if (running === undefined || running.frozen) return;
     running.frozen = true;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, `frozen ${waitMs.toFixed(0)}`);
     this.#context.time.after(waitMs, () => {
       if (machine.running !== running) return;
       running.frozen = false;
-      this.#context.disturbed(machine);
+      this.#context.recordDisturbance(machine);
       this.#context.note(machine.name, 'thaws');
-      const { waiting } = running;
-      running.waiting = [];
-      for (const act of waiting) machine.perform(running, act);
+      const { queuedCalls } = running;
+      running.queuedCalls = [];
+      for (const act of queuedCalls) machine.runInProcess(running, act);
     });
   }
 
@@ -153,11 +153,11 @@
       operators: replica && newOperatorService(replica, { nowMs: () => time.nowMs() + skewMs }),
       follower,
       frozen: false,
-      waiting: [],
+      queuedCalls: [],
       leading: false,
-      listedMs: -Infinity,
+      listReadMs: -Infinity,
       edition: 0,
-      touchMs: time.nowMs(),
+      undisturbedSinceMs: time.nowMs(),
     };
     machine.running = running;
     time.after(dice.next() * CORE_TICK_MS, () => this.#tick(machine, running));
@@ -168,7 +168,7 @@
     const { dice } = this.#context;
     const listed = [...this.#context.listedCores()];
     const seeds: string[] = [];
-    while (seeds.length < SEEDS && listed.length > 0) {
+    while (seeds.length < SEED_COUNT && listed.length > 0) {
       const [chosen] = listed.splice(Math.floor(dice.next() * listed.length), 1);
       if (chosen !== undefined) seeds.push(chosen.address);
     }
@@ -192,7 +192,7 @@
       times: PLATFORM_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
-      send: (to, frame) => network.post(machine, to, frame),
+      send: (to, frame) => network.send(machine, to, frame),
       order: (row, order, done) => calls.order(machine, replica, row, order, done),
       report: (row, done) => calls.report(machine, row, done),
       onStateChange: () => undefined,
@@ -215,9 +215,9 @@
       clock: { nowMs: () => time.nowMs() + skewMs },
       chance: dice,
       quota: QUOTA_BOUNDS,
-      send: (to, frame) => network.post(machine, to, frame),
+      send: (to, frame) => network.send(machine, to, frame),
       outcomes: () => [],
-      demands: () => demand.wantsOf(follower),
+      demands: () => demand.demandsOf(follower),
       onChange: (what) => {
         if (what === 'state')
           this.#context.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
@@ -249,18 +249,18 @@
     if (leading === running.leading) return;
     this.#context.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
     running.leading = leading;
-    running.listedMs = -Infinity;
+    running.listReadMs = -Infinity;
   }
 
   /** Reads the platform's list of workers from time to time. */
   #readList(machine: Machine, running: Process, replica: CoreReplica): void {
     const { time, dice, workers, calls } = this.#context;
-    if (time.nowMs() - running.listedMs < LIST_MS) return;
-    running.listedMs = time.nowMs();
+    if (time.nowMs() - running.listReadMs < LIST_POLL_MS) return;
+    running.listReadMs = time.nowMs();
     time.after(2 + dice.next() * 8, () => {
-      if (!calls.readsList()) return;
+      if (!calls.canReadList()) return;
       const list = workers.list();
-      time.after(2 + dice.next() * 8, () => machine.perform(running, () => replica.learnList(list)));
+      time.after(2 + dice.next() * 8, () => machine.runInProcess(running, () => replica.learnList(list)));
     });
   }
 }
--- a/packages/simulator/src/system/quota-load.ts
+++ b/packages/simulator/src/system/quota-load.ts
@@ -26,11 +26,11 @@
 
 const STEP_MS = 20;
 /** A request with a permit may wait for its worker so long before it is sent. */
-const QUEUE_MOST_MS = 600;
+const MAX_QUEUE_MS = 600;
 /** No more than this part of the requests below the limit may be refused while nothing disturbs the core. */
-const REFUSED_MOST = 0.02;
+const MAX_REFUSED_RATIO = 0.02;
 /** Fewer requests than this say nothing. */
-const OWED_LEAST = 100;
+const MIN_OWED_REQUESTS = 100;
 /** Refusals count once the core has been undisturbed for so long after it settled: a bucket fills in that time. */
 const CALM_MS = 3000;
 
@@ -83,8 +83,8 @@
   }
 
   /** Begins to send, until the end of the simulation. */
-  open(): void {
-    this.#context.time.after(STEP_MS, () => this.open());
+  start(): void {
+    this.#context.time.after(STEP_MS, () => this.start());
     const nowMs = this.#context.time.nowMs();
     if (!this.#context.settled()) this.#calmSinceMs = nowMs;
     for (const tenant of TENANTS) this.#step(tenant);
@@ -94,7 +94,8 @@
   checkEnd(): void {
     for (const { name, demand } of TENANTS) {
       const { calmOwed, calmRefused } = this.#tallyOf(name);
-      if (demand >= 1 || calmOwed < OWED_LEAST || calmRefused <= REFUSED_MOST * calmOwed) continue;
+      if (demand >= 1 || calmOwed < MIN_OWED_REQUESTS || calmRefused <= MAX_REFUSED_RATIO * calmOwed)
+        continue;
       this.#context.breach('refused below quota', `${name}: ${calmRefused} of ${calmOwed}`);
     }
   }
@@ -104,16 +105,16 @@
     const requests = Math.floor(chance) + (this.#random.next() < chance % 1 ? 1 : 0);
     for (let count = 0; count < requests; count += 1) {
       const edge = this.#context.edges[Math.floor(this.#random.next() * this.#context.edges.length)];
-      if (edge?.running !== undefined && !edge.running.frozen) this.#ask(edge, edge.running, name);
+      if (edge?.running !== undefined && !edge.running.frozen) this.#request(edge, edge.running, name);
     }
   }
 
-  #ask(edge: Machine, running: Process, tenant: string): void {
+  #request(edge: Machine, running: Process, tenant: string): void {
     const tally = this.#tallyOf(tenant);
     const nowMs = this.#context.time.nowMs();
-    const isOwed = takeExactly(tally, tenant, nowMs) && nowMs - this.#calmSinceMs > CALM_MS;
+    const isOwed = takeExactToken(tally, tenant, nowMs) && nowMs - this.#calmSinceMs > CALM_MS;
     if (isOwed) tally.calmOwed += 1;
-    const waitMs = this.#random.next() * QUEUE_MOST_MS;
+    const waitMs = this.#random.next() * MAX_QUEUE_MS;
     running.follower?.permits.acquire(tenant, (answer) => {
       if (answer.kind === 'over-quota') {
         if (isOwed) tally.calmRefused += 1;
@@ -122,7 +123,7 @@
       const { endMs } = answer.permit;
       const leftMs = endMs - (this.#context.time.nowMs() + running.skewMs);
       this.#context.time.after(Math.min(waitMs, Math.max(0, leftMs - 1)), () =>
-        edge.perform(running, () => this.#send(running, tenant, endMs)),
+        edge.runInProcess(running, () => this.#send(running, tenant, endMs)),
       );
     });
   }
@@ -135,7 +136,7 @@
     const { sentMs } = this.#tallyOf(tenant);
     sentMs.push(nowMs);
     while ((sentMs[0] ?? nowMs) <= nowMs - QUOTA_BOUNDS.windowMs) sentMs.shift();
-    const most = mostIn(tenant);
+    const most = maxInWindow(tenant);
     if (sentMs.length > most) this.#context.breach('quota', `${tenant}: more than ${most} in a window`);
   }
 
@@ -149,7 +150,7 @@
 }
 
 /** Takes a token of a tenant's exact bucket, if there is one. */
-function takeExactly(tally: Tally, tenant: string, nowMs: number): boolean {
+function takeExactToken(tally: Tally, tenant: string, nowMs: number): boolean {
   const { ratePerS = 0, burst = 0 } = TENANTS.find(({ name }) => name === tenant) ?? {};
   tally.level = Math.min(burst, tally.level + (ratePerS * (nowMs - tally.levelMs)) / 1000);
   tally.levelMs = nowMs;
@@ -159,7 +160,7 @@
 }
 
 /** The bound of the rule, written apart from the program's own code. */
-function mostIn(tenant: string): number {
+function maxInWindow(tenant: string): number {
   const { ratePerS = 0, burst = 0 } = TENANTS.find(({ name }) => name === tenant) ?? {};
   return (
     ((ratePerS * QUOTA_BOUNDS.windowMs) / 1000 + burst) * (1 + QUOTA_BOUNDS.overshoot) + QUOTA_BOUNDS.slack
--- a/packages/simulator/src/system/worker-calls.ts
+++ b/packages/simulator/src/system/worker-calls.ts
@@ -24,7 +24,7 @@
 }
 
 /** Nothing goes wrong. */
-export const SOUND_CALLS: CallFaults = {
+export const NO_CALL_FAULTS: CallFaults = {
   delayed: 0,
   answerLost: 0,
   refused: 0,
@@ -33,9 +33,9 @@
   torn: 0,
 };
 
-const CALL_WAIT_MS = 900;
+const CALL_TIMEOUT_MS = 900;
 /** A delayed order is on its way for up to so long. */
-const LONGEST_DELAY_MS = 6000;
+const MAX_ORDER_DELAY_MS = 6000;
 
 /**
  * The way from cores to workers and back.
@@ -44,7 +44,7 @@
  */
 export class WorkerCalls {
   /** What goes wrong now. */
-  faults: CallFaults = SOUND_CALLS;
+  faults: CallFaults = NO_CALL_FAULTS;
   /** Answers that are still to come in the place of the next one, by core and worker. */
   #surplus = new Map<string, Answer>();
   #listFailedMs = -Infinity;
@@ -73,7 +73,7 @@
     let replied = false;
     const finish = (reply: WorkerOrderReply, waitMs: number): void => {
       this.#time.after(waitMs, () =>
-        core.perform(running, () => {
+        core.runInProcess(running, () => {
           if (replied) return;
           replied = true;
           done(reply);
@@ -81,15 +81,16 @@
         }),
       );
     };
-    finish('no-answer', CALL_WAIT_MS);
+    finish('no-answer', CALL_TIMEOUT_MS);
     this.#time.after(0.2 + this.#dice.next() * 2, () =>
-      core.perform(running, () => {
+      core.runInProcess(running, () => {
         if (replied || replica.group.singletonEpoch() !== order.fence) return finish('no-answer', 0);
         const holder = replica.group.self.incarnation;
-        this.#workers.sent(holder, order.fence);
+        this.#workers.checkFence(holder, order.fence);
         this.#time.after(this.#travelMs(), () => {
-          const own = this.#arrive(core, row, holder, order);
-          const reply = own === undefined ? undefined : asOrderReply(this.#onConnection(core, row, own));
+          const own = this.#deliverOrder(core, row, holder, order);
+          const reply =
+            own === undefined ? undefined : asOrderReply(this.#nextAnswerOnConnection(core, row, own));
           if (reply !== undefined) finish(reply, 0.5 + this.#dice.next() * 2);
         });
       }),
@@ -101,10 +102,13 @@
     const running = core.running;
     if (running === undefined) return;
     this.#time.after(0.5 + this.#dice.next() * 4, () => {
-      const silent = this.#network.isApart(core.name, row.address) || this.#strikes(this.faults.unreadable);
-      const reply = silent ? 'no-answer' : asReport(this.#onConnection(core, row, this.#report(row)));
-      this.#time.after(silent ? CALL_WAIT_MS : 0.5 + this.#dice.next() * 4, () =>
-        core.perform(running, () => done(reply)),
+      const silent =
+        this.#network.isCutEitherWay(core.name, row.address) || this.#occurs(this.faults.unreadable);
+      const reply = silent
+        ? 'no-answer'
+        : asReport(this.#nextAnswerOnConnection(core, row, this.#report(row)));
+      this.#time.after(silent ? CALL_TIMEOUT_MS : 0.5 + this.#dice.next() * 4, () =>
+        core.runInProcess(running, () => done(reply)),
       );
     });
   }
@@ -115,38 +119,38 @@
   }
 
   /** Whether the platform's list can be read now. */
-  readsList(): boolean {
-    const fails = this.#strikes(this.faults.unreadable);
+  canReadList(): boolean {
+    const fails = this.#occurs(this.faults.unreadable);
     if (fails) this.#listFailedMs = this.#time.nowMs();
     return !fails;
   }
 
-  #strikes(share: number): boolean {
+  #occurs(share: number): boolean {
     return share > 0 && this.#dice.next() < share;
   }
 
   #travelMs(): number {
-    const delayMs = this.#strikes(this.faults.delayed) ? this.#dice.next() * LONGEST_DELAY_MS : 0;
+    const delayMs = this.#occurs(this.faults.delayed) ? this.#dice.next() * MAX_ORDER_DELAY_MS : 0;
     return 0.5 + this.#dice.next() * 2 + delayMs;
   }
 
   #report(row: WorkerRecord): ReportReply {
-    const olderMs = this.#strikes(this.faults.torn) ? this.#dice.next() * REPORT_LAG_MS : 0;
+    const olderMs = this.#occurs(this.faults.torn) ? this.#dice.next() * REPORT_LAG_MS : 0;
     return this.#workers.report(row.address, row.id, olderMs);
   }
 
   /** What a core reads as the answer to a call: a surplus answer to the call before comes first. */
-  #onConnection(core: Machine, row: WorkerRecord, own: Answer): Answer {
+  #nextAnswerOnConnection(core: Machine, row: WorkerRecord, own: Answer): Answer {
     const key = `${core.name} ${row.id}`;
     const surplus = this.#surplus.get(key);
     this.#surplus.delete(key);
     if (surplus !== undefined) return surplus;
-    if (this.#strikes(this.faults.surplus)) this.#surplus.set(key, own);
+    if (this.#occurs(this.faults.surplus)) this.#surplus.set(key, own);
     return own;
   }
 
   /** An order arrives at a worker; undefined: its sender gets no answer. */
-  #arrive(
+  #deliverOrder(
     core: Machine,
     row: WorkerRecord,
     holder: string,
@@ -154,10 +158,9 @@
   ): WorkerOrderReply | undefined {
     const worker = this.#workers.workerAt(row.address);
     if (worker === undefined || this.#network.isCut(core.name, row.address)) return undefined;
-    if (this.#strikes(this.faults.refused)) return 'refused';
+    if (this.#occurs(this.faults.refused)) return 'refused';
     const reply = worker.order(row.id, holder, order);
-    if (this.#network.isCut(row.address, core.name) || this.#strikes(this.faults.answerLost))
-      return undefined;
+    if (this.#network.isCut(row.address, core.name) || this.#occurs(this.faults.answerLost)) return undefined;
     return this.#dice.next() >= this.#network.lossRatio ? reply : undefined;
   }
 }
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -21,18 +21,18 @@
   adapterMb: 1,
 } as const;
 
-const LIST_STEP_MS = 100;
+const SNAPSHOT_INTERVAL_MS = 100;
 /** The list lags by no more. */
 const LIST_LAG_MS = 800;
 /** A worker's own report lags by no more than this and a step of the list. */
 export const REPORT_LAG_MS = 200;
 /** A load from a worker's own disk takes this part of one from the store. */
-const DISK_PART = 0.6;
+const DISK_LOAD_RATIO = 0.6;
 const LEASE_MS = 3000;
-const WINDOW_MS = 5000;
-const OVERSHOOT = 1.1;
-const LOADS_EXTRA = 3;
-const EVACUATE_MS = 2000;
+const LOAD_WINDOW_MS = 5000;
+const LOAD_OVERSHOOT = 1.1;
+const LOAD_ALLOWANCE = 3;
+const EVACUATION_BOUND_MS = 2000;
 
 /** Size of a model by its name: a worker has room for two or three. */
 export function sizeOf(model: string): number {
@@ -40,15 +40,15 @@
 }
 
 /** Records that a rule was broken. */
-export type Note = (rule: string, detail: string) => void;
+export type BreachReporter = (rule: string, detail: string) => void;
 
-interface Taken {
+interface AcceptedOrder {
   readonly holder: string;
   readonly fence: number;
   readonly atMs: number;
 }
 
-interface Doing {
+interface OrderInProgress {
   readonly untilMs: number;
   readonly done: () => void;
 }
@@ -60,18 +60,18 @@
   id: string;
   leaving = false;
   /** Silent: it takes nothing and answers nothing. */
-  dark = false;
+  isSilent = false;
   /** Off the platform's list and away. */
-  away = false;
+  isAway = false;
   readonly models = new Map<string, Set<string>>();
   #pool: WorkerPool;
   #onDisk = new Set<string>();
-  #doing: Doing | undefined;
+  #inProgress: OrderInProgress | undefined;
   /** The last order that was taken. */
-  #order: WorkerOrder | undefined;
-  #coming = '';
+  #lastOrder: WorkerOrder | undefined;
+  #loadingModel = '';
   #sequence = 0;
-  #taken: Taken[] = [];
+  #acceptedOrders: AcceptedOrder[] = [];
 
   constructor(pool: WorkerPool, zone: string, address: string) {
     this.#pool = pool;
@@ -90,21 +90,21 @@
   restart(): void {
     this.id = this.#pool.newId();
     this.models.clear();
-    this.#doing = undefined;
-    this.#order = undefined;
-    this.#coming = '';
-    this.#taken = [];
+    this.#inProgress = undefined;
+    this.#lastOrder = undefined;
+    this.#loadingModel = '';
+    this.#acceptedOrders = [];
     this.#sequence = 0;
     this.leaving = false;
   }
 
   usedMb(): number {
-    let sumMb = this.#coming === '' ? 0 : sizeOf(this.#coming);
+    let sumMb = this.#loadingModel === '' ? 0 : sizeOf(this.#loadingModel);
     for (const [model, adapters] of this.models) sumMb += sizeOf(model) + adapters.size * ENGINE.adapterMb;
     return sumMb;
   }
 
-  adapters(): number {
+  adapterCount(): number {
     let count = 0;
     for (const adapters of this.models.values()) count += adapters.size;
     return count;
@@ -113,14 +113,14 @@
   /** An order arrives; undefined: no answer is ever given. */
   order(id: string, holder: string, order: WorkerOrder): WorkerOrderReply | undefined {
     const nowMs = this.#pool.time.nowMs();
-    if (this.dark || this.away) return undefined;
+    if (this.isSilent || this.isAway) return undefined;
     if (id !== this.id) return 'wrong-worker';
-    if (this.#taken.some((taken) => taken.fence > order.fence)) return 'fenced';
+    if (this.#acceptedOrders.some((taken) => taken.fence > order.fence)) return 'fenced';
     this.#checkHolder({ holder, fence: order.fence, atMs: nowMs });
-    this.settle();
+    this.completeDueOrder();
     if (order.sequence !== this.#sequence) return 'busy';
-    if (this.#doing !== undefined) return this.#isUnderWay(order) ? 'begun' : 'busy';
-    this.#order = order;
+    if (this.#inProgress !== undefined) return this.#isInProgress(order) ? 'begun' : 'busy';
+    this.#lastOrder = order;
     return order.action === 'load' ? this.#load(order, nowMs) : this.#unload(order, nowMs);
   }
 
@@ -131,37 +131,37 @@
 
   /** Whether an order is being done. */
   get busy(): boolean {
-    return this.#doing !== undefined;
+    return this.#inProgress !== undefined;
   }
 
   /** Whether a model is being loaded. */
   get isLoading(): boolean {
-    return this.#coming !== '';
+    return this.#loadingModel !== '';
   }
 
   /** Ends what is done by now. */
-  settle(): void {
-    const doing = this.#doing;
+  completeDueOrder(): void {
+    const doing = this.#inProgress;
     if (doing === undefined || this.#pool.time.nowMs() < doing.untilMs) return;
-    this.#doing = undefined;
+    this.#inProgress = undefined;
     doing.done();
   }
 
   /** Whether an order repeats the one that is being done: it is answered as if it were taken, and counts once. */
-  #isUnderWay({ action, model, adapter }: WorkerOrder): boolean {
-    const order = this.#order;
+  #isInProgress({ action, model, adapter }: WorkerOrder): boolean {
+    const order = this.#lastOrder;
     return order?.action === action && order.model === model && order.adapter === adapter;
   }
 
-  #checkHolder(taken: Taken): void {
-    const before = this.#taken.at(-1);
+  #checkHolder(taken: AcceptedOrder): void {
+    const before = this.#acceptedOrders.at(-1);
     if (before !== undefined && before.holder !== taken.holder) {
-      const back = this.#taken.findLast((known) => known.holder === taken.holder);
+      const back = this.#acceptedOrders.findLast((known) => known.holder === taken.holder);
       if (back !== undefined && taken.atMs - back.atMs < LEASE_MS)
         this.#pool.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
     }
-    this.#taken.push(taken);
-    if (this.#taken.length > 64) this.#taken.shift();
+    this.#acceptedOrders.push(taken);
+    if (this.#acceptedOrders.length > 64) this.#acceptedOrders.shift();
   }
 
   #load({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
@@ -176,12 +176,12 @@
     }
     if (adapters !== undefined) return 'held';
     const fromDisk = this.#onDisk.has(model);
-    if (!fromDisk) this.#pool.loaded(nowMs);
-    this.#pool.placed(this, model);
-    this.#coming = model;
-    const slowdown = fromDisk ? DISK_PART : this.#pool.crowding();
+    if (!fromDisk) this.#pool.recordLoad(nowMs);
+    this.#pool.checkEvacuated(this, model);
+    this.#loadingModel = model;
+    const slowdown = fromDisk ? DISK_LOAD_RATIO : this.#pool.loadSlowdown();
     this.#begin(nowMs, ENGINE.loadMs * slowdown * (0.9 + this.#pool.dice.next() * 0.8), () => {
-      this.#coming = '';
+      this.#loadingModel = '';
       this.#onDisk.add(model);
       this.models.set(model, new Set());
     });
@@ -201,15 +201,15 @@
 
   #begin(nowMs: number, takesMs: number, done: () => void): void {
     this.#sequence += 1;
-    this.#doing = { untilMs: nowMs + takesMs, done };
+    this.#inProgress = { untilMs: nowMs + takesMs, done };
   }
 
   #checkRoom(what: string): void {
     const over =
       this.usedMb() > ENGINE.roomMb
         ? `${this.usedMb()} MB of ${ENGINE.roomMb}`
-        : this.adapters() > ENGINE.adapterPlaces
-          ? `${this.adapters()} adapters of ${ENGINE.adapterPlaces}`
+        : this.adapterCount() > ENGINE.adapterPlaces
+          ? `${this.adapterCount()} adapters of ${ENGINE.adapterPlaces}`
           : undefined;
     if (over === undefined) return;
     this.#pool.breach(
@@ -235,13 +235,13 @@
   readonly time: VirtualTime;
   readonly dice: SeededRandom;
   readonly members: SimulatedWorker[] = [];
-  readonly breach: Note;
+  readonly breach: BreachReporter;
   /** When each load from the store began, and whether it counts. */
   readonly loads: number[] = [];
   /** Whether loads that begin now are counted. */
-  counted: () => boolean = () => true;
+  countsLoads: () => boolean = () => true;
   #fences = new Map<number, string>();
-  #newest: { fence: number; holder: string } = { fence: 0, holder: '' };
+  #newestHolder: { fence: number; holder: string } = { fence: 0, holder: '' };
   #snapshots: Snapshot[] = [];
   #shownMs = -Infinity;
   #leavingMs = new Map<string, number>();
@@ -250,7 +250,7 @@
   constructor(
     time: VirtualTime,
     dice: SeededRandom,
-    breach: Note,
+    breach: BreachReporter,
     workers: number,
     zones: readonly string[],
   ) {
@@ -262,8 +262,8 @@
   }
 
   /** The platform begins to list what stands here. */
-  open(): void {
-    this.#snap();
+  start(): void {
+    this.#takeSnapshot();
   }
 
   newId(): string {
@@ -287,41 +287,41 @@
   }
 
   /** A holder sends an order: fences never go back between holders, whatever worker it is for. */
-  sent(holder: string, fence: number): void {
+  checkFence(holder: string, fence: number): void {
     const other = this.#fences.get(fence);
     if (other !== undefined && other !== holder)
       this.breach('one holder', `${other} and ${holder} share fence ${fence}`);
     this.#fences.set(fence, holder);
-    if (fence < this.#newest.fence)
+    if (fence < this.#newestHolder.fence)
       this.breach(
         'one holder',
-        `${holder} orders under ${fence} after ${this.#newest.holder} did under ${this.#newest.fence}`,
+        `${holder} orders under ${fence} after ${this.#newestHolder.holder} did under ${this.#newestHolder.fence}`,
       );
-    if (fence >= this.#newest.fence) this.#newest = { fence, holder };
+    if (fence >= this.#newestHolder.fence) this.#newestHolder = { fence, holder };
   }
 
-  loaded(atMs: number): void {
-    if (!this.counted()) return;
+  recordLoad(atMs: number): void {
+    if (!this.countsLoads()) return;
     this.loads.push(atMs);
-    const bound = ENGINE.loadsPerS * (WINDOW_MS / 1000) * OVERSHOOT + LOADS_EXTRA;
-    const inWindow = this.loads.filter((known) => known > atMs - WINDOW_MS).length;
+    const bound = ENGINE.loadsPerS * (LOAD_WINDOW_MS / 1000) * LOAD_OVERSHOOT + LOAD_ALLOWANCE;
+    const inWindow = this.loads.filter((known) => known > atMs - LOAD_WINDOW_MS).length;
     if (inWindow > bound)
       this.breach(
         'ceiling',
-        `${inWindow} loads from the store in ${WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`,
+        `${inWindow} loads from the store in ${LOAD_WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`,
       );
   }
 
   /** How many times longer a load from the store takes that begins now: beyond so many at once, each waits for the others. */
-  crowding(): number {
+  loadSlowdown(): number {
     const loading = this.members.filter((worker) => worker.isLoading).length + 1;
     return Math.max(1, loading / ((ENGINE.loadsPerS * ENGINE.loadMs) / 1000));
   }
 
   /** A model begins to load in a zone. */
-  placed(worker: SimulatedWorker, model: string): void {
+  checkEvacuated(worker: SimulatedWorker, model: string): void {
     const sinceMs = this.#evacuatedMs.get(worker.zone);
-    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATE_MS)
+    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATION_BOUND_MS)
       this.breach(
         'evacuation',
         `${worker.address} in ${worker.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`,
@@ -339,7 +339,7 @@
   /** What a worker says that it holds, as it stood a little before; its models, as they stood `olderMs` before that. */
   report(address: string, id: string, olderMs: number): ReportReply {
     const worker = this.workerAt(address);
-    if (worker === undefined || worker.id !== id || worker.dark || worker.away) return 'no-answer';
+    if (worker === undefined || worker.id !== id || worker.isSilent || worker.isAway) return 'no-answer';
     const stoodMs = this.time.nowMs() - this.dice.next() * REPORT_LAG_MS;
     const snapshot = this.#snapshots.findLast((known) => known.atMs <= stoodMs);
     const listed = snapshot?.list.find((known) => known.id === id);
@@ -354,11 +354,11 @@
     return this.members.find((worker) => worker.address === address);
   }
 
-  #snap(): void {
+  #takeSnapshot(): void {
     const nowMs = this.time.nowMs();
-    for (const worker of this.members) worker.settle();
+    for (const worker of this.members) worker.completeDueOrder();
     const list = this.members
-      .filter((worker) => !worker.away)
+      .filter((worker) => !worker.isAway)
       .map(({ id, address, zone, leaving, models }) => ({
         id,
         service: SERVICE,
@@ -372,7 +372,7 @@
     const busy = new Set(this.members.filter((worker) => worker.busy).map((worker) => worker.id));
     const sequences = new Map(this.members.map((worker) => [worker.id, worker.sequence]));
     this.#snapshots.push({ atMs: nowMs, list, busy, sequences });
-    if (this.#snapshots.length > 2 * (LIST_LAG_MS / LIST_STEP_MS)) this.#snapshots.shift();
-    this.time.after(LIST_STEP_MS, () => this.#snap());
+    if (this.#snapshots.length > 2 * (LIST_LAG_MS / SNAPSHOT_INTERVAL_MS)) this.#snapshots.shift();
+    this.time.after(SNAPSHOT_INTERVAL_MS, () => this.#takeSnapshot());
   }
 }
--- a/packages/simulator/src/system/zone-history.ts
+++ b/packages/simulator/src/system/zone-history.ts
@@ -9,11 +9,11 @@
 /** A write of the register, or its initial value. */
 interface Write {
   readonly evacuated: boolean;
-  readonly fromMs: number;
-  readonly byMs: number;
+  readonly earliestMs: number;
+  readonly acknowledgedMs: number;
 }
 
-const INITIAL: Write = { evacuated: false, fromMs: -Infinity, byMs: -Infinity };
+const INITIAL: Write = { evacuated: false, earliestMs: -Infinity, acknowledgedMs: -Infinity };
 
 /**
  * What contradicts the acknowledged evacuations.
@@ -26,7 +26,7 @@
     .map((order) => `order ${order.id} for zone ${order.zone} was refused`);
   for (const read of reads) {
     const writes = [INITIAL, ...orders.filter((order) => order.zone === read.zone).map(writeOf)];
-    if (!writes.some((write) => explains(write, read, writes)))
+    if (!writes.some((write) => mayBeNewest(write, read, writes)))
       violations.push(
         `${read.reader} has zone ${read.zone} ${read.evacuated ? '' : 'not '}evacuated at ${read.atMs.toFixed(0)}`,
       );
@@ -35,13 +35,16 @@
 }
 
 function writeOf({ evacuated, attempts }: ZoneOrder): Write {
-  return { evacuated, fromMs: firstInvokedMs(attempts), byMs: firstAcknowledgedMs(attempts) };
+  return { evacuated, earliestMs: firstInvokedMs(attempts), acknowledgedMs: firstAcknowledgedMs(attempts) };
 }
 
 /** Whether a write may be the newest at the moment of the read: none was both begun after it and done before. */
-function explains(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
-  if (write.evacuated !== read.evacuated || write.fromMs > read.atMs) return false;
+function mayBeNewest(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
+  if (write.evacuated !== read.evacuated || write.earliestMs > read.atMs) return false;
   return !writes.some(
-    (later) => later.evacuated !== write.evacuated && later.fromMs > write.byMs && later.byMs < read.atMs,
+    (later) =>
+      later.evacuated !== write.evacuated &&
+      later.earliestMs > write.acknowledgedMs &&
+      later.acknowledgedMs < read.atMs,
   );
 }
