--- a/packages/simulator/src/control-safety.test.ts
+++ b/packages/simulator/src/control-safety.test.ts
@@ -17,7 +17,7 @@
   readonly faults: Faults;
 }
 
-/** A system with its first configuration, undisturbed for a while. */
+/** Starts a system with its first configuration and runs it undisturbed for 5 s. */
 function openSite(seed: number, size: SystemSize): Site {
   const system = new System(seed, size);
   const load = new OperatorLoad(system);
@@ -31,7 +31,7 @@
   system.time.runUntil(system.time.nowMs() + forMs);
 }
 
-/** What was broken, after a while of calm and with all machines back. */
+/** Restarts all machines, runs 12 s without faults, and returns the breaches. */
 function breachesOf(site: Site): string[] {
   site.faults.restoreAll();
   runFor(site, 12_000);
@@ -43,9 +43,9 @@
   return system.leader() ?? (system.cores[0] as Machine);
 }
 
-describe('point 1: a core that is cut off for twenty seconds', () => {
+describe('point 1: a core that is cut off for 20 s', () => {
   for (const kind of ['cut', 'deaf', 'mute'] as const) {
-    it(`(${kind}) serves no old state, refuses no valid order, acknowledges nothing that is lost`, () => {
+    it(`(${kind}) serves no stale state, refuses no valid order, and acknowledges nothing that is lost`, () => {
       const wrong = [1, 2].flatMap((seed) => {
         const site = openSite(seed, THREE);
         site.faults.injectCoreFault(leaderOf(site.system), kind, 20_000);
@@ -58,8 +58,8 @@
   }
 });
 
-describe('point 2: answers lost, orders sent again, operators that race', () => {
-  it('acknowledges one change of a race, and every repeat of what was taken', () => {
+describe('point 2: lost answers, repeated orders and concurrent operators', () => {
+  it('acknowledges one of two concurrent changes, and every repeat of an accepted one', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
       const site = openSite(seed, THREE);
       site.system.operators.answerLossRatio = 0.7;
@@ -76,8 +76,8 @@
   });
 });
 
-describe('point 3: a second loss right after a repair, and members that leave', () => {
-  it('keeps all acknowledged state at three and at five cores', () => {
+describe('point 3: a second loss right after a repair, and planned replacements', () => {
+  it('keeps all acknowledged state with three and with five cores', () => {
     const wrong = [1, 2, 3].flatMap((seed) =>
       [THREE, FIVE].flatMap((size) => {
         const site = openSite(seed, size);
@@ -90,7 +90,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('keeps it while each core in turn is replaced as planned, the new one first', () => {
+  it('keeps all acknowledged state while cores are replaced as planned, each after its successor has started', () => {
     const wrong = [1, 2].flatMap((seed) => {
       const site = openSite(seed, THREE);
       site.load.storm(300, 36_000);
@@ -104,8 +104,8 @@
   });
 });
 
-describe('point 4: a member that was away during hundreds of changes', () => {
-  it('catches up in time while changes go on, and leads with nothing older', () => {
+describe('point 4: a core that was down during hundreds of changes', () => {
+  it('catches up in time while changes go on, and does not coordinate with stale state', () => {
     const wrong = [1, 2].flatMap((seed) => {
       const site = openSite(seed, THREE);
       const away = site.system.cores.find((core) => core !== leaderOf(site.system)) as Machine;
@@ -124,8 +124,8 @@
   });
 });
 
-describe('power that is lost while a change is on its way', () => {
-  it('leaves every acknowledged change, whatever the moment', () => {
+describe('a power loss of all cores while a change is in progress', () => {
+  it('loses no acknowledged change, whenever it occurs', () => {
     const moments = [5, 10, 20, 30, 40, 50, 70, 100, 200, 400];
     const wrong = moments.flatMap((waitMs) => {
       const { system, load, faults } = openSite(waitMs, THREE);
--- a/packages/simulator/src/placement-orders.test.ts
+++ b/packages/simulator/src/placement-orders.test.ts
@@ -14,10 +14,10 @@
 const FAULT_MS = 4000;
 const REST_MS = 8000;
 
-/** What happens to the cores meanwhile. */
+/** Fault of the coordinator while calls to workers fail. */
 type CoreTrouble = 'none' | 'freeze' | 'cut' | 'kill';
 
-/** A few models, others at each call; half of them with an adapter. */
+/** Moves the demand to five models from a random start, two of them with an adapter. */
 function shiftDemand(system: System): void {
   const { random: dice } = system;
   const first = Math.floor(dice.next() * SIZE.models);
@@ -29,7 +29,10 @@
   });
 }
 
-/** Demand moves on while calls to workers go wrong and the coordinator is in trouble; what it broke. */
+/**
+ * Runs a system with changing demand while calls to workers and the coordinator fail, and returns the
+ * breaches.
+ */
 function runDay(seed: number, faults: CallFaults, trouble: CoreTrouble): string[] {
   const system = new System(seed, SIZE);
   const { time } = system;
@@ -59,42 +62,42 @@
   return SEEDS.flatMap((seed) => runDay(seed, { ...NO_CALL_FAULTS, ...faults }, trouble));
 }
 
-describe('orders to workers over an unsound network', () => {
-  it('stay within the room while all goes well', () => {
+describe('orders to workers over an unreliable network', () => {
+  it('stay within the limits of workers when there are no faults', () => {
     expect(runAllSeeds({})).toEqual([]);
   });
 
-  it('stay within the room when some arrive long after their sender gave up waiting', () => {
+  it('stay within the limits of workers when some arrive long after their sender has timed out', () => {
     expect(runAllSeeds({ delayed: 0.3 })).toEqual([]);
   });
 
-  it('stay within the room when workers take them and the answers are lost', () => {
+  it('stay within the limits of workers when orders are accepted and their answers are lost', () => {
     expect(runAllSeeds({ answerLost: 0.3 })).toEqual([]);
   });
 
-  it('stay within the room when workers refuse some without a reason', () => {
+  it('stay within the limits of workers when some are refused without a reason', () => {
     expect(runAllSeeds({ refused: 0.3 })).toEqual([]);
   });
 
-  it('stay within the room when coordinators change while workers cannot be read', () => {
+  it('stay within the limits of workers when coordinators change while reports are unreadable', () => {
     expect(runAllSeeds({ unreadable: 0.7 }, 'freeze')).toEqual([]);
   });
 
-  it('stay within the room when coordinators change while orders are late', () => {
+  it('stay within the limits of workers when coordinators change while orders are late', () => {
     expect(
       (['freeze', 'cut', 'kill'] as const).flatMap((trouble) => runAllSeeds({ delayed: 0.3 }, trouble)),
     ).toEqual([]);
   });
 
-  it('stay within the room when answers come in the place of the next ones', () => {
+  it('stay within the limits of workers when a surplus answer is read as the answer to the next call', () => {
     expect(runAllSeeds({ surplus: 0.2, answerLost: 0.2 })).toEqual([]);
   });
 
-  it('stay within the room when the values of a report are of different age', () => {
+  it('stay within the limits of workers when the values of a report differ in age', () => {
     expect(runAllSeeds({ torn: 0.5, answerLost: 0.2 })).toEqual([]);
   });
 
-  it('stay within the room when everything goes wrong at once', () => {
+  it('stay within the limits of workers when all kinds of faults occur at once', () => {
     const faults = { delayed: 0.2, answerLost: 0.2, refused: 0.2, unreadable: 0.5 };
     expect((['none', 'freeze', 'cut'] as const).flatMap((trouble) => runAllSeeds(faults, trouble))).toEqual(
       [],
--- a/packages/simulator/src/system-seeds.ts
+++ b/packages/simulator/src/system-seeds.ts
@@ -3,7 +3,7 @@
 
 const cli = meow(
   `
-  Runs days of a simulated system, cores and edges and workers, over a row of seeds.
+  Runs simulated days of a system of cores, edges and workers over a range of seeds.
 
   Usage
     $ node packages/simulator/dist/system-seeds.js --from 1 --count 100
@@ -12,7 +12,7 @@
     --from    first seed (default 1)
     --count   how many seeds (default 20)
     --size    small or five (default small)
-    --profile what the days are about: mixed, changes, partitions, membership, power, placement
+    --profile emphasis of the days: mixed, changes, partitions, membership, power, placement
               (default by seed), quotas
     --span    whole, short, or long with hundreds of changes (default whole)
     --show    print the timeline of every seed, not only of failing ones
--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -1,4 +1,7 @@
-/** Simulated days of a whole system: faults and orders drawn from a seed, and what they broke. */
+/**
+ * Simulated days of a whole system, with faults and orders drawn from a seed, and the breaches that they
+ * caused.
+ */
 import type { Need } from './system/demand.js';
 import { Faults } from './system/faults.js';
 import { OperatorLoad } from './system/operator-load.js';
@@ -6,7 +9,7 @@
 import { System, type SystemBreach } from './system.js';
 import { renderTimeline } from './timeline.js';
 
-/** How long the parts of a day are. */
+/** Durations of the parts of a day. */
 export interface DaySpans {
   readonly trafficMs: number;
   readonly faultMs: number;
@@ -14,7 +17,9 @@
   readonly recoveryMs: number;
 }
 
-/** A whole day, one with hundreds of changes, and one for tests that are run often. */
+/**
+ * Durations of a whole day, of a long one with hundreds of changes, and of a short one for frequent tests.
+ */
 export const SPANS: Readonly<Record<'whole' | 'short' | 'long', DaySpans>> = {
   whole: { trafficMs: 8000, faultMs: 32_000, calmMs: 9000, recoveryMs: 14_000 },
   long: { trafficMs: 8000, faultMs: 150_000, calmMs: 9000, recoveryMs: 14_000 },
@@ -28,12 +33,12 @@
   five: { ...SMALL_SYSTEM, cores: 5, lossesBorne: 2, heartbeatMs: 50 },
 };
 
-/** What a day is mostly about. */
+/** Profiles of simulated days, which weight the faults and orders differently. */
 export const PROFILES = ['mixed', 'changes', 'partitions', 'membership', 'power', 'placement'] as const;
-/** A kind of simulated day. Days of quotas are played where they are asked for. */
+/** Profile of a simulated day. Days with the profile `quotas` run only on request. */
 export type Profile = (typeof PROFILES)[number] | 'quotas';
 
-/** What a day injects, by its weight. */
+/** Actions that a day draws by their weights. */
 type DayAction =
   | 'core'
   | 'edge'
@@ -134,13 +139,13 @@
   },
 };
 
-/** A change goes out so often on a day of changes: hundreds a day. */
+/** Interval of orders on a day with the profile `changes`, for hundreds of changes a day. */
 const STORM_INTERVAL_MS = 150;
 const STORM_LENGTH_MS = 4000;
 const MAX_REPAIR_MS = 34_000;
 const POLL_MS = 500;
 
-/** How one simulated day of a system ended. */
+/** Result of one simulated day. */
 export interface SystemResult {
   readonly breaches: readonly SystemBreach[];
   readonly acked: number;
@@ -190,7 +195,7 @@
     system.checkEnd();
   }
 
-  /** Until nothing is lost any more; the longest cuts end after the last fault was injected. */
+  /** Waits until no core counts as lost; the longest cuts end after the last fault was injected. */
   #waitForRepairs(): void {
     const { time } = this.system;
     const endMs = time.nowMs() + MAX_REPAIR_MS;
@@ -257,12 +262,15 @@
     }
   }
 
-  /** All at once only while every disk is there: one that was wiped has to catch up first. */
+  /**
+   * Runs an action on all cores only while every disk is intact: a core with a wiped disk must catch up
+   * first.
+   */
   #whenAllDisksIntact(act: () => void): void {
     if (this.faults.mayAllLosePower) act();
   }
 
-  /** Demand moves to other models. */
+  /** Moves the demand to other models. */
   #shiftDemand(): void {
     const needs: Need[] = [];
     for (let count = 0; count < 6; count += 1) {
@@ -275,7 +283,9 @@
     this.system.needs = needs;
   }
 
-  /** Without a zone the workers that are left have room for two models each, and no more is asked for. */
+  /**
+   * While a zone is evacuated, limits the demand to the two models for which each remaining worker has room.
+   */
   #reduceDemandToCapacity(): void {
     const { system } = this;
     const { zones } = system.expectations;
@@ -285,7 +295,7 @@
     system.needs = system.needs.filter((need) => models.includes(need.model));
   }
 
-  /** What may close a day, right after something was acknowledged. */
+  /** Injects a final fault right after an order was acknowledged, or none. */
   #injectClosingFault(): void {
     const { system, faults, load } = this;
     this.#reduceDemandToCapacity();
@@ -317,13 +327,13 @@
   }
 }
 
-/** The profile that a seed stands for where none is named. */
+/** Returns the profile of a seed, for runs without a named profile. */
 export function profileOf(seed: number): Profile {
   return PROFILES[seed % PROFILES.length] ?? 'mixed';
 }
 
 /**
- * Plays one simulated day of a system from a seed.
+ * Runs one simulated day of a system from a seed.
  * @example
  * runSystemDay(1, SYSTEMS.small).breaches; // []
  */
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -10,7 +10,7 @@
 const SMALL: SystemSize = { ...SMALL_SYSTEM, edges: 2, workers: 2, models: 4, heartbeatMs: 40 };
 const MODELS = SMALL.models;
 
-/** A system with its first configuration, undisturbed for a while. */
+/** Starts a system with its first configuration and runs it undisturbed for 5 s. */
 function startSystem(seed: number, size: SystemSize = SMALL): System {
   const system = new System(seed, size);
   system.start();
@@ -32,7 +32,10 @@
   return system.leader() ?? (system.cores[0] as Machine);
 }
 
-/** Whose disks hang: of all cores but the coordinator one, so that a bare majority carries a change; or the other one for a while as well. */
+/**
+ * Disks that stall while a change is sent, other than the coordinator's: one of them, so that a bare majority
+ * stores the change; or the other one as well, for a shorter time.
+ */
 type StalledDisks = 'one' | 'both';
 
 function stall(system: System, leader: Machine, stalled: StalledDisks): void {
@@ -42,7 +45,10 @@
   if (stalled === 'both' && other?.disk !== undefined) other.disk.stallUntilMs = nowMs + 500;
 }
 
-/** As soon as an operator is told of a change, something happens; all come back and the end is looked at. */
+/**
+ * Injects a fault right after a change is acknowledged, restarts all machines, and returns the breaches at
+ * the end.
+ */
 function breachesAfterFault(
   seed: number,
   size: SystemSize,
@@ -72,12 +78,12 @@
   for (const machine of system.machines) system.losePower(machine);
 }
 
-describe('what was acknowledged', () => {
-  it('outlives the loss of power of all at once', () => {
+describe('acknowledged state', () => {
+  it('survives a simultaneous power loss of all machines', () => {
     expect([1, 2, 3].flatMap((seed) => breachesAfterFault(seed, SMALL, powerOff))).toEqual([]);
   });
 
-  it('outlives a wiped disk while all others lose power, whichever disk it is', () => {
+  it('survives a power loss of all machines with the disk of any one core wiped', () => {
     const wrong = [1, 2].flatMap((seed) =>
       [0, 1, 2].flatMap((place) =>
         breachesAfterFault(seed, SMALL, (system) => {
@@ -89,7 +95,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('outlives it also when a bare majority of disks carries it', () => {
+  it('survives a power loss with one disk wiped when only a bare majority of disks has stored it', () => {
     const wrong = [1, 2].flatMap((seed) =>
       (['one', 'both'] as const).flatMap((stalled) =>
         [true, false].flatMap((leads) =>
@@ -109,13 +115,13 @@
     expect(wrong).toEqual([]);
   });
 
-  it('outlives the kill of the coordinator', () => {
+  it('survives a kill of the coordinator', () => {
     expect(
       [1, 2].flatMap((seed) => breachesAfterFault(seed, SMALL, (system, leader) => system.kill(leader))),
     ).toEqual([]);
   });
 
-  it('outlives the replacement of a core by an empty one, then of another', () => {
+  it('survives the replacement of all cores by empty ones in turn, and a power loss afterwards', () => {
     const wrong = [1, 2].flatMap((seed) => {
       const system = startSystem(seed);
       system.put(5, sampleDocument(8, MODELS, 'last'));
@@ -136,7 +142,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('stays when a call that the operator has given up on is still carried by a core that was cut off', () => {
+  it('is not undone by a call that was abandoned and that a core which was cut off still submits', () => {
     const wrong = [1, 2, 3, 4, 5, 6].flatMap((seed) =>
       [1500, 6000].flatMap((cutMs) => {
         const system = startSystem(seed);
@@ -157,8 +163,8 @@
   });
 });
 
-describe('changes', () => {
-  it('on the same version: one is agreed, also when the coordinator dies, and a repeated call is agreed again', () => {
+describe('changes of the configuration', () => {
+  it('agree on one of two changes of the same version, also when the coordinator is killed, and on its repeat', () => {
     const wrong = [1, 2, 3, 4].flatMap((seed) => {
       const system = startSystem(seed);
       const ends: OrderEnd[] = [];
@@ -186,7 +192,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('reach every edge that reaches a core with a majority, though the coordinator is cut off from it', () => {
+  it('reach every edge that reaches a core with a majority, even if it cannot reach the coordinator', () => {
     const system = startSystem(1);
     const leader = leaderOf(system);
     const { name } = system.edges[0] as Machine;
@@ -200,7 +206,7 @@
     expect(system.edges.map((edge) => edge.running?.follower?.state.revision)).toEqual([8, 8]);
   });
 
-  it('five cores bear the loss of two, and their voters are five', () => {
+  it('are agreed by five cores, all of them voters, after the loss of two', () => {
     const five: SystemSize = { ...SMALL, cores: 5, lossesBorne: 2 };
     const system = startSystem(3, five);
     const voters = system.voters();
@@ -216,7 +222,7 @@
 });
 
 describe('the group of cores', () => {
-  it('goes on while its machines are stopped and started in turn', () => {
+  it('keeps working while its machines are stopped and started one after another', () => {
     const wrong = [1, 2].flatMap((seed) => {
       const system = startSystem(seed);
       const ends: string[] = [];
@@ -241,7 +247,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('agrees on nothing while no majority meets, and goes on soon after', () => {
+  it('agrees on nothing while no majority is connected, and answers within 4 s after', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
       const system = startSystem(seed);
       const apart = system.cut(
@@ -272,7 +278,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('goes on without the cores of one side, and those take over what was agreed when they are back', () => {
+  it('keeps working without a coordinator that is cut off, which catches up after its return', () => {
     const wrong = [1, 2, 3].flatMap((seed) => {
       const system = startSystem(seed);
       const leader = leaderOf(system);
@@ -294,7 +300,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('gives back its duty before another takes it, also when the coordinator froze', () => {
+  it('never has two coordinators at once, also when the coordinator freezes', () => {
     const wrong = [1, 2, 3, 4].flatMap((seed) => {
       const system = startSystem(seed, { ...SMALL, workers: 4, models: 8 });
       system.needs = ['m0', 'm5', 'm6', 'm7'].map((model) => ({ model, adapter: '', count: 2 }));
@@ -313,7 +319,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('loses a whole zone, edges and workers with it, and the others serve on', () => {
+  it('keeps serving through the other zones when a whole zone is lost with its edges and workers', () => {
     const system = startSystem(4, { ...SMALL, edges: 3, workers: 3, models: 4 });
     system.needs = ['m0', 'm1'].map((model) => ({ model, adapter: '', count: 2 }));
     const zone = leaderOf(system).zone;
@@ -336,7 +342,7 @@
   });
 });
 
-describe('what all edges share', () => {
+describe('the number of edges that divide a shared budget', () => {
   /** The fewestKnownEdges edges that one of them believed in, while all were at work. */
   function fewestKnownEdges(system: System, forMs: number): number {
     let least = Infinity;
@@ -348,12 +354,12 @@
   }
   const edges = 4;
 
-  it('is divided by as many as there are, in a calm system of five cores', () => {
+  it('is the actual number of edges in an undisturbed system of five cores', () => {
     const system = startSystem(2, { ...SMALL, cores: 5, lossesBorne: 2, edges });
     expect(fewestKnownEdges(system, 4000)).toEqual(edges);
   });
 
-  it('is divided by as many as there are, when a core is replaced or starts again', () => {
+  it('is the actual number of edges when a core is replaced or restarts', () => {
     const replaced = startSystem(2, { ...SMALL, edges });
     replaced.remove(replaced.cores.find((core) => core !== leaderOf(replaced)) as Machine);
     replaced.boot(replaced.addCore());
@@ -364,7 +370,7 @@
   });
 });
 
-it('days of troubles break no rule', () => {
+it('simulated days with faults break no invariant', () => {
   const wrong: string[] = [];
   for (let seed = 1; seed <= 16; seed += 1) {
     for (const { rule, detail, atMs } of runSystemDay(seed, SYSTEMS.least, SPANS.short).breaches)
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -1,4 +1,4 @@
-/** A whole simulated system on the production code, in one thread and in virtual time. */
+/** A whole simulated system that runs the production code in one thread and in virtual time. */
 import { SeededRandom } from '@rainrun/common';
 import type { Deployment } from '@rainrun/configuration';
 import { CoreDirectory } from './system/core-directory.js';
@@ -18,20 +18,22 @@
 import type { TimelineEvent } from './timeline.js';
 import { SimDisk, VirtualTime, type Cut } from './world.js';
 
-/** A rule that did not hold. */
+/** The breach of an invariant. */
 export interface SystemBreach {
   readonly atMs: number;
   readonly rule: string;
   readonly detail: string;
 }
 
-/** Given up a little later than it would have to be answered, so that a late answer is seen. */
+/**
+ * Extra time after the bound for an answer before an order is given up, so that a late answer is detected.
+ */
 const GIVE_UP_MS = 200;
 const FIRST_START_SPREAD_MS = 300;
 
 /**
- * Cores, edges that follow them, workers, the platform's list and operators;
- * invariants are checked while it runs.
+ * A system of cores, edges that follow them, workers, the platform's list and operators; invariants are
+ * checked while it runs.
  * @example
  * const system = new System(7, SMALL_SYSTEM);
  * system.start();
@@ -51,7 +53,7 @@
   readonly edges: Machine[] = [];
   readonly breaches: SystemBreach[] = [];
   readonly timeline: TimelineEvent[] = [];
-  /** Requests of tenants; none before it is opened. */
+  /** Requests of tenants; none are sent before it is started. */
   readonly quotaLoad: QuotaLoad;
   #demand: Demand;
   #directory: CoreDirectory;
@@ -119,7 +121,7 @@
     return [...this.cores, ...this.edges];
   }
 
-  /** What edges ask for now. */
+  /** Current demand of the edges. */
   get needs(): readonly Need[] {
     return this.#demand.needs;
   }
@@ -128,12 +130,12 @@
     this.#demand.needs = needs;
   }
 
-  /** Newest change of the configuration that was acknowledged. */
+  /** Newest acknowledged change of the configuration. */
   get acked(): Acknowledged {
     return this.expectations.acked;
   }
 
-  /** A further core, empty, at an address of its own. */
+  /** Adds an empty core at a new address. */
   addCore(zone = this.size.zones[this.cores.length % this.size.zones.length] ?? ''): Machine {
     const name = `core-${this.#created}`;
     this.#created += 1;
@@ -142,7 +144,7 @@
     return core;
   }
 
-  /** Every machine starts for the first time, within 0.3 s of each other. */
+  /** Starts all machines for the first time, within 0.3 s of each other. */
   start(): void {
     this.workers.start();
     this.#directory.startSampling();
@@ -163,23 +165,23 @@
     this.note('', `BREACH ${rule}: ${detail}`);
   }
 
-  // Troubles.
+  // Faults.
 
   boot(machine: Machine, founding = false): void {
     this.#processes.boot(machine, founding);
   }
 
-  /** The process ends at once; the machine keeps what it has written. */
+  /** Ends the process at once; the machine keeps what the process has written. */
   kill(machine: Machine): void {
     this.#processes.kill(machine);
   }
 
-  /** The machine loses power: what its disk has not synced may be gone. */
+  /** Cuts the machine's power: what its disk has not synced may be lost. */
   losePower(machine: Machine): void {
     this.#processes.losePower(machine);
   }
 
-  /** The process is asked to end, and does so in order. */
+  /** Shuts the process down gracefully: it drains, leaves the group, and ends. */
   stop(machine: Machine): void {
     this.#processes.stop(machine);
   }
@@ -188,7 +190,7 @@
     this.#processes.freeze(machine, waitMs);
   }
 
-  /** Cuts directions between machines, by name; the returned function heals them. */
+  /** Cuts directions between machines, by name; the returned function removes the cut. */
   cut(what: string, cut: Cut): () => void {
     this.network.addCut(cut);
     this.note('', `cut ${what}`);
@@ -209,26 +211,26 @@
     }
   }
 
-  /** A machine of the core is taken out for good. */
+  /** Removes a core permanently. */
   remove(core: Machine): void {
     this.losePower(core);
     core.removed = true;
     this.note(core.name, 'removed');
   }
 
-  /** Something happened to a machine: the bounds count anew for it, and for all if it is a core. */
+  /** Restarts the time bounds for a disturbed machine, and for all machines if it is a core. */
   recordDisturbance(machine: Machine): void {
     this.#invariants.recordDisturbance(machine);
   }
 
-  // What is seen from outside.
+  // Observations.
 
-  /** Whether the core has been undisturbed, and more than half of it connected, for long enough. */
+  /** Whether no core was disturbed for `contactMs` and more than half of the cores reach a majority. */
   settled(): boolean {
     return this.#invariants.settled();
   }
 
-  /** The core that coordinates, if one says so. */
+  /** The core that is the coordinator by its own state, if there is one. */
   leader(): Machine | undefined {
     return this.cores.find(
       (core) =>
@@ -241,7 +243,10 @@
     return countVoters(this.cores);
   }
 
-  /** What the acknowledged state lacks in a node's state, or undefined. */
+  /**
+   * Describes what was acknowledged by `ackedBeforeMs` and is missing in a node's state; undefined if nothing
+   * is.
+   */
   findMissing(state: Deployment, ackedBeforeMs: number): string | undefined {
     return this.expectations.findMissing(state, ackedBeforeMs);
   }
@@ -253,7 +258,7 @@
 
   // Operators.
 
-  /** Sends an order; a change that is acknowledged is expected to stay. */
+  /** Sends an order; once acknowledged, a change is expected to last. */
   order(
     request: OperatorRequest,
     valid: boolean,
@@ -282,7 +287,7 @@
     this.order({ kind: 'put', base, document }, true, done);
   }
 
-  /** Evacuates a zone or takes it back; it is sent again for no longer than `ackMs`. */
+  /** Evacuates a zone or returns it to service; the order is given up shortly after `ackMs`. */
   zone(zone: string, evacuated: boolean, done: (end: OrderEnd) => void = () => undefined): void {
     const { zones } = this.expectations;
     zones.delete(zone);
--- a/packages/simulator/src/system/configuration.ts
+++ b/packages/simulator/src/system/configuration.ts
@@ -1,12 +1,15 @@
-/** Configurations that simulated operators send, and what a change makes of one. */
+/**
+ * Sample configurations and patches that simulated operators send, and an independent model of applying a
+ * patch.
+ */
 import { spread } from '@rainrun/common';
 import { sampleTenants } from './quota-load.js';
 import { ENGINE, SERVICE, sizeOf } from './workers.js';
 
-/** A configuration in our terms. */
+/** A configuration document in the program's own format. */
 export type Document = Readonly<Record<string, unknown>>;
 
-/** A change of named items. */
+/** A patch that sets and drops items by name. */
 export interface Patch {
   readonly revision: number;
   readonly set: Readonly<Record<string, unknown>>;
@@ -31,7 +34,7 @@
 }
 
 /**
- * A configuration for the simulated workers; `mark` tells two of them apart.
+ * Builds a configuration for the simulated workers; `mark` distinguishes documents with the same revision.
  * @example
  * sampleDocument(5, 12, 'first')['revision']; // 5
  */
@@ -61,13 +64,13 @@
   };
 }
 
-/** A tenant of one change, with a key that no other holds. */
+/** Builds a tenant for one change, with an API key that no other tenant has. */
 function tenantOf(name: string, mark: string): Record<string, unknown> {
   return { name, apiKeys: [`key-${mark}`], ratePerS: 1, note: mark };
 }
 
 /**
- * A change that adds or replaces one route and one tenant, and removes another of each.
+ * Builds a patch that adds or replaces one route and one tenant, and drops another of each.
  * @example
  * samplePatch(7, 'second', 1).drop; // { routes: ['extra-0'], tenants: ['extra-0'] }
  */
@@ -83,12 +86,15 @@
   };
 }
 
-/** Which of two faults an invalid change has: its mark decides, so that no further chance is drawn. */
+/**
+ * Whether an invalid change has a shared API key rather than an unknown service. The hash of its mark
+ * decides, so that no further random number is drawn.
+ */
 function sharesKey(mark: unknown): boolean {
   return spread(String(mark)) % 2 === 0;
 }
 
-/** The first tenant's key at a second one. */
+/** Builds a second tenant that also has the first tenant's API key. */
 function tenantSharingKey(mark: string): Record<string, unknown> {
   const [first] = sampleTenants();
   return {
@@ -97,14 +103,17 @@
   };
 }
 
-/** A change that adds a route to a service that does not exist, or a tenant with the key of another. */
+/** Builds a patch that adds a route to an unknown service, or a tenant with the API key of another. */
 export function sampleInvalidPatch(revision: number, mark: string): Patch {
   if (sharesKey(mark)) return { revision, set: { mark, tenants: [tenantSharingKey(mark)] }, drop: {} };
   const route = { ...routeOf('invalid', '/invalid/', mark), service: 'nowhere' };
   return { revision, set: { mark, routes: [route] }, drop: {} };
 }
 
-/** The same configuration with a route to a service that does not exist, or with a tenant that has the key of another. */
+/**
+ * Returns the configuration with a route to an unknown service, or with a tenant that has the API key of
+ * another.
+ */
 export function makeInvalid(document: Document): Record<string, unknown> {
   const mark = String(document['mark']);
   if (sharesKey(mark)) return { ...document, tenants: [...sampleTenants(), tenantSharingKey(mark)] };
@@ -113,7 +122,7 @@
 }
 
 /**
- * What a change makes of a configuration, written apart from the program's own code.
+ * Applies a patch to a configuration, implemented independently of the program's own code.
  * @example
  * patchDocument({ revision: 5, routes: [] }, samplePatch(7, 'second', 1))['revision']; // 7
  */
@@ -131,7 +140,7 @@
   return [...replaced, ...added];
 }
 
-/** Text that is the same for equal documents, whatever the order of their keys. */
+/** Serializes a document so that equal documents give the same text, whatever the order of their keys. */
 export function canonicalText(value: unknown): string {
   return JSON.stringify(value, (_key, part: unknown) =>
     typeof part === 'object' && part !== null && !Array.isArray(part)
@@ -140,7 +149,10 @@
   );
 }
 
-/** Which change wrote a configuration, by its revision and mark; undefined for none. */
+/**
+ * Returns the ID of the change that wrote a configuration, from its revision and mark; undefined without a
+ * mark.
+ */
 export function changeIdOf(revision: number, written: Document | undefined): string | undefined {
   const mark = written?.['mark'];
   return typeof mark === 'string' ? `${revision} ${mark}` : undefined;
--- a/packages/simulator/src/system/core-directory.ts
+++ b/packages/simulator/src/system/core-directory.ts
@@ -1,4 +1,4 @@
-/** The operators' list of cores, which lags. */
+/** The operators' list of cores, which lags behind the actual cores. */
 import type { SeededRandom } from '@rainrun/common';
 import type { VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
@@ -7,9 +7,9 @@
 const SAMPLE_MS = 250;
 
 /**
- * Remembers which cores there were, and shows a list that is up to `seedLagMs` old.
+ * Samples the cores at intervals and returns a list that is up to `seedLagMs` old.
  * @example
- * directory.list(); // cores as they were a little before
+ * directory.list(); // cores as they were up to 2 s ago
  */
 export class CoreDirectory {
   #time: VirtualTime;
@@ -23,7 +23,7 @@
     this.#cores = cores;
   }
 
-  /** Begins to remember. */
+  /** Starts to sample the cores, until the end of the simulation. */
   startSampling(): void {
     const atMs = this.#time.nowMs();
     this.#samples.push({ atMs, cores: this.#cores().filter((core) => !core.removed) });
--- a/packages/simulator/src/system/demand.ts
+++ b/packages/simulator/src/system/demand.ts
@@ -1,11 +1,11 @@
-/** What clients of the edges ask for, and where it can be had. */
+/** The simulated demand for models and adapters, and whether edges know a worker for it. */
 import { create } from '@bufbuild/protobuf';
 import type { EdgeReplica } from '@rainrun/cluster-node';
 import { ModelDemandSchema, type ModelDemand } from '@rainrun/messages';
 import type { Machine } from './machine.js';
 import { SERVICE, type WorkerPool } from './workers.js';
 
-/** What edges ask for now. */
+/** Demand for one model or adapter at every edge. */
 export interface Need {
   readonly model: string;
   /** Empty for the model itself. */
@@ -14,7 +14,7 @@
 }
 
 /**
- * The demand on all edges.
+ * The current demand, the same at all edges.
  * @example
  * demand.needs = [{ model: 'm0', adapter: '', count: 2 }];
  */
@@ -26,7 +26,7 @@
     this.#workers = workers;
   }
 
-  /** What an edge tells the coordinator that it wants. */
+  /** Returns the demand that an edge reports to the coordinator. */
   demandsOf(follower: EdgeReplica): ModelDemand[] {
     return this.needs.map(({ model, adapter, count }) => {
       const known = knowsHolder(follower, model, adapter);
@@ -41,7 +41,7 @@
     });
   }
 
-  /** Whether an edge lacks a worker for something that is asked for. */
+  /** Whether an edge knows no worker for some model or adapter in demand. */
   isUnserved(follower: EdgeReplica): boolean {
     return this.needs.some(({ model, adapter }) => !knowsHolder(follower, model, adapter));
   }
--- a/packages/simulator/src/system/disk.test.ts
+++ b/packages/simulator/src/system/disk.test.ts
@@ -14,17 +14,17 @@
   return new Acceptor(opening.value, disk, 'system', () => undefined);
 }
 
-/** Whether a claimant is promised the epoch. */
-function isPromised(disk: SimDisk, time: VirtualTime, claimant: string): boolean {
+/** Whether the acceptor promises the epoch to a candidate. */
+function isPromised(disk: SimDisk, time: VirtualTime, candidate: string): boolean {
   let granted = false;
-  openAcceptor(disk).prepare(create(PrepareSchema, { epoch: EPOCH, disk: claimant }), (promise) => {
+  openAcceptor(disk).prepare(create(PrepareSchema, { epoch: EPOCH, disk: candidate }), (promise) => {
     granted = promise.granted;
   });
   time.runUntil(time.nowMs() + 1000);
   return granted;
 }
 
-/** The process is killed between the rename of a promise and the sync of its folder. */
+/** Kills the process between the rename of a promise file and the sync of its folder. */
 function killedWhileStoring(time: VirtualTime, disk: SimDisk): void {
   disk.tap = (step) => {
     if (step === 'renamed') disk.endProcess();
@@ -35,7 +35,7 @@
 }
 
 describe('an acceptor that was killed before its folder was synced', () => {
-  it('gives no epoch to two claimants, also if power is lost after it has promised again', () => {
+  it('promises no epoch to two candidates, also when power is lost after its next promise', () => {
     const outcomes = [1, 2, 3, 4, 5, 6, 7, 8].map((seed) => {
       const time = new VirtualTime();
       const disk = new SimDisk(time, new SeededRandom(seed));
--- a/packages/simulator/src/system/expectations.ts
+++ b/packages/simulator/src/system/expectations.ts
@@ -1,11 +1,11 @@
-/** What operators were promised: the acknowledged configuration and evacuations. */
+/** The changes and evacuations that were acknowledged to operators and that nodes are expected to hold. */
 import { withoutApiKeys, type Deployment } from '@rainrun/configuration';
 import { canonicalText, type Document } from './configuration.js';
 
-/** The newest change that was acknowledged. */
+/** The newest acknowledged change. */
 export interface Acknowledged {
   readonly revision: number;
-  /** Undefined where the change was a patch; the whole history is checked in the end. */
+  /** Canonical text of the document; undefined after a patch, which the check of the whole history covers. */
   readonly document: string | undefined;
   readonly atMs: number;
 }
@@ -16,16 +16,16 @@
 }
 
 /**
- * Compares the states of nodes with what was acknowledged.
+ * Compares the states of nodes with the acknowledged changes and evacuations.
  * @example
  * expectations.lacks(follower.state, nowMs - BOUNDS.applyMs); // undefined
  */
 export class Expectations {
   acked: Acknowledged = { revision: 0, document: undefined, atMs: 0 };
   readonly zones = new Map<string, ZoneExpectation>();
-  /** Acknowledged revisions, oldest first, for looks back in time. */
+  /** Acknowledged revisions, oldest first, to find the one that was current at an earlier time. */
   #acknowledged: { readonly revision: number; readonly atMs: number }[] = [];
-  /** The newest acknowledged document as edges hold it. */
+  /** Canonical text of the newest acknowledged document without API keys, as edges hold it. */
   #documentWithoutKeys: string | undefined;
   #textCache = new WeakMap<Deployment, string>();
 
@@ -37,7 +37,10 @@
     this.#acknowledged.push({ revision, atMs });
   }
 
-  /** What was acknowledged before a moment and is missing in a state; undefined if nothing is. Edges hold no keys. */
+  /**
+   * Describes what was acknowledged by `beforeMs` and is missing in a state; undefined if nothing is. The
+   * state of an edge is compared with the document without API keys.
+   */
   findMissing(state: Deployment, beforeMs: number, isEdge = false): string | undefined {
     const due = this.#acknowledged.findLast((known) => known.atMs <= beforeMs)?.revision ?? 0;
     if (state.revision < due) return `revision ${state.revision}, acknowledged was ${due}`;
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -1,4 +1,7 @@
-/** Faults that a simulated day injects: what each does, how long it lasts, and what the system may lose at once. */
+/**
+ * Faults that a simulated day injects: their effects, their durations, and how many cores may be lost at
+ * once.
+ */
 import type { SeededRandom } from '@rainrun/common';
 import type { System } from '../system.js';
 import type { Cut, SimDisk } from '../world.js';
@@ -6,7 +9,7 @@
 import { BOUNDS } from './size.js';
 import { NO_CALL_FAULTS } from './worker-calls.js';
 
-/** Faults of one core; each counts as a loss while it lasts and for `catchUpMs` after. */
+/** Faults of one core; the core counts as lost during the fault and for `catchUpMs` after it. */
 const CORE_FAULTS = [
   'kill',
   'power',
@@ -33,10 +36,13 @@
 const LOSSY_NETWORK_RATIO = 0.05;
 const MAX_DELAYED_CALL_RATIO = 0.4;
 const MAX_FAILED_CALL_RATIO = 0.3;
-/** A successor has joined, been made a voter and caught up by then. */
+/** Time in which a successor joins, becomes a voter and catches up. */
 const SUCCESSOR_MS = BOUNDS.catchUpMs;
 
-/** Cuts between a machine and all others: both directions, or one. */
+/**
+ * Returns a cut between a machine and all others, in both directions (`cut`), inbound (`deaf`) or outbound
+ * (`mute`).
+ */
 function cutOf(kind: 'cut' | 'deaf' | 'mute', name: string): Cut {
   if (kind === 'deaf') return (_from, to) => to === name;
   if (kind === 'mute') return (from) => from === name;
@@ -44,18 +50,18 @@
 }
 
 /**
- * Injects faults by chance, and no more core losses at once than the system is to bear.
+ * Injects random faults, with no more cores lost at once than the system tolerates.
  * @example
  * faults.core(faults.anyCore());
  */
 export class Faults {
-  /** What was injected, for reports. */
+  /** Descriptions of the injected faults, for reports. */
   readonly injected: string[] = [];
   #system: System;
   #random: SeededRandom;
-  /** Until when each core counts as lost. */
+  /** Time until which each lost core counts as lost. */
   #lostUntilMs = new Map<Machine, number>();
-  /** Of those, the ones whose disk was lost as well. */
+  /** Lost cores whose disk is empty as well. */
   #wipedCores = new Set<Machine>();
   #isReplacing = false;
 
@@ -81,9 +87,9 @@
     this.#system.time.after(waitMs, act);
   }
 
-  // Losses.
+  // Accounting of lost cores.
 
-  /** Cores that count as lost now. */
+  /** Number of cores that count as lost now. */
   get lostCoreCount(): number {
     const nowMs = this.#system.time.nowMs();
     for (const [core, untilMs] of this.#lostUntilMs) {
@@ -94,7 +100,10 @@
     return this.#lostUntilMs.size;
   }
 
-  /** Whether every disk that counts holds all that it ever synced, so that all cores may lose power. */
+  /**
+   * Whether all cores may lose power at once: no lost core has an empty disk, so every disk that counts holds
+   * all that it ever synced.
+   */
   get mayAllLosePower(): boolean {
     return this.lostCoreCount === 0 || this.#wipedCores.size === 0;
   }
@@ -109,7 +118,7 @@
     this.#lostUntilMs.set(core, Math.max(untilMs, this.#lostUntilMs.get(core) ?? 0));
   }
 
-  /** A core that is not lost; the coordinator as often as all others together. */
+  /** Picks a random core that is not lost; the coordinator as often as all others together. */
   pickHealthyCore(): Machine | undefined {
     const { cores } = this.#system;
     const whole = cores.filter((core) => core.running !== undefined && !this.#lostUntilMs.has(core));
@@ -120,7 +129,7 @@
 
   // Faults of cores.
 
-  /** Any fault of one core, for up to some seconds. */
+  /** Injects a random fault of one core, for up to 4.3 s. */
   injectRandomCoreFault(): void {
     const core = this.mayLoseCore ? this.pickHealthyCore() : undefined;
     if (core !== undefined)
@@ -167,7 +176,7 @@
     this.#after(waitMs, () => this.#system.boot(core));
   }
 
-  /** The machine is lost for good; an empty one comes later, at an address of its own. */
+  /** Removes the machine permanently; an empty one starts later at a new address. */
   #replace(core: Machine, forMs: number): void {
     this.#system.remove(core);
     const successor = this.#system.addCore(core.zone);
@@ -177,7 +186,7 @@
     this.#bootAfter(successor, forMs);
   }
 
-  /** The process ends at its next write; it can start again once there is room. */
+  /** Fills the disk, so that the process ends at its next write; it restarts once there is room again. */
   #fillDisk(core: Machine, forMs: number): void {
     const { disk } = core;
     if (disk === undefined) return;
@@ -190,7 +199,7 @@
     });
   }
 
-  /** A disk that is slow, but does sync: the core is not lost. */
+  /** Slows a disk that still syncs, so that its core does not count as lost. */
   slowDisk(): void {
     const core = this.pickHealthyCore();
     if (core?.disk === undefined) return;
@@ -202,7 +211,7 @@
     });
   }
 
-  /** The coordinator is cut off for 20 s and more, in both directions or in one. */
+  /** Cuts off the coordinator for 20 to 26 s, in one direction or both. */
   cutCoordinatorLong(): void {
     const leader = this.#system.leader();
     if (!this.mayLoseCore || leader === undefined) return;
@@ -213,7 +222,7 @@
     );
   }
 
-  /** As many cores as may be lost at once; and as many others right after those have caught up. */
+  /** Loses as many cores as the system tolerates, and as many others right after the first have caught up. */
   loseAgainAfterCatchUp(): void {
     const { size } = this.#system;
     if (this.lostCoreCount > 0 || this.#isReplacing) return;
@@ -235,7 +244,7 @@
     });
   }
 
-  /** Planned replacement: the new machine first, then the old one is asked to end and is removed. */
+  /** Replaces a core as planned: the new machine starts first, then the old one is stopped and removed. */
   replaceAsPlanned(): void {
     const system = this.#system;
     const core = this.lostCoreCount > 0 || this.#isReplacing ? undefined : this.pickHealthyCore();
@@ -247,7 +256,7 @@
     this.#after(SUCCESSOR_MS, () => this.#retire(core, successor));
   }
 
-  /** Ends and removes a core once its successor has caught up and nothing else is lost. */
+  /** Stops and removes a core once its successor has caught up and no other core is lost. */
   #retire(core: Machine, successor: Machine): void {
     if (this.lostCoreCount > 0) {
       this.#after(SUCCESSOR_MS, () => this.#retire(core, successor));
@@ -261,7 +270,7 @@
     });
   }
 
-  /** All cores are killed, or lose power, and come back. */
+  /** Kills all cores or cuts their power, and restarts them. */
   failAllCores(kind: 'kill' | 'power'): void {
     const { cores } = this.#system;
     this.#inject(`all cores ${kind}`);
@@ -274,13 +283,18 @@
     for (const core of cores) this.#bootAfter(core, 300 + this.#randomBelow(1200));
   }
 
-  /** Power of all cores is lost soon after a change was sent, before or after it is acknowledged. */
+  /**
+   * Sends a change and cuts the power of all cores 5 to 400 ms later, before or after its acknowledgement.
+   */
   powerDuringChange(send: () => void): void {
     send();
     this.#after(5 + this.#randomBelow(395), () => this.failAllCores('power'));
   }
 
-  /** All cores lose power as soon as the next order is acknowledged; at times all disks are slow before. */
+  /**
+   * Cuts the power of all cores at the next acknowledgement of an order; in half of the cases all disks are
+   * slow before.
+   */
   powerAfterAcknowledgement(send: () => void): void {
     const { operators, cores } = this.#system;
     const slowMs = this.#random.next() < 0.5 ? MAX_SLOW_DISK_MS * this.#random.next() : 0;
@@ -294,7 +308,7 @@
     send();
   }
 
-  // Faults of other machines and of the network.
+  // Faults of edges, workers, zones and the network.
 
   injectRandomEdgeFault(): void {
     const system = this.#system;
@@ -344,7 +358,7 @@
     });
   }
 
-  /** A whole zone goes down or is cut off: its cores, edges and workers. */
+  /** Takes down or cuts off a whole zone: its cores, edges and workers. */
   failZone(kind: 'loss' | 'cut'): void {
     const system = this.#system;
     const zone = this.#pick(system.size.zones) ?? '';
@@ -373,7 +387,7 @@
     }
   }
 
-  /** More frames are lost for a while. */
+  /** Raises the loss ratio of the network for 1 to 5 s. */
   makeNetworkLossy(): void {
     const { network } = this.#system;
     const before = network.lossRatio;
@@ -385,7 +399,10 @@
     });
   }
 
-  /** Orders, their answers, reports and the platform's list are late, lost, refused or unreadable for a while. */
+  /**
+   * For 1 to 7 s, delays or refuses orders, loses their answers, and makes reports and the platform's list
+   * unreadable.
+   */
   injectCallFaults(): void {
     const { workerCalls } = this.#system;
     if (workerCalls.faults !== NO_CALL_FAULTS) return;
@@ -402,7 +419,7 @@
     });
   }
 
-  /** Answers to operators are lost for a while, up to 0.7 of them. */
+  /** Loses 0.2 to 0.7 of the answers to operators for 2 to 10 s. */
   loseAnswers(): void {
     const { operators } = this.#system;
     if (operators.answerLossRatio > 0) return;
@@ -413,7 +430,7 @@
     });
   }
 
-  /** Every disk that is full has room again, and all machines run. */
+  /** Makes room on all disks, ends their slowness, and starts all machines that do not run. */
   restoreAll(): void {
     for (const machine of this.#system.machines) {
       if (machine.disk !== undefined) restoreDisk(machine.disk);
--- a/packages/simulator/src/system/history.ts
+++ b/packages/simulator/src/system/history.ts
@@ -1,16 +1,15 @@
 /**
- * The history of an observed run: what operators and observers sent to the
- * cores, when, and what came back. The checkers read it; they know nothing of
- * the program that produced it.
+ * The history of a run: requests that operators and observers sent to the cores, with their times and
+ * outcomes. The checkers read only this history and do not depend on the program that produced it.
  */
 
-/** How one attempt ended, as its caller saw it. */
+/** Outcome of one attempt as its caller observed it. */
 export type Outcome = 'acknowledged' | 'refused' | 'unknown';
 
-/** One request on the wire. A caller that got no clear answer makes another attempt at the same order. */
+/** One request on the wire. A caller without a definite answer makes another attempt at the same order. */
 export interface Attempt {
   readonly invokedMs: number;
-  /** Infinity while no answer has come. */
+  /** Infinity while there is no answer. */
   respondedMs: number;
   outcome: Outcome;
 }
@@ -18,10 +17,10 @@
 /** A change of the configuration by compare-and-set: it takes effect only on its base revision. */
 export interface ChangeOrder {
   readonly id: string;
-  /** The revision that has to be current for the change to take effect. */
+  /** Revision that must be current for the change to take effect. */
   readonly base: number;
   readonly revision: number;
-  /** False for a change that every core has to refuse. */
+  /** False for a change that every core must refuse. */
   readonly valid: boolean;
   readonly attempts: Attempt[];
 }
@@ -32,11 +31,11 @@
   readonly invokedMs: number;
   readonly respondedMs: number;
   readonly revision: number;
-  /** Which change wrote what was read; undefined before the first change. */
+  /** ID of the change that wrote the document that was read; undefined before the first change. */
   readonly changeId: string | undefined;
 }
 
-/** An evacuation of a zone or its withdrawal. */
+/** An order to evacuate a zone or to return it to service. */
 export interface ZoneOrder {
   readonly id: string;
   readonly zone: string;
@@ -44,7 +43,7 @@
   readonly attempts: Attempt[];
 }
 
-/** A look at whether a zone is evacuated. */
+/** An observation of whether a node has a zone as evacuated. */
 export interface ZoneRead {
   readonly reader: string;
   readonly zone: string;
@@ -52,14 +51,14 @@
   readonly evacuated: boolean;
 }
 
-/** Everything that was observed in one run. */
+/** The changes and reads of one run. */
 export interface History {
   readonly changes: readonly ChangeOrder[];
   readonly reads: readonly Read[];
 }
 
 /**
- * When an order was first sent.
+ * Returns the time at which an order was first sent.
  * @example
  * firstInvokedMs([{ invokedMs: 5, respondedMs: 9, outcome: 'unknown' }]); // 5
  */
@@ -68,7 +67,7 @@
 }
 
 /**
- * When an order was first acknowledged; Infinity if it never was.
+ * Returns the time at which an order was first acknowledged; Infinity if it never was.
  * @example
  * firstAcknowledgedMs([{ invokedMs: 5, respondedMs: 9, outcome: 'unknown' }]); // Infinity
  */
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -1,4 +1,4 @@
-/** The rules that must hold while a simulated system runs, and those at its end. */
+/** Invariants that are checked while a simulated system runs and at its end. */
 import type { EdgeReplica } from '@rainrun/cluster-node';
 import { withoutApiKeys, type Deployment } from '@rainrun/configuration';
 import type { VirtualTime } from '../world.js';
@@ -18,7 +18,7 @@
 
 const PROBE_INTERVAL_MS = 50;
 
-/** What the checks look at. */
+/** The parts of the system that the checks read. */
 export interface InvariantContext {
   readonly time: VirtualTime;
   readonly size: SystemSize;
@@ -34,15 +34,15 @@
 }
 
 /**
- * Looks at all machines every 50 ms, and once more when all is calm.
+ * Checks all machines every 50 ms, and once more at the end, when no fault is active.
  * @example
  * invariants.open();
  */
 export class Invariants {
   #context: InvariantContext;
-  /** When a core was last disturbed. */
+  /** Time at which a core was last disturbed. */
   #disturbedMs = 0;
-  /** When the state that each change wrote was first seen on a core, and on an edge. */
+  /** First observation of the state that each change wrote, on a core and on an edge. */
   #firstSeen = new Map<string, { readonly read: Read; readonly text: string }>();
   #seenStates = new WeakSet<Deployment>();
 
@@ -55,14 +55,14 @@
     this.#probe();
   }
 
-  /** The bounds count anew for a machine, and for all if it is a core. */
+  /** Restarts the time bounds for a machine, and for all machines if it is a core. */
   recordDisturbance(machine: Machine): void {
     const nowMs = this.#context.time.nowMs();
     if (machine.running !== undefined) machine.running.undisturbedSinceMs = nowMs;
     if (machine.disk !== undefined) this.#disturbedMs = nowMs;
   }
 
-  /** Whether the core has been undisturbed, and more than half of it connected, for long enough. */
+  /** Whether no core was disturbed for `contactMs` and more than half of the cores reach a majority. */
   settled(): boolean {
     return (
       this.#context.time.nowMs() - this.#disturbedMs > BOUNDS.contactMs &&
@@ -70,7 +70,7 @@
     );
   }
 
-  /** Running cores that reach, both ways, more than half of the core. */
+  /** Running cores that reach more than half of the cores in both directions. */
   #coresWithMajority(): Machine[] {
     const { cores, network, size } = this.#context;
     const up = cores.filter((core) => core.running?.frozen === false);
@@ -137,7 +137,10 @@
     }
   }
 
-  /** What all edges share, such as further sends, each divides by no fewer edges than there are. */
+  /**
+   * Checks that no edge divides a shared budget, such as the one for retries, by fewer edges than are
+   * running.
+   */
   #probeShares(): void {
     const nowMs = this.#context.time.nowMs();
     const steady = this.#context.edges.filter(
@@ -162,7 +165,7 @@
       );
   }
 
-  /** Orders are answered in time, unless their answers are lost on the way. */
+  /** Checks that orders are answered in time, unless answers are being lost. */
   #probeOrders(): void {
     const { operators, time } = this.#context;
     if (operators.answerLossRatio > 0) return;
@@ -191,9 +194,8 @@
   }
 
   /**
-   * A state that stands on any node was decided, and so belongs to the history.
-   * When it takes effect is open: a core may hold it before its operator or any
-   * reader is told.
+   * Records the first observation of each state. A state on any node was decided and so belongs to the
+   * history. Its time of effect is open: a core may hold it before its operator or any reader gets an answer.
    */
   #observe(machine: Machine, state: Deployment): void {
     if (this.#seenStates.has(state) || state.document === undefined) return;
@@ -218,7 +220,10 @@
     };
   }
 
-  /** Checks what must hold once all is calm: acknowledged state everywhere, a whole core, every model in demand served. */
+  /**
+   * Checks what must hold once no fault is active: every node has the acknowledged state, the cores have a
+   * coordinator and all voters, and every model in demand is served.
+   */
   checkEnd(): void {
     const { cores, edges, size } = this.#context;
     for (const machine of [...cores, ...edges]) this.#checkMachine(machine);
@@ -250,7 +255,7 @@
     if (follower?.informed === false) breach('recovers', `${machine.name} hears no core with a majority`);
   }
 
-  /** An edge knows each key of the acknowledged configuration, by its tenant. */
+  /** Checks that an edge maps each API key of the acknowledged configuration to its tenant. */
   #checkKeys(edge: string, follower: EdgeReplica): void {
     const { revision, document } = this.#context.expectations.acked;
     if (document === undefined || follower.state.revision !== revision) return;
@@ -271,7 +276,9 @@
     }
   }
 
-  /** The operators' history, with all states that were seen and those that stand now, is linearizable. */
+  /**
+   * Checks that the operators' history, with all observed and all current states as reads, is linearizable.
+   */
   #checkHistory(): void {
     const { operators, cores, edges, time } = this.#context;
     const nowMs = time.nowMs();
@@ -287,7 +294,7 @@
     this.#checkZones(nowMs);
   }
 
-  /** Every document that was seen is the one that the chain of changes makes. */
+  /** Checks that every observed document equals the one that the chain of changes produces. */
   #checkDocuments(chain: readonly ChangeOrder[]): void {
     const { operators } = this.#context;
     let document: Document = {};
@@ -337,7 +344,7 @@
   return disk === undefined;
 }
 
-/** Edges hold documents without the keys of tenants, so theirs are compared by themselves. */
+/** Key of an observed state by kind of node, as edges hold documents without API keys. */
 function firstSeenKey(machine: Machine, changeId: string): string {
   const kind: NodeKind = isEdge(machine) ? 'edge' : 'core';
   return `${kind} ${changeId}`;
@@ -347,7 +354,7 @@
   return running?.replica?.state ?? running?.follower?.state;
 }
 
-/** How many voters the core with the most knows of. */
+/** Returns the largest number of voters that any core has in its state. */
 export function countVoters(cores: readonly Machine[]): number {
   return Math.max(0, ...cores.map((core) => core.running?.replica?.group.state?.voters.length ?? 0));
 }
--- a/packages/simulator/src/system/linearizability.test.ts
+++ b/packages/simulator/src/system/linearizability.test.ts
@@ -23,13 +23,13 @@
   return checkLinearizable({ changes, reads }).violations;
 }
 
-/** How many of some histories the check objects to. */
+/** Counts the histories in which the check finds a violation. */
 function countFound(histories: readonly (readonly string[])[]): number {
   return histories.filter((violations) => violations.length > 0).length;
 }
 
-describe('a correct history is accepted', () => {
-  it('with changes one after the other, and reads between', () => {
+describe('the linearizability check accepts a correct history', () => {
+  it('with sequential changes and reads between them', () => {
     const changes = [
       change('a', 0, 3, [0, 10, 'acknowledged']),
       change('b', 3, 5, [20, 30, 'acknowledged']),
@@ -46,7 +46,7 @@
     expect([result.violations, result.chain.map((link) => link.id)]).toEqual([[], ['a', 'b', 'c']]);
   });
 
-  it('where one of a race wins, also if the winner has no answer yet', () => {
+  it('where one of two concurrent changes wins, also if the winner has no answer yet', () => {
     const first = change('a', 0, 3, [0, 10, 'acknowledged']);
     const loser = change('c', 3, 5, [20, 40, 'refused']);
     expect([
@@ -55,7 +55,7 @@
     ]).toEqual([[], []]);
   });
 
-  it('where a change without an answer never, at once or much later took effect', () => {
+  it('where a change without an answer took effect never, at once or much later', () => {
     const first = change('a', 0, 3, [0, 10, 'acknowledged']);
     const unclear = change('b', 3, 5, [20, 1020, 'unknown']);
     expect([
@@ -89,11 +89,11 @@
   });
 });
 
-describe('a planted fault is found', () => {
+describe('the linearizability check finds', () => {
   const first = change('a', 0, 3, [0, 10, 'acknowledged']);
   const second = change('b', 3, 5, [20, 30, 'acknowledged']);
 
-  it('an acknowledged write that was lost: read, or built upon, as if it had not been', () => {
+  it('a lost acknowledged write, when a later read or change does not see it', () => {
     expect(
       countFound([
         violationsOf([first, second], [read(3, 'a', 40, 50)]),
@@ -104,7 +104,7 @@
     ).toEqual(4);
   });
 
-  it('both of a race acknowledged, under two numbers or under one', () => {
+  it('two concurrent changes that are both acknowledged, with different revisions or the same one', () => {
     expect(
       countFound([
         violationsOf([first, second, change('c', 3, 6, [20, 30, 'acknowledged'])]),
@@ -113,7 +113,7 @@
     ).toEqual(2);
   });
 
-  it('a stale read, and a read of the future', () => {
+  it('a stale read, and a read of a change before it was sent', () => {
     expect(
       countFound([
         violationsOf([first, second], [read(3, 'a', 31, 32)]),
@@ -122,7 +122,7 @@
     ).toEqual(2);
   });
 
-  it('a repeat of a taken change refused, after its acknowledgement or after its effect was seen', () => {
+  it('a refused repeat of an accepted change, after its acknowledgement or after its effect was seen', () => {
     const repeated = change('b', 3, 5, [20, 30, 'acknowledged'], [40, 50, 'refused']);
     const seen = change('b', 3, 5, [20, 1020, 'unknown'], [1050, 1060, 'refused']);
     const builtUpon = [first, seen, change('c', 5, 8, [2000, 2010, 'acknowledged'])];
@@ -135,11 +135,11 @@
     ).toEqual(3);
   });
 
-  it('a change refused though its base was in force all the while', () => {
+  it('a refused change whose base was in force during the whole attempt', () => {
     expect(countFound([violationsOf([first, change('b', 3, 5, [20, 30, 'refused'])])])).toEqual(1);
   });
 
-  it('an invalid change acknowledged or in force', () => {
+  it('an invalid change that is acknowledged or in force', () => {
     const bad = { ...change('b', 3, 5, [20, 30, 'acknowledged']), valid: false };
     const inForce = { ...change('b', 3, 5, [20, 1020, 'unknown']), valid: false };
     expect(
@@ -151,14 +151,14 @@
     ).toEqual(3);
   });
 
-  it('a version that goes back between two reads, though nothing was acknowledged', () => {
+  it('a revision that goes back between two reads, even if nothing was acknowledged', () => {
     const unclear = change('b', 3, 5, [20, 1020, 'unknown']);
     expect(
       countFound([violationsOf([first, unclear], [read(5, 'b', 30, 40), read(3, 'a', 50, 60)])]),
     ).toEqual(1);
   });
 
-  it('a change that nobody sent', () => {
+  it('a read of a change that was never sent', () => {
     expect(
       countFound([
         violationsOf([first], [read(4, 'x', 30, 40)]),
@@ -167,7 +167,7 @@
     ).toEqual(2);
   });
 
-  it('two changes without an answer of which each was read', () => {
+  it('reads of both of two concurrent changes without an answer', () => {
     const rivals = [change('b', 3, 5, [20, 1020, 'unknown']), change('c', 3, 5, [20, 1020, 'unknown'])];
     expect(
       countFound([violationsOf([first, ...rivals], [read(5, 'b', 30, 40), read(5, 'c', 50, 60)])]),
@@ -175,7 +175,10 @@
   });
 });
 
-/** A random correct history: a register is simulated, answers are lost, changes are sent again and race. */
+/**
+ * Generates a random correct history of a simulated register, with lost answers, repeated and concurrent
+ * changes.
+ */
 function randomHistory(seed: number, count: number): { changes: ChangeOrder[]; reads: Read[] } {
   const dice = new SeededRandom(seed);
   const changes: ChangeOrder[] = [];
@@ -210,14 +213,14 @@
   return { changes, reads };
 }
 
-describe('histories of many changes', () => {
-  it('are decided with few chains, with answers lost, races and changes without any answer', () => {
+describe('the linearizability check on histories of many changes', () => {
+  it('accepts them with few chains, despite lost answers, concurrent changes and changes without any answer', () => {
     const results = [1, 2, 3, 4, 5].map((seed) => checkLinearizable(randomHistory(seed, 1000)));
     expect(results.flatMap((result) => result.violations)).toEqual([]);
     expect(results.every((result) => result.chainsTried < 10)).toEqual(true);
   });
 
-  it('are rejected with few chains when one read among them is stale', () => {
+  it('rejects them with few chains when one read is stale', () => {
     const results = [1, 2, 3, 4, 5].map((seed) => {
       const { changes, reads } = randomHistory(seed, 500);
       const old = reads[40] as Read;
@@ -229,7 +232,7 @@
   });
 });
 
-describe('evacuations', () => {
+describe('the check of evacuations', () => {
   function order(id: string, evacuated: boolean, ...spans: readonly Span[]): ZoneOrder {
     return { id, zone: 'north', evacuated, attempts: attempts(spans) };
   }
@@ -244,7 +247,7 @@
     );
   }
 
-  it('hold from their acknowledgement until a return may have come', () => {
+  it('accepts an evacuation as in force from its acknowledgement until a return may have taken effect', () => {
     expect([seen(5, false), seen(5, true), seen(50, true), seen(500, true), seen(500, false)]).toEqual([
       [],
       [],
@@ -255,7 +258,7 @@
     expect([seen(1500, false), seen(9000, true), seen(9000, false)]).toEqual([[], [], []]);
   });
 
-  it('that are lost, undone by a late repeat or refused are found', () => {
+  it('finds an evacuation that is lost, undone by a late repeat or refused', () => {
     expect(countFound([seen(50, false), seen(1500, true)])).toEqual(2);
     expect(checkZones([order('evacuate', true, [0, 10, 'refused'])], [])).toEqual([
       'order evacuate for zone north was refused',
--- a/packages/simulator/src/system/linearizability.ts
+++ b/packages/simulator/src/system/linearizability.ts
@@ -1,10 +1,8 @@
 /**
- * A linearizability check of the configuration as a register with
- * compare-and-set. Each change names its base revision and revisions rise, so
- * the changes that took effect form one chain. The check looks for a chain
- * that explains every answer, and for one moment of effect for each change in
- * it. Only changes without a clear answer leave a choice, so the search is
- * nearly linear in the length of the history.
+ * A linearizability check of the configuration as a compare-and-set register. Each change names its base
+ * revision and revisions rise, so the changes that took effect form one chain. The check searches for a chain
+ * that explains every answer, with one time of effect for each of its changes. Only changes without a
+ * definite answer leave a choice, so the search is nearly linear in the length of the history.
  */
 import {
   firstAcknowledgedMs,
@@ -15,25 +13,26 @@
   type Read,
 } from './history.js';
 
-/** No more candidate chains are tried; a history that needs more is reported as undecided. */
+/** Maximum number of candidate chains to try; a history that needs more is reported as undecided. */
 const MAX_CHAINS_TRIED = 2000;
 
-/** What the check found. */
+/** Result of the check. */
 export interface Linearization {
-  /** Why no order of the operations explains the answers; empty if one does. */
+  /** Reasons why no order of the operations explains the answers; empty if one does. */
   readonly violations: readonly string[];
   /** The changes that took effect, in order, if an order was found. */
   readonly chain: readonly ChangeOrder[];
-  /** How many whole chains were looked at; a measure of the work. */
+  /** Number of complete chains that were examined, as a measure of the work. */
   readonly chainsTried: number;
 }
 
+/** A refused attempt at a valid change. */
 interface Refusal {
   readonly change: ChangeOrder;
   readonly attempt: Attempt;
 }
 
-/** A link of the chain: a change in effect, or the empty register at the start. */
+/** A link of the chain: a change that took effect, or the empty register at the start. */
 interface Link {
   readonly change: ChangeOrder | undefined;
   readonly revision: number;
@@ -42,7 +41,7 @@
 const START: Link = { change: undefined, revision: 0 };
 
 /**
- * Checks a history; the result names what is wrong or the chain of changes.
+ * Checks a history; the result holds either the violations or the chain of changes.
  * @example
  * checkLinearizable({ changes: [], reads: [] }).violations; // []
  */
@@ -52,7 +51,7 @@
   return new ChainSearch(history).run();
 }
 
-/** Violations that can be named without a search. */
+/** Finds violations that need no search. */
 function findDirectViolations({ changes, reads }: History): string[] {
   const violations: string[] = [];
   const acknowledgedByBase = new Map<number, ChangeOrder>();
@@ -107,7 +106,7 @@
   return `${read.reader} read revision ${read.revision} of change ${read.changeId ?? 'none'} from ${read.invokedMs.toFixed(0)} to ${read.respondedMs.toFixed(0)}`;
 }
 
-/** A search in depth over the chains that the acknowledged changes and the reads leave possible. */
+/** Depth-first search over the chains that the acknowledged changes and the reads permit. */
 class ChainSearch {
   /** Changes that may have taken effect, by base. */
   #candidates = new Map<number, ChangeOrder[]>();
@@ -117,9 +116,12 @@
   #refusalsOnBase = new Map<number, Refusal[]>();
   #chain: Link[] = [START];
   #chainsTried = 0;
-  /** Links that are known to lead nowhere, each with the earliest moment of its effect and the required changes before it. */
+  /**
+   * Links known not to lead to a complete chain, each with the earliest time of its effect and the number of
+   * required changes up to it.
+   */
   #deadEnds = new Map<ChangeOrder, Set<string>>();
-  /** Why the chain that came furthest failed. */
+  /** Length of the longest chain that failed, and the reason of its failure. */
   #furthestFailure = { length: -1, why: 'no chain of changes explains the answers' };
 
   constructor({ changes, reads }: History) {
@@ -154,7 +156,7 @@
       if (attempt.outcome === 'refused') push(this.#refusalsOnBase, change.base, { change, attempt });
   }
 
-  /** Tries to extend the chain so that all required changes stand in it. */
+  /** Tries to extend the chain until it contains all required changes. */
   #extend(effectMs: number, requiredSoFar: number): boolean {
     const link = this.#chain.at(-1) ?? START;
     const key = `${effectMs} ${requiredSoFar}`;
@@ -179,20 +181,29 @@
     return false;
   }
 
-  /** An acknowledged change leaves no choice; else any without an answer may have taken effect. */
+  /**
+   * Changes that may follow a revision: only the required ones if there are any, else any without a definite
+   * answer.
+   */
   #successors(revision: number): readonly ChangeOrder[] {
     const candidates = this.#candidates.get(revision) ?? [];
     const required = candidates.filter((change) => this.#required.has(change));
     return required.length > 0 ? required : candidates;
   }
 
-  /** A change takes effect after it was sent, after its predecessor, and after the last read of that began. */
+  /**
+   * A change takes effect after it was sent, after its predecessor, and after the last read of its
+   * predecessor began.
+   */
   #earliestEffectMs(link: Link, effectMs: number, next: ChangeOrder): number {
     const readMs = (this.#readsOf.get(link.change) ?? []).map((read) => read.invokedMs);
     return Math.max(effectMs, firstInvokedMs(next.attempts), ...readMs);
   }
 
-  /** Why a change cannot follow a link, if it takes effect no earlier than this. */
+  /**
+   * Reason why a change cannot follow a link if it takes effect at `earliestMs` or later; undefined if it
+   * can.
+   */
   #reasonAgainst(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
     const latest = this.#latestEffectMs(next);
     if (earliestMs > latest) {
@@ -204,7 +215,7 @@
     return refusal === undefined ? undefined : describeRefusal(refusal);
   }
 
-  /** A refusal of an attempt during all of which the base of its change was in force. */
+  /** Finds a refused attempt during the whole of which the base of its change was in force. */
   #refusalWhileInForce(link: Link, succeededMs: number): Refusal | undefined {
     return (this.#refusalsOnBase.get(link.revision) ?? []).find(
       ({ attempt }) =>
@@ -234,10 +245,10 @@
   }
 
   /**
-   * Whether the whole chain has moments that also explain each refusal. A
-   * refused change had another revision before it at some moment of the
-   * attempt: its base came into force after the attempt began, or was
-   * succeeded before the answer. The least moments are raised until all hold.
+   * Whether the complete chain has times of effect that also explain each refusal. A refused change met
+   * another revision than its base at some time during the attempt: its base came into force after the
+   * attempt began, or was succeeded before the answer. The earliest possible times are raised until all
+   * conditions hold.
    */
   #explainsAll(): boolean {
     this.#chainsTried += 1;
@@ -258,7 +269,10 @@
     return momentsMs.every((momentMs, place) => momentMs <= this.#latestEffectMs(this.#chain[place]?.change));
   }
 
-  /** Moves a link's moment behind the start of an attempt that was refused before the link was succeeded. */
+  /**
+   * Moves a link's time of effect past the start of each attempt that was refused before the link was
+   * succeeded.
+   */
   #raisePastRefusals(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
     const momentMs = momentsMs[place] ?? -Infinity;
     let raisedMs = momentMs;
@@ -268,7 +282,7 @@
     return raisedMs > momentMs;
   }
 
-  /** Raises each moment to the least that its predecessor and its own order allow. */
+  /** Raises each time of effect to the earliest that its predecessor and its own change permit. */
   #raiseToLowerBounds(momentsMs: number[]): void {
     for (let place = 1; place < this.#chain.length; place += 1) {
       const link = this.#chain[place - 1] ?? START;
@@ -279,7 +293,7 @@
     }
   }
 
-  /** A change has taken effect by the time it is acknowledged or has been read. */
+  /** Latest time of effect of a change: its first acknowledgement or the end of its first read. */
   #latestEffectMs(change: ChangeOrder | undefined): number {
     if (change === undefined) return -Infinity;
     const reads = this.#readsOf.get(change) ?? [];
--- a/packages/simulator/src/system/machine.ts
+++ b/packages/simulator/src/system/machine.ts
@@ -2,24 +2,25 @@
 import type { CoreReplica, EdgeReplica, OperatorService } from '@rainrun/cluster-node';
 import type { SimDisk } from '../world.js';
 
-/** A process between its start and its end. */
+/** A running process. */
 export interface Process {
+  /** Offset of the process's clock from virtual time. */
   readonly skewMs: number;
   readonly startedMs: number;
   /** Present on a core. */
   readonly replica: CoreReplica | undefined;
-  /** Answers operators; present on a core. */
+  /** Serves operators; present on a core. */
   readonly operators: OperatorService | undefined;
   /** Present on an edge. */
   readonly follower: EdgeReplica | undefined;
   frozen: boolean;
-  /** What arrived while the process was frozen. */
+  /** Calls that arrived while the process was frozen; they run when it thaws. */
   queuedCalls: (() => void)[];
   leading: boolean;
   listReadMs: number;
-  /** Newest edition that the process has held. */
+  /** Newest edition of the state that the process has held. */
   edition: number;
-  /** Since when it runs undisturbed, connected both ways to every core that reaches most of them. */
+  /** Time since which it is undisturbed and connected both ways to every core that reaches a majority. */
   undisturbedSinceMs: number;
 }
 
@@ -31,7 +32,7 @@
   /** Present on cores. */
   readonly disk: SimDisk | undefined;
   running: Process | undefined;
-  /** Taken out for good. */
+  /** True once the machine is removed permanently. */
   removed = false;
 
   constructor(name: string, zone: string, address: string, disk: SimDisk | undefined) {
@@ -41,7 +42,7 @@
     this.disk = disk;
   }
 
-  /** Runs an act in a process: now, when it thaws, or never if it has ended. */
+  /** Runs a call in a process: now, after the process thaws, or never if it has ended. */
   runInProcess(process: Process, act: () => void): void {
     if (this.running !== process) return;
     if (process.frozen) process.queuedCalls.push(act);
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -1,4 +1,4 @@
-/** The network between the machines: each direction keeps its order, as TCP does. */
+/** The simulated network between machines; each direction keeps the order of its frames, as TCP does. */
 import { encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import type { SeededRandom } from '@rainrun/common';
 import type { Cut, VirtualTime } from '../world.js';
@@ -8,11 +8,11 @@
 const JITTER_MS = 2;
 const SLOW_FRAME_RATIO = 0.01;
 const SLOW_FRAME_DELAY_MS = 60;
-/** A frozen process loses what arrives beyond so many waiting acts. */
+/** Frames that arrive while more calls than this are queued for a frozen process are dropped. */
 const MAX_QUEUED_CALLS = 5000;
 
 /**
- * Carries frames between machines; late, lossy, cut in one or both directions.
+ * Delivers frames between machines with latency and loss; cuts block one direction or both.
  * @example
  * network.post(machine, 'core-0:1', frame);
  */
@@ -35,18 +35,18 @@
     this.#cuts.add(cut);
   }
 
-  /** Whether the cut was still there. */
+  /** Removes a cut; false if it was already removed. */
   removeCut(cut: Cut): boolean {
     return this.#cuts.delete(cut);
   }
 
-  /** Whether nothing gets through now from one name or address to another. */
+  /** Whether a cut blocks frames from one name or address to another. */
   isCut(from: string, to: string): boolean {
     for (const cut of this.#cuts) if (cut(from, to)) return true;
     return false;
   }
 
-  /** Whether two machines are cut off from each other in either direction. */
+  /** Whether a cut blocks either direction between two machines. */
   isCutEitherWay(one: string, other: string): boolean {
     return this.isCut(one, other) || this.isCut(other, one);
   }
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -1,7 +1,7 @@
 /**
- * How operators send their orders: to any core on a list that lags, again to
- * another core after a failure, a 5xx or silence, and the same order until its
- * answer is clear. Everything is recorded for the checkers.
+ * A client that sends operators' orders to any core on a list that lags. It retries the same order on another
+ * core after a failure, a 5xx status or a time-out, until its answer is definite, and records everything for
+ * the checkers.
  */
 import type { SeededRandom } from '@rainrun/common';
 import type { VirtualTime } from '../world.js';
@@ -16,7 +16,7 @@
   type OperatorRequest,
 } from './operator-desk.js';
 
-/** How an order ended: `agreed`, a kind of fault, or `given up`. */
+/** Result of an order; its kind is `agreed`, a kind of fault, or `given up`. */
 export interface OrderEnd {
   readonly kind: string;
   readonly atMs: number;
@@ -24,18 +24,18 @@
   readonly document?: Document;
 }
 
-/** An order that is under way or done. */
+/** A pending or finished order. */
 export interface Order {
   readonly request: OperatorRequest;
   readonly createdMs: number;
-  /** It is sent again until this moment. */
+  /** The client stops retrying at this time. */
   readonly giveUpAtMs: number;
-  /** Recorded attempts; shared with the history's entry. */
+  /** Recorded attempts; the same array as in the history's entry. */
   readonly attempts: Attempt[];
   end: OrderEnd | undefined;
 }
 
-/** What the client needs of the system around it. */
+/** The parts of the system that the client uses. */
 export interface OperatorContext {
   readonly time: VirtualTime;
   readonly dice: SeededRandom;
@@ -49,22 +49,22 @@
 const INITIAL_BACKOFF_MS = 20;
 const BACKOFF_FACTOR = 1.5;
 const MAX_BACKOFF_MS = 500;
-/** Statuses that say nothing clear: the order is sent again. */
+/** Statuses below 500 that leave the outcome open, so that the order is sent again. */
 const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([408, 429]);
 
 /**
- * Sends orders and keeps their history.
+ * Sends orders until they have a definite answer and records their history.
  * @example
  * client.send({ kind: 'put', base: 0, document }, true, (end) => note(end.kind));
  */
 export class OperatorClient {
-  /** When answers were last lost on their way. */
+  /** Time at which the loss ratio of answers last changed. */
   answerLossChangedMs = -Infinity;
   readonly orders: Order[] = [];
   readonly changes: ChangeOrder[] = [];
   readonly reads: Read[] = [];
   readonly zoneOrders: ZoneOrder[] = [];
-  /** Called for each clear answer. */
+  /** Called for each definite answer. */
   onAnswer: ((kind: string) => void) | undefined;
   #context: OperatorContext;
   #answerLossRatio = 0;
@@ -74,7 +74,7 @@
     this.#context = context;
   }
 
-  /** Share of answers that are lost on their way. */
+  /** Ratio of answers that are lost in transit. */
   get answerLossRatio(): number {
     return this.#answerLossRatio;
   }
@@ -84,7 +84,7 @@
     this.answerLossChangedMs = this.#context.time.nowMs();
   }
 
-  /** What was sent for a change. */
+  /** Returns the request that was sent for a change. */
   requestOf(change: ChangeOrder): OperatorRequest | undefined {
     return this.#requests.get(change);
   }
@@ -93,12 +93,12 @@
     return { changes: this.changes, reads: this.reads };
   }
 
-  /** Orders without a clear answer. */
+  /** Orders without a definite answer so far. */
   get pendingOrders(): readonly Order[] {
     return this.orders.filter((order) => order.end === undefined);
   }
 
-  /** Sends an order until its answer is clear. `valid` says whether a core may accept it. */
+  /** Sends an order until its answer is definite. `valid` is false if every core must refuse the order. */
   send(
     request: OperatorRequest,
     valid: boolean,
@@ -118,7 +118,10 @@
     return order;
   }
 
-  /** The history's entry of the same change, or a new one. A change is known by its revision and mark. */
+  /**
+   * Returns the attempts of the same change in the history, or of a new entry. Revision and mark identify a
+   * change.
+   */
   #record(request: OperatorRequest, valid: boolean): Attempt[] {
     if (request.kind === 'read') return [];
     if (request.kind === 'evacuate' || request.kind === 'return') {
@@ -168,7 +171,7 @@
     });
   }
 
-  /** One request and its answer, redirects included; undefined where none came in time. */
+  /** Sends one request and follows redirects; the reply is undefined if none arrives in time. */
   #exchange(
     order: Order,
     core: Machine | undefined,
@@ -227,7 +230,9 @@
   }
 }
 
-/** A read before the first configuration is answered with 404: that is a clear answer. */
+/**
+ * Classifies a reply. A read before the first configuration is answered with 404, which is a definite answer.
+ */
 function outcomeOf(request: OperatorRequest, reply: OperatorReply | undefined): Outcome {
   if (
     reply === undefined ||
--- a/packages/simulator/src/system/operator-desk.ts
+++ b/packages/simulator/src/system/operator-desk.ts
@@ -1,4 +1,4 @@
-/** The operators' side of a core, on the production service: calls in, answers out, without sockets. */
+/** Calls the production operator service of a core directly, without sockets. */
 import {
   coreStatus,
   OperatorService,
@@ -9,7 +9,7 @@
 import type { Clock, Fault } from '@rainrun/common';
 import type { Document, Patch } from './configuration.js';
 
-/** A change of the configuration: whole, or of named items. */
+/** A change of the configuration: a whole document, or a patch of named items. */
 export type ChangeRequest =
   | { readonly kind: 'put'; readonly base: number; readonly document: Document }
   | { readonly kind: 'patch'; readonly base: number; readonly patch: Patch };
@@ -21,7 +21,7 @@
   | { readonly kind: 'evacuate'; readonly zone: string }
   | { readonly kind: 'return'; readonly zone: string };
 
-/** What a core answers. */
+/** Reply of a core. */
 export interface OperatorReply {
   readonly status: number;
   /** `agreed`, or the kind of fault. */
@@ -33,14 +33,14 @@
   readonly location?: string;
 }
 
-/** The platform's statuses, where they differ from ours. */
+/** Returns the platform's HTTP status for a fault where it differs from the program's own. */
 function statusOf(why: Fault): number | undefined {
   if (why.kind === 'conflict') return 412;
   return why.kind === 'bad-spec' ? 400 : undefined;
 }
 
 /**
- * The service that a core's process runs for operators.
+ * Creates the service that a core's process runs for operators.
  * @example
  * const service = newOperatorService(replica, clock);
  */
@@ -54,7 +54,7 @@
 }
 
 /**
- * Hands one request of an operator to a core.
+ * Passes one request of an operator to the service of a core.
  * @example
  * answerOperator(service, { kind: 'read' }, (reply) => send(reply), () => false);
  */
@@ -73,7 +73,7 @@
   return request;
 }
 
-/** The parts of a body that may stand in an answer. */
+/** Fields that a reply's body may have. */
 interface ReplyBody {
   readonly outcome?: string;
   readonly detail?: string;
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -5,16 +5,16 @@
 import type { OperatorRequest } from './operator-desk.js';
 import { BOUNDS } from './size.js';
 
-/** No more orders are under way at once. */
+/** Maximum number of pending orders. */
 const MAX_PENDING_ORDERS = 8;
 const OPERATOR_COUNT = 2;
 const LARGE_ROUTE_COUNT = 150;
-/** An order that was taken is sent again no later than this. */
+/** Maximum delay after which an accepted order is sent again. */
 const MAX_REPEAT_DELAY_MS = 10_000;
 
 type OrderKind = 'put' | 'large' | 'patch' | 'race' | 'invalid' | 'zone' | 'read';
 
-/** Weights out of 100. */
+/** Weights of the kinds of orders, in percent. */
 const ORDER_WEIGHTS: readonly (readonly [kind: OrderKind, weight: number])[] = [
   ['put', 30],
   ['patch', 33],
@@ -25,13 +25,13 @@
   ['large', 2],
 ];
 
-/** What one operator believes to be in force. */
+/** The revision that one operator believes to be in force. */
 interface Belief {
   revision: number;
 }
 
 /**
- * Sends orders as two operators do who each know what they were last told.
+ * Sends orders as two operators do, each on the base of the revision that it last learned.
  * @example
  * const load = new OperatorLoad(system);
  * load.putFirst();
@@ -48,17 +48,17 @@
     this.#system = system;
   }
 
-  /** Orders that are under way. */
+  /** Number of orders without a definite answer. */
   get pendingCount(): number {
     return this.#system.operators.pendingOrders.length;
   }
 
-  /** The first configuration, before traffic. */
+  /** Sends the first configuration, before traffic. */
   putFirst(): void {
     this.#change(this.#belief(), 'put');
   }
 
-  /** One order of any kind, if not too many are under way. */
+  /** Sends one order of a random kind, unless too many are pending. */
   sendRandom(): void {
     if (this.pendingCount >= MAX_PENDING_ORDERS) return;
     const belief = this.#belief();
@@ -80,7 +80,9 @@
     }
   }
 
-  /** Orders one after the other, as many at once as may be. */
+  /**
+   * Sends random orders at an average interval of `everyMs` for `forMs`, up to the maximum of pending orders.
+   */
   storm(everyMs: number, forMs: number): void {
     const { time, random: dice } = this.#system;
     const endMs = time.nowMs() + forMs;
@@ -92,12 +94,12 @@
     next();
   }
 
-  /** A single valid change, on what is in force. */
+  /** Sends a single valid change, on the revision that one operator believes to be in force. */
   put(): void {
     this.#change(this.#belief(), 'put');
   }
 
-  /** Both operators change the same revision; they may pick the same number. */
+  /** Both operators send a change on the same base revision; the new revisions may be equal. */
   race(): void {
     const base = Math.max(...this.#beliefs.map((belief) => belief.revision));
     const ends: OrderEnd[] = [];
@@ -108,7 +110,7 @@
     }
   }
 
-  /** Evacuates a zone, or takes it back. */
+  /** Evacuates the first zone, or returns it to service. */
   zone(): void {
     const { size, expectations } = this.#system;
     const zone = size.zones[0] ?? '';
@@ -161,7 +163,7 @@
     } else this.#read(belief);
   }
 
-  /** The same order once more: what was taken is acknowledged again. */
+  /** Sends an accepted order again, which must be acknowledged again. */
   #repeatLater(request: OperatorRequest): void {
     const { time, random: dice } = this.#system;
     time.after(dice.next() * MAX_REPEAT_DELAY_MS, () => this.#system.order(request, true));
@@ -172,7 +174,7 @@
     this.#system.order(this.#invalidRequest(base, `invalid-${this.#markCount}`), false);
   }
 
-  /** A route to an unknown service, or a revision that is not above its base. */
+  /** Builds a change with a revision that is not above its base, an unknown service or a shared API key. */
   #invalidRequest(base: number, mark: string): OperatorRequest {
     const { models } = this.#system.size;
     switch (this.#randomBelow(3)) {
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -1,4 +1,4 @@
-/** Starts, drives and ends the processes of a simulated system, on the production code. */
+/** Starts, drives and ends the processes of a simulated system, which run the production code. */
 import { CoreReplica, EdgeReplica } from '@rainrun/cluster-node';
 import { randomId, type SeededRandom } from '@rainrun/common';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
@@ -13,7 +13,7 @@
 import type { WorkerCalls } from './worker-calls.js';
 import { type WorkerPool } from './workers.js';
 
-/** A coordinator that was succeeded may believe in its duty for so long. */
+/** Maximum time for which a replaced coordinator still believes to be the coordinator. */
 export const LEASE_MS = PLATFORM_TIMES.leaseMs;
 const CORE_TICK_MS = 20;
 const EDGE_TICK_MS = 25;
@@ -21,7 +21,7 @@
 const SHUTDOWN_MS = 150;
 const SEED_COUNT = 3;
 
-/** What processes need of the system around them. */
+/** The parts of the system that processes use. */
 export interface ProcessContext {
   readonly time: VirtualTime;
   readonly dice: SeededRandom;
@@ -30,9 +30,9 @@
   readonly workers: WorkerPool;
   readonly calls: WorkerCalls;
   readonly demand: Demand;
-  /** Cores as a settings file that is written now would name them. */
+  /** Cores that a settings file written now would name. */
   listedCores(): readonly Machine[];
-  /** The bounds count anew for this machine, and for all if it is a core. */
+  /** Restarts the time bounds for a machine, and for all machines if it is a core. */
   recordDisturbance(machine: Machine): void;
   note(node: string, text: string): void;
   breach(rule: string, detail: string): void;
@@ -51,7 +51,7 @@
     this.#context = context;
   }
 
-  /** Names the cores that found the system at its first start. */
+  /** Sets the cores that are the founders of the group at its first start. */
   setFounders(cores: readonly Machine[]): void {
     this.#founders = cores.slice(0, SEED_COUNT).map((core) => core.address);
   }
@@ -87,14 +87,14 @@
     return acceptor;
   }
 
-  /** The process ends at once; the machine and what it has written stay. */
+  /** Ends the process at once; the machine keeps what the process has written. */
   kill(machine: Machine): void {
     if (machine.running === undefined) return;
     machine.disk?.endProcess();
     this.#end(machine, 'killed');
   }
 
-  /** The machine loses power: what its disk has not synced may be gone. */
+  /** Cuts the machine's power: what its disk has not synced may be lost. */
   losePower(machine: Machine): void {
     machine.disk?.losePower();
     if (machine.running !== undefined) this.#end(machine, 'loses power');
@@ -106,7 +106,7 @@
     this.#context.note(machine.name, why);
   }
 
-  /** The process is asked to end, and does so in order. */
+  /** Shuts the process down gracefully: it drains, leaves the group, and ends. */
   stop(machine: Machine): void {
     const running = machine.running;
     if (running === undefined) return;
@@ -163,7 +163,7 @@
     time.after(dice.next() * CORE_TICK_MS, () => this.#tick(machine, running));
   }
 
-  /** Addresses of some cores, as the operators' list has them: some may be gone. */
+  /** Picks addresses of random cores from the operators' list; some of these cores may be gone. */
   #seeds(): string[] {
     const { dice } = this.#context;
     const listed = [...this.#context.listedCores()];
@@ -252,7 +252,7 @@
     running.listReadMs = -Infinity;
   }
 
-  /** Reads the platform's list of workers from time to time. */
+  /** Reads the platform's list of workers every `LIST_POLL_MS`. */
   #readList(machine: Machine, running: Process, replica: CoreReplica): void {
     const { time, dice, workers, calls } = this.#context;
     if (time.nowMs() - running.listReadMs < LIST_POLL_MS) return;
--- a/packages/simulator/src/system/quota-load.ts
+++ b/packages/simulator/src/system/quota-load.ts
@@ -1,10 +1,10 @@
-/** Tenants that send requests at every edge, and the check that none exceeds its quota over all edges together. */
+/** Tenants that send requests at every edge, and the check that none exceeds its quota across all edges. */
 import { SeededRandom } from '@rainrun/common';
 import type { QuotaBounds } from '@rainrun/quotas';
 import type { VirtualTime } from '../world.js';
 import type { Machine, Process } from './machine.js';
 
-/** A simulated tenant: its limit, and how much it asks for in parts of that. */
+/** A simulated tenant: its limit, and its demand as a fraction of that limit. */
 interface LoadedTenant {
   readonly name: string;
   readonly ratePerS: number;
@@ -12,7 +12,7 @@
   readonly demand: number;
 }
 
-/** One that asks for far too much, one near its limit, and some that ask for a part of theirs. */
+/** One tenant far above its limit, one near it, and some well below it. */
 const TENANTS: readonly LoadedTenant[] = [
   { name: 'hot', ratePerS: 60, burst: 6, demand: 3 },
   { name: 'near', ratePerS: 30, burst: 30, demand: 0.85 },
@@ -21,25 +21,28 @@
   { name: 'smallest', ratePerS: 1, burst: 2, demand: 0.4 },
 ];
 
-/** How far requests may go above the limits, with less slack than deployments have, so that an excess shows. */
+/**
+ * Permitted overshoot of the limits, with less slack than in deployments, so that the check detects an
+ * excess.
+ */
 export const QUOTA_BOUNDS: QuotaBounds = { windowMs: 5000, overshoot: 0.1, slack: 2 };
 
 const STEP_MS = 20;
-/** A request with a permit may wait for its worker so long before it is sent. */
+/** Maximum time that a request with a permit waits for its worker before it is sent. */
 const MAX_QUEUE_MS = 600;
-/** No more than this part of the requests below the limit may be refused while nothing disturbs the core. */
+/** Maximum ratio of refusals among the requests within the limit while no core is disturbed. */
 const MAX_REFUSED_RATIO = 0.02;
-/** Fewer requests than this say nothing. */
+/** Minimum number of requests for which the ratio of refusals is checked. */
 const MIN_OWED_REQUESTS = 100;
-/** Refusals count once the core has been undisturbed for so long after it settled: a bucket fills in that time. */
+/** Refusals count once the cores have been settled for this long, in which a token bucket fills. */
 const CALM_MS = 3000;
 
-/** The tenants of a sample configuration. */
+/** Returns the tenants of a sample configuration. */
 export function sampleTenants(): Record<string, unknown>[] {
   return TENANTS.map(({ name, ratePerS, burst }) => ({ name, apiKeys: [`key-of-${name}`], ratePerS, burst }));
 }
 
-/** What the load needs of its system. */
+/** The parts of the system that the load uses. */
 export interface QuotaLoadContext {
   readonly time: VirtualTime;
   readonly edges: readonly Machine[];
@@ -47,10 +50,10 @@
   breach(rule: string, detail: string): void;
 }
 
-/** What one tenant has sent and was refused. */
+/** Requests that one tenant sent, and those that were refused. */
 interface Tally {
   readonly sentMs: number[];
-  /** An exact token bucket for the whole system: what it has no token for may be refused. */
+  /** Level of an exact token bucket for the whole system; requests beyond its tokens may be refused. */
   level: number;
   levelMs: number;
   calmOwed: number;
@@ -58,7 +61,7 @@
 }
 
 /**
- * Requests of tenants at all edges, in random steps of its own.
+ * Sends requests of tenants at random edges, with random numbers of its own.
  * @example
  * const load = new QuotaLoad(7, context);
  * load.open();
@@ -77,12 +80,12 @@
     for (const { name } of TENANTS) this.#tallies.set(name, newTally());
   }
 
-  /** Requests sent to workers by all edges. */
+  /** Number of requests that all edges together sent to workers. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Begins to send, until the end of the simulation. */
+  /** Starts to send, until the end of the simulation. */
   start(): void {
     this.#context.time.after(STEP_MS, () => this.start());
     const nowMs = this.#context.time.nowMs();
@@ -90,7 +93,7 @@
     for (const tenant of TENANTS) this.#step(tenant);
   }
 
-  /** Nobody below its limit was refused much while nothing disturbed the core. */
+  /** Checks that tenants below their limit were refused little while no core was disturbed. */
   checkEnd(): void {
     for (const { name, demand } of TENANTS) {
       const { calmOwed, calmRefused } = this.#tallyOf(name);
@@ -128,7 +131,7 @@
     });
   }
 
-  /** The first byte leaves, if the permit has not ended meanwhile, by the clock of the edge. */
+  /** Sends the first byte unless the permit has expired by the clock of the edge. */
   #send(running: Process, tenant: string, endMs: number): void {
     const nowMs = this.#context.time.nowMs();
     if (nowMs + running.skewMs >= endMs) return;
@@ -149,7 +152,7 @@
   return { sentMs: [], level: 0, levelMs: 0, calmOwed: 0, calmRefused: 0 };
 }
 
-/** Takes a token of a tenant's exact bucket, if there is one. */
+/** Takes a token from a tenant's exact bucket; false if there is none. */
 function takeExactToken(tally: Tally, tenant: string, nowMs: number): boolean {
   const { ratePerS = 0, burst = 0 } = TENANTS.find(({ name }) => name === tenant) ?? {};
   tally.level = Math.min(burst, tally.level + (ratePerS * (nowMs - tally.levelMs)) / 1000);
@@ -159,7 +162,7 @@
   return true;
 }
 
-/** The bound of the rule, written apart from the program's own code. */
+/** Maximum number of requests in a window, computed independently of the program's own code. */
 function maxInWindow(tenant: string): number {
   const { ratePerS = 0, burst = 0 } = TENANTS.find(({ name }) => name === tenant) ?? {};
   return (
--- a/packages/simulator/src/system/size.ts
+++ b/packages/simulator/src/system/size.ts
@@ -1,34 +1,35 @@
-/** Sizes of simulated systems and the bounds that the rules set. */
+/** Sizes of simulated systems, and the time bounds that the invariants check. */
 
-/** The bounds that the rules set. */
+/** Time bounds that the invariants check. */
 export const BOUNDS = {
-  /** A machine is in touch once it has been connected for so long. */
+  /** A machine counts as in contact after it has been connected and undisturbed for this long. */
   contactMs: 3000,
-  /** A configuration is in force on machines in touch so long after its acknowledgement. */
+  /** A configuration is in force on machines in contact this long after its acknowledgement. */
   applyMs: 2000,
-  /** A valid order is acknowledged within this time while the core is settled. */
+  /** A valid order is acknowledged within this time while the cores are settled. */
   ackMs: 4000,
-  /** No request goes to a draining worker so long after the list has shown it. */
+  /** No request goes to a draining worker this long after the list has shown it as draining. */
   drainMs: 3000,
-  /** A core that is back counts as lost for so long. */
+  /** A core still counts as lost this long after its return. */
   catchUpMs: 4000,
-  /** The operators' list of cores lags by no more. */
+  /** Maximum lag of the operators' list of cores. */
   seedLagMs: 2000,
 } as const;
 
 /** Size of a simulated system. */
 export interface SystemSize {
   readonly cores: number;
+  /** Number of cores that may be lost at once. */
   readonly lossesBorne: number;
   readonly edges: number;
   readonly workers: number;
   readonly models: number;
   readonly zones: readonly string[];
-  /** How often processes heartbeat; as the programs do without it. */
+  /** Tick interval of the processes; without it, each kind of process uses its default interval. */
   readonly heartbeatMs?: number;
 }
 
-/** A small system: three cores that bear the loss of one. */
+/** A small system: three cores that tolerate the loss of one. */
 export const SMALL_SYSTEM: SystemSize = {
   cores: 3,
   lossesBorne: 1,
--- a/packages/simulator/src/system/worker-calls.ts
+++ b/packages/simulator/src/system/worker-calls.ts
@@ -1,4 +1,4 @@
-/** Calls of cores to workers: orders and reports. */
+/** Simulated calls from cores to workers: orders and reports. */
 import type { CoreReplica } from '@rainrun/cluster-node';
 import type { SeededRandom } from '@rainrun/common';
 import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerRecord } from '@rainrun/placement';
@@ -7,23 +7,26 @@
 import type { Network } from './network.js';
 import { REPORT_LAG_MS, type WorkerPool } from './workers.js';
 
-/** How often the way between cores and workers goes wrong; each is a share of the calls. */
+/** Ratios of the calls between cores and workers that each kind of fault affects. */
 export interface CallFaults {
-  /** An order reaches its worker late, long after its sender has stopped waiting. */
+  /** An order reaches its worker late, possibly long after its sender has stopped waiting. */
   readonly delayed: number;
-  /** A worker takes an order, and its answer is lost. */
+  /** A worker accepts an order, and its answer is lost. */
   readonly answerLost: number;
-  /** A worker answers an order with a 4xx that says nothing of what it holds, and does not take it. */
+  /** A worker rejects an order with a 4xx status that does not tell what the worker holds. */
   readonly refused: number;
   /** A report or the platform's list cannot be read. */
   readonly unreadable: number;
-  /** A worker answers a call once more; that answer comes in the place of the one to the next call on the connection. */
+  /**
+   * A worker answers a call twice; the second answer is read as the answer to the next call on the
+   * connection.
+   */
   readonly surplus: number;
-  /** The models of a report are older than its other values, by up to the age that a report may have. */
+  /** The models in a report are older than its other values, by up to the maximum age of a report. */
   readonly torn: number;
 }
 
-/** Nothing goes wrong. */
+/** Calls without faults. */
 export const NO_CALL_FAULTS: CallFaults = {
   delayed: 0,
   answerLost: 0,
@@ -34,18 +37,18 @@
 };
 
 const CALL_TIMEOUT_MS = 900;
-/** A delayed order is on its way for up to so long. */
+/** Maximum extra delay of an order. */
 const MAX_ORDER_DELAY_MS = 6000;
 
 /**
- * The way from cores to workers and back.
+ * Carries calls from cores to workers and their answers back.
  * @example
  * calls.order(machine, replica, row, order, (reply) => note(reply));
  */
 export class WorkerCalls {
-  /** What goes wrong now. */
+  /** The current ratios of faults. */
   faults: CallFaults = NO_CALL_FAULTS;
-  /** Answers that are still to come in the place of the next one, by core and worker. */
+  /** Surplus answers that will be read as the answer to the next call, by core and worker. */
   #surplus = new Map<string, Answer>();
   #listFailedMs = -Infinity;
   #time: VirtualTime;
@@ -60,7 +63,7 @@
     this.#workers = workers;
   }
 
-  /** Sends an order; the fence is checked once more just before the bytes leave. */
+  /** Sends an order; the fencing token is checked again just before the bytes are sent. */
   order(
     core: Machine,
     replica: CoreReplica,
@@ -97,7 +100,7 @@
     );
   }
 
-  /** Asks a worker what it holds. */
+  /** Requests a report of what a worker holds. */
   report(core: Machine, row: WorkerRecord, done: (reply: ReportReply) => void): void {
     const running = core.running;
     if (running === undefined) return;
@@ -113,12 +116,12 @@
     });
   }
 
-  /** When the platform's list could not be read last. */
+  /** Time of the last failed read of the platform's list. */
   get listFailedMs(): number {
     return this.#listFailedMs;
   }
 
-  /** Whether the platform's list can be read now. */
+  /** Whether a read of the platform's list succeeds now; records the time of a failure. */
   canReadList(): boolean {
     const fails = this.#occurs(this.faults.unreadable);
     if (fails) this.#listFailedMs = this.#time.nowMs();
@@ -139,7 +142,9 @@
     return this.#workers.report(row.address, row.id, olderMs);
   }
 
-  /** What a core reads as the answer to a call: a surplus answer to the call before comes first. */
+  /**
+   * Returns what a core reads as the answer to a call: a surplus answer to the previous call takes its place.
+   */
   #nextAnswerOnConnection(core: Machine, row: WorkerRecord, own: Answer): Answer {
     const key = `${core.name} ${row.id}`;
     const surplus = this.#surplus.get(key);
@@ -149,7 +154,7 @@
     return own;
   }
 
-  /** An order arrives at a worker; undefined: its sender gets no answer. */
+  /** Delivers an order to a worker; undefined if the sender gets no answer. */
   #deliverOrder(
     core: Machine,
     row: WorkerRecord,
@@ -165,15 +170,18 @@
   }
 }
 
-/** What a worker answers a call. */
+/** A worker's answer to an order or a report request. */
 type Answer = WorkerOrderReply | ReportReply;
 
-/** A report is answered with 200, and so is an order for what is there. */
+/**
+ * Reads an answer as one to an order: a report has status 200, as has an order for what the worker already
+ * holds.
+ */
 function asOrderReply(answer: Answer): WorkerOrderReply {
   return typeof answer === 'object' ? 'held' : answer;
 }
 
-/** What answers an order is no report. */
+/** Reads an answer as one to a report request: the answer to an order is no report. */
 function asReport(answer: Answer): ReportReply {
   return typeof answer === 'object' ? answer : answer === 'busy' ? 'busy' : 'no-answer';
 }
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -8,10 +8,10 @@
 } from '@rainrun/placement';
 import type { VirtualTime } from '../world.js';
 
-/** The one service of models of a simulated system. */
+/** Name of the only model service of a simulated system. */
 export const SERVICE = 'assist';
 
-/** What the simulated workers are like; the configuration says the same. */
+/** Properties of the simulated workers; the sample configuration states the same. */
 export const ENGINE = {
   slots: 8,
   roomMb: 100,
@@ -22,11 +22,11 @@
 } as const;
 
 const SNAPSHOT_INTERVAL_MS = 100;
-/** The list lags by no more. */
+/** Maximum lag of the platform's list. */
 const LIST_LAG_MS = 800;
-/** A worker's own report lags by no more than this and a step of the list. */
+/** A worker's own report lags by at most this plus one snapshot interval. */
 export const REPORT_LAG_MS = 200;
-/** A load from a worker's own disk takes this part of one from the store. */
+/** Duration of a load from a worker's own disk, relative to a load from the store. */
 const DISK_LOAD_RATIO = 0.6;
 const LEASE_MS = 3000;
 const LOAD_WINDOW_MS = 5000;
@@ -34,12 +34,12 @@
 const LOAD_ALLOWANCE = 3;
 const EVACUATION_BOUND_MS = 2000;
 
-/** Size of a model by its name: a worker has room for two or three. */
+/** Returns the size of a model by its name; a worker has room for two or three models. */
 export function sizeOf(model: string): number {
   return 30 + 6 * (Number(model.slice(1)) % 2);
 }
 
-/** Records that a rule was broken. */
+/** Records the breach of an invariant. */
 export type BreachReporter = (rule: string, detail: string) => void;
 
 interface AcceptedOrder {
@@ -53,21 +53,21 @@
   readonly done: () => void;
 }
 
-/** An address of the platform at which incarnations of a worker follow each other. */
+/** A worker address of the platform, at which one incarnation of the worker follows another. */
 export class SimulatedWorker {
   readonly zone: string;
   readonly address: string;
   id: string;
   leaving = false;
-  /** Silent: it takes nothing and answers nothing. */
+  /** True while the worker accepts nothing and answers nothing. */
   isSilent = false;
-  /** Off the platform's list and away. */
+  /** True while the worker is gone and not on the platform's list. */
   isAway = false;
   readonly models = new Map<string, Set<string>>();
   #pool: WorkerPool;
   #onDisk = new Set<string>();
   #inProgress: OrderInProgress | undefined;
-  /** The last order that was taken. */
+  /** The last accepted order. */
   #lastOrder: WorkerOrder | undefined;
   #loadingModel = '';
   #sequence = 0;
@@ -80,13 +80,13 @@
     this.id = pool.newId();
   }
 
-  /** Holds a model from the start. */
+  /** Makes the worker hold a model from the start. */
   preload(model: string): void {
     this.models.set(model, new Set());
     this.#onDisk.add(model);
   }
 
-  /** A new incarnation begins, empty and with nothing remembered; its disk is the same. */
+  /** Starts a new incarnation without models or remembered orders; its disk stays the same. */
   restart(): void {
     this.id = this.#pool.newId();
     this.models.clear();
@@ -110,7 +110,7 @@
     return count;
   }
 
-  /** An order arrives; undefined: no answer is ever given. */
+  /** Handles an order; undefined if the worker never answers. */
   order(id: string, holder: string, order: WorkerOrder): WorkerOrderReply | undefined {
     const nowMs = this.#pool.time.nowMs();
     if (this.isSilent || this.isAway) return undefined;
@@ -124,12 +124,12 @@
     return order.action === 'load' ? this.#load(order, nowMs) : this.#unload(order, nowMs);
   }
 
-  /** How many orders this incarnation has taken. */
+  /** Number of orders that this incarnation has accepted. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Whether an order is being done. */
+  /** Whether an order is in progress. */
   get busy(): boolean {
     return this.#inProgress !== undefined;
   }
@@ -139,7 +139,7 @@
     return this.#loadingModel !== '';
   }
 
-  /** Ends what is done by now. */
+  /** Completes the order in progress if its time has passed. */
   completeDueOrder(): void {
     const doing = this.#inProgress;
     if (doing === undefined || this.#pool.time.nowMs() < doing.untilMs) return;
@@ -147,7 +147,10 @@
     doing.done();
   }
 
-  /** Whether an order repeats the one that is being done: it is answered as if it were taken, and counts once. */
+  /**
+   * Whether an order repeats the one in progress; a repeat is answered as if it were accepted, and counts
+   * once.
+   */
   #isInProgress({ action, model, adapter }: WorkerOrder): boolean {
     const order = this.#lastOrder;
     return order?.action === action && order.model === model && order.adapter === adapter;
@@ -220,25 +223,25 @@
   }
 }
 
-/** What the platform and the workers themselves show of a moment. */
+/** State of the platform's list and of the workers at one time. */
 interface Snapshot {
   readonly atMs: number;
   readonly list: readonly ListedWorker[];
-  /** Workers that were at an order. */
+  /** IDs of workers with an order in progress. */
   readonly busy: ReadonlySet<string>;
-  /** How many orders each worker had taken. */
+  /** Number of orders that each worker had accepted. */
   readonly sequences: ReadonlyMap<string, number>;
 }
 
-/** The platform's workers and its list of them, which lags. */
+/** The platform's workers and its list of them, which lags behind. */
 export class WorkerPool {
   readonly time: VirtualTime;
   readonly dice: SeededRandom;
   readonly members: SimulatedWorker[] = [];
   readonly breach: BreachReporter;
-  /** When each load from the store began, and whether it counts. */
+  /** Start times of the counted loads from the store. */
   readonly loads: number[] = [];
-  /** Whether loads that begin now are counted. */
+  /** Whether loads that start now are counted. */
   countsLoads: () => boolean = () => true;
   #fences = new Map<number, string>();
   #newestHolder: { fence: number; holder: string } = { fence: 0, holder: '' };
@@ -261,7 +264,7 @@
       this.members.push(new SimulatedWorker(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
   }
 
-  /** The platform begins to list what stands here. */
+  /** Starts to take snapshots for the platform's list. */
   start(): void {
     this.#takeSnapshot();
   }
@@ -270,7 +273,7 @@
     return `i-${randomId(this.dice)}`;
   }
 
-  /** A worker is marked as leaving. */
+  /** Marks a worker as leaving. */
   leave(worker: SimulatedWorker): void {
     worker.leaving = true;
     this.#leavingMs.set(worker.id, this.time.nowMs());
@@ -281,12 +284,15 @@
     else this.#evacuatedMs.delete(zone);
   }
 
-  /** Lives that the newest list that was shown has called leaving, and since when any list could. */
+  /** Time since which the incarnation is marked as leaving; Infinity if it is not. */
   leavingSince(id: string): number {
     return this.#leavingMs.get(id) ?? Infinity;
   }
 
-  /** A holder sends an order: fences never go back between holders, whatever worker it is for. */
+  /**
+   * Checks the fencing token of an order: it never decreases between holders, whichever worker the order is
+   * for.
+   */
   checkFence(holder: string, fence: number): void {
     const other = this.#fences.get(fence);
     if (other !== undefined && other !== holder)
@@ -312,13 +318,16 @@
       );
   }
 
-  /** How many times longer a load from the store takes that begins now: beyond so many at once, each waits for the others. */
+  /**
+   * Slowdown factor of a load from the store that starts now: concurrent loads above the store's rate slow
+   * each other.
+   */
   loadSlowdown(): number {
     const loading = this.members.filter((worker) => worker.isLoading).length + 1;
     return Math.max(1, loading / ((ENGINE.loadsPerS * ENGINE.loadMs) / 1000));
   }
 
-  /** A model begins to load in a zone. */
+  /** Checks that a load does not start in a zone that was evacuated earlier than the time bound permits. */
   checkEvacuated(worker: SimulatedWorker, model: string): void {
     const sinceMs = this.#evacuatedMs.get(worker.zone);
     if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATION_BOUND_MS)
@@ -328,7 +337,7 @@
       );
   }
 
-  /** What the platform's list shows to one who asks now. */
+  /** Returns the platform's list as a reader gets it now. */
   list(): readonly ListedWorker[] {
     const nowMs = this.time.nowMs();
     const wantedMs = Math.max(this.#shownMs, nowMs - this.dice.next() * LIST_LAG_MS);
@@ -336,7 +345,9 @@
     return (this.#snapshots.findLast((known) => known.atMs <= wantedMs) ?? this.#snapshots[0])?.list ?? [];
   }
 
-  /** What a worker says that it holds, as it stood a little before; its models, as they stood `olderMs` before that. */
+  /**
+   * Returns a worker's report, up to `REPORT_LAG_MS` old; its models are older than the rest by `olderMs`.
+   */
   report(address: string, id: string, olderMs: number): ReportReply {
     const worker = this.workerAt(address);
     if (worker === undefined || worker.id !== id || worker.isSilent || worker.isAway) return 'no-answer';
--- a/packages/simulator/src/system/zone-history.ts
+++ b/packages/simulator/src/system/zone-history.ts
@@ -1,8 +1,7 @@
 /**
- * A check of evacuations: whether a zone is evacuated is a register that
- * evacuations and returns overwrite. A write without a clear answer may take
- * effect at any later time; one that was acknowledged stays until another may
- * have come after it.
+ * Checks evacuations against their history. Whether a zone is evacuated is a register that evacuations and
+ * returns overwrite. A write without a definite answer may take effect at any later time; an acknowledged
+ * write stays until another one may have followed it.
  */
 import { firstAcknowledgedMs, firstInvokedMs, type ZoneOrder, type ZoneRead } from './history.js';
 
@@ -16,7 +15,7 @@
 const INITIAL: Write = { evacuated: false, earliestMs: -Infinity, acknowledgedMs: -Infinity };
 
 /**
- * What contradicts the acknowledged evacuations.
+ * Returns descriptions of the reads and refusals that contradict the acknowledged evacuations.
  * @example
  * checkZones([], [{ reader: 'core-0', zone: 'north', atMs: 5, evacuated: false }]); // []
  */
@@ -38,7 +37,10 @@
   return { evacuated, earliestMs: firstInvokedMs(attempts), acknowledgedMs: firstAcknowledgedMs(attempts) };
 }
 
-/** Whether a write may be the newest at the moment of the read: none was both begun after it and done before. */
+/**
+ * Whether a write may be the newest one at the time of the read: no opposite write was sent after its
+ * acknowledgement and acknowledged before the read.
+ */
 function mayBeNewest(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
   if (write.evacuated !== read.evacuated || write.earliestMs > read.atMs) return false;
   return !writes.some(
