--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -343,7 +343,7 @@
 });
 
 describe('the number of edges that divide a shared budget', () => {
-  /** The fewestKnownEdges edges that one of them believed in, while all were at work. */
+  /** Returns the smallest number of edges that any edge knew while all were running. */
   function fewestKnownEdges(system: System, forMs: number): number {
     let least = Infinity;
     for (const endMs = system.time.nowMs() + forMs; system.time.nowMs() < endMs;) {
