--- a/packages/simulator/src/placement-orders.test.ts
+++ b/packages/simulator/src/placement-orders.test.ts
@@ -19,11 +19,11 @@
 
 /** Moves the demand to five models from a random start, two of them with an adapter. */
 function shiftDemand(system: System): void {
-  const { random: dice } = system;
-  const first = Math.floor(dice.next() * SIZE.models);
+  const { random: seededRandom } = system;
+  const first = Math.floor(seededRandom.next() * SIZE.models);
   system.needs = [0, 1, 2, 3, 4].flatMap((step) => {
     const model = `m${(first + step * 3) % SIZE.models}`;
-    const adapter = `a${Math.floor(dice.next() * 4)}`;
+    const adapter = `a${Math.floor(seededRandom.next() * 4)}`;
     const needed = { model, adapter: '', count: 2 };
     return step % 2 === 0 ? [needed] : [needed, { model, adapter, count: 1 }];
   });
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -52,16 +52,16 @@
 function breachesAfterFault(
   seed: number,
   size: SystemSize,
-  strike: (system: System, leader: Machine) => void,
+  injectFault: (system: System, leader: Machine) => void,
   stalled?: StalledDisks,
 ): string[] {
   const system = startSystem(seed, size);
   const leader = leaderOf(system);
-  const struck: string[] = [];
+  const acknowledged: string[] = [];
   system.operators.onAnswer = (kind) => {
-    if (struck.length > 0 || kind !== 'agreed') return;
-    struck.push(kind);
-    strike(system, leader);
+    if (acknowledged.length > 0 || kind !== 'agreed') return;
+    acknowledged.push(kind);
+    injectFault(system, leader);
     system.time.after(700, () => restore(system));
   };
   if (stalled !== undefined) stall(system, leader, stalled);
@@ -69,7 +69,7 @@
   system.zone('east', true);
   system.time.runUntil(20_000);
   const wrong = finalBreaches(system);
-  if (struck.length === 0) wrong.push('nothing was acknowledged');
+  if (acknowledged.length === 0) wrong.push('nothing was acknowledged');
   if (system.acked.revision !== 8) wrong.push(`revision ${system.acked.revision} was the last acknowledged`);
   return wrong;
 }
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -64,20 +64,20 @@
 
   constructor(seed: number, size: SystemSize) {
     const { time, cores, edges, expectations } = this;
-    const dice = new SeededRandom(seed);
+    const random = new SeededRandom(seed);
     const note = (node: string, text: string): void => this.note(node, text);
     const breach = (rule: string, detail: string): void => this.breach(rule, detail);
-    this.random = dice;
+    this.random = random;
     this.size = size;
-    const network = new Network(time, dice, () => this.machines);
-    const workers = new WorkerPool(time, dice, breach, size.workers, size.zones);
+    const network = new Network(time, random, () => this.machines);
+    const workers = new WorkerPool(time, random, breach, size.workers, size.zones);
     const demand = new Demand(workers);
-    const directory = new CoreDirectory(time, dice, () => cores);
+    const directory = new CoreDirectory(time, random, () => cores);
     function machineAt(address: string): Machine | undefined {
       return cores.find((core) => core.address === address);
     }
-    const operators = new OperatorClient({ time, dice, directory, machineAt, note });
-    this.workerCalls = new WorkerCalls(time, dice, network, workers);
+    const operators = new OperatorClient({ time, random, directory, machineAt, note });
+    this.workerCalls = new WorkerCalls(time, random, network, workers);
     const shared = { time, size, network, workers, demand, breach };
     this.#invariants = new Invariants({
       ...shared,
@@ -89,7 +89,7 @@
     });
     this.#processes = new Processes({
       ...shared,
-      dice,
+      random,
       note,
       calls: this.workerCalls,
       listedCores: () => directory.list(),
--- a/packages/simulator/src/system/core-directory.ts
+++ b/packages/simulator/src/system/core-directory.ts
@@ -17,9 +17,9 @@
   #cores: () => readonly Machine[];
   #samples: { readonly atMs: number; readonly cores: readonly Machine[] }[] = [];
 
-  constructor(time: VirtualTime, dice: SeededRandom, cores: () => readonly Machine[]) {
+  constructor(time: VirtualTime, random: SeededRandom, cores: () => readonly Machine[]) {
     this.#time = time;
-    this.#random = dice;
+    this.#random = random;
     this.#cores = cores;
   }
 
--- a/packages/simulator/src/system/linearizability.test.ts
+++ b/packages/simulator/src/system/linearizability.test.ts
@@ -180,26 +180,26 @@
  * changes.
  */
 function randomHistory(seed: number, count: number): { changes: ChangeOrder[]; reads: Read[] } {
-  const dice = new SeededRandom(seed);
+  const random = new SeededRandom(seed);
   const changes: ChangeOrder[] = [];
   const reads: Read[] = [];
   let current: ChangeOrder | undefined;
   let nowMs = 0;
   for (let place = 0; place < count; place += 1) {
     const base = current?.revision ?? 0;
-    const rivals = Array.from({ length: dice.next() < 0.3 ? 2 : 1 }, (_, rival) =>
-      change(`${place}.${rival}`, base, base + 1 + Math.floor(dice.next() * 3)),
+    const rivals = Array.from({ length: random.next() < 0.3 ? 2 : 1 }, (_, rival) =>
+      change(`${place}.${rival}`, base, base + 1 + Math.floor(random.next() * 3)),
     );
-    const winner = rivals[Math.floor(dice.next() * rivals.length)];
+    const winner = rivals[Math.floor(random.next() * rivals.length)];
     changes.push(...rivals);
     for (const rival of rivals) {
-      const lost = dice.next() < 0.6;
+      const lost = random.next() < 0.6;
       rival.attempts.push({
         invokedMs: nowMs,
         respondedMs: nowMs + 10,
         outcome: lost ? 'unknown' : rival === winner ? 'acknowledged' : 'refused',
       });
-      if (lost && dice.next() < 0.7)
+      if (lost && random.next() < 0.7)
         rival.attempts.push({
           invokedMs: nowMs + 20,
           respondedMs: nowMs + 30,
@@ -207,7 +207,7 @@
         });
     }
     current = winner;
-    if (dice.next() < 0.5) reads.push(read(current?.revision ?? 0, current?.id, nowMs + 40, nowMs + 45));
+    if (random.next() < 0.5) reads.push(read(current?.revision ?? 0, current?.id, nowMs + 40, nowMs + 45));
     nowMs += 50;
   }
   return { changes, reads };
--- a/packages/simulator/src/system/linearizability.ts
+++ b/packages/simulator/src/system/linearizability.ts
@@ -252,44 +252,46 @@
    */
   #explainsAll(): boolean {
     this.#chainsTried += 1;
-    const momentsMs = this.#chain.map(() => -Infinity);
+    const effectTimesMs = this.#chain.map(() => -Infinity);
     for (let raised = true; raised;) {
-      this.#raiseToLowerBounds(momentsMs);
+      this.#raiseToLowerBounds(effectTimesMs);
       raised = false;
       for (const [place, link] of this.#chain.entries()) {
-        const succeededMs = momentsMs[place + 1] ?? Infinity;
+        const succeededMs = effectTimesMs[place + 1] ?? Infinity;
         const refusal = this.#refusalWhileInForce(link, succeededMs);
         if (refusal !== undefined) {
           this.#recordFailure(describeRefusal(refusal));
           return false;
         }
-        raised ||= this.#raisePastRefusals(momentsMs, place, link, succeededMs);
+        raised ||= this.#raisePastRefusals(effectTimesMs, place, link, succeededMs);
       }
     }
-    return momentsMs.every((momentMs, place) => momentMs <= this.#latestEffectMs(this.#chain[place]?.change));
+    return effectTimesMs.every(
+      (effectTimeMs, place) => effectTimeMs <= this.#latestEffectMs(this.#chain[place]?.change),
+    );
   }
 
   /**
    * Moves a link's time of effect past the start of each attempt that was refused before the link was
    * succeeded.
    */
-  #raisePastRefusals(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
-    const momentMs = momentsMs[place] ?? -Infinity;
-    let raisedMs = momentMs;
+  #raisePastRefusals(effectTimesMs: number[], place: number, link: Link, succeededMs: number): boolean {
+    const effectTimeMs = effectTimesMs[place] ?? -Infinity;
+    let raisedMs = effectTimeMs;
     for (const { attempt } of this.#refusalsOnBase.get(link.revision) ?? [])
       if (succeededMs > attempt.respondedMs) raisedMs = Math.max(raisedMs, attempt.invokedMs);
-    momentsMs[place] = raisedMs;
-    return raisedMs > momentMs;
+    effectTimesMs[place] = raisedMs;
+    return raisedMs > effectTimeMs;
   }
 
   /** Raises each time of effect to the earliest that its predecessor and its own change permit. */
-  #raiseToLowerBounds(momentsMs: number[]): void {
+  #raiseToLowerBounds(effectTimesMs: number[]): void {
     for (let place = 1; place < this.#chain.length; place += 1) {
       const link = this.#chain[place - 1] ?? START;
       const next = this.#chain[place]?.change;
       if (next === undefined) continue;
-      const earliestMs = this.#earliestEffectMs(link, momentsMs[place - 1] ?? -Infinity, next);
-      momentsMs[place] = Math.max(momentsMs[place] ?? -Infinity, earliestMs);
+      const earliestMs = this.#earliestEffectMs(link, effectTimesMs[place - 1] ?? -Infinity, next);
+      effectTimesMs[place] = Math.max(effectTimesMs[place] ?? -Infinity, earliestMs);
     }
   }
 
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -25,9 +25,9 @@
   #cuts = new Set<Cut>();
   #arrivals = new Map<string, number>();
 
-  constructor(time: VirtualTime, dice: SeededRandom, machines: () => readonly Machine[]) {
+  constructor(time: VirtualTime, random: SeededRandom, machines: () => readonly Machine[]) {
     this.#time = time;
-    this.#random = dice;
+    this.#random = random;
     this.#machines = machines;
   }
 
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -38,7 +38,7 @@
 /** The parts of the system that the client uses. */
 export interface OperatorContext {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly directory: CoreDirectory;
   machineAt(address: string): Machine | undefined;
   note(node: string, text: string): void;
@@ -149,20 +149,20 @@
     backoffMs: number,
     done: (end: OrderEnd) => void,
   ): void {
-    const { time, directory, dice } = this.#context;
+    const { time, directory, random } = this.#context;
     if (time.nowMs() > order.giveUpAtMs)
       return this.#finish(order, { kind: 'given up', atMs: time.nowMs() }, done);
     const listed = directory.list();
     const others = listed.filter((core) => core !== previous);
     const choice = others.length > 0 ? others : listed;
-    const core = choice[Math.floor(dice.next() * choice.length)];
+    const core = choice[Math.floor(random.next() * choice.length)];
     const attempt: Attempt = { invokedMs: time.nowMs(), respondedMs: Infinity, outcome: 'unknown' };
     order.attempts.push(attempt);
     this.#exchange(order, core, MAX_REDIRECTS, (reply) => {
       attempt.respondedMs = time.nowMs();
       attempt.outcome = outcomeOf(order.request, reply);
       if (attempt.outcome === 'unknown' || reply === undefined) {
-        time.after(backoffMs * (0.5 + dice.next()), () =>
+        time.after(backoffMs * (0.5 + random.next()), () =>
           this.#attempt(order, core, Math.min(MAX_BACKOFF_MS, backoffMs * BACKOFF_FACTOR), done),
         );
         return;
@@ -178,7 +178,7 @@
     redirects: number,
     done: (reply: OperatorReply | undefined) => void,
   ): void {
-    const { time, dice } = this.#context;
+    const { time, random } = this.#context;
     let open = true;
     const finish = (reply: OperatorReply | undefined): void => {
       if (!open) return;
@@ -187,7 +187,7 @@
       this.#exchange(order, this.#context.machineAt(reply.location ?? ''), redirects - 1, done);
     };
     time.after(RESPONSE_TIMEOUT_MS, () => finish(undefined));
-    time.after(0.5 + dice.next() * 2, () => {
+    time.after(0.5 + random.next() * 2, () => {
       const running = core?.running;
       const service = running?.operators;
       if (core === undefined || running === undefined || service === undefined) {
@@ -195,8 +195,8 @@
         return;
       }
       const deliver = (reply: OperatorReply): void => {
-        if (dice.next() < this.answerLossRatio) return;
-        time.after(0.5 + dice.next() * 2, () => finish(reply));
+        if (random.next() < this.answerLossRatio) return;
+        time.after(0.5 + random.next() * 2, () => finish(reply));
       };
       core.runInProcess(running, () => answerOperator(service, order.request, deliver, () => !open));
     });
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -84,12 +84,12 @@
    * Sends random orders at an average interval of `everyMs` for `forMs`, up to the maximum of pending orders.
    */
   storm(everyMs: number, forMs: number): void {
-    const { time, random: dice } = this.#system;
+    const { time, random: seededRandom } = this.#system;
     const endMs = time.nowMs() + forMs;
     const next = (): void => {
       if (time.nowMs() > endMs) return;
       this.sendRandom();
-      time.after(everyMs * (0.5 + dice.next()), next);
+      time.after(everyMs * (0.5 + seededRandom.next()), next);
     };
     next();
   }
@@ -165,8 +165,8 @@
 
   /** Sends an accepted order again, which must be acknowledged again. */
   #repeatLater(request: OperatorRequest): void {
-    const { time, random: dice } = this.#system;
-    time.after(dice.next() * MAX_REPEAT_DELAY_MS, () => this.#system.order(request, true));
+    const { time, random: seededRandom } = this.#system;
+    time.after(seededRandom.next() * MAX_REPEAT_DELAY_MS, () => this.#system.order(request, true));
   }
 
   #invalid({ revision: base }: Belief): void {
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -24,7 +24,7 @@
 /** The parts of the system that processes use. */
 export interface ProcessContext {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly size: SystemSize;
   readonly network: Network;
   readonly workers: WorkerPool;
@@ -58,8 +58,8 @@
 
   boot(machine: Machine, founding = false): void {
     if (machine.running !== undefined || machine.removed) return;
-    const { dice } = this.#context;
-    const skewMs = dice.next() * 1e6;
+    const { random } = this.#context;
+    const skewMs = random.next() * 1e6;
     if (machine.disk === undefined) this.#run(machine, skewMs, undefined, this.#follower(machine, skewMs));
     else {
       const acceptor = this.#openDisk(machine);
@@ -74,7 +74,7 @@
     const { disk } = machine;
     if (disk === undefined) return undefined;
     const records = disk.open();
-    const opening = readRecords(records, randomId(this.#context.dice));
+    const opening = readRecords(records, randomId(this.#context.random));
     if (opening.isErr) {
       this.#context.breach('disk reads back', `${machine.name}: ${opening.error.detail}`);
       return undefined;
@@ -145,7 +145,7 @@
     replica: CoreReplica | undefined,
     follower: EdgeReplica | undefined,
   ): void {
-    const { time, dice } = this.#context;
+    const { time, random } = this.#context;
     const running: Process = {
       skewMs,
       startedMs: time.nowMs(),
@@ -160,23 +160,23 @@
       undisturbedSinceMs: time.nowMs(),
     };
     machine.running = running;
-    time.after(dice.next() * CORE_TICK_MS, () => this.#tick(machine, running));
+    time.after(random.next() * CORE_TICK_MS, () => this.#tick(machine, running));
   }
 
   /** Picks addresses of random cores from the operators' list; some of these cores may be gone. */
   #seeds(): string[] {
-    const { dice } = this.#context;
+    const { random } = this.#context;
     const listed = [...this.#context.listedCores()];
     const seeds: string[] = [];
     while (seeds.length < SEED_COUNT && listed.length > 0) {
-      const [chosen] = listed.splice(Math.floor(dice.next() * listed.length), 1);
+      const [chosen] = listed.splice(Math.floor(random.next() * listed.length), 1);
       if (chosen !== undefined) seeds.push(chosen.address);
     }
     return seeds;
   }
 
   #replica(machine: Machine, skewMs: number, acceptor: Acceptor, founding: boolean): CoreReplica {
-    const { time, dice, size, network, calls } = this.#context;
+    const { time, random, size, network, calls } = this.#context;
     const { name, zone, address } = machine;
     const replica: CoreReplica = new CoreReplica({
       name,
@@ -187,7 +187,7 @@
       founders: founding ? this.#founders : [],
       desiredVoterCount: 2 * size.lossesBorne + 1,
       clock: { nowMs: () => time.nowMs() + skewMs },
-      chance: dice,
+      chance: random,
       quota: QUOTA_BOUNDS,
       times: PLATFORM_TIMES,
       acceptor,
@@ -204,7 +204,7 @@
   }
 
   #follower(machine: Machine, skewMs: number): EdgeReplica {
-    const { time, dice, network, demand } = this.#context;
+    const { time, random, network, demand } = this.#context;
     const { name, zone, address } = machine;
     const follower: EdgeReplica = new EdgeReplica({
       name,
@@ -213,7 +213,7 @@
       deployment: 'system',
       seeds: this.#seeds(),
       clock: { nowMs: () => time.nowMs() + skewMs },
-      chance: dice,
+      chance: random,
       quota: QUOTA_BOUNDS,
       send: (to, frame) => network.send(machine, to, frame),
       outcomes: () => [],
@@ -228,10 +228,10 @@
 
   #tick(machine: Machine, running: Process): void {
     if (machine.running !== running) return;
-    const { time, dice, size, demand } = this.#context;
+    const { time, random, size, demand } = this.#context;
     const { replica, follower } = running;
     const everyMs = size.heartbeatMs ?? (replica === undefined ? EDGE_TICK_MS : CORE_TICK_MS);
-    time.after(everyMs * (0.9 + dice.next() * 0.2), () => this.#tick(machine, running));
+    time.after(everyMs * (0.9 + random.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     if (follower !== undefined) {
       if (demand.isUnserved(follower)) follower.requestUpdateSoon();
@@ -254,13 +254,13 @@
 
   /** Reads the platform's list of workers every `LIST_POLL_MS`. */
   #readList(machine: Machine, running: Process, replica: CoreReplica): void {
-    const { time, dice, workers, calls } = this.#context;
+    const { time, random, workers, calls } = this.#context;
     if (time.nowMs() - running.listReadMs < LIST_POLL_MS) return;
     running.listReadMs = time.nowMs();
-    time.after(2 + dice.next() * 8, () => {
+    time.after(2 + random.next() * 8, () => {
       if (!calls.canReadList()) return;
       const list = workers.list();
-      time.after(2 + dice.next() * 8, () => machine.runInProcess(running, () => replica.learnList(list)));
+      time.after(2 + random.next() * 8, () => machine.runInProcess(running, () => replica.learnList(list)));
     });
   }
 }
--- a/packages/simulator/src/system/worker-calls.ts
+++ b/packages/simulator/src/system/worker-calls.ts
@@ -52,13 +52,13 @@
   #surplus = new Map<string, Answer>();
   #listFailedMs = -Infinity;
   #time: VirtualTime;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   #network: Network;
   #workers: WorkerPool;
 
-  constructor(time: VirtualTime, dice: SeededRandom, network: Network, workers: WorkerPool) {
+  constructor(time: VirtualTime, random: SeededRandom, network: Network, workers: WorkerPool) {
     this.#time = time;
-    this.#dice = dice;
+    this.#random = random;
     this.#network = network;
     this.#workers = workers;
   }
@@ -85,7 +85,7 @@
       );
     };
     finish('no-answer', CALL_TIMEOUT_MS);
-    this.#time.after(0.2 + this.#dice.next() * 2, () =>
+    this.#time.after(0.2 + this.#random.next() * 2, () =>
       core.runInProcess(running, () => {
         if (replied || replica.group.singletonEpoch() !== order.fence) return finish('no-answer', 0);
         const holder = replica.group.self.incarnation;
@@ -94,7 +94,7 @@
           const own = this.#deliverOrder(core, row, holder, order);
           const reply =
             own === undefined ? undefined : asOrderReply(this.#nextAnswerOnConnection(core, row, own));
-          if (reply !== undefined) finish(reply, 0.5 + this.#dice.next() * 2);
+          if (reply !== undefined) finish(reply, 0.5 + this.#random.next() * 2);
         });
       }),
     );
@@ -104,13 +104,13 @@
   report(core: Machine, row: WorkerRecord, done: (reply: ReportReply) => void): void {
     const running = core.running;
     if (running === undefined) return;
-    this.#time.after(0.5 + this.#dice.next() * 4, () => {
+    this.#time.after(0.5 + this.#random.next() * 4, () => {
       const silent =
         this.#network.isCutEitherWay(core.name, row.address) || this.#occurs(this.faults.unreadable);
       const reply = silent
         ? 'no-answer'
         : asReport(this.#nextAnswerOnConnection(core, row, this.#report(row)));
-      this.#time.after(silent ? CALL_TIMEOUT_MS : 0.5 + this.#dice.next() * 4, () =>
+      this.#time.after(silent ? CALL_TIMEOUT_MS : 0.5 + this.#random.next() * 4, () =>
         core.runInProcess(running, () => done(reply)),
       );
     });
@@ -129,16 +129,16 @@
   }
 
   #occurs(share: number): boolean {
-    return share > 0 && this.#dice.next() < share;
+    return share > 0 && this.#random.next() < share;
   }
 
   #travelMs(): number {
-    const delayMs = this.#occurs(this.faults.delayed) ? this.#dice.next() * MAX_ORDER_DELAY_MS : 0;
-    return 0.5 + this.#dice.next() * 2 + delayMs;
+    const delayMs = this.#occurs(this.faults.delayed) ? this.#random.next() * MAX_ORDER_DELAY_MS : 0;
+    return 0.5 + this.#random.next() * 2 + delayMs;
   }
 
   #report(row: WorkerRecord): ReportReply {
-    const olderMs = this.#occurs(this.faults.torn) ? this.#dice.next() * REPORT_LAG_MS : 0;
+    const olderMs = this.#occurs(this.faults.torn) ? this.#random.next() * REPORT_LAG_MS : 0;
     return this.#workers.report(row.address, row.id, olderMs);
   }
 
@@ -166,7 +166,7 @@
     if (this.#occurs(this.faults.refused)) return 'refused';
     const reply = worker.order(row.id, holder, order);
     if (this.#network.isCut(row.address, core.name) || this.#occurs(this.faults.answerLost)) return undefined;
-    return this.#dice.next() >= this.#network.lossRatio ? reply : undefined;
+    return this.#random.next() >= this.#network.lossRatio ? reply : undefined;
   }
 }
 
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -173,7 +173,7 @@
       if (adapters === undefined) return 'refused';
       if (adapters.has(adapter)) return 'held';
       adapters.add(adapter);
-      this.#begin(nowMs, 5 + this.#pool.dice.next() * 15, () => undefined);
+      this.#begin(nowMs, 5 + this.#pool.random.next() * 15, () => undefined);
       this.#checkRoom(`adapter ${adapter} of ${model}`);
       return 'begun';
     }
@@ -183,7 +183,7 @@
     this.#pool.checkEvacuated(this, model);
     this.#loadingModel = model;
     const slowdown = fromDisk ? DISK_LOAD_RATIO : this.#pool.loadSlowdown();
-    this.#begin(nowMs, ENGINE.loadMs * slowdown * (0.9 + this.#pool.dice.next() * 0.8), () => {
+    this.#begin(nowMs, ENGINE.loadMs * slowdown * (0.9 + this.#pool.random.next() * 0.8), () => {
       this.#loadingModel = '';
       this.#onDisk.add(model);
       this.models.set(model, new Set());
@@ -195,7 +195,7 @@
   #unload({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
     const adapters = this.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return 'held';
-    this.#begin(nowMs, this.#pool.dice.next() * 200, () => {
+    this.#begin(nowMs, this.#pool.random.next() * 200, () => {
       if (adapter === '') this.models.delete(model);
       else adapters.delete(adapter);
     });
@@ -236,7 +236,7 @@
 /** The platform's workers and its list of them, which lags behind. */
 export class WorkerPool {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly members: SimulatedWorker[] = [];
   readonly breach: BreachReporter;
   /** Start times of the counted loads from the store. */
@@ -252,13 +252,13 @@
 
   constructor(
     time: VirtualTime,
-    dice: SeededRandom,
+    random: SeededRandom,
     breach: BreachReporter,
     workers: number,
     zones: readonly string[],
   ) {
     this.time = time;
-    this.dice = dice;
+    this.random = random;
     this.breach = breach;
     for (let place = 0; place < workers; place += 1)
       this.members.push(new SimulatedWorker(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
@@ -270,7 +270,7 @@
   }
 
   newId(): string {
-    return `i-${randomId(this.dice)}`;
+    return `i-${randomId(this.random)}`;
   }
 
   /** Marks a worker as leaving. */
@@ -340,7 +340,7 @@
   /** Returns the platform's list as a reader gets it now. */
   list(): readonly ListedWorker[] {
     const nowMs = this.time.nowMs();
-    const wantedMs = Math.max(this.#shownMs, nowMs - this.dice.next() * LIST_LAG_MS);
+    const wantedMs = Math.max(this.#shownMs, nowMs - this.random.next() * LIST_LAG_MS);
     this.#shownMs = wantedMs;
     return (this.#snapshots.findLast((known) => known.atMs <= wantedMs) ?? this.#snapshots[0])?.list ?? [];
   }
@@ -351,7 +351,7 @@
   report(address: string, id: string, olderMs: number): ReportReply {
     const worker = this.workerAt(address);
     if (worker === undefined || worker.id !== id || worker.isSilent || worker.isAway) return 'no-answer';
-    const stoodMs = this.time.nowMs() - this.dice.next() * REPORT_LAG_MS;
+    const stoodMs = this.time.nowMs() - this.random.next() * REPORT_LAG_MS;
     const snapshot = this.#snapshots.findLast((known) => known.atMs <= stoodMs);
     const listed = snapshot?.list.find((known) => known.id === id);
     if (snapshot === undefined || listed === undefined) return 'no-answer';
