--- a/packages/simulator/src/system-trial.ts
+++ b/packages/simulator/src/system-trial.ts
@@ -202,8 +202,8 @@
     while (this.faults.lostCoreCount > 0 && time.nowMs() < endMs) time.runUntil(time.nowMs() + POLL_MS);
   }
 
-  #randomBelow(most: number): number {
-    return Math.floor(this.system.random.next() * most);
+  #randomBelow(bound: number): number {
+    return Math.floor(this.system.random.next() * bound);
   }
 
   #drawAction(): DayAction {
@@ -213,12 +213,12 @@
     return weights.find(([, weight]) => (left -= weight) < 0)?.[0] ?? 'order';
   }
 
-  #inject(act: DayAction): void {
+  #inject(action: DayAction): void {
     const { faults, load } = this;
     function send(): void {
       load.put();
     }
-    switch (act) {
+    switch (action) {
       case 'core':
         return faults.injectRandomCoreFault();
       case 'edge':
@@ -266,8 +266,8 @@
    * Runs an action on all cores only while every disk is intact: a core with a wiped disk must catch up
    * first.
    */
-  #whenAllDisksIntact(act: () => void): void {
-    if (this.faults.mayAllLosePower) act();
+  #whenAllDisksIntact(action: () => void): void {
+    if (this.faults.mayAllLosePower) action();
   }
 
   /** Moves the demand to other models. */
@@ -295,7 +295,10 @@
     system.needs = system.needs.filter((need) => models.includes(need.model));
   }
 
-  /** Injects a final fault right after an order was acknowledged, or none. */
+  /**
+   * Injects a final fault or none: all machines fail right after an order is acknowledged, or the coordinator is
+   * killed shortly after two operators send concurrent changes.
+   */
   #injectClosingFault(): void {
     const { system, faults, load } = this;
     this.#reduceDemandToCapacity();
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -142,7 +142,7 @@
     expect(wrong).toEqual([]);
   });
 
-  it('is not undone by a call that was abandoned and that a core which was cut off still submits', () => {
+  it('is not undone by an abandoned call that a cut-off core still forwards after its return', () => {
     const wrong = [1, 2, 3, 4, 5, 6].flatMap((seed) =>
       [1500, 6000].flatMap((cutMs) => {
         const system = startSystem(seed);
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -70,8 +70,8 @@
     this.#random = system.random;
   }
 
-  #randomBelow(most: number): number {
-    return Math.floor(this.#random.next() * most);
+  #randomBelow(bound: number): number {
+    return Math.floor(this.#random.next() * bound);
   }
 
   #pick<T>(list: readonly T[]): T | undefined {
@@ -83,8 +83,8 @@
     this.#system.note(machine?.name ?? '', what);
   }
 
-  #after(waitMs: number, act: () => void): void {
-    this.#system.time.after(waitMs, act);
+  #after(waitMs: number, action: () => void): void {
+    this.#system.time.after(waitMs, action);
   }
 
   // Accounting of lost cores.
--- a/packages/simulator/src/system/machine.ts
+++ b/packages/simulator/src/system/machine.ts
@@ -43,9 +43,9 @@
   }
 
   /** Runs a call in a process: now, after the process thaws, or never if it has ended. */
-  runInProcess(process: Process, act: () => void): void {
+  runInProcess(process: Process, call: () => void): void {
     if (this.running !== process) return;
-    if (process.frozen) process.queuedCalls.push(act);
-    else act();
+    if (process.frozen) process.queuedCalls.push(call);
+    else call();
   }
 }
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -121,8 +121,8 @@
     );
   }
 
-  #randomBelow(most: number): number {
-    return Math.floor(this.#system.random.next() * most);
+  #randomBelow(bound: number): number {
+    return Math.floor(this.#system.random.next() * bound);
   }
 
   #belief(): Belief {
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -135,7 +135,7 @@
       this.#context.note(machine.name, 'thaws');
       const { queuedCalls } = running;
       running.queuedCalls = [];
-      for (const act of queuedCalls) machine.runInProcess(running, act);
+      for (const call of queuedCalls) machine.runInProcess(running, call);
     });
   }
 
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -42,7 +42,7 @@
 /** Records the breach of an invariant. */
 export type BreachReporter = (rule: string, detail: string) => void;
 
-interface AcceptedOrder {
+interface ReceivedOrder {
   readonly holder: string;
   readonly fence: number;
   readonly atMs: number;
@@ -71,7 +71,7 @@
   #lastOrder: WorkerOrder | undefined;
   #loadingModel = '';
   #sequence = 0;
-  #acceptedOrders: AcceptedOrder[] = [];
+  #receivedOrders: ReceivedOrder[] = [];
 
   constructor(pool: WorkerPool, zone: string, address: string) {
     this.#pool = pool;
@@ -93,7 +93,7 @@
     this.#inProgress = undefined;
     this.#lastOrder = undefined;
     this.#loadingModel = '';
-    this.#acceptedOrders = [];
+    this.#receivedOrders = [];
     this.#sequence = 0;
     this.leaving = false;
   }
@@ -115,7 +115,7 @@
     const nowMs = this.#pool.time.nowMs();
     if (this.isSilent || this.isAway) return undefined;
     if (id !== this.id) return 'wrong-worker';
-    if (this.#acceptedOrders.some((taken) => taken.fence > order.fence)) return 'fenced';
+    if (this.#receivedOrders.some((received) => received.fence > order.fence)) return 'fenced';
     this.#checkHolder({ holder, fence: order.fence, atMs: nowMs });
     this.completeDueOrder();
     if (order.sequence !== this.#sequence) return 'busy';
@@ -141,10 +141,10 @@
 
   /** Completes the order in progress if its time has passed. */
   completeDueOrder(): void {
-    const doing = this.#inProgress;
-    if (doing === undefined || this.#pool.time.nowMs() < doing.untilMs) return;
+    const current = this.#inProgress;
+    if (current === undefined || this.#pool.time.nowMs() < current.untilMs) return;
     this.#inProgress = undefined;
-    doing.done();
+    current.done();
   }
 
   /**
@@ -156,15 +156,18 @@
     return order?.action === action && order.model === model && order.adapter === adapter;
   }
 
-  #checkHolder(taken: AcceptedOrder): void {
-    const before = this.#acceptedOrders.at(-1);
-    if (before !== undefined && before.holder !== taken.holder) {
-      const back = this.#acceptedOrders.findLast((known) => known.holder === taken.holder);
-      if (back !== undefined && taken.atMs - back.atMs < LEASE_MS)
-        this.#pool.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
+  #checkHolder(received: ReceivedOrder): void {
+    const before = this.#receivedOrders.at(-1);
+    if (before !== undefined && before.holder !== received.holder) {
+      const back = this.#receivedOrders.findLast((known) => known.holder === received.holder);
+      if (back !== undefined && received.atMs - back.atMs < LEASE_MS)
+        this.#pool.breach(
+          'one holder',
+          `${this.address}: ${received.holder} and ${before.holder} take turns`,
+        );
     }
-    this.#acceptedOrders.push(taken);
-    if (this.#acceptedOrders.length > 64) this.#acceptedOrders.shift();
+    this.#receivedOrders.push(received);
+    if (this.#receivedOrders.length > 64) this.#receivedOrders.shift();
   }
 
   #load({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
