--- a/packages/simulator/src/system/demand.ts
+++ b/packages/simulator/src/system/demand.ts
@@ -1,11 +1,11 @@
-/** What clients of the edges ask for, and where it can be had. */
+/** The simulated demand for models and adapters, and whether edges know a worker for it. */
 import { create } from '@bufbuild/protobuf';
 import type { EdgeReplica } from '@rainrun/cluster-node';
 import { ModelDemandSchema, type ModelDemand } from '@rainrun/messages';
 import type { Machine } from './machine.js';
 import { SERVICE, type WorkerPool } from './workers.js';
 
-/** What edges ask for now. */
+/** Demand for one model or adapter at every edge. */
 export interface Need {
   readonly model: string;
   /** Empty for the model itself. */
@@ -14,7 +14,7 @@
 }
 
 /**
- * The demand on all edges.
+ * The current demand, the same at all edges.
  * @example
  * demand.needs = [{ model: 'm0', adapter: '', count: 2 }];
  */
@@ -26,10 +26,10 @@
     this.#workers = workers;
   }
 
-  /** What an edge tells the coordinator that it wants. */
-  wantsOf(follower: EdgeReplica): ModelDemand[] {
+  /** Returns the demand that an edge reports to the coordinator. */
+  demandsOf(follower: EdgeReplica): ModelDemand[] {
     return this.needs.map(({ model, adapter, count }) => {
-      const known = knows(follower, model, adapter);
+      const known = knowsHolder(follower, model, adapter);
       return create(ModelDemandSchema, {
         service: SERVICE,
         model,
@@ -41,13 +41,13 @@
     });
   }
 
-  /** Whether an edge lacks a worker for something that is asked for. */
+  /** Whether an edge knows no worker for some model or adapter in demand. */
   isUnserved(follower: EdgeReplica): boolean {
-    return this.needs.some(({ model, adapter }) => !knows(follower, model, adapter));
+    return this.needs.some(({ model, adapter }) => !knowsHolder(follower, model, adapter));
   }
 
   /** Whether an edge knows a worker that holds a model, and that worker does hold it. */
-  finds(edge: Machine, { model, adapter }: Need): boolean {
+  isServed(edge: Machine, { model, adapter }: Need): boolean {
     const { follower } = edge.running ?? {};
     if (follower === undefined) return false;
     for (const known of follower.workers.values()) {
@@ -61,7 +61,7 @@
   }
 }
 
-function knows(follower: EdgeReplica, model: string, adapter: string): boolean {
+function knowsHolder(follower: EdgeReplica, model: string, adapter: string): boolean {
   for (const worker of follower.workers.values()) {
     const adapters = worker.models.get(model);
     if (worker.draining || follower.state.evacuated.includes(worker.zone) || adapters === undefined) continue;
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -1,4 +1,4 @@
-/** The rules that must hold while a simulated system runs, and those at its end. */
+/** Invariants that are checked while a simulated system runs and at its end. */
 import type { EdgeReplica } from '@rainrun/cluster-node';
 import { withoutApiKeys, type Deployment } from '@rainrun/configuration';
 import type { VirtualTime } from '../world.js';
@@ -16,9 +16,9 @@
 import type { WorkerPool } from './workers.js';
 import { checkZones } from './zone-history.js';
 
-const PROBE_MS = 50;
+const PROBE_INTERVAL_MS = 50;
 
-/** What the checks look at. */
+/** The parts of the system that the checks read. */
 export interface InvariantContext {
   readonly time: VirtualTime;
   readonly size: SystemSize;
@@ -34,15 +34,15 @@
 }
 
 /**
- * Looks at all machines every 50 ms, and once more when all is calm.
+ * Checks all machines every 50 ms, and once more at the end, when no fault is active.
  * @example
  * invariants.open();
  */
 export class Invariants {
   #context: InvariantContext;
-  /** When a core was last disturbed. */
+  /** Time at which a core was last disturbed. */
   #disturbedMs = 0;
-  /** When the state that each change wrote was first seen on a core, and on an edge. */
+  /** First observation of the state that each change wrote, on a core and on an edge. */
   #firstSeen = new Map<string, { readonly read: Read; readonly text: string }>();
   #seenStates = new WeakSet<Deployment>();
 
@@ -50,74 +50,76 @@
     this.#context = context;
   }
 
-  open(): void {
-    this.#context.time.after(PROBE_MS, () => this.open());
+  start(): void {
+    this.#context.time.after(PROBE_INTERVAL_MS, () => this.start());
     this.#probe();
   }
 
-  /** The bounds count anew for a machine, and for all if it is a core. */
-  disturbed(machine: Machine): void {
+  /** Restarts the time bounds for a machine, and for all machines if it is a core. */
+  recordDisturbance(machine: Machine): void {
     const nowMs = this.#context.time.nowMs();
-    if (machine.running !== undefined) machine.running.touchMs = nowMs;
+    if (machine.running !== undefined) machine.running.undisturbedSinceMs = nowMs;
     if (machine.disk !== undefined) this.#disturbedMs = nowMs;
   }
 
-  /** Whether the core has been undisturbed, and more than half of it connected, for long enough. */
+  /** Whether no core was disturbed for `contactMs` and more than half of the cores reach a majority. */
   settled(): boolean {
     return (
       this.#context.time.nowMs() - this.#disturbedMs > BOUNDS.contactMs &&
-      this.#reaching().length > this.#context.size.cores / 2
+      this.#coresWithMajority().length > this.#context.size.cores / 2
     );
   }
 
-  /** Running cores that reach, both ways, more than half of the core. */
-  #reaching(): Machine[] {
+  /** Running cores that reach more than half of the cores in both directions. */
+  #coresWithMajority(): Machine[] {
     const { cores, network, size } = this.#context;
     const up = cores.filter((core) => core.running?.frozen === false);
     return up.filter((core) => {
-      const met = up.filter((other) => other === core || !network.isApart(core.name, other.name));
+      const met = up.filter((other) => other === core || !network.isCutEitherWay(core.name, other.name));
       return met.length > size.cores / 2;
     });
   }
 
   #probe(): void {
-    const reaching = this.#reaching();
+    const majorityCores = this.#coresWithMajority();
     const settled = this.settled();
-    for (const core of this.#context.cores) this.#probeCore(core, reaching, settled);
-    for (const edge of this.#context.edges) this.#probeEdge(edge, reaching, settled);
+    for (const core of this.#context.cores) this.#probeCore(core, majorityCores, settled);
+    for (const edge of this.#context.edges) this.#probeEdge(edge, majorityCores, settled);
     this.#probeShares();
     this.#probeHolders();
     if (settled) this.#probeOrders();
   }
 
-  #probeCore(core: Machine, reaching: readonly Machine[], settled: boolean): void {
-    this.#neverBack(core);
+  #probeCore(core: Machine, majorityCores: readonly Machine[], settled: boolean): void {
+    this.#checkEditionMonotonic(core);
     const { running } = core;
     if (running?.replica === undefined || running.frozen) return;
     const nowMs = this.#context.time.nowMs();
-    if (!reaching.includes(core)) running.touchMs = nowMs;
+    if (!majorityCores.includes(core)) running.undisturbedSinceMs = nowMs;
     const { state, group } = running.replica;
     if (group.singletonEpoch() !== undefined)
-      this.#checkLack('leads with old state', core, state, nowMs - LEASE_MS);
-    if (settled && nowMs - running.touchMs > BOUNDS.contactMs)
-      this.#checkLack('core behind', core, state, nowMs - BOUNDS.applyMs);
+      this.#checkMissing('leads with old state', core, state, nowMs - LEASE_MS);
+    if (settled && nowMs - running.undisturbedSinceMs > BOUNDS.contactMs)
+      this.#checkMissing('core behind', core, state, nowMs - BOUNDS.applyMs);
   }
 
-  #checkLack(rule: string, machine: Machine, state: Deployment, beforeMs: number): void {
-    const lack = this.#context.expectations.lacks(state, beforeMs, isEdge(machine));
+  #checkMissing(rule: string, machine: Machine, state: Deployment, beforeMs: number): void {
+    const lack = this.#context.expectations.findMissing(state, beforeMs, isEdge(machine));
     if (lack !== undefined) this.#context.breach(rule, `${machine.name}: ${lack}`);
   }
 
-  #probeEdge(edge: Machine, reaching: readonly Machine[], settled: boolean): void {
-    this.#neverBack(edge);
+  #probeEdge(edge: Machine, majorityCores: readonly Machine[], settled: boolean): void {
+    this.#checkEditionMonotonic(edge);
     const { running } = edge;
     if (running?.follower === undefined || running.frozen) return;
     const nowMs = this.#context.time.nowMs();
     const { network } = this.#context;
-    const reached = reaching.length > 0 && reaching.every((core) => !network.isApart(core.name, edge.name));
-    if (!reached) running.touchMs = nowMs;
-    if (!settled || nowMs - running.touchMs <= BOUNDS.contactMs) return;
-    this.#checkLack('applied in time', edge, running.follower.state, nowMs - BOUNDS.applyMs);
+    const reached =
+      majorityCores.length > 0 &&
+      majorityCores.every((core) => !network.isCutEitherWay(core.name, edge.name));
+    if (!reached) running.undisturbedSinceMs = nowMs;
+    if (!settled || nowMs - running.undisturbedSinceMs <= BOUNDS.contactMs) return;
+    this.#checkMissing('applied in time', edge, running.follower.state, nowMs - BOUNDS.applyMs);
     this.#probeDrains(edge, running.follower);
   }
 
@@ -135,11 +137,15 @@
     }
   }
 
-  /** What all edges share, such as further sends, each divides by no fewer edges than there are. */
+  /**
+   * Checks that no edge divides a shared budget, such as the one for retries, by fewer edges than are
+   * running.
+   */
   #probeShares(): void {
     const nowMs = this.#context.time.nowMs();
     const steady = this.#context.edges.filter(
-      ({ running }) => running !== undefined && !running.frozen && nowMs - running.touchMs > BOUNDS.contactMs,
+      ({ running }) =>
+        running !== undefined && !running.frozen && nowMs - running.undisturbedSinceMs > BOUNDS.contactMs,
     );
     for (const { name, running } of steady) {
       const edges = running?.follower?.edgeCount ?? 0;
@@ -159,18 +165,22 @@
       );
   }
 
-  /** Orders are answered in time, unless their answers are lost on the way. */
+  /** Checks that orders are answered in time, unless answers are being lost. */
   #probeOrders(): void {
     const { operators, time } = this.#context;
     if (operators.answerLossRatio > 0) return;
-    for (const order of operators.underWay) {
-      const sinceMs = Math.max(order.bornMs, this.#disturbedMs + BOUNDS.contactMs, operators.lossEndedMs);
+    for (const order of operators.pendingOrders) {
+      const sinceMs = Math.max(
+        order.createdMs,
+        this.#disturbedMs + BOUNDS.contactMs,
+        operators.answerLossChangedMs,
+      );
       if (time.nowMs() - sinceMs > BOUNDS.ackMs)
-        this.#context.breach('late answer', `${order.request.kind} of ${order.bornMs.toFixed(0)}`);
+        this.#context.breach('late answer', `${order.request.kind} of ${order.createdMs.toFixed(0)}`);
     }
   }
 
-  #neverBack(machine: Machine): void {
+  #checkEditionMonotonic(machine: Machine): void {
     const { running } = machine;
     const state = stateOf(running);
     if (running === undefined || state === undefined) return;
@@ -184,15 +194,14 @@
   }
 
   /**
-   * A state that stands on any node was decided, and so belongs to the history.
-   * When it takes effect is open: a core may hold it before its operator or any
-   * reader is told.
+   * Records the first observation of each state. A state on any node was decided and so belongs to the
+   * history. Its time of effect is open: a core may hold it before its operator or any reader gets an answer.
    */
   #observe(machine: Machine, state: Deployment): void {
     if (this.#seenStates.has(state) || state.document === undefined) return;
     this.#seenStates.add(state);
     const text = canonicalText(state.document);
-    const key = seenKey(machine, changeIdOf(state.revision, state.document) ?? '');
+    const key = firstSeenKey(machine, changeIdOf(state.revision, state.document) ?? '');
     const known = this.#firstSeen.get(key);
     if (known !== undefined && known.text !== text)
       this.#context.breach('one document', `${machine.name} holds another document under ${key}`);
@@ -211,7 +220,10 @@
     };
   }
 
-  /** Checks what must hold once all is calm: acknowledged state everywhere, a whole core, every model in demand served. */
+  /**
+   * Checks what must hold once no fault is active: every node has the acknowledged state, the cores have a
+   * coordinator and all voters, and every model in demand is served.
+   */
   checkEnd(): void {
     const { cores, edges, size } = this.#context;
     for (const machine of [...cores, ...edges]) this.#checkMachine(machine);
@@ -220,7 +232,7 @@
     const wanted = Math.min(2 * size.lossesBorne + 1, cores.filter((core) => !core.removed).length);
     const voters = countVoters(cores);
     if (voters < wanted) this.#context.breach('recovers', `${voters} voters, wanted ${wanted}`);
-    for (const order of this.#context.operators.underWay)
+    for (const order of this.#context.operators.pendingOrders)
       this.#context.breach('late answer', `${order.request.kind} is not answered`);
     this.#checkDemand();
     this.#checkHistory();
@@ -234,7 +246,7 @@
       return;
     }
     const state = stateOf(running);
-    if (state !== undefined) this.#checkLack('acknowledged stays', machine, state, Infinity);
+    if (state !== undefined) this.#checkMissing('acknowledged stays', machine, state, Infinity);
     const { replica, follower } = running;
     if (replica?.group.holdsLease() === false)
       breach('recovers', `${machine.name} is not in a group with a majority`);
@@ -243,7 +255,7 @@
     if (follower?.informed === false) breach('recovers', `${machine.name} hears no core with a majority`);
   }
 
-  /** An edge knows each key of the acknowledged configuration, by its tenant. */
+  /** Checks that an edge maps each API key of the acknowledged configuration to its tenant. */
   #checkKeys(edge: string, follower: EdgeReplica): void {
     const { revision, document } = this.#context.expectations.acked;
     if (document === undefined || follower.state.revision !== revision) return;
@@ -259,12 +271,14 @@
     for (const need of demand.needs) {
       const what = need.adapter === '' ? need.model : `${need.model}/${need.adapter}`;
       for (const edge of edges)
-        if (!demand.finds(edge, need))
+        if (!demand.isServed(edge, need))
           this.#context.breach('placed', `${edge.name} knows no worker with ${what}`);
     }
   }
 
-  /** The operators' history, with all states that were seen and those that stand now, is linearizable. */
+  /**
+   * Checks that the operators' history, with all observed and all current states as reads, is linearizable.
+   */
   #checkHistory(): void {
     const { operators, cores, edges, time } = this.#context;
     const nowMs = time.nowMs();
@@ -280,7 +294,7 @@
     this.#checkZones(nowMs);
   }
 
-  /** Every document that was seen is the one that the chain of changes makes. */
+  /** Checks that every observed document equals the one that the chain of changes produces. */
   #checkDocuments(chain: readonly ChangeOrder[]): void {
     const { operators } = this.#context;
     let document: Document = {};
@@ -330,8 +344,8 @@
   return disk === undefined;
 }
 
-/** Edges hold documents without the keys of tenants, so theirs are compared by themselves. */
-function seenKey(machine: Machine, changeId: string): string {
+/** Key of an observed state by kind of node, as edges hold documents without API keys. */
+function firstSeenKey(machine: Machine, changeId: string): string {
   const kind: NodeKind = isEdge(machine) ? 'edge' : 'core';
   return `${kind} ${changeId}`;
 }
@@ -340,7 +354,7 @@
   return running?.replica?.state ?? running?.follower?.state;
 }
 
-/** How many voters the core with the most knows of. */
+/** Returns the largest number of voters that any core has in its state. */
 export function countVoters(cores: readonly Machine[]): number {
   return Math.max(0, ...cores.map((core) => core.running?.replica?.group.state?.voters.length ?? 0));
 }
--- a/packages/simulator/src/system/linearizability.ts
+++ b/packages/simulator/src/system/linearizability.ts
@@ -1,10 +1,8 @@
 /**
- * A linearizability check of the configuration as a register with
- * compare-and-set. Each change names its base revision and revisions rise, so
- * the changes that took effect form one chain. The check looks for a chain
- * that explains every answer, and for one moment of effect for each change in
- * it. Only changes without a clear answer leave a choice, so the search is
- * nearly linear in the length of the history.
+ * A linearizability check of the configuration as a compare-and-set register. Each change names its base
+ * revision and revisions rise, so the changes that took effect form one chain. The check searches for a chain
+ * that explains every answer, with one time of effect for each of its changes. Only changes without a
+ * definite answer leave a choice, so the search is nearly linear in the length of the history.
  */
 import {
   firstAcknowledgedMs,
@@ -15,25 +13,26 @@
   type Read,
 } from './history.js';
 
-/** No more candidate chains are tried; a history that needs more is reported as undecided. */
-const CHAINS_TRIED_MOST = 2000;
+/** Maximum number of candidate chains to try; a history that needs more is reported as undecided. */
+const MAX_CHAINS_TRIED = 2000;
 
-/** What the check found. */
+/** Result of the check. */
 export interface Linearization {
-  /** Why no order of the operations explains the answers; empty if one does. */
+  /** Reasons why no order of the operations explains the answers; empty if one does. */
   readonly violations: readonly string[];
   /** The changes that took effect, in order, if an order was found. */
   readonly chain: readonly ChangeOrder[];
-  /** How many whole chains were looked at; a measure of the work. */
+  /** Number of complete chains that were examined, as a measure of the work. */
   readonly chainsTried: number;
 }
 
+/** A refused attempt at a valid change. */
 interface Refusal {
   readonly change: ChangeOrder;
   readonly attempt: Attempt;
 }
 
-/** A link of the chain: a change in effect, or the empty register at the start. */
+/** A link of the chain: a change that took effect, or the empty register at the start. */
 interface Link {
   readonly change: ChangeOrder | undefined;
   readonly revision: number;
@@ -42,18 +41,18 @@
 const START: Link = { change: undefined, revision: 0 };
 
 /**
- * Checks a history; the result names what is wrong or the chain of changes.
+ * Checks a history; the result holds either the violations or the chain of changes.
  * @example
  * checkLinearizable({ changes: [], reads: [] }).violations; // []
  */
 export function checkLinearizable(history: History): Linearization {
-  const violations = findPlainViolations(history);
+  const violations = findDirectViolations(history);
   if (violations.length > 0) return { violations, chain: [], chainsTried: 0 };
   return new ChainSearch(history).run();
 }
 
-/** Violations that can be named without a search. */
-function findPlainViolations({ changes, reads }: History): string[] {
+/** Finds violations that need no search. */
+function findDirectViolations({ changes, reads }: History): string[] {
   const violations: string[] = [];
   const acknowledgedByBase = new Map<number, ChangeOrder>();
   for (const change of changes) {
@@ -107,7 +106,7 @@
   return `${read.reader} read revision ${read.revision} of change ${read.changeId ?? 'none'} from ${read.invokedMs.toFixed(0)} to ${read.respondedMs.toFixed(0)}`;
 }
 
-/** A search in depth over the chains that the acknowledged changes and the reads leave possible. */
+/** Depth-first search over the chains that the acknowledged changes and the reads permit. */
 class ChainSearch {
   /** Changes that may have taken effect, by base. */
   #candidates = new Map<number, ChangeOrder[]>();
@@ -116,11 +115,14 @@
   #readsOf = new Map<ChangeOrder | undefined, Read[]>();
   #refusalsOnBase = new Map<number, Refusal[]>();
   #chain: Link[] = [START];
-  #tried = 0;
-  /** Links that are known to lead nowhere, each with the earliest moment of its effect and the required changes before it. */
+  #chainsTried = 0;
+  /**
+   * Links known not to lead to a complete chain, each with the earliest time of its effect and the number of
+   * required changes up to it.
+   */
   #deadEnds = new Map<ChangeOrder, Set<string>>();
-  /** Why the chain that came furthest failed. */
-  #best = { length: -1, why: 'no chain of changes explains the answers' };
+  /** Length of the longest chain that failed, and the reason of its failure. */
+  #furthestFailure = { length: -1, why: 'no chain of changes explains the answers' };
 
   constructor({ changes, reads }: History) {
     const byId = new Map(changes.map((change) => [change.id, change]));
@@ -138,11 +140,13 @@
 
   run(): Linearization {
     const found = this.#extend(-Infinity, 0);
-    const chainsTried = this.#tried;
+    const chainsTried = this.#chainsTried;
     if (found)
       return { violations: [], chain: this.#chain.flatMap((link) => link.change ?? []), chainsTried };
-    const undecided = chainsTried >= CHAINS_TRIED_MOST;
-    const why = undecided ? `undecided after ${chainsTried} chains: ${this.#best.why}` : this.#best.why;
+    const undecided = chainsTried >= MAX_CHAINS_TRIED;
+    const why = undecided
+      ? `undecided after ${chainsTried} chains: ${this.#furthestFailure.why}`
+      : this.#furthestFailure.why;
     return { violations: [why], chain: [], chainsTried };
   }
 
@@ -152,60 +156,70 @@
       if (attempt.outcome === 'refused') push(this.#refusalsOnBase, change.base, { change, attempt });
   }
 
-  /** Tries to extend the chain so that all required changes stand in it. */
+  /** Tries to extend the chain until it contains all required changes. */
   #extend(effectMs: number, requiredSoFar: number): boolean {
     const link = this.#chain.at(-1) ?? START;
     const key = `${effectMs} ${requiredSoFar}`;
     if (link.change !== undefined && this.#deadEnds.get(link.change)?.has(key) === true) return false;
-    const triedBefore = this.#tried;
+    const triedBefore = this.#chainsTried;
     if (requiredSoFar === this.#required.size && this.#explainsAll()) return true;
     for (const next of this.#successors(link.revision)) {
-      if (this.#tried >= CHAINS_TRIED_MOST) return false;
-      const earliestMs = this.#earliestMs(link, effectMs, next);
-      const why = this.#whyNot(link, next, earliestMs);
+      if (this.#chainsTried >= MAX_CHAINS_TRIED) return false;
+      const earliestMs = this.#earliestEffectMs(link, effectMs, next);
+      const why = this.#reasonAgainst(link, next, earliestMs);
       if (why !== undefined) {
-        this.#fail(why);
+        this.#recordFailure(why);
         continue;
       }
       this.#chain.push({ change: next, revision: next.revision });
       if (this.#extend(earliestMs, requiredSoFar + (this.#required.has(next) ? 1 : 0))) return true;
       this.#chain.pop();
     }
-    const wholeChainFailed = this.#tried > triedBefore;
+    const wholeChainFailed = this.#chainsTried > triedBefore;
     if (link.change !== undefined && !wholeChainFailed) this.#markDeadEnd(link.change, key);
-    this.#failForMissing(requiredSoFar);
+    this.#recordMissingChange(requiredSoFar);
     return false;
   }
 
-  /** An acknowledged change leaves no choice; else any without an answer may have taken effect. */
+  /**
+   * Changes that may follow a revision: only the required ones if there are any, else any without a definite
+   * answer.
+   */
   #successors(revision: number): readonly ChangeOrder[] {
     const candidates = this.#candidates.get(revision) ?? [];
     const required = candidates.filter((change) => this.#required.has(change));
     return required.length > 0 ? required : candidates;
   }
 
-  /** A change takes effect after it was sent, after its predecessor, and after the last read of that began. */
-  #earliestMs(link: Link, effectMs: number, next: ChangeOrder): number {
+  /**
+   * A change takes effect after it was sent, after its predecessor, and after the last read of its
+   * predecessor began.
+   */
+  #earliestEffectMs(link: Link, effectMs: number, next: ChangeOrder): number {
     const readMs = (this.#readsOf.get(link.change) ?? []).map((read) => read.invokedMs);
     return Math.max(effectMs, firstInvokedMs(next.attempts), ...readMs);
   }
 
-  /** Why a change cannot follow a link, if it takes effect no earlier than this. */
-  #whyNot(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
-    const latest = this.#latestOf(next);
+  /**
+   * Reason why a change cannot follow a link if it takes effect at `earliestMs` or later; undefined if it
+   * can.
+   */
+  #reasonAgainst(link: Link, next: ChangeOrder, earliestMs: number): string | undefined {
+    const latest = this.#latestEffectMs(next);
     if (earliestMs > latest) {
       const stale = (this.#readsOf.get(link.change) ?? []).find((read) => read.invokedMs > latest);
       if (stale !== undefined) return `${describeRead(stale)}, after ${describeChange(next)} took effect`;
       return `${describeChange(next)} took effect before it could follow ${describeLink(link)}`;
     }
-    const refusal = this.#refusalWithinReign(link, earliestMs);
+    const refusal = this.#refusalWhileInForce(link, earliestMs);
     return refusal === undefined ? undefined : describeRefusal(refusal);
   }
 
-  /** A refusal of an attempt during all of which the base of its change was in force. */
-  #refusalWithinReign(link: Link, succeededMs: number): Refusal | undefined {
+  /** Finds a refused attempt during the whole of which the base of its change was in force. */
+  #refusalWhileInForce(link: Link, succeededMs: number): Refusal | undefined {
     return (this.#refusalsOnBase.get(link.revision) ?? []).find(
-      ({ attempt }) => succeededMs > attempt.respondedMs && this.#latestOf(link.change) < attempt.invokedMs,
+      ({ attempt }) =>
+        succeededMs > attempt.respondedMs && this.#latestEffectMs(link.change) < attempt.invokedMs,
     );
   }
 
@@ -215,69 +229,74 @@
     this.#deadEnds.set(change, keys);
   }
 
-  #failForMissing(requiredSoFar: number): void {
+  #recordMissingChange(requiredSoFar: number): void {
     if (requiredSoFar === this.#required.size) return;
     const inChain = new Set(this.#chain.map((link) => link.change));
     const missing = [...this.#required].find((change) => !inChain.has(change));
     if (missing === undefined) return;
-    this.#fail(
+    this.#recordFailure(
       `${describeChange(missing)} took effect, but no chain of changes leads to it beyond ${describeLink(this.#chain.at(-1) ?? START)}`,
     );
   }
 
-  #fail(why: string): void {
-    if (this.#chain.length <= this.#best.length) return;
-    this.#best = { length: this.#chain.length, why };
+  #recordFailure(why: string): void {
+    if (this.#chain.length <= this.#furthestFailure.length) return;
+    this.#furthestFailure = { length: this.#chain.length, why };
   }
 
   /**
-   * Whether the whole chain has moments that also explain each refusal. A
-   * refused change had another revision before it at some moment of the
-   * attempt: its base came into force after the attempt began, or was
-   * succeeded before the answer. The least moments are raised until all hold.
+   * Whether the complete chain has times of effect that also explain each refusal. A refused change met
+   * another revision than its base at some time during the attempt: its base came into force after the
+   * attempt began, or was succeeded before the answer. The earliest possible times are raised until all
+   * conditions hold.
    */
   #explainsAll(): boolean {
-    this.#tried += 1;
-    const momentsMs = this.#chain.map(() => -Infinity);
+    this.#chainsTried += 1;
+    const effectTimesMs = this.#chain.map(() => -Infinity);
     for (let raised = true; raised;) {
-      this.#settleMoments(momentsMs);
+      this.#raiseToLowerBounds(effectTimesMs);
       raised = false;
       for (const [place, link] of this.#chain.entries()) {
-        const succeededMs = momentsMs[place + 1] ?? Infinity;
-        const refusal = this.#refusalWithinReign(link, succeededMs);
+        const succeededMs = effectTimesMs[place + 1] ?? Infinity;
+        const refusal = this.#refusalWhileInForce(link, succeededMs);
         if (refusal !== undefined) {
-          this.#fail(describeRefusal(refusal));
+          this.#recordFailure(describeRefusal(refusal));
           return false;
         }
-        raised ||= this.#raise(momentsMs, place, link, succeededMs);
+        raised ||= this.#raisePastRefusals(effectTimesMs, place, link, succeededMs);
       }
     }
-    return momentsMs.every((momentMs, place) => momentMs <= this.#latestOf(this.#chain[place]?.change));
+    return effectTimesMs.every(
+      (effectTimeMs, place) => effectTimeMs <= this.#latestEffectMs(this.#chain[place]?.change),
+    );
   }
 
-  /** Moves a link's moment behind the start of an attempt that was refused before the link was succeeded. */
-  #raise(momentsMs: number[], place: number, link: Link, succeededMs: number): boolean {
-    const momentMs = momentsMs[place] ?? -Infinity;
-    let raisedMs = momentMs;
+  /**
+   * Moves a link's time of effect past the start of each attempt that was refused before the link was
+   * succeeded.
+   */
+  #raisePastRefusals(effectTimesMs: number[], place: number, link: Link, succeededMs: number): boolean {
+    const effectTimeMs = effectTimesMs[place] ?? -Infinity;
+    let raisedMs = effectTimeMs;
     for (const { attempt } of this.#refusalsOnBase.get(link.revision) ?? [])
       if (succeededMs > attempt.respondedMs) raisedMs = Math.max(raisedMs, attempt.invokedMs);
-    momentsMs[place] = raisedMs;
-    return raisedMs > momentMs;
+    effectTimesMs[place] = raisedMs;
+    return raisedMs > effectTimeMs;
   }
 
-  /** Raises each moment to the least that its predecessor and its own order allow. */
-  #settleMoments(momentsMs: number[]): void {
+  /** Raises each time of effect to the earliest that its predecessor and its own change permit. */
+  #raiseToLowerBounds(effectTimesMs: number[]): void {
     for (let place = 1; place < this.#chain.length; place += 1) {
       const link = this.#chain[place - 1] ?? START;
       const next = this.#chain[place]?.change;
       if (next === undefined) continue;
-      const earliestMs = this.#earliestMs(link, momentsMs[place - 1] ?? -Infinity, next);
-      momentsMs[place] = Math.max(momentsMs[place] ?? -Infinity, earliestMs);
+      const earliestMs = this.#earliestEffectMs(link, effectTimesMs[place - 1] ?? -Infinity, next);
+      effectTimesMs[place] = Math.max(effectTimesMs[place] ?? -Infinity, earliestMs);
     }
   }
 
-  /** A change has taken effect by the time it is acknowledged or has been read. */
-  #latestOf(change: ChangeOrder | undefined): number {
+  /** Latest time of effect of a change: its first acknowledgement or the end of its first read. */
+  #latestEffectMs(change: ChangeOrder | undefined): number {
     if (change === undefined) return -Infinity;
     const reads = this.#readsOf.get(change) ?? [];
     return Math.min(firstAcknowledgedMs(change.attempts), ...reads.map((read) => read.respondedMs));
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -1,18 +1,18 @@
-/** The network between the machines: each direction keeps its order, as TCP does. */
+/** The simulated network between machines; each direction keeps the order of its frames, as TCP does. */
 import { encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import type { SeededRandom } from '@rainrun/common';
 import type { Cut, VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 
-const LEAST_LATENCY_MS = 0.5;
+const MIN_LATENCY_MS = 0.5;
 const JITTER_MS = 2;
-const SLOW_SHARE = 0.01;
-const SLOW_MS = 60;
-/** A frozen process loses what arrives beyond so many waiting acts. */
-const WAITING_MOST = 5000;
+const SLOW_FRAME_RATIO = 0.01;
+const SLOW_FRAME_DELAY_MS = 60;
+/** Frames that arrive while more calls than this are queued for a frozen process are dropped. */
+const MAX_QUEUED_CALLS = 5000;
 
 /**
- * Carries frames between machines; late, lossy, cut in one or both directions.
+ * Delivers frames between machines with latency and loss; cuts block one direction or both.
  * @example
  * network.post(machine, 'core-0:1', frame);
  */
@@ -25,9 +25,9 @@
   #cuts = new Set<Cut>();
   #arrivals = new Map<string, number>();
 
-  constructor(time: VirtualTime, dice: SeededRandom, machines: () => readonly Machine[]) {
+  constructor(time: VirtualTime, random: SeededRandom, machines: () => readonly Machine[]) {
     this.#time = time;
-    this.#random = dice;
+    this.#random = random;
     this.#machines = machines;
   }
 
@@ -35,41 +35,41 @@
     this.#cuts.add(cut);
   }
 
-  /** Whether the cut was still there. */
+  /** Removes a cut; false if it was already removed. */
   removeCut(cut: Cut): boolean {
     return this.#cuts.delete(cut);
   }
 
-  /** Whether nothing gets through now from one name or address to another. */
+  /** Whether a cut blocks frames from one name or address to another. */
   isCut(from: string, to: string): boolean {
     for (const cut of this.#cuts) if (cut(from, to)) return true;
     return false;
   }
 
-  /** Whether two machines are cut off from each other in either direction. */
-  isApart(one: string, other: string): boolean {
+  /** Whether a cut blocks either direction between two machines. */
+  isCutEitherWay(one: string, other: string): boolean {
     return this.isCut(one, other) || this.isCut(other, one);
   }
 
-  post(sender: Machine, address: string, frame: Frame): void {
+  send(sender: Machine, address: string, frame: Frame): void {
     const target = this.#machines().find((known) => known.address === address);
     if (sender.running === undefined || target === undefined) return;
     const bytes = encodeFrame(frame);
     if (this.#random.next() < this.lossRatio) return;
     const nowMs = this.#time.nowMs();
     const direction = `${sender.name} ${address}`;
-    const slowMs = this.#random.next() < SLOW_SHARE ? SLOW_MS : 0;
-    const latencyMs = LEAST_LATENCY_MS + this.#random.next() * JITTER_MS + slowMs;
+    const slowMs = this.#random.next() < SLOW_FRAME_RATIO ? SLOW_FRAME_DELAY_MS : 0;
+    const latencyMs = MIN_LATENCY_MS + this.#random.next() * JITTER_MS + slowMs;
     const atMs = Math.max(this.#arrivals.get(direction) ?? 0, nowMs + latencyMs);
     this.#arrivals.set(direction, atMs);
-    this.#time.after(atMs - nowMs, () => this.#arrive(sender, target, bytes));
+    this.#time.after(atMs - nowMs, () => this.#deliver(sender, target, bytes));
   }
 
-  #arrive(sender: Machine, target: Machine, bytes: Uint8Array): void {
+  #deliver(sender: Machine, target: Machine, bytes: Uint8Array): void {
     const { running } = target;
     if (running === undefined || this.isCut(sender.name, target.name)) return;
     const frame = decodeFrame(bytes, 'system');
-    if (frame.isErr || running.waiting.length > WAITING_MOST) return;
-    target.perform(running, () => (running.replica ?? running.follower)?.receive(frame.value));
+    if (frame.isErr || running.queuedCalls.length > MAX_QUEUED_CALLS) return;
+    target.runInProcess(running, () => (running.replica ?? running.follower)?.receive(frame.value));
   }
 }
--- a/packages/simulator/src/system/operator-client.ts
+++ b/packages/simulator/src/system/operator-client.ts
@@ -1,7 +1,7 @@
 /**
- * How operators send their orders: to any core on a list that lags, again to
- * another core after a failure, a 5xx or silence, and the same order until its
- * answer is clear. Everything is recorded for the checkers.
+ * A client that sends operators' orders to any core on a list that lags. It retries the same order on another
+ * core after a failure, a 5xx status or a time-out, until its answer is definite, and records everything for
+ * the checkers.
  */
 import type { SeededRandom } from '@rainrun/common';
 import type { VirtualTime } from '../world.js';
@@ -16,7 +16,7 @@
   type OperatorRequest,
 } from './operator-desk.js';
 
-/** How an order ended: `agreed`, a kind of fault, or `given up`. */
+/** Result of an order; its kind is `agreed`, a kind of fault, or `given up`. */
 export interface OrderEnd {
   readonly kind: string;
   readonly atMs: number;
@@ -24,47 +24,47 @@
   readonly document?: Document;
 }
 
-/** An order that is under way or done. */
+/** A pending or finished order. */
 export interface Order {
   readonly request: OperatorRequest;
-  readonly bornMs: number;
-  /** It is sent again until this moment. */
-  readonly untilMs: number;
-  /** Recorded attempts; shared with the history's entry. */
+  readonly createdMs: number;
+  /** The client stops retrying at this time. */
+  readonly giveUpAtMs: number;
+  /** Recorded attempts; the same array as in the history's entry. */
   readonly attempts: Attempt[];
   end: OrderEnd | undefined;
 }
 
-/** What the client needs of the system around it. */
+/** The parts of the system that the client uses. */
 export interface OperatorContext {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly directory: CoreDirectory;
   machineAt(address: string): Machine | undefined;
   note(node: string, text: string): void;
 }
 
-const PATIENCE_MS = 1000;
-const REDIRECTS_MOST = 2;
-const FIRST_PAUSE_MS = 20;
-const PAUSE_GROWTH = 1.5;
-const LONGEST_PAUSE_MS = 500;
-/** Statuses that say nothing clear: the order is sent again. */
-const UNCLEAR: ReadonlySet<number> = new Set([408, 429]);
+const RESPONSE_TIMEOUT_MS = 1000;
+const MAX_REDIRECTS = 2;
+const INITIAL_BACKOFF_MS = 20;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF_MS = 500;
+/** Statuses below 500 that leave the outcome open, so that the order is sent again. */
+const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([408, 429]);
 
 /**
- * Sends orders and keeps their history.
+ * Sends orders until they have a definite answer and records their history.
  * @example
  * client.send({ kind: 'put', base: 0, document }, true, (end) => note(end.kind));
  */
 export class OperatorClient {
-  /** When answers were last lost on their way. */
-  lossEndedMs = -Infinity;
+  /** Time at which the loss ratio of answers last changed. */
+  answerLossChangedMs = -Infinity;
   readonly orders: Order[] = [];
   readonly changes: ChangeOrder[] = [];
   readonly reads: Read[] = [];
   readonly zoneOrders: ZoneOrder[] = [];
-  /** Called for each clear answer. */
+  /** Called for each definite answer. */
   onAnswer: ((kind: string) => void) | undefined;
   #context: OperatorContext;
   #answerLossRatio = 0;
@@ -74,17 +74,17 @@
     this.#context = context;
   }
 
-  /** Share of answers that are lost on their way. */
+  /** Ratio of answers that are lost in transit. */
   get answerLossRatio(): number {
     return this.#answerLossRatio;
   }
 
   set answerLossRatio(ratio: number) {
     this.#answerLossRatio = ratio;
-    this.lossEndedMs = this.#context.time.nowMs();
+    this.answerLossChangedMs = this.#context.time.nowMs();
   }
 
-  /** What was sent for a change. */
+  /** Returns the request that was sent for a change. */
   requestOf(change: ChangeOrder): OperatorRequest | undefined {
     return this.#requests.get(change);
   }
@@ -93,32 +93,35 @@
     return { changes: this.changes, reads: this.reads };
   }
 
-  /** Orders without a clear answer. */
-  get underWay(): readonly Order[] {
+  /** Orders without a definite answer so far. */
+  get pendingOrders(): readonly Order[] {
     return this.orders.filter((order) => order.end === undefined);
   }
 
-  /** Sends an order until its answer is clear. `valid` says whether a core may accept it. */
+  /** Sends an order until its answer is definite. `valid` is false if every core must refuse the order. */
   send(
     request: OperatorRequest,
     valid: boolean,
     done: (end: OrderEnd) => void = () => undefined,
     forMs = Infinity,
   ): Order {
-    const bornMs = this.#context.time.nowMs();
+    const createdMs = this.#context.time.nowMs();
     const order: Order = {
       request,
-      bornMs,
-      untilMs: bornMs + forMs,
+      createdMs,
+      giveUpAtMs: createdMs + forMs,
       attempts: this.#record(request, valid),
       end: undefined,
     };
     this.orders.push(order);
-    this.#attempt(order, undefined, FIRST_PAUSE_MS, done);
+    this.#attempt(order, undefined, INITIAL_BACKOFF_MS, done);
     return order;
   }
 
-  /** The history's entry of the same change, or a new one. A change is known by its revision and mark. */
+  /**
+   * Returns the attempts of the same change in the history, or of a new entry. Revision and mark identify a
+   * change.
+   */
   #record(request: OperatorRequest, valid: boolean): Attempt[] {
     if (request.kind === 'read') return [];
     if (request.kind === 'evacuate' || request.kind === 'return') {
@@ -143,39 +146,39 @@
   #attempt(
     order: Order,
     previous: Machine | undefined,
-    pauseMs: number,
+    backoffMs: number,
     done: (end: OrderEnd) => void,
   ): void {
-    const { time, directory, dice } = this.#context;
-    if (time.nowMs() > order.untilMs)
+    const { time, directory, random } = this.#context;
+    if (time.nowMs() > order.giveUpAtMs)
       return this.#finish(order, { kind: 'given up', atMs: time.nowMs() }, done);
     const listed = directory.list();
     const others = listed.filter((core) => core !== previous);
     const choice = others.length > 0 ? others : listed;
-    const core = choice[Math.floor(dice.next() * choice.length)];
+    const core = choice[Math.floor(random.next() * choice.length)];
     const attempt: Attempt = { invokedMs: time.nowMs(), respondedMs: Infinity, outcome: 'unknown' };
     order.attempts.push(attempt);
-    this.#exchange(order, core, REDIRECTS_MOST, (reply) => {
+    this.#exchange(order, core, MAX_REDIRECTS, (reply) => {
       attempt.respondedMs = time.nowMs();
       attempt.outcome = outcomeOf(order.request, reply);
       if (attempt.outcome === 'unknown' || reply === undefined) {
-        time.after(pauseMs * (0.5 + dice.next()), () =>
-          this.#attempt(order, core, Math.min(LONGEST_PAUSE_MS, pauseMs * PAUSE_GROWTH), done),
+        time.after(backoffMs * (0.5 + random.next()), () =>
+          this.#attempt(order, core, Math.min(MAX_BACKOFF_MS, backoffMs * BACKOFF_FACTOR), done),
         );
         return;
       }
-      this.#take(order, attempt, core, reply, done);
+      this.#handleReply(order, attempt, core, reply, done);
     });
   }
 
-  /** One request and its answer, redirects included; undefined where none came in time. */
+  /** Sends one request and follows redirects; the reply is undefined if none arrives in time. */
   #exchange(
     order: Order,
     core: Machine | undefined,
     redirects: number,
     done: (reply: OperatorReply | undefined) => void,
   ): void {
-    const { time, dice } = this.#context;
+    const { time, random } = this.#context;
     let open = true;
     const finish = (reply: OperatorReply | undefined): void => {
       if (!open) return;
@@ -183,8 +186,8 @@
       if (reply?.status !== 307 || redirects === 0) return done(reply);
       this.#exchange(order, this.#context.machineAt(reply.location ?? ''), redirects - 1, done);
     };
-    time.after(PATIENCE_MS, () => finish(undefined));
-    time.after(0.5 + dice.next() * 2, () => {
+    time.after(RESPONSE_TIMEOUT_MS, () => finish(undefined));
+    time.after(0.5 + random.next() * 2, () => {
       const running = core?.running;
       const service = running?.operators;
       if (core === undefined || running === undefined || service === undefined) {
@@ -192,14 +195,14 @@
         return;
       }
       const deliver = (reply: OperatorReply): void => {
-        if (dice.next() < this.answerLossRatio) return;
-        time.after(0.5 + dice.next() * 2, () => finish(reply));
+        if (random.next() < this.answerLossRatio) return;
+        time.after(0.5 + random.next() * 2, () => finish(reply));
       };
-      core.perform(running, () => answerOperator(service, order.request, deliver, () => !open));
+      core.runInProcess(running, () => answerOperator(service, order.request, deliver, () => !open));
     });
   }
 
-  #take(
+  #handleReply(
     order: Order,
     attempt: Attempt,
     core: Machine | undefined,
@@ -227,9 +230,16 @@
   }
 }
 
-/** A read before the first configuration is answered with 404: that is a clear answer. */
+/**
+ * Classifies a reply. A read before the first configuration is answered with 404, which is a definite answer.
+ */
 function outcomeOf(request: OperatorRequest, reply: OperatorReply | undefined): Outcome {
-  if (reply === undefined || reply.status >= 500 || UNCLEAR.has(reply.status) || reply.status === 307)
+  if (
+    reply === undefined ||
+    reply.status >= 500 ||
+    RETRYABLE_STATUSES.has(reply.status) ||
+    reply.status === 307
+  )
     return 'unknown';
   if (reply.status < 300 || (request.kind === 'read' && reply.status === 404)) return 'acknowledged';
   return 'refused';
--- a/packages/simulator/src/system/operator-load.ts
+++ b/packages/simulator/src/system/operator-load.ts
@@ -5,17 +5,17 @@
 import type { OperatorRequest } from './operator-desk.js';
 import { BOUNDS } from './size.js';
 
-/** No more orders are under way at once. */
-const UNDER_WAY_MOST = 8;
-const OPERATORS = 2;
-const LARGE_ROUTES = 150;
-/** An order that was taken is sent again no later than this. */
-const REPEAT_WITHIN_MS = 10_000;
+/** Maximum number of pending orders. */
+const MAX_PENDING_ORDERS = 8;
+const OPERATOR_COUNT = 2;
+const LARGE_ROUTE_COUNT = 150;
+/** Maximum delay after which an accepted order is sent again. */
+const MAX_REPEAT_DELAY_MS = 10_000;
 
 type OrderKind = 'put' | 'large' | 'patch' | 'race' | 'invalid' | 'zone' | 'read';
 
-/** Weights out of 100. */
-const MIX: readonly (readonly [kind: OrderKind, weight: number])[] = [
+/** Weights of the kinds of orders, in percent. */
+const ORDER_WEIGHTS: readonly (readonly [kind: OrderKind, weight: number])[] = [
   ['put', 30],
   ['patch', 33],
   ['race', 14],
@@ -25,13 +25,13 @@
   ['large', 2],
 ];
 
-/** What one operator believes to be in force. */
+/** The revision that one operator believes to be in force. */
 interface Belief {
   revision: number;
 }
 
 /**
- * Sends orders as two operators do who each know what they were last told.
+ * Sends orders as two operators do, each on the base of the revision that it last learned.
  * @example
  * const load = new OperatorLoad(system);
  * load.putFirst();
@@ -40,30 +40,30 @@
 export class OperatorLoad {
   acknowledged = 0;
   #system: System;
-  #beliefs: Belief[] = Array.from({ length: OPERATORS }, () => ({ revision: 0 }));
-  #marks = 0;
+  #beliefs: Belief[] = Array.from({ length: OPERATOR_COUNT }, () => ({ revision: 0 }));
+  #markCount = 0;
   #zonesBusy = new Set<string>();
 
   constructor(system: System) {
     this.#system = system;
   }
 
-  /** Orders that are under way. */
-  get underWay(): number {
-    return this.#system.operators.underWay.length;
+  /** Number of orders without a definite answer. */
+  get pendingCount(): number {
+    return this.#system.operators.pendingOrders.length;
   }
 
-  /** The first configuration, before traffic. */
+  /** Sends the first configuration, before traffic. */
   putFirst(): void {
     this.#change(this.#belief(), 'put');
   }
 
-  /** One order of any kind, if not too many are under way. */
-  any(): void {
-    if (this.underWay >= UNDER_WAY_MOST) return;
+  /** Sends one order of a random kind, unless too many are pending. */
+  sendRandom(): void {
+    if (this.pendingCount >= MAX_PENDING_ORDERS) return;
     const belief = this.#belief();
-    let weight = this.#roll(100);
-    const kind = MIX.find(([, share]) => (weight -= share) < 0)?.[0] ?? 'put';
+    let weight = this.#randomBelow(100);
+    const kind = ORDER_WEIGHTS.find(([, share]) => (weight -= share) < 0)?.[0] ?? 'put';
     switch (kind) {
       case 'put':
       case 'patch':
@@ -80,35 +80,37 @@
     }
   }
 
-  /** Orders one after the other, as many at once as may be. */
+  /**
+   * Sends random orders at an average interval of `everyMs` for `forMs`, up to the maximum of pending orders.
+   */
   storm(everyMs: number, forMs: number): void {
-    const { time, random: dice } = this.#system;
+    const { time, random: seededRandom } = this.#system;
     const endMs = time.nowMs() + forMs;
     const next = (): void => {
       if (time.nowMs() > endMs) return;
-      this.any();
-      time.after(everyMs * (0.5 + dice.next()), next);
+      this.sendRandom();
+      time.after(everyMs * (0.5 + seededRandom.next()), next);
     };
     next();
   }
 
-  /** A single valid change, on what is in force. */
+  /** Sends a single valid change, on the revision that one operator believes to be in force. */
   put(): void {
     this.#change(this.#belief(), 'put');
   }
 
-  /** Both operators change the same revision; they may pick the same number. */
+  /** Both operators send a change on the same base revision; the new revisions may be equal. */
   race(): void {
     const base = Math.max(...this.#beliefs.map((belief) => belief.revision));
     const ends: OrderEnd[] = [];
     const sameNumber = this.#system.random.next() < 0.5 ? this.#nextRevision(base) : undefined;
     for (const belief of this.#beliefs) {
       belief.revision = base;
-      this.#change(belief, this.#roll(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
+      this.#change(belief, this.#randomBelow(2) === 0 ? 'put' : 'patch', sameNumber, (end) => ends.push(end));
     }
   }
 
-  /** Evacuates a zone, or takes it back. */
+  /** Evacuates the first zone, or returns it to service. */
   zone(): void {
     const { size, expectations } = this.#system;
     const zone = size.zones[0] ?? '';
@@ -119,16 +121,16 @@
     );
   }
 
-  #roll(most: number): number {
-    return Math.floor(this.#system.random.next() * most);
+  #randomBelow(bound: number): number {
+    return Math.floor(this.#system.random.next() * bound);
   }
 
   #belief(): Belief {
-    return this.#beliefs[this.#roll(OPERATORS)] as Belief;
+    return this.#beliefs[this.#randomBelow(OPERATOR_COUNT)] as Belief;
   }
 
   #nextRevision(base: number): number {
-    return base + 1 + this.#roll(4);
+    return base + 1 + this.#randomBelow(4);
   }
 
   #change(
@@ -139,43 +141,43 @@
   ): void {
     const request = this.#requestFor(belief.revision, kind, revision);
     this.#system.order(request, true, (end) => {
-      this.#learn(belief, revision, end);
-      if (end.kind === 'agreed' && this.#roll(10) === 0) this.#repeatLater(request);
+      this.#updateBelief(belief, revision, end);
+      if (end.kind === 'agreed' && this.#randomBelow(10) === 0) this.#repeatLater(request);
       done(end);
     });
   }
 
   #requestFor(base: number, kind: 'put' | 'patch' | 'large', revision: number): OperatorRequest {
-    this.#marks += 1;
-    const mark = `change-${this.#marks}`;
+    this.#markCount += 1;
+    const mark = `change-${this.#markCount}`;
     if (kind === 'patch' && base > 0)
-      return { kind: 'patch', base, patch: samplePatch(revision, mark, this.#roll(4)) };
-    const routes = kind === 'large' ? LARGE_ROUTES : this.#roll(3);
+      return { kind: 'patch', base, patch: samplePatch(revision, mark, this.#randomBelow(4)) };
+    const routes = kind === 'large' ? LARGE_ROUTE_COUNT : this.#randomBelow(3);
     return { kind: 'put', base, document: sampleDocument(revision, this.#system.size.models, mark, routes) };
   }
 
-  #learn(belief: Belief, revision: number, end: OrderEnd): void {
+  #updateBelief(belief: Belief, revision: number, end: OrderEnd): void {
     if (end.kind === 'agreed') {
       this.acknowledged += 1;
       belief.revision = Math.max(belief.revision, revision);
     } else this.#read(belief);
   }
 
-  /** The same order once more: what was taken is acknowledged again. */
+  /** Sends an accepted order again, which must be acknowledged again. */
   #repeatLater(request: OperatorRequest): void {
-    const { time, random: dice } = this.#system;
-    time.after(dice.next() * REPEAT_WITHIN_MS, () => this.#system.order(request, true));
+    const { time, random: seededRandom } = this.#system;
+    time.after(seededRandom.next() * MAX_REPEAT_DELAY_MS, () => this.#system.order(request, true));
   }
 
   #invalid({ revision: base }: Belief): void {
-    this.#marks += 1;
-    this.#system.order(this.#invalidRequest(base, `invalid-${this.#marks}`), false);
+    this.#markCount += 1;
+    this.#system.order(this.#invalidRequest(base, `invalid-${this.#markCount}`), false);
   }
 
-  /** A route to an unknown service, or a revision that is not above its base. */
+  /** Builds a change with a revision that is not above its base, an unknown service or a shared API key. */
   #invalidRequest(base: number, mark: string): OperatorRequest {
     const { models } = this.#system.size;
-    switch (this.#roll(3)) {
+    switch (this.#randomBelow(3)) {
       case 0:
         return { kind: 'put', base, document: sampleDocument(base, models, mark) };
       case 1:
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -1,4 +1,4 @@
-/** Starts, drives and ends the processes of a simulated system, on the production code. */
+/** Starts, drives and ends the processes of a simulated system, which run the production code. */
 import { CoreReplica, EdgeReplica } from '@rainrun/cluster-node';
 import { randomId, type SeededRandom } from '@rainrun/common';
 import { PROTOCOL_LEVELS } from '@rainrun/messages';
@@ -13,27 +13,27 @@
 import type { WorkerCalls } from './worker-calls.js';
 import { type WorkerPool } from './workers.js';
 
-/** A coordinator that was succeeded may believe in its duty for so long. */
+/** Maximum time for which a replaced coordinator still believes to be the coordinator. */
 export const LEASE_MS = PLATFORM_TIMES.leaseMs;
 const CORE_TICK_MS = 20;
 const EDGE_TICK_MS = 25;
-const LIST_MS = 500;
-const STOP_MS = 150;
-const SEEDS = 3;
+const LIST_POLL_MS = 500;
+const SHUTDOWN_MS = 150;
+const SEED_COUNT = 3;
 
-/** What processes need of the system around them. */
+/** The parts of the system that processes use. */
 export interface ProcessContext {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly size: SystemSize;
   readonly network: Network;
   readonly workers: WorkerPool;
   readonly calls: WorkerCalls;
   readonly demand: Demand;
-  /** Cores as a settings file that is written now would name them. */
+  /** Cores that a settings file written now would name. */
   listedCores(): readonly Machine[];
-  /** The bounds count anew for this machine, and for all if it is a core. */
-  disturbed(machine: Machine): void;
+  /** Restarts the time bounds for a machine, and for all machines if it is a core. */
+  recordDisturbance(machine: Machine): void;
   note(node: string, text: string): void;
   breach(rule: string, detail: string): void;
 }
@@ -51,22 +51,22 @@
     this.#context = context;
   }
 
-  /** Names the cores that found the system at its first start. */
-  found(cores: readonly Machine[]): void {
-    this.#founders = cores.slice(0, SEEDS).map((core) => core.address);
+  /** Sets the cores that are the founders of the group at its first start. */
+  setFounders(cores: readonly Machine[]): void {
+    this.#founders = cores.slice(0, SEED_COUNT).map((core) => core.address);
   }
 
   boot(machine: Machine, founding = false): void {
     if (machine.running !== undefined || machine.removed) return;
-    const { dice } = this.#context;
-    const skewMs = dice.next() * 1e6;
+    const { random } = this.#context;
+    const skewMs = random.next() * 1e6;
     if (machine.disk === undefined) this.#run(machine, skewMs, undefined, this.#follower(machine, skewMs));
     else {
       const acceptor = this.#openDisk(machine);
       if (acceptor === undefined) return;
       this.#run(machine, skewMs, this.#replica(machine, skewMs, acceptor, founding), undefined);
     }
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, 'boots');
   }
 
@@ -74,7 +74,7 @@
     const { disk } = machine;
     if (disk === undefined) return undefined;
     const records = disk.open();
-    const opening = readRecords(records, randomId(this.#context.dice));
+    const opening = readRecords(records, randomId(this.#context.random));
     if (opening.isErr) {
       this.#context.breach('disk reads back', `${machine.name}: ${opening.error.detail}`);
       return undefined;
@@ -87,14 +87,14 @@
     return acceptor;
   }
 
-  /** The process ends at once; the machine and what it has written stay. */
+  /** Ends the process at once; the machine keeps what the process has written. */
   kill(machine: Machine): void {
     if (machine.running === undefined) return;
     machine.disk?.endProcess();
     this.#end(machine, 'killed');
   }
 
-  /** The machine loses power: what its disk has not synced may be gone. */
+  /** Cuts the machine's power: what its disk has not synced may be lost. */
   losePower(machine: Machine): void {
     machine.disk?.losePower();
     if (machine.running !== undefined) this.#end(machine, 'loses power');
@@ -102,22 +102,22 @@
 
   #end(machine: Machine, why: string): void {
     machine.running = undefined;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, why);
   }
 
-  /** The process is asked to end, and does so in order. */
+  /** Shuts the process down gracefully: it drains, leaves the group, and ends. */
   stop(machine: Machine): void {
     const running = machine.running;
     if (running === undefined) return;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, 'stops');
-    machine.perform(running, () => {
+    machine.runInProcess(running, () => {
       running.operators?.drain();
       running.replica?.group.leave();
       running.follower?.leave();
     });
-    this.#context.time.after(STOP_MS, () => {
+    this.#context.time.after(SHUTDOWN_MS, () => {
       if (machine.running === running) this.kill(machine);
     });
   }
@@ -126,16 +126,16 @@
     const running = machine.running;
     if (running === undefined || running.frozen) return;
     running.frozen = true;
-    this.#context.disturbed(machine);
+    this.#context.recordDisturbance(machine);
     this.#context.note(machine.name, `frozen ${waitMs.toFixed(0)}`);
     this.#context.time.after(waitMs, () => {
       if (machine.running !== running) return;
       running.frozen = false;
-      this.#context.disturbed(machine);
+      this.#context.recordDisturbance(machine);
       this.#context.note(machine.name, 'thaws');
-      const { waiting } = running;
-      running.waiting = [];
-      for (const act of waiting) machine.perform(running, act);
+      const { queuedCalls } = running;
+      running.queuedCalls = [];
+      for (const call of queuedCalls) machine.runInProcess(running, call);
     });
   }
 
@@ -145,7 +145,7 @@
     replica: CoreReplica | undefined,
     follower: EdgeReplica | undefined,
   ): void {
-    const { time, dice } = this.#context;
+    const { time, random } = this.#context;
     const running: Process = {
       skewMs,
       startedMs: time.nowMs(),
@@ -153,30 +153,30 @@
       operators: replica && newOperatorService(replica, { nowMs: () => time.nowMs() + skewMs }),
       follower,
       frozen: false,
-      waiting: [],
+      queuedCalls: [],
       leading: false,
-      listedMs: -Infinity,
+      listReadMs: -Infinity,
       edition: 0,
-      touchMs: time.nowMs(),
+      undisturbedSinceMs: time.nowMs(),
     };
     machine.running = running;
-    time.after(dice.next() * CORE_TICK_MS, () => this.#tick(machine, running));
+    time.after(random.next() * CORE_TICK_MS, () => this.#tick(machine, running));
   }
 
-  /** Addresses of some cores, as the operators' list has them: some may be gone. */
+  /** Picks addresses of random cores from the operators' list; some of these cores may be gone. */
   #seeds(): string[] {
-    const { dice } = this.#context;
+    const { random } = this.#context;
     const listed = [...this.#context.listedCores()];
     const seeds: string[] = [];
-    while (seeds.length < SEEDS && listed.length > 0) {
-      const [chosen] = listed.splice(Math.floor(dice.next() * listed.length), 1);
+    while (seeds.length < SEED_COUNT && listed.length > 0) {
+      const [chosen] = listed.splice(Math.floor(random.next() * listed.length), 1);
       if (chosen !== undefined) seeds.push(chosen.address);
     }
     return seeds;
   }
 
   #replica(machine: Machine, skewMs: number, acceptor: Acceptor, founding: boolean): CoreReplica {
-    const { time, dice, size, network, calls } = this.#context;
+    const { time, random, size, network, calls } = this.#context;
     const { name, zone, address } = machine;
     const replica: CoreReplica = new CoreReplica({
       name,
@@ -187,12 +187,12 @@
       founders: founding ? this.#founders : [],
       desiredVoterCount: 2 * size.lossesBorne + 1,
       clock: { nowMs: () => time.nowMs() + skewMs },
-      chance: dice,
+      chance: random,
       quota: QUOTA_BOUNDS,
       times: PLATFORM_TIMES,
       acceptor,
       protocolLevels: PROTOCOL_LEVELS,
-      send: (to, frame) => network.post(machine, to, frame),
+      send: (to, frame) => network.send(machine, to, frame),
       order: (row, order, done) => calls.order(machine, replica, row, order, done),
       report: (row, done) => calls.report(machine, row, done),
       onStateChange: () => undefined,
@@ -204,7 +204,7 @@
   }
 
   #follower(machine: Machine, skewMs: number): EdgeReplica {
-    const { time, dice, network, demand } = this.#context;
+    const { time, random, network, demand } = this.#context;
     const { name, zone, address } = machine;
     const follower: EdgeReplica = new EdgeReplica({
       name,
@@ -213,11 +213,11 @@
       deployment: 'system',
       seeds: this.#seeds(),
       clock: { nowMs: () => time.nowMs() + skewMs },
-      chance: dice,
+      chance: random,
       quota: QUOTA_BOUNDS,
-      send: (to, frame) => network.post(machine, to, frame),
+      send: (to, frame) => network.send(machine, to, frame),
       outcomes: () => [],
-      demands: () => demand.wantsOf(follower),
+      demands: () => demand.demandsOf(follower),
       onChange: (what) => {
         if (what === 'state')
           this.#context.note(name, `edition ${follower.state.edition}, revision ${follower.state.revision}`);
@@ -228,10 +228,10 @@
 
   #tick(machine: Machine, running: Process): void {
     if (machine.running !== running) return;
-    const { time, dice, size, demand } = this.#context;
+    const { time, random, size, demand } = this.#context;
     const { replica, follower } = running;
     const everyMs = size.heartbeatMs ?? (replica === undefined ? EDGE_TICK_MS : CORE_TICK_MS);
-    time.after(everyMs * (0.9 + dice.next() * 0.2), () => this.#tick(machine, running));
+    time.after(everyMs * (0.9 + random.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     if (follower !== undefined) {
       if (demand.isUnserved(follower)) follower.requestUpdateSoon();
@@ -249,18 +249,18 @@
     if (leading === running.leading) return;
     this.#context.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
     running.leading = leading;
-    running.listedMs = -Infinity;
+    running.listReadMs = -Infinity;
   }
 
-  /** Reads the platform's list of workers from time to time. */
+  /** Reads the platform's list of workers every `LIST_POLL_MS`. */
   #readList(machine: Machine, running: Process, replica: CoreReplica): void {
-    const { time, dice, workers, calls } = this.#context;
-    if (time.nowMs() - running.listedMs < LIST_MS) return;
-    running.listedMs = time.nowMs();
-    time.after(2 + dice.next() * 8, () => {
-      if (!calls.readsList()) return;
+    const { time, random, workers, calls } = this.#context;
+    if (time.nowMs() - running.listReadMs < LIST_POLL_MS) return;
+    running.listReadMs = time.nowMs();
+    time.after(2 + random.next() * 8, () => {
+      if (!calls.canReadList()) return;
       const list = workers.list();
-      time.after(2 + dice.next() * 8, () => machine.perform(running, () => replica.learnList(list)));
+      time.after(2 + random.next() * 8, () => machine.runInProcess(running, () => replica.learnList(list)));
     });
   }
 }
--- a/packages/simulator/src/system/worker-calls.ts
+++ b/packages/simulator/src/system/worker-calls.ts
@@ -1,4 +1,4 @@
-/** Calls of cores to workers: orders and reports. */
+/** Simulated calls from cores to workers: orders and reports. */
 import type { CoreReplica } from '@rainrun/cluster-node';
 import type { SeededRandom } from '@rainrun/common';
 import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerRecord } from '@rainrun/placement';
@@ -7,24 +7,27 @@
 import type { Network } from './network.js';
 import { REPORT_LAG_MS, type WorkerPool } from './workers.js';
 
-/** How often the way between cores and workers goes wrong; each is a share of the calls. */
+/** Ratios of the calls between cores and workers that each kind of fault affects. */
 export interface CallFaults {
-  /** An order reaches its worker late, long after its sender has stopped waiting. */
+  /** An order reaches its worker late, possibly long after its sender has stopped waiting. */
   readonly delayed: number;
-  /** A worker takes an order, and its answer is lost. */
+  /** A worker accepts an order, and its answer is lost. */
   readonly answerLost: number;
-  /** A worker answers an order with a 4xx that says nothing of what it holds, and does not take it. */
+  /** A worker rejects an order with a 4xx status that does not tell what the worker holds. */
   readonly refused: number;
   /** A report or the platform's list cannot be read. */
   readonly unreadable: number;
-  /** A worker answers a call once more; that answer comes in the place of the one to the next call on the connection. */
+  /**
+   * A worker answers a call twice; the second answer is read as the answer to the next call on the
+   * connection.
+   */
   readonly surplus: number;
-  /** The models of a report are older than its other values, by up to the age that a report may have. */
+  /** The models in a report are older than its other values, by up to the maximum age of a report. */
   readonly torn: number;
 }
 
-/** Nothing goes wrong. */
-export const SOUND_CALLS: CallFaults = {
+/** Calls without faults. */
+export const NO_CALL_FAULTS: CallFaults = {
   delayed: 0,
   answerLost: 0,
   refused: 0,
@@ -33,34 +36,34 @@
   torn: 0,
 };
 
-const CALL_WAIT_MS = 900;
-/** A delayed order is on its way for up to so long. */
-const LONGEST_DELAY_MS = 6000;
+const CALL_TIMEOUT_MS = 900;
+/** Maximum extra delay of an order. */
+const MAX_ORDER_DELAY_MS = 6000;
 
 /**
- * The way from cores to workers and back.
+ * Carries calls from cores to workers and their answers back.
  * @example
  * calls.order(machine, replica, row, order, (reply) => note(reply));
  */
 export class WorkerCalls {
-  /** What goes wrong now. */
-  faults: CallFaults = SOUND_CALLS;
-  /** Answers that are still to come in the place of the next one, by core and worker. */
+  /** The current ratios of faults. */
+  faults: CallFaults = NO_CALL_FAULTS;
+  /** Surplus answers that will be read as the answer to the next call, by core and worker. */
   #surplus = new Map<string, Answer>();
   #listFailedMs = -Infinity;
   #time: VirtualTime;
-  #dice: SeededRandom;
+  #random: SeededRandom;
   #network: Network;
   #workers: WorkerPool;
 
-  constructor(time: VirtualTime, dice: SeededRandom, network: Network, workers: WorkerPool) {
+  constructor(time: VirtualTime, random: SeededRandom, network: Network, workers: WorkerPool) {
     this.#time = time;
-    this.#dice = dice;
+    this.#random = random;
     this.#network = network;
     this.#workers = workers;
   }
 
-  /** Sends an order; the fence is checked once more just before the bytes leave. */
+  /** Sends an order; the fencing token is checked again just before the bytes are sent. */
   order(
     core: Machine,
     replica: CoreReplica,
@@ -73,7 +76,7 @@
     let replied = false;
     const finish = (reply: WorkerOrderReply, waitMs: number): void => {
       this.#time.after(waitMs, () =>
-        core.perform(running, () => {
+        core.runInProcess(running, () => {
           if (replied) return;
           replied = true;
           done(reply);
@@ -81,72 +84,78 @@
         }),
       );
     };
-    finish('no-answer', CALL_WAIT_MS);
-    this.#time.after(0.2 + this.#dice.next() * 2, () =>
-      core.perform(running, () => {
+    finish('no-answer', CALL_TIMEOUT_MS);
+    this.#time.after(0.2 + this.#random.next() * 2, () =>
+      core.runInProcess(running, () => {
         if (replied || replica.group.singletonEpoch() !== order.fence) return finish('no-answer', 0);
         const holder = replica.group.self.incarnation;
-        this.#workers.sent(holder, order.fence);
+        this.#workers.checkFence(holder, order.fence);
         this.#time.after(this.#travelMs(), () => {
-          const own = this.#arrive(core, row, holder, order);
-          const reply = own === undefined ? undefined : asOrderReply(this.#onConnection(core, row, own));
-          if (reply !== undefined) finish(reply, 0.5 + this.#dice.next() * 2);
+          const own = this.#deliverOrder(core, row, holder, order);
+          const reply =
+            own === undefined ? undefined : asOrderReply(this.#nextAnswerOnConnection(core, row, own));
+          if (reply !== undefined) finish(reply, 0.5 + this.#random.next() * 2);
         });
       }),
     );
   }
 
-  /** Asks a worker what it holds. */
+  /** Requests a report of what a worker holds. */
   report(core: Machine, row: WorkerRecord, done: (reply: ReportReply) => void): void {
     const running = core.running;
     if (running === undefined) return;
-    this.#time.after(0.5 + this.#dice.next() * 4, () => {
-      const silent = this.#network.isApart(core.name, row.address) || this.#strikes(this.faults.unreadable);
-      const reply = silent ? 'no-answer' : asReport(this.#onConnection(core, row, this.#report(row)));
-      this.#time.after(silent ? CALL_WAIT_MS : 0.5 + this.#dice.next() * 4, () =>
-        core.perform(running, () => done(reply)),
+    this.#time.after(0.5 + this.#random.next() * 4, () => {
+      const silent =
+        this.#network.isCutEitherWay(core.name, row.address) || this.#occurs(this.faults.unreadable);
+      const reply = silent
+        ? 'no-answer'
+        : asReport(this.#nextAnswerOnConnection(core, row, this.#report(row)));
+      this.#time.after(silent ? CALL_TIMEOUT_MS : 0.5 + this.#random.next() * 4, () =>
+        core.runInProcess(running, () => done(reply)),
       );
     });
   }
 
-  /** When the platform's list could not be read last. */
+  /** Time of the last failed read of the platform's list. */
   get listFailedMs(): number {
     return this.#listFailedMs;
   }
 
-  /** Whether the platform's list can be read now. */
-  readsList(): boolean {
-    const fails = this.#strikes(this.faults.unreadable);
+  /** Whether a read of the platform's list succeeds now; records the time of a failure. */
+  canReadList(): boolean {
+    const fails = this.#occurs(this.faults.unreadable);
     if (fails) this.#listFailedMs = this.#time.nowMs();
     return !fails;
   }
 
-  #strikes(share: number): boolean {
-    return share > 0 && this.#dice.next() < share;
+  #occurs(share: number): boolean {
+    return share > 0 && this.#random.next() < share;
   }
 
   #travelMs(): number {
-    const delayMs = this.#strikes(this.faults.delayed) ? this.#dice.next() * LONGEST_DELAY_MS : 0;
-    return 0.5 + this.#dice.next() * 2 + delayMs;
+    const delayMs = this.#occurs(this.faults.delayed) ? this.#random.next() * MAX_ORDER_DELAY_MS : 0;
+    return 0.5 + this.#random.next() * 2 + delayMs;
   }
 
   #report(row: WorkerRecord): ReportReply {
-    const olderMs = this.#strikes(this.faults.torn) ? this.#dice.next() * REPORT_LAG_MS : 0;
+    const olderMs = this.#occurs(this.faults.torn) ? this.#random.next() * REPORT_LAG_MS : 0;
     return this.#workers.report(row.address, row.id, olderMs);
   }
 
-  /** What a core reads as the answer to a call: a surplus answer to the call before comes first. */
-  #onConnection(core: Machine, row: WorkerRecord, own: Answer): Answer {
+  /**
+   * Returns what a core reads as the answer to a call: a surplus answer to the previous call takes its place.
+   */
+  #nextAnswerOnConnection(core: Machine, row: WorkerRecord, own: Answer): Answer {
     const key = `${core.name} ${row.id}`;
     const surplus = this.#surplus.get(key);
     this.#surplus.delete(key);
     if (surplus !== undefined) return surplus;
-    if (this.#strikes(this.faults.surplus)) this.#surplus.set(key, own);
+    if (this.#occurs(this.faults.surplus)) this.#surplus.set(key, own);
     return own;
   }
 
-  /** An order arrives at a worker; undefined: its sender gets no answer. */
-  #arrive(
+  /** Delivers an order to a worker; undefined if the sender gets no answer. */
+  #deliverOrder(
     core: Machine,
     row: WorkerRecord,
     holder: string,
@@ -154,23 +163,25 @@
   ): WorkerOrderReply | undefined {
     const worker = this.#workers.workerAt(row.address);
     if (worker === undefined || this.#network.isCut(core.name, row.address)) return undefined;
-    if (this.#strikes(this.faults.refused)) return 'refused';
+    if (this.#occurs(this.faults.refused)) return 'refused';
     const reply = worker.order(row.id, holder, order);
-    if (this.#network.isCut(row.address, core.name) || this.#strikes(this.faults.answerLost))
-      return undefined;
-    return this.#dice.next() >= this.#network.lossRatio ? reply : undefined;
+    if (this.#network.isCut(row.address, core.name) || this.#occurs(this.faults.answerLost)) return undefined;
+    return this.#random.next() >= this.#network.lossRatio ? reply : undefined;
   }
 }
 
-/** What a worker answers a call. */
+/** A worker's answer to an order or a report request. */
 type Answer = WorkerOrderReply | ReportReply;
 
-/** A report is answered with 200, and so is an order for what is there. */
+/**
+ * Reads an answer as one to an order: a report has status 200, as has an order for what the worker already
+ * holds.
+ */
 function asOrderReply(answer: Answer): WorkerOrderReply {
   return typeof answer === 'object' ? 'held' : answer;
 }
 
-/** What answers an order is no report. */
+/** Reads an answer as one to a report request: the answer to an order is no report. */
 function asReport(answer: Answer): ReportReply {
   return typeof answer === 'object' ? answer : answer === 'busy' ? 'busy' : 'no-answer';
 }
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -8,10 +8,10 @@
 } from '@rainrun/placement';
 import type { VirtualTime } from '../world.js';
 
-/** The one service of models of a simulated system. */
+/** Name of the only model service of a simulated system. */
 export const SERVICE = 'assist';
 
-/** What the simulated workers are like; the configuration says the same. */
+/** Properties of the simulated workers; the sample configuration states the same. */
 export const ENGINE = {
   slots: 8,
   roomMb: 100,
@@ -21,57 +21,57 @@
   adapterMb: 1,
 } as const;
 
-const LIST_STEP_MS = 100;
-/** The list lags by no more. */
+const SNAPSHOT_INTERVAL_MS = 100;
+/** Maximum lag of the platform's list. */
 const LIST_LAG_MS = 800;
-/** A worker's own report lags by no more than this and a step of the list. */
+/** A worker's own report lags by at most this plus one snapshot interval. */
 export const REPORT_LAG_MS = 200;
-/** A load from a worker's own disk takes this part of one from the store. */
-const DISK_PART = 0.6;
+/** Duration of a load from a worker's own disk, relative to a load from the store. */
+const DISK_LOAD_RATIO = 0.6;
 const LEASE_MS = 3000;
-const WINDOW_MS = 5000;
-const OVERSHOOT = 1.1;
-const LOADS_EXTRA = 3;
-const EVACUATE_MS = 2000;
+const LOAD_WINDOW_MS = 5000;
+const LOAD_OVERSHOOT = 1.1;
+const LOAD_ALLOWANCE = 3;
+const EVACUATION_BOUND_MS = 2000;
 
-/** Size of a model by its name: a worker has room for two or three. */
+/** Returns the size of a model by its name; a worker has room for two or three models. */
 export function sizeOf(model: string): number {
   return 30 + 6 * (Number(model.slice(1)) % 2);
 }
 
-/** Records that a rule was broken. */
-export type Note = (rule: string, detail: string) => void;
+/** Records the breach of an invariant. */
+export type BreachReporter = (rule: string, detail: string) => void;
 
-interface Taken {
+interface ReceivedOrder {
   readonly holder: string;
   readonly fence: number;
   readonly atMs: number;
 }
 
-interface Doing {
+interface OrderInProgress {
   readonly untilMs: number;
   readonly done: () => void;
 }
 
-/** An address of the platform at which incarnations of a worker follow each other. */
+/** A worker address of the platform, at which one incarnation of the worker follows another. */
 export class SimulatedWorker {
   readonly zone: string;
   readonly address: string;
   id: string;
   leaving = false;
-  /** Silent: it takes nothing and answers nothing. */
-  dark = false;
-  /** Off the platform's list and away. */
-  away = false;
+  /** True while the worker accepts nothing and answers nothing. */
+  isSilent = false;
+  /** True while the worker is gone and not on the platform's list. */
+  isAway = false;
   readonly models = new Map<string, Set<string>>();
   #pool: WorkerPool;
   #onDisk = new Set<string>();
-  #doing: Doing | undefined;
-  /** The last order that was taken. */
-  #order: WorkerOrder | undefined;
-  #coming = '';
+  #inProgress: OrderInProgress | undefined;
+  /** The last accepted order. */
+  #lastOrder: WorkerOrder | undefined;
+  #loadingModel = '';
   #sequence = 0;
-  #taken: Taken[] = [];
+  #receivedOrders: ReceivedOrder[] = [];
 
   constructor(pool: WorkerPool, zone: string, address: string) {
     this.#pool = pool;
@@ -80,88 +80,94 @@
     this.id = pool.newId();
   }
 
-  /** Holds a model from the start. */
+  /** Makes the worker hold a model from the start. */
   preload(model: string): void {
     this.models.set(model, new Set());
     this.#onDisk.add(model);
   }
 
-  /** A new incarnation begins, empty and with nothing remembered; its disk is the same. */
+  /** Starts a new incarnation without models or remembered orders; its disk stays the same. */
   restart(): void {
     this.id = this.#pool.newId();
     this.models.clear();
-    this.#doing = undefined;
-    this.#order = undefined;
-    this.#coming = '';
-    this.#taken = [];
+    this.#inProgress = undefined;
+    this.#lastOrder = undefined;
+    this.#loadingModel = '';
+    this.#receivedOrders = [];
     this.#sequence = 0;
     this.leaving = false;
   }
 
   usedMb(): number {
-    let sumMb = this.#coming === '' ? 0 : sizeOf(this.#coming);
+    let sumMb = this.#loadingModel === '' ? 0 : sizeOf(this.#loadingModel);
     for (const [model, adapters] of this.models) sumMb += sizeOf(model) + adapters.size * ENGINE.adapterMb;
     return sumMb;
   }
 
-  adapters(): number {
+  adapterCount(): number {
     let count = 0;
     for (const adapters of this.models.values()) count += adapters.size;
     return count;
   }
 
-  /** An order arrives; undefined: no answer is ever given. */
+  /** Handles an order; undefined if the worker never answers. */
   order(id: string, holder: string, order: WorkerOrder): WorkerOrderReply | undefined {
     const nowMs = this.#pool.time.nowMs();
-    if (this.dark || this.away) return undefined;
+    if (this.isSilent || this.isAway) return undefined;
     if (id !== this.id) return 'wrong-worker';
-    if (this.#taken.some((taken) => taken.fence > order.fence)) return 'fenced';
+    if (this.#receivedOrders.some((received) => received.fence > order.fence)) return 'fenced';
     this.#checkHolder({ holder, fence: order.fence, atMs: nowMs });
-    this.settle();
+    this.completeDueOrder();
     if (order.sequence !== this.#sequence) return 'busy';
-    if (this.#doing !== undefined) return this.#isUnderWay(order) ? 'begun' : 'busy';
-    this.#order = order;
+    if (this.#inProgress !== undefined) return this.#isInProgress(order) ? 'begun' : 'busy';
+    this.#lastOrder = order;
     return order.action === 'load' ? this.#load(order, nowMs) : this.#unload(order, nowMs);
   }
 
-  /** How many orders this incarnation has taken. */
+  /** Number of orders that this incarnation has accepted. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Whether an order is being done. */
+  /** Whether an order is in progress. */
   get busy(): boolean {
-    return this.#doing !== undefined;
+    return this.#inProgress !== undefined;
   }
 
   /** Whether a model is being loaded. */
   get isLoading(): boolean {
-    return this.#coming !== '';
+    return this.#loadingModel !== '';
   }
 
-  /** Ends what is done by now. */
-  settle(): void {
-    const doing = this.#doing;
-    if (doing === undefined || this.#pool.time.nowMs() < doing.untilMs) return;
-    this.#doing = undefined;
-    doing.done();
+  /** Completes the order in progress if its time has passed. */
+  completeDueOrder(): void {
+    const current = this.#inProgress;
+    if (current === undefined || this.#pool.time.nowMs() < current.untilMs) return;
+    this.#inProgress = undefined;
+    current.done();
   }
 
-  /** Whether an order repeats the one that is being done: it is answered as if it were taken, and counts once. */
-  #isUnderWay({ action, model, adapter }: WorkerOrder): boolean {
-    const order = this.#order;
+  /**
+   * Whether an order repeats the one in progress; a repeat is answered as if it were accepted, and counts
+   * once.
+   */
+  #isInProgress({ action, model, adapter }: WorkerOrder): boolean {
+    const order = this.#lastOrder;
     return order?.action === action && order.model === model && order.adapter === adapter;
   }
 
-  #checkHolder(taken: Taken): void {
-    const before = this.#taken.at(-1);
-    if (before !== undefined && before.holder !== taken.holder) {
-      const back = this.#taken.findLast((known) => known.holder === taken.holder);
-      if (back !== undefined && taken.atMs - back.atMs < LEASE_MS)
-        this.#pool.breach('one holder', `${this.address}: ${taken.holder} and ${before.holder} take turns`);
+  #checkHolder(received: ReceivedOrder): void {
+    const before = this.#receivedOrders.at(-1);
+    if (before !== undefined && before.holder !== received.holder) {
+      const back = this.#receivedOrders.findLast((known) => known.holder === received.holder);
+      if (back !== undefined && received.atMs - back.atMs < LEASE_MS)
+        this.#pool.breach(
+          'one holder',
+          `${this.address}: ${received.holder} and ${before.holder} take turns`,
+        );
     }
-    this.#taken.push(taken);
-    if (this.#taken.length > 64) this.#taken.shift();
+    this.#receivedOrders.push(received);
+    if (this.#receivedOrders.length > 64) this.#receivedOrders.shift();
   }
 
   #load({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
@@ -170,18 +176,18 @@
       if (adapters === undefined) return 'refused';
       if (adapters.has(adapter)) return 'held';
       adapters.add(adapter);
-      this.#begin(nowMs, 5 + this.#pool.dice.next() * 15, () => undefined);
+      this.#begin(nowMs, 5 + this.#pool.random.next() * 15, () => undefined);
       this.#checkRoom(`adapter ${adapter} of ${model}`);
       return 'begun';
     }
     if (adapters !== undefined) return 'held';
     const fromDisk = this.#onDisk.has(model);
-    if (!fromDisk) this.#pool.loaded(nowMs);
-    this.#pool.placed(this, model);
-    this.#coming = model;
-    const slowdown = fromDisk ? DISK_PART : this.#pool.crowding();
-    this.#begin(nowMs, ENGINE.loadMs * slowdown * (0.9 + this.#pool.dice.next() * 0.8), () => {
-      this.#coming = '';
+    if (!fromDisk) this.#pool.recordLoad(nowMs);
+    this.#pool.checkEvacuated(this, model);
+    this.#loadingModel = model;
+    const slowdown = fromDisk ? DISK_LOAD_RATIO : this.#pool.loadSlowdown();
+    this.#begin(nowMs, ENGINE.loadMs * slowdown * (0.9 + this.#pool.random.next() * 0.8), () => {
+      this.#loadingModel = '';
       this.#onDisk.add(model);
       this.models.set(model, new Set());
     });
@@ -192,7 +198,7 @@
   #unload({ model, adapter }: WorkerOrder, nowMs: number): WorkerOrderReply {
     const adapters = this.models.get(model);
     if (adapters === undefined || (adapter !== '' && !adapters.has(adapter))) return 'held';
-    this.#begin(nowMs, this.#pool.dice.next() * 200, () => {
+    this.#begin(nowMs, this.#pool.random.next() * 200, () => {
       if (adapter === '') this.models.delete(model);
       else adapters.delete(adapter);
     });
@@ -201,15 +207,15 @@
 
   #begin(nowMs: number, takesMs: number, done: () => void): void {
     this.#sequence += 1;
-    this.#doing = { untilMs: nowMs + takesMs, done };
+    this.#inProgress = { untilMs: nowMs + takesMs, done };
   }
 
   #checkRoom(what: string): void {
     const over =
       this.usedMb() > ENGINE.roomMb
         ? `${this.usedMb()} MB of ${ENGINE.roomMb}`
-        : this.adapters() > ENGINE.adapterPlaces
-          ? `${this.adapters()} adapters of ${ENGINE.adapterPlaces}`
+        : this.adapterCount() > ENGINE.adapterPlaces
+          ? `${this.adapterCount()} adapters of ${ENGINE.adapterPlaces}`
           : undefined;
     if (over === undefined) return;
     this.#pool.breach(
@@ -220,28 +226,28 @@
   }
 }
 
-/** What the platform and the workers themselves show of a moment. */
+/** State of the platform's list and of the workers at one time. */
 interface Snapshot {
   readonly atMs: number;
   readonly list: readonly ListedWorker[];
-  /** Workers that were at an order. */
+  /** IDs of workers with an order in progress. */
   readonly busy: ReadonlySet<string>;
-  /** How many orders each worker had taken. */
+  /** Number of orders that each worker had accepted. */
   readonly sequences: ReadonlyMap<string, number>;
 }
 
-/** The platform's workers and its list of them, which lags. */
+/** The platform's workers and its list of them, which lags behind. */
 export class WorkerPool {
   readonly time: VirtualTime;
-  readonly dice: SeededRandom;
+  readonly random: SeededRandom;
   readonly members: SimulatedWorker[] = [];
-  readonly breach: Note;
-  /** When each load from the store began, and whether it counts. */
+  readonly breach: BreachReporter;
+  /** Start times of the counted loads from the store. */
   readonly loads: number[] = [];
-  /** Whether loads that begin now are counted. */
-  counted: () => boolean = () => true;
+  /** Whether loads that start now are counted. */
+  countsLoads: () => boolean = () => true;
   #fences = new Map<number, string>();
-  #newest: { fence: number; holder: string } = { fence: 0, holder: '' };
+  #newestHolder: { fence: number; holder: string } = { fence: 0, holder: '' };
   #snapshots: Snapshot[] = [];
   #shownMs = -Infinity;
   #leavingMs = new Map<string, number>();
@@ -249,28 +255,28 @@
 
   constructor(
     time: VirtualTime,
-    dice: SeededRandom,
-    breach: Note,
+    random: SeededRandom,
+    breach: BreachReporter,
     workers: number,
     zones: readonly string[],
   ) {
     this.time = time;
-    this.dice = dice;
+    this.random = random;
     this.breach = breach;
     for (let place = 0; place < workers; place += 1)
       this.members.push(new SimulatedWorker(this, zones[place % zones.length] ?? '', `10.0.0.${place}:80`));
   }
 
-  /** The platform begins to list what stands here. */
-  open(): void {
-    this.#snap();
+  /** Starts to take snapshots for the platform's list. */
+  start(): void {
+    this.#takeSnapshot();
   }
 
   newId(): string {
-    return `i-${randomId(this.dice)}`;
+    return `i-${randomId(this.random)}`;
   }
 
-  /** A worker is marked as leaving. */
+  /** Marks a worker as leaving. */
   leave(worker: SimulatedWorker): void {
     worker.leaving = true;
     this.#leavingMs.set(worker.id, this.time.nowMs());
@@ -281,66 +287,74 @@
     else this.#evacuatedMs.delete(zone);
   }
 
-  /** Lives that the newest list that was shown has called leaving, and since when any list could. */
+  /** Time since which the incarnation is marked as leaving; Infinity if it is not. */
   leavingSince(id: string): number {
     return this.#leavingMs.get(id) ?? Infinity;
   }
 
-  /** A holder sends an order: fences never go back between holders, whatever worker it is for. */
-  sent(holder: string, fence: number): void {
+  /**
+   * Checks the fencing token of an order: it never decreases between holders, whichever worker the order is
+   * for.
+   */
+  checkFence(holder: string, fence: number): void {
     const other = this.#fences.get(fence);
     if (other !== undefined && other !== holder)
       this.breach('one holder', `${other} and ${holder} share fence ${fence}`);
     this.#fences.set(fence, holder);
-    if (fence < this.#newest.fence)
+    if (fence < this.#newestHolder.fence)
       this.breach(
         'one holder',
-        `${holder} orders under ${fence} after ${this.#newest.holder} did under ${this.#newest.fence}`,
+        `${holder} orders under ${fence} after ${this.#newestHolder.holder} did under ${this.#newestHolder.fence}`,
       );
-    if (fence >= this.#newest.fence) this.#newest = { fence, holder };
+    if (fence >= this.#newestHolder.fence) this.#newestHolder = { fence, holder };
   }
 
-  loaded(atMs: number): void {
-    if (!this.counted()) return;
+  recordLoad(atMs: number): void {
+    if (!this.countsLoads()) return;
     this.loads.push(atMs);
-    const bound = ENGINE.loadsPerS * (WINDOW_MS / 1000) * OVERSHOOT + LOADS_EXTRA;
-    const inWindow = this.loads.filter((known) => known > atMs - WINDOW_MS).length;
+    const bound = ENGINE.loadsPerS * (LOAD_WINDOW_MS / 1000) * LOAD_OVERSHOOT + LOAD_ALLOWANCE;
+    const inWindow = this.loads.filter((known) => known > atMs - LOAD_WINDOW_MS).length;
     if (inWindow > bound)
       this.breach(
         'ceiling',
-        `${inWindow} loads from the store in ${WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`,
+        `${inWindow} loads from the store in ${LOAD_WINDOW_MS} ms, the bound is ${bound.toFixed(0)}`,
       );
   }
 
-  /** How many times longer a load from the store takes that begins now: beyond so many at once, each waits for the others. */
-  crowding(): number {
+  /**
+   * Slowdown factor of a load from the store that starts now: concurrent loads above the store's rate slow
+   * each other.
+   */
+  loadSlowdown(): number {
     const loading = this.members.filter((worker) => worker.isLoading).length + 1;
     return Math.max(1, loading / ((ENGINE.loadsPerS * ENGINE.loadMs) / 1000));
   }
 
-  /** A model begins to load in a zone. */
-  placed(worker: SimulatedWorker, model: string): void {
+  /** Checks that a load does not start in a zone that was evacuated earlier than the time bound permits. */
+  checkEvacuated(worker: SimulatedWorker, model: string): void {
     const sinceMs = this.#evacuatedMs.get(worker.zone);
-    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATE_MS)
+    if (sinceMs !== undefined && this.time.nowMs() - sinceMs > EVACUATION_BOUND_MS)
       this.breach(
         'evacuation',
         `${worker.address} in ${worker.zone} loads ${model} ${(this.time.nowMs() - sinceMs).toFixed(0)} ms after the evacuation`,
       );
   }
 
-  /** What the platform's list shows to one who asks now. */
+  /** Returns the platform's list as a reader gets it now. */
   list(): readonly ListedWorker[] {
     const nowMs = this.time.nowMs();
-    const wantedMs = Math.max(this.#shownMs, nowMs - this.dice.next() * LIST_LAG_MS);
+    const wantedMs = Math.max(this.#shownMs, nowMs - this.random.next() * LIST_LAG_MS);
     this.#shownMs = wantedMs;
     return (this.#snapshots.findLast((known) => known.atMs <= wantedMs) ?? this.#snapshots[0])?.list ?? [];
   }
 
-  /** What a worker says that it holds, as it stood a little before; its models, as they stood `olderMs` before that. */
+  /**
+   * Returns a worker's report, up to `REPORT_LAG_MS` old; its models are older than the rest by `olderMs`.
+   */
   report(address: string, id: string, olderMs: number): ReportReply {
     const worker = this.workerAt(address);
-    if (worker === undefined || worker.id !== id || worker.dark || worker.away) return 'no-answer';
-    const stoodMs = this.time.nowMs() - this.dice.next() * REPORT_LAG_MS;
+    if (worker === undefined || worker.id !== id || worker.isSilent || worker.isAway) return 'no-answer';
+    const stoodMs = this.time.nowMs() - this.random.next() * REPORT_LAG_MS;
     const snapshot = this.#snapshots.findLast((known) => known.atMs <= stoodMs);
     const listed = snapshot?.list.find((known) => known.id === id);
     if (snapshot === undefined || listed === undefined) return 'no-answer';
@@ -354,11 +368,11 @@
     return this.members.find((worker) => worker.address === address);
   }
 
-  #snap(): void {
+  #takeSnapshot(): void {
     const nowMs = this.time.nowMs();
-    for (const worker of this.members) worker.settle();
+    for (const worker of this.members) worker.completeDueOrder();
     const list = this.members
-      .filter((worker) => !worker.away)
+      .filter((worker) => !worker.isAway)
       .map(({ id, address, zone, leaving, models }) => ({
         id,
         service: SERVICE,
@@ -372,7 +386,7 @@
     const busy = new Set(this.members.filter((worker) => worker.busy).map((worker) => worker.id));
     const sequences = new Map(this.members.map((worker) => [worker.id, worker.sequence]));
     this.#snapshots.push({ atMs: nowMs, list, busy, sequences });
-    if (this.#snapshots.length > 2 * (LIST_LAG_MS / LIST_STEP_MS)) this.#snapshots.shift();
-    this.time.after(LIST_STEP_MS, () => this.#snap());
+    if (this.#snapshots.length > 2 * (LIST_LAG_MS / SNAPSHOT_INTERVAL_MS)) this.#snapshots.shift();
+    this.time.after(SNAPSHOT_INTERVAL_MS, () => this.#takeSnapshot());
   }
 }
--- a/packages/simulator/src/system/zone-history.ts
+++ b/packages/simulator/src/system/zone-history.ts
@@ -1,22 +1,21 @@
 /**
- * A check of evacuations: whether a zone is evacuated is a register that
- * evacuations and returns overwrite. A write without a clear answer may take
- * effect at any later time; one that was acknowledged stays until another may
- * have come after it.
+ * Checks evacuations against their history. Whether a zone is evacuated is a register that evacuations and
+ * returns overwrite. A write without a definite answer may take effect at any later time; an acknowledged
+ * write stays until another one may have followed it.
  */
 import { firstAcknowledgedMs, firstInvokedMs, type ZoneOrder, type ZoneRead } from './history.js';
 
 /** A write of the register, or its initial value. */
 interface Write {
   readonly evacuated: boolean;
-  readonly fromMs: number;
-  readonly byMs: number;
+  readonly earliestMs: number;
+  readonly acknowledgedMs: number;
 }
 
-const INITIAL: Write = { evacuated: false, fromMs: -Infinity, byMs: -Infinity };
+const INITIAL: Write = { evacuated: false, earliestMs: -Infinity, acknowledgedMs: -Infinity };
 
 /**
- * What contradicts the acknowledged evacuations.
+ * Returns descriptions of the reads and refusals that contradict the acknowledged evacuations.
  * @example
  * checkZones([], [{ reader: 'core-0', zone: 'north', atMs: 5, evacuated: false }]); // []
  */
@@ -26,7 +25,7 @@
     .map((order) => `order ${order.id} for zone ${order.zone} was refused`);
   for (const read of reads) {
     const writes = [INITIAL, ...orders.filter((order) => order.zone === read.zone).map(writeOf)];
-    if (!writes.some((write) => explains(write, read, writes)))
+    if (!writes.some((write) => mayBeNewest(write, read, writes)))
       violations.push(
         `${read.reader} has zone ${read.zone} ${read.evacuated ? '' : 'not '}evacuated at ${read.atMs.toFixed(0)}`,
       );
@@ -35,13 +34,19 @@
 }
 
 function writeOf({ evacuated, attempts }: ZoneOrder): Write {
-  return { evacuated, fromMs: firstInvokedMs(attempts), byMs: firstAcknowledgedMs(attempts) };
+  return { evacuated, earliestMs: firstInvokedMs(attempts), acknowledgedMs: firstAcknowledgedMs(attempts) };
 }
 
-/** Whether a write may be the newest at the moment of the read: none was both begun after it and done before. */
-function explains(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
-  if (write.evacuated !== read.evacuated || write.fromMs > read.atMs) return false;
+/**
+ * Whether a write may be the newest one at the time of the read: no opposite write was sent after its
+ * acknowledgement and acknowledged before the read.
+ */
+function mayBeNewest(write: Write, read: ZoneRead, writes: readonly Write[]): boolean {
+  if (write.evacuated !== read.evacuated || write.earliestMs > read.atMs) return false;
   return !writes.some(
-    (later) => later.evacuated !== write.evacuated && later.fromMs > write.byMs && later.byMs < read.atMs,
+    (later) =>
+      later.evacuated !== write.evacuated &&
+      later.earliestMs > write.acknowledgedMs &&
+      later.acknowledgedMs < read.atMs,
   );
 }
