--- a/tools/planner/src/main.ts
+++ b/tools/planner/src/main.ts
@@ -35,7 +35,7 @@
   },
 );
 
-const ListSchema = v.object({
+const WorkerListSchema = v.object({
   workers: v.array(v.object({ name: v.string(), zone: v.string(), kind: v.picklist(['model', 'lookup']) })),
 });
 
@@ -44,7 +44,7 @@
   process.exit(2);
 }
 
-function read(path: string): string {
+function readText(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (thrown) {
@@ -52,15 +52,15 @@
   }
 }
 
-function json(path: string): unknown {
+function readJson(path: string): unknown {
   try {
-    return JSON.parse(read(path)) as unknown;
+    return JSON.parse(readText(path)) as unknown;
   } catch (thrown) {
     return fail(`${path}: not JSON: ${String(thrown)}`);
   }
 }
 
-function show({ catalogueMb, unknown, findings }: Survey): void {
+function printSurvey({ catalogueMb, unknown, findings }: Survey): void {
   console.log(`catalogue ${catalogueMb} MB`);
   if (unknown.length > 0) console.log(`asked for and not in the catalogue: ${unknown.join(', ')}`);
   for (const { without, slots, roomMb, unplaced, interrupted, pulls, pullS, agrees } of findings) {
@@ -73,22 +73,22 @@
   }
 }
 
-const spec = readSpec(read(cli.flags.spec));
+const spec = readSpec(readText(cli.flags.spec));
 if (spec.isErr) fail(`${cli.flags.spec}: ${specFaultText(spec.error)}`);
-const list = v.safeParse(ListSchema, json(cli.flags.workers));
-if (!list.success)
+const workerList = v.safeParse(WorkerListSchema, readJson(cli.flags.workers));
+if (!workerList.success)
   fail(
-    `${cli.flags.workers}: ${list.issues.map((issue) => `${v.getDotPath(issue) ?? 'list'}: ${issue.message}`).join('; ')}`,
+    `${cli.flags.workers}: ${workerList.issues.map((issue) => `${v.getDotPath(issue) ?? 'list'}: ${issue.message}`).join('; ')}`,
   );
-const day = readDay(read(cli.flags.day));
+const day = readDay(readText(cli.flags.day));
 if (day.isErr) fail(`${cli.flags.day}: ${day.error.detail}`);
 const cores = cli.flags.cores.split(',').filter((zone) => zone !== '');
-const strange = [...new Set([...cores, ...list.output.workers.map((worker) => worker.zone)])].filter(
-  (zone) => !spec.value.zones.includes(zone),
-);
-if (strange.length > 0)
-  fail(`zones ${strange.join(', ')}: not in the spec, expected ${spec.value.zones.join(', ')}`);
-const found = survey(spec.value, list.output.workers, day.value.calls, cores);
+const unknownZones = [
+  ...new Set([...cores, ...workerList.output.workers.map((worker) => worker.zone)]),
+].filter((zone) => !spec.value.zones.includes(zone));
+if (unknownZones.length > 0)
+  fail(`zones ${unknownZones.join(', ')}: not in the spec, expected ${spec.value.zones.join(', ')}`);
+const found = survey(spec.value, workerList.output.workers, day.value.calls, cores);
 if (cli.flags.json) console.log(JSON.stringify(found, undefined, 2));
-else show(found);
+else printSurvey(found);
 process.exitCode = isSound(found) ? 0 : 1;
--- a/tools/planner/src/survey.test.ts
+++ b/tools/planner/src/survey.test.ts
@@ -6,7 +6,7 @@
 
 const SHAPE = SHAPES['small'] as Shape;
 
-function parts(roomMb: number): { spec: Spec; workers: ListedWorker[]; calls: readonly Call[] } {
+function surveyInput(roomMb: number): { spec: Spec; workers: ListedWorker[]; calls: readonly Call[] } {
   const spec = readSpec(JSON.stringify({ ...exampleSpec(SHAPE), workers: { roomMb, slots: 8 } }));
   const day = readDay(makeDay(SHAPE, 60, 1));
   const workers = Array.from({ length: 4 }, (_, place) => ({
@@ -18,7 +18,7 @@
 }
 
 it('a survey says what fits, what is lost with a zone, and how long the pulls take', () => {
-  const { spec, workers, calls } = parts(80_000);
+  const { spec, workers, calls } = surveyInput(80_000);
   const found = survey(spec, workers, calls, SHAPE.zones);
   expect([isSound(found), found.findings.map(({ without }) => without)]).toEqual([
     true,
@@ -32,9 +32,9 @@
 });
 
 it('a survey names what does not fit, and what nobody has', () => {
-  const { spec, workers, calls } = parts(16_000);
-  const strange = { ...(calls.find((call) => call.model !== '') as Call), model: 'none' };
-  const found = survey(spec, workers, [...calls, strange], []);
+  const { spec, workers, calls } = surveyInput(16_000);
+  const unknownModelCall = { ...(calls.find((call) => call.model !== '') as Call), model: 'none' };
+  const found = survey(spec, workers, [...calls, unknownModelCall], []);
   expect([found.unknown, isSound(found), (found.findings[0]?.unplaced.length ?? 0) > 0]).toEqual([
     ['none'],
     false,
--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -38,7 +38,7 @@
   readonly findings: readonly Finding[];
 }
 
-const STEPS_MOST = 500;
+const MAX_STEPS = 500;
 const STEP_MS = 10_000;
 
 type Placement = ReadonlyMap<string, readonly HoldingTarget[]>;
@@ -57,7 +57,7 @@
 }
 
 /** Steps of the placer itself until it rests. */
-function settle(
+function placeUntilStable(
   spec: Spec,
   workers: readonly SpecPlacerWorker[],
   demands: ReadonlyMap<string, SpecModelDemand>,
@@ -66,7 +66,7 @@
   const placement = new Map<string, readonly HoldingTarget[]>(
     workers.map((worker) => [worker.name, worker.holdings]),
   );
-  for (let step = 0; step < STEPS_MOST; step += 1) {
+  for (let step = 0; step < MAX_STEPS; step += 1) {
     const seen = workers.map((worker) => ({ ...worker, holdings: placement.get(worker.name) ?? [] }));
     const changes = Object.entries(placer.step(spec, seen, demands, step * STEP_MS));
     for (const [name, holdings] of changes) placement.set(name, holdings);
@@ -75,7 +75,7 @@
   return placement;
 }
 
-function partsOf(placement: Placement, usable: ReadonlySet<string>): string[] {
+function heldParts(placement: Placement, usable: ReadonlySet<string>): string[] {
   const parts: string[] = [];
   for (const [worker, holdings] of placement) {
     if (!usable.has(worker)) continue;
@@ -86,7 +86,7 @@
 }
 
 /** Names of what is asked for: models, and adapters as `model/adapter`. */
-function askedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
+function requestedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
   return [...demands].flatMap(([model, { adapters }]) => [
     model,
     ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
@@ -110,23 +110,23 @@
 }
 
 /** What a worker holds after a change and did not hold before. */
-function pullsOf(worker: string, before: Placement, after: Placement): number {
+function countPulls(worker: string, before: Placement, after: Placement): number {
   const usable = new Set([worker]);
-  const held = new Set(partsOf(new Map([[worker, before.get(worker) ?? []]]), usable));
-  return partsOf(new Map([[worker, after.get(worker) ?? []]]), usable).filter((part) => !held.has(part))
+  const held = new Set(heldParts(new Map([[worker, before.get(worker) ?? []]]), usable));
+  return heldParts(new Map([[worker, after.get(worker) ?? []]]), usable).filter((part) => !held.has(part))
     .length;
 }
 
 /** What holds for every finding of one survey. */
-interface SurveyBase {
+interface SurveyContext {
   readonly spec: Spec;
   readonly workers: readonly SpecPlacerWorker[];
   readonly demands: ReadonlyMap<string, SpecModelDemand>;
   /** Known parts that are asked for. */
-  readonly wanted: readonly string[];
+  readonly requestedKnownParts: readonly string[];
   readonly coreZones: readonly string[];
   /** Where everything stands while all zones are there. */
-  readonly whole: Placement;
+  readonly fullPlacement: Placement;
 }
 
 /** Whether the cores that are left are a majority; undefined if none are known. */
@@ -136,23 +136,23 @@
 }
 
 function findingOf(
-  base: SurveyBase,
+  context: SurveyContext,
   without: string | undefined,
   before: Placement,
   after: Placement,
 ): Finding {
-  const { spec, workers, wanted, coreZones, whole } = base;
-  const staying = workers.filter((worker) => worker.zone !== without);
-  const usable = new Set(staying.map((worker) => worker.name));
-  const left = new Set(partsOf(whole, usable));
-  const held = new Set(partsOf(after, usable));
-  const pulls = staying.reduce((sum, worker) => sum + pullsOf(worker.name, before, after), 0);
+  const { spec, workers, requestedKnownParts, coreZones, fullPlacement } = context;
+  const remainingWorkers = workers.filter((worker) => worker.zone !== without);
+  const usable = new Set(remainingWorkers.map((worker) => worker.name));
+  const stillHeld = new Set(heldParts(fullPlacement, usable));
+  const held = new Set(heldParts(after, usable));
+  const pulls = remainingWorkers.reduce((sum, worker) => sum + countPulls(worker.name, before, after), 0);
   return {
     without: without ?? 'all',
-    slots: staying.reduce((sum, worker) => sum + worker.slots, 0),
-    roomMb: staying.reduce((sum, worker) => sum + worker.roomMb, 0),
-    unplaced: wanted.filter((part) => !held.has(part)),
-    interrupted: wanted.filter((part) => !left.has(part)),
+    slots: remainingWorkers.reduce((sum, worker) => sum + worker.slots, 0),
+    roomMb: remainingWorkers.reduce((sum, worker) => sum + worker.roomMb, 0),
+    unplaced: requestedKnownParts.filter((part) => !held.has(part)),
+    interrupted: requestedKnownParts.filter((part) => !stillHeld.has(part)),
     pulls,
     pullS: Math.ceil((pulls * 60) / spec.store.pullsPerMinute),
     agrees: isMajorityLeft(coreZones, without),
@@ -160,20 +160,20 @@
 }
 
 /** All zones are there, and everything is pulled for the first time; so nothing is interrupted. */
-function findWhole(base: SurveyBase): Finding {
-  const finding = findingOf(base, undefined, new Map(), base.whole);
+function findingForAllZones(context: SurveyContext): Finding {
+  const finding = findingOf(context, undefined, new Map(), context.fullPlacement);
   return { ...finding, interrupted: [] };
 }
 
 /** One zone is lost, and what it held is placed elsewhere. */
-function findWithout(base: SurveyBase, zone: string): Finding {
-  const { spec, workers, demands, whole } = base;
-  const began = workers.map((worker) => ({
+function findingWithoutZone(context: SurveyContext, zone: string): Finding {
+  const { spec, workers, demands, fullPlacement } = context;
+  const workersAfterLoss = workers.map((worker) => ({
     ...worker,
     usable: worker.zone !== zone,
-    holdings: whole.get(worker.name) ?? [],
+    holdings: fullPlacement.get(worker.name) ?? [],
   }));
-  return findingOf(base, zone, whole, settle(spec, began, demands));
+  return findingOf(context, zone, fullPlacement, placeUntilStable(spec, workersAfterLoss, demands));
 }
 
 /**
@@ -189,21 +189,21 @@
   coreZones: readonly string[],
 ): Survey {
   const demands = demandOf(calls);
-  const asked = askedParts(demands);
+  const requested = requestedParts(demands);
   const catalogue = catalogueParts(spec);
   const workers = emptyWorkers(spec, listed);
-  const base: SurveyBase = {
+  const context: SurveyContext = {
     spec,
     workers,
     demands,
-    wanted: asked.filter((part) => catalogue.has(part)),
+    requestedKnownParts: requested.filter((part) => catalogue.has(part)),
     coreZones,
-    whole: settle(spec, workers, demands),
+    fullPlacement: placeUntilStable(spec, workers, demands),
   };
   return {
     catalogueMb: [...spec.models, ...spec.adapters].reduce((sum, { sizeMb }) => sum + sizeMb, 0),
-    unknown: asked.filter((part) => !catalogue.has(part)),
-    findings: [findWhole(base), ...spec.zones.map((zone) => findWithout(base, zone))],
+    unknown: requested.filter((part) => !catalogue.has(part)),
+    findings: [findingForAllZones(context), ...spec.zones.map((zone) => findingWithoutZone(context, zone))],
   };
 }
 
