--- a/tools/planner/src/survey.test.ts
+++ b/tools/planner/src/survey.test.ts
@@ -17,7 +17,7 @@
   return { spec: spec.isOk ? spec.value : ({} as Spec), workers, calls: day.isOk ? day.value.calls : [] };
 }
 
-it('a survey says what fits, what is lost with a zone, and how long the pulls take', () => {
+it('a survey reports what fits, the loss of each zone, the pull time and the majority of cores', () => {
   const { spec, workers, calls } = surveyInput(80_000);
   const found = survey(spec, workers, calls, SHAPE.zones);
   expect([isSound(found), found.findings.map(({ without }) => without)]).toEqual([
@@ -31,7 +31,7 @@
   expect(together.findings.map(({ agrees }) => agrees)).toEqual([true, false, true, true]);
 });
 
-it('a survey names what does not fit, and what nobody has', () => {
+it('a survey lists models that do not fit and models missing from the catalogue', () => {
   const { spec, workers, calls } = surveyInput(16_000);
   const unknownModelCall = { ...(calls.find((call) => call.model !== '') as Call), model: 'none' };
   const found = survey(spec, workers, [...calls, unknownModelCall], []);
--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -7,33 +7,33 @@
   type SpecPlacerWorker,
 } from '@rainrun/placement';
 
-/** A worker of the platform's list, as far as a survey needs it. */
+/** The fields of an entry in the platform's worker list that a survey needs. */
 export interface ListedWorker {
   readonly name: string;
   readonly zone: string;
   readonly kind: string;
 }
 
-/** What a survey found about one state of the site. */
+/** Capacity and placement of one site state: all zones present, or one zone lost. */
 export interface Finding {
-  /** `all`, or the zone that is gone. */
+  /** Name of the lost zone, or `all` while every zone is present. */
   readonly without: string;
   readonly slots: number;
   readonly roomMb: number;
-  /** Asked for, and held nowhere once placement has come to rest. */
+  /** Requested models and adapters that no worker holds once placement is stable. */
   readonly unplaced: readonly string[];
-  /** Asked for, and without a copy until they are loaded elsewhere. */
+  /** Requested models and adapters without a copy until a worker in another zone has loaded them. */
   readonly interrupted: readonly string[];
   readonly pulls: number;
   readonly pullS: number;
-  /** Whether most cores are still there; undefined when no cores were named. */
+  /** Whether a majority of the cores remains; undefined if no core zones were given. */
   readonly agrees: boolean | undefined;
 }
 
-/** A whole survey. */
+/** The result of a survey: the catalogue's size and one finding for each site state. */
 export interface Survey {
   readonly catalogueMb: number;
-  /** Asked for in the day, and not in the catalogue. */
+  /** Models and adapters that the day requests and the catalogue lacks. */
   readonly unknown: readonly string[];
   readonly findings: readonly Finding[];
 }
@@ -56,7 +56,7 @@
   return demands;
 }
 
-/** Steps of the placer itself until it rests. */
+/** Runs the placer until a step changes nothing, for at most `MAX_STEPS` steps. */
 function placeUntilStable(
   spec: Spec,
   workers: readonly SpecPlacerWorker[],
@@ -85,7 +85,7 @@
   return parts;
 }
 
-/** Names of what is asked for: models, and adapters as `model/adapter`. */
+/** Names of the requested models, and of the requested adapters as `model/adapter`. */
 function requestedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
   return [...demands].flatMap(([model, { adapters }]) => [
     model,
@@ -109,7 +109,7 @@
     });
 }
 
-/** What a worker holds after a change and did not hold before. */
+/** Counts the models and adapters that a worker holds after a change and did not hold before. */
 function countPulls(worker: string, before: Placement, after: Placement): number {
   const usable = new Set([worker]);
   const held = new Set(heldParts(new Map([[worker, before.get(worker) ?? []]]), usable));
@@ -117,19 +117,19 @@
     .length;
 }
 
-/** What holds for every finding of one survey. */
+/** Input that all findings of one survey share. */
 interface SurveyContext {
   readonly spec: Spec;
   readonly workers: readonly SpecPlacerWorker[];
   readonly demands: ReadonlyMap<string, SpecModelDemand>;
-  /** Known parts that are asked for. */
+  /** Requested models and adapters that are in the catalogue. */
   readonly requestedKnownParts: readonly string[];
   readonly coreZones: readonly string[];
-  /** Where everything stands while all zones are there. */
+  /** The stable placement while all zones are present. */
   readonly fullPlacement: Placement;
 }
 
-/** Whether the cores that are left are a majority; undefined if none are known. */
+/** Whether the cores outside the lost zone are a majority; undefined if no core zones were given. */
 function isMajorityLeft(coreZones: readonly string[], without: string | undefined): boolean | undefined {
   if (coreZones.length === 0) return undefined;
   return coreZones.filter((zone) => zone !== without).length > coreZones.length / 2;
@@ -159,13 +159,13 @@
   };
 }
 
-/** All zones are there, and everything is pulled for the first time; so nothing is interrupted. */
+/** Finding with all zones present. Every pull is a first one, so nothing is interrupted. */
 function findingForAllZones(context: SurveyContext): Finding {
   const finding = findingOf(context, undefined, new Map(), context.fullPlacement);
   return { ...finding, interrupted: [] };
 }
 
-/** One zone is lost, and what it held is placed elsewhere. */
+/** Finding after the loss of one zone, whose models and adapters are placed in the other zones. */
 function findingWithoutZone(context: SurveyContext, zone: string): Finding {
   const { spec, workers, demands, fullPlacement } = context;
   const workersAfterLoss = workers.map((worker) => ({
@@ -177,8 +177,9 @@
 }
 
 /**
- * Whether all that a day asks for fits a site, and what is lost with each
- * zone. Placement is decided by the placer that the nodes run.
+ * Checks whether all models and adapters that a day requests fit a site, and
+ * what the loss of each zone interrupts. Placement is computed by the placer
+ * that the nodes run.
  * @example
  * survey(spec, workers, day.calls, ['coast', 'ridge', 'harbour']).findings[0].unplaced; // []
  */
@@ -208,9 +209,10 @@
 }
 
 /**
- * Whether a survey found nothing missing.
+ * Whether the catalogue has everything requested, everything fits in every site
+ * state, and no zone's loss takes the majority of cores.
  * @example
- * isSound(survey(spec, workers, [], [])); // true: nothing is asked for
+ * isSound(survey(spec, workers, [], [])); // true: nothing is requested
  */
 export function isSound({ unknown, findings }: Survey): boolean {
   return (
