--- a/tools/replay/src/compare.test.ts
+++ b/tools/replay/src/compare.test.ts
@@ -1,9 +1,9 @@
 import { it } from 'node:test';
 import type { Seen } from '@rainrun/load-generator';
 import { expect } from 'earl';
-import { differences } from './compare.js';
+import { compareReplay } from './compare.js';
 
-function seen(outcome: string, now: string, firstPieceMs: number): Seen {
+function makeSeen(outcome: string, replayedOutcome: string, firstPieceMs: number): Seen {
   const call = {
     atMs: 0,
     group: 'g',
@@ -18,14 +18,23 @@
     worker: 'w1',
     firstPieceMs: 10,
   };
-  return { call, id: 'i', outcome: now, ran: 'yes', firstPieceMs, wholeMs: 1, beganMs: 0, edge: 'e' };
+  return {
+    call,
+    id: 'i',
+    outcome: replayedOutcome,
+    ran: 'yes',
+    firstPieceMs,
+    wholeMs: 1,
+    beganMs: 0,
+    edge: 'e',
+  };
 }
 
 it('a replay says what differs in answers, assignments and latencies', () => {
-  const found = differences([
-    { seen: seen('served', 'served', 20), worker: 'w1' },
-    { seen: seen('served', 'no-worker', 5), worker: 'w2' },
-    { seen: seen('served', 'served', 30), worker: undefined },
+  const found = compareReplay([
+    { seen: makeSeen('served', 'served', 20), worker: 'w1' },
+    { seen: makeSeen('served', 'no-worker', 5), worker: 'w2' },
+    { seen: makeSeen('served', 'served', 30), worker: undefined },
   ]);
   expect(found).toEqual({
     calls: 3,
--- a/tools/replay/src/compare.ts
+++ b/tools/replay/src/compare.ts
@@ -1,14 +1,14 @@
 import type { Seen } from '@rainrun/load-generator';
 
 /** What one replayed call came to, beside what was recorded. */
-export interface Replayed {
+export interface ReplayedCall {
   readonly seen: Seen;
   /** The worker it went to now, if the edge still knows. */
   readonly worker: string | undefined;
 }
 
 /** How a replay differs from its recording. */
-export interface Differences {
+export interface ReplayDifferences {
   readonly calls: number;
   /** Outcome then -> outcome now, with how often. */
   readonly outcomes: Readonly<Record<string, number>>;
@@ -19,18 +19,18 @@
   readonly ratioP95: number | undefined;
 }
 
-function quantile(values: readonly number[], part: number): number | undefined {
+function quantile(values: readonly number[], fraction: number): number | undefined {
   const sorted = [...values].sort((one, other) => one - other);
-  const found = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))];
-  return found === undefined ? undefined : Number(found.toFixed(2));
+  const value = sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))];
+  return value === undefined ? undefined : Number(value.toFixed(2));
 }
 
 /**
  * Compares a replay with its recording: answers, assignments, latencies.
  * @example
- * differences([{ seen, worker: 'worker-1' }]).calls; // 1
+ * compareReplay([{ seen, worker: 'worker-1' }]).calls; // 1
  */
-export function differences(replayed: readonly Replayed[]): Differences {
+export function compareReplay(replayed: readonly ReplayedCall[]): ReplayDifferences {
   const outcomes: Record<string, number> = {};
   const ratios: number[] = [];
   let sameWorker = 0;
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -6,7 +6,7 @@
 import { readSpec, specFaultText } from '@rainrun/configuration';
 import { replayDay } from '@rainrun/simulator';
 import { readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
-import { differences, type Replayed } from './compare.js';
+import { compareReplay, type ReplayedCall } from './compare.js';
 
 const cli = meow(
   `
@@ -51,7 +51,7 @@
   }
 }
 
-async function workerOf(seen: Seen): Promise<string | undefined> {
+async function fetchWorkerOf(seen: Seen): Promise<string | undefined> {
   if (seen.id === '') return undefined;
   try {
     const reply = await request(`http://${seen.edge}/rainrun/v1/explain/requests/${seen.id}`, {
@@ -64,41 +64,41 @@
   }
 }
 
-function usage(message: string): never {
+function failUsage(message: string): never {
   console.error(`replay: ${message}`);
   process.exit(2);
 }
 
 /** The day against a running fleet. */
-async function againstFleet(calls: readonly Call[], edges: string): Promise<Outcome> {
+async function replayOnFleet(calls: readonly Call[], edges: string): Promise<ReplayResult> {
   const report = await new LoadGenerator(edges.split(','), cli.flags.standIns).play(calls, cli.flags.speed);
-  const replayed: Replayed[] = [];
-  for (const seen of report.seen) replayed.push({ seen, worker: await workerOf(seen) });
+  const replayed: ReplayedCall[] = [];
+  for (const seen of report.seen) replayed.push({ seen, worker: await fetchWorkerOf(seen) });
   return { replayed, breaches: report.breaches };
 }
 
 /** The day in the simulator, on the same code and in virtual time. */
-function simulated(calls: readonly Call[], shape: Shape): Outcome {
+function replayInSimulator(calls: readonly Call[], shape: Shape): ReplayResult {
   let options: { seed: number; spec?: object } = { seed: cli.flags.seed };
   if (cli.flags.spec !== undefined) {
     const spec = readSpec(readText(cli.flags.spec));
-    if (spec.isErr) usage(`${cli.flags.spec}: ${specFaultText(spec.error)}`);
+    if (spec.isErr) failUsage(`${cli.flags.spec}: ${specFaultText(spec.error)}`);
     options = { ...options, spec: spec.value };
   }
   const { seen, breaches } = replayDay(shape, calls, options);
-  const replayed = seen.map(({ call, outcome, firstPieceMs, worker }): Replayed => ({
+  const replayed = seen.map(({ call, outcome, firstPieceMs, worker }): ReplayedCall => ({
     seen: { call, outcome, firstPieceMs, id: '', ran: 'maybe', wholeMs: 0, beganMs: call.atMs, edge: '' },
     worker: worker === '' ? undefined : worker,
   }));
   return { replayed, breaches };
 }
 
-interface Outcome {
-  readonly replayed: readonly Replayed[];
+interface ReplayResult {
+  readonly replayed: readonly ReplayedCall[];
   readonly breaches: readonly string[];
 }
 
-function counted(replayed: readonly Replayed[]): Record<string, number> {
+function countOutcomes(replayed: readonly ReplayedCall[]): Record<string, number> {
   const outcomes: Record<string, number> = {};
   for (const { seen } of replayed) outcomes[seen.outcome] = (outcomes[seen.outcome] ?? 0) + 1;
   return outcomes;
@@ -106,12 +106,14 @@
 
 const { day: path, edges, simulate, speed } = cli.flags;
 const day = readDay(readText(path));
-if (day.isErr) usage(`${path}: ${day.error.detail}`);
-if (!(speed > 0)) usage('--speed must be above 0');
+if (day.isErr) failUsage(`${path}: ${day.error.detail}`);
+if (!(speed > 0)) failUsage('--speed must be above 0');
 const shape = SHAPES[simulate ?? ''];
-if ((edges === undefined) === (shape === undefined)) usage('either --edges or --simulate is needed');
+if ((edges === undefined) === (shape === undefined)) failUsage('either --edges or --simulate is needed');
 const { replayed, breaches } =
-  shape === undefined ? await againstFleet(day.value.calls, edges ?? '') : simulated(day.value.calls, shape);
-const found = differences(replayed);
-console.log(JSON.stringify({ outcomesNow: counted(replayed), ...found, breaches }, undefined, 2));
+  shape === undefined
+    ? await replayOnFleet(day.value.calls, edges ?? '')
+    : replayInSimulator(day.value.calls, shape);
+const found = compareReplay(replayed);
+console.log(JSON.stringify({ outcomesNow: countOutcomes(replayed), ...found, breaches }, undefined, 2));
 process.exitCode = Object.keys(found.outcomes).length + breaches.length === 0 ? 0 : 1;
