--- a/tools/replay/src/compare.test.ts
+++ b/tools/replay/src/compare.test.ts
@@ -30,7 +30,7 @@
   };
 }
 
-it('a replay says what differs in answers, assignments and latencies', () => {
+it('comparing a replay reports differences in outcomes, workers and latencies', () => {
   const found = compareReplay([
     { seen: makeSeen('served', 'served', 20), worker: 'w1' },
     { seen: makeSeen('served', 'no-worker', 5), worker: 'w2' },
--- a/tools/replay/src/compare.ts
+++ b/tools/replay/src/compare.ts
@@ -1,21 +1,22 @@
 import type { Seen } from '@rainrun/load-generator';
 
-/** What one replayed call came to, beside what was recorded. */
+/** One replayed call: its result, which holds the recorded call, and the worker that it was sent to. */
 export interface ReplayedCall {
   readonly seen: Seen;
-  /** The worker it went to now, if the edge still knows. */
+  /** The worker of the replayed call, or undefined if the edge no longer reports it. */
   readonly worker: string | undefined;
 }
 
-/** How a replay differs from its recording. */
+/** Differences between a replay and its recording. */
 export interface ReplayDifferences {
   readonly calls: number;
-  /** Outcome then -> outcome now, with how often. */
+  /** Number of calls for each change of outcome, keyed `recorded -> replayed`. */
   readonly outcomes: Readonly<Record<string, number>>;
   readonly sameWorker: number;
   readonly otherWorker: number;
-  /** First piece now over first piece then: median and 95th percentile. */
+  /** Median of the replayed over the recorded time to the first piece, over calls served in the replay. */
   readonly ratioP50: number | undefined;
+  /** 95th percentile of the ratio whose median is `ratioP50`. */
   readonly ratioP95: number | undefined;
 }
 
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -69,7 +69,7 @@
   process.exit(2);
 }
 
-/** The day against a running fleet. */
+/** Replays the day against a running fleet. */
 async function replayOnFleet(calls: readonly Call[], edges: string): Promise<ReplayResult> {
   const report = await new LoadGenerator(edges.split(','), cli.flags.standIns).play(calls, cli.flags.speed);
   const replayed: ReplayedCall[] = [];
@@ -77,7 +77,7 @@
   return { replayed, breaches: report.breaches };
 }
 
-/** The day in the simulator, on the same code and in virtual time. */
+/** Replays the day in the simulator, which runs the same code in virtual time. */
 function replayInSimulator(calls: readonly Call[], shape: Shape): ReplayResult {
   let options: { seed: number; spec?: object } = { seed: cli.flags.seed };
   if (cli.flags.spec !== undefined) {
