--- a/tools/load-generator/src/load-generator.ts
+++ b/tools/load-generator/src/load-generator.ts
@@ -51,14 +51,14 @@
   });
   #breaches: string[] = [];
   #seen: Seen[] = [];
-  #next = 0;
+  #nextEdge = 0;
   #down = new Set<string>();
   #stopped = false;
-  #checks: boolean;
+  #checksAnswers: boolean;
 
   /** `checks` is false where the workers are not stand-ins, whose answers nobody can foretell. */
   constructor(edges: readonly string[], checks = true) {
-    this.#checks = checks;
+    this.#checksAnswers = checks;
     this.#edges = edges;
   }
 
@@ -77,42 +77,42 @@
   async play(calls: readonly Call[], speed: number): Promise<LoadReport> {
     const beganMs = performance.now();
     const running: Promise<void>[] = [];
-    for (const [place, call] of calls.entries()) {
+    for (const [index, call] of calls.entries()) {
       const waitMs = call.atMs / speed - (performance.now() - beganMs);
       if (waitMs > 1) await pause(waitMs);
       if (this.#stopped) break;
-      running.push(this.#make(call, place));
+      running.push(this.#sendCall(call, index));
     }
     await Promise.all(running);
     await this.#agent.close();
     return this.#report();
   }
 
-  #edge(): string {
-    const up = this.#edges.filter((edge) => !this.#down.has(edge));
-    this.#next += 1;
-    return up[this.#next % Math.max(1, up.length)] ?? this.#edges[0] ?? '';
+  #pickEdge(): string {
+    const available = this.#edges.filter((edge) => !this.#down.has(edge));
+    this.#nextEdge += 1;
+    return available[this.#nextEdge % Math.max(1, available.length)] ?? this.#edges[0] ?? '';
   }
 
-  async #make(call: Call, place: number): Promise<void> {
-    const edge = this.#edge();
+  async #sendCall(call: Call, index: number): Promise<void> {
+    const edge = this.#pickEdge();
     const beganMs = performance.now();
-    const prompt = promptOf(call, place);
-    const lookup = call.model === '';
-    const visit = new VisitorCall(call, prompt, place);
+    const prompt = promptOf(call, index);
+    const isLookup = call.model === '';
+    const clientCall = new ClientCall(call, prompt, index);
     try {
       this.#agent.dispatch(
         {
           origin: `http://${edge}`,
-          method: lookup ? 'GET' : 'POST',
-          path: lookup ? `${call.path}/${place % 200}` : call.path,
+          method: isLookup ? 'GET' : 'POST',
+          path: isLookup ? `${call.path}/${index % 200}` : call.path,
           headers: {
             'content-type': 'application/json',
             'rainrun-group': call.group,
             'rainrun-kind': call.kind,
             'rainrun-deadline-ms': String(DEADLINE_MS),
           },
-          body: lookup
+          body: isLookup
             ? null
             : JSON.stringify({
                 model: call.model,
@@ -121,14 +121,14 @@
                 messages: [{ role: 'user', content: prompt }],
               }),
         },
-        visit,
+        clientCall,
       );
     } catch {
-      visit.failed();
+      clientCall.fail();
     }
-    await visit.over;
-    const { outcome, ran, id, firstMs, breach } = visit.judge();
-    if (breach !== undefined && this.#checks) this.#breaches.push(`${id} at ${edge}: ${breach}`);
+    await clientCall.finished;
+    const { outcome, ran, id, firstMs, breach } = clientCall.verdict();
+    if (breach !== undefined && this.#checksAnswers) this.#breaches.push(`${id} at ${edge}: ${breach}`);
     this.#seen.push({
       call,
       id,
@@ -166,11 +166,11 @@
   }
 }
 
-function quantile(sorted: readonly number[], part: number): number {
-  return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? 0);
+function quantile(sorted: readonly number[], fraction: number): number {
+  return Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0);
 }
 
-interface Judgement {
+interface CallVerdict {
   readonly outcome: string;
   readonly ran: Seen['ran'];
   readonly id: string;
@@ -179,24 +179,24 @@
 }
 
 /** One call under way, and the judgement of its answer. */
-class VisitorCall implements Dispatcher.DispatchHandler {
+class ClientCall implements Dispatcher.DispatchHandler {
   #call: Call;
   #prompt: string;
-  #place: number;
+  #index: number;
   #sent = false;
   #status = 0;
   #headers: Record<string, string | string[] | undefined> = {};
-  #parts: Buffer[] = [];
+  #chunks: Buffer[] = [];
   #ended = false;
   #firstMs: number | undefined;
   #done: () => void = () => undefined;
-  readonly over: Promise<void>;
+  readonly finished: Promise<void>;
 
-  constructor(call: Call, prompt: string, place: number) {
+  constructor(call: Call, prompt: string, index: number) {
     this.#call = call;
     this.#prompt = prompt;
-    this.#place = place;
-    this.over = new Promise((resolve) => {
+    this.#index = index;
+    this.finished = new Promise((resolve) => {
       this.#done = resolve;
     });
   }
@@ -216,7 +216,7 @@
 
   onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
     this.#firstMs ??= performance.now();
-    this.#parts.push(chunk);
+    this.#chunks.push(chunk);
   }
 
   onResponseEnd(): void {
@@ -228,22 +228,22 @@
     this.#done();
   }
 
-  failed(): void {
+  fail(): void {
     this.#done();
   }
 
-  judge(): Judgement {
-    const text = Buffer.concat(this.#parts).toString('utf8');
+  verdict(): CallVerdict {
+    const text = Buffer.concat(this.#chunks).toString('utf8');
     const id = String(this.#headers['rainrun-id'] ?? '');
     const shared = { id, firstMs: this.#firstMs };
     if (!this.#sent) return { ...shared, outcome: 'not-connected', ran: 'no', breach: undefined };
     if (this.#status === 0) return { ...shared, outcome: 'no-answer', ran: 'maybe', breach: undefined };
-    if (this.#status !== 200) return { ...shared, ...this.#judgeRefusal(text) };
+    if (this.#status !== 200) return { ...shared, ...this.#checkRefusal(text) };
     if (!this.#ended) return { ...shared, outcome: 'cut', ran: 'maybe', breach: undefined };
-    return { ...shared, outcome: 'served', ran: 'yes', breach: this.#judgeWhole(text) };
+    return { ...shared, outcome: 'served', ran: 'yes', breach: this.#checkAnswer(text) };
   }
 
-  #judgeRefusal(text: string): { outcome: string; ran: Seen['ran']; breach: string | undefined } {
+  #checkRefusal(text: string): { outcome: string; ran: Seen['ran']; breach: string | undefined } {
     const error = (parse(text) as { error?: { kind?: string; ran?: string } } | undefined)?.error;
     if (error?.kind === undefined)
       return {
@@ -251,19 +251,19 @@
         ran: 'maybe',
         breach: `status ${this.#status} without a kind`,
       };
-    const mustReturn = this.#status === 429 || this.#status === 503;
+    const needsRetryAfter = this.#status === 429 || this.#status === 503;
     const breach =
-      mustReturn && this.#headers['retry-after'] === undefined
+      needsRetryAfter && this.#headers['retry-after'] === undefined
         ? `${error.kind} without Retry-After`
         : undefined;
     return { outcome: error.kind, ran: error.ran === 'no' ? 'no' : 'maybe', breach };
   }
 
-  #judgeWhole(text: string): string | undefined {
+  #checkAnswer(text: string): string | undefined {
     const { model, adapter, stream, path } = this.#call;
     if (model === '') {
       const body = parse(text) as { path?: string; value?: string } | undefined;
-      return body?.path === `${path}/${this.#place % 200}` && body.value !== undefined
+      return body?.path === `${path}/${this.#index % 200}` && body.value !== undefined
         ? undefined
         : `lookup answered ${text.slice(0, 80)}`;
     }
