--- a/tools/load-generator/src/load-generator.ts
+++ b/tools/load-generator/src/load-generator.ts
@@ -3,7 +3,7 @@
 import { promptOf, type Call } from '@rainrun/workloads';
 import { Agent, type Dispatcher } from 'undici';
 
-/** How one call ended, as the visitor saw it. */
+/** The result of one call, as its client observed it. */
 export interface Seen {
   readonly call: Call;
   readonly id: string;
@@ -15,7 +15,7 @@
   readonly edge: string;
 }
 
-/** What all clients saw in sum. */
+/** The results of all calls, and the breaches found in their answers. */
 export interface LoadReport {
   readonly breaches: string[];
   readonly outcomes: Record<string, number>;
@@ -23,7 +23,7 @@
   readonly seen: Seen[];
 }
 
-/** Figures of one kind of work. */
+/** Call counts and first-piece latency percentiles of one `group/kind`; the latencies cover served calls. */
 export interface KindReport {
   calls: number;
   served: number;
@@ -35,8 +35,8 @@
 const DEADLINE_MS = 60_000;
 
 /**
- * Stand-in visitors: they make the calls of a day against the edges and check
- * every answer by themselves.
+ * Simulated clients: they send the calls of a day to the edges and check every
+ * answer against the one that a stand-in worker must give.
  * @example
  * const loadGenerator = new LoadGenerator(['127.0.0.1:8104']);
  * const report = await loadGenerator.play(day.calls, 1);
@@ -56,24 +56,24 @@
   #stopped = false;
   #checksAnswers: boolean;
 
-  /** `checks` is false where the workers are not stand-ins, whose answers nobody can foretell. */
+  /** `checks` must be false if the workers are not stand-ins, since their answers are not predictable. */
   constructor(edges: readonly string[], checks = true) {
     this.#checksAnswers = checks;
     this.#edges = edges;
   }
 
-  /** The platform takes an edge out of its rotation, or puts it back. */
+  /** Takes an edge out of the rotation, as the platform does, or puts it back. */
   setDown(edge: string, down: boolean): void {
     if (down) this.#down.add(edge);
     else this.#down.delete(edge);
   }
 
-  /** Makes no more calls; those under way are waited for. */
+  /** Stops sending calls; `play` still waits for the calls in flight. */
   stop(): void {
     this.#stopped = true;
   }
 
-  /** Plays calls at a speed; resolves when the last answer is in. */
+  /** Sends the calls at a multiple of their recorded pace; resolves once every call has ended. */
   async play(calls: readonly Call[], speed: number): Promise<LoadReport> {
     const beganMs = performance.now();
     const running: Promise<void>[] = [];
@@ -178,7 +178,7 @@
   readonly breach: string | undefined;
 }
 
-/** One call under way, and the judgement of its answer. */
+/** One call in flight; collects its answer and checks it. */
 class ClientCall implements Dispatcher.DispatchHandler {
   #call: Call;
   #prompt: string;
@@ -294,7 +294,7 @@
 }
 
 /**
- * Holds what the visitors were told against what the workers ran.
+ * Compares the outcomes that clients received with the runs that workers counted.
  * @example
  * compare(report.seen, { 'id-1': 1 }); // breaches, if any
  */
