--- a/tools/stand-in-workers/src/answers.ts
+++ b/tools/stand-in-workers/src/answers.ts
@@ -20,12 +20,12 @@
 }
 
 /**
- * One piece of an answer: its place, the run it belongs to, and its content.
+ * One piece of an answer: its index, the run it belongs to, and its content.
  * @example
  * piece('model-1', '', 'how high', 0, 'run-7');
  */
-export function piece(model: string, adapter: string, prompt: string, place: number, run: string): string {
-  return `${place}/${pieceCount(prompt)}:${run}:${digest(`${model}|${adapter}|${prompt}|${place}`)} `;
+export function piece(model: string, adapter: string, prompt: string, index: number, run: string): string {
+  return `${index}/${pieceCount(prompt)}:${run}:${digest(`${model}|${adapter}|${prompt}|${index}`)} `;
 }
 
 /**
@@ -37,9 +37,9 @@
   const pieces = text.trimEnd().split(' ');
   const run = pieces[0]?.split(':')[1] ?? '';
   if (pieces.length !== pieceCount(prompt)) return `${pieces.length} pieces instead of ${pieceCount(prompt)}`;
-  for (const [place, found] of pieces.entries()) {
-    const expected = piece(model, adapter, prompt, place, run).trimEnd();
-    if (found !== expected) return `piece ${place} is "${found}", expected "${expected}"`;
+  for (const [index, found] of pieces.entries()) {
+    const expected = piece(model, adapter, prompt, index, run).trimEnd();
+    if (found !== expected) return `piece ${index} is "${found}", expected "${expected}"`;
   }
   return undefined;
 }
--- a/tools/stand-in-workers/src/report.ts
+++ b/tools/stand-in-workers/src/report.ts
@@ -8,8 +8,8 @@
 /**
  * The book in which all stand-in workers of one standIns write.
  * @example
- * book.ran('id-1');
- * book.report().runs['id-1']; // 1
+ * log.ran('id-1');
+ * log.report().runs['id-1']; // 1
  */
 export class RequestLog {
   #breaches: string[] = [];
@@ -32,7 +32,7 @@
   }
 
   /** Keeps the largest value seen under a name. */
-  latest(name: string, value: number): void {
+  recordMax(name: string, value: number): void {
     this.#counts.set(name, Math.max(this.#counts.get(name) ?? 0, Math.round(value)));
   }
 
--- a/tools/stand-in-workers/src/stand-in-workers.ts
+++ b/tools/stand-in-workers/src/stand-in-workers.ts
@@ -18,7 +18,7 @@
  */
 export class StandInWorkers {
   #setup: StandInWorkersSetup;
-  #book: RequestLog;
+  #log: RequestLog;
   #workers = new Map<string, StandInWorker>();
   #pools = new Map<string, string>();
   #generation = 1;
@@ -26,13 +26,13 @@
 
   constructor(setup: StandInWorkersSetup) {
     this.#setup = setup;
-    this.#book = new RequestLog(setup.pullsPerMinute);
+    this.#log = new RequestLog(setup.pullsPerMinute);
     for (const worker of setup.workers) {
-      this.#workers.set(worker.name, new StandInWorker(worker, this.#book));
+      this.#workers.set(worker.name, new StandInWorker(worker, this.#log));
       this.#pools.set(worker.name, worker.pool);
     }
     this.#server = createServer((req, res) => {
-      void this.#take(req, res);
+      void this.#handleRequest(req, res);
     });
   }
 
@@ -45,7 +45,7 @@
   }
 
   report(): Report {
-    return this.#book.report();
+    return this.#log.report();
   }
 
   /** The platform's list as it is now. */
@@ -64,29 +64,29 @@
   }
 
   /** `leave`, `crash`, `return`, `remove`, `emptied`, `restored`, or a mood, for one worker. */
-  async act(name: string, what: string): Promise<boolean> {
+  async act(name: string, action: string): Promise<boolean> {
     const worker = this.#workers.get(name);
     if (worker === undefined) return false;
-    if (what === 'leave') {
+    if (action === 'leave') {
       worker.leave(performance.now());
       this.#generation += 1;
-    } else if (what === 'crash') await worker.crash();
-    else if (what === 'remove') {
+    } else if (action === 'crash') await worker.crash();
+    else if (action === 'remove') {
       this.#workers.delete(name);
       this.#generation += 1;
       await worker.crash();
-    } else if (what === 'return') {
-      const fresh = new StandInWorker(worker.setup, this.#book);
+    } else if (action === 'return') {
+      const fresh = new StandInWorker(worker.setup, this.#log);
       await fresh.listen();
       this.#workers.set(name, fresh);
       this.#generation += 1;
-    } else if (what === 'emptied') worker.zoneEmptied(performance.now());
-    else if (what === 'restored') worker.zoneEmptied(undefined);
-    else worker.mood = what as FaultMode;
+    } else if (action === 'emptied') worker.zoneEmptied(performance.now());
+    else if (action === 'restored') worker.zoneEmptied(undefined);
+    else worker.faultMode = action as FaultMode;
     return true;
   }
 
-  async #take(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const [, first, second, third] = (req.url ?? '').split('/');
     let body: unknown = { error: 'not found' };
     let status = 404;
--- a/tools/stand-in-workers/src/worker.ts
+++ b/tools/stand-in-workers/src/worker.ts
@@ -33,7 +33,7 @@
 /** Ways in which a stand-in worker can be made to misbehave. */
 export type FaultMode = 'well' | 'dark' | 'nonsense' | 'early' | 'more' | 'slow';
 
-const WARM_MS = 500;
+const WARM_UP_MS = 500;
 const LEAVING_GRACE_MS = 3000;
 const EMPTIED_GRACE_MS = 5000;
 
@@ -54,7 +54,7 @@
 /** A stand-in worker: serves models by published protocols and watches for what must not happen. */
 export class StandInWorker {
   readonly setup: WorkerSetup;
-  #book: RequestLog;
+  #log: RequestLog;
   #server: Server;
   #holdings = new Map<string, Set<string>>();
   #loadedMs = new Map<string, number>();
@@ -62,16 +62,16 @@
   #epoch = 0;
   #sequence = 0;
   #running = 0;
-  #mood: FaultMode = 'well';
+  #faultMode: FaultMode = 'well';
   #leavingMs: number | undefined;
   #emptiedMs: number | undefined;
   #runs = 0;
 
-  constructor(setup: WorkerSetup, book: RequestLog) {
+  constructor(setup: WorkerSetup, log: RequestLog) {
     this.setup = setup;
-    this.#book = book;
+    this.#log = log;
     this.#server = createServer((req, res) => {
-      void this.#take(req, res);
+      void this.#handleRequest(req, res);
     });
     this.#server.keepAliveTimeout = 30_000;
   }
@@ -80,8 +80,8 @@
     return this.#leavingMs !== undefined;
   }
 
-  set mood(mood: FaultMode) {
-    this.#mood = mood;
+  set faultMode(faultMode: FaultMode) {
+    this.#faultMode = faultMode;
   }
 
   leave(nowMs: number): void {
@@ -111,38 +111,38 @@
     });
   }
 
-  async #take(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (this.#mood === 'dark') return;
+  async #handleRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    if (this.#faultMode === 'dark') return;
     const body = await readAll(req);
-    if (req.url === '/orders') return this.#order(JSON.parse(body) as Order, res);
+    if (req.url === '/orders') return this.#handleOrder(JSON.parse(body) as Order, res);
     const id = String(req.headers['rainrun-id'] ?? '');
-    this.#watch('it was marked as leaving', this.#leavingMs, LEAVING_GRACE_MS);
-    this.#watch('its zone was emptied', this.#emptiedMs, EMPTIED_GRACE_MS);
-    if (this.setup.kind === 'lookup') return this.#lookup(req, res, id);
-    await this.#chat(JSON.parse(body) as ChatBody, req, res, id);
+    this.#checkLateWork('it was marked as leaving', this.#leavingMs, LEAVING_GRACE_MS);
+    this.#checkLateWork('its zone was emptied', this.#emptiedMs, EMPTIED_GRACE_MS);
+    if (this.setup.kind === 'lookup') return this.#handleLookup(req, res, id);
+    await this.#handleChat(JSON.parse(body) as ChatBody, req, res, id);
   }
 
   /** Work that comes later than it may after a moment is a breach; the longest is counted. */
-  #watch(what: string, sinceMs: number | undefined, graceMs: number): void {
+  #checkLateWork(what: string, sinceMs: number | undefined, graceMs: number): void {
     if (sinceMs === undefined) return;
     const lateMs = performance.now() - sinceMs;
-    this.#book.latest(`last work after ${what}, ms`, lateMs);
+    this.#log.recordMax(`last work after ${what}, ms`, lateMs);
     if (lateMs > graceMs)
-      this.#book.breach(`${this.setup.name} got work ${lateMs.toFixed(0)} ms after ${what}`);
+      this.#log.breach(`${this.setup.name} got work ${lateMs.toFixed(0)} ms after ${what}`);
   }
 
-  async #lookup(req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
-    this.#book.ran(id, true);
-    this.#book.count('lookups');
-    await pause(this.#mood === 'slow' ? 3000 : 5);
-    if (this.#mood === 'nonsense') {
+  async #handleLookup(req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
+    this.#log.ran(id, true);
+    this.#log.count('lookups');
+    await pause(this.#faultMode === 'slow' ? 3000 : 5);
+    if (this.#faultMode === 'nonsense') {
       res.end('<html>');
       return;
     }
     json(res, 200, { path: req.url, value: digest(req.url ?? '') });
   }
 
-  async #order(order: Order, res: ServerResponse): Promise<void> {
+  async #handleOrder(order: Order, res: ServerResponse): Promise<void> {
     const { epoch, sequence, action, model, adapter } = order;
     if (epoch < this.#epoch) {
       json(res, 409, { error: `epoch ${this.#epoch} orders now` });
@@ -155,17 +155,17 @@
     this.#epoch = epoch;
     this.#sequence = sequence;
     if (action !== 'inventory' && this.#busy) {
-      this.#book.breach(`${this.setup.name} got an order while it carried out another`);
+      this.#log.breach(`${this.setup.name} got an order while it carried out another`);
       json(res, 409, { error: 'busy' });
       return;
     }
     if (action === 'unload') this.#unload(model, adapter);
     if (action === 'load') await this.#load(model, adapter);
-    json(res, 200, { holdings: this.#listed(), busy: this.#busy });
+    json(res, 200, { holdings: this.#listHoldings(), busy: this.#busy });
   }
 
   #unload(model: string, adapter: string): void {
-    this.#book.count('unloads');
+    this.#log.count('unloads');
     if (adapter === '') this.#holdings.delete(model);
     else this.#holdings.get(model)?.delete(adapter);
   }
@@ -174,11 +174,11 @@
     const sizeMb = this.setup.sizesMb.get(adapter === '' ? model : adapter) ?? 0;
     const heldMb = this.#heldMb();
     if (heldMb + sizeMb > this.setup.roomMb) {
-      this.#book.breach(
+      this.#log.breach(
         `${this.setup.name} was told to hold ${heldMb + sizeMb} MB in ${this.setup.roomMb} MB`,
       );
     }
-    this.#book.pulled(performance.now());
+    this.#log.pulled(performance.now());
     this.#busy = true;
     await pause((sizeMb / this.setup.pullMbPerS) * 1000);
     this.#busy = false;
@@ -197,80 +197,82 @@
     return sumMb;
   }
 
-  #listed(): Holding[] {
+  #listHoldings(): Holding[] {
     return [...this.#holdings].map(([model, adapters]) => ({ model, adapters: [...adapters] }));
   }
 
-  async #chat(chat: ChatBody, req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
+  async #handleChat(chat: ChatBody, req: IncomingMessage, res: ServerResponse, id: string): Promise<void> {
     const { model, adapter = '', stream = false, messages } = chat;
     if (
       this.#holdings.get(model) === undefined ||
       (adapter !== '' && this.#holdings.get(model)?.has(adapter) !== true)
     ) {
-      this.#book.count('not-held');
+      this.#log.count('not-held');
       json(res, 503, { error: 'not held here', ran: false });
       return;
     }
     if (this.#running >= this.setup.slots * 2) {
-      this.#book.count('full');
+      this.#log.count('full');
       json(res, 503, { error: 'full', ran: false });
       return;
     }
     this.#running += 1;
-    this.#warmCheck(model);
+    this.#checkWarmUp(model);
     this.#runs += 1;
-    this.#book.ran(id, false);
-    this.#book.count('chats');
+    this.#log.ran(id, false);
+    this.#log.count('chats');
     const run = `${this.setup.name}-${this.#runs}`;
     const prompt = messages.map((message) => message.content).join('\n');
     await this.#reply({ model, adapter, prompt, run, stream }, req, res);
     this.#running -= 1;
   }
 
-  #warmCheck(model: string): void {
-    const warmMs = performance.now() - (this.#loadedMs.get(model) ?? -Infinity);
-    if (warmMs < WARM_MS && this.#running > this.setup.slots)
-      this.#book.breach(`${this.setup.name} was flooded ${warmMs.toFixed(0)} ms after it loaded ${model}`);
+  #checkWarmUp(model: string): void {
+    const sinceLoadMs = performance.now() - (this.#loadedMs.get(model) ?? -Infinity);
+    if (sinceLoadMs < WARM_UP_MS && this.#running > this.setup.slots)
+      this.#log.breach(
+        `${this.setup.name} was flooded ${sinceLoadMs.toFixed(0)} ms after it loaded ${model}`,
+      );
   }
 
-  async #reply(work: Work, req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const { model, adapter, prompt, run, stream } = work;
-    const mood = this.#mood;
-    const crowdedMs = this.setup.pieceMs * Math.max(1, this.#running / this.setup.slots);
-    const count = mood === 'early' ? 2 : pieceCount(prompt);
-    if (mood === 'nonsense') {
+  async #reply(request: ChatRequest, req: IncomingMessage, res: ServerResponse): Promise<void> {
+    const { model, adapter, prompt, run, stream } = request;
+    const faultMode = this.#faultMode;
+    const pieceDelayMs = this.setup.pieceMs * Math.max(1, this.#running / this.setup.slots);
+    const count = faultMode === 'early' ? 2 : pieceCount(prompt);
+    if (faultMode === 'nonsense') {
       res.end('no such thing');
       return;
     }
     if (stream) res.writeHead(200, { 'content-type': 'text/event-stream' });
-    let whole = '';
-    for (let place = 0; place < count; place += 1) {
-      await pause(crowdedMs);
+    let answer = '';
+    for (let index = 0; index < count; index += 1) {
+      await pause(pieceDelayMs);
       if (res.destroyed) {
-        this.#book.count('visitor-left');
+        this.#log.count('visitor-left');
         return;
       }
-      const text = piece(model, adapter, prompt, place, run);
-      whole += text;
+      const text = piece(model, adapter, prompt, index, run);
+      answer += text;
       if (stream)
         res.write(`data: ${JSON.stringify({ choices: [{ index: 0, delta: { content: text } }] })}\n\n`);
     }
-    if (!stream && mood === 'early') {
+    if (!stream && faultMode === 'early') {
       res.writeHead(200, { 'content-type': 'application/json', 'content-length': 10_000 });
       res.write('{"choices":');
       setImmediate(() => req.socket.destroy());
       return;
     }
     if (!stream) {
-      json(res, 200, { choices: [{ index: 0, message: { role: 'assistant', content: whole } }] });
+      json(res, 200, { choices: [{ index: 0, message: { role: 'assistant', content: answer } }] });
       return;
     }
-    if (mood === 'early') {
+    if (faultMode === 'early') {
       req.socket.destroy();
       return;
     }
     res.write('data: [DONE]\n\n');
-    if (mood === 'more') res.write(`data: ${JSON.stringify({ choices: [] })}\n\n`);
+    if (faultMode === 'more') res.write(`data: ${JSON.stringify({ choices: [] })}\n\n`);
     res.end();
   }
 }
@@ -282,7 +284,7 @@
   readonly messages: readonly { readonly content: string }[];
 }
 
-interface Work {
+interface ChatRequest {
   readonly model: string;
   readonly adapter: string;
   readonly prompt: string;
