--- a/tools/stand-in-workers/src/answers.ts
+++ b/tools/stand-in-workers/src/answers.ts
@@ -1,8 +1,8 @@
 import { hashText } from '@rainrun/common';
 
 /**
- * A short hash, so that stand-in worker and stand-in visitor agree on an answer
- * without speaking to each other.
+ * A short hash, by which a stand-in worker and a simulated client derive the same
+ * answer without communicating.
  * @example
  * digest('a') === digest('a'); // true
  */
@@ -11,7 +11,7 @@
 }
 
 /**
- * How many pieces the answer to a prompt has.
+ * The number of pieces in the answer to a prompt.
  * @example
  * pieceCount('how high is the tower') > 0; // true
  */
@@ -29,7 +29,7 @@
 }
 
 /**
- * What is wrong with an answer, or undefined when it is whole and right.
+ * The first fault of an answer, or undefined if it is complete and correct.
  * @example
  * wrong('model-1', '', 'how high', text); // undefined
  */
--- a/tools/stand-in-workers/src/report.ts
+++ b/tools/stand-in-workers/src/report.ts
@@ -1,4 +1,4 @@
-/** What the stand-ins saw that must never happen, and what they counted. */
+/** The breaches that the stand-ins observed, the runs of each request, and other counts. */
 export interface Report {
   readonly breaches: readonly string[];
   readonly runs: Readonly<Record<string, number>>;
@@ -6,7 +6,7 @@
 }
 
 /**
- * The book in which all stand-in workers of one standIns write.
+ * Collects the breaches, runs and counts of all stand-in workers of one process.
  * @example
  * log.ran('id-1');
  * log.report().runs['id-1']; // 1
@@ -42,7 +42,7 @@
     if (runs > 1 && !repeatable) this.breach(`request ${id} ran ${runs} times`);
   }
 
-  /** The store: any minute may see only so many pulls. */
+  /** Records a pull from the model store; more than `pullsPerMinute` within a minute are a breach. */
   pulled(nowMs: number): void {
     this.count('pulls');
     this.#pulls = this.#pulls.filter((atMs) => nowMs - atMs < 60_000);
--- a/tools/stand-in-workers/src/stand-in-workers.ts
+++ b/tools/stand-in-workers/src/stand-in-workers.ts
@@ -2,7 +2,7 @@
 import { RequestLog, type Report } from './report.js';
 import { StandInWorker, type FaultMode, type WorkerSetup } from './worker.js';
 
-/** How a standIns is set up: where its list is served, and its workers. */
+/** Setup of the stand-ins: where the platform's list is served, and the workers. */
 export interface StandInWorkersSetup {
   readonly host: string;
   readonly port: number;
@@ -48,7 +48,7 @@
     return this.#log.report();
   }
 
-  /** The platform's list as it is now. */
+  /** The platform's current worker list. */
   list(): unknown {
     return {
       generation: this.#generation,
@@ -63,7 +63,7 @@
     };
   }
 
-  /** `leave`, `crash`, `return`, `remove`, `emptied`, `restored`, or a mood, for one worker. */
+  /** Applies `leave`, `crash`, `return`, `remove`, `emptied`, `restored` or a fault mode to one worker. */
   async act(name: string, action: string): Promise<boolean> {
     const worker = this.#workers.get(name);
     if (worker === undefined) return false;
--- a/tools/stand-in-workers/src/worker.ts
+++ b/tools/stand-in-workers/src/worker.ts
@@ -51,7 +51,7 @@
   res.end(JSON.stringify(body));
 }
 
-/** A stand-in worker: serves models by published protocols and watches for what must not happen. */
+/** A stand-in worker: serves models by the published protocols and records overload and forbidden work. */
 export class StandInWorker {
   readonly setup: WorkerSetup;
   #log: RequestLog;
@@ -88,7 +88,7 @@
     this.#leavingMs ??= nowMs;
   }
 
-  /** Operators were told that this worker's zone is emptied, or restored. */
+  /** Sets when operators were told that this worker's zone is emptied; `undefined` once it is restored. */
   zoneEmptied(nowMs: number | undefined): void {
     this.#emptiedMs = nowMs;
   }
@@ -100,7 +100,7 @@
     });
   }
 
-  /** Goes away at once, as a crash does: connections are torn. */
+  /** Stops at once, as a crash does: drops the holdings and closes all connections. */
   crash(): Promise<void> {
     this.#holdings.clear();
     this.#loadedMs.clear();
@@ -122,7 +122,7 @@
     await this.#handleChat(JSON.parse(body) as ChatBody, req, res, id);
   }
 
-  /** Work that comes later than it may after a moment is a breach; the longest is counted. */
+  /** Records a breach if work arrives more than `graceMs` after `sinceMs`, and keeps the longest delay. */
   #checkLateWork(what: string, sinceMs: number | undefined, graceMs: number): void {
     if (sinceMs === undefined) return;
     const lateMs = performance.now() - sinceMs;
