--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -7,38 +7,38 @@
   type SpecPlacerWorker,
 } from '@rainrun/placement';
 
-/** A worker of the platform's list, as far as a survey needs it. */
+/** The fields of an entry in the platform's worker list that a survey needs. */
 export interface ListedWorker {
   readonly name: string;
   readonly zone: string;
   readonly kind: string;
 }
 
-/** What a survey found about one state of the site. */
+/** Capacity and placement of one site state: all zones present, or one zone lost. */
 export interface Finding {
-  /** `all`, or the zone that is gone. */
+  /** Name of the lost zone, or `all` while every zone is present. */
   readonly without: string;
   readonly slots: number;
   readonly roomMb: number;
-  /** Asked for, and held nowhere once placement has come to rest. */
+  /** Requested models and adapters that no worker holds once placement is stable. */
   readonly unplaced: readonly string[];
-  /** Asked for, and without a copy until they are loaded elsewhere. */
+  /** Requested models and adapters without a copy until a worker in another zone has loaded them. */
   readonly interrupted: readonly string[];
   readonly pulls: number;
   readonly pullS: number;
-  /** Whether most cores are still there; undefined when no cores were named. */
+  /** Whether a majority of the cores remains; undefined if no core zones were given. */
   readonly agrees: boolean | undefined;
 }
 
-/** A whole survey. */
+/** The result of a survey: the catalogue's size and one finding for each site state. */
 export interface Survey {
   readonly catalogueMb: number;
-  /** Asked for in the day, and not in the catalogue. */
+  /** Models and adapters that the day requests and the catalogue lacks. */
   readonly unknown: readonly string[];
   readonly findings: readonly Finding[];
 }
 
-const STEPS_MOST = 500;
+const MAX_STEPS = 500;
 const STEP_MS = 10_000;
 
 type Placement = ReadonlyMap<string, readonly HoldingTarget[]>;
@@ -56,8 +56,8 @@
   return demands;
 }
 
-/** Steps of the placer itself until it rests. */
-function settle(
+/** Runs the placer until a step changes nothing, for at most `MAX_STEPS` steps. */
+function placeUntilStable(
   spec: Spec,
   workers: readonly SpecPlacerWorker[],
   demands: ReadonlyMap<string, SpecModelDemand>,
@@ -66,7 +66,7 @@
   const placement = new Map<string, readonly HoldingTarget[]>(
     workers.map((worker) => [worker.name, worker.holdings]),
   );
-  for (let step = 0; step < STEPS_MOST; step += 1) {
+  for (let step = 0; step < MAX_STEPS; step += 1) {
     const seen = workers.map((worker) => ({ ...worker, holdings: placement.get(worker.name) ?? [] }));
     const changes = Object.entries(placer.step(spec, seen, demands, step * STEP_MS));
     for (const [name, holdings] of changes) placement.set(name, holdings);
@@ -75,7 +75,7 @@
   return placement;
 }
 
-function partsOf(placement: Placement, usable: ReadonlySet<string>): string[] {
+function heldParts(placement: Placement, usable: ReadonlySet<string>): string[] {
   const parts: string[] = [];
   for (const [worker, holdings] of placement) {
     if (!usable.has(worker)) continue;
@@ -85,8 +85,8 @@
   return parts;
 }
 
-/** Names of what is asked for: models, and adapters as `model/adapter`. */
-function askedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
+/** Names of the requested models, and of the requested adapters as `model/adapter`. */
+function requestedParts(demands: ReadonlyMap<string, SpecModelDemand>): string[] {
   return [...demands].flatMap(([model, { adapters }]) => [
     model,
     ...[...adapters.keys()].map((adapter) => `${model}/${adapter}`),
@@ -109,76 +109,77 @@
     });
 }
 
-/** What a worker holds after a change and did not hold before. */
-function pullsOf(worker: string, before: Placement, after: Placement): number {
+/** Counts the models and adapters that a worker holds after a change and did not hold before. */
+function countPulls(worker: string, before: Placement, after: Placement): number {
   const usable = new Set([worker]);
-  const held = new Set(partsOf(new Map([[worker, before.get(worker) ?? []]]), usable));
-  return partsOf(new Map([[worker, after.get(worker) ?? []]]), usable).filter((part) => !held.has(part))
+  const held = new Set(heldParts(new Map([[worker, before.get(worker) ?? []]]), usable));
+  return heldParts(new Map([[worker, after.get(worker) ?? []]]), usable).filter((part) => !held.has(part))
     .length;
 }
 
-/** What holds for every finding of one survey. */
-interface SurveyBase {
+/** Input that all findings of one survey share. */
+interface SurveyContext {
   readonly spec: Spec;
   readonly workers: readonly SpecPlacerWorker[];
   readonly demands: ReadonlyMap<string, SpecModelDemand>;
-  /** Known parts that are asked for. */
-  readonly wanted: readonly string[];
+  /** Requested models and adapters that are in the catalogue. */
+  readonly requestedKnownParts: readonly string[];
   readonly coreZones: readonly string[];
-  /** Where everything stands while all zones are there. */
-  readonly whole: Placement;
+  /** The stable placement while all zones are present. */
+  readonly fullPlacement: Placement;
 }
 
-/** Whether the cores that are left are a majority; undefined if none are known. */
+/** Whether the cores outside the lost zone are a majority; undefined if no core zones were given. */
 function isMajorityLeft(coreZones: readonly string[], without: string | undefined): boolean | undefined {
   if (coreZones.length === 0) return undefined;
   return coreZones.filter((zone) => zone !== without).length > coreZones.length / 2;
 }
 
 function findingOf(
-  base: SurveyBase,
+  context: SurveyContext,
   without: string | undefined,
   before: Placement,
   after: Placement,
 ): Finding {
-  const { spec, workers, wanted, coreZones, whole } = base;
-  const staying = workers.filter((worker) => worker.zone !== without);
-  const usable = new Set(staying.map((worker) => worker.name));
-  const left = new Set(partsOf(whole, usable));
-  const held = new Set(partsOf(after, usable));
-  const pulls = staying.reduce((sum, worker) => sum + pullsOf(worker.name, before, after), 0);
+  const { spec, workers, requestedKnownParts, coreZones, fullPlacement } = context;
+  const remainingWorkers = workers.filter((worker) => worker.zone !== without);
+  const usable = new Set(remainingWorkers.map((worker) => worker.name));
+  const stillHeld = new Set(heldParts(fullPlacement, usable));
+  const held = new Set(heldParts(after, usable));
+  const pulls = remainingWorkers.reduce((sum, worker) => sum + countPulls(worker.name, before, after), 0);
   return {
     without: without ?? 'all',
-    slots: staying.reduce((sum, worker) => sum + worker.slots, 0),
-    roomMb: staying.reduce((sum, worker) => sum + worker.roomMb, 0),
-    unplaced: wanted.filter((part) => !held.has(part)),
-    interrupted: wanted.filter((part) => !left.has(part)),
+    slots: remainingWorkers.reduce((sum, worker) => sum + worker.slots, 0),
+    roomMb: remainingWorkers.reduce((sum, worker) => sum + worker.roomMb, 0),
+    unplaced: requestedKnownParts.filter((part) => !held.has(part)),
+    interrupted: requestedKnownParts.filter((part) => !stillHeld.has(part)),
     pulls,
     pullS: Math.ceil((pulls * 60) / spec.store.pullsPerMinute),
     agrees: isMajorityLeft(coreZones, without),
   };
 }
 
-/** All zones are there, and everything is pulled for the first time; so nothing is interrupted. */
-function findWhole(base: SurveyBase): Finding {
-  const finding = findingOf(base, undefined, new Map(), base.whole);
+/** Finding with all zones present. Every pull is a first one, so nothing is interrupted. */
+function findingForAllZones(context: SurveyContext): Finding {
+  const finding = findingOf(context, undefined, new Map(), context.fullPlacement);
   return { ...finding, interrupted: [] };
 }
 
-/** One zone is lost, and what it held is placed elsewhere. */
-function findWithout(base: SurveyBase, zone: string): Finding {
-  const { spec, workers, demands, whole } = base;
-  const began = workers.map((worker) => ({
+/** Finding after the loss of one zone, whose models and adapters are placed in the other zones. */
+function findingWithoutZone(context: SurveyContext, zone: string): Finding {
+  const { spec, workers, demands, fullPlacement } = context;
+  const workersAfterLoss = workers.map((worker) => ({
     ...worker,
     usable: worker.zone !== zone,
-    holdings: whole.get(worker.name) ?? [],
+    holdings: fullPlacement.get(worker.name) ?? [],
   }));
-  return findingOf(base, zone, whole, settle(spec, began, demands));
+  return findingOf(context, zone, fullPlacement, placeUntilStable(spec, workersAfterLoss, demands));
 }
 
 /**
- * Whether all that a day asks for fits a site, and what is lost with each
- * zone. Placement is decided by the placer that the nodes run.
+ * Checks whether all models and adapters that a day requests fit a site, and
+ * what the loss of each zone interrupts. Placement is computed by the placer
+ * that the nodes run.
  * @example
  * survey(spec, workers, day.calls, ['coast', 'ridge', 'harbour']).findings[0].unplaced; // []
  */
@@ -189,28 +190,29 @@
   coreZones: readonly string[],
 ): Survey {
   const demands = demandOf(calls);
-  const asked = askedParts(demands);
+  const requested = requestedParts(demands);
   const catalogue = catalogueParts(spec);
   const workers = emptyWorkers(spec, listed);
-  const base: SurveyBase = {
+  const context: SurveyContext = {
     spec,
     workers,
     demands,
-    wanted: asked.filter((part) => catalogue.has(part)),
+    requestedKnownParts: requested.filter((part) => catalogue.has(part)),
     coreZones,
-    whole: settle(spec, workers, demands),
+    fullPlacement: placeUntilStable(spec, workers, demands),
   };
   return {
     catalogueMb: [...spec.models, ...spec.adapters].reduce((sum, { sizeMb }) => sum + sizeMb, 0),
-    unknown: asked.filter((part) => !catalogue.has(part)),
-    findings: [findWhole(base), ...spec.zones.map((zone) => findWithout(base, zone))],
+    unknown: requested.filter((part) => !catalogue.has(part)),
+    findings: [findingForAllZones(context), ...spec.zones.map((zone) => findingWithoutZone(context, zone))],
   };
 }
 
 /**
- * Whether a survey found nothing missing.
+ * Whether the catalogue has everything requested, everything fits in every site
+ * state, and no zone's loss takes the majority of cores.
  * @example
- * isSound(survey(spec, workers, [], [])); // true: nothing is asked for
+ * isSound(survey(spec, workers, [], [])); // true: nothing is requested
  */
 export function isSound({ unknown, findings }: Survey): boolean {
   return (
