--- a/packages/simulator/src/connections.ts
+++ b/packages/simulator/src/connections.ts
@@ -2,96 +2,96 @@
 import type { SimulationContext, SimWorker, WorkerConnection } from './simulation-context.js';
 
 /** The edge process that a sender belongs to: runs an act there, when it is awake, or never if it has died. */
-export type AtEdge = (act: () => void) => void;
+export type RunAtEdge = (act: () => void) => void;
 
-const CONNECT_MS = 1000;
-const PROBE_MS = 600;
-const AGAIN_MS = 20;
+const CONNECT_TIMEOUT_MS = 1000;
+const PROBE_TIMEOUT_MS = 600;
+const BLOCKED_RETRY_MS = 20;
 /** Part of the sends that find a connection open from before. */
-const KEPT_RATIO = 0.5;
+const REUSED_CONNECTION_RATIO = 0.5;
 
 /** One direction of a connection: in order, late, and held up for as long as it is cut. */
-class Pipe {
-  #grounds: SimulationContext;
+class OneWayChannel {
+  #context: SimulationContext;
   #isCut: () => boolean;
   /** Whether the machine that sends still has power: what it held up goes with it. */
   #isPowered: () => boolean;
-  #acts: (() => void)[] = [];
-  #moving = false;
+  #pending: (() => void)[] = [];
+  #isDelivering = false;
 
-  constructor(grounds: SimulationContext, isCut: () => boolean, isPowered: () => boolean) {
-    this.#grounds = grounds;
+  constructor(context: SimulationContext, isCut: () => boolean, isPowered: () => boolean) {
+    this.#context = context;
     this.#isCut = isCut;
     this.#isPowered = isPowered;
   }
 
-  post(act: () => void): void {
-    this.#acts.push(act);
-    if (this.#moving) return;
-    this.#moving = true;
-    this.#move();
+  send(act: () => void): void {
+    this.#pending.push(act);
+    if (this.#isDelivering) return;
+    this.#isDelivering = true;
+    this.#deliverNext();
   }
 
   /** What has not arrived yet never will: the connection was reset. */
   drop(): void {
-    this.#acts = [];
+    this.#pending = [];
   }
 
-  #move(): void {
-    const { time, random: dice } = this.#grounds;
-    time.after(0.2 + dice.next() * 2, () => {
+  #deliverNext(): void {
+    const { time, random: rng } = this.#context;
+    time.after(0.2 + rng.next() * 2, () => {
       if (this.#isCut()) {
         if (!this.#isPowered()) this.drop();
-        return time.after(AGAIN_MS, () => this.#move());
+        return time.after(BLOCKED_RETRY_MS, () => this.#deliverNext());
       }
-      this.#acts.shift()?.();
-      this.#moving = this.#acts.length > 0;
-      if (this.#moving) this.#move();
+      this.#pending.shift()?.();
+      this.#isDelivering = this.#pending.length > 0;
+      if (this.#isDelivering) this.#deliverNext();
     });
   }
 }
 
 /** One request on its connection, as the edge sees it. */
-class SimFlight implements Sending {
-  #grounds: SimulationContext;
+class SimAttempt implements Sending {
+  #context: SimulationContext;
   #request: SendRequest;
   #handler: SendHandler;
   #worker: SimWorker;
-  #atEdge: AtEdge;
-  #there: Pipe;
-  #back: Pipe;
-  #over = false;
-  #heardMs = 0;
-  #line: WorkerConnection | undefined;
+  #runAtEdge: RunAtEdge;
+  #toWorker: OneWayChannel;
+  #toEdge: OneWayChannel;
+  #ended = false;
+  #lastReceivedMs = 0;
+  #connection: WorkerConnection | undefined;
 
   constructor(
-    grounds: SimulationContext,
+    context: SimulationContext,
     edge: string,
     worker: SimWorker,
     request: SendRequest,
     handler: SendHandler,
-    atEdge: AtEdge,
+    atEdge: RunAtEdge,
     isPowered: () => boolean,
   ) {
-    this.#grounds = grounds;
+    this.#context = context;
     this.#request = request;
     this.#handler = handler;
     this.#worker = worker;
-    this.#atEdge = atEdge;
-    this.#there = new Pipe(grounds, () => grounds.isCut(edge, worker.name), isPowered);
-    this.#back = new Pipe(
-      grounds,
-      () => grounds.isCut(worker.name, edge),
+    this.#runAtEdge = atEdge;
+    this.#toWorker = new OneWayChannel(context, () => context.isCut(edge, worker.name), isPowered);
+    this.#toEdge = new OneWayChannel(
+      context,
+      () => context.isCut(worker.name, edge),
       () => worker.up,
     );
-    this.#connect(() => grounds.isCut(edge, worker.name) || grounds.isCut(worker.name, edge));
+    this.#connect(() => context.isCut(edge, worker.name) || context.isCut(worker.name, edge));
   }
 
   /** The edge resets the connection; the worker notices when word of it arrives. */
   abort(): void {
-    this.#over = true;
-    this.#there.drop();
-    this.#there.post(() => this.#line?.left());
+    this.#ended = true;
+    this.#toWorker.drop();
+    this.#toWorker.send(() => this.#connection?.closed());
   }
 
   pause(): void {
@@ -103,62 +103,62 @@
   }
 
   #connect(isCut: () => boolean): void {
-    const { time, random: dice } = this.#grounds;
-    const open = dice.next() < KEPT_RATIO;
-    time.after(0.2 + dice.next() * 2, () => {
+    const { time, random: rng } = this.#context;
+    const open = rng.next() < REUSED_CONNECTION_RATIO;
+    time.after(0.2 + rng.next() * 2, () => {
       if (!this.#worker.up) return this.#fail(false, 'refused');
-      if (!open && isCut()) return time.after(CONNECT_MS, () => this.#fail(false, 'no connection'));
-      this.#atEdge(() => this.#start());
+      if (!open && isCut()) return time.after(CONNECT_TIMEOUT_MS, () => this.#fail(false, 'no connection'));
+      this.#runAtEdge(() => this.#start());
     });
   }
 
   #start(): void {
-    const { time, oracle } = this.#grounds;
+    const { time, oracle } = this.#context;
     const id = this.#request.headers['rainrun-id'] ?? '';
-    if (this.#over || !this.#handler.mayStart()) return this.#fail(false, 'not started');
-    oracle.sent(id, time.nowMs());
-    this.#heardMs = time.nowMs();
-    this.#watch();
-    this.#there.post(() => {
-      this.#line = this.#worker.serve(id, {
-        start: (status, type) => this.#hear(() => this.#handler.start(status, type)),
-        chunk: (text) => this.#hear(() => this.#handler.chunk(Buffer.from(text))),
-        end: () => this.#hear(() => this.#finish(() => this.#handler.end())),
-        fail: () => this.#hear(() => this.#finish(() => this.#handler.failed(true, 'reset'))),
+    if (this.#ended || !this.#handler.mayStart()) return this.#fail(false, 'not started');
+    oracle.attemptSent(id, time.nowMs());
+    this.#lastReceivedMs = time.nowMs();
+    this.#watchIdle();
+    this.#toWorker.send(() => {
+      this.#connection = this.#worker.serve(id, {
+        start: (status, type) => this.#receive(() => this.#handler.start(status, type)),
+        chunk: (text) => this.#receive(() => this.#handler.chunk(Buffer.from(text))),
+        end: () => this.#receive(() => this.#finish(() => this.#handler.end())),
+        fail: () => this.#receive(() => this.#finish(() => this.#handler.failed(true, 'reset'))),
       });
     });
   }
 
   /** The silence that undici allows between two pieces. */
-  #watch(): void {
-    const { time } = this.#grounds;
-    time.after(Math.max(1, this.#heardMs + this.#request.stallMs - time.nowMs()), () => {
-      if (this.#over) return;
-      if (time.nowMs() < this.#heardMs + this.#request.stallMs) return this.#watch();
+  #watchIdle(): void {
+    const { time } = this.#context;
+    time.after(Math.max(1, this.#lastReceivedMs + this.#request.stallMs - time.nowMs()), () => {
+      if (this.#ended) return;
+      if (time.nowMs() < this.#lastReceivedMs + this.#request.stallMs) return this.#watchIdle();
       this.#fail(true, 'silent');
     });
   }
 
-  #hear(act: () => void): void {
-    this.#back.post(() =>
-      this.#atEdge(() => {
-        if (this.#over) return;
-        this.#heardMs = this.#grounds.time.nowMs();
+  #receive(act: () => void): void {
+    this.#toEdge.send(() =>
+      this.#runAtEdge(() => {
+        if (this.#ended) return;
+        this.#lastReceivedMs = this.#context.time.nowMs();
         act();
       }),
     );
   }
 
   #fail(sent: boolean, why: string): void {
-    this.#atEdge(() => {
+    this.#runAtEdge(() => {
       this.#finish(() => this.#handler.failed(sent, why));
       if (sent) this.abort();
     });
   }
 
   #finish(act: () => void): void {
-    if (this.#over) return;
-    this.#over = true;
+    if (this.#ended) return;
+    this.#ended = true;
     act();
   }
 }
@@ -168,42 +168,42 @@
   #context: SimulationContext;
   #edge: string;
   #workers: readonly SimWorker[];
-  #atEdge: AtEdge;
+  #runAtEdge: RunAtEdge;
   #isPowered: () => boolean;
 
   constructor(
-    grounds: SimulationContext,
+    context: SimulationContext,
     edge: string,
     workers: readonly SimWorker[],
-    atEdge: AtEdge,
+    atEdge: RunAtEdge,
     isPowered: () => boolean,
   ) {
     this.#isPowered = isPowered;
-    this.#context = grounds;
+    this.#context = context;
     this.#edge = edge;
     this.#workers = workers;
-    this.#atEdge = atEdge;
+    this.#runAtEdge = atEdge;
   }
 
   probe(address: string, done: (reached: boolean) => void): void {
-    const { time, random: dice, isCut } = this.#context;
+    const { time, random: rng, isCut } = this.#context;
     const cut = isCut(this.#edge, address) || isCut(address, this.#edge);
-    time.after(cut ? PROBE_MS : 0.2 + dice.next() * 2, () => this.#atEdge(() => done(!cut)));
+    time.after(cut ? PROBE_TIMEOUT_MS : 0.2 + rng.next() * 2, () => this.#runAtEdge(() => done(!cut)));
   }
 
   send(request: SendRequest, handler: SendHandler): Sending {
     const worker = this.#workers.find((known) => known.name === request.address);
     if (worker !== undefined)
-      return new SimFlight(
+      return new SimAttempt(
         this.#context,
         this.#edge,
         worker,
         request,
         handler,
-        this.#atEdge,
+        this.#runAtEdge,
         this.#isPowered,
       );
-    this.#context.time.after(1, () => this.#atEdge(() => handler.failed(false, 'no such address')));
+    this.#context.time.after(1, () => this.#runAtEdge(() => handler.failed(false, 'no such address')));
     return { abort: () => undefined, pause: () => undefined, resume: () => undefined };
   }
 }
--- a/packages/simulator/src/day-replay.ts
+++ b/packages/simulator/src/day-replay.ts
@@ -1,6 +1,6 @@
 import { exampleSpec, type Call, type Shape } from '@rainrun/workloads';
 import { hashText } from '@rainrun/common';
-import { Site, type SiteLoops } from './site.js';
+import { Site, type LoopOverrides } from './site.js';
 
 /** How one call of a day ended in the simulator. */
 export interface ReplayedRequest {
@@ -20,10 +20,10 @@
 }
 
 /** When the spec is put, and when traffic begins. */
-const PUT_MS = 3000;
-const OPEN_MS = 12_000;
-const AFTER_MS = 30_000;
-const GAP_MS = 25;
+const SPEC_PUT_MS = 3000;
+const TRAFFIC_START_MS = 12_000;
+const SETTLE_MS = 30_000;
+const CHUNK_GAP_MS = 25;
 /** What reading a prompt costs where no prefix is kept. */
 export const PREFILL_MS_PER_CHAR = 0.3;
 
@@ -31,12 +31,12 @@
  * Plays a day in the simulator, at the size of a deployment and on the
  * production code: the same calls as a fleet of processes would be sent.
  * @example
- * const matinee = replayDay(SHAPES['vejsargs'], day.calls, { seed: 1 });
+ * const replay = replayDay(SHAPES['vejsargs'], day.calls, { seed: 1 });
  */
 export function replayDay(
   shape: Shape,
   calls: readonly Call[],
-  options: { seed: number; spec?: object; loops?: SiteLoops },
+  options: { seed: number; spec?: object; loops?: LoopOverrides },
 ): DayReplay {
   const { cores, edges, workers, zones, pool } = shape;
   const spec = (options.spec ?? exampleSpec(shape)) as { workers: { slots: number } };
@@ -47,16 +47,16 @@
     options.loops,
   );
   const { time, oracle } = site;
-  site.notes = false;
+  site.notesEnabled = false;
   for (const machine of site.machines) site.boot(machine);
-  time.runUntil(PUT_MS);
+  time.runUntil(SPEC_PUT_MS);
   const [first] = site.machines;
   if (first !== undefined) site.submit(first, 'spec.put', { base: 0, text: JSON.stringify(spec) });
-  const gates = site.machines.filter((machine) => machine.disk === undefined);
+  const edgeMachines = site.machines.filter((machine) => machine.disk === undefined);
   const seen: ReplayedRequest[] = [];
   for (const [place, call] of calls.entries()) {
-    time.after(OPEN_MS - PUT_MS + call.atMs, () => {
-      const edge = gates[place % gates.length]?.running?.edge;
+    time.after(TRAFFIC_START_MS - SPEC_PUT_MS + call.atMs, () => {
+      const edge = edgeMachines[place % edgeMachines.length]?.running?.edge;
       const record: ReplayedRequest = { call, outcome: 'no-answer', firstPieceMs: Infinity, worker: '' };
       seen.push(record);
       if (edge === undefined) return;
@@ -65,7 +65,7 @@
         prefix: `${model}/${adapter}/${prefix}`,
         prefillMs: chars * PREFILL_MS_PER_CHAR,
         pieces: 4 + ((place * 7) % 12),
-        gapMs: GAP_MS,
+        gapMs: CHUNK_GAP_MS,
       };
       const asked = {
         path,
@@ -77,14 +77,14 @@
         streamed: stream,
       };
       const askedMs = time.nowMs();
-      site.call(edge, model === '' ? asked : { ...asked, work }, (outcome, firstMs, worker) => {
+      site.sendRequest(edge, model === '' ? asked : { ...asked, work }, (outcome, firstMs, worker) => {
         record.outcome = outcome;
         record.worker = worker;
         record.firstPieceMs = (firstMs ?? time.nowMs()) - askedMs;
       });
     });
   }
-  time.runUntil(OPEN_MS + (calls.at(-1)?.atMs ?? 0) + AFTER_MS);
+  time.runUntil(TRAFFIC_START_MS + (calls.at(-1)?.atMs ?? 0) + SETTLE_MS);
   const prefill = { hits: 0, misses: 0, savedMs: 0 };
   for (const worker of site.workers) {
     prefill.hits += worker.prefill.hits;
@@ -93,7 +93,7 @@
   }
   return {
     seen,
-    orders: site.orders.map(({ atMs, action }) => ({ atMs: atMs - OPEN_MS, action })),
+    orders: site.orders.map(({ atMs, action }) => ({ atMs: atMs - TRAFFIC_START_MS, action })),
     prefill,
     breaches: oracle.breaches.map(({ rule, detail }) => `${rule}: ${detail}`),
   };
--- a/packages/simulator/src/garble.test.ts
+++ b/packages/simulator/src/garble.test.ts
@@ -2,15 +2,15 @@
 import { encodeFrame, decodeFrame } from '@rainrun/messages';
 import { SeededRandom } from '@rainrun/common';
 import { expect } from 'earl';
-import { SITES, trialSpec } from './trial.js';
+import { SITE_SIZES, trialSpec } from './trial.js';
 import { Site } from './site.js';
 
 it('garbled frames never bring a node down', () => {
-  const site = new Site(5, SITES.small, 0);
-  const dice = new SeededRandom(99);
+  const site = new Site(5, SITE_SIZES.small, 0);
+  const rng = new SeededRandom(99);
   const seen: Uint8Array[] = [];
   site.net.tap = (_, frame) => {
-    if (dice.next() < 0.2) seen.push(encodeFrame(frame));
+    if (rng.next() < 0.2) seen.push(encodeFrame(frame));
   };
   for (const machine of site.machines) site.boot(machine);
   site.time.runUntil(4000);
@@ -21,7 +21,7 @@
   for (const bytes of seen) {
     const garbled = Uint8Array.from(bytes);
     for (let flips = 0; flips < 1; flips += 1)
-      garbled[Math.floor(dice.next() * garbled.length)] = Math.floor(dice.next() * 256);
+      garbled[Math.floor(rng.next() * garbled.length)] = Math.floor(rng.next() * 256);
     const frame = decodeFrame(garbled, 'park');
     if (frame.isErr) continue;
     taken += 1;
--- a/packages/simulator/src/metrics.ts
+++ b/packages/simulator/src/metrics.ts
@@ -3,7 +3,7 @@
 import { LOOP_SETTINGS } from '@rainrun/cluster-node';
 import { SPEC_PLACER_SETTINGS } from '@rainrun/placement';
 import { replayDay, PREFILL_MS_PER_CHAR, type DayReplay, type ReplayedRequest } from './day-replay.js';
-import type { SiteLoops } from './site.js';
+import type { LoopOverrides } from './site.js';
 
 const cli = meow(
   `
@@ -31,8 +31,8 @@
 );
 
 const DAY_S = 40;
-const STILL: SiteLoops = { weights: { ...LOOP_SETTINGS, min: 1, max: 1 } };
-const UNPLACED: SiteLoops = { placement: { ...SPEC_PLACER_SETTINGS, steps: 0 } };
+const FIXED_WEIGHTS: LoopOverrides = { weights: { ...LOOP_SETTINGS, min: 1, max: 1 } };
+const NO_PLACEMENT: LoopOverrides = { placement: { ...SPEC_PLACER_SETTINGS, steps: 0 } };
 
 function callsOf(text: string): readonly Call[] {
   const day = readDay(text);
@@ -44,12 +44,12 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * part))] ?? NaN;
 }
 
-function report(name: string, matinee: DayReplay): void {
-  for (const breach of matinee.breaches) console.log(`BREACH ${name}: ${breach}`);
+function printBreaches(name: string, replay: DayReplay): void {
+  for (const breach of replay.breaches) console.log(`BREACH ${name}: ${breach}`);
 }
 
 /** Part of a group's calls that were served within the target. */
-function prompt(seen: readonly ReplayedRequest[], targetMs: number): string {
+function formatServedRatios(seen: readonly ReplayedRequest[], targetMs: number): string {
   const well = seen.filter((one) => one.outcome === 'served' && one.firstPieceMs <= targetMs).length;
   const served = seen.filter((one) => one.outcome === 'served').length;
   return `${((100 * well) / Math.max(1, seen.length)).toFixed(1)} (${((100 * served) / Math.max(1, seen.length)).toFixed(1)})`.padEnd(
@@ -61,7 +61,7 @@
   const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
   const judged = new Set(day.filter((call) => call.atMs >= 1000 * DAY_S));
   const alone = replayDay(shape, day, { seed: 1 });
-  report('alone', alone);
+  printBreaches('alone', alone);
   const groups = [
     ...shape.kinds.map(({ group, targetMs }) => ({ group, targetMs })),
     { group: shape.lookupGroup, targetMs: 250 },
@@ -79,11 +79,11 @@
     }));
     const both = [...day, ...flood].sort((one, other) => one.atMs - other.atMs);
     const beside = replayDay(shape, both, { seed: 1 });
-    const still = replayDay(shape, both, { seed: 1, loops: STILL });
-    report(group, beside);
+    const still = replayDay(shape, both, { seed: 1, loops: FIXED_WEIGHTS });
+    printBreaches(group, beside);
     for (const other of groups) {
       const [a, b, c] = [alone, beside, still].map(({ seen }) =>
-        prompt(
+        formatServedRatios(
           seen.filter((one) => one.call.group === other.group && judged.has(one.call)),
           other.targetMs,
         ),
@@ -113,17 +113,17 @@
   const calls = [...half, ...half.map(other)];
   for (const [name, loops] of [
     ['placed', {}],
-    ['placement held still', UNPLACED],
+    ['placement held still', NO_PLACEMENT],
   ] as const) {
-    const matinee = replayDay(shape, calls, { seed: 1, loops, spec: specOf(shape) });
-    report(name, matinee);
+    const replay = replayDay(shape, calls, { seed: 1, loops, spec: specOf(shape) });
+    printBreaches(name, replay);
     const atMs = 2000 * DAY_S;
-    const questions = matinee.seen.filter((one) => one.call.model !== '');
+    const questions = replay.seen.filter((one) => one.call.model !== '');
     const late = questions.filter(
       (one) => one.call.atMs >= atMs && (one.outcome !== 'served' || one.firstPieceMs > 3000),
     );
     const settledMs = Math.max(0, ...late.map((one) => one.call.atMs - atMs));
-    const moves = matinee.orders.filter((order) => order.atMs >= atMs);
+    const moves = replay.orders.filter((order) => order.atMs >= atMs);
     const last = moves.filter((order) => order.atMs >= atMs + 1000 * DAY_S);
     function count(list: typeof moves, action: string): number {
       return list.filter((order) => order.action === action).length;
@@ -167,9 +167,9 @@
       chars,
     };
   });
-  const matinee = replayDay(shape, calls, { seed: 1, spec: specOf(shape) });
-  report('cold', matinee);
-  const served = matinee.seen.filter((one) => one.outcome === 'served');
+  const replay = replayDay(shape, calls, { seed: 1, spec: specOf(shape) });
+  printBreaches('cold', replay);
+  const served = replay.seen.filter((one) => one.outcome === 'served');
   const models = new Set(served.map((one) => one.call.model));
   console.log(
     `models served ${models.size} of ${shape.models}; calls served ${served.length} of ${calls.length}, first piece p50 ${quantile(
@@ -178,7 +178,7 @@
     ).toFixed(0)} ms, p95 ${quantile(
       served.map((one) => one.firstPieceMs),
       0.95,
-    ).toFixed(0)} ms; loads ${matinee.orders.filter((order) => order.action === 'load').length}`,
+    ).toFixed(0)} ms; loads ${replay.orders.filter((order) => order.action === 'load').length}`,
   );
 }
 
@@ -186,7 +186,7 @@
 function affinity(shape: Shape): void {
   const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
   const usual = replayDay(shape, day, { seed: 1 });
-  report('affinity', usual);
+  printBreaches('affinity', usual);
   const { hits, misses, savedMs } = usual.prefill;
   const spentMs = day.reduce((sum, call) => sum + call.chars * PREFILL_MS_PER_CHAR, 0);
   console.log(
@@ -195,10 +195,10 @@
 }
 
 const shape = SHAPES[cli.flags.shape];
-const acts: Readonly<Record<string, (shape: Shape) => void>> = { fairness, shift, cold, affinity };
-const act = acts[cli.input[0] ?? ''];
+const commands: Readonly<Record<string, (shape: Shape) => void>> = { fairness, shift, cold, affinity };
+const command = commands[cli.input[0] ?? ''];
 const { room, flood } = cli.flags;
-if (shape === undefined || act === undefined) {
+if (shape === undefined || command === undefined) {
   console.error('figures: fairness, shift, cold or affinity; see --help');
   process.exitCode = 2;
 } else if (!(room > 0 && room <= 100 && flood > 0 && flood <= 10_000)) {
@@ -206,4 +206,4 @@
     `figures: --room: found ${room}, expected above 0 and at most 100; --flood: found ${flood}, expected above 0 and at most 10000`,
   );
   process.exitCode = 2;
-} else act(shape);
+} else command(shape);
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -5,7 +5,7 @@
 import { applyToSpecState, EMPTY_SPEC_STATE, type SpecState } from '@rainrun/configuration';
 import { expect } from 'earl';
 import { Oracle } from './oracle.js';
-import { SITES, runTrial, trialSpec } from './trial.js';
+import { SITE_SIZES, runTrial, trialSpec } from './trial.js';
 import { renderTimeline } from './timeline.js';
 
 function held(number: number, emptied: string[] = [], view = 1): GroupState<SpecState> {
@@ -31,42 +31,42 @@
 describe('each check of the oracle can fail', () => {
   it('one history', () => {
     const oracle = new Oracle();
-    oracle.version('a', held(1, ['north']), true, 0);
-    oracle.version('b', held(1, ['east']), true, 0);
+    oracle.versionDelivered('a', held(1, ['north']), true, 0);
+    oracle.versionDelivered('b', held(1, ['east']), true, 0);
     expect(rules(oracle)).toEqual(['one history']);
   });
 
   it('versions never go back', () => {
     const oracle = new Oracle();
-    oracle.version('a', held(2), true, 0);
-    oracle.version('a', held(1), true, 0);
+    oracle.versionDelivered('a', held(2), true, 0);
+    oracle.versionDelivered('a', held(1), true, 0);
     expect(rules(oracle)).toEqual(['versions never go back']);
   });
 
   it('same casts in a view', () => {
     const oracle = new Oracle();
-    for (const incarnation of ['a', 'b']) oracle.enter(incarnation, 1);
-    oracle.cast('a', 1, 'c', 1, {}, 0);
-    for (const incarnation of ['a', 'b']) oracle.version(incarnation, held(2, [], 2), false, 0);
+    for (const incarnation of ['a', 'b']) oracle.viewEntered(incarnation, 1);
+    oracle.castDelivered('a', 1, 'c', 1, {}, 0);
+    for (const incarnation of ['a', 'b']) oracle.versionDelivered(incarnation, held(2, [], 2), false, 0);
     expect(rules(oracle)).toEqual(['same casts in a view']);
   });
 
   it('causal order and once each', () => {
     const oracle = new Oracle();
-    oracle.enter('a', 1);
-    oracle.cast('a', 1, 'b', 1, { c: 1 }, 0);
-    oracle.cast('a', 1, 'b', 1, {}, 0);
-    oracle.version('a', held(2), false, 0);
+    oracle.viewEntered('a', 1);
+    oracle.castDelivered('a', 1, 'b', 1, { c: 1 }, 0);
+    oracle.castDelivered('a', 1, 'b', 1, {}, 0);
+    oracle.versionDelivered('a', held(2), false, 0);
     expect(rules(oracle)).toEqual(['once each', 'causal order']);
   });
 
   it('one answer, and in force within 2 s', () => {
     const oracle = new Oracle();
-    oracle.answered('op', 'agreed', 5, 100);
-    oracle.admits('edge', 4, 2000);
+    oracle.operationAnswered('op', 'agreed', 5, 100);
+    oracle.checkAdmission('edge', 4, 2000);
     expect(rules(oracle)).toEqual([]);
-    oracle.admits('edge', 4, 2200);
-    oracle.answered('op', 'conflict', 5, 2300);
+    oracle.checkAdmission('edge', 4, 2200);
+    oracle.operationAnswered('op', 'conflict', 5, 2300);
     expect(rules(oracle)).toEqual(['in force within 2 s', 'one answer']);
   });
 
@@ -87,23 +87,23 @@
         ).state,
       };
     }
-    for (const _ of [7, 8]) oracle.edits('race-1');
-    oracle.edited('race-1', 7, 'agreed', 2);
-    oracle.edited('race-1', 8, 'conflict', 2);
-    oracle.version('a', withMark(2, 7), true, 0);
+    for (const _ of [7, 8]) oracle.editSubmitted('race-1');
+    oracle.editAnswered('race-1', 7, 'agreed', 2);
+    oracle.editAnswered('race-1', 8, 'conflict', 2);
+    oracle.versionDelivered('a', withMark(2, 7), true, 0);
     expect(rules(oracle)).toEqual([]);
-    oracle.version('a', withMark(3, 8), true, 0);
+    oracle.versionDelivered('a', withMark(3, 8), true, 0);
     expect(rules(oracle)).toEqual(['a refused change never shows', 'an agreed change stays']);
   });
 
   it('never run twice, refused never runs in either order', () => {
     const oracle = new Oracle();
     for (const id of ['twice', 'before', 'after']) oracle.requestSent(id, false);
-    oracle.ran('twice', 'w', 'z', 0);
-    oracle.ran('twice', 'w', 'z', 1);
+    oracle.requestRan('twice', 'w', 'z', 0);
+    oracle.requestRan('twice', 'w', 'z', 1);
     oracle.requestRejected('before', 'no-worker', 2);
-    oracle.ran('before', 'w', 'z', 3);
-    oracle.ran('after', 'w', 'z', 4);
+    oracle.requestRan('before', 'w', 'z', 3);
+    oracle.requestRan('after', 'w', 'z', 4);
     oracle.requestRejected('after', 'no-worker', 5);
     expect(rules(oracle)).toEqual(['never run twice', 'refused never runs', 'refused never runs']);
   });
@@ -137,11 +137,11 @@
   it('no work to a leaving worker or an emptied zone', () => {
     const oracle = new Oracle();
     for (const id of ['a', 'b', 'c']) oracle.requestSent(id, false);
-    oracle.learnedLeaving(new Set(['w']), 0);
+    oracle.workersDraining(new Set(['w']), 0);
     oracle.zoneEvacuated('z', 1, 0);
-    oracle.ran('a', 'w', 'z', 2900);
-    oracle.ran('b', 'w', 'y', 3100);
-    oracle.ran('c', 'v', 'z', 5100);
+    oracle.requestRan('a', 'w', 'z', 2900);
+    oracle.requestRan('b', 'w', 'y', 3100);
+    oracle.requestRan('c', 'v', 'z', 5100);
     expect(rules(oracle)).toEqual(['no work to a leaving worker', 'no work to an emptied zone']);
   });
 
@@ -149,12 +149,12 @@
     const oracle = new Oracle();
     for (let place = 0; place < 12; place += 1) {
       oracle.requestSent(`id-${place}`, true);
-      oracle.sent(`id-${place}`, place);
-      oracle.sent(`id-${place}`, place);
+      oracle.attemptSent(`id-${place}`, place);
+      oracle.attemptSent(`id-${place}`, place);
     }
     expect(rules(oracle)).toEqual([]);
-    oracle.sent('id-0', 20);
-    for (let pull = 0; pull < 3; pull += 1) oracle.pulled(2, pull);
+    oracle.attemptSent('id-0', 20);
+    for (let pull = 0; pull < 3; pull += 1) oracle.storePulled(2, pull);
     expect([...new Set(rules(oracle))]).toEqual([
       'retries stay within the budget',
       'the store is not asked too often',
@@ -164,16 +164,16 @@
   it('one holder of the duty, one node orders a worker', () => {
     const oracle = new Oracle();
     oracle.checkSingletonLease(['core-0', 'core-1'], 0);
-    oracle.orderBegins('w', 'core-0', 1, 0);
-    oracle.orderBegins('w', 'core-1', 2, 0);
+    oracle.orderStarted('w', 'core-0', 1, 0);
+    oracle.orderStarted('w', 'core-1', 2, 0);
     expect(rules(oracle)).toEqual(['one holder of the duty', 'one node orders a worker']);
   });
 });
 
 describe('the simulator', () => {
   it('runs a seed the same way every time', () => {
-    const one = runTrial(3, SITES.small);
-    const other = runTrial(3, SITES.small);
+    const one = runTrial(3, SITE_SIZES.small);
+    const other = runTrial(3, SITE_SIZES.small);
     expect(one.timeline).toEqual(other.timeline);
     expect(one.frames).toEqual(other.frames);
   });
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -26,11 +26,11 @@
   const victim = leading ? leader : other;
   if (third.disk !== undefined) third.disk.stallUntilMs = time.nowMs() + 2000;
   if (other.disk !== undefined) other.disk.stallUntilMs = time.nowMs() + 600;
-  let lost = 0;
-  let told = '';
-  function strike(): void {
-    if (lost > 0) return;
-    lost = time.nowMs();
+  let lostAtMs = 0;
+  let outcome = '';
+  function injectLoss(): void {
+    if (lostAtMs > 0) return;
+    lostAtMs = time.nowMs();
     for (const machine of machines) site.kill(machine);
     if (wiped) victim.disk?.wipe();
     if (wiped) victim.address = `${victim.name}:new`;
@@ -41,23 +41,23 @@
     if (disk === undefined) continue;
     disk.tap = (reached, kind) => {
       if (reached === 'renamed') disk.stallUntilMs = time.nowMs() + 250;
-      if (machine === victim && reached === step && kind === 'version') strike();
+      if (machine === victim && reached === step && kind === 'version') injectLoss();
     };
   }
   if (step === 'answered')
     net.tap = (from, frame) =>
-      from === other.name && frame.body.case === 'accepted' ? time.after(0, strike) : undefined;
-  if (step === 'told') site.atAnswer = strike;
+      from === other.name && frame.body.case === 'accepted' ? time.after(0, injectLoss) : undefined;
+  if (step === 'told') site.onOperationAnswered = injectLoss;
   site.submit(last, 'zone.empty', { zone: 'north' }, (answer) => {
-    told = answer.kind;
+    outcome = answer.kind;
   });
   time.runUntil(14_000);
   const wrong = oracle.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
-  if (lost === 0) wrong.push('nothing was lost');
-  if (site.whole() !== undefined) wrong.push(`not back: ${site.whole() ?? ''}`);
+  if (lostAtMs === 0) wrong.push('nothing was lost');
+  if (site.notConvergedReason() !== undefined) wrong.push(`not back: ${site.notConvergedReason() ?? ''}`);
   const stands = last.running?.clusterNode.state.evacuatedZones.includes('north') === true;
-  if (told === 'agreed' && !stands) wrong.push('agreed, and gone');
-  if (told !== '' && told !== 'agreed' && stands) wrong.push(`${told}, and in force`);
+  if (outcome === 'agreed' && !stands) wrong.push('agreed, and gone');
+  if (outcome !== '' && outcome !== 'agreed' && stands) wrong.push(`${outcome}, and in force`);
   return wrong.map(
     (text) => `${step}, ${leading ? 'coordinator' : 'other core'}, ${wiped ? 'disk' : 'power'}: ${text}`,
   );
--- a/packages/simulator/src/scale.ts
+++ b/packages/simulator/src/scale.ts
@@ -29,7 +29,7 @@
 );
 for (const size of cli.flags.sizes.split(',').map(Number)) {
   const site = new Site(1, { cores: 3, edges: size - 3, workers: 0, zones: ['a', 'b', 'c'] }, 0);
-  site.notes = false;
+  site.notesEnabled = false;
   for (const machine of site.machines) site.boot(machine);
   const wholeMs = untilWhole(site, size, 20_000);
   site.time.runUntil(site.time.nowMs() + 2000);
@@ -40,7 +40,7 @@
   const beganMs = site.time.nowMs();
   const last = site.machines.at(-1);
   if (last !== undefined) site.submit(last, 'zone.empty', { zone: 'a' });
-  while (site.oracle.agreedCount === 0 && site.time.nowMs() < beganMs + 5000)
+  while (site.oracle.answeredCount === 0 && site.time.nowMs() < beganMs + 5000)
     site.time.runUntil(site.time.nowMs() + 1);
   const agreedMs = site.time.nowMs() - beganMs;
   if (last !== undefined) site.kill(last);
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -22,7 +22,7 @@
     .filter((line) => line !== '')
     .map((line) => line.split('|').map((cell) => cell.trim()));
   const names = rows[0]?.slice(1) ?? [];
-  const stage = new Script(site);
+  const script = new Script(site);
   const wrong: string[] = [];
   for (const row of rows.slice(1)) {
     site.time.runUntil(Number(row[0]));
@@ -34,10 +34,10 @@
       for (const part of cell.split(',').map((text) => text.trim())) {
         const fault =
           machine === undefined
-            ? stage.actWorker(worker, part)
+            ? script.runOnWorker(worker, part)
             : part.startsWith('=')
-              ? see(machine, part.slice(1))
-              : stage.act(machine, part);
+              ? checkExpectation(machine, part.slice(1))
+              : script.runOnMachine(machine, part);
         if (fault !== undefined) wrong.push(`${row[0] ?? ''} ms, ${name}: ${fault}`);
       }
     });
@@ -48,7 +48,7 @@
 }
 
 /** Programs of other levels of the protocol, by the word after `boot`. */
-const LEVELS: Readonly<Record<string, ProtocolLevels>> = {
+const LEVELS_BY_KEYWORD: Readonly<Record<string, ProtocolLevels>> = {
   older: { min: 1, max: 1 },
   newer: { min: 2, max: 3 },
   far: { min: 3, max: 4 },
@@ -62,15 +62,15 @@
     this.#site = site;
   }
 
-  act(machine: Machine, text: string): string | undefined {
+  runOnMachine(machine: Machine, text: string): string | undefined {
     const [verb = '', word = ''] = text.split(' ');
     switch (verb) {
       case 'boot':
-        machine.speaks = LEVELS[word] ?? PROTOCOL_LEVELS;
+        machine.protocolLevels = LEVELS_BY_KEYWORD[word] ?? PROTOCOL_LEVELS;
         this.#site.boot(machine);
         return undefined;
       case 'add':
-        return this.#submitted(
+        return this.#checkSubmitted(
           this.#site.submit(machine, 'spec.edit', {
             seen: machine.running?.clusterNode.state.spec?.version ?? 0,
             edit: { add: { zones: [word] } },
@@ -109,24 +109,24 @@
         this.#heal(machine.name);
         return undefined;
       case 'look':
-        return this.#visit(machine, true, Number(word));
+        return this.#sendRequests(machine, true, Number(word));
       case 'ask':
-        return this.#visit(machine, false, Number(word));
+        return this.#sendRequests(machine, false, Number(word));
       case 'leave':
         machine.running?.clusterNode.group.leave();
         return undefined;
       case 'put':
-        return this.#submitted(
+        return this.#checkSubmitted(
           this.#site.submit(machine, 'spec.put', { base: Number(word), text: JSON.stringify(trialSpec(0)) }),
         );
       case 'empty':
-        return this.#submitted(this.#site.submit(machine, 'zone.empty', { zone: word }));
+        return this.#checkSubmitted(this.#site.submit(machine, 'zone.empty', { zone: word }));
       default:
         return `no act "${verb}"`;
     }
   }
 
-  actWorker(worker: SimWorker | undefined, text: string): string | undefined {
+  runOnWorker(worker: SimWorker | undefined, text: string): string | undefined {
     if (worker === undefined) return 'no such machine or worker';
     const [verb = '', word = ''] = text.split(' ');
     const { name } = worker;
@@ -139,7 +139,7 @@
         return undefined;
       case 'dark':
       case 'light':
-        worker.dark = verb === 'dark';
+        worker.unresponsive = verb === 'dark';
         return undefined;
       case 'answers':
         worker.faultMode = word as FaultMode;
@@ -159,15 +159,15 @@
   }
 
   /** So many visitors at once: lookups, or questions to one model after the other. */
-  #visit(machine: Machine, lookup: boolean, count: number): string | undefined {
+  #sendRequests(machine: Machine, lookup: boolean, count: number): string | undefined {
     const edge = machine.running?.edge;
     if (edge === undefined) return 'is no edge that runs';
     for (let place = 0; place < count; place += 1)
-      this.#site.visit(edge, lookup, lookup ? '' : `model-${place % 8}`);
+      this.#site.sendRandomRequest(edge, lookup, lookup ? '' : `model-${place % 8}`);
     return undefined;
   }
 
-  #submitted(id: string): string | undefined {
+  #checkSubmitted(id: string): string | undefined {
     return id === '' ? 'nothing was sent' : undefined;
   }
 
@@ -182,22 +182,22 @@
   }
 }
 
-function see(machine: Machine, text: string): string | undefined {
+function checkExpectation(machine: Machine, text: string): string | undefined {
   const [what = '', word = ''] = text.split(' ');
   const clusterNode = machine.running?.clusterNode;
   if (what === 'down') return clusterNode === undefined ? undefined : 'runs';
   if (clusterNode === undefined) return 'does not run';
-  const { group, state: stage } = clusterNode;
+  const { group, state: specState } = clusterNode;
   const seen: Record<string, string | number> = {
     leads: String(group.isCoordinator),
     follows: String(!group.isCoordinator),
     admits: String(group.holdsLease()),
     refuses: String(!group.holdsLease()),
     members: group.view?.members.length ?? 0,
-    spec: stage.spec?.version ?? 0,
-    emptied: stage.evacuatedZones.join('+'),
+    spec: specState.spec?.version ?? 0,
+    emptied: specState.evacuatedZones.join('+'),
     level: group.state?.level ?? 0,
-    zones: stage.spec?.spec.zones.length ?? 0,
+    zones: specState.spec?.spec.zones.length ?? 0,
     voters: (group.state?.voters ?? []).filter((voter) =>
       group.view?.members.some((member) => member.disk === voter.disk),
     ).length,
--- a/packages/simulator/src/seeds.ts
+++ b/packages/simulator/src/seeds.ts
@@ -1,5 +1,5 @@
 import meow from 'meow';
-import { runTrial, SITES } from './trial.js';
+import { runTrial, SITE_SIZES } from './trial.js';
 
 const cli = meow(
   `
@@ -18,7 +18,7 @@
     importMeta: import.meta,
     flags: {
       from: { type: 'number', default: 1 },
-      site: { type: 'string', default: 'small', choices: Object.keys(SITES) },
+      site: { type: 'string', default: 'small', choices: Object.keys(SITE_SIZES) },
       count: { type: 'number', default: 20 },
       show: { type: 'boolean', default: false },
     },
@@ -36,7 +36,7 @@
 let cuts = 0;
 const refusals: Record<string, number> = {};
 for (let seed = cli.flags.from; seed < cli.flags.from + cli.flags.count; seed += 1) {
-  const result = runTrial(seed, SITES[cli.flags.site as keyof typeof SITES]);
+  const result = runTrial(seed, SITE_SIZES[cli.flags.site as keyof typeof SITE_SIZES]);
   slowestMs = Math.max(slowestMs, result.recoveredMs);
   agreed += result.agreed;
   versions += result.versions;
--- a/packages/simulator/src/simulation-context.ts
+++ b/packages/simulator/src/simulation-context.ts
@@ -5,11 +5,11 @@
 import type { Oracle } from './oracle.js';
 import type { VirtualTime } from './world.js';
 
-const WARM_MS = 500;
-const PREFIXES_KEPT = 32;
-const WARM_MOST = 2;
+const WARM_UP_MS = 500;
+const PREFIX_CACHE_SIZE = 32;
+const WARM_UP_MAX_REQUESTS = 2;
 /** Part of the answers that take long. */
-const LONG_RATIO = 0.15;
+const SLOW_ANSWER_RATIO = 0.15;
 
 /** What the simulated workers share. */
 export interface SimulationContext {
@@ -22,19 +22,19 @@
   /** What a request asks for. */
   requestPlan(id: string): RequestPlan;
   /** A load or unload is begun. */
-  ordered(action: string): void;
+  orderStarted(action: string): void;
 }
 
 /** What a simulated visitor asked for. */
 export interface RequestPlan {
   readonly model: string;
   readonly streamed: boolean;
-  /** What it costs, where a day says so; else the worker throws dice. */
-  readonly work?: SimWork;
+  /** What it costs, where a day says so; else the worker draws it at random. */
+  readonly cost?: RequestCost;
 }
 
 /** The work of one request: reading its prompt, less where the prefix is kept, then its pieces. */
-export interface SimWork {
+export interface RequestCost {
   readonly prefix: string;
   readonly prefillMs: number;
   readonly pieces: number;
@@ -42,7 +42,7 @@
 }
 
 /** Where a worker writes its reply. */
-export interface Reply {
+export interface ReplySink {
   start(status: number, type: string): void;
   chunk(text: string): void;
   end(): void;
@@ -51,16 +51,16 @@
 
 /** A request at a worker; `left` says that the edge has closed the connection. */
 export interface WorkerConnection {
-  left(): void;
+  closed(): void;
 }
 
 /** How a worker behaves at its answers. */
 export type FaultMode = 'well' | 'early' | 'more' | 'nonsense';
 
-interface Work {
+interface RunningRequest {
   readonly model: string;
-  over: boolean;
-  readonly reply: Reply;
+  ended: boolean;
+  readonly reply: ReplySink;
 }
 
 const SSE = 'text/event-stream';
@@ -73,29 +73,29 @@
   readonly slots: number;
   holdings: HoldingTarget[] = [];
   up = true;
-  dark = false;
+  unresponsive = false;
   faultMode: FaultMode = 'well';
   /** How often a prompt's prefix was kept here, and what that saved. */
   readonly prefill = { hits: 0, misses: 0, savedMs: 0 };
   #prefixes = new Set<string>();
   #runs = 0;
   #context: SimulationContext;
-  #loadedMs = new Map<string, number>();
+  #loadedAtMs = new Map<string, number>();
   #busyUntilMs = 0;
   #epoch = 0;
   #sequence = 0;
-  #works = new Set<Work>();
+  #runningRequests = new Set<RunningRequest>();
   #boots = 0;
   #sizesMb = new Map<string, number>();
 
   constructor(
-    grounds: SimulationContext,
+    context: SimulationContext,
     name: string,
     zone: string,
     kind: 'model' | 'lookup',
     slots: number,
   ) {
-    this.#context = grounds;
+    this.#context = context;
     this.name = name;
     this.zone = zone;
     this.kind = kind;
@@ -107,29 +107,29 @@
     this.up = false;
     this.#boots += 1;
     this.holdings = [];
-    this.#loadedMs.clear();
+    this.#loadedAtMs.clear();
     this.#busyUntilMs = 0;
     this.#sequence = 0;
-    this.#context.oracle.orderEnds(this.name);
-    for (const work of this.#works) {
-      work.over = true;
+    this.#context.oracle.orderFinished(this.name);
+    for (const work of this.#runningRequests) {
+      work.ended = true;
       work.reply.fail();
     }
-    this.#works.clear();
+    this.#runningRequests.clear();
   }
 
-  order(by: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
-    const { time, oracle, random: dice, isCut } = this.#context;
-    if (!this.up || this.dark || isCut(by, this.name))
+  receiveOrder(by: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
+    const { time, oracle, random: rng, isCut } = this.#context;
+    if (!this.up || this.unresponsive || isCut(by, this.name))
       return time.after(500, () => done(Result.err(fault('unreached', 'no reply'))));
     if (order.epoch === this.#epoch && order.sequence <= this.#sequence)
       return time.after(1, () => done(Result.err(fault('worker-nonsense', 'late'))));
     const acts = order.action !== 'inventory';
     const spec = this.#context.spec();
     if (spec !== undefined) this.#heldMb(spec);
-    if (acts) oracle.orderBegins(this.name, by, order.epoch, time.nowMs());
+    if (acts) oracle.orderStarted(this.name, by, order.epoch, time.nowMs());
     if (order.epoch < this.#epoch)
-      oracle.breach(
+      oracle.reportBreach(
         'orders are fenced',
         `${this.name} got epoch ${order.epoch} after ${this.#epoch}`,
         time.nowMs(),
@@ -137,49 +137,49 @@
     if (order.epoch >= this.#epoch) this.#sequence = order.sequence;
     this.#epoch = Math.max(this.#epoch, order.epoch);
     const busy = time.nowMs() < this.#busyUntilMs;
-    if (acts && !busy) this.#context.ordered(order.action);
-    if (acts && busy) oracle.breach('no order to a busy worker', this.name, time.nowMs());
-    const workMs = order.action === 'load' && !busy ? 300 + dice.next() * 500 : 1;
+    if (acts && !busy) this.#context.orderStarted(order.action);
+    if (acts && busy) oracle.reportBreach('no order to a busy worker', this.name, time.nowMs());
+    const workMs = order.action === 'load' && !busy ? 300 + rng.next() * 500 : 1;
     if (workMs > 1) {
       this.#busyUntilMs = time.nowMs() + workMs;
-      oracle.pulled(this.#context.spec()?.store.pullsPerMinute ?? Infinity, time.nowMs());
+      oracle.storePulled(this.#context.spec()?.store.pullsPerMinute ?? Infinity, time.nowMs());
     }
     const boots = this.#boots;
     time.after(workMs, () => {
       if (boots !== this.#boots) return done(Result.err(fault('unreached', 'torn')));
-      if (acts) oracle.orderEnds(this.name);
-      if (!busy) this.#carryOut(order);
-      if (dice.next() < 0.02 || isCut(this.name, by)) done(Result.err(fault('worker-nonsense', 'no reply')));
+      if (acts) oracle.orderFinished(this.name);
+      if (!busy) this.#applyOrder(order);
+      if (rng.next() < 0.02 || isCut(this.name, by)) done(Result.err(fault('worker-nonsense', 'no reply')));
       else done(Result.ok({ holdings: this.holdings, busy }));
     });
   }
 
   /** Serves a request; the reply may never come. */
-  serve(id: string, reply: Reply): WorkerConnection {
-    const { time, oracle, random: dice } = this.#context;
-    const { model, streamed, work: cost } = this.#context.requestPlan(id);
-    const work: Work = { model, over: false, reply };
-    const line: WorkerConnection = {
-      left: () => {
-        work.over = true;
-        this.#works.delete(work);
+  serve(id: string, reply: ReplySink): WorkerConnection {
+    const { time, oracle, random: rng } = this.#context;
+    const { model, streamed, cost } = this.#context.requestPlan(id);
+    const work: RunningRequest = { model, ended: false, reply };
+    const connection: WorkerConnection = {
+      closed: () => {
+        work.ended = true;
+        this.#runningRequests.delete(work);
       },
     };
     if (!this.up) reply.fail();
-    if (!this.up || this.dark) return line;
+    if (!this.up || this.unresponsive) return connection;
     const takes = this.kind === 'lookup' || this.holdings.some((held) => held.model === model);
-    if (!takes || this.#works.size >= 2 * this.slots) {
+    if (!takes || this.#runningRequests.size >= 2 * this.slots) {
       reply.start(503, 'application/json');
       reply.chunk('{}');
       reply.end();
-      return line;
+      return connection;
     }
-    this.#works.add(work);
-    oracle.ran(id, this.name, this.zone, time.nowMs());
-    const warmMs = time.nowMs() - (this.#loadedMs.get(model) ?? -Infinity);
-    const atOnce = [...this.#works].filter((other) => other.model === model).length;
-    if (warmMs < WARM_MS && atOnce > WARM_MOST) {
-      oracle.breach(
+    this.#runningRequests.add(work);
+    oracle.requestRan(id, this.name, this.zone, time.nowMs());
+    const warmMs = time.nowMs() - (this.#loadedAtMs.get(model) ?? -Infinity);
+    const atOnce = [...this.#runningRequests].filter((other) => other.model === model).length;
+    if (warmMs < WARM_UP_MS && atOnce > WARM_UP_MAX_REQUESTS) {
+      oracle.reportBreach(
         'a warming worker is not flooded',
         `${this.name}, ${atOnce} at once ${warmMs.toFixed(0)} ms after loading`,
         time.nowMs(),
@@ -187,51 +187,51 @@
     }
     this.#runs += 1;
     const run = `${this.name}-${this.#runs}`;
-    const of = cost?.pieces ?? (this.kind === 'lookup' ? 1 : 2 + Math.floor(dice.next() * 6));
+    const of = cost?.pieces ?? (this.kind === 'lookup' ? 1 : 2 + Math.floor(rng.next() * 6));
     const pieces = Array.from({ length: of }, (_, place) => JSON.stringify({ id, run, place, of }));
-    const longMs = dice.next() < LONG_RATIO ? 3000 : 300;
-    const gapMs = cost?.gapMs ?? (this.kind === 'lookup' ? 5 : (100 + dice.next() * longMs) / of);
+    const longMs = rng.next() < SLOW_ANSWER_RATIO ? 3000 : 300;
+    const gapMs = cost?.gapMs ?? (this.kind === 'lookup' ? 5 : (100 + rng.next() * longMs) / of);
     time.after(cost === undefined ? 0 : this.#prefillMs(cost), () => {
-      if (work.over) return;
+      if (work.ended) return;
       if (streamed) this.#stream(work, pieces, gapMs);
-      else this.#plain(work, pieces, gapMs);
+      else this.#replyWhole(work, pieces, gapMs);
     });
-    return line;
+    return connection;
   }
 
   /** Reading a prompt whose prefix is kept costs a tenth. */
-  #prefillMs({ prefix, prefillMs }: SimWork): number {
+  #prefillMs({ prefix, prefillMs }: RequestCost): number {
     const kept = this.#prefixes.delete(prefix);
     this.#prefixes.add(prefix);
     const [oldest] = this.#prefixes;
-    if (this.#prefixes.size > PREFIXES_KEPT && oldest !== undefined) this.#prefixes.delete(oldest);
+    if (this.#prefixes.size > PREFIX_CACHE_SIZE && oldest !== undefined) this.#prefixes.delete(oldest);
     this.prefill[kept ? 'hits' : 'misses'] += 1;
     if (kept) this.prefill.savedMs += prefillMs * 0.9;
     return kept ? prefillMs * 0.1 : prefillMs;
   }
 
   /** One act after the other; a dark worker goes on where it stopped, once it is back. */
-  #run(work: Work, gapMs: number, acts: readonly (() => void)[]): void {
+  #runSteps(work: RunningRequest, gapMs: number, acts: readonly (() => void)[]): void {
     const [act, ...later] = acts;
     if (act === undefined) return;
     this.#context.time.after(gapMs, () => {
-      if (work.over) return;
-      if (this.dark) return this.#run(work, gapMs, acts);
+      if (work.ended) return;
+      if (this.unresponsive) return this.#runSteps(work, gapMs, acts);
       act();
-      this.#run(work, gapMs, later);
+      this.#runSteps(work, gapMs, later);
     });
   }
 
-  #done(work: Work): void {
-    work.over = true;
-    this.#works.delete(work);
+  #finish(work: RunningRequest): void {
+    work.ended = true;
+    this.#runningRequests.delete(work);
   }
 
-  #plain(work: Work, pieces: readonly string[], gapMs: number): void {
+  #replyWhole(work: RunningRequest, pieces: readonly string[], gapMs: number): void {
     const body = `[${pieces.join(',')}]`;
-    this.#run(work, gapMs * pieces.length, [
+    this.#runSteps(work, gapMs * pieces.length, [
       () => {
-        this.#done(work);
+        this.#finish(work);
         work.reply.start(200, 'application/json');
         work.reply.chunk(this.faultMode === 'nonsense' ? '<html>' : body.slice(0, body.length / 2));
         if (this.faultMode === 'early') return work.reply.fail();
@@ -242,10 +242,10 @@
   }
 
   /** One event after another, each in two chunks, and the closing event. */
-  #stream(work: Work, pieces: readonly string[], gapMs: number): void {
+  #stream(work: RunningRequest, pieces: readonly string[], gapMs: number): void {
     const { reply } = work;
     if (this.faultMode === 'nonsense') {
-      this.#done(work);
+      this.#finish(work);
       reply.start(200, 'text/html');
       return reply.end();
     }
@@ -256,13 +256,13 @@
       reply.chunk(event.slice(0, middle));
       reply.chunk(event.slice(middle));
       if (this.faultMode !== 'early' || place !== 1) return;
-      this.#done(work);
+      this.#finish(work);
       reply.end();
     });
-    this.#run(work, gapMs, [
+    this.#runSteps(work, gapMs, [
       ...acts,
       () => {
-        this.#done(work);
+        this.#finish(work);
         reply.chunk('data: [DONE]\n\n');
         if (this.faultMode === 'more') reply.chunk(`data: ${pieces[0] ?? ''}\n\n`);
         reply.end();
@@ -280,7 +280,7 @@
     return sumMb;
   }
 
-  #carryOut(order: SpecOrder): void {
+  #applyOrder(order: SpecOrder): void {
     const { model, adapter } = order;
     const others = this.holdings.filter((holding) => holding.model !== model);
     const held = this.holdings.find((holding) => holding.model === model);
@@ -288,12 +288,12 @@
     if (order.action === 'unload') this.holdings = adapter === '' ? others : [...others, { model, adapters }];
     if (order.action !== 'load') return;
     this.holdings = [...others, { model, adapters: adapter === '' ? adapters : [...adapters, adapter] }];
-    if (adapter === '') this.#loadedMs.set(model, this.#context.time.nowMs());
+    if (adapter === '') this.#loadedAtMs.set(model, this.#context.time.nowMs());
     const spec = this.#context.spec();
     if (spec === undefined || this.kind === 'lookup') return;
     const heldMb = this.#heldMb(spec);
     if (heldMb > spec.workers.roomMb)
-      this.#context.oracle.breach(
+      this.#context.oracle.reportBreach(
         'room is kept',
         `${this.name} was told to hold ${heldMb} MB`,
         this.#context.time.nowMs(),
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -15,33 +15,38 @@
 import { SeededRandom, randomId, type Fault } from '@rainrun/common';
 import type { LoopSettings, SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
 import type { Result } from 'true-myth';
-import { SimWorker, type SimulationContext, type SimWork, type RequestPlan } from './simulation-context.js';
+import {
+  SimWorker,
+  type SimulationContext,
+  type RequestCost,
+  type RequestPlan,
+} from './simulation-context.js';
 import { SimSender } from './connections.js';
 import { Oracle } from './oracle.js';
-import { SimVisitor, type Ended } from './visitor.js';
-import { Net, SimDisk, VirtualTime } from './world.js';
+import { SimClient, type OnRequestEnd } from './visitor.js';
+import { SimNetwork, SimDisk, VirtualTime } from './world.js';
 
 const HEARTBEAT_MS = 50;
-const CLOSED_MS = 3;
-const LIST_BEATS = 10;
-const SLOTS = 4;
+const ORDER_DELAY_MAX_MS = 3;
+const HEARTBEATS_PER_LIST_READ = 10;
+const MODEL_SLOTS = 4;
 const LOOKUP_SLOTS = 64;
 /** Part of the visitors that go before they are answered. */
-const LEAVES_RATIO = 0.02;
+const DISCONNECT_RATIO = 0.02;
 /** First byte of a note; no message of ours begins so. */
-const NOTE = Buffer.from([0xff]);
+const NOTE_PREFIX = Buffer.from([0xff]);
 
-interface Running {
+interface RunningProcess {
   readonly clusterNode: ClusterNode;
   readonly address: string;
   readonly skewMs: number;
   frozen: boolean;
   stopped: boolean;
   /** What came while the process was frozen. */
-  waiting: (() => void)[];
+  deferred: (() => void)[];
   edge: SpecEdge | undefined;
   heartbeats: number;
-  leading: boolean;
+  wasCoordinator: boolean;
 }
 
 /** A machine of the simulated site, with or without a process on it. */
@@ -50,10 +55,10 @@
   readonly zone: string;
   readonly disk: SimDisk | undefined;
   address: string;
-  running: Running | undefined;
-  boots: number;
+  running: RunningProcess | undefined;
+  bootCount: number;
   /** Levels of the protocol that its program speaks from the next boot on. */
-  speaks: ProtocolLevels;
+  protocolLevels: ProtocolLevels;
 }
 
 /** Size of a simulated site. */
@@ -69,17 +74,17 @@
 }
 
 /** Loops that are set otherwise than usual, for comparisons. */
-export interface SiteLoops {
+export interface LoopOverrides {
   readonly weights?: LoopSettings;
   readonly placement?: SpecPlacerSettings;
 }
 
 /** A visitor's question, as a day has it. */
-export interface SimCall extends Pick<
+export interface SimRequest extends Pick<
   GatewayRequestInit,
   'path' | 'group' | 'kind' | 'model' | 'adapter' | 'prefix' | 'streamed'
 > {
-  readonly work?: SimWork;
+  readonly work?: RequestCost;
 }
 
 /** A whole deployment in one thread and in virtual time, on the production code. */
@@ -87,43 +92,43 @@
   readonly time = new VirtualTime();
   readonly oracle = new Oracle();
   readonly machines: Machine[] = [];
-  readonly net: Net;
+  readonly net: SimNetwork;
   readonly timeline: { atMs: number; node: string; text: string }[] = [];
   readonly workers: SimWorker[] = [];
   /** Whether nodes cast notes for the oracle; they grow with the group and would hide what the group itself costs. */
-  notes = true;
+  notesEnabled = true;
   /** Whether visitors come to the edges. */
-  visitors = false;
+  trafficEnabled = false;
   /** Called when an operator has been answered. */
-  atAnswer: (() => void) | undefined;
+  onOperationAnswered: (() => void) | undefined;
   /** Loads and unloads that workers have begun. */
   readonly orders: { readonly atMs: number; readonly action: string }[] = [];
-  #loops: SiteLoops;
+  #loopOverrides: LoopOverrides;
   #pool: string;
-  #wishes = new Map<string, RequestPlan>();
+  #requestPlans = new Map<string, RequestPlan>();
   #context: SimulationContext;
   #random: SeededRandom;
-  #list: WorkerList;
+  #workerList: WorkerList;
   #listGeneration = 1;
-  #sequences = new Map<string, number>();
+  #noteSequences = new Map<string, number>();
   #zones: readonly string[];
   /** Whom a node that boots is told of. */
   seeds: readonly Machine[];
   #founders: string[];
 
-  constructor(seed: number, size: SiteSize, lossRatio: number, loops: SiteLoops = {}) {
-    this.#loops = loops;
+  constructor(seed: number, size: SiteSize, lossRatio: number, loops: LoopOverrides = {}) {
+    this.#loopOverrides = loops;
     this.#pool = size.pool ?? 'desks';
     this.#random = new SeededRandom(seed);
-    this.net = new Net(this.time, this.#random, lossRatio);
+    this.net = new SimNetwork(this.time, this.#random, lossRatio);
     this.#context = {
       time: this.time,
       oracle: this.oracle,
       random: this.#random,
       spec: () => this.#newestSpec(),
       isCut: (from, to) => this.net.isCut(from, to),
-      ordered: (action) => this.orders.push({ atMs: this.time.nowMs(), action }),
-      requestPlan: (id) => this.#wishes.get(id) ?? { model: '', streamed: false },
+      orderStarted: (action) => this.orders.push({ atMs: this.time.nowMs(), action }),
+      requestPlan: (id) => this.#requestPlans.get(id) ?? { model: '', streamed: false },
     };
     this.#zones = size.zones;
     for (let place = 0; place < size.cores + size.edges; place += 1) {
@@ -137,24 +142,26 @@
         disk,
         address: `${name}:0`,
         running: undefined,
-        boots: 0,
-        speaks: PROTOCOL_LEVELS,
+        bootCount: 0,
+        protocolLevels: PROTOCOL_LEVELS,
       });
     }
     this.seeds = this.machines.slice(0, 3);
     this.#founders = this.machines.slice(0, size.cores).map((machine) => machine.name);
     for (let place = 0; place < size.workers; place += 1) {
       const zone = size.zones[place % size.zones.length] ?? '';
-      this.workers.push(new SimWorker(this.#context, `worker-${place}`, zone, 'model', size.slots ?? SLOTS));
+      this.workers.push(
+        new SimWorker(this.#context, `worker-${place}`, zone, 'model', size.slots ?? MODEL_SLOTS),
+      );
     }
     for (let place = 0; place < 3; place += 1) {
       const zone = size.zones[place % size.zones.length] ?? '';
       this.workers.push(new SimWorker(this.#context, `lookup-${place}`, zone, 'lookup', LOOKUP_SLOTS));
     }
-    this.#list = this.#makeList(new Set());
+    this.#workerList = this.#buildWorkerList(new Set());
   }
 
-  get dice(): SeededRandom {
+  get random(): SeededRandom {
     return this.#random;
   }
 
@@ -162,23 +169,27 @@
     return this.#zones;
   }
 
-  note(node: string, text: string): void {
+  recordEvent(node: string, text: string): void {
     this.timeline.push({ atMs: this.time.nowMs(), node, text });
   }
 
   /** The platform marks these workers as leaving. */
-  leaving(names: ReadonlySet<string>): void {
+  markDraining(names: ReadonlySet<string>): void {
     this.#listGeneration += 1;
-    this.#list = this.#makeList(names);
+    this.#workerList = this.#buildWorkerList(names);
   }
 
   boot(machine: Machine): void {
     if (machine.running !== undefined) return;
-    machine.boots += 1;
+    machine.bootCount += 1;
     const opening =
       machine.disk === undefined ? undefined : readRecords(machine.disk.records, randomId(this.#random));
     if (opening?.isErr === true) {
-      this.oracle.breach('disk reads back', `${machine.name}: ${opening.error.detail}`, this.time.nowMs());
+      this.oracle.reportBreach(
+        'disk reads back',
+        `${machine.name}: ${opening.error.detail}`,
+        this.time.nowMs(),
+      );
       return;
     }
     const fresh = machine.disk !== undefined && machine.disk.records.disk === undefined;
@@ -187,21 +198,21 @@
         ? undefined
         : new Acceptor(opening.value, machine.disk, 'park', (failed) => this.#diskFailed(machine, failed));
     const skewMs = this.#random.next() * 1e6;
-    const running: Running = {
-      clusterNode: this.#clusterNode(machine, acceptor, skewMs),
+    const running: RunningProcess = {
+      clusterNode: this.#createClusterNode(machine, acceptor, skewMs),
       address: machine.address,
       skewMs,
       frozen: false,
       stopped: false,
-      waiting: [],
+      deferred: [],
       edge: undefined,
       heartbeats: 0,
-      leading: false,
+      wasCoordinator: false,
     };
     machine.running = running;
-    this.note(machine.name, 'boots');
-    if (machine.disk === undefined) running.edge = this.#edge(machine, running);
-    this.net.open(machine.address, machine.name, (frame) => this.#take(machine, running, frame));
+    this.recordEvent(machine.name, 'boots');
+    if (machine.disk === undefined) running.edge = this.#createEdge(machine, running);
+    this.net.open(machine.address, machine.name, (frame) => this.#receiveFrame(machine, running, frame));
     if (fresh) acceptor?.writeDiskRecord();
     this.time.after(this.#random.next() * HEARTBEAT_MS, () => this.#tick(machine, running));
   }
@@ -213,15 +224,15 @@
     machine.running = undefined;
     machine.disk?.losePower();
     this.net.close(running.address);
-    this.note(machine.name, 'killed');
+    this.recordEvent(machine.name, 'killed');
   }
 
   freeze(machine: Machine, waitMs: number): void {
     const running = machine.running;
     if (running === undefined || running.frozen) return;
     running.frozen = true;
-    this.note(machine.name, `frozen ${waitMs.toFixed(0)}`);
-    this.time.after(waitMs, () => this.#wake(machine, running));
+    this.recordEvent(machine.name, `frozen ${waitMs.toFixed(0)}`);
+    this.time.after(waitMs, () => this.#unfreeze(machine, running));
   }
 
   /** Sends an operation from a node; the oracle hears the answer. */
@@ -233,10 +244,10 @@
   ): string {
     const id = randomId(this.#random);
     const sent = machine.running?.clusterNode.submit(id, kind, JSON.stringify(payload), (answer: Answer) => {
-      this.oracle.answered(id, answer.kind, answer.number, this.time.nowMs());
-      this.note(machine.name, `${kind} ${answer.kind}@${answer.number}`);
+      this.oracle.operationAnswered(id, answer.kind, answer.number, this.time.nowMs());
+      this.recordEvent(machine.name, `${kind} ${answer.kind}@${answer.number}`);
       told(answer);
-      this.atAnswer?.();
+      this.onOperationAnswered?.();
       const zone = (payload as { zone?: string }).zone;
       if (kind === 'zone.empty' && answer.kind === 'agreed' && zone !== undefined)
         this.oracle.zoneEvacuated(zone, answer.number, this.time.nowMs());
@@ -245,7 +256,7 @@
   }
 
   /** How many voters have a seat in the view, as the best informed node sees it. */
-  votersSeated(): number {
+  votersInView(): number {
     const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.state ?? []);
     const held = helds.sort((one, other) => other.number - one.number)[0];
     return (held?.voters ?? []).filter((voter) =>
@@ -254,7 +265,7 @@
   }
 
   /** Whether every machine runs, in one view, and may admit. */
-  whole(): string | undefined {
+  notConvergedReason(): string | undefined {
     const views = new Set<number>();
     for (const machine of this.machines) {
       const group = machine.running?.clusterNode.group;
@@ -268,7 +279,7 @@
     return views.size === 1 ? undefined : 'views differ';
   }
 
-  #clusterNode(machine: Machine, acceptor: Acceptor | undefined, skewMs: number): ClusterNode {
+  #createClusterNode(machine: Machine, acceptor: Acceptor | undefined, skewMs: number): ClusterNode {
     const { name, address, zone } = machine;
     const clusterNode: ClusterNode = new ClusterNode({
       name,
@@ -282,96 +293,104 @@
       times: GROUP_TIMES,
       acceptor,
       send: (to, frame) => {
-        if (machine.running?.clusterNode === clusterNode) this.net.post(name, to, frame);
+        if (machine.running?.clusterNode === clusterNode) this.net.send(name, to, frame);
       },
-      order: (to, order, done) => this.#order(machine, clusterNode, to, order, done),
-      onStateChange: (held, entry) => this.#changed(machine, clusterNode, held, entry),
-      protocolLevels: machine.speaks,
-      ...(this.#loops.placement === undefined ? {} : { placing: this.#loops.placement }),
+      order: (to, order, done) => this.#sendOrder(machine, clusterNode, to, order, done),
+      onStateChange: (held, entry) => this.#stateChanged(machine, clusterNode, held, entry),
+      protocolLevels: machine.protocolLevels,
+      ...(this.#loopOverrides.placement === undefined ? {} : { placing: this.#loopOverrides.placement }),
       answerQuery: (kind, text) => ({ status: 200, body: { kind, text, by: name } }),
-      onJoinRejected: (why) => this.note(name, `refused: ${why}`),
-      onNewIncarnation: () => this.note(name, 'dropped, rejoins'),
-      onCast: (sender, payload) => this.#heard(clusterNode, sender, payload),
+      onJoinRejected: (why) => this.recordEvent(name, `refused: ${why}`),
+      onNewIncarnation: () => this.recordEvent(name, 'dropped, rejoins'),
+      onCast: (sender, payload) => this.#receiveNote(clusterNode, sender, payload),
     });
     return clusterNode;
   }
 
-  #changed(
+  #stateChanged(
     machine: Machine,
     clusterNode: ClusterNode,
     held: GroupState<SpecState>,
     entry: Entry | undefined,
   ): void {
     const { incarnation } = clusterNode.group.self;
-    this.oracle.version(incarnation, held, entry === undefined, this.time.nowMs());
-    this.oracle.enter(incarnation, held.view.number);
+    this.oracle.versionDelivered(incarnation, held, entry === undefined, this.time.nowMs());
+    this.oracle.viewEntered(incarnation, held.view.number);
     if (entry === undefined || entry.view !== undefined) {
-      this.note(machine.name, `view ${held.view.number} of ${held.view.members.length} @${held.number}`);
-    } else if (entry.voters.length > 0) this.note(machine.name, `voters @${held.number}`);
+      this.recordEvent(
+        machine.name,
+        `view ${held.view.number} of ${held.view.members.length} @${held.number}`,
+      );
+    } else if (entry.voters.length > 0) this.recordEvent(machine.name, `voters @${held.number}`);
   }
 
-  #take(machine: Machine, running: Running, frame: Frame): void {
+  #receiveFrame(machine: Machine, running: RunningProcess, frame: Frame): void {
     if (machine.running !== running) return;
-    if (running.waiting.length < 5000)
-      this.#atNode(machine, running, () => running.clusterNode.receive(frame));
+    if (running.deferred.length < 5000)
+      this.#runAtNode(machine, running, () => running.clusterNode.receive(frame));
   }
 
-  #wake(machine: Machine, running: Running): void {
+  #unfreeze(machine: Machine, running: RunningProcess): void {
     if (machine.running !== running) return;
     running.frozen = false;
-    this.note(machine.name, 'wakes');
-    const { waiting } = running;
-    running.waiting = [];
-    this.#probe(machine, running);
-    for (const act of waiting) this.#atNode(machine, running, act);
+    this.recordEvent(machine.name, 'wakes');
+    const { deferred: waiting } = running;
+    running.deferred = [];
+    this.#checkInvariants(machine, running);
+    for (const act of waiting) this.#runAtNode(machine, running, act);
   }
 
-  #tick(machine: Machine, running: Running): void {
+  #tick(machine: Machine, running: RunningProcess): void {
     if (machine.running !== running) return;
     this.time.after(HEARTBEAT_MS * (0.9 + this.#random.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     running.clusterNode.tick();
     const { isCoordinator: leading, epoch } = running.clusterNode.group;
-    if (leading !== running.leading) this.note(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
-    running.leading = leading;
-    this.#probe(machine, running);
+    if (leading !== running.wasCoordinator)
+      this.recordEvent(machine.name, leading ? `leads epoch ${epoch}` : 'resigns');
+    running.wasCoordinator = leading;
+    this.#checkInvariants(machine, running);
     running.heartbeats += 1;
-    if (running.heartbeats % LIST_BEATS === 0) this.#readList(running);
-    if (this.notes && this.#random.next() < 0.1) this.#castNote(running);
+    if (running.heartbeats % HEARTBEATS_PER_LIST_READ === 0) this.#readWorkerList(running);
+    if (this.notesEnabled && this.#random.next() < 0.1) this.#castNote(running);
     if (running.edge === undefined) return;
     running.edge.gateway.tick();
-    if (running.heartbeats % LIST_BEATS === 0) running.edge.observe();
-    if (!this.visitors || this.#random.next() >= 0.4) return;
+    if (running.heartbeats % HEARTBEATS_PER_LIST_READ === 0) running.edge.observe();
+    if (!this.trafficEnabled || this.#random.next() >= 0.4) return;
     const lookup = this.#random.next() < 0.4;
-    this.visit(running.edge, lookup, lookup ? '' : `model-${Math.floor(8 * this.#random.next() ** 2)}`);
+    this.sendRandomRequest(
+      running.edge,
+      lookup,
+      lookup ? '' : `model-${Math.floor(8 * this.#random.next() ** 2)}`,
+    );
   }
 
-  #readList(running: Running): void {
-    running.clusterNode.learnList(this.#list);
-    const leaving = this.#list.workers.filter((worker) => worker.draining).map((worker) => worker.name);
-    this.oracle.learnedLeaving(new Set(leaving), this.time.nowMs());
+  #readWorkerList(running: RunningProcess): void {
+    running.clusterNode.learnList(this.#workerList);
+    const leaving = this.#workerList.workers.filter((worker) => worker.draining).map((worker) => worker.name);
+    this.oracle.workersDraining(new Set(leaving), this.time.nowMs());
   }
 
   /** Casts a note that no node can read as an observation, for the oracle alone. */
-  #castNote(running: Running): void {
+  #castNote(running: RunningProcess): void {
     const { group } = running.clusterNode;
     if (group.view === undefined || group.isViewChanging) return;
     const { incarnation } = group.self;
     const view = group.view.number;
-    const sequence = (this.#sequences.get(`${incarnation}@${view}`) ?? 0) + 1;
-    this.#sequences.set(`${incarnation}@${view}`, sequence);
-    const note = JSON.stringify({ view, sequence, context: this.oracle.contextOf(incarnation) });
-    group.cast(Buffer.concat([NOTE, Buffer.from(note)]));
+    const sequence = (this.#noteSequences.get(`${incarnation}@${view}`) ?? 0) + 1;
+    this.#noteSequences.set(`${incarnation}@${view}`, sequence);
+    const note = JSON.stringify({ view, sequence, context: this.oracle.deliveredCounts(incarnation) });
+    group.cast(Buffer.concat([NOTE_PREFIX, Buffer.from(note)]));
   }
 
-  #heard(clusterNode: ClusterNode, sender: string, payload: Uint8Array): void {
-    if (payload[0] !== NOTE[0]) return;
+  #receiveNote(clusterNode: ClusterNode, sender: string, payload: Uint8Array): void {
+    if (payload[0] !== NOTE_PREFIX[0]) return;
     const note = JSON.parse(Buffer.from(payload.subarray(1)).toString()) as {
       view: number;
       sequence: number;
       context: Record<string, number>;
     };
-    this.oracle.cast(
+    this.oracle.castDelivered(
       clusterNode.group.self.incarnation,
       note.view,
       sender,
@@ -381,13 +400,13 @@
     );
   }
 
-  #edge(machine: Machine, running: Running): SpecEdge {
+  #createEdge(machine: Machine, running: RunningProcess): SpecEdge {
     const clock = { nowMs: () => this.time.nowMs() + running.skewMs };
     const sender = new SimSender(
       this.#context,
       machine.name,
       this.workers,
-      (act) => this.#atNode(machine, running, act),
+      (act) => this.#runAtNode(machine, running, act),
       () => machine.running === running,
     );
     return new SpecEdge(
@@ -397,16 +416,16 @@
       clock,
       this.#random,
       sender,
-      this.#loops.weights,
+      this.#loopOverrides.weights,
     );
   }
 
   /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
-  visit(edge: SpecEdge, lookup: boolean, model: string): void {
+  sendRandomRequest(edge: SpecEdge, lookup: boolean, model: string): void {
     const streamed = !lookup && this.#random.next() < 0.6;
     const path = lookup ? '/lookup/1' : '/v1/chat/completions';
     const prefix = Math.floor(this.#random.next() * 8);
-    const leave = this.call(edge, {
+    const leave = this.sendRequest(edge, {
       path,
       group: 'technicians',
       kind: 'question',
@@ -415,15 +434,15 @@
       prefix,
       streamed,
     });
-    if (this.#random.next() < LEAVES_RATIO) this.time.after(this.#random.next() * 400, leave);
+    if (this.#random.next() < DISCONNECT_RATIO) this.time.after(this.#random.next() * 400, leave);
   }
 
   /** A visitor makes a call; the returned function says that it has left. */
-  call(edge: SpecEdge, call: SimCall, ended?: Ended): () => void {
+  sendRequest(edge: SpecEdge, call: SimRequest, ended?: OnRequestEnd): () => void {
     const id = randomId(this.#random);
     const { path, group, kind, model, adapter, prefix, streamed, work } = call;
     const lookup = model === '';
-    this.#wishes.set(id, { model, streamed, ...(work === undefined ? {} : { work }) });
+    this.#requestPlans.set(id, { model, streamed, ...(work === undefined ? {} : { cost: work }) });
     this.oracle.requestSent(id, lookup);
     const ask = {
       id,
@@ -439,14 +458,14 @@
     };
     return edge.gateway.admit(
       { ...ask, method: lookup ? 'GET' : 'POST' },
-      new SimVisitor(this.oracle, id, () => this.time.nowMs(), ended),
+      new SimClient(this.oracle, id, () => this.time.nowMs(), ended),
     );
   }
 
-  #probe(machine: Machine, running: Running): void {
+  #checkInvariants(machine: Machine, running: RunningProcess): void {
     const { group } = running.clusterNode;
     if (group.holdsLease())
-      this.oracle.admits(
+      this.oracle.checkAdmission(
         `${machine.name}/${group.self.incarnation}`,
         group.state?.number ?? 0,
         this.time.nowMs(),
@@ -464,7 +483,7 @@
   }
 
   #diskFailed(machine: Machine, failed: Fault): void {
-    this.note(machine.name, `disk: ${failed.detail}`);
+    this.recordEvent(machine.name, `disk: ${failed.detail}`);
     this.kill(machine);
   }
 
@@ -473,7 +492,7 @@
     return records.sort((one, other) => other.version - one.version)[0]?.spec;
   }
 
-  #makeList(leaving: ReadonlySet<string>): WorkerList {
+  #buildWorkerList(leaving: ReadonlySet<string>): WorkerList {
     return create(WorkerListSchema, {
       generation: this.#listGeneration,
       workers: this.workers.map((worker) => ({
@@ -488,7 +507,7 @@
     });
   }
 
-  #order(
+  #sendOrder(
     machine: Machine,
     clusterNode: ClusterNode,
     to: string,
@@ -498,15 +517,17 @@
     const worker = this.workers.find((known) => known.name === to);
     const running = machine.running;
     if (worker === undefined || running?.clusterNode !== clusterNode) return;
-    this.time.after(this.#random.next() * CLOSED_MS, () =>
-      worker.order(machine.name, order, (reply) => this.#atNode(machine, running, () => done(reply))),
+    this.time.after(this.#random.next() * ORDER_DELAY_MAX_MS, () =>
+      worker.receiveOrder(machine.name, order, (reply) =>
+        this.#runAtNode(machine, running, () => done(reply)),
+      ),
     );
   }
 
   /** Runs an act in a process: now, when it wakes, or never if it has died. */
-  #atNode(machine: Machine, running: Running, act: () => void): void {
+  #runAtNode(machine: Machine, running: RunningProcess, act: () => void): void {
     if (machine.running !== running) return;
-    if (running.frozen) running.waiting.push(act);
+    if (running.frozen) running.deferred.push(act);
     else act();
   }
 }
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -22,7 +22,7 @@
   readonly timeline: string;
 }
 
-const STEPS = [
+const PROTOCOL_STEPS = [
   'propose',
   'accepted',
   'flushRequest',
@@ -35,12 +35,12 @@
 const FAULTS_END_MS = 38_000;
 const RECOVER_MS = 12_000;
 /** One more failure comes right after the recovery, and has so long to do harm. */
-const AGAIN_MS = 5000;
+const SECOND_FAULT_MS = 5000;
 
 const ZONES = ['north', 'east', 'west'];
 
 /** Sizes of the sites that trials are run on: a small one, and those of the two deployments. */
-export const SITES = {
+export const SITE_SIZES = {
   small: { cores: 3, edges: 5, workers: 4, zones: ZONES },
   vejsargs: { cores: 3, edges: 9, workers: 8, zones: ZONES },
   malabon: { cores: 3, edges: 8, workers: 13, zones: ZONES },
@@ -85,7 +85,7 @@
  * const result = runTrial(17);
  * result.breaches.length; // 0
  */
-export function runTrial(seed: number, size: SiteSize = SITES.small): TrialResult {
+export function runTrial(seed: number, size: SiteSize = SITE_SIZES.small): TrialResult {
   const site = new Site(seed, size, 0.01);
   const trial = new Trial(site);
   return trial.run(seed);
@@ -94,10 +94,10 @@
 class Trial {
   #site: Site;
   #faults: string[] = [];
-  #mended: (() => void)[] = [];
-  #turn = 0;
-  #marks = 0;
-  #raced = '';
+  #repairs: (() => void)[] = [];
+  #operationCount = 0;
+  #lastMark = 0;
+  #lastRacedEntry = '';
 
   constructor(site: Site) {
     this.#site = site;
@@ -105,38 +105,38 @@
 
   run(seed: number): TrialResult {
     const { time, oracle, net, machines } = this.#site;
-    for (const machine of machines) time.after(this.#upTo(1500), () => this.#site.boot(machine));
+    for (const machine of machines) time.after(this.#randomBelow(1500), () => this.#site.boot(machine));
     time.runUntil(START_MS);
-    const broken = this.#site.whole();
-    if (broken !== undefined) oracle.breach('starts in 8 s', broken, time.nowMs());
-    this.#site.submit(this.#any(), 'spec.put', { base: 0, text: JSON.stringify(trialSpec(0)) });
+    const broken = this.#site.notConvergedReason();
+    if (broken !== undefined) oracle.reportBreach('starts in 8 s', broken, time.nowMs());
+    this.#site.submit(this.#randomMachine(), 'spec.put', { base: 0, text: JSON.stringify(trialSpec(0)) });
     time.runUntil(START_MS + 2000);
-    if (oracle.agreedCount === 0)
-      oracle.breach('a spec is agreed', 'not within 2 s of a quiet start', time.nowMs());
-    this.#site.visitors = true;
-    this.#operate();
-    this.#break();
+    if (oracle.answeredCount === 0)
+      oracle.reportBreach('a spec is agreed', 'not within 2 s of a quiet start', time.nowMs());
+    this.#site.trafficEnabled = true;
+    this.#submitOperations();
+    this.#injectFaults();
     time.runUntil(FAULTS_END_MS);
-    for (const mend of this.#mended) mend();
+    for (const mend of this.#repairs) mend();
     for (const machine of machines) this.#site.boot(machine);
-    this.#site.note('', 'all mended');
-    const firstMs = this.#recover();
-    this.#pick(this.#acts())();
-    time.runUntil(time.nowMs() + AGAIN_MS);
-    for (const mend of this.#mended) mend();
+    this.#site.recordEvent('', 'all mended');
+    const firstMs = this.#awaitRecovery();
+    this.#pick(this.#faultActions())();
+    time.runUntil(time.nowMs() + SECOND_FAULT_MS);
+    for (const mend of this.#repairs) mend();
     for (const machine of machines) this.#site.boot(machine);
-    this.#site.note('', 'all mended again');
-    const recoveredMs = Math.max(firstMs, this.#recover());
+    this.#site.recordEvent('', 'all mended again');
+    const recoveredMs = Math.max(firstMs, this.#awaitRecovery());
     return {
       seed,
       breaches: oracle.breaches,
-      agreed: oracle.agreedCount,
+      agreed: oracle.answeredCount,
       versions: oracle.versions,
       casts: oracle.casts,
       served: oracle.served,
       refused: oracle.refused,
-      unknown: oracle.unknown,
-      cuts: oracle.cuts,
+      unknown: oracle.unknownOutcomes,
+      cuts: oracle.truncatedStreams,
       refusals: oracle.refusals,
       frames: net.frames,
       bytes: net.bytes,
@@ -149,94 +149,94 @@
     };
   }
 
-  #recover(): number {
+  #awaitRecovery(): number {
     const { time, oracle } = this.#site;
     const mendedMs = time.nowMs();
-    while (time.nowMs() < mendedMs + RECOVER_MS && this.#site.whole() !== undefined)
+    while (time.nowMs() < mendedMs + RECOVER_MS && this.#site.notConvergedReason() !== undefined)
       time.runUntil(time.nowMs() + 100);
     const recoveredMs = time.nowMs() - mendedMs;
-    const broken = this.#site.whole();
-    if (broken !== undefined) oracle.breach('back within 12 s', broken, time.nowMs());
-    const before = oracle.agreedCount;
+    const broken = this.#site.notConvergedReason();
+    if (broken !== undefined) oracle.reportBreach('back within 12 s', broken, time.nowMs());
+    const before = oracle.answeredCount;
     const deadlineMs = time.nowMs() + 3000;
     while (
-      this.#site.submit(this.#any(), 'zone.empty', { zone: 'north' }) === '' &&
+      this.#site.submit(this.#randomMachine(), 'zone.empty', { zone: 'north' }) === '' &&
       time.nowMs() < deadlineMs
     ) {
       time.runUntil(time.nowMs() + 100);
     }
     time.runUntil(deadlineMs);
-    if (oracle.agreedCount === before)
-      oracle.breach('agreement after recovery', 'no answer within 3 s', time.nowMs());
+    if (oracle.answeredCount === before)
+      oracle.reportBreach('agreement after recovery', 'no answer within 3 s', time.nowMs());
     return recoveredMs;
   }
 
-  #upTo(most: number): number {
-    return this.#site.dice.next() * most;
+  #randomBelow(most: number): number {
+    return this.#site.random.next() * most;
   }
 
   #pick<T>(items: readonly T[]): T {
-    return items[Math.floor(this.#upTo(items.length))] as T;
+    return items[Math.floor(this.#randomBelow(items.length))] as T;
   }
 
-  #any(): Machine {
+  #randomMachine(): Machine {
     return this.#pick(this.#site.machines);
   }
 
-  #operate(): void {
+  #submitOperations(): void {
     const { time } = this.#site;
     if (time.nowMs() > FAULTS_END_MS) return;
-    this.#turn += 1;
-    const machine = this.#any();
+    this.#operationCount += 1;
+    const machine = this.#randomMachine();
     const spec = machine.running?.clusterNode.state.spec;
-    const kind = this.#upTo(5);
+    const kind = this.#randomBelow(5);
     if (kind < 1.6) {
       const text = JSON.stringify({
         ...(JSON.parse(spec?.text ?? '{}') as object),
-        groups: trialSpec(this.#turn).groups,
+        groups: trialSpec(this.#operationCount).groups,
       });
       this.#site.submit(machine, 'spec.put', { base: spec?.version ?? 0, text });
-    } else if (kind < 3) this.#race();
+    } else if (kind < 3) this.#raceOperators();
     else if (kind < 3.6) this.#site.submit(machine, 'zone.empty', { zone: this.#pick(this.#site.zones) });
     else this.#site.submit(machine, 'zone.restore', { zone: this.#pick(this.#site.zones) });
-    time.after(this.#upTo(800), () => this.#operate());
+    time.after(this.#randomBelow(800), () => this.#submitOperations());
   }
 
   /** Two operators at two nodes: each adds an entry of its own, both the same one, both replace an older one, one removes another. */
-  #race(): void {
-    const turn = this.#turn;
-    const [one, other] = [this.#any(), this.#any()];
+  #raceOperators(): void {
+    const turn = this.#operationCount;
+    const [one, other] = [this.#randomMachine(), this.#randomMachine()];
     for (const [place, machine] of [one, other].entries()) {
-      this.#edit(machine, 'add', `race-${turn}-${place}`);
-      this.#edit(machine, 'add', `race-${turn}`);
-      this.#edit(machine, 'replace', this.#raced);
+      this.#submitEdit(machine, 'add', `race-${turn}-${place}`);
+      this.#submitEdit(machine, 'add', `race-${turn}`);
+      this.#submitEdit(machine, 'replace', this.#lastRacedEntry);
     }
-    this.#edit(one, 'remove', `race-${turn - 5}`);
-    this.#raced = `race-${turn}`;
+    this.#submitEdit(one, 'remove', `race-${turn - 5}`);
+    this.#lastRacedEntry = `race-${turn}`;
   }
 
-  #edit(machine: Machine, verb: 'add' | 'replace' | 'remove', name: string): void {
+  #submitEdit(machine: Machine, verb: 'add' | 'replace' | 'remove', name: string): void {
     const { oracle } = this.#site;
-    this.#marks += 1;
-    const mark = verb === 'remove' ? undefined : this.#marks;
+    this.#lastMark += 1;
+    const mark = verb === 'remove' ? undefined : this.#lastMark;
     const entry = { name, model: 'model-0', sizeMb: mark };
     const edit = { [verb]: { adapters: [verb === 'remove' ? name : entry] } };
     const seen = machine.running?.clusterNode.state.spec?.version ?? 0;
-    oracle.edits(name);
+    oracle.editSubmitted(name);
     const id = this.#site.submit(machine, 'spec.edit', { seen, edit }, (answer) =>
-      oracle.edited(name, mark, answer.kind, answer.number),
+      oracle.editAnswered(name, mark, answer.kind, answer.number),
     );
-    if (id === '') oracle.edited(name, mark, 'unreached', 0);
+    if (id === '') oracle.editAnswered(name, mark, 'unreached', 0);
   }
 
-  #break(): void {
+  #injectFaults(): void {
     const { time } = this.#site;
     if (time.nowMs() > FAULTS_END_MS - 3000) return;
-    this.#pick(this.#acts())();
-    time.after(500 + this.#upTo(6000), () => this.#break());
+    this.#pick(this.#faultActions())();
+    time.after(500 + this.#randomBelow(6000), () => this.#injectFaults());
   }
 
-  #acts(): (() => void)[] {
+  #faultActions(): (() => void)[] {
     return [
       () => this.#killOne(),
       () => this.#killCore(),
@@ -250,68 +250,68 @@
       () => this.#killAll(),
       () => this.#killCoordinator(),
       () => this.#crashWorker(),
-      () => this.#darkWorker(),
-      () => this.#leaveWorker(),
+      () => this.#silenceWorker(),
+      () => this.#drainWorker(),
       () => this.#crashLookups(),
       () => this.#cutWorker(),
       () => this.#cutWorker(),
       () => this.#faultyWorker(),
       () => this.#faultyWorker(),
-      () => this.#powerAtAnswer(),
-      () => this.#killInStep(),
-      () => this.#killInStep(),
-      () => this.#loseInStep(),
-      () => this.#loseInStep(),
+      () => this.#losePowerAtAnswer(),
+      () => this.#killCoordinatorAtStep(),
+      () => this.#killCoordinatorAtStep(),
+      () => this.#loseCoreAtStep(),
+      () => this.#loseCoreAtStep(),
       () => this.#loseZone(),
       () => this.#loseZone(),
-      () => this.#crowd(),
-      () => this.#rareModels(),
+      () => this.#trafficBurst(),
+      () => this.#requestEveryModel(),
       () => this.#replaceWorkers(),
-      () => this.#takeAway(),
-      () => this.#swapSeeds(),
+      () => this.#removeWorkerSoon(),
+      () => this.#changeSeeds(),
       () => this.#slowDisk(),
       () => this.#fullDisk(),
     ];
   }
 
-  #later(waitMs: number, mend: () => void): void {
+  #scheduleRepair(waitMs: number, mend: () => void): void {
     let done = false;
     function once(): void {
       if (!done) mend();
       done = true;
     }
-    this.#mended.push(once);
+    this.#repairs.push(once);
     this.#site.time.after(waitMs, once);
   }
 
-  #fault(text: string): void {
+  #recordFault(text: string): void {
     this.#faults.push(text);
-    this.#site.note('', text);
+    this.#site.recordEvent('', text);
   }
 
   #killFor(machine: Machine, waitMs: number): void {
-    this.#fault(`kill ${machine.name}`);
+    this.#recordFault(`kill ${machine.name}`);
     this.#site.kill(machine);
-    this.#later(waitMs, () => this.#site.boot(machine));
+    this.#scheduleRepair(waitMs, () => this.#site.boot(machine));
   }
 
   #killOne(): void {
-    this.#killFor(this.#any(), this.#upTo(5000));
+    this.#killFor(this.#randomMachine(), this.#randomBelow(5000));
   }
 
   #killCore(): void {
-    this.#killFor(this.#pick(this.#cores()), this.#upTo(5000));
+    this.#killFor(this.#pick(this.#cores()), this.#randomBelow(5000));
   }
 
   #killCoordinator(): void {
     const leader = this.#site.machines.find(
       (machine) => machine.running?.clusterNode.group.isCoordinator === true,
     );
-    if (leader !== undefined) this.#killFor(leader, this.#upTo(4000));
+    if (leader !== undefined) this.#killFor(leader, this.#randomBelow(4000));
   }
 
   #killAll(): void {
-    for (const machine of this.#site.machines) this.#killFor(machine, this.#upTo(1500));
+    for (const machine of this.#site.machines) this.#killFor(machine, this.#randomBelow(1500));
   }
 
   #cores(): Machine[] {
@@ -319,27 +319,27 @@
   }
 
   #freezeOne(): void {
-    const machine = this.#any();
-    this.#fault(`freeze ${machine.name}`);
-    this.#site.freeze(machine, 300 + this.#upTo(6000));
+    const machine = this.#randomMachine();
+    this.#recordFault(`freeze ${machine.name}`);
+    this.#site.freeze(machine, 300 + this.#randomBelow(6000));
   }
 
   #cut(text: string, cut: Cut): void {
-    this.#fault(text);
+    this.#recordFault(text);
     this.#site.net.cut(cut);
-    this.#later(500 + this.#upTo(6000), () => {
-      this.#site.note('', `healed: ${text}`);
+    this.#scheduleRepair(500 + this.#randomBelow(6000), () => {
+      this.#site.recordEvent('', `healed: ${text}`);
       this.#site.net.heal(cut);
     });
   }
 
   #cutOne(): void {
-    const { name } = this.#any();
+    const { name } = this.#randomMachine();
     this.#cut(`cut off ${name}`, (from, to) => (from === name) !== (to === name));
   }
 
   #cutOneWay(): void {
-    const { name } = this.#any();
+    const { name } = this.#randomMachine();
     this.#cut(`${name} cannot send`, (from) => from === name);
   }
 
@@ -354,7 +354,7 @@
 
   #cutCores(): void {
     const cores = new Set(this.#cores().map((machine) => machine.name));
-    if (this.#upTo(2) < 1) {
+    if (this.#randomBelow(2) < 1) {
       this.#cut('cut the core off', (from, to) => cores.has(from) !== cores.has(to));
       return;
     }
@@ -367,11 +367,11 @@
 
   /** Between one edge, or all, and one worker, or all: both ways, or only the requests or only the answers. */
   #cutWorker(): void {
-    const { machines, workers, dice } = this.#site;
+    const { machines, workers, random: rng } = this.#site;
     const edge = this.#pick(machines).name;
     const worker = this.#pick(workers).name;
     const names = new Set(workers.map((one) => one.name));
-    const [oneEdge, oneWorker] = [dice.next() < 0.7, dice.next() < 0.7];
+    const [oneEdge, oneWorker] = [rng.next() < 0.7, rng.next() < 0.7];
     const way = this.#pick(['both', 'requests', 'answers'] as const);
     function crosses(from: string, to: string): boolean {
       return (!oneEdge || from === edge) && (oneWorker ? to === worker : names.has(to)) && !names.has(from);
@@ -385,63 +385,63 @@
   #faultyWorker(): void {
     const worker = this.#pick(this.#site.workers);
     worker.faultMode = this.#pick(['early', 'more', 'nonsense'] as const);
-    this.#fault(`${worker.name} answers ${worker.faultMode}`);
-    this.#later(this.#upTo(4000), () => {
+    this.#recordFault(`${worker.name} answers ${worker.faultMode}`);
+    this.#scheduleRepair(this.#randomBelow(4000), () => {
       worker.faultMode = 'well';
     });
   }
 
   #crashWorker(): void {
     const worker = this.#pick(this.#site.workers);
-    this.#fault(`crash ${worker.name}`);
+    this.#recordFault(`crash ${worker.name}`);
     worker.crash();
-    this.#later(this.#upTo(6000), () => {
+    this.#scheduleRepair(this.#randomBelow(6000), () => {
       worker.up = true;
     });
   }
 
-  #darkWorker(): void {
+  #silenceWorker(): void {
     const worker = this.#pick(this.#site.workers);
-    this.#fault(`${worker.name} goes dark`);
-    worker.dark = true;
-    this.#later(this.#upTo(6000), () => {
-      worker.dark = false;
+    this.#recordFault(`${worker.name} goes dark`);
+    worker.unresponsive = true;
+    this.#scheduleRepair(this.#randomBelow(6000), () => {
+      worker.unresponsive = false;
     });
   }
 
   #crashLookups(): void {
-    this.#fault('crash every lookup');
+    this.#recordFault('crash every lookup');
     for (const worker of this.#site.workers) {
       if (worker.kind !== 'lookup') continue;
       worker.crash();
-      this.#later(1000 + this.#upTo(4000), () => {
+      this.#scheduleRepair(1000 + this.#randomBelow(4000), () => {
         worker.up = true;
       });
     }
   }
 
   /** Every core loses power at the moment an operator is answered, while two of their disks stall. */
-  #powerAtAnswer(): void {
+  #losePowerAtAnswer(): void {
     const { time } = this.#site;
     const cores = this.#cores();
-    this.#fault('all cores lose power at the next answer');
+    this.#recordFault('all cores lose power at the next answer');
     for (const machine of cores.slice(0, 2))
       if (machine.disk !== undefined) machine.disk.stallUntilMs = time.nowMs() + 2000;
-    this.#site.atAnswer = () => {
-      this.#site.atAnswer = undefined;
-      for (const machine of cores) this.#killFor(machine, this.#upTo(1000));
+    this.#site.onOperationAnswered = () => {
+      this.#site.onOperationAnswered = undefined;
+      for (const machine of cores) this.#killFor(machine, this.#randomBelow(1000));
     };
-    this.#later(4000, () => {
-      this.#site.atAnswer = undefined;
+    this.#scheduleRepair(4000, () => {
+      this.#site.onOperationAnswered = undefined;
     });
   }
 
   /** The coordinator is killed in one step of a view change, an agreement or a claim, cut from another core just before. */
-  #killInStep(): void {
+  #killCoordinatorAtStep(): void {
     const { net, time, machines } = this.#site;
-    const step = this.#pick(STEPS);
+    const step = this.#pick(PROTOCOL_STEPS);
     const other = this.#pick(this.#cores()).name;
-    this.#fault(`kill the coordinator at its next ${step}`);
+    this.#recordFault(`kill the coordinator at its next ${step}`);
     net.tap = (from, frame) => {
       const leader = machines.find((machine) => machine.running?.clusterNode.group.isCoordinator === true);
       if (
@@ -457,27 +457,29 @@
           (one, two) => (one === leader.name && two === other) || (one === other && two === leader.name),
         );
       }
-      time.after(this.#upTo(6), () => this.#killFor(leader, this.#upTo(4000)));
+      time.after(this.#randomBelow(6), () => this.#killFor(leader, this.#randomBelow(4000)));
     };
-    this.#later(5000, () => {
+    this.#scheduleRepair(5000, () => {
       net.tap = undefined;
     });
   }
 
   /** One core loses power, or its whole disk, at one step of a write or as its answer leaves; a lost one is replaced. */
-  #loseInStep(): void {
+  #loseCoreAtStep(): void {
     const { net, time } = this.#site;
     const machine = this.#pick(this.#cores());
     const disk = machine.disk;
     const step = this.#pick(['written', 'renamed', 'synced', 'answered'] as const);
-    const whole = this.#site.whole() === undefined && this.#site.votersSeated() === 3;
-    const wiped = whole && this.#upTo(2) < 1;
+    const whole = this.#site.notConvergedReason() === undefined && this.#site.votersInView() === 3;
+    const wiped = whole && this.#randomBelow(2) < 1;
     if (disk === undefined) return;
-    this.#fault(`${machine.name} loses ${wiped ? 'its disk' : 'power'} when its next version is ${step}`);
+    this.#recordFault(
+      `${machine.name} loses ${wiped ? 'its disk' : 'power'} when its next version is ${step}`,
+    );
     const lose = (): void => {
       disk.tap = undefined;
       net.tap = undefined;
-      if (!wiped) return this.#killFor(machine, this.#upTo(2000));
+      if (!wiped) return this.#killFor(machine, this.#randomBelow(2000));
       this.#replace(machine);
     };
     disk.tap = (reached, kind) => {
@@ -488,99 +490,99 @@
         if (from === machine.name && frame.body.case === 'accepted') time.after(0, lose);
       };
     }
-    this.#later(3000, () => {
+    this.#scheduleRepair(3000, () => {
       disk.tap = undefined;
       net.tap = undefined;
     });
   }
 
-  #leaveWorker(): void {
+  #drainWorker(): void {
     const { name } = this.#pick(this.#site.workers);
-    this.#fault(`${name} is leaving`);
-    this.#site.leaving(new Set([name]));
+    this.#recordFault(`${name} is leaving`);
+    this.#site.markDraining(new Set([name]));
   }
 
   /** A zone is lost whole: nodes, its core and its workers; sometimes while another is being emptied. */
   #loseZone(): void {
     const zone = this.#pick(this.#site.zones);
     const { machines, workers } = this.#site;
-    this.#fault(`zone ${zone} is lost`);
-    const waitMs = this.#upTo(6000);
-    if (this.#upTo(2) < 1)
-      this.#site.submit(this.#any(), 'zone.empty', { zone: this.#pick(this.#site.zones) });
+    this.#recordFault(`zone ${zone} is lost`);
+    const waitMs = this.#randomBelow(6000);
+    if (this.#randomBelow(2) < 1)
+      this.#site.submit(this.#randomMachine(), 'zone.empty', { zone: this.#pick(this.#site.zones) });
     for (const machine of machines) if (machine.zone === zone) this.#killFor(machine, waitMs);
     for (const worker of workers) {
       if (worker.zone !== zone) continue;
       worker.crash();
-      this.#later(waitMs, () => {
+      this.#scheduleRepair(waitMs, () => {
         worker.up = true;
       });
     }
   }
 
   /** Many visitors at one moment, at one edge or at all. */
-  #crowd(): void {
+  #trafficBurst(): void {
     const edges = this.#site.machines.flatMap((machine) => machine.running?.edge ?? []);
-    const at = this.#upTo(2) < 1 ? edges : edges.slice(0, 1);
-    this.#fault(`a crowd at ${at.length} edges`);
+    const at = this.#randomBelow(2) < 1 ? edges : edges.slice(0, 1);
+    this.#recordFault(`a crowd at ${at.length} edges`);
     for (const edge of at)
       for (let place = 0; place < 60; place += 1)
-        this.#site.visit(edge, place % 2 === 0, place % 2 === 0 ? '' : 'model-1');
+        this.#site.sendRandomRequest(edge, place % 2 === 0, place % 2 === 0 ? '' : 'model-1');
   }
 
   /** Every model, the rare ones too, is asked for at every edge in one moment. */
-  #rareModels(): void {
-    this.#fault('every model is asked for at once');
+  #requestEveryModel(): void {
+    this.#recordFault('every model is asked for at once');
     for (const { running } of this.#site.machines) {
       for (let place = 0; place < 8 && running?.edge !== undefined; place += 1)
-        this.#site.visit(running.edge, false, `model-${place}`);
+        this.#site.sendRandomRequest(running.edge, false, `model-${place}`);
     }
   }
 
   /** Workers are replaced one by one: marked, taken away, and an empty one comes under the old name. */
   #replaceWorkers(): void {
-    this.#fault('workers are replaced one by one');
+    this.#recordFault('workers are replaced one by one');
     this.#site.workers.forEach((worker, place) => {
-      this.#site.time.after(place * 1500, () => this.#site.leaving(new Set([worker.name])));
+      this.#site.time.after(place * 1500, () => this.#site.markDraining(new Set([worker.name])));
       this.#site.time.after(place * 1500 + 1000, () => worker.crash());
-      this.#later(place * 1500 + 1400, () => {
+      this.#scheduleRepair(place * 1500 + 1400, () => {
         worker.up = true;
       });
     });
-    this.#later(this.#site.workers.length * 1500, () => this.#site.leaving(new Set()));
+    this.#scheduleRepair(this.#site.workers.length * 1500, () => this.#site.markDraining(new Set()));
   }
 
   /** A worker is marked and gone within two seconds; a new one takes its name and address. */
-  #takeAway(): void {
+  #removeWorkerSoon(): void {
     const worker = this.#pick(this.#site.workers);
-    this.#fault(`${worker.name} is taken away at short notice`);
-    this.#site.leaving(new Set([worker.name]));
-    this.#site.time.after(100 + this.#upTo(1900), () => worker.crash());
-    this.#later(2000 + this.#upTo(3000), () => {
+    this.#recordFault(`${worker.name} is taken away at short notice`);
+    this.#site.markDraining(new Set([worker.name]));
+    this.#site.time.after(100 + this.#randomBelow(1900), () => worker.crash());
+    this.#scheduleRepair(2000 + this.#randomBelow(3000), () => {
       worker.up = true;
-      this.#site.leaving(new Set());
+      this.#site.markDraining(new Set());
     });
   }
 
   /** Whoever boots from now on is given other seeds, and a core moves to another address. */
-  #swapSeeds(): void {
-    const seeds = [this.#any(), this.#any(), this.#any()];
-    this.#fault(`seeds are ${seeds.map((machine) => machine.name).join(', ')}`);
+  #changeSeeds(): void {
+    const seeds = [this.#randomMachine(), this.#randomMachine(), this.#randomMachine()];
+    this.#recordFault(`seeds are ${seeds.map((machine) => machine.name).join(', ')}`);
     const machine = this.#pick(this.#cores());
     this.#site.kill(machine);
-    machine.address = `${machine.name}:${machine.boots}`;
+    machine.address = `${machine.name}:${machine.bootCount}`;
     this.#site.seeds = seeds;
-    this.#later(this.#upTo(1000), () => this.#site.boot(machine));
-    const other = this.#any();
-    if (other !== machine) this.#killFor(other, this.#upTo(1000));
+    this.#scheduleRepair(this.#randomBelow(1000), () => this.#site.boot(machine));
+    const other = this.#randomMachine();
+    if (other !== machine) this.#killFor(other, this.#randomBelow(1000));
   }
 
   #slowDisk(): void {
     const { disk, name } = this.#pick(this.#cores());
     if (disk === undefined) return;
-    this.#fault(`disk of ${name} is slow`);
-    disk.slowMs = 50 + this.#upTo(400);
-    this.#later(this.#upTo(6000), () => {
+    this.#recordFault(`disk of ${name} is slow`);
+    disk.slowMs = 50 + this.#randomBelow(400);
+    this.#scheduleRepair(this.#randomBelow(6000), () => {
       disk.slowMs = 0;
     });
   }
@@ -589,9 +591,9 @@
   #fullDisk(): void {
     const machine = this.#pick(this.#cores());
     if (machine.disk === undefined) return;
-    this.#fault(`disk of ${machine.name} is full`);
+    this.#recordFault(`disk of ${machine.name} is full`);
     machine.disk.full = true;
-    this.#later(1000 + this.#upTo(4000), () => {
+    this.#scheduleRepair(1000 + this.#randomBelow(4000), () => {
       if (machine.disk !== undefined) machine.disk.full = false;
       this.#site.boot(machine);
     });
@@ -600,18 +602,18 @@
   #stallDisk(): void {
     const machine = this.#pick(this.#cores());
     if (machine.disk === undefined) return;
-    this.#fault(`disk of ${machine.name} stalls`);
-    machine.disk.stallUntilMs = this.#site.time.nowMs() + this.#upTo(6000);
-    this.#mended.push(() => {
+    this.#recordFault(`disk of ${machine.name} stalls`);
+    machine.disk.stallUntilMs = this.#site.time.nowMs() + this.#randomBelow(6000);
+    this.#repairs.push(() => {
       if (machine.disk !== undefined) machine.disk.stallUntilMs = 0;
     });
   }
 
   /** A core machine is replaced by an empty one at a new address; the old disk is gone. One at a time. */
   #replaceCore(): void {
-    if (this.#site.whole() !== undefined || this.#site.votersSeated() < 3) return;
+    if (this.#site.notConvergedReason() !== undefined || this.#site.votersInView() < 3) return;
     const machine = this.#pick(this.#cores());
-    this.#fault(`replace ${machine.name} by an empty one`);
+    this.#recordFault(`replace ${machine.name} by an empty one`);
     this.#replace(machine);
   }
 
@@ -619,7 +621,7 @@
     this.#site.kill(machine);
     machine.disk?.wipe();
     this.#site.time.after(200, () => {
-      machine.address = `${machine.name}:${machine.boots}`;
+      machine.address = `${machine.name}:${machine.bootCount}`;
       this.#site.boot(machine);
     });
   }
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -5,7 +5,7 @@
 import type { SimulatedChunk } from './simulated-chunk.js';
 
 /** Told once how a call ended: outcome, when its first piece came, and the worker that ran it. */
-export type Ended = (outcome: string, firstMs: number | undefined, worker: string) => void;
+export type OnRequestEnd = (outcome: string, firstMs: number | undefined, worker: string) => void;
 
 /**
  * A simulated visitor's end of one request. It tells the oracle what it saw,
@@ -13,15 +13,15 @@
  * @example
  * edge.gateway.admit(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
  */
-export class SimVisitor implements GatewayResponseSink {
+export class SimClient implements GatewayResponseSink {
   #oracle: Oracle;
   #id: string;
   #nowMs: () => number;
   #firstMs: number | undefined;
   #worker = '';
-  #ended: Ended;
+  #ended: OnRequestEnd;
 
-  constructor(oracle: Oracle, id: string, nowMs: () => number, ended: Ended = () => undefined) {
+  constructor(oracle: Oracle, id: string, nowMs: () => number, ended: OnRequestEnd = () => undefined) {
     this.#ended = ended;
     this.#oracle = oracle;
     this.#id = id;
@@ -30,7 +30,7 @@
 
   respond(_status: number, _contentType: string, body: Uint8Array): void {
     const pieces = JSON.parse(Buffer.from(body).toString()) as SimulatedChunk[];
-    for (const piece of pieces) this.#take(piece);
+    for (const piece of pieces) this.#receiveChunk(piece);
     this.#oracle.responseCompleted(this.#id, this.#nowMs());
     this.#ended('served', this.#nowMs(), this.#worker);
   }
@@ -38,7 +38,7 @@
   reject(why: Fault): void {
     if (FAULT_RESPONSES[why.kind].ran === 'no')
       this.#oracle.requestRejected(this.#id, why.kind, this.#nowMs());
-    else this.#oracle.unknown += 1;
+    else this.#oracle.unknownOutcomes += 1;
     this.#ended(why.kind, this.#nowMs(), '');
   }
 
@@ -50,7 +50,7 @@
     this.#firstMs ??= this.#nowMs();
     for (const event of Buffer.from(bytes).toString().split('\n\n')) {
       if (event === '' || event === 'data: [DONE]') continue;
-      this.#take(JSON.parse(event.slice(6)) as SimulatedChunk);
+      this.#receiveChunk(JSON.parse(event.slice(6)) as SimulatedChunk);
     }
     return true;
   }
@@ -60,13 +60,13 @@
     this.#ended('served', this.#firstMs, this.#worker);
   }
 
-  #take(piece: SimulatedChunk): void {
+  #receiveChunk(piece: SimulatedChunk): void {
     this.#worker = piece.run.slice(0, piece.run.lastIndexOf('-'));
     this.#oracle.chunkReceived(this.#id, piece, this.#nowMs());
   }
 
   abort(): void {
-    this.#oracle.cuts += 1;
+    this.#oracle.truncatedStreams += 1;
     this.#ended('cut', this.#firstMs, this.#worker);
   }
 }
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -3,10 +3,10 @@
 import { fault, type RandomSource, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
-interface Due {
+interface Timer {
   readonly atMs: number;
   readonly order: number;
-  readonly act: () => void;
+  readonly callback: () => void;
 }
 
 /**
@@ -19,7 +19,7 @@
 export class VirtualTime {
   #nowMs = 0;
   #orders = 0;
-  #heap: Due[] = [];
+  #heap: Timer[] = [];
 
   nowMs(): number {
     return this.#nowMs;
@@ -27,7 +27,7 @@
 
   after(waitMs: number, act: () => void): void {
     this.#orders += 1;
-    const due: Due = { atMs: this.#nowMs + waitMs, order: this.#orders, act };
+    const due: Timer = { atMs: this.#nowMs + waitMs, order: this.#orders, callback: act };
     const heap = this.#heap;
     let place = heap.push(due) - 1;
     while (place > 0) {
@@ -46,7 +46,7 @@
       if (next === undefined || next.atMs > endMs) break;
       this.#pop();
       this.#nowMs = next.atMs;
-      next.act();
+      next.callback();
     }
     this.#nowMs = endMs;
   }
@@ -71,7 +71,7 @@
   }
 }
 
-function before(one: Due, other: Due): boolean {
+function before(one: Timer, other: Timer): boolean {
   return one.atMs !== other.atMs ? one.atMs < other.atMs : one.order < other.order;
 }
 
@@ -83,11 +83,11 @@
  * @example
  * const net = new Net(time, dice, { lossRatio: 0.01, leastMs: 0.2, mostMs: 3 });
  */
-export class Net {
+export class SimNetwork {
   #time: VirtualTime;
   #chance: RandomSource;
   #lossRatio: number;
-  #ports = new Map<string, { name: string; take: (frame: Frame) => void }>();
+  #endpoints = new Map<string, { name: string; take: (frame: Frame) => void }>();
   #cuts = new Set<Cut>();
   /** Sees every frame that is sent, and by whom. */
   tap: ((from: string, frame: Frame) => void) | undefined;
@@ -101,11 +101,11 @@
   }
 
   open(address: string, name: string, take: (frame: Frame) => void): void {
-    this.#ports.set(address, { name, take });
+    this.#endpoints.set(address, { name, take });
   }
 
   close(address: string): void {
-    this.#ports.delete(address);
+    this.#endpoints.delete(address);
   }
 
   cut(cut: Cut): void {
@@ -122,7 +122,7 @@
     return false;
   }
 
-  post(from: string, address: string, frame: Frame): void {
+  send(from: string, address: string, frame: Frame): void {
     const bytes = encodeFrame(frame);
     this.frames += 1;
     this.tap?.(from, frame);
@@ -137,7 +137,7 @@
   }
 
   #arrive(from: string, address: string, bytes: Uint8Array, deployment: string): void {
-    const port = this.#ports.get(address);
+    const port = this.#endpoints.get(address);
     if (port === undefined) return;
     if (this.isCut(from, port.name)) return;
     const frame = decodeFrame(bytes, deployment);
@@ -153,7 +153,7 @@
  * not yet synced at a loss of power are gone. A file that was renamed while
  * its folder was not synced is there after a loss of power, or is not.
  * @example
- * const disk = new SimDisk(time, dice);
+ * const disk = new SimDisk(time, random);
  * disk.store('promise', bytes, (result) => reply(result));
  */
 export class SimDisk implements RecordWriter {
