--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -5,14 +5,14 @@
 import { EntrySchema, StateSchema } from '@rainrun/messages';
 import { create, toBinary } from '@bufbuild/protobuf';
 
-/** Something that must never happen and did. */
+/** An invariant that was violated: the rule, what was seen, and when. */
 export interface Breach {
   readonly rule: string;
   readonly detail: string;
   readonly atMs: number;
 }
 
-/** A cast delivered before one that it follows: right only if that one's sender left with the view. */
+/** A cast delivered before one that causally precedes it: allowed only if the sender of the missing cast left with the view. */
 interface EarlyDelivery {
   readonly view: number;
   readonly missingSender: string;
@@ -25,7 +25,7 @@
   readonly atMs: number;
 }
 
-/** What a process has delivered in one view. */
+/** The casts that an incarnation has delivered in one view. */
 interface ViewDeliveries {
   readonly casts: string[];
 }
@@ -34,16 +34,16 @@
 const DRAIN_BOUND_MS = 3000;
 const EVACUATION_BOUND_MS = 5000;
 const RETRY_WINDOW_MS = 10_000;
-/** Extra sends allowed in a window beside a fifth of the first ones, in the whole fleet. */
+/** Retries that the whole fleet may send in a window, in addition to a fifth of the first attempts. */
 const RETRY_ALLOWANCE = 10;
 
-/** A visitor's request as the oracle follows it. */
+/** State that the oracle tracks for one client request. */
 interface RequestRecord {
   readonly idempotent: boolean;
   sends: number;
   runs: number;
   rejection: string | undefined;
-  /** The pieces that its visitor has seen, all of one run. */
+  /** Run that produced the chunks received by the client; all must come from the same run. */
   runId: string;
   chunksReceived: number;
   chunkCount: number;
@@ -66,11 +66,11 @@
 }
 
 /**
- * Watches every node from outside and checks the invariants at every step.
- * It knows nothing of how the nodes do it.
+ * Checks the invariants of the whole deployment at every step. It observes the nodes from outside and shares
+ * no state or logic with them.
  * @example
  * oracle.version('core-a', 'incarnation-1', held, true, nowMs);
- * oracle.breaches; // empty while all is well
+ * oracle.breaches; // empty as long as every invariant holds
  */
 export class Oracle {
   breaches: Breach[] = [];
@@ -79,7 +79,7 @@
   refused = 0;
   refusals: Record<string, number> = {};
   unknownOutcomes = 0;
-  /** Streams that ended visibly cut. */
+  /** Streams that were aborted before their end, visibly to the client. */
   truncatedStreams = 0;
   versions = 0;
   casts = 0;
@@ -106,7 +106,7 @@
     if (this.breaches.length < 20) this.breaches.push({ rule, detail, atMs });
   }
 
-  /** A version came into force; `whole` when it came by state transfer. */
+  /** Records that an incarnation delivered a version; `whole` is true if it arrived by state transfer. */
   versionDelivered(incarnation: string, held: GroupState<SpecState>, whole: boolean, atMs: number): void {
     this.versions += 1;
     const { number } = held;
@@ -133,12 +133,12 @@
     this.#checkCausalOrder(incarnation, held);
   }
 
-  /** An operator asks for an edit of an entry: until it is answered, nobody can say what stands there. */
+  /** Records that an operator submitted an edit of an entry; the entry's value is undetermined until the answer. */
   editSubmitted(name: string): void {
     this.#pendingEdits.set(name, (this.#pendingEdits.get(name) ?? 0) + 1);
   }
 
-  /** An operator was told how its edit ended: what was agreed must stay, what was refused never show. */
+  /** Records the answer to an edit: an agreed value must persist, a refused one must never become visible. */
   editAnswered(name: string, mark: number | undefined, outcome: string, number: number): void {
     this.#pendingEdits.set(name, (this.#pendingEdits.get(name) ?? 0) - 1);
     if (outcome !== 'agreed') {
@@ -165,7 +165,7 @@
     }
   }
 
-  /** A visitor's request enters an edge. */
+  /** Records that a client request enters an edge. */
   requestSent(id: string, repeatable: boolean): void {
     this.#requests.set(id, {
       idempotent: repeatable,
@@ -179,7 +179,7 @@
     });
   }
 
-  /** A visitor is given a piece of an answer. */
+  /** Records that a client receives a chunk of a response, and checks its request, run and position. */
   chunkReceived(id: string, piece: SimulatedChunk, atMs: number): void {
     const request = this.#requests.get(id);
     if (request === undefined) return;
@@ -200,7 +200,7 @@
     request.chunksReceived = piece.place + 1;
   }
 
-  /** A visitor is told that its answer is whole. */
+  /** Records that a client is told that its response is complete. */
   responseCompleted(id: string, atMs: number): void {
     const request = this.#requests.get(id);
     if (request === undefined) return;
@@ -216,7 +216,7 @@
     request.complete = true;
   }
 
-  /** A request leaves an edge for a worker. */
+  /** Records that an edge sends a request to a worker, and checks the retry budget. */
   attemptSent(id: string, atMs: number): void {
     const request = this.#requests.get(id);
     if (request === undefined) return;
@@ -233,7 +233,7 @@
       );
   }
 
-  /** A worker runs a request. */
+  /** Records that a worker runs a request, and checks that it may. */
   requestRan(id: string, worker: string, zone: string, atMs: number): void {
     const request = this.#requests.get(id);
     if (request === undefined) return;
@@ -258,7 +258,7 @@
       );
   }
 
-  /** A visitor was told that its request has not run and never will. */
+  /** Records that a client was told that its request has not run and never will. */
   requestRejected(id: string, kind: string, atMs: number): void {
     const request = this.#requests.get(id);
     if (request === undefined) return;
@@ -275,7 +275,7 @@
       this.reportBreach('refused never runs', `${id} ran and was refused as ${kind}`, atMs);
   }
 
-  /** Some node has learned which workers are leaving. */
+  /** Records the workers that some node now knows to be draining. */
   workersDraining(workers: ReadonlySet<string>, atMs: number): void {
     for (const worker of this.#drainingSinceMs.keys())
       if (!workers.has(worker)) this.#drainingSinceMs.delete(worker);
@@ -283,7 +283,7 @@
       if (!this.#drainingSinceMs.has(worker)) this.#drainingSinceMs.set(worker, atMs);
   }
 
-  /** An operator was told that a zone is emptied. */
+  /** Records that an operator was told that a zone is evacuated. */
   zoneEvacuated(zone: string, number: number, atMs: number): void {
     if (!this.#evacuatedZones.has(zone)) this.#evacuatedZones.set(zone, { number, atMs });
   }
@@ -324,7 +324,7 @@
     }
   }
 
-  /** Opens a view at an incarnation, so that an empty set counts too. */
+  /** Records that an incarnation enters a view, so that a view without any delivered cast is compared too. */
   viewEntered(incarnation: string, view: number): void {
     const views = this.#openViews.get(incarnation) ?? new Map<number, ViewDeliveries>();
     this.#openViews.set(incarnation, views);
@@ -334,7 +334,7 @@
     }
   }
 
-  /** The context a sender should write into its payload: what it has delivered in this view. */
+  /** Returns the number of casts delivered in the current view by sender: the causal context of the next cast. */
   deliveredCounts(incarnation: string): Record<string, number> {
     return Object.fromEntries(this.#castCounts.get(incarnation) ?? []);
   }
@@ -365,7 +365,7 @@
     this.#openViews.get(incarnation)?.get(view)?.casts.push(`${sender}:${sequence}`);
   }
 
-  /** An operator was told. */
+  /** Records the answer that an operator received for an operation. */
   operationAnswered(id: string, kind: string, number: number, atMs: number): void {
     const known = this.#answers.get(id);
     if (known !== undefined && known !== `${kind}@${number}`) {
@@ -376,7 +376,7 @@
     this.#agreedVersions.push({ number, atMs });
   }
 
-  /** A node admits a visitor now. */
+  /** Checks that a node which may admit requests holds every version agreed longer ago than the bound. */
   checkAdmission(incarnation: string, number: number, atMs: number): void {
     for (const agreed of this.#agreedVersions) {
       if (agreed.number > number && atMs > agreed.atMs + APPLY_BOUND_MS) {
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -5,9 +5,8 @@
 import { trialSpec } from './trial.js';
 
 /**
- * Plays a timeline drawn as text: one column a node, a row a moment. A cell
- * acts on its node, or, beginning with "=", says what must be seen there.
- * Returns what was not as drawn.
+ * Runs a scenario written as a text table with one column per node and one row per point in time. A cell holds
+ * actions on its node or, starting with "=", expectations. Returns the expectations and invariants that failed.
  * @example
  * playScript(site, `
  *   ms   | core-0 | edge-0
@@ -47,7 +46,7 @@
   return wrong;
 }
 
-/** Programs of other levels of the protocol, by the word after `boot`. */
+/** Protocol levels of older and newer programs, by the keyword after `boot`. */
 const LEVELS_BY_KEYWORD: Readonly<Record<string, ProtocolLevels>> = {
   older: { min: 1, max: 1 },
   newer: { min: 2, max: 3 },
@@ -158,7 +157,7 @@
     }
   }
 
-  /** So many visitors at once: lookups, or questions to one model after the other. */
+  /** Sends `count` requests at once: lookups, or chat completions that rotate through the models. */
   #sendRequests(machine: Machine, lookup: boolean, count: number): string | undefined {
     const edge = machine.running?.edge;
     if (edge === undefined) return 'is no edge that runs';
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -31,9 +31,9 @@
 const HEARTBEATS_PER_LIST_READ = 10;
 const MODEL_SLOTS = 4;
 const LOOKUP_SLOTS = 64;
-/** Part of the visitors that go before they are answered. */
+/** Fraction of the clients that disconnect within 400 ms, answered or not. */
 const DISCONNECT_RATIO = 0.02;
-/** First byte of a note; no message of ours begins so. */
+/** First byte of a note; no other cast payload begins with it. */
 const NOTE_PREFIX = Buffer.from([0xff]);
 
 interface RunningProcess {
@@ -42,7 +42,7 @@
   readonly skewMs: number;
   frozen: boolean;
   stopped: boolean;
-  /** What came while the process was frozen. */
+  /** Actions that arrived while the process was frozen; they run when it resumes. */
   deferred: (() => void)[];
   edge: SpecEdge | undefined;
   heartbeats: number;
@@ -57,7 +57,7 @@
   address: string;
   running: RunningProcess | undefined;
   bootCount: number;
-  /** Levels of the protocol that its program speaks from the next boot on. */
+  /** Protocol levels that its program supports from the next boot on. */
   protocolLevels: ProtocolLevels;
 }
 
@@ -67,19 +67,19 @@
   readonly edges: number;
   readonly workers: number;
   readonly zones: readonly string[];
-  /** Requests that a model worker carries at once. */
+  /** Concurrent requests of a model worker. */
   readonly slots?: number;
   /** The pool of the lookup workers. */
   readonly pool?: string;
 }
 
-/** Loops that are set otherwise than usual, for comparisons. */
+/** Settings that override those of the control loops, for comparisons. */
 export interface LoopOverrides {
   readonly weights?: LoopSettings;
   readonly placement?: SpecPlacerSettings;
 }
 
-/** A visitor's question, as a day has it. */
+/** A client request as recorded in a day's workload. */
 export interface SimRequest extends Pick<
   GatewayRequestInit,
   'path' | 'group' | 'kind' | 'model' | 'adapter' | 'prefix' | 'streamed'
@@ -87,7 +87,7 @@
   readonly work?: RequestCost;
 }
 
-/** A whole deployment in one thread and in virtual time, on the production code. */
+/** A simulated deployment that runs the production code in one thread and in virtual time. */
 export class Site {
   readonly time = new VirtualTime();
   readonly oracle = new Oracle();
@@ -95,13 +95,13 @@
   readonly net: SimNetwork;
   readonly timeline: { atMs: number; node: string; text: string }[] = [];
   readonly workers: SimWorker[] = [];
-  /** Whether nodes cast notes for the oracle; they grow with the group and would hide what the group itself costs. */
+  /** Whether nodes cast notes for the oracle; notes grow with the group and would distort measurements of its cost. */
   notesEnabled = true;
-  /** Whether visitors come to the edges. */
+  /** Whether random client requests arrive at the edges. */
   trafficEnabled = false;
-  /** Called when an operator has been answered. */
+  /** Called when an operator has received the answer to an operation. */
   onOperationAnswered: (() => void) | undefined;
-  /** Loads and unloads that workers have begun. */
+  /** Loads and unloads that workers have started. */
   readonly orders: { readonly atMs: number; readonly action: string }[] = [];
   #loopOverrides: LoopOverrides;
   #pool: string;
@@ -112,7 +112,7 @@
   #listGeneration = 1;
   #noteSequences = new Map<string, number>();
   #zones: readonly string[];
-  /** Whom a node that boots is told of. */
+  /** Machines whose addresses a booting node is given as seeds. */
   seeds: readonly Machine[];
   #founders: string[];
 
@@ -173,7 +173,7 @@
     this.timeline.push({ atMs: this.time.nowMs(), node, text });
   }
 
-  /** The platform marks these workers as leaving. */
+  /** Marks exactly these workers as draining in the platform's worker list. */
   markDraining(names: ReadonlySet<string>): void {
     this.#listGeneration += 1;
     this.#workerList = this.#buildWorkerList(names);
@@ -235,7 +235,7 @@
     this.time.after(waitMs, () => this.#unfreeze(machine, running));
   }
 
-  /** Sends an operation from a node; the oracle hears the answer. */
+  /** Submits an operation at a node and reports the answer to the oracle; returns '' if it was not submitted. */
   submit(
     machine: Machine,
     kind: string,
@@ -255,7 +255,7 @@
     return sent?.isOk === true ? id : '';
   }
 
-  /** How many voters have a seat in the view, as the best informed node sees it. */
+  /** Number of voters that are members of the view, according to the newest version held by any node. */
   votersInView(): number {
     const helds = this.machines.flatMap((machine) => machine.running?.clusterNode.group.state ?? []);
     const held = helds.sort((one, other) => other.number - one.number)[0];
@@ -264,7 +264,7 @@
     ).length;
   }
 
-  /** Whether every machine runs, in one view, and may admit. */
+  /** Returns why the site has not converged, or undefined if all machines run in one view and may admit. */
   notConvergedReason(): string | undefined {
     const views = new Set<number>();
     for (const machine of this.machines) {
@@ -371,7 +371,7 @@
     this.oracle.workersDraining(new Set(leaving), this.time.nowMs());
   }
 
-  /** Casts a note that no node can read as an observation, for the oracle alone. */
+  /** Casts a note for the oracle; its prefix keeps nodes from decoding it as an observation. */
   #castNote(running: RunningProcess): void {
     const { group } = running.clusterNode;
     if (group.view === undefined || group.isViewChanging) return;
@@ -420,7 +420,7 @@
     );
   }
 
-  /** A visitor comes to an edge: a lookup, or a question that is streamed or not. */
+  /** Sends a client request to an edge: a lookup, or a chat completion that is streamed or not. */
   sendRandomRequest(edge: SpecEdge, lookup: boolean, model: string): void {
     const streamed = !lookup && this.#random.next() < 0.6;
     const path = lookup ? '/lookup/1' : '/v1/chat/completions';
@@ -437,7 +437,7 @@
     if (this.#random.next() < DISCONNECT_RATIO) this.time.after(this.#random.next() * 400, leave);
   }
 
-  /** A visitor makes a call; the returned function says that it has left. */
+  /** Sends a client request to an edge; the returned function disconnects the client. */
   sendRequest(edge: SpecEdge, call: SimRequest, ended?: OnRequestEnd): () => void {
     const id = randomId(this.#random);
     const { path, group, kind, model, adapter, prefix, streamed, work } = call;
@@ -524,7 +524,7 @@
     );
   }
 
-  /** Runs an act in a process: now, when it wakes, or never if it has died. */
+  /** Runs an action in a process: at once, after it resumes if it is frozen, or never if it was killed. */
   #runAtNode(machine: Machine, running: RunningProcess, act: () => void): void {
     if (machine.running !== running) return;
     if (running.frozen) running.deferred.push(act);
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -3,7 +3,7 @@
 import { renderTimeline } from './timeline.js';
 import { type Cut } from './world.js';
 
-/** How one seed went. */
+/** Result of the trial of one seed. */
 export interface TrialResult {
   readonly seed: number;
   readonly breaches: readonly Breach[];
@@ -34,12 +34,12 @@
 const START_MS = 8000;
 const FAULTS_END_MS = 38_000;
 const RECOVER_MS = 12_000;
-/** One more failure comes right after the recovery, and has so long to do harm. */
+/** How long the second fault, injected right after the recovery, lasts before all is repaired. */
 const SECOND_FAULT_MS = 5000;
 
 const ZONES = ['north', 'east', 'west'];
 
-/** Sizes of the sites that trials are run on: a small one, and those of the two deployments. */
+/** Sizes of the simulated sites: a small one, and those of the two deployments. */
 export const SITE_SIZES = {
   small: { cores: 3, edges: 5, workers: 4, zones: ZONES },
   vejsargs: { cores: 3, edges: 9, workers: 8, zones: ZONES },
@@ -47,7 +47,7 @@
 } as const satisfies Record<string, SiteSize>;
 
 /**
- * The small spec that trials begin with.
+ * Returns the small spec that trials start with; `turn` varies the share of its group.
  * @example
  * trialSpec(0).models.length; // 8
  */
@@ -80,7 +80,7 @@
 }
 
 /**
- * Runs one seed: start, random faults, all repaired, recovery.
+ * Runs the trial of one seed: start, random faults, repair and recovery, then one more fault and recovery.
  * @example
  * const result = runTrial(17);
  * result.breaches.length; // 0
@@ -202,7 +202,10 @@
     time.after(this.#randomBelow(800), () => this.#submitOperations());
   }
 
-  /** Two operators at two nodes: each adds an entry of its own, both the same one, both replace an older one, one removes another. */
+  /**
+   * Submits concurrent edits at two nodes: each adds an entry of its own, both add the same one, both replace
+   * an older one, and one removes another.
+   */
   #raceOperators(): void {
     const turn = this.#operationCount;
     const [one, other] = [this.#randomMachine(), this.#randomMachine()];
@@ -365,7 +368,7 @@
     );
   }
 
-  /** Between one edge, or all, and one worker, or all: both ways, or only the requests or only the answers. */
+  /** Cuts one edge, or all, from one worker, or all: in both directions, or only for requests or answers. */
   #cutWorker(): void {
     const { machines, workers, random: rng } = this.#site;
     const edge = this.#pick(machines).name;
@@ -420,7 +423,7 @@
     }
   }
 
-  /** Every core loses power at the moment an operator is answered, while two of their disks stall. */
+  /** Cuts the power of every core when an operator is next answered, while two of their disks stall. */
   #losePowerAtAnswer(): void {
     const { time } = this.#site;
     const cores = this.#cores();
@@ -436,7 +439,7 @@
     });
   }
 
-  /** The coordinator is killed in one step of a view change, an agreement or a claim, cut from another core just before. */
+  /** Kills the coordinator at a step of a view change, an agreement or a candidacy, just after cutting it off a core. */
   #killCoordinatorAtStep(): void {
     const { net, time, machines } = this.#site;
     const step = this.#pick(PROTOCOL_STEPS);
@@ -464,7 +467,7 @@
     });
   }
 
-  /** One core loses power, or its whole disk, at one step of a write or as its answer leaves; a lost one is replaced. */
+  /** Cuts a core's power, or replaces it with an empty disk, at a step of a write or as its answer is sent. */
   #loseCoreAtStep(): void {
     const { net, time } = this.#site;
     const machine = this.#pick(this.#cores());
@@ -502,7 +505,7 @@
     this.#site.markDraining(new Set([name]));
   }
 
-  /** A zone is lost whole: nodes, its core and its workers; sometimes while another is being emptied. */
+  /** Takes down all nodes and workers of a zone, sometimes while a zone is being evacuated. */
   #loseZone(): void {
     const zone = this.#pick(this.#site.zones);
     const { machines, workers } = this.#site;
@@ -520,7 +523,7 @@
     }
   }
 
-  /** Many visitors at one moment, at one edge or at all. */
+  /** Sends a burst of requests to one edge or to all. */
   #trafficBurst(): void {
     const edges = this.#site.machines.flatMap((machine) => machine.running?.edge ?? []);
     const at = this.#randomBelow(2) < 1 ? edges : edges.slice(0, 1);
@@ -530,7 +533,7 @@
         this.#site.sendRandomRequest(edge, place % 2 === 0, place % 2 === 0 ? '' : 'model-1');
   }
 
-  /** Every model, the rare ones too, is asked for at every edge in one moment. */
+  /** Requests every model, also the rarely used ones, at every edge at once. */
   #requestEveryModel(): void {
     this.#recordFault('every model is asked for at once');
     for (const { running } of this.#site.machines) {
@@ -539,7 +542,7 @@
     }
   }
 
-  /** Workers are replaced one by one: marked, taken away, and an empty one comes under the old name. */
+  /** Replaces the workers one by one: each is marked as draining, removed, and returns empty under its old name. */
   #replaceWorkers(): void {
     this.#recordFault('workers are replaced one by one');
     this.#site.workers.forEach((worker, place) => {
@@ -552,7 +555,7 @@
     this.#scheduleRepair(this.#site.workers.length * 1500, () => this.#site.markDraining(new Set()));
   }
 
-  /** A worker is marked and gone within two seconds; a new one takes its name and address. */
+  /** Marks a worker as draining and removes it within two seconds; a new one takes its name and address. */
   #removeWorkerSoon(): void {
     const worker = this.#pick(this.#site.workers);
     this.#recordFault(`${worker.name} is taken away at short notice`);
@@ -564,7 +567,7 @@
     });
   }
 
-  /** Whoever boots from now on is given other seeds, and a core moves to another address. */
+  /** Gives other seeds to all nodes that boot from now on, and moves a core to another address. */
   #changeSeeds(): void {
     const seeds = [this.#randomMachine(), this.#randomMachine(), this.#randomMachine()];
     this.#recordFault(`seeds are ${seeds.map((machine) => machine.name).join(', ')}`);
@@ -587,7 +590,7 @@
     });
   }
 
-  /** A full disk stops its core; it is freed and started again. */
+  /** Fills a core's disk, which stops the core; later frees the disk and boots the core again. */
   #fullDisk(): void {
     const machine = this.#pick(this.#cores());
     if (machine.disk === undefined) return;
@@ -609,7 +612,7 @@
     });
   }
 
-  /** A core machine is replaced by an empty one at a new address; the old disk is gone. One at a time. */
+  /** Replaces a core by an empty one at a new address, its old disk lost; only while all voters are in the view. */
   #replaceCore(): void {
     if (this.#site.notConvergedReason() !== undefined || this.#site.votersInView() < 3) return;
     const machine = this.#pick(this.#cores());
