--- a/packages/simulator/src/connections.ts
+++ b/packages/simulator/src/connections.ts
@@ -1,20 +1,23 @@
 import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gateway';
 import type { SimulationContext, SimWorker, WorkerConnection } from './simulation-context.js';
 
-/** The edge process that a sender belongs to: runs an act there, when it is awake, or never if it has died. */
+/** Runs an action in the edge process of a sender: once it is not frozen, or never if it was killed. */
 export type RunAtEdge = (act: () => void) => void;
 
 const CONNECT_TIMEOUT_MS = 1000;
 const PROBE_TIMEOUT_MS = 600;
 const BLOCKED_RETRY_MS = 20;
-/** Part of the sends that find a connection open from before. */
+/** Fraction of the requests that reuse an open connection. */
 const REUSED_CONNECTION_RATIO = 0.5;
 
-/** One direction of a connection: in order, late, and held up for as long as it is cut. */
+/**
+ * One direction of a connection: delivers in order and with delay, and holds messages back while it is
+ * cut.
+ */
 class OneWayChannel {
   #context: SimulationContext;
   #isCut: () => boolean;
-  /** Whether the machine that sends still has power: what it held up goes with it. */
+  /** Whether the sending machine has power; without it, messages held back by a cut are lost. */
   #isPowered: () => boolean;
   #pending: (() => void)[] = [];
   #isDelivering = false;
@@ -32,7 +35,7 @@
     this.#deliverNext();
   }
 
-  /** What has not arrived yet never will: the connection was reset. */
+  /** Drops all messages not yet delivered, as a connection reset does. */
   drop(): void {
     this.#pending = [];
   }
@@ -51,7 +54,7 @@
   }
 }
 
-/** One request on its connection, as the edge sees it. */
+/** One attempt to send a request to a worker, seen from the edge. */
 class SimAttempt implements Sending {
   #context: SimulationContext;
   #request: SendRequest;
@@ -87,7 +90,7 @@
     this.#connect(() => context.isCut(edge, worker.name) || context.isCut(worker.name, edge));
   }
 
-  /** The edge resets the connection; the worker notices when word of it arrives. */
+  /** Resets the connection from the edge; the worker notices when the reset arrives. */
   abort(): void {
     this.#ended = true;
     this.#toWorker.drop();
@@ -129,7 +132,7 @@
     });
   }
 
-  /** The silence that undici allows between two pieces. */
+  /** Fails the attempt if nothing arrives for `stallMs`, like undici's timeout between two chunks. */
   #watchIdle(): void {
     const { time } = this.#context;
     time.after(Math.max(1, this.#lastReceivedMs + this.#request.stallMs - time.nowMs()), () => {
@@ -163,7 +166,7 @@
   }
 }
 
-/** Carries requests from one simulated edge process to the workers, over connections that can be cut. */
+/** Sends requests from one simulated edge process to the workers, over connections that can be cut. */
 export class SimSender implements Sender {
   #context: SimulationContext;
   #edge: string;
--- a/packages/simulator/src/day-replay.ts
+++ b/packages/simulator/src/day-replay.ts
@@ -2,7 +2,7 @@
 import { hashText } from '@rainrun/common';
 import { Site, type LoopOverrides } from './site.js';
 
-/** How one call of a day ended in the simulator. */
+/** Outcome of one request of a replayed day. */
 export interface ReplayedRequest {
   readonly call: Call;
   outcome: string;
@@ -10,26 +10,26 @@
   worker: string;
 }
 
-/** A day as the simulator served it. */
+/** Result of replaying a day in the simulator. */
 export interface DayReplay {
   readonly seen: readonly ReplayedRequest[];
-  /** Loads and unloads, by the time of the day. */
+  /** Loads and unloads, with times relative to the start of the day. */
   readonly orders: readonly { readonly atMs: number; readonly action: string }[];
   readonly prefill: { readonly hits: number; readonly misses: number; readonly savedMs: number };
   readonly breaches: readonly string[];
 }
 
-/** When the spec is put, and when traffic begins. */
+/** Virtual time at which the spec is put; traffic starts at TRAFFIC_START_MS. */
 const SPEC_PUT_MS = 3000;
 const TRAFFIC_START_MS = 12_000;
 const SETTLE_MS = 30_000;
 const CHUNK_GAP_MS = 25;
-/** What reading a prompt costs where no prefix is kept. */
+/** Prefill time per prompt character without a cached prefix. */
 export const PREFILL_MS_PER_CHAR = 0.3;
 
 /**
- * Plays a day in the simulator, at the size of a deployment and on the
- * production code: the same calls as a fleet of processes would be sent.
+ * Replays a day in the simulator on the production code, at the size of a deployment and with the same
+ * requests that a fleet of processes would receive.
  * @example
  * const replay = replayDay(SHAPES['vejsargs'], day.calls, { seed: 1 });
  */
--- a/packages/simulator/src/garble.test.ts
+++ b/packages/simulator/src/garble.test.ts
@@ -5,7 +5,7 @@
 import { SITE_SIZES, trialSpec } from './trial.js';
 import { Site } from './site.js';
 
-it('garbled frames never bring a node down', () => {
+it('corrupted frames that still decode never crash a node', () => {
   const site = new Site(5, SITE_SIZES.small, 0);
   const rng = new SeededRandom(99);
   const seen: Uint8Array[] = [];
--- a/packages/simulator/src/metrics.ts
+++ b/packages/simulator/src/metrics.ts
@@ -48,7 +48,7 @@
   for (const breach of replay.breaches) console.log(`BREACH ${name}: ${breach}`);
 }
 
-/** Part of a group's calls that were served within the target. */
+/** Formats the percentages of a group's calls that were served within the target and served at all. */
 function formatServedRatios(seen: readonly ReplayedRequest[], targetMs: number): string {
   const well = seen.filter((one) => one.outcome === 'served' && one.firstPieceMs <= targetMs).length;
   const served = seen.filter((one) => one.outcome === 'served').length;
@@ -98,7 +98,7 @@
   return { ...spec, workers: { ...spec.workers, roomMb: Math.floor(spec.workers.roomMb * cli.flags.room) } };
 }
 
-/** Half a day as usual, then the rare models become the common ones. */
+/** Replays an ordinary half day, then the same calls with rare and common models swapped. */
 function shift(shape: Shape): void {
   const half = callsOf(makeDay(shape, 2 * DAY_S, 1));
   function other(call: Call): Call {
@@ -148,7 +148,7 @@
   }
 }
 
-/** Every model is asked for in the first second. */
+/** Requests every model four times from a cold start, one request every 200 ms. */
 function cold(shape: Shape): void {
   const [sample] = shape.kinds;
   if (sample === undefined) return;
@@ -182,7 +182,7 @@
   );
 }
 
-/** The usual day, with its prefixes and with every prompt beginning alike nowhere. */
+/** Replays an ordinary day and prints how much prefill time the prefix caches save. */
 function affinity(shape: Shape): void {
   const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
   const usual = replayDay(shape, day, { seed: 1 });
--- a/packages/simulator/src/oracle.test.ts
+++ b/packages/simulator/src/oracle.test.ts
@@ -28,22 +28,22 @@
   return oracle.breaches.map((breach) => breach.rule);
 }
 
-describe('each check of the oracle can fail', () => {
-  it('one history', () => {
+describe('the oracle reports a breach', () => {
+  it('when two nodes hold different states under the same version number', () => {
     const oracle = new Oracle();
     oracle.versionDelivered('a', held(1, ['north']), true, 0);
     oracle.versionDelivered('b', held(1, ['east']), true, 0);
     expect(rules(oracle)).toEqual(['one history']);
   });
 
-  it('versions never go back', () => {
+  it('when a node delivers a lower version number than before', () => {
     const oracle = new Oracle();
     oracle.versionDelivered('a', held(2), true, 0);
     oracle.versionDelivered('a', held(1), true, 0);
     expect(rules(oracle)).toEqual(['versions never go back']);
   });
 
-  it('same casts in a view', () => {
+  it('when two nodes end a view with different sets of delivered casts', () => {
     const oracle = new Oracle();
     for (const incarnation of ['a', 'b']) oracle.viewEntered(incarnation, 1);
     oracle.castDelivered('a', 1, 'c', 1, {}, 0);
@@ -51,7 +51,7 @@
     expect(rules(oracle)).toEqual(['same casts in a view']);
   });
 
-  it('causal order and once each', () => {
+  it('when a cast is delivered twice or before one that it depends on', () => {
     const oracle = new Oracle();
     oracle.viewEntered('a', 1);
     oracle.castDelivered('a', 1, 'b', 1, { c: 1 }, 0);
@@ -60,7 +60,7 @@
     expect(rules(oracle)).toEqual(['once each', 'causal order']);
   });
 
-  it('one answer, and in force within 2 s', () => {
+  it('when an operation gets two answers, or a node admits without a version agreed more than 2 s ago', () => {
     const oracle = new Oracle();
     oracle.operationAnswered('op', 'agreed', 5, 100);
     oracle.checkAdmission('edge', 4, 2000);
@@ -70,7 +70,7 @@
     expect(rules(oracle)).toEqual(['in force within 2 s', 'one answer']);
   });
 
-  it('an agreed change stays, a refused one never shows', () => {
+  it('when an agreed change is lost or a refused change becomes visible', () => {
     const oracle = new Oracle();
     function withMark(number: number, sizeMb: number): GroupState<SpecState> {
       const version = held(number);
@@ -96,7 +96,7 @@
     expect(rules(oracle)).toEqual(['a refused change never shows', 'an agreed change stays']);
   });
 
-  it('never run twice, refused never runs in either order', () => {
+  it('when a non-idempotent request runs twice, or runs before or after it was refused', () => {
     const oracle = new Oracle();
     for (const id of ['twice', 'before', 'after']) oracle.requestSent(id, false);
     oracle.requestRan('twice', 'w', 'z', 0);
@@ -108,7 +108,7 @@
     expect(rules(oracle)).toEqual(['never run twice', 'refused never runs', 'refused never runs']);
   });
 
-  it('whose answer, in what order, of one run, whole only at its end', () => {
+  it('when a response mixes requests or runs, skips chunks, ends twice or ends incomplete as complete', () => {
     const oracle = new Oracle();
     const piece = { id: 'a', run: 'w-1', place: 0, of: 3 };
     for (const id of ['a', 'b', 'c', 'd', 'e']) oracle.requestSent(id, false);
@@ -134,7 +134,7 @@
     ]);
   });
 
-  it('no work to a leaving worker or an emptied zone', () => {
+  it('when a draining worker or an evacuated zone still runs requests after the allowed delay', () => {
     const oracle = new Oracle();
     for (const id of ['a', 'b', 'c']) oracle.requestSent(id, false);
     oracle.workersDraining(new Set(['w']), 0);
@@ -145,7 +145,7 @@
     expect(rules(oracle)).toEqual(['no work to a leaving worker', 'no work to an emptied zone']);
   });
 
-  it('retries and pulls stay within their bounds', () => {
+  it('when retries or pulls from the model store exceed their limits', () => {
     const oracle = new Oracle();
     for (let place = 0; place < 12; place += 1) {
       oracle.requestSent(`id-${place}`, true);
@@ -161,7 +161,7 @@
     ]);
   });
 
-  it('one holder of the duty, one node orders a worker', () => {
+  it('when two nodes hold the singleton lease or send orders to the same worker', () => {
     const oracle = new Oracle();
     oracle.checkSingletonLease(['core-0', 'core-1'], 0);
     oracle.orderStarted('w', 'core-0', 1, 0);
@@ -171,14 +171,14 @@
 });
 
 describe('the simulator', () => {
-  it('runs a seed the same way every time', () => {
+  it('produces the same timeline and frame count every time a seed runs', () => {
     const one = runTrial(3, SITE_SIZES.small);
     const other = runTrial(3, SITE_SIZES.small);
     expect(one.timeline).toEqual(other.timeline);
     expect(one.frames).toEqual(other.frames);
   });
 
-  it('draws a timeline with a column for each node', () => {
+  it('renders a timeline with one column per node', () => {
     const drawn = renderTimeline(
       ['a', 'b'],
       [
--- a/packages/simulator/src/oracle.ts
+++ b/packages/simulator/src/oracle.ts
@@ -12,7 +12,10 @@
   readonly atMs: number;
 }
 
-/** A cast delivered before one that causally precedes it: allowed only if the sender of the missing cast left with the view. */
+/**
+ * A cast delivered before one that causally precedes it: allowed only if the latter's sender left the
+ * view.
+ */
 interface EarlyDelivery {
   readonly view: number;
   readonly missingSender: string;
@@ -133,7 +136,7 @@
     this.#checkCausalOrder(incarnation, held);
   }
 
-  /** Records that an operator submitted an edit of an entry; the entry's value is undetermined until the answer. */
+  /** Records that an operator submitted an edit of an entry; its value is undetermined until the answer. */
   editSubmitted(name: string): void {
     this.#pendingEdits.set(name, (this.#pendingEdits.get(name) ?? 0) + 1);
   }
@@ -334,7 +337,7 @@
     }
   }
 
-  /** Returns the number of casts delivered in the current view by sender: the causal context of the next cast. */
+  /** Returns the casts delivered per sender in the current view: the causal context of the next cast. */
   deliveredCounts(incarnation: string): Record<string, number> {
     return Object.fromEntries(this.#castCounts.get(incarnation) ?? []);
   }
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -7,10 +7,9 @@
 const STEPS = ['written', 'renamed', 'synced', 'answered', 'told'] as const;
 
 /**
- * Every node loses power, and one core, the coordinator or another, perhaps its
- * disk, at a step of the very version that an operator waits for or as the
- * operator is told. The third core's disk stalls meanwhile, so that a bare
- * majority carries the version.
+ * Cuts the power of every node, and optionally wipes the disk of one core (the coordinator or another), at
+ * a step of writing the version that an operator waits for, or as the operator is answered. The disk of the
+ * third core stalls meanwhile, so that only a bare majority stores the version.
  */
 function lose(seed: number, step: (typeof STEPS)[number], leading: boolean, wiped: boolean): string[] {
   const site = new Site(seed, SMALL, 0);
@@ -63,7 +62,7 @@
   );
 }
 
-it('what was agreed outlives the loss of power, or of a disk, at each step of its write and answer', () => {
+it('an agreed operation survives a loss of power or of one disk at each step of its write and answer', () => {
   const wrong = [1, 2].flatMap((seed) =>
     STEPS.flatMap((step) =>
       [true, false].flatMap((leading) => [true, false].flatMap((wiped) => lose(seed, step, leading, wiped))),
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -5,8 +5,9 @@
 import { trialSpec } from './trial.js';
 
 /**
- * Runs a scenario written as a text table with one column per node and one row per point in time. A cell holds
- * actions on its node or, starting with "=", expectations. Returns the expectations and invariants that failed.
+ * Runs a scenario written as a text table with one column per node and one row per point in time. A cell
+ * holds actions on its node or, starting with "=", expectations. Returns the expectations and invariants
+ * that failed.
  * @example
  * playScript(site, `
  *   ms   | core-0 | edge-0
--- a/packages/simulator/src/simulated-chunk.ts
+++ b/packages/simulator/src/simulated-chunk.ts
@@ -1,6 +1,6 @@
-/** Chunks of simulated responses, which say by themselves where they belong. */
+/** Chunks of simulated responses, which identify their request, run and position. */
 
-/** One chunk of a simulated response: whose it is, of which run, and its place among how many. */
+/** One chunk of a simulated response: its request, its run, its index, and the number of chunks. */
 export interface SimulatedChunk {
   readonly id: string;
   readonly run: string;
--- a/packages/simulator/src/simulation-context.ts
+++ b/packages/simulator/src/simulation-context.ts
@@ -8,32 +8,32 @@
 const WARM_UP_MS = 500;
 const PREFIX_CACHE_SIZE = 32;
 const WARM_UP_MAX_REQUESTS = 2;
-/** Part of the answers that take long. */
+/** Fraction of the responses that take long. */
 const SLOW_ANSWER_RATIO = 0.15;
 
-/** What the simulated workers share. */
+/** Services and state that the simulated workers share. */
 export interface SimulationContext {
   readonly time: VirtualTime;
   readonly oracle: Oracle;
   readonly random: RandomSource;
   spec(): Spec | undefined;
-  /** Whether nothing gets through now from one name to another. */
+  /** Whether the network currently blocks traffic from one name to another. */
   isCut(from: string, to: string): boolean;
-  /** What a request asks for. */
+  /** Returns what a request asks for. */
   requestPlan(id: string): RequestPlan;
-  /** A load or unload is begun. */
+  /** Records that a load or unload was started. */
   orderStarted(action: string): void;
 }
 
-/** What a simulated visitor asked for. */
+/** What a simulated client asked for. */
 export interface RequestPlan {
   readonly model: string;
   readonly streamed: boolean;
-  /** What it costs, where a day says so; else the worker draws it at random. */
+  /** Cost of the request if the workload defines it; otherwise the worker draws it at random. */
   readonly cost?: RequestCost;
 }
 
-/** The work of one request: reading its prompt, less where the prefix is kept, then its pieces. */
+/** Cost of one request: the prefill, a tenth of it if the prefix is cached, and then the output chunks. */
 export interface RequestCost {
   readonly prefix: string;
   readonly prefillMs: number;
@@ -41,7 +41,7 @@
   readonly gapMs: number;
 }
 
-/** Where a worker writes its reply. */
+/** Receives a worker's reply. */
 export interface ReplySink {
   start(status: number, type: string): void;
   chunk(text: string): void;
@@ -49,12 +49,12 @@
   fail(): void;
 }
 
-/** A request at a worker; `left` says that the edge has closed the connection. */
+/** A request at a worker; `closed` tells the worker that the edge has closed the connection. */
 export interface WorkerConnection {
   closed(): void;
 }
 
-/** How a worker behaves at its answers. */
+/** How a worker answers: correctly, ending early, sending more after its end, or with an invalid reply. */
 export type FaultMode = 'well' | 'early' | 'more' | 'nonsense';
 
 interface RunningRequest {
@@ -65,7 +65,7 @@
 
 const SSE = 'text/event-stream';
 
-/** A simulated worker: takes orders and requests, and tells the oracle what it did. */
+/** A simulated worker that executes orders and requests and reports them to the oracle. */
 export class SimWorker {
   readonly name: string;
   readonly zone: string;
@@ -75,7 +75,7 @@
   up = true;
   unresponsive = false;
   faultMode: FaultMode = 'well';
-  /** How often a prompt's prefix was kept here, and what that saved. */
+  /** Hits and misses of the prefix cache, and the prefill time that hits saved. */
   readonly prefill = { hits: 0, misses: 0, savedMs: 0 };
   #prefixes = new Set<string>();
   #runs = 0;
@@ -102,7 +102,7 @@
     this.slots = slots;
   }
 
-  /** Goes down at once: what it held and what it worked on is gone. */
+  /** Crashes the worker: it loses its loaded models and its running requests. */
   crash(): void {
     this.up = false;
     this.#boots += 1;
@@ -154,7 +154,7 @@
     });
   }
 
-  /** Serves a request; the reply may never come. */
+  /** Serves a request; an unresponsive worker never replies. */
   serve(id: string, reply: ReplySink): WorkerConnection {
     const { time, oracle, random: rng } = this.#context;
     const { model, streamed, cost } = this.#context.requestPlan(id);
@@ -199,7 +199,7 @@
     return connection;
   }
 
-  /** Reading a prompt whose prefix is kept costs a tenth. */
+  /** Returns the prefill time, a tenth if the prompt's prefix is cached, and updates the cache. */
   #prefillMs({ prefix, prefillMs }: RequestCost): number {
     const kept = this.#prefixes.delete(prefix);
     this.#prefixes.add(prefix);
@@ -210,7 +210,10 @@
     return kept ? prefillMs * 0.1 : prefillMs;
   }
 
-  /** One act after the other; a dark worker goes on where it stopped, once it is back. */
+  /**
+   * Runs the steps one after another; an unresponsive worker continues where it stopped once it
+   * responds again.
+   */
   #runSteps(work: RunningRequest, gapMs: number, acts: readonly (() => void)[]): void {
     const [act, ...later] = acts;
     if (act === undefined) return;
@@ -241,7 +244,7 @@
     ]);
   }
 
-  /** One event after another, each in two chunks, and the closing event. */
+  /** Sends one event after another, each split into two chunks, and then the closing event. */
   #stream(work: RunningRequest, pieces: readonly string[], gapMs: number): void {
     const { reply } = work;
     if (this.faultMode === 'nonsense') {
@@ -270,7 +273,10 @@
     ]);
   }
 
-  /** What the worker holds, also what the spec does not list any more, by the size it had when it was loaded. */
+  /**
+   * Memory of all that the worker holds; an item that the spec no longer lists counts with its last
+   * known size.
+   */
   #heldMb(spec: Spec): number {
     for (const { name, sizeMb } of [...spec.models, ...spec.adapters]) this.#sizesMb.set(name, sizeMb);
     let sumMb = 0;
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -95,7 +95,10 @@
   readonly net: SimNetwork;
   readonly timeline: { atMs: number; node: string; text: string }[] = [];
   readonly workers: SimWorker[] = [];
-  /** Whether nodes cast notes for the oracle; notes grow with the group and would distort measurements of its cost. */
+  /**
+   * Whether nodes cast notes for the oracle; notes grow with the group and would distort cost
+   * measurements.
+   */
   notesEnabled = true;
   /** Whether random client requests arrive at the edges. */
   trafficEnabled = false;
@@ -235,7 +238,7 @@
     this.time.after(waitMs, () => this.#unfreeze(machine, running));
   }
 
-  /** Submits an operation at a node and reports the answer to the oracle; returns '' if it was not submitted. */
+  /** Submits an operation at a node and reports the answer to the oracle; returns its id, '' if not sent. */
   submit(
     machine: Machine,
     kind: string,
--- a/packages/simulator/src/timeline.ts
+++ b/packages/simulator/src/timeline.ts
@@ -1,4 +1,4 @@
-/** One event of a timeline; an empty node name stands for the site as a whole. */
+/** One event of a timeline; an empty node name means the whole site. */
 export interface TimelineEvent {
   readonly atMs: number;
   readonly node: string;
@@ -6,7 +6,7 @@
 }
 
 /**
- * Draws a timeline as text, one column a node.
+ * Renders a timeline as text with one column per node.
  * @example
  * renderTimeline(['a', 'b'], [{ atMs: 5, node: 'b', text: 'boots' }]);
  */
--- a/packages/simulator/src/timelines.test.ts
+++ b/packages/simulator/src/timelines.test.ts
@@ -9,8 +9,8 @@
   return playScript(new Site(11, SMALL, 0.005), drawing);
 }
 
-describe('timelines', () => {
-  it('found, agree a spec, and hold it everywhere', () => {
+describe('a simulated group', () => {
+  it('forms, agrees on a spec and applies it at every node', () => {
     expect(
       play(`
         ms   | core-0           | core-1           | core-2          | edge-0          | edge-1
@@ -23,7 +23,7 @@
     ).toEqual([]);
   });
 
-  it('do not found while a founding core is missing', () => {
+  it('does not form while a founding core is missing', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0
@@ -35,7 +35,7 @@
     ).toEqual([]);
   });
 
-  it('go on when the coordinator is killed, and take it back as a new member', () => {
+  it('continues when the coordinator is killed, and readmits it as a new member', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -51,7 +51,7 @@
     ).toEqual([]);
   });
 
-  it('stop admitting at a node that is cut off, and only there', () => {
+  it('stops admitting requests at a partitioned node and at no other', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -64,7 +64,7 @@
     ).toEqual([]);
   });
 
-  it('stop admitting at a node that can hear but not speak', () => {
+  it('stops admitting requests at a node that can receive but not send', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -77,7 +77,7 @@
     ).toEqual([]);
   });
 
-  it('let the edges serve on when the core is cut to one, and agree again when it is back', () => {
+  it('keeps its edges serving with a single core left, and agrees again once a second core is back', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -91,7 +91,7 @@
     ).toEqual([]);
   });
 
-  it('restore everything from the disks after every node was lost', () => {
+  it('restores its agreed state from the disks after every node was killed', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -105,7 +105,7 @@
     ).toEqual([]);
   });
 
-  it('take back a core that was restarted while the edges stayed in the view', () => {
+  it('readmits restarted cores while the edges stayed in the view', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -117,7 +117,7 @@
     ).toEqual([]);
   });
 
-  it('replace a voter whose disk is lost by the empty one at a new address', () => {
+  it('replaces a voter whose disk was lost by an empty one at a new address', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -132,7 +132,7 @@
     ).toEqual([]);
   });
 
-  it('never let a wiped majority speak for what was agreed', () => {
+  it('never lets a majority of wiped disks decide the agreed state', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -146,7 +146,7 @@
     ).toEqual([]);
   });
 
-  it('hand on the lead at once when the coordinator says goodbye', () => {
+  it('elects a new coordinator at once when the coordinator leaves', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -158,7 +158,7 @@
     ).toEqual([]);
   });
 
-  it('take over what a claimant did not accept itself', () => {
+  it('completes a version that the new coordinator had not accepted itself', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -173,7 +173,7 @@
     ).toEqual([]);
   });
 
-  it('keep on agreeing while one disk stalls, without its node after a while', () => {
+  it('keeps agreeing while one disk stalls, and drops the node of that disk from the view', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -187,7 +187,7 @@
     ).toEqual([]);
   });
 
-  it('stop a core whose disk is full, and lose nothing that was agreed', () => {
+  it('stops a core whose disk is full and loses no agreed state', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -201,7 +201,7 @@
     ).toEqual([]);
   });
 
-  it('do not admit with an old right after waking from a freeze', () => {
+  it('does not admit requests under an expired lease when a frozen node resumes', () => {
     expect(
       play(`
         ms    | core-0          | core-1          | core-2          | edge-0          | edge-1
@@ -215,7 +215,7 @@
     ).toEqual([]);
   });
 
-  it("keep retries within the fleet's budget though edges restart and lookups are silent", () => {
+  it('keeps retries within the budget of the fleet while edges restart and lookup workers do not respond', () => {
     expect(
       play(`
         ms    | core-0 | core-1 | core-2 | edge-0          | edge-1          | lookup-0 | lookup-1 | lookup-2
@@ -231,7 +231,7 @@
     ).toEqual([]);
   });
 
-  it('let nothing that was held up on its way arrive long after its zone was emptied', () => {
+  it('lets no delayed request run long after the zone of its worker was evacuated', () => {
     expect(
       play(`
         ms    | core-0      | core-1 | core-2 | edge-0  | edge-1  | worker-0 | lookup-0
@@ -247,7 +247,7 @@
     ).toEqual([]);
   });
 
-  it('end streams visibly cut when their worker is lost, ends early or goes on after its end', () => {
+  it('aborts streams visibly when their worker crashes, ends early or continues after the end', () => {
     expect(
       play(`
         ms    | core-0 | core-1 | core-2 | edge-0 | edge-1 | worker-0       | worker-1     | worker-2
@@ -263,7 +263,7 @@
     ).toEqual([]);
   });
 
-  it('roll out to the next level of the protocol node by node, and back', () => {
+  it('upgrades to the next protocol level node by node, and downgrades again', () => {
     expect(
       play(`
         ms    | core-0            | core-1            | core-2              | edge-0            | edge-1
@@ -286,7 +286,7 @@
     ).toEqual([]);
   });
 
-  it('take in a program of the next level, and none that cannot be bridged', () => {
+  it('accepts a program with an overlapping range of protocol levels and rejects one without', () => {
     expect(
       play(`
         ms    | core-0  | core-1  | core-2  | edge-0     | edge-1
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -439,7 +439,10 @@
     });
   }
 
-  /** Kills the coordinator at a step of a view change, an agreement or a candidacy, just after cutting it off a core. */
+  /**
+   * Kills the coordinator at a step of a view change, an agreement or a candidacy, just after cutting the
+   * link between it and another core.
+   */
   #killCoordinatorAtStep(): void {
     const { net, time, machines } = this.#site;
     const step = this.#pick(PROTOCOL_STEPS);
@@ -467,7 +470,10 @@
     });
   }
 
-  /** Cuts a core's power, or replaces it with an empty disk, at a step of a write or as its answer is sent. */
+  /**
+   * Cuts a core's power, or replaces it with an empty disk, at a step of a write or as its answer is
+   * sent.
+   */
   #loseCoreAtStep(): void {
     const { net, time } = this.#site;
     const machine = this.#pick(this.#cores());
@@ -542,7 +548,7 @@
     }
   }
 
-  /** Replaces the workers one by one: each is marked as draining, removed, and returns empty under its old name. */
+  /** Replaces the workers one by one: each is marked as draining, removed, and returns empty, same name. */
   #replaceWorkers(): void {
     this.#recordFault('workers are replaced one by one');
     this.#site.workers.forEach((worker, place) => {
@@ -612,7 +618,7 @@
     });
   }
 
-  /** Replaces a core by an empty one at a new address, its old disk lost; only while all voters are in the view. */
+  /** Replaces a core by an empty one at a new address, old disk lost; only while all voters are in view. */
   #replaceCore(): void {
     if (this.#site.notConvergedReason() !== undefined || this.#site.votersInView() < 3) return;
     const machine = this.#pick(this.#cores());
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -1,17 +1,19 @@
-/** A client of the simulated deployment: the end of one request, as the oracle is told of it. */
+/** The simulated client side of a request, which reports to the oracle. */
 import type { GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import type { Oracle } from './oracle.js';
 import type { SimulatedChunk } from './simulated-chunk.js';
 
-/** Told once how a call ended: outcome, when its first piece came, and the worker that ran it. */
+/**
+ * Called once when a request ends, with its outcome, the time of its first chunk, and the worker that ran
+ * it.
+ */
 export type OnRequestEnd = (outcome: string, firstMs: number | undefined, worker: string) => void;
 
 /**
- * A simulated visitor's end of one request. It tells the oracle what it saw,
- * piece by piece, and how it ended.
+ * Client side of one simulated request. It reports each received chunk and the outcome to the oracle.
  * @example
- * edge.gateway.admit(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
+ * edge.gateway.admit(ask, new SimClient(oracle, ask.id, () => time.nowMs()));
  */
 export class SimClient implements GatewayResponseSink {
   #oracle: Oracle;
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -10,7 +10,8 @@
 }
 
 /**
- * Virtual time: acts in the order of their times, ties in the order of asking.
+ * Virtual clock and event queue: callbacks run in the order of their due times, ties in the order of
+ * scheduling.
  * @example
  * const time = new VirtualTime();
  * time.after(10, () => note('ten'));
@@ -75,13 +76,13 @@
   return one.atMs !== other.atMs ? one.atMs < other.atMs : one.order < other.order;
 }
 
-/** Whether a frame from one node name to another gets through now. */
+/** Returns true if frames from one node name to another are blocked. */
 export type Cut = (from: string, to: string) => boolean;
 
 /**
- * The network between addresses: late, lossy, doubled, cut.
+ * Simulated network between addresses that delays, drops, duplicates and blocks frames.
  * @example
- * const net = new Net(time, dice, { lossRatio: 0.01, leastMs: 0.2, mostMs: 3 });
+ * const net = new SimNetwork(time, random, 0.01);
  */
 export class SimNetwork {
   #time: VirtualTime;
@@ -89,7 +90,7 @@
   #lossRatio: number;
   #endpoints = new Map<string, { name: string; take: (frame: Frame) => void }>();
   #cuts = new Set<Cut>();
-  /** Sees every frame that is sent, and by whom. */
+  /** Called with every frame that is sent and the name of its sender. */
   tap: ((from: string, frame: Frame) => void) | undefined;
   frames = 0;
   bytes = 0;
@@ -116,7 +117,7 @@
     this.#cuts.delete(cut);
   }
 
-  /** Whether nothing gets through now from one name to another. */
+  /** Whether traffic from one name to another is currently blocked. */
   isCut(from: string, to: string): boolean {
     for (const cut of this.#cuts) if (cut(from, to)) return true;
     return false;
@@ -145,13 +146,12 @@
   }
 }
 
-/** The steps of one write: written aside and synced, renamed, the folder synced. */
+/** The steps of one write: temporary file written and synced, file renamed, directory synced. */
 export type DiskStep = 'written' | 'renamed' | 'synced';
 
 /**
- * A disk that outlives its process: writes take time, may stall, and those
- * not yet synced at a loss of power are gone. A file that was renamed while
- * its folder was not synced is there after a loss of power, or is not.
+ * Simulated disk that outlives its process. Writes take time, may stall, and are lost in a power loss before
+ * the sync. A renamed file whose directory is not yet synced may or may not survive a power loss.
  * @example
  * const disk = new SimDisk(time, random);
  * disk.store('promise', bytes, (result) => reply(result));
@@ -160,7 +160,10 @@
   #time: VirtualTime;
   #chance: RandomSource;
   #records: Records = {};
-  /** What a loss of power may leave of a kind that was renamed and whose folder was not synced. */
+  /**
+   * Previous contents of files that were renamed but whose directory is not synced; a power loss may
+   * restore them.
+   */
   #unsynced = new Map<RecordKind, Uint8Array | undefined>();
   #generation = 0;
   #freeMs = 0;
@@ -181,18 +184,21 @@
     return { ...this.#records };
   }
 
-  /** What a process finds when it opens the disk; the folder is synced first, as the program's store does. */
+  /** Returns the records found on opening the disk; the directory is synced first, as the real store does. */
   open(): Records {
     this.#unsynced.clear();
     return this.records;
   }
 
-  /** The process ends, the machine does not: what it has renamed is there, though a loss of power may still undo it. */
+  /**
+   * Ends the process but not the machine: renamed files stay, though a later power loss may still undo
+   * them.
+   */
   endProcess(): void {
     this.#generation += 1;
   }
 
-  /** The machine loses power: what was not synced may or may not be there, what was is. */
+  /** Cuts the machine's power: synced files survive, files not yet synced may or may not. */
   losePower(): void {
     this.#generation += 1;
     for (const [kind, before] of this.#unsynced) {
