--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -7,10 +7,9 @@
 const STEPS = ['written', 'renamed', 'synced', 'answered', 'told'] as const;
 
 /**
- * Every node loses power, and one core, the coordinator or another, perhaps its
- * disk, at a step of the very version that an operator waits for or as the
- * operator is told. The third core's disk stalls meanwhile, so that a bare
- * majority carries the version.
+ * Cuts the power of every node, and optionally wipes the disk of one core (the coordinator or another), at
+ * a step of writing the version that an operator waits for, or as the operator is answered. The disk of the
+ * third core stalls meanwhile, so that only a bare majority stores the version.
  */
 function lose(seed: number, step: (typeof STEPS)[number], leading: boolean, wiped: boolean): string[] {
   const site = new Site(seed, SMALL, 0);
@@ -26,11 +25,11 @@
   const victim = leading ? leader : other;
   if (third.disk !== undefined) third.disk.stallUntilMs = time.nowMs() + 2000;
   if (other.disk !== undefined) other.disk.stallUntilMs = time.nowMs() + 600;
-  let lost = 0;
-  let told = '';
-  function strike(): void {
-    if (lost > 0) return;
-    lost = time.nowMs();
+  let lostAtMs = 0;
+  let outcome = '';
+  function injectLoss(): void {
+    if (lostAtMs > 0) return;
+    lostAtMs = time.nowMs();
     for (const machine of machines) site.kill(machine);
     if (wiped) victim.disk?.wipe();
     if (wiped) victim.address = `${victim.name}:new`;
@@ -41,29 +40,29 @@
     if (disk === undefined) continue;
     disk.tap = (reached, kind) => {
       if (reached === 'renamed') disk.stallUntilMs = time.nowMs() + 250;
-      if (machine === victim && reached === step && kind === 'version') strike();
+      if (machine === victim && reached === step && kind === 'version') injectLoss();
     };
   }
   if (step === 'answered')
     net.tap = (from, frame) =>
-      from === other.name && frame.body.case === 'accepted' ? time.after(0, strike) : undefined;
-  if (step === 'told') site.atAnswer = strike;
+      from === other.name && frame.body.case === 'accepted' ? time.after(0, injectLoss) : undefined;
+  if (step === 'told') site.onOperationAnswered = injectLoss;
   site.submit(last, 'zone.empty', { zone: 'north' }, (answer) => {
-    told = answer.kind;
+    outcome = answer.kind;
   });
   time.runUntil(14_000);
   const wrong = oracle.breaches.map(({ rule, detail }) => `${rule}: ${detail}`);
-  if (lost === 0) wrong.push('nothing was lost');
-  if (site.whole() !== undefined) wrong.push(`not back: ${site.whole() ?? ''}`);
+  if (lostAtMs === 0) wrong.push('nothing was lost');
+  if (site.notConvergedReason() !== undefined) wrong.push(`not back: ${site.notConvergedReason() ?? ''}`);
   const stands = last.running?.clusterNode.state.evacuatedZones.includes('north') === true;
-  if (told === 'agreed' && !stands) wrong.push('agreed, and gone');
-  if (told !== '' && told !== 'agreed' && stands) wrong.push(`${told}, and in force`);
+  if (outcome === 'agreed' && !stands) wrong.push('agreed, and gone');
+  if (outcome !== '' && outcome !== 'agreed' && stands) wrong.push(`${outcome}, and in force`);
   return wrong.map(
     (text) => `${step}, ${leading ? 'coordinator' : 'other core'}, ${wiped ? 'disk' : 'power'}: ${text}`,
   );
 }
 
-it('what was agreed outlives the loss of power, or of a disk, at each step of its write and answer', () => {
+it('an agreed operation survives a loss of power or of one disk at each step of its write and answer', () => {
   const wrong = [1, 2].flatMap((seed) =>
     STEPS.flatMap((step) =>
       [true, false].flatMap((leading) => [true, false].flatMap((wiped) => lose(seed, step, leading, wiped))),
--- a/packages/simulator/src/visitor.ts
+++ b/packages/simulator/src/visitor.ts
@@ -1,27 +1,29 @@
-/** A client of the simulated deployment: the end of one request, as the oracle is told of it. */
+/** The simulated client side of a request, which reports to the oracle. */
 import type { GatewayResponseSink } from '@rainrun/gateway';
 import { FAULT_RESPONSES, type Fault } from '@rainrun/common';
 import type { Oracle } from './oracle.js';
 import type { SimulatedChunk } from './simulated-chunk.js';
 
-/** Told once how a call ended: outcome, when its first piece came, and the worker that ran it. */
-export type Ended = (outcome: string, firstMs: number | undefined, worker: string) => void;
+/**
+ * Called once when a request ends, with its outcome, the time of its first chunk, and the worker that ran
+ * it.
+ */
+export type OnRequestEnd = (outcome: string, firstMs: number | undefined, worker: string) => void;
 
 /**
- * A simulated visitor's end of one request. It tells the oracle what it saw,
- * piece by piece, and how it ended.
+ * Client side of one simulated request. It reports each received chunk and the outcome to the oracle.
  * @example
- * edge.gateway.admit(ask, new SimVisitor(oracle, ask.id, () => time.nowMs()));
+ * edge.gateway.admit(ask, new SimClient(oracle, ask.id, () => time.nowMs()));
  */
-export class SimVisitor implements GatewayResponseSink {
+export class SimClient implements GatewayResponseSink {
   #oracle: Oracle;
   #id: string;
   #nowMs: () => number;
   #firstMs: number | undefined;
   #worker = '';
-  #ended: Ended;
+  #ended: OnRequestEnd;
 
-  constructor(oracle: Oracle, id: string, nowMs: () => number, ended: Ended = () => undefined) {
+  constructor(oracle: Oracle, id: string, nowMs: () => number, ended: OnRequestEnd = () => undefined) {
     this.#ended = ended;
     this.#oracle = oracle;
     this.#id = id;
@@ -30,7 +32,7 @@
 
   respond(_status: number, _contentType: string, body: Uint8Array): void {
     const pieces = JSON.parse(Buffer.from(body).toString()) as SimulatedChunk[];
-    for (const piece of pieces) this.#take(piece);
+    for (const piece of pieces) this.#receiveChunk(piece);
     this.#oracle.responseCompleted(this.#id, this.#nowMs());
     this.#ended('served', this.#nowMs(), this.#worker);
   }
@@ -38,7 +40,7 @@
   reject(why: Fault): void {
     if (FAULT_RESPONSES[why.kind].ran === 'no')
       this.#oracle.requestRejected(this.#id, why.kind, this.#nowMs());
-    else this.#oracle.unknown += 1;
+    else this.#oracle.unknownOutcomes += 1;
     this.#ended(why.kind, this.#nowMs(), '');
   }
 
@@ -50,7 +52,7 @@
     this.#firstMs ??= this.#nowMs();
     for (const event of Buffer.from(bytes).toString().split('\n\n')) {
       if (event === '' || event === 'data: [DONE]') continue;
-      this.#take(JSON.parse(event.slice(6)) as SimulatedChunk);
+      this.#receiveChunk(JSON.parse(event.slice(6)) as SimulatedChunk);
     }
     return true;
   }
@@ -60,13 +62,13 @@
     this.#ended('served', this.#firstMs, this.#worker);
   }
 
-  #take(piece: SimulatedChunk): void {
+  #receiveChunk(piece: SimulatedChunk): void {
     this.#worker = piece.run.slice(0, piece.run.lastIndexOf('-'));
     this.#oracle.chunkReceived(this.#id, piece, this.#nowMs());
   }
 
   abort(): void {
-    this.#oracle.cuts += 1;
+    this.#oracle.truncatedStreams += 1;
     this.#ended('cut', this.#firstMs, this.#worker);
   }
 }
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -3,14 +3,15 @@
 import { fault, type RandomSource, type Fault } from '@rainrun/common';
 import { Result, type Unit } from 'true-myth';
 
-interface Due {
+interface Timer {
   readonly atMs: number;
   readonly order: number;
-  readonly act: () => void;
+  readonly callback: () => void;
 }
 
 /**
- * Virtual time: acts in the order of their times, ties in the order of asking.
+ * Virtual clock and event queue: callbacks run in the order of their due times, ties in the order of
+ * scheduling.
  * @example
  * const time = new VirtualTime();
  * time.after(10, () => note('ten'));
@@ -19,7 +20,7 @@
 export class VirtualTime {
   #nowMs = 0;
   #orders = 0;
-  #heap: Due[] = [];
+  #heap: Timer[] = [];
 
   nowMs(): number {
     return this.#nowMs;
@@ -27,7 +28,7 @@
 
   after(waitMs: number, act: () => void): void {
     this.#orders += 1;
-    const due: Due = { atMs: this.#nowMs + waitMs, order: this.#orders, act };
+    const due: Timer = { atMs: this.#nowMs + waitMs, order: this.#orders, callback: act };
     const heap = this.#heap;
     let place = heap.push(due) - 1;
     while (place > 0) {
@@ -46,7 +47,7 @@
       if (next === undefined || next.atMs > endMs) break;
       this.#pop();
       this.#nowMs = next.atMs;
-      next.act();
+      next.callback();
     }
     this.#nowMs = endMs;
   }
@@ -71,25 +72,25 @@
   }
 }
 
-function before(one: Due, other: Due): boolean {
+function before(one: Timer, other: Timer): boolean {
   return one.atMs !== other.atMs ? one.atMs < other.atMs : one.order < other.order;
 }
 
-/** Whether a frame from one node name to another gets through now. */
+/** Returns true if frames from one node name to another are blocked. */
 export type Cut = (from: string, to: string) => boolean;
 
 /**
- * The network between addresses: late, lossy, doubled, cut.
+ * Simulated network between addresses that delays, drops, duplicates and blocks frames.
  * @example
- * const net = new Net(time, dice, { lossRatio: 0.01, leastMs: 0.2, mostMs: 3 });
+ * const net = new SimNetwork(time, random, 0.01);
  */
-export class Net {
+export class SimNetwork {
   #time: VirtualTime;
   #chance: RandomSource;
   #lossRatio: number;
-  #ports = new Map<string, { name: string; take: (frame: Frame) => void }>();
+  #endpoints = new Map<string, { name: string; take: (frame: Frame) => void }>();
   #cuts = new Set<Cut>();
-  /** Sees every frame that is sent, and by whom. */
+  /** Called with every frame that is sent and the name of its sender. */
   tap: ((from: string, frame: Frame) => void) | undefined;
   frames = 0;
   bytes = 0;
@@ -101,11 +102,11 @@
   }
 
   open(address: string, name: string, take: (frame: Frame) => void): void {
-    this.#ports.set(address, { name, take });
+    this.#endpoints.set(address, { name, take });
   }
 
   close(address: string): void {
-    this.#ports.delete(address);
+    this.#endpoints.delete(address);
   }
 
   cut(cut: Cut): void {
@@ -116,13 +117,13 @@
     this.#cuts.delete(cut);
   }
 
-  /** Whether nothing gets through now from one name to another. */
+  /** Whether traffic from one name to another is currently blocked. */
   isCut(from: string, to: string): boolean {
     for (const cut of this.#cuts) if (cut(from, to)) return true;
     return false;
   }
 
-  post(from: string, address: string, frame: Frame): void {
+  send(from: string, address: string, frame: Frame): void {
     const bytes = encodeFrame(frame);
     this.frames += 1;
     this.tap?.(from, frame);
@@ -137,7 +138,7 @@
   }
 
   #arrive(from: string, address: string, bytes: Uint8Array, deployment: string): void {
-    const port = this.#ports.get(address);
+    const port = this.#endpoints.get(address);
     if (port === undefined) return;
     if (this.isCut(from, port.name)) return;
     const frame = decodeFrame(bytes, deployment);
@@ -145,22 +146,24 @@
   }
 }
 
-/** The steps of one write: written aside and synced, renamed, the folder synced. */
+/** The steps of one write: temporary file written and synced, file renamed, directory synced. */
 export type DiskStep = 'written' | 'renamed' | 'synced';
 
 /**
- * A disk that outlives its process: writes take time, may stall, and those
- * not yet synced at a loss of power are gone. A file that was renamed while
- * its folder was not synced is there after a loss of power, or is not.
+ * Simulated disk that outlives its process. Writes take time, may stall, and are lost in a power loss before
+ * the sync. A renamed file whose directory is not yet synced may or may not survive a power loss.
  * @example
- * const disk = new SimDisk(time, dice);
+ * const disk = new SimDisk(time, random);
  * disk.store('promise', bytes, (result) => reply(result));
  */
 export class SimDisk implements RecordWriter {
   #time: VirtualTime;
   #chance: RandomSource;
   #records: Records = {};
-  /** What a loss of power may leave of a kind that was renamed and whose folder was not synced. */
+  /**
+   * Previous contents of files that were renamed but whose directory is not synced; a power loss may
+   * restore them.
+   */
   #unsynced = new Map<RecordKind, Uint8Array | undefined>();
   #generation = 0;
   #freeMs = 0;
@@ -181,18 +184,21 @@
     return { ...this.#records };
   }
 
-  /** What a process finds when it opens the disk; the folder is synced first, as the program's store does. */
+  /** Returns the records found on opening the disk; the directory is synced first, as the real store does. */
   open(): Records {
     this.#unsynced.clear();
     return this.records;
   }
 
-  /** The process ends, the machine does not: what it has renamed is there, though a loss of power may still undo it. */
+  /**
+   * Ends the process but not the machine: renamed files stay, though a later power loss may still undo
+   * them.
+   */
   endProcess(): void {
     this.#generation += 1;
   }
 
-  /** The machine loses power: what was not synced may or may not be there, what was is. */
+  /** Cuts the machine's power: synced files survive, files not yet synced may or may not. */
   losePower(): void {
     this.#generation += 1;
     for (const [kind, before] of this.#unsynced) {
