--- a/tools/fleet/src/bad-requests.ts
+++ b/tools/fleet/src/bad-requests.ts
@@ -1,7 +1,7 @@
 import { createConnection } from 'node:net';
 import type { Fleet } from './fleet.js';
 
-interface Case {
+interface BadRequestCase {
   readonly name: string;
   readonly method: 'GET' | 'POST' | 'PUT' | 'PATCH';
   readonly path: string;
@@ -11,19 +11,19 @@
   readonly kind: string;
 }
 
-const CHAT = '/v1/chat/completions';
-const GROUP = { 'rainrun-group': 'technicians', 'rainrun-kind': 'question' };
+const CHAT_PATH = '/v1/chat/completions';
+const GROUP_HEADERS = { 'rainrun-group': 'technicians', 'rainrun-kind': 'question' };
 
-function chat(model: string): string {
+function chatBody(model: string): string {
   return JSON.stringify({ model, messages: [{ role: 'user', content: 'how high' }] });
 }
 
-const BAD_REQUESTS: readonly Case[] = [
+const BAD_REQUESTS: readonly BadRequestCase[] = [
   {
     name: 'not JSON',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: '{',
     status: 400,
     kind: 'bad-request',
@@ -31,8 +31,8 @@
   {
     name: 'no messages',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: '{"model":"model-1"}',
     status: 400,
     kind: 'bad-request',
@@ -40,27 +40,27 @@
   {
     name: 'unknown model',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
-    body: chat('none'),
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
+    body: chatBody('none'),
     status: 404,
     kind: 'unknown-model',
   },
   {
     name: 'unknown group',
     method: 'POST',
-    path: CHAT,
+    path: CHAT_PATH,
     headers: { 'rainrun-group': 'none' },
-    body: chat('model-1'),
+    body: chatBody('model-1'),
     status: 403,
     kind: 'unknown-group',
   },
-  { name: 'no route', method: 'GET', path: '/none', headers: GROUP, status: 404, kind: 'not-found' },
+  { name: 'no route', method: 'GET', path: '/none', headers: GROUP_HEADERS, status: 404, kind: 'not-found' },
   {
     name: 'body too large',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: 'x'.repeat(5 * 1024 * 1024),
     status: 413,
     kind: 'too-large',
@@ -68,15 +68,15 @@
   {
     name: 'deadline past',
     method: 'POST',
-    path: CHAT,
-    headers: { ...GROUP, 'rainrun-deadline-ms': '-5' },
-    body: chat('model-1'),
+    path: CHAT_PATH,
+    headers: { ...GROUP_HEADERS, 'rainrun-deadline-ms': '-5' },
+    body: chatBody('model-1'),
     status: 400,
     kind: 'deadline-past',
   },
 ];
 
-const OPERATOR_CASES: readonly Case[] = [
+const OPERATOR_CASES: readonly BadRequestCase[] = [
   {
     name: 'bad spec',
     method: 'PUT',
@@ -111,7 +111,7 @@
   { name: 'unknown command', method: 'GET', path: '/rainrun/v1/none', status: 404, kind: 'not-found' },
 ];
 
-async function tryCase(address: string, one: Case): Promise<string | undefined> {
+async function checkCase(address: string, one: BadRequestCase): Promise<string | undefined> {
   const reply = await fetch(`http://${address}${one.path}`, {
     method: one.method,
     headers: { 'content-type': 'application/json', ...one.headers },
@@ -125,7 +125,7 @@
 }
 
 /** Headers that never end: the node must answer 408 and close, by itself. */
-function tryEndlessHeaders(address: string): Promise<string | undefined> {
+function checkEndlessHeaders(address: string): Promise<string | undefined> {
   const [host = '', port = ''] = address.split(':');
   return new Promise((resolve) => {
     const socket = createConnection({ host, port: Number(port) });
@@ -151,15 +151,15 @@
  * @example
  * const faults = await tryManners(fleet);
  */
-export async function tryBadRequests(fleet: Fleet): Promise<string[]> {
+export async function checkBadRequests(fleet: Fleet): Promise<string[]> {
   const faults: string[] = [];
   const edge = fleet.edges[0]?.http ?? '';
-  const endless = tryEndlessHeaders(edge);
+  const endless = checkEndlessHeaders(edge);
   for (const one of BAD_REQUESTS)
-    faults.push(...[await tryCase(edge, one)].filter((fault) => fault !== undefined));
+    faults.push(...[await checkCase(edge, one)].filter((fault) => fault !== undefined));
   for (const one of OPERATOR_CASES) {
     for (const { http } of [fleet.nodes[0], fleet.edges[0]].filter((node) => node !== undefined)) {
-      faults.push(...[await tryCase(http, one)].filter((fault) => fault !== undefined));
+      faults.push(...[await checkCase(http, one)].filter((fault) => fault !== undefined));
     }
   }
   const id = `once-${Date.now()}`;
--- a/tools/fleet/src/everywhere.ts
+++ b/tools/fleet/src/everywhere.ts
@@ -2,11 +2,11 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { Fleet, FleetNode } from './fleet.js';
 
-const TURNS = 10;
-const AGAIN_MS = 500;
+const MAX_ATTEMPTS = 10;
+const RETRY_INTERVAL_MS = 500;
 
 /** What only the node that is asked can say about itself, and what counts on while one asks. */
-const OWN = new Set([
+const NODE_LOCAL_KEYS = new Set([
   'self',
   'disk',
   'admitting',
@@ -22,13 +22,13 @@
   'stale',
 ]);
 
-function shared(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(shared);
+function comparable(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(comparable);
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(
     Object.entries(value)
-      .filter(([key]) => !OWN.has(key))
-      .map(([key, inner]) => [key, shared(inner)]),
+      .filter(([key]) => !NODE_LOCAL_KEYS.has(key))
+      .map(([key, inner]) => [key, comparable(inner)]),
   );
 }
 
@@ -44,10 +44,10 @@
 }
 
 /** Which nodes answered otherwise than the first, or not well. */
-function differing(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
+function describeDifferences(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
   const [first] = answers;
   return answers.flatMap((answer, place) => {
-    const same = answer.status === 200 && isDeepStrictEqual(shared(answer.body), shared(first?.body));
+    const same = answer.status === 200 && isDeepStrictEqual(comparable(answer.body), comparable(first?.body));
     return same
       ? []
       : [
@@ -63,7 +63,7 @@
  * @example
  * const faults = await tryEverywhere(fleet, 'edge-1.0123456789ab');
  */
-export async function tryEverywhere(fleet: Fleet, request: string): Promise<string[]> {
+export async function checkEveryNode(fleet: Fleet, request: string): Promise<string[]> {
   const model = 'model-1';
   const reads = [
     'view',
@@ -100,11 +100,11 @@
   }
   for (const path of reads) {
     let different: string[] = [];
-    for (let turn = 0; turn < TURNS; turn += 1) {
+    for (let turn = 0; turn < MAX_ATTEMPTS; turn += 1) {
       const answers = await Promise.all(nodes.map((node) => ask(node, 'GET', path)));
-      different = differing(nodes, path, answers);
+      different = describeDifferences(nodes, path, answers);
       if (different.length === 0) break;
-      await pause(AGAIN_MS);
+      await pause(RETRY_INTERVAL_MS);
     }
     faults.push(...different);
   }
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -20,11 +20,11 @@
 
 const HOST = '127.0.0.1';
 /** Last number of the first node's own loopback address, behind a relay. */
-const FIRST_OWN = 11;
-const PIECE_MS = 25;
+const FIRST_HOST_NUMBER = 11;
+const CHUNK_INTERVAL_MS = 25;
 const PULL_MB_PER_S = 40_000;
 
-const HERE = fileURLToPath(new URL('../../../', import.meta.url));
+const CHECKOUT_ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 
 /**
  * A whole fleet on one machine, each node a process of its own, with stand-in
@@ -37,12 +37,12 @@
   readonly nodes: FleetNode[] = [];
   readonly platform: string;
   /** The checkout, built, from which nodes are started from now on. */
-  build = HERE;
+  build = CHECKOUT_ROOT;
   #shape: Shape;
   #relay: Relay | undefined;
   #folder: string;
-  #setup: string;
-  #next: () => string;
+  #setupFile: string;
+  #nextAddress: () => string;
   #seeds: readonly FleetNode[] = [];
   #children = new Map<string, ChildProcess>();
 
@@ -72,15 +72,16 @@
         http: next(),
       };
     });
-    this.#next = next;
+    this.#nextAddress = next;
     for (const [place, outline] of outlines.entries()) {
       const reach = outline.bind;
-      const bind = relay === undefined ? reach : `127.0.0.${FIRST_OWN + place}:${reach.split(':')[1] ?? ''}`;
+      const bind =
+        relay === undefined ? reach : `127.0.0.${FIRST_HOST_NUMBER + place}:${reach.split(':')[1] ?? ''}`;
       this.nodes.push({ ...outline, bind, reach, settings: join(folder, `${outline.name}.json`) });
     }
     this.#seeds = this.nodes.slice(0, 3);
     for (const node of this.nodes) this.#writeSettings(node);
-    this.#setup = join(folder, 'stand-in-workers.json');
+    this.#setupFile = join(folder, 'stand-in-workers.json');
     this.#writeSetup(next, zone);
   }
 
@@ -89,8 +90,8 @@
   }
 
   async start(): Promise<void> {
-    await this.#relay?.open(this.nodes);
-    this.#spawn('stand-in-workers', 'stand-in-workers', ['--setup', this.#setup]);
+    await this.#relay?.listen(this.nodes);
+    this.#spawn('stand-in-workers', 'stand-in-workers', ['--setup', this.#setupFile]);
     for (const node of this.nodes) this.startNode(node);
   }
 
@@ -101,7 +102,7 @@
   /** The machine of a node that is down is replaced by an empty one at another address. */
   async replaceMachine(node: FleetNode): Promise<void> {
     rmSync(join(this.#folder, 'data', node.name), { recursive: true, force: true });
-    const port = this.#next().split(':')[1] ?? '';
+    const port = this.#nextAddress().split(':')[1] ?? '';
     node.bind = `${node.bind.split(':')[0] ?? HOST}:${port}`;
     node.reach = `${HOST}:${port}`;
     this.#writeSettings(node);
@@ -137,7 +138,7 @@
   }
 
   /** Resolves with the exit code once the process is gone. */
-  ended(name: string): Promise<number | null> {
+  waitForExit(name: string): Promise<number | null> {
     const child = this.#children.get(name);
     if (child === undefined || child.exitCode !== null || child.signalCode !== null)
       return Promise.resolve(child?.exitCode ?? null);
@@ -154,10 +155,10 @@
     const late = setTimeout(() => {
       for (const name of names) this.signal(name, 'SIGKILL');
     }, 20_000);
-    for (const name of names) codes[name] = await this.ended(name);
+    for (const name of names) codes[name] = await this.waitForExit(name);
     clearTimeout(late);
     this.signal('stand-in-workers', 'SIGTERM');
-    await this.ended('stand-in-workers');
+    await this.waitForExit('stand-in-workers');
     return codes;
   }
 
@@ -184,7 +185,9 @@
   #spawn(name: string, program: string, args: readonly string[]): void {
     const log = openSync(join(this.#folder, `${name}.log`), 'a');
     const path =
-      program === 'stand-in-workers' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
+      program === 'stand-in-workers'
+        ? join(CHECKOUT_ROOT, 'tools', program)
+        : join(this.build, 'programs', program);
     const child = spawn(process.execPath, [join(path, 'dist', 'main.js'), ...args], {
       stdio: ['ignore', log, log],
     });
@@ -205,7 +208,7 @@
       roomMb: spec.workers.roomMb,
       slots: spec.workers.slots,
       pullMbPerS: PULL_MB_PER_S,
-      pieceMs: PIECE_MS,
+      pieceMs: CHUNK_INTERVAL_MS,
     };
     const workers = Array.from({ length: shape.workers + shape.lookups }, (_, place) => {
       const lookup = place >= shape.workers;
@@ -224,6 +227,6 @@
     );
     const port = Number(this.platform.split(':')[1]);
     const setup = { host: HOST, port, pullsPerMinute: spec.store.pullsPerMinute, sizesMb, workers };
-    writeFileSync(this.#setup, `${JSON.stringify(setup, undefined, 2)}\n`);
+    writeFileSync(this.#setupFile, `${JSON.stringify(setup, undefined, 2)}\n`);
   }
 }
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -6,9 +6,9 @@
 import meow from 'meow';
 import { compare, LoadGenerator, type LoadReport } from '@rainrun/load-generator';
 import type { Report } from '@rainrun/stand-in-workers';
-import { tryEverywhere } from './everywhere.js';
+import { checkEveryNode } from './everywhere.js';
 import { Fleet } from './fleet.js';
-import { tryBadRequests } from './bad-requests.js';
+import { checkBadRequests } from './bad-requests.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
 import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
@@ -52,10 +52,10 @@
   },
 );
 
-const TRAFFIC_MS = 12_000;
+const TRAFFIC_START_MS = 12_000;
 
 /** Waits for a condition, asked often; false when the time is over. */
-async function until(waitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
+async function waitUntil(waitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
   const endMs = performance.now() + waitMs;
   while (performance.now() < endMs) {
     if (await condition()) return true;
@@ -64,7 +64,7 @@
   return false;
 }
 
-function show(report: LoadReport, workers: Report, breaches: readonly string[]): void {
+function printReport(report: LoadReport, workers: Report, breaches: readonly string[]): void {
   console.log('outcomes', JSON.stringify(report.outcomes));
   console.table(report.byKind);
   console.log('workers', JSON.stringify(workers.counts));
@@ -73,11 +73,11 @@
 }
 
 /** Brings a fleet up to the point where visitors may come. */
-async function open(fleet: Fleet, shape: Shape): Promise<string | undefined> {
+async function bringUp(fleet: Fleet, shape: Shape): Promise<string | undefined> {
   const first = fleet.nodes[0];
   if (first === undefined) return 'no nodes';
   await fleet.start();
-  const whole = await until(TRAFFIC_MS, async () => {
+  const whole = await waitUntil(TRAFFIC_START_MS, async () => {
     const { body } = await fleet.ask(first.http, 'GET', '/rainrun/v1/view');
     return ((body as { members?: unknown[] }).members ?? []).length === fleet.nodes.length;
   });
@@ -87,7 +87,7 @@
     text: JSON.stringify(exampleSpec(shape), undefined, 2),
   });
   if (put.status !== 200) return `the spec was not agreed: ${JSON.stringify(put.body)}`;
-  const ready = await until(2000, async () => {
+  const ready = await waitUntil(2000, async () => {
     const replies = await Promise.all(
       fleet.edges.map((edge) => fleet.ask(edge.http, 'GET', '/rainrun/v1/ready')),
     );
@@ -96,13 +96,13 @@
   return ready ? undefined : 'the spec is not in force everywhere after 2 s';
 }
 
-type Row = Record<string, number | string>;
+type CounterRow = Record<string, number | string>;
 
 /** Sums of the nodes' counters, to be held against those of a moment before. */
-async function costs(fleet: Fleet): Promise<Record<'edge' | 'core', Row>> {
+async function readCosts(fleet: Fleet): Promise<Record<'edge' | 'core', CounterRow>> {
   const { body } = await fleet.ask(fleet.nodes[0]?.http ?? '', 'GET', '/rainrun/v1/counters');
-  const sums: Record<'edge' | 'core', Row> = { edge: {}, core: {} };
-  for (const row of (body as { counters?: Row[] }).counters ?? []) {
+  const sums: Record<'edge' | 'core', CounterRow> = { edge: {}, core: {} };
+  for (const row of (body as { counters?: CounterRow[] }).counters ?? []) {
     const role = fleet.nodes.find((node) => node.name === row['node'])?.core === true ? 'core' : 'edge';
     for (const key of ['cpuMs', 'bytesOut', 'framesOut', 'heldMb'])
       sums[role][key] = Number(sums[role][key] ?? 0) + Number(row[key] ?? 0);
@@ -110,10 +110,10 @@
   return sums;
 }
 
-function showCosts(
+function printCosts(
   fleet: Fleet,
-  before: Record<'edge' | 'core', Row>,
-  after: Record<'edge' | 'core', Row>,
+  before: Record<'edge' | 'core', CounterRow>,
+  after: Record<'edge' | 'core', CounterRow>,
   served: number,
   seconds: number,
 ): void {
@@ -130,7 +130,7 @@
   }
 }
 
-async function serve(
+async function serveDay(
   fleet: Fleet,
   shape: Shape,
   dayText: string,
@@ -138,7 +138,7 @@
   after: (report: LoadReport) => Promise<string[]> = () => Promise.resolve([]),
 ): Promise<number> {
   const beganMs = performance.now();
-  const closed = await open(fleet, shape);
+  const closed = await bringUp(fleet, shape);
   if (closed !== undefined) {
     console.error(`fleet: ${closed}`);
     return 1;
@@ -149,17 +149,17 @@
     console.error(`fleet: the day cannot be read: ${day.error.detail}`);
     return 1;
   }
-  await pause(Math.max(0, TRAFFIC_MS - (performance.now() - beganMs)));
-  const [costsBefore, playedMs] = [await costs(fleet), performance.now()];
+  await pause(Math.max(0, TRAFFIC_START_MS - (performance.now() - beganMs)));
+  const [costsBefore, playedMs] = [await readCosts(fleet), performance.now()];
   const report = await new LoadGenerator(fleet.edges.map((edge) => edge.http)).play(day.value.calls, speed);
   const seconds = (performance.now() - playedMs) / 1000;
-  const costsAfter = await costs(fleet);
+  const costsAfter = await readCosts(fleet);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [...report.breaches, ...workers.breaches, ...compare(report.seen, workers.runs)];
-  show(report, workers, breaches);
+  printReport(report, workers, breaches);
   const served = report.outcomes['served'] ?? 0;
   const ratio = served / Math.max(1, report.seen.length);
-  showCosts(fleet, costsBefore, costsAfter, Math.max(1, served), seconds);
+  printCosts(fleet, costsBefore, costsAfter, Math.max(1, served), seconds);
   console.log(`served ${served} of ${report.seen.length} (${(100 * ratio).toFixed(2)} %)`);
   const faults = await after(report);
   for (const fault of faults) console.error(`fleet: ${fault}`);
@@ -170,8 +170,8 @@
 const FLOOD_PER_S = 150;
 
 /** The same traffic twice: alone, and beside a group that floods. */
-async function flood(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
+async function runFlood(fleet: Fleet, shape: Shape): Promise<number> {
+  const closed = await bringUp(fleet, shape);
   if (closed !== undefined) {
     console.error(`fleet: ${closed}`);
     return 1;
@@ -194,24 +194,24 @@
     ...compare(report.seen, workers.runs),
   ]);
   console.log('alone');
-  show(alone, workers, breaches);
+  printReport(alone, workers, breaches);
   console.log(`beside a flood of ${FLOOD_PER_S} a second from ${group}`);
-  show(beside, workers, breaches);
+  printReport(beside, workers, breaches);
   console.log('the flood', JSON.stringify(flooded.outcomes), JSON.stringify(flooded.byKind));
   return breaches.length + workers.breaches.length === 0 ? 0 : 1;
 }
 
 /** Good traffic, then every command at every node, then bad input. */
-function smoke(fleet: Fleet, shape: Shape): Promise<number> {
-  return serve(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
-    const everywhere = await tryEverywhere(
+function runSmoke(fleet: Fleet, shape: Shape): Promise<number> {
+  return serveDay(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
+    const everywhere = await checkEveryNode(
       fleet,
       report.seen.find((seen) => seen.outcome === 'served')?.id ?? '',
     );
     console.log(
       `every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`,
     );
-    const manners = await tryBadRequests(fleet);
+    const manners = await checkBadRequests(fleet);
     console.log(
       `bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`,
     );
@@ -222,8 +222,8 @@
 const ROUTE_COUNTS = [100, 1000, 5000, 10_000];
 
 /** Specs that grow to many routes: how long until one is agreed, in force everywhere, and how long its last route takes. */
-async function routes(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
+async function measureRoutes(fleet: Fleet, shape: Shape): Promise<number> {
+  const closed = await bringUp(fleet, shape);
   if (closed !== undefined) {
     console.error(`fleet: ${closed}`);
     return 1;
@@ -245,7 +245,7 @@
     if (put.status !== 200)
       console.error(`fleet: ${count} routes: ${JSON.stringify(put.body).slice(0, 200)}`);
     const version = (put.body as { detail?: string }).detail;
-    const inForce = await until(5000, async () => {
+    const inForce = await waitUntil(5000, async () => {
       const replies = await Promise.all(
         fleet.nodes.map((one) => fleet.ask(one.http, 'GET', '/rainrun/v1/spec/history')),
       );
@@ -273,13 +273,13 @@
 }
 
 /** Serves traffic for as long as the trial takes, and judges the whole. */
-async function tryOut(
+async function runTrial(
   fleet: Fleet,
   shape: Shape,
   act: (trial: Trial) => Promise<TrialReport>,
   relay?: Relay,
 ): Promise<number> {
-  const closed = await open(fleet, shape);
+  const closed = await bringUp(fleet, shape);
   if (closed !== undefined) {
     console.error(`fleet: ${closed}`);
     return 1;
@@ -302,7 +302,7 @@
     ...found.faults,
     ...trial.lostInPlannedStops(report),
   ];
-  show(report, workers, breaches);
+  printReport(report, workers, breaches);
   for (const line of found.lines) console.log(line);
   return breaches.length === 0 ? 0 : 1;
 }
@@ -316,16 +316,16 @@
   return withFleet(shape, (fleet) => {
     const here = fleet.build;
     fleet.build = resolve(other);
-    return tryOut(fleet, shape, (trial) => trial.runRollOut(here));
+    return runTrial(fleet, shape, (trial) => trial.runRollOut(here));
   });
 }
 
 /** A fleet whose nodes reach each other through a relay that cuts. */
-async function cuts(shape: Shape): Promise<number> {
+async function runCuts(shape: Shape): Promise<number> {
   const relay = new Relay();
   const code = await withFleet(
     shape,
-    (fleet) => tryOut(fleet, shape, (trial) => trial.runCuts(), relay),
+    (fleet) => runTrial(fleet, shape, (trial) => trial.runCuts(), relay),
     relay,
   );
   relay.close();
@@ -353,7 +353,7 @@
   return code;
 }
 
-function dayOf(shape: Shape): string {
+function loadDay(shape: Shape): string {
   return cli.flags.day === undefined ? makeDay(shape, 40, 1) : readFileSync(cli.flags.day, 'utf8');
 }
 
@@ -364,8 +364,8 @@
   });
 }
 
-async function keep(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
+async function keepRunning(fleet: Fleet, shape: Shape): Promise<number> {
+  const closed = await bringUp(fleet, shape);
   if (closed !== undefined) console.error(`fleet: ${closed}`);
   for (const node of fleet.nodes) console.log(`${node.name.padEnd(10)} ${node.zone.padEnd(10)} ${node.http}`);
   console.log(`platform   ${fleet.platform}`);
@@ -409,21 +409,21 @@
   if (shape === undefined) return 2;
   switch (cli.input[0]) {
     case 'start':
-      return withFleet(shape, (fleet) => keep(fleet, shape));
+      return withFleet(shape, (fleet) => keepRunning(fleet, shape));
     case 'run':
-      return withFleet(shape, (fleet) => serve(fleet, shape, dayOf(shape), cli.flags.speed));
+      return withFleet(shape, (fleet) => serveDay(fleet, shape, loadDay(shape), cli.flags.speed));
     case 'trial':
-      return withFleet(shape, (fleet) => tryOut(fleet, shape, (trial) => trial.run()));
+      return withFleet(shape, (fleet) => runTrial(fleet, shape, (trial) => trial.run()));
     case 'cuts':
-      return cuts(shape);
+      return runCuts(shape);
     case 'rollout':
       return rollOut(shape, cli.flags.other);
     case 'flood':
-      return withFleet(shape, (fleet) => flood(fleet, shape));
+      return withFleet(shape, (fleet) => runFlood(fleet, shape));
     case 'routes':
-      return withFleet(shape, (fleet) => routes(fleet, shape));
+      return withFleet(shape, (fleet) => measureRoutes(fleet, shape));
     case 'smoke':
-      return withFleet(SHAPES['small'] ?? shape, (fleet) => smoke(fleet, SHAPES['small'] ?? shape));
+      return withFleet(SHAPES['small'] ?? shape, (fleet) => runSmoke(fleet, SHAPES['small'] ?? shape));
     case 'examples':
       return writeExamples();
     default:
--- a/tools/fleet/src/relay.ts
+++ b/tools/fleet/src/relay.ts
@@ -4,13 +4,13 @@
 export type LinkCut = (from: string, to: string) => boolean;
 
 /** A place in the relay: where a node really listens, and where the others reach it. */
-export interface RelayEnd {
+export interface RelayEndpoint {
   readonly name: string;
   readonly bind: string;
   readonly reach: string;
 }
 
-interface Flow {
+interface RelayedConnection {
   readonly from: string;
   readonly to: string;
   readonly source: Socket;
@@ -19,10 +19,10 @@
   ended: boolean;
 }
 
-const PUMP_MS = 5;
-const HELD_MAX = 4096;
+const FORWARD_INTERVAL_MS = 5;
+const MAX_BUFFERED_CHUNKS = 4096;
 
-function split(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port] = address.split(':');
   return { host, port: Number(port) };
 }
@@ -38,24 +38,24 @@
  * relay.cut((from) => from === 'core-1');
  */
 export class Relay {
-  #names = new Map<string, string>();
+  #nameByHost = new Map<string, string>();
   #servers: Server[] = [];
-  #flows = new Set<Flow>();
-  #cut: LinkCut = () => false;
-  #lagMs: () => number = () => 0;
-  #pump: NodeJS.Timeout | undefined;
+  #connections = new Set<RelayedConnection>();
+  #isCut: LinkCut = () => false;
+  #delayMs: () => number = () => 0;
+  #forwardTimer: NodeJS.Timeout | undefined;
 
-  async open(ends: readonly RelayEnd[]): Promise<void> {
-    this.#pump = setInterval(() => this.#move(), PUMP_MS);
+  async listen(ends: readonly RelayEndpoint[]): Promise<void> {
+    this.#forwardTimer = setInterval(() => this.#forwardDueChunks(), FORWARD_INTERVAL_MS);
     for (const end of ends) await this.add(end);
   }
 
   /** One more node, as when a machine is replaced at another address. */
-  add(end: RelayEnd): Promise<void> {
-    this.#names.set(split(end.bind).host, end.name);
-    const server = createServer((source) => this.#join(source, end));
+  add(end: RelayEndpoint): Promise<void> {
+    this.#nameByHost.set(parseAddress(end.bind).host, end.name);
+    const server = createServer((source) => this.#accept(source, end));
     this.#servers.push(server);
-    const { host, port } = split(end.reach);
+    const { host, port } = parseAddress(end.reach);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, () => resolve());
@@ -63,37 +63,37 @@
   }
 
   cut(cut: LinkCut): void {
-    this.#cut = cut;
+    this.#isCut = cut;
   }
 
   /** Every chunk is late by what this says; a lost one is one that comes much later. */
   delay(lagMs: () => number): void {
-    this.#lagMs = lagMs;
+    this.#delayMs = lagMs;
   }
 
   heal(): void {
-    this.#cut = () => false;
-    this.#lagMs = () => 0;
+    this.#isCut = () => false;
+    this.#delayMs = () => 0;
   }
 
   close(): void {
-    clearInterval(this.#pump);
+    clearInterval(this.#forwardTimer);
     for (const server of this.#servers) server.close();
-    for (const { source, target } of this.#flows) {
+    for (const { source, target } of this.#connections) {
       source.destroy();
       target.destroy();
     }
   }
 
-  #join(source: Socket, end: RelayEnd): void {
-    const from = this.#names.get(source.remoteAddress ?? '') ?? '';
-    const target = createConnection({ ...split(end.bind), noDelay: true });
-    const flow: Flow = { from, to: end.name, source, target, chunks: [], ended: false };
-    this.#flows.add(flow);
+  #accept(source: Socket, end: RelayEndpoint): void {
+    const from = this.#nameByHost.get(source.remoteAddress ?? '') ?? '';
+    const target = createConnection({ ...parseAddress(end.bind), noDelay: true });
+    const flow: RelayedConnection = { from, to: end.name, source, target, chunks: [], ended: false };
+    this.#connections.add(flow);
     source.on('data', (bytes: Buffer) => {
       const last = flow.chunks.at(-1)?.dueMs ?? 0;
-      flow.chunks.push({ dueMs: Math.max(last, performance.now() + this.#lagMs()), bytes });
-      if (flow.chunks.length > HELD_MAX) source.pause();
+      flow.chunks.push({ dueMs: Math.max(last, performance.now() + this.#delayMs()), bytes });
+      if (flow.chunks.length > MAX_BUFFERED_CHUNKS) source.pause();
     });
     source.on('error', () => undefined);
     target.on('error', () => undefined);
@@ -102,14 +102,14 @@
     });
     target.on('close', () => {
       source.destroy();
-      this.#flows.delete(flow);
+      this.#connections.delete(flow);
     });
   }
 
-  #move(): void {
+  #forwardDueChunks(): void {
     const nowMs = performance.now();
-    for (const flow of this.#flows) {
-      if (this.#cut(flow.from, flow.to)) continue;
+    for (const flow of this.#connections) {
+      if (this.#isCut(flow.from, flow.to)) continue;
       for (let next = flow.chunks[0]; next !== undefined && next.dueMs <= nowMs; next = flow.chunks[0]) {
         flow.target.write(next.bytes);
         flow.chunks.shift();
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -4,7 +4,7 @@
 import type { LinkCut, Relay } from './relay.js';
 
 /** One act of a trial: when, what, and how it is done. */
-interface Act {
+interface TrialStep {
   readonly name: string;
   readonly run: () => Promise<string | undefined>;
 }
@@ -15,7 +15,7 @@
   readonly lines: string[];
 }
 
-const RETURN_MS = 12_000;
+const RECOVERY_LIMIT_MS = 12_000;
 const SETTLE_MS = 1500;
 const CUT_MS = 5000;
 
@@ -31,7 +31,7 @@
   #loadGenerator: LoadGenerator;
   #lines: string[] = [];
   #faults: string[] = [];
-  #planned: { edge: string; fromMs: number; toMs: number }[] = [];
+  #plannedStops: { edge: string; fromMs: number; toMs: number }[] = [];
 
   /** With a relay between its nodes the fleet's network is cut too. */
   constructor(fleet: Fleet, loadGenerator: LoadGenerator, relay?: Relay) {
@@ -61,7 +61,7 @@
   }
 
   run(): Promise<TrialReport> {
-    return this.#play(this.#acts());
+    return this.#runSteps(this.#failureSteps());
   }
 
   /** Cuts of the network between the nodes, and machines that come back as others. */
@@ -73,7 +73,7 @@
     function apart(one: string, two: string): LinkCut {
       return (from, to) => (from === one && to === two) || (from === two && to === one);
     }
-    return this.#play([
+    return this.#runSteps([
       {
         name: 'cut an edge off',
         run: () => this.#cutFor((from, to) => (from === edge) !== (to === edge), [edge]),
@@ -98,9 +98,9 @@
         name: 'cut the core off from the edges',
         run: () => this.#cutFor((from, to) => cores.has(from) !== cores.has(to), [...cores]),
       },
-      { name: 'slow and lossy links for 8 s', run: () => this.#slow() },
+      { name: 'slow and lossy links for 8 s', run: () => this.#slowLinks() },
       { name: 'each core replaced by an empty one, in turn', run: () => this.#replaceCores() },
-      { name: 'other seeds for whoever restarts', run: () => this.#otherSeeds() },
+      { name: 'other seeds for whoever restarts', run: () => this.#changeSeeds() },
       { name: 'a zone lost with its nodes and workers', run: () => this.#loseZone() },
     ]);
   }
@@ -125,38 +125,38 @@
         wrong.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
     }
     this.#relay?.heal();
-    const back = await this.#back();
+    const back = await this.#waitForRecovery();
     return back ?? (wrong.length > 0 ? wrong.join(', ') : undefined);
   }
 
   /** Late by some milliseconds, and one chunk in fifty by a fifth of a second more, as if lost and sent again. */
-  async #slow(): Promise<string | undefined> {
+  async #slowLinks(): Promise<string | undefined> {
     let turn = 0;
     this.#relay?.delay(() => {
       turn += 1;
       return (turn % 40) + (turn % 50 === 0 ? 200 : 0);
     });
     await pause(8000);
-    const meanwhile = await this.#missing();
+    const meanwhile = await this.#unmetCondition();
     this.#relay?.heal();
-    return meanwhile === '' ? this.#back() : `while slow: ${meanwhile}`;
+    return meanwhile === '' ? this.#waitForRecovery() : `while slow: ${meanwhile}`;
   }
 
   async #replaceCores(): Promise<string | undefined> {
     for (const node of this.#fleet.nodes.filter((known) => known.core)) {
       this.#fleet.signal(node.name, 'SIGKILL');
-      await this.#fleet.ended(node.name);
+      await this.#fleet.waitForExit(node.name);
       await this.#fleet.replaceMachine(node);
       this.#fleet.startNode(node);
-      const back = (await this.#back()) ?? (await this.#electing(node));
+      const back = (await this.#waitForRecovery()) ?? (await this.#waitForVoter(node));
       if (back !== undefined) return `${node.name}: ${back}`;
     }
     return undefined;
   }
 
   /** Waits until a node's own disk is among the voters. */
-  async #electing(node: FleetNode): Promise<string | undefined> {
-    const endMs = performance.now() + RETURN_MS;
+  async #waitForVoter(node: FleetNode): Promise<string | undefined> {
+    const endMs = performance.now() + RECOVERY_LIMIT_MS;
     while (performance.now() < endMs) {
       const { body } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/view');
       const { voters = [], disk } = body as { voters?: { name: string; disk: string }[]; disk?: string };
@@ -166,12 +166,12 @@
     return 'is no voter again';
   }
 
-  async #otherSeeds(): Promise<string | undefined> {
+  async #changeSeeds(): Promise<string | undefined> {
     const { edges, nodes } = this.#fleet;
     this.#fleet.setSeeds(edges.slice(0, 3));
     const restarting = [edges.at(-1), nodes[0]].filter((node) => node !== undefined);
     await Promise.all(restarting.map((node) => this.#restart(node, 'SIGKILL')));
-    const back = await this.#back();
+    const back = await this.#waitForRecovery();
     for (const node of restarting) this.#loadGenerator.setDown(node.http, false);
     return back;
   }
@@ -186,17 +186,17 @@
     );
     for (const node of lost) this.#loadGenerator.setDown(node.http, true);
     for (const node of lost) this.#fleet.signal(node.name, 'SIGKILL');
-    await Promise.all(workers.map((worker) => this.#worker(worker.name, 'crash', 0)));
-    await Promise.all(lost.map((node) => this.#fleet.ended(node.name)));
+    await Promise.all(workers.map((worker) => this.#setWorker(worker.name, 'crash', 0)));
+    await Promise.all(lost.map((node) => this.#fleet.waitForExit(node.name)));
     await pause(6000);
     for (const node of lost) this.#fleet.startNode(node);
-    await Promise.all(workers.map((worker) => this.#worker(worker.name, 'return', 0)));
-    const back = await this.#back();
+    await Promise.all(workers.map((worker) => this.#setWorker(worker.name, 'return', 0)));
+    const back = await this.#waitForRecovery();
     for (const node of lost) this.#loadGenerator.setDown(node.http, false);
     return back;
   }
 
-  async #play(acts: readonly Act[]): Promise<TrialReport> {
+  async #runSteps(acts: readonly TrialStep[]): Promise<TrialReport> {
     for (const act of acts) {
       const beganMs = performance.now();
       const fault = await act.run();
@@ -213,13 +213,13 @@
     const lost: string[] = [];
     for (const seen of report.seen) {
       if (seen.outcome !== 'cut' && seen.outcome !== 'no-answer') continue;
-      if (this.#planned.some((stop) => stop.edge === seen.edge && overlaps(seen, stop)))
+      if (this.#plannedStops.some((stop) => stop.edge === seen.edge && overlaps(seen, stop)))
         lost.push(`${seen.id} at ${seen.edge}: ${seen.outcome}`);
     }
     return lost;
   }
 
-  #acts(): Act[] {
+  #failureSteps(): TrialStep[] {
     const { edges, nodes } = this.#fleet;
     const [first, second] = edges;
     const zone = nodes[1]?.zone ?? '';
@@ -230,8 +230,8 @@
       { name: 'freeze an edge for 3 s', run: () => this.#freeze(first) },
       { name: 'freeze the coordinator for 4 s', run: () => this.#freezeCoordinator() },
       { name: 'a worker goes dark, another crashes; both return', run: () => this.#breakWorkers() },
-      { name: 'a worker is marked as leaving', run: () => this.#worker('worker-3', 'leave', 5000) },
-      { name: 'a worker talks nonsense, ends early, says too much', run: () => this.#moods() },
+      { name: 'a worker is marked as leaving', run: () => this.#setWorker('worker-3', 'leave', 5000) },
+      { name: 'a worker talks nonsense, ends early, says too much', run: () => this.#sendFaultyAnswers() },
       { name: `empty zone ${zone} for 7 s, restore it`, run: () => this.#emptyZone(zone) },
       { name: 'kill every core, start them again', run: () => this.#killCores() },
       { name: 'stop and start every node in turn', run: () => this.#rollOut(true) },
@@ -249,18 +249,18 @@
   }
 
   /** Waits until every node admits, in one view of all, and an operation is agreed. */
-  async #back(): Promise<string | undefined> {
-    const endMs = performance.now() + RETURN_MS;
+  async #waitForRecovery(): Promise<string | undefined> {
+    const endMs = performance.now() + RECOVERY_LIMIT_MS;
     let why = '';
     while (performance.now() < endMs) {
-      why = await this.#missing();
+      why = await this.#unmetCondition();
       if (why === '') return undefined;
       await pause(100);
     }
-    return `not back after ${RETURN_MS} ms: ${why}`;
+    return `not back after ${RECOVERY_LIMIT_MS} ms: ${why}`;
   }
 
-  async #missing(): Promise<string> {
+  async #unmetCondition(): Promise<string> {
     const { nodes } = this.#fleet;
     for (const node of nodes) {
       const { status, body } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/view');
@@ -278,14 +278,14 @@
   async #restart(node: FleetNode, signal: NodeJS.Signals, told = true): Promise<number | null> {
     if (told) this.#loadGenerator.setDown(node.http, true);
     this.#fleet.signal(node.name, signal);
-    const code = await this.#fleet.ended(node.name);
+    const code = await this.#fleet.waitForExit(node.name);
     this.#fleet.startNode(node);
     return code;
   }
 
   async #killNode(node: FleetNode): Promise<string | undefined> {
     await this.#restart(node, 'SIGKILL');
-    const back = await this.#back();
+    const back = await this.#waitForRecovery();
     this.#loadGenerator.setDown(node.http, false);
     return back;
   }
@@ -299,7 +299,7 @@
     this.#fleet.signal(node.name, 'SIGSTOP');
     await pause(waitMs);
     this.#fleet.signal(node.name, 'SIGCONT');
-    return this.#back();
+    return this.#waitForRecovery();
   }
 
   async #freezeCoordinator(): Promise<string | undefined> {
@@ -307,24 +307,24 @@
     return node === undefined ? 'no coordinator' : this.#freeze(node, 4000);
   }
 
-  async #worker(name: string, act: string, waitMs: number): Promise<undefined> {
+  async #setWorker(name: string, act: string, waitMs: number): Promise<undefined> {
     await this.#fleet.ask(this.#fleet.platform, 'POST', `/act/${name}/${act}`);
     await pause(waitMs);
     return undefined;
   }
 
   async #breakWorkers(): Promise<string | undefined> {
-    await this.#worker('worker-1', 'dark', 0);
-    await this.#worker('worker-2', 'crash', 4000);
-    await this.#worker('worker-1', 'crash', 0);
-    await this.#worker('worker-1', 'return', 0);
-    await this.#worker('worker-2', 'return', 0);
-    return this.#back();
+    await this.#setWorker('worker-1', 'dark', 0);
+    await this.#setWorker('worker-2', 'crash', 4000);
+    await this.#setWorker('worker-1', 'crash', 0);
+    await this.#setWorker('worker-1', 'return', 0);
+    await this.#setWorker('worker-2', 'return', 0);
+    return this.#waitForRecovery();
   }
 
-  async #moods(): Promise<string | undefined> {
-    for (const mood of ['nonsense', 'early', 'more', 'well']) await this.#worker('worker-4', mood, 1000);
-    return this.#back();
+  async #sendFaultyAnswers(): Promise<string | undefined> {
+    for (const mood of ['nonsense', 'early', 'more', 'well']) await this.#setWorker('worker-4', mood, 1000);
+    return this.#waitForRecovery();
   }
 
   async #emptyZone(zone: string): Promise<string | undefined> {
@@ -335,22 +335,24 @@
     const names = (body as { workers: { name: string; zone: string }[] }).workers
       .filter((worker) => worker.zone === zone)
       .map((worker) => worker.name);
-    await Promise.all(names.map((name) => this.#worker(name, 'emptied', 0)));
+    await Promise.all(names.map((name) => this.#setWorker(name, 'emptied', 0)));
     await pause(7000);
-    await Promise.all(names.map((name) => this.#worker(name, 'restored', 0)));
+    await Promise.all(names.map((name) => this.#setWorker(name, 'restored', 0)));
     const restored = await this.#fleet.ask(
       other?.http ?? '',
       'POST',
       `/rainrun/v1/zones/${zone}/restore`,
       {},
     );
-    return restored.status === 200 ? this.#back() : `not restored: ${JSON.stringify(restored.body)}`;
+    return restored.status === 200
+      ? this.#waitForRecovery()
+      : `not restored: ${JSON.stringify(restored.body)}`;
   }
 
   async #killCores(): Promise<string | undefined> {
     const cores = this.#fleet.nodes.filter((node) => node.core);
     await Promise.all(cores.map((node) => this.#restart(node, 'SIGKILL')));
-    return this.#back();
+    return this.#waitForRecovery();
   }
 
   /** A planned roll-out: the platform takes an edge out of its rotation, or does not, and stops it. */
@@ -358,9 +360,9 @@
     for (const node of this.#fleet.nodes) {
       const fromMs = performance.now() - SETTLE_MS;
       const code = await this.#restart(node, 'SIGTERM', told);
-      this.#planned.push({ edge: node.http, fromMs, toMs: performance.now() });
+      this.#plannedStops.push({ edge: node.http, fromMs, toMs: performance.now() });
       if (code !== 0) return `${node.name} ended with ${code ?? 'a signal'}`;
-      const back = await this.#back();
+      const back = await this.#waitForRecovery();
       this.#loadGenerator.setDown(node.http, false);
       if (back !== undefined) return `${node.name}: ${back}`;
     }
