--- a/tools/fleet/src/bad-requests.ts
+++ b/tools/fleet/src/bad-requests.ts
@@ -111,17 +111,17 @@
   { name: 'unknown command', method: 'GET', path: '/rainrun/v1/none', status: 404, kind: 'not-found' },
 ];
 
-async function checkCase(address: string, one: BadRequestCase): Promise<string | undefined> {
-  const reply = await fetch(`http://${address}${one.path}`, {
-    method: one.method,
-    headers: { 'content-type': 'application/json', ...one.headers },
-    ...(one.body === undefined ? {} : { body: one.body }),
+async function checkCase(address: string, testCase: BadRequestCase): Promise<string | undefined> {
+  const reply = await fetch(`http://${address}${testCase.path}`, {
+    method: testCase.method,
+    headers: { 'content-type': 'application/json', ...testCase.headers },
+    ...(testCase.body === undefined ? {} : { body: testCase.body }),
   });
   const text = await reply.text();
-  const kind = text.includes(`"kind":"${one.kind}"`);
-  return reply.status === one.status && kind
+  const hasKind = text.includes(`"kind":"${testCase.kind}"`);
+  return reply.status === testCase.status && hasKind
     ? undefined
-    : `${one.name}: ${reply.status} ${text.slice(0, 200)}`;
+    : `${testCase.name}: ${reply.status} ${text.slice(0, 200)}`;
 }
 
 /** Headers that never end: the node must answer 408 and close, by itself. */
@@ -130,7 +130,7 @@
   return new Promise((resolve) => {
     const socket = createConnection({ host, port: Number(port) });
     let text = '';
-    const late = setTimeout(() => {
+    const timeout = setTimeout(() => {
       socket.destroy();
       resolve('headers that never end: the connection stayed open');
     }, 20_000);
@@ -140,7 +140,7 @@
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      clearTimeout(late);
+      clearTimeout(timeout);
       resolve(text.includes(' 408 ') ? undefined : `headers that never end: answered "${text.slice(0, 40)}"`);
     });
   });
@@ -155,11 +155,11 @@
   const faults: string[] = [];
   const edge = fleet.edges[0]?.http ?? '';
   const endless = checkEndlessHeaders(edge);
-  for (const one of BAD_REQUESTS)
-    faults.push(...[await checkCase(edge, one)].filter((fault) => fault !== undefined));
-  for (const one of OPERATOR_CASES) {
+  for (const testCase of BAD_REQUESTS)
+    faults.push(...[await checkCase(edge, testCase)].filter((fault) => fault !== undefined));
+  for (const testCase of OPERATOR_CASES) {
     for (const { http } of [fleet.nodes[0], fleet.edges[0]].filter((node) => node !== undefined)) {
-      faults.push(...[await checkCase(http, one)].filter((fault) => fault !== undefined));
+      faults.push(...[await checkCase(http, testCase)].filter((fault) => fault !== undefined));
     }
   }
   const id = `once-${Date.now()}`;
--- a/tools/fleet/src/everywhere.ts
+++ b/tools/fleet/src/everywhere.ts
@@ -46,12 +46,12 @@
 /** Which nodes answered otherwise than the first, or not well. */
 function describeDifferences(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
   const [first] = answers;
-  return answers.flatMap((answer, place) => {
+  return answers.flatMap((answer, index) => {
     const same = answer.status === 200 && isDeepStrictEqual(comparable(answer.body), comparable(first?.body));
     return same
       ? []
       : [
-          `${path} at ${nodes[place]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`,
+          `${path} at ${nodes[index]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`,
         ];
   });
 }
@@ -87,20 +87,20 @@
   ): Promise<Reply> {
     return fleet.ask(node.http, method, `/rainrun/v1/${path}`, body);
   }
-  for (const [place, node] of nodes.entries()) {
-    const edit = { add: { models: [{ name: `everywhere-${place}`, sizeMb: 1 }] } };
+  for (const [index, node] of nodes.entries()) {
+    const edit = { add: { models: [{ name: `everywhere-${index}`, sizeMb: 1 }] } };
     const writes = [
-      await ask(node, 'PATCH', 'spec', { patch: edit, id: `everywhere-${place}` }),
+      await ask(node, 'PATCH', 'spec', { patch: edit, id: `everywhere-${index}` }),
       await ask(node, 'POST', 'zones/north/empty', {}),
       await ask(node, 'POST', 'zones/north/restore', {}),
       await ask(node, 'POST', 'forget/nobody'),
     ];
-    const bad = writes.filter(({ status }) => status !== 200);
-    if (bad.length > 0) faults.push(`${node.name}: ${JSON.stringify(bad)}`);
+    const failed = writes.filter(({ status }) => status !== 200);
+    if (failed.length > 0) faults.push(`${node.name}: ${JSON.stringify(failed)}`);
   }
   for (const path of reads) {
     let different: string[] = [];
-    for (let turn = 0; turn < MAX_ATTEMPTS; turn += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const answers = await Promise.all(nodes.map((node) => ask(node, 'GET', path)));
       different = describeDifferences(nodes, path, answers);
       if (different.length === 0) break;
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -58,31 +58,31 @@
       return `${HOST}:${port}`;
     }
     this.platform = next();
-    function zone(place: number): string {
-      return shape.zones[place % shape.zones.length] ?? '';
+    function zoneAt(index: number): string {
+      return shape.zones[index % shape.zones.length] ?? '';
     }
-    const outlines = Array.from({ length: shape.cores + shape.edges }, (_, place) => {
-      const core = place < shape.cores;
-      const at = core ? place : place - shape.cores;
+    const outlines = Array.from({ length: shape.cores + shape.edges }, (_, index) => {
+      const core = index < shape.cores;
+      const ordinal = core ? index : index - shape.cores;
       return {
-        name: core ? `core-${at + 1}` : `edge-${at + 1}`,
+        name: core ? `core-${ordinal + 1}` : `edge-${ordinal + 1}`,
         core,
-        zone: zone(at),
+        zone: zoneAt(ordinal),
         bind: next(),
         http: next(),
       };
     });
     this.#nextAddress = next;
-    for (const [place, outline] of outlines.entries()) {
+    for (const [index, outline] of outlines.entries()) {
       const reach = outline.bind;
       const bind =
-        relay === undefined ? reach : `127.0.0.${FIRST_HOST_NUMBER + place}:${reach.split(':')[1] ?? ''}`;
+        relay === undefined ? reach : `127.0.0.${FIRST_HOST_NUMBER + index}:${reach.split(':')[1] ?? ''}`;
       this.nodes.push({ ...outline, bind, reach, settings: join(folder, `${outline.name}.json`) });
     }
     this.#seeds = this.nodes.slice(0, 3);
     for (const node of this.nodes) this.#writeSettings(node);
     this.#setupFile = join(folder, 'stand-in-workers.json');
-    this.#writeSetup(next, zone);
+    this.#writeSetup(next, zoneAt);
   }
 
   get edges(): FleetNode[] {
@@ -119,7 +119,7 @@
     const { name, zone, bind, reach, http, core, settings } = node;
     const founders = this.nodes.filter((known) => known.core).map((known) => known.name);
     const seeds = this.#seeds.map((seed) => seed.reach);
-    const shared = {
+    const common = {
       name,
       deployment: this.#shape.deployment,
       zone,
@@ -128,9 +128,12 @@
       seeds,
       platform: `http://${this.platform}/workers`,
     };
-    const relayed = reach === bind ? {} : { reach };
-    const own = core ? { founders, folder: join(this.#folder, 'data', name) } : {};
-    writeFileSync(settings, `${JSON.stringify({ ...shared, ...relayed, ...own }, undefined, 2)}\n`);
+    const reachSettings = reach === bind ? {} : { reach };
+    const roleSettings = core ? { founders, folder: join(this.#folder, 'data', name) } : {};
+    writeFileSync(
+      settings,
+      `${JSON.stringify({ ...common, ...reachSettings, ...roleSettings }, undefined, 2)}\n`,
+    );
   }
 
   signal(name: string, signal: NodeJS.Signals): void {
@@ -152,11 +155,11 @@
     const codes: Record<string, number | null> = {};
     const names = [...this.#children.keys()].filter((name) => name !== 'stand-in-workers');
     for (const name of names) this.signal(name, 'SIGTERM');
-    const late = setTimeout(() => {
+    const killTimer = setTimeout(() => {
       for (const name of names) this.signal(name, 'SIGKILL');
     }, 20_000);
     for (const name of names) codes[name] = await this.waitForExit(name);
-    clearTimeout(late);
+    clearTimeout(killTimer);
     this.signal('stand-in-workers', 'SIGTERM');
     await this.waitForExit('stand-in-workers');
     return codes;
@@ -195,7 +198,7 @@
     this.#children.set(name, child);
   }
 
-  #writeSetup(next: () => string, zone: (place: number) => string): void {
+  #writeSetup(next: () => string, zoneAt: (index: number) => string): void {
     const shape = this.#shape;
     const spec = exampleSpec(shape) as {
       store: { pullsPerMinute: number };
@@ -203,20 +206,20 @@
       models: { name: string; sizeMb: number }[];
       adapters: { name: string; sizeMb: number }[];
     };
-    const shared = {
+    const common = {
       host: HOST,
       roomMb: spec.workers.roomMb,
       slots: spec.workers.slots,
       pullMbPerS: PULL_MB_PER_S,
       pieceMs: CHUNK_INTERVAL_MS,
     };
-    const workers = Array.from({ length: shape.workers + shape.lookups }, (_, place) => {
-      const lookup = place >= shape.workers;
-      const at = lookup ? place - shape.workers : place;
+    const workers = Array.from({ length: shape.workers + shape.lookups }, (_, index) => {
+      const lookup = index >= shape.workers;
+      const ordinal = lookup ? index - shape.workers : index;
       return {
-        ...shared,
-        name: lookup ? `lookup-${at + 1}` : `worker-${at + 1}`,
-        zone: zone(at),
+        ...common,
+        name: lookup ? `lookup-${ordinal + 1}` : `worker-${ordinal + 1}`,
+        zone: zoneAt(ordinal),
         port: Number(next().split(':')[1]),
         kind: lookup ? 'lookup' : 'model',
         pool: lookup ? shape.pool : 'models',
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -77,11 +77,11 @@
   const first = fleet.nodes[0];
   if (first === undefined) return 'no nodes';
   await fleet.start();
-  const whole = await waitUntil(TRAFFIC_START_MS, async () => {
+  const complete = await waitUntil(TRAFFIC_START_MS, async () => {
     const { body } = await fleet.ask(first.http, 'GET', '/rainrun/v1/view');
     return ((body as { members?: unknown[] }).members ?? []).length === fleet.nodes.length;
   });
-  if (!whole) return 'the view is not whole after 12 s';
+  if (!complete) return 'the view is not whole after 12 s';
   const put = await fleet.ask(first.http, 'PUT', '/rainrun/v1/spec', {
     base: 0,
     text: JSON.stringify(exampleSpec(shape), undefined, 2),
@@ -138,9 +138,9 @@
   after: (report: LoadReport) => Promise<string[]> = () => Promise.resolve([]),
 ): Promise<number> {
   const beganMs = performance.now();
-  const closed = await bringUp(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   console.log(`ready after ${((performance.now() - beganMs) / 1000).toFixed(1)} s`);
@@ -171,22 +171,22 @@
 
 /** The same traffic twice: alone, and beside a group that floods. */
 async function runFlood(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await bringUp(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   const group = shape.kinds.at(-1)?.group ?? '';
   const edges = fleet.edges.map((edge) => edge.http);
   const day = readDay(makeDay(shape, FLOOD_S, 1));
-  const mass = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
-  if (day.isErr || mass.isErr) return 1;
+  const floodDay = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
+  if (day.isErr || floodDay.isErr) return 1;
   await pause(25_000);
   const alone = await new LoadGenerator(edges).play(day.value.calls, 1);
   await pause(3000);
   const [beside, flooded] = await Promise.all([
     new LoadGenerator(edges).play(day.value.calls, 1),
-    new LoadGenerator(edges).play(mass.value.calls, 1),
+    new LoadGenerator(edges).play(floodDay.value.calls, 1),
   ]);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [alone, beside, flooded].flatMap((report) => [
@@ -204,18 +204,18 @@
 /** Good traffic, then every command at every node, then bad input. */
 function runSmoke(fleet: Fleet, shape: Shape): Promise<number> {
   return serveDay(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
-    const everywhere = await checkEveryNode(
+    const nodeFaults = await checkEveryNode(
       fleet,
       report.seen.find((seen) => seen.outcome === 'served')?.id ?? '',
     );
     console.log(
-      `every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`,
+      `every command at every node: ${nodeFaults.length === 0 ? 'the same answers' : `${nodeFaults.length} faults`}`,
     );
-    const manners = await checkBadRequests(fleet);
+    const inputFaults = await checkBadRequests(fleet);
     console.log(
-      `bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`,
+      `bad input: ${inputFaults.length === 0 ? 'answered as it should be' : `${inputFaults.length} faults`}`,
     );
-    return [...everywhere, ...manners];
+    return [...nodeFaults, ...inputFaults];
   });
 }
 
@@ -223,22 +223,22 @@
 
 /** Specs that grow to many routes: how long until one is agreed, in force everywhere, and how long its last route takes. */
 async function measureRoutes(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await bringUp(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   const spec = exampleSpec(shape) as { routes: object[] };
   let slowestMs = 0;
   console.log('routes  bytes    agreed after ms  in force everywhere after ms  lookup p50 ms');
-  for (const [place, count] of ROUTE_COUNTS.entries()) {
-    const more = Array.from({ length: count }, (_, at) => ({
+  for (const [index, count] of ROUTE_COUNTS.entries()) {
+    const extraRoutes = Array.from({ length: count }, (_, at) => ({
       path: `/v1/many/${at}`,
       serve: 'lookup',
       pool: shape.pool,
     }));
-    const text = JSON.stringify({ ...spec, routes: [...spec.routes, ...more].slice(-count) });
-    const node = fleet.nodes[place % fleet.nodes.length];
+    const text = JSON.stringify({ ...spec, routes: [...spec.routes, ...extraRoutes].slice(-count) });
+    const node = fleet.nodes[index % fleet.nodes.length];
     const beganMs = performance.now();
     const put = await fleet.ask(node?.http ?? '', 'PUT', '/rainrun/v1/spec', { text });
     const agreedMs = performance.now() - beganMs;
@@ -276,12 +276,12 @@
 async function runTrial(
   fleet: Fleet,
   shape: Shape,
-  act: (trial: Trial) => Promise<TrialReport>,
+  task: (trial: Trial) => Promise<TrialReport>,
   relay?: Relay,
 ): Promise<number> {
-  const closed = await bringUp(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   await pause(10_000);
@@ -291,7 +291,7 @@
   if (day.isErr) return 1;
   const playing = loadGenerator.play(day.value.calls, 1);
   await pause(2000);
-  const found = await act(trial);
+  const result = await task(trial);
   loadGenerator.stop();
   const report = await playing;
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
@@ -299,11 +299,11 @@
     ...report.breaches,
     ...workers.breaches,
     ...compare(report.seen, workers.runs),
-    ...found.faults,
+    ...result.faults,
     ...trial.lostInPlannedStops(report),
   ];
   printReport(report, workers, breaches);
-  for (const line of found.lines) console.log(line);
+  for (const line of result.lines) console.log(line);
   return breaches.length === 0 ? 0 : 1;
 }
 
@@ -314,9 +314,9 @@
     return Promise.resolve(2);
   }
   return withFleet(shape, (fleet) => {
-    const here = fleet.build;
+    const thisBuild = fleet.build;
     fleet.build = resolve(other);
-    return runTrial(fleet, shape, (trial) => trial.runRollOut(here));
+    return runTrial(fleet, shape, (trial) => trial.runRollOut(thisBuild));
   });
 }
 
@@ -334,14 +334,14 @@
 
 async function withFleet(
   shape: Shape,
-  act: (fleet: Fleet) => Promise<number>,
+  task: (fleet: Fleet) => Promise<number>,
   relay?: Relay,
 ): Promise<number> {
   const folder = cli.flags.folder ?? mkdtempSync(join(tmpdir(), 'rainrun-'));
   const fleet = new Fleet(shape, folder, cli.flags.port, relay);
   let code = 1;
   try {
-    code = await act(fleet);
+    code = await task(fleet);
   } finally {
     const codes = await fleet.stop();
     const bad = Object.entries(codes).filter(([, exit]) => exit !== 0);
@@ -365,12 +365,12 @@
 }
 
 async function keepRunning(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await bringUp(fleet, shape);
-  if (closed !== undefined) console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) console.error(`fleet: ${failure}`);
   for (const node of fleet.nodes) console.log(`${node.name.padEnd(10)} ${node.zone.padEnd(10)} ${node.http}`);
   console.log(`platform   ${fleet.platform}`);
   await untilSignal();
-  return closed === undefined ? 0 : 1;
+  return failure === undefined ? 0 : 1;
 }
 
 function writeExamples(): number {
--- a/tools/fleet/src/relay.ts
+++ b/tools/fleet/src/relay.ts
@@ -45,30 +45,30 @@
   #delayMs: () => number = () => 0;
   #forwardTimer: NodeJS.Timeout | undefined;
 
-  async listen(ends: readonly RelayEndpoint[]): Promise<void> {
+  async listen(endpoints: readonly RelayEndpoint[]): Promise<void> {
     this.#forwardTimer = setInterval(() => this.#forwardDueChunks(), FORWARD_INTERVAL_MS);
-    for (const end of ends) await this.add(end);
+    for (const endpoint of endpoints) await this.add(endpoint);
   }
 
   /** One more node, as when a machine is replaced at another address. */
-  add(end: RelayEndpoint): Promise<void> {
-    this.#nameByHost.set(parseAddress(end.bind).host, end.name);
-    const server = createServer((source) => this.#accept(source, end));
+  add(endpoint: RelayEndpoint): Promise<void> {
+    this.#nameByHost.set(parseAddress(endpoint.bind).host, endpoint.name);
+    const server = createServer((source) => this.#accept(source, endpoint));
     this.#servers.push(server);
-    const { host, port } = parseAddress(end.reach);
+    const { host, port } = parseAddress(endpoint.reach);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, () => resolve());
     });
   }
 
-  cut(cut: LinkCut): void {
-    this.#isCut = cut;
+  cut(isCut: LinkCut): void {
+    this.#isCut = isCut;
   }
 
   /** Every chunk is late by what this says; a lost one is one that comes much later. */
-  delay(lagMs: () => number): void {
-    this.#delayMs = lagMs;
+  delay(delayMs: () => number): void {
+    this.#delayMs = delayMs;
   }
 
   heal(): void {
@@ -85,37 +85,48 @@
     }
   }
 
-  #accept(source: Socket, end: RelayEndpoint): void {
+  #accept(source: Socket, endpoint: RelayEndpoint): void {
     const from = this.#nameByHost.get(source.remoteAddress ?? '') ?? '';
-    const target = createConnection({ ...parseAddress(end.bind), noDelay: true });
-    const flow: RelayedConnection = { from, to: end.name, source, target, chunks: [], ended: false };
-    this.#connections.add(flow);
+    const target = createConnection({ ...parseAddress(endpoint.bind), noDelay: true });
+    const connection: RelayedConnection = {
+      from,
+      to: endpoint.name,
+      source,
+      target,
+      chunks: [],
+      ended: false,
+    };
+    this.#connections.add(connection);
     source.on('data', (bytes: Buffer) => {
-      const last = flow.chunks.at(-1)?.dueMs ?? 0;
-      flow.chunks.push({ dueMs: Math.max(last, performance.now() + this.#delayMs()), bytes });
-      if (flow.chunks.length > MAX_BUFFERED_CHUNKS) source.pause();
+      const last = connection.chunks.at(-1)?.dueMs ?? 0;
+      connection.chunks.push({ dueMs: Math.max(last, performance.now() + this.#delayMs()), bytes });
+      if (connection.chunks.length > MAX_BUFFERED_CHUNKS) source.pause();
     });
     source.on('error', () => undefined);
     target.on('error', () => undefined);
     source.on('close', () => {
-      flow.ended = true;
+      connection.ended = true;
     });
     target.on('close', () => {
       source.destroy();
-      this.#connections.delete(flow);
+      this.#connections.delete(connection);
     });
   }
 
   #forwardDueChunks(): void {
     const nowMs = performance.now();
-    for (const flow of this.#connections) {
-      if (this.#isCut(flow.from, flow.to)) continue;
-      for (let next = flow.chunks[0]; next !== undefined && next.dueMs <= nowMs; next = flow.chunks[0]) {
-        flow.target.write(next.bytes);
-        flow.chunks.shift();
+    for (const connection of this.#connections) {
+      if (this.#isCut(connection.from, connection.to)) continue;
+      for (
+        let next = connection.chunks[0];
+        next !== undefined && next.dueMs <= nowMs;
+        next = connection.chunks[0]
+      ) {
+        connection.target.write(next.bytes);
+        connection.chunks.shift();
       }
-      if (flow.source.isPaused() && flow.chunks.length === 0) flow.source.resume();
-      if (flow.ended && flow.chunks.length === 0) flow.target.end();
+      if (connection.source.isPaused() && connection.chunks.length === 0) connection.source.resume();
+      if (connection.ended && connection.chunks.length === 0) connection.target.end();
     }
   }
 }
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -3,7 +3,7 @@
 import type { Fleet, FleetNode } from './fleet.js';
 import type { LinkCut, Relay } from './relay.js';
 
-/** One act of a trial: when, what, and how it is done. */
+/** One step of a trial: when, what, and how it is done. */
 interface TrialStep {
   readonly name: string;
   readonly run: () => Promise<string | undefined>;
@@ -70,7 +70,7 @@
     const cores = new Set(nodes.filter((node) => node.core).map((node) => node.name));
     const [core = '', other = ''] = [...cores];
     const edge = edges[0]?.name ?? '';
-    function apart(one: string, two: string): LinkCut {
+    function cutBetween(one: string, two: string): LinkCut {
       return (from, to) => (from === one && to === two) || (from === two && to === one);
     }
     return this.#runSteps([
@@ -93,7 +93,7 @@
             [core],
           ),
       },
-      { name: 'cut two cores apart', run: () => this.#cutFor(apart(core, other), [], [core, other]) },
+      { name: 'cut two cores apart', run: () => this.#cutFor(cutBetween(core, other), [], [core, other]) },
       {
         name: 'cut the core off from the edges',
         run: () => this.#cutFor((from, to) => cores.has(from) !== cores.has(to), [...cores]),
@@ -107,26 +107,26 @@
 
   /**
    * Holds a cut, sees who admits meanwhile, and waits for the fleet to be whole
-   * again. Those that may be `dropped`, as the coordinator cannot reach them, may admit or not.
+   * again. Those that may be `exempt`, as the coordinator cannot reach them, may admit or not.
    */
   async #cutFor(
     cut: LinkCut,
-    silent: readonly string[],
-    dropped: readonly string[] = [],
+    nonAdmitting: readonly string[],
+    exempt: readonly string[] = [],
   ): Promise<string | undefined> {
     this.#relay?.cut(cut);
     await pause(CUT_MS);
-    const wrong: string[] = [];
+    const unexpected: string[] = [];
     for (const node of this.#fleet.nodes) {
       const { status } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/ready');
       const admits = status === 200;
-      if (dropped.includes(node.name)) continue;
-      if (admits === silent.includes(node.name))
-        wrong.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
+      if (exempt.includes(node.name)) continue;
+      if (admits === nonAdmitting.includes(node.name))
+        unexpected.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
     }
     this.#relay?.heal();
-    const back = await this.#waitForRecovery();
-    return back ?? (wrong.length > 0 ? wrong.join(', ') : undefined);
+    const fault = await this.#waitForRecovery();
+    return fault ?? (unexpected.length > 0 ? unexpected.join(', ') : undefined);
   }
 
   /** Late by some milliseconds, and one chunk in fifty by a fifth of a second more, as if lost and sent again. */
@@ -148,8 +148,8 @@
       await this.#fleet.waitForExit(node.name);
       await this.#fleet.replaceMachine(node);
       this.#fleet.startNode(node);
-      const back = (await this.#waitForRecovery()) ?? (await this.#waitForVoter(node));
-      if (back !== undefined) return `${node.name}: ${back}`;
+      const fault = (await this.#waitForRecovery()) ?? (await this.#waitForVoter(node));
+      if (fault !== undefined) return `${node.name}: ${fault}`;
     }
     return undefined;
   }
@@ -171,9 +171,9 @@
     this.#fleet.setSeeds(edges.slice(0, 3));
     const restarting = [edges.at(-1), nodes[0]].filter((node) => node !== undefined);
     await Promise.all(restarting.map((node) => this.#restart(node, 'SIGKILL')));
-    const back = await this.#waitForRecovery();
+    const fault = await this.#waitForRecovery();
     for (const node of restarting) this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
   async #loseZone(): Promise<string | undefined> {
@@ -191,18 +191,18 @@
     await pause(6000);
     for (const node of lost) this.#fleet.startNode(node);
     await Promise.all(workers.map((worker) => this.#setWorker(worker.name, 'return', 0)));
-    const back = await this.#waitForRecovery();
+    const fault = await this.#waitForRecovery();
     for (const node of lost) this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
-  async #runSteps(acts: readonly TrialStep[]): Promise<TrialReport> {
-    for (const act of acts) {
+  async #runSteps(steps: readonly TrialStep[]): Promise<TrialReport> {
+    for (const step of steps) {
       const beganMs = performance.now();
-      const fault = await act.run();
+      const fault = await step.run();
       const tookMs = performance.now() - beganMs;
-      this.#lines.push(`${act.name.padEnd(46)} ${tookMs.toFixed(0).padStart(6)} ms  ${fault ?? 'well'}`);
-      if (fault !== undefined) this.#faults.push(`${act.name}: ${fault}`);
+      this.#lines.push(`${step.name.padEnd(46)} ${tookMs.toFixed(0).padStart(6)} ms  ${fault ?? 'well'}`);
+      if (fault !== undefined) this.#faults.push(`${step.name}: ${fault}`);
       await pause(SETTLE_MS);
     }
     return { faults: this.#faults, lines: this.#lines };
@@ -251,13 +251,13 @@
   /** Waits until every node admits, in one view of all, and an operation is agreed. */
   async #waitForRecovery(): Promise<string | undefined> {
     const endMs = performance.now() + RECOVERY_LIMIT_MS;
-    let why = '';
+    let reason = '';
     while (performance.now() < endMs) {
-      why = await this.#unmetCondition();
-      if (why === '') return undefined;
+      reason = await this.#unmetCondition();
+      if (reason === '') return undefined;
       await pause(100);
     }
-    return `not back after ${RECOVERY_LIMIT_MS} ms: ${why}`;
+    return `not back after ${RECOVERY_LIMIT_MS} ms: ${reason}`;
   }
 
   async #unmetCondition(): Promise<string> {
@@ -275,8 +275,8 @@
     return put.status === 200 ? '' : `nothing is agreed: ${JSON.stringify(put.body)}`;
   }
 
-  async #restart(node: FleetNode, signal: NodeJS.Signals, told = true): Promise<number | null> {
-    if (told) this.#loadGenerator.setDown(node.http, true);
+  async #restart(node: FleetNode, signal: NodeJS.Signals, announced = true): Promise<number | null> {
+    if (announced) this.#loadGenerator.setDown(node.http, true);
     this.#fleet.signal(node.name, signal);
     const code = await this.#fleet.waitForExit(node.name);
     this.#fleet.startNode(node);
@@ -285,9 +285,9 @@
 
   async #killNode(node: FleetNode): Promise<string | undefined> {
     await this.#restart(node, 'SIGKILL');
-    const back = await this.#waitForRecovery();
+    const fault = await this.#waitForRecovery();
     this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
   async #killCoordinator(): Promise<string | undefined> {
@@ -307,8 +307,8 @@
     return node === undefined ? 'no coordinator' : this.#freeze(node, 4000);
   }
 
-  async #setWorker(name: string, act: string, waitMs: number): Promise<undefined> {
-    await this.#fleet.ask(this.#fleet.platform, 'POST', `/act/${name}/${act}`);
+  async #setWorker(name: string, action: string, waitMs: number): Promise<undefined> {
+    await this.#fleet.ask(this.#fleet.platform, 'POST', `/act/${name}/${action}`);
     await pause(waitMs);
     return undefined;
   }
@@ -323,7 +323,8 @@
   }
 
   async #sendFaultyAnswers(): Promise<string | undefined> {
-    for (const mood of ['nonsense', 'early', 'more', 'well']) await this.#setWorker('worker-4', mood, 1000);
+    for (const answerMode of ['nonsense', 'early', 'more', 'well'])
+      await this.#setWorker('worker-4', answerMode, 1000);
     return this.#waitForRecovery();
   }
 
@@ -356,15 +357,15 @@
   }
 
   /** A planned roll-out: the platform takes an edge out of its rotation, or does not, and stops it. */
-  async #rollOut(told: boolean): Promise<string | undefined> {
+  async #rollOut(announced: boolean): Promise<string | undefined> {
     for (const node of this.#fleet.nodes) {
       const fromMs = performance.now() - SETTLE_MS;
-      const code = await this.#restart(node, 'SIGTERM', told);
+      const code = await this.#restart(node, 'SIGTERM', announced);
       this.#plannedStops.push({ edge: node.http, fromMs, toMs: performance.now() });
       if (code !== 0) return `${node.name} ended with ${code ?? 'a signal'}`;
-      const back = await this.#waitForRecovery();
+      const fault = await this.#waitForRecovery();
       this.#loadGenerator.setDown(node.http, false);
-      if (back !== undefined) return `${node.name}: ${back}`;
+      if (fault !== undefined) return `${node.name}: ${fault}`;
     }
     return undefined;
   }
