--- a/tools/fleet/src/bad-requests.ts
+++ b/tools/fleet/src/bad-requests.ts
@@ -124,7 +124,7 @@
     : `${testCase.name}: ${reply.status} ${text.slice(0, 200)}`;
 }
 
-/** Headers that never end: the node must answer 408 and close, by itself. */
+/** Sends headers that never end and expects the node to answer 408 and close the connection on its own. */
 function checkEndlessHeaders(address: string): Promise<string | undefined> {
   const [host = '', port = ''] = address.split(':');
   return new Promise((resolve) => {
@@ -147,9 +147,11 @@
 }
 
 /**
- * Bad input at a running fleet, and whether all nodes say the same.
+ * Sends malformed and invalid requests to a running fleet, and checks the status and error kind of each
+ * answer. Also checks that all nodes return the same outcome of one operation, the same spec, the same
+ * spec history and the same zones. Returns a description of each deviation.
  * @example
- * const faults = await tryManners(fleet);
+ * const faults = await checkBadRequests(fleet);
  */
 export async function checkBadRequests(fleet: Fleet): Promise<string[]> {
   const faults: string[] = [];
--- a/tools/fleet/src/everywhere.ts
+++ b/tools/fleet/src/everywhere.ts
@@ -5,7 +5,7 @@
 const MAX_ATTEMPTS = 10;
 const RETRY_INTERVAL_MS = 500;
 
-/** What only the node that is asked can say about itself, and what counts on while one asks. */
+/** Keys left out of the comparison: they describe the answering node alone, or change between two reads. */
 const NODE_LOCAL_KEYS = new Set([
   'self',
   'disk',
@@ -22,6 +22,7 @@
   'stale',
 ]);
 
+/** Copies an answer without its node-local keys, at every depth. */
 function comparable(value: unknown): unknown {
   if (Array.isArray(value)) return value.map(comparable);
   if (typeof value !== 'object' || value === null) return value;
@@ -32,7 +33,7 @@
   );
 }
 
-/** Names of the nodes in a table with a row for each. */
+/** Names of the nodes whose row of a per-node table carries no error. */
 function rowNames(body: unknown, key: string): string[] {
   const rows = (body as Record<string, { node: string; error?: string }[]>)[key] ?? [];
   return rows.filter((row) => row.error === undefined).map((row) => row.node);
@@ -43,7 +44,7 @@
   readonly body: unknown;
 }
 
-/** Which nodes answered otherwise than the first, or not well. */
+/** Describes each answer whose status is not 200 or whose body differs from the first answer. */
 function describeDifferences(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
   const [first] = answers;
   return answers.flatMap((answer, index) => {
@@ -57,11 +58,11 @@
 }
 
 /**
- * Asks every read command of every node and says where answers differ, and
- * sends each writing command once to every node. While placement moves, two
- * moments differ: answers that differ are asked for again, a few times.
+ * Sends every write command to each node once, then every read command to every node, and describes the
+ * answers that fail or differ. Answers also differ while placement is changing, since the nodes are read at
+ * slightly different moments: a read whose answers differ is retried up to `MAX_ATTEMPTS` times.
  * @example
- * const faults = await tryEverywhere(fleet, 'edge-1.0123456789ab');
+ * const faults = await checkEveryNode(fleet, 'edge-1.0123456789ab');
  */
 export async function checkEveryNode(fleet: Fleet, request: string): Promise<string[]> {
   const model = 'model-1';
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -6,20 +6,20 @@
 import type { Relay } from './relay.js';
 import { exampleSpec, type Shape } from '@rainrun/workloads';
 
-/** One process of a fleet. */
+/** A core or edge node of a fleet, which runs as one process. */
 export interface FleetNode {
   readonly name: string;
   readonly core: boolean;
   readonly zone: string;
   bind: string;
-  /** Where the others reach it: a place in the relay, or its own. */
+  /** Address at which other nodes reach this one: its endpoint in the relay, or `bind` without a relay. */
   reach: string;
   readonly http: string;
   readonly settings: string;
 }
 
 const HOST = '127.0.0.1';
-/** Last number of the first node's own loopback address, behind a relay. */
+/** Last octet of the loopback address of the first node behind a relay; each further node adds one. */
 const FIRST_HOST_NUMBER = 11;
 const CHUNK_INTERVAL_MS = 25;
 const PULL_MB_PER_S = 40_000;
@@ -27,8 +27,8 @@
 const CHECKOUT_ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 
 /**
- * A whole fleet on one machine, each node a process of its own, with stand-in
- * workers and platform list.
+ * Runs a whole fleet on one machine: one process per node, and one more that provides the stand-in workers
+ * and the platform's list of workers.
  * @example
  * const fleet = new Fleet(SHAPES['small'], 'run/small', 21000);
  * await fleet.start();
@@ -36,7 +36,7 @@
 export class Fleet {
   readonly nodes: FleetNode[] = [];
   readonly platform: string;
-  /** The checkout, built, from which nodes are started from now on. */
+  /** Root of the built checkout that `startNode` runs programs from. */
   build = CHECKOUT_ROOT;
   #shape: Shape;
   #relay: Relay | undefined;
@@ -46,7 +46,7 @@
   #seeds: readonly FleetNode[] = [];
   #children = new Map<string, ChildProcess>();
 
-  /** With a relay, nodes have loopback addresses of their own and reach each other through it. */
+  /** With a relay, each node has its own loopback address and reaches the other nodes through the relay. */
   constructor(shape: Shape, folder: string, firstPort: number, relay?: Relay) {
     this.#relay = relay;
     this.#shape = shape;
@@ -99,7 +99,7 @@
     this.#spawn(node.name, node.core ? 'core' : 'edge', ['--settings', node.settings]);
   }
 
-  /** The machine of a node that is down is replaced by an empty one at another address. */
+  /** Replaces the machine of a stopped node: deletes its data and gives it a new address. */
   async replaceMachine(node: FleetNode): Promise<void> {
     rmSync(join(this.#folder, 'data', node.name), { recursive: true, force: true });
     const port = this.#nextAddress().split(':')[1] ?? '';
@@ -109,7 +109,7 @@
     await this.#relay?.add(node);
   }
 
-  /** Whoever starts from now on is told of these. */
+  /** Sets the seed nodes in the settings of all nodes; a running node uses them after its next start. */
   setSeeds(seeds: readonly FleetNode[]): void {
     this.#seeds = seeds;
     for (const node of this.nodes) this.#writeSettings(node);
@@ -140,7 +140,7 @@
     this.#children.get(name)?.kill(signal);
   }
 
-  /** Resolves with the exit code once the process is gone. */
+  /** Resolves with the exit code once the process has exited, or null if a signal ended it. */
   waitForExit(name: string): Promise<number | null> {
     const child = this.#children.get(name);
     if (child === undefined || child.exitCode !== null || child.signalCode !== null)
@@ -150,7 +150,7 @@
     });
   }
 
-  /** Ends only what this fleet started, by id. */
+  /** Stops only the processes that this fleet started; nodes still running after 20 s get SIGKILL. */
   async stop(): Promise<Record<string, number | null>> {
     const codes: Record<string, number | null> = {};
     const names = [...this.#children.keys()].filter((name) => name !== 'stand-in-workers');
@@ -165,7 +165,7 @@
     return codes;
   }
 
-  /** Asks a node, or the standIns, in JSON. */
+  /** Sends a JSON request to a node or to the stand-in workers; status 0 means no JSON answer. */
   async ask(
     address: string,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH',
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -54,7 +54,7 @@
 
 const TRAFFIC_START_MS = 12_000;
 
-/** Waits for a condition, asked often; false when the time is over. */
+/** Polls a condition every 100 ms; returns false if it does not hold within `waitMs`. */
 async function waitUntil(waitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
   const endMs = performance.now() + waitMs;
   while (performance.now() < endMs) {
@@ -72,7 +72,7 @@
   for (const breach of breaches.slice(0, 20)) console.log(`  ${breach}`);
 }
 
-/** Brings a fleet up to the point where visitors may come. */
+/** Starts a fleet and applies the example spec; returns the reason if it is not ready for traffic in time. */
 async function bringUp(fleet: Fleet, shape: Shape): Promise<string | undefined> {
   const first = fleet.nodes[0];
   if (first === undefined) return 'no nodes';
@@ -98,7 +98,7 @@
 
 type CounterRow = Record<string, number | string>;
 
-/** Sums of the nodes' counters, to be held against those of a moment before. */
+/** Sums the nodes' resource counters by role, so that two readings can be subtracted. */
 async function readCosts(fleet: Fleet): Promise<Record<'edge' | 'core', CounterRow>> {
   const { body } = await fleet.ask(fleet.nodes[0]?.http ?? '', 'GET', '/rainrun/v1/counters');
   const sums: Record<'edge' | 'core', CounterRow> = { edge: {}, core: {} };
@@ -169,7 +169,7 @@
 const FLOOD_S = 25;
 const FLOOD_PER_S = 150;
 
-/** The same traffic twice: alone, and beside a group that floods. */
+/** Plays the same traffic twice: alone, and together with a flood of requests from one group. */
 async function runFlood(fleet: Fleet, shape: Shape): Promise<number> {
   const failure = await bringUp(fleet, shape);
   if (failure !== undefined) {
@@ -201,7 +201,7 @@
   return breaches.length + workers.breaches.length === 0 ? 0 : 1;
 }
 
-/** Good traffic, then every command at every node, then bad input. */
+/** Serves valid traffic, then tries every command at every node, then invalid requests. */
 function runSmoke(fleet: Fleet, shape: Shape): Promise<number> {
   return serveDay(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
     const nodeFaults = await checkEveryNode(
@@ -221,7 +221,10 @@
 
 const ROUTE_COUNTS = [100, 1000, 5000, 10_000];
 
-/** Specs that grow to many routes: how long until one is agreed, in force everywhere, and how long its last route takes. */
+/**
+ * Applies specs with more and more routes, and measures for each the time until it is agreed, the time until
+ * it is in force at every node, and the latency of its last route.
+ */
 async function measureRoutes(fleet: Fleet, shape: Shape): Promise<number> {
   const failure = await bringUp(fleet, shape);
   if (failure !== undefined) {
@@ -272,7 +275,7 @@
   return slowestMs <= 2000 ? 0 : 1;
 }
 
-/** Serves traffic for as long as the trial takes, and judges the whole. */
+/** Serves traffic while a trial runs, and reports the breaches of both; the exit code is 0 without any. */
 async function runTrial(
   fleet: Fleet,
   shape: Shape,
@@ -307,7 +310,7 @@
   return breaches.length === 0 ? 0 : 1;
 }
 
-/** Starts from another build, goes over to this one node by node under load, and back. */
+/** Starts the nodes from another build and rolls them to this build and back, one by one, under load. */
 function rollOut(shape: Shape, other: string | undefined): Promise<number> {
   if (other === undefined) {
     console.error('fleet: rollout needs --other, a checkout that is built');
@@ -320,7 +323,7 @@
   });
 }
 
-/** A fleet whose nodes reach each other through a relay that cuts. */
+/** Runs the trial of network cuts on a fleet whose nodes are connected through a relay. */
 async function runCuts(shape: Shape): Promise<number> {
   const relay = new Relay();
   const code = await withFleet(
@@ -387,7 +390,7 @@
   return 0;
 }
 
-/** A flag that is out of range, in words, or undefined. */
+/** Describes the first flag whose value is invalid, or returns undefined. */
 function badFlag(): string | undefined {
   const { port, speed, day, other } = cli.flags;
   if (!Number.isInteger(port) || port < 1024 || port > 65_000)
--- a/tools/fleet/src/relay.ts
+++ b/tools/fleet/src/relay.ts
@@ -1,9 +1,9 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 
-/** Whether nothing gets through now from one node to another. */
+/** Reports whether the link from one node to another is cut; the two directions are independent. */
 export type LinkCut = (from: string, to: string) => boolean;
 
-/** A place in the relay: where a node really listens, and where the others reach it. */
+/** Addresses of a relayed node: `bind`, where it listens, and `reach`, where the relay listens for it. */
 export interface RelayEndpoint {
   readonly name: string;
   readonly bind: string;
@@ -28,13 +28,12 @@
 }
 
 /**
- * Stands between the nodes of a fleet: every connection from one node to
- * another passes it. It knows a sender by the loopback address it comes from.
- * A cut holds bytes up, as a network does whose sender tries again; what is
- * held goes on when the cut heals.
+ * Forwards every connection between the nodes of a fleet, and can cut or delay links. The relay identifies
+ * the sender by the loopback address that the connection comes from. A cut buffers bytes instead of dropping
+ * them, as seen over a network whose sender retransmits; the buffered bytes are forwarded once the cut heals.
  * @example
  * const relay = new Relay();
- * await relay.open([{ name: 'core-1', bind: '127.0.0.11:7001', reach: '127.0.0.1:8001' }]);
+ * await relay.listen([{ name: 'core-1', bind: '127.0.0.11:7001', reach: '127.0.0.1:8001' }]);
  * relay.cut((from) => from === 'core-1');
  */
 export class Relay {
@@ -50,7 +49,7 @@
     for (const endpoint of endpoints) await this.add(endpoint);
   }
 
-  /** One more node, as when a machine is replaced at another address. */
+  /** Adds an endpoint while the relay runs, for example when a machine is replaced at another address. */
   add(endpoint: RelayEndpoint): Promise<void> {
     this.#nameByHost.set(parseAddress(endpoint.bind).host, endpoint.name);
     const server = createServer((source) => this.#accept(source, endpoint));
@@ -66,7 +65,7 @@
     this.#isCut = isCut;
   }
 
-  /** Every chunk is late by what this says; a lost one is one that comes much later. */
+  /** Delays each chunk by what `delayMs` returns for it; a long delay simulates loss and resending. */
   delay(delayMs: () => number): void {
     this.#delayMs = delayMs;
   }
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -3,13 +3,13 @@
 import type { Fleet, FleetNode } from './fleet.js';
 import type { LinkCut, Relay } from './relay.js';
 
-/** One step of a trial: when, what, and how it is done. */
+/** One step of a trial: its name in the report, and the action, which returns a fault or undefined. */
 interface TrialStep {
   readonly name: string;
   readonly run: () => Promise<string | undefined>;
 }
 
-/** What a trial of failures found. */
+/** Result of a trial: the faults found, and one report line per step. */
 export interface TrialReport {
   readonly faults: string[];
   readonly lines: string[];
@@ -20,8 +20,8 @@
 const CUT_MS = 5000;
 
 /**
- * Failures brought about on a real fleet while visitors call, one after the
- * other, each followed by the question whether service came back.
+ * Causes failures one after the other on a running fleet under load, and checks after each one that the fleet
+ * recovers.
  * @example
  * const report = await new Trial(fleet, loadGenerator).run();
  */
@@ -33,14 +33,14 @@
   #faults: string[] = [];
   #plannedStops: { edge: string; fromMs: number; toMs: number }[] = [];
 
-  /** With a relay between its nodes the fleet's network is cut too. */
+  /** `runCuts` needs the relay that connects the nodes of the fleet. */
   constructor(fleet: Fleet, loadGenerator: LoadGenerator, relay?: Relay) {
     this.#relay = relay;
     this.#fleet = fleet;
     this.#loadGenerator = loadGenerator;
   }
 
-  /** Rolls the fleet, node by node, to this build and back to the one it was started from. */
+  /** Rolls the fleet, node by node, to the given build and back to the build that it was started from. */
   async runRollOut(build: string): Promise<TrialReport> {
     const from = this.#fleet.build;
     for (const [name, to] of [
@@ -64,7 +64,7 @@
     return this.#runSteps(this.#failureSteps());
   }
 
-  /** Cuts of the network between the nodes, and machines that come back as others. */
+  /** Cuts and slows links between nodes, replaces the cores, changes the seeds, and takes a zone down. */
   runCuts(): Promise<TrialReport> {
     const { nodes, edges } = this.#fleet;
     const cores = new Set(nodes.filter((node) => node.core).map((node) => node.name));
@@ -106,8 +106,9 @@
   }
 
   /**
-   * Holds a cut, sees who admits meanwhile, and waits for the fleet to be whole
-   * again. Those that may be `exempt`, as the coordinator cannot reach them, may admit or not.
+   * Holds a cut for `CUT_MS`, checks which nodes admit requests meanwhile, and waits for recovery. Every node
+   * must admit except those in `nonAdmitting`, which must not. Nodes in `exempt` may do either, since the
+   * coordinator may be unable to reach them and drop them from the view.
    */
   async #cutFor(
     cut: LinkCut,
@@ -129,7 +130,7 @@
     return fault ?? (unexpected.length > 0 ? unexpected.join(', ') : undefined);
   }
 
-  /** Late by some milliseconds, and one chunk in fifty by a fifth of a second more, as if lost and sent again. */
+  /** Delays each chunk by up to 39 ms, and one in fifty by 200 ms more, as if it was lost and sent again. */
   async #slowLinks(): Promise<string | undefined> {
     let turn = 0;
     this.#relay?.delay(() => {
@@ -154,7 +155,7 @@
     return undefined;
   }
 
-  /** Waits until a node's own disk is among the voters. */
+  /** Waits until the node is a voter with its current disk; a replaced machine has a new disk. */
   async #waitForVoter(node: FleetNode): Promise<string | undefined> {
     const endMs = performance.now() + RECOVERY_LIMIT_MS;
     while (performance.now() < endMs) {
@@ -208,7 +209,7 @@
     return { faults: this.#faults, lines: this.#lines };
   }
 
-  /** Answers lost although the stop was planned. */
+  /** Lists the requests at an edge that lost their answer during a planned stop, which must lose none. */
   lostInPlannedStops(report: LoadReport): string[] {
     const lost: string[] = [];
     for (const seen of report.seen) {
@@ -248,7 +249,7 @@
     return undefined;
   }
 
-  /** Waits until every node admits, in one view of all, and an operation is agreed. */
+  /** Waits until every node admits and sees all members, and an operation is agreed. */
   async #waitForRecovery(): Promise<string | undefined> {
     const endMs = performance.now() + RECOVERY_LIMIT_MS;
     let reason = '';
@@ -260,6 +261,7 @@
     return `not back after ${RECOVERY_LIMIT_MS} ms: ${reason}`;
   }
 
+  /** Returns the first condition of recovery that does not hold, or an empty string. */
   async #unmetCondition(): Promise<string> {
     const { nodes } = this.#fleet;
     for (const node of nodes) {
@@ -356,7 +358,10 @@
     return this.#waitForRecovery();
   }
 
-  /** A planned roll-out: the platform takes an edge out of its rotation, or does not, and stops it. */
+  /**
+   * Restarts each node in turn, as a planned roll-out does. If `announced`, the load generator stops sending
+   * to the node first, as a platform does that takes an edge out of rotation.
+   */
   async #rollOut(announced: boolean): Promise<string | undefined> {
     for (const node of this.#fleet.nodes) {
       const fromMs = performance.now() - SETTLE_MS;
