--- a/tools/fleet/src/bad-requests.ts
+++ b/tools/fleet/src/bad-requests.ts
@@ -1,7 +1,7 @@
 import { createConnection } from 'node:net';
 import type { Fleet } from './fleet.js';
 
-interface Case {
+interface BadRequestCase {
   readonly name: string;
   readonly method: 'GET' | 'POST' | 'PUT' | 'PATCH';
   readonly path: string;
@@ -11,19 +11,19 @@
   readonly kind: string;
 }
 
-const CHAT = '/v1/chat/completions';
-const GROUP = { 'rainrun-group': 'technicians', 'rainrun-kind': 'question' };
+const CHAT_PATH = '/v1/chat/completions';
+const GROUP_HEADERS = { 'rainrun-group': 'technicians', 'rainrun-kind': 'question' };
 
-function chat(model: string): string {
+function chatBody(model: string): string {
   return JSON.stringify({ model, messages: [{ role: 'user', content: 'how high' }] });
 }
 
-const BAD_REQUESTS: readonly Case[] = [
+const BAD_REQUESTS: readonly BadRequestCase[] = [
   {
     name: 'not JSON',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: '{',
     status: 400,
     kind: 'bad-request',
@@ -31,8 +31,8 @@
   {
     name: 'no messages',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: '{"model":"model-1"}',
     status: 400,
     kind: 'bad-request',
@@ -40,27 +40,27 @@
   {
     name: 'unknown model',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
-    body: chat('none'),
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
+    body: chatBody('none'),
     status: 404,
     kind: 'unknown-model',
   },
   {
     name: 'unknown group',
     method: 'POST',
-    path: CHAT,
+    path: CHAT_PATH,
     headers: { 'rainrun-group': 'none' },
-    body: chat('model-1'),
+    body: chatBody('model-1'),
     status: 403,
     kind: 'unknown-group',
   },
-  { name: 'no route', method: 'GET', path: '/none', headers: GROUP, status: 404, kind: 'not-found' },
+  { name: 'no route', method: 'GET', path: '/none', headers: GROUP_HEADERS, status: 404, kind: 'not-found' },
   {
     name: 'body too large',
     method: 'POST',
-    path: CHAT,
-    headers: GROUP,
+    path: CHAT_PATH,
+    headers: GROUP_HEADERS,
     body: 'x'.repeat(5 * 1024 * 1024),
     status: 413,
     kind: 'too-large',
@@ -68,15 +68,15 @@
   {
     name: 'deadline past',
     method: 'POST',
-    path: CHAT,
-    headers: { ...GROUP, 'rainrun-deadline-ms': '-5' },
-    body: chat('model-1'),
+    path: CHAT_PATH,
+    headers: { ...GROUP_HEADERS, 'rainrun-deadline-ms': '-5' },
+    body: chatBody('model-1'),
     status: 400,
     kind: 'deadline-past',
   },
 ];
 
-const OPERATOR_CASES: readonly Case[] = [
+const OPERATOR_CASES: readonly BadRequestCase[] = [
   {
     name: 'bad spec',
     method: 'PUT',
@@ -111,26 +111,26 @@
   { name: 'unknown command', method: 'GET', path: '/rainrun/v1/none', status: 404, kind: 'not-found' },
 ];
 
-async function tryCase(address: string, one: Case): Promise<string | undefined> {
-  const reply = await fetch(`http://${address}${one.path}`, {
-    method: one.method,
-    headers: { 'content-type': 'application/json', ...one.headers },
-    ...(one.body === undefined ? {} : { body: one.body }),
+async function checkCase(address: string, testCase: BadRequestCase): Promise<string | undefined> {
+  const reply = await fetch(`http://${address}${testCase.path}`, {
+    method: testCase.method,
+    headers: { 'content-type': 'application/json', ...testCase.headers },
+    ...(testCase.body === undefined ? {} : { body: testCase.body }),
   });
   const text = await reply.text();
-  const kind = text.includes(`"kind":"${one.kind}"`);
-  return reply.status === one.status && kind
+  const hasKind = text.includes(`"kind":"${testCase.kind}"`);
+  return reply.status === testCase.status && hasKind
     ? undefined
-    : `${one.name}: ${reply.status} ${text.slice(0, 200)}`;
+    : `${testCase.name}: ${reply.status} ${text.slice(0, 200)}`;
 }
 
-/** Headers that never end: the node must answer 408 and close, by itself. */
-function tryEndlessHeaders(address: string): Promise<string | undefined> {
+/** Sends headers that never end and expects the node to answer 408 and close the connection on its own. */
+function checkEndlessHeaders(address: string): Promise<string | undefined> {
   const [host = '', port = ''] = address.split(':');
   return new Promise((resolve) => {
     const socket = createConnection({ host, port: Number(port) });
     let text = '';
-    const late = setTimeout(() => {
+    const timeout = setTimeout(() => {
       socket.destroy();
       resolve('headers that never end: the connection stayed open');
     }, 20_000);
@@ -140,26 +140,28 @@
     });
     socket.on('error', () => undefined);
     socket.on('close', () => {
-      clearTimeout(late);
+      clearTimeout(timeout);
       resolve(text.includes(' 408 ') ? undefined : `headers that never end: answered "${text.slice(0, 40)}"`);
     });
   });
 }
 
 /**
- * Bad input at a running fleet, and whether all nodes say the same.
+ * Sends malformed and invalid requests to a running fleet, and checks the status and error kind of each
+ * answer. Also checks that all nodes return the same outcome of one operation, the same spec, the same
+ * spec history and the same zones. Returns a description of each deviation.
  * @example
- * const faults = await tryManners(fleet);
+ * const faults = await checkBadRequests(fleet);
  */
-export async function tryBadRequests(fleet: Fleet): Promise<string[]> {
+export async function checkBadRequests(fleet: Fleet): Promise<string[]> {
   const faults: string[] = [];
   const edge = fleet.edges[0]?.http ?? '';
-  const endless = tryEndlessHeaders(edge);
-  for (const one of BAD_REQUESTS)
-    faults.push(...[await tryCase(edge, one)].filter((fault) => fault !== undefined));
-  for (const one of OPERATOR_CASES) {
+  const endless = checkEndlessHeaders(edge);
+  for (const testCase of BAD_REQUESTS)
+    faults.push(...[await checkCase(edge, testCase)].filter((fault) => fault !== undefined));
+  for (const testCase of OPERATOR_CASES) {
     for (const { http } of [fleet.nodes[0], fleet.edges[0]].filter((node) => node !== undefined)) {
-      faults.push(...[await tryCase(http, one)].filter((fault) => fault !== undefined));
+      faults.push(...[await checkCase(http, testCase)].filter((fault) => fault !== undefined));
     }
   }
   const id = `once-${Date.now()}`;
--- a/tools/fleet/src/everywhere.ts
+++ b/tools/fleet/src/everywhere.ts
@@ -2,11 +2,11 @@
 import { isDeepStrictEqual } from 'node:util';
 import type { Fleet, FleetNode } from './fleet.js';
 
-const TURNS = 10;
-const AGAIN_MS = 500;
+const MAX_ATTEMPTS = 10;
+const RETRY_INTERVAL_MS = 500;
 
-/** What only the node that is asked can say about itself, and what counts on while one asks. */
-const OWN = new Set([
+/** Keys left out of the comparison: they describe the answering node alone, or change between two reads. */
+const NODE_LOCAL_KEYS = new Set([
   'self',
   'disk',
   'admitting',
@@ -22,17 +22,18 @@
   'stale',
 ]);
 
-function shared(value: unknown): unknown {
-  if (Array.isArray(value)) return value.map(shared);
+/** Copies an answer without its node-local keys, at every depth. */
+function comparable(value: unknown): unknown {
+  if (Array.isArray(value)) return value.map(comparable);
   if (typeof value !== 'object' || value === null) return value;
   return Object.fromEntries(
     Object.entries(value)
-      .filter(([key]) => !OWN.has(key))
-      .map(([key, inner]) => [key, shared(inner)]),
+      .filter(([key]) => !NODE_LOCAL_KEYS.has(key))
+      .map(([key, inner]) => [key, comparable(inner)]),
   );
 }
 
-/** Names of the nodes in a table with a row for each. */
+/** Names of the nodes whose row of a per-node table carries no error. */
 function rowNames(body: unknown, key: string): string[] {
   const rows = (body as Record<string, { node: string; error?: string }[]>)[key] ?? [];
   return rows.filter((row) => row.error === undefined).map((row) => row.node);
@@ -43,27 +44,27 @@
   readonly body: unknown;
 }
 
-/** Which nodes answered otherwise than the first, or not well. */
-function differing(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
+/** Describes each answer whose status is not 200 or whose body differs from the first answer. */
+function describeDifferences(nodes: readonly FleetNode[], path: string, answers: readonly Reply[]): string[] {
   const [first] = answers;
-  return answers.flatMap((answer, place) => {
-    const same = answer.status === 200 && isDeepStrictEqual(shared(answer.body), shared(first?.body));
+  return answers.flatMap((answer, index) => {
+    const same = answer.status === 200 && isDeepStrictEqual(comparable(answer.body), comparable(first?.body));
     return same
       ? []
       : [
-          `${path} at ${nodes[place]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`,
+          `${path} at ${nodes[index]?.name ?? ''}: ${JSON.stringify(answer).slice(0, 2000)} and not ${JSON.stringify(first).slice(0, 2000)}`,
         ];
   });
 }
 
 /**
- * Asks every read command of every node and says where answers differ, and
- * sends each writing command once to every node. While placement moves, two
- * moments differ: answers that differ are asked for again, a few times.
+ * Sends every write command to each node once, then every read command to every node, and describes the
+ * answers that fail or differ. Answers also differ while placement is changing, since the nodes are read at
+ * slightly different moments: a read whose answers differ is retried up to `MAX_ATTEMPTS` times.
  * @example
- * const faults = await tryEverywhere(fleet, 'edge-1.0123456789ab');
+ * const faults = await checkEveryNode(fleet, 'edge-1.0123456789ab');
  */
-export async function tryEverywhere(fleet: Fleet, request: string): Promise<string[]> {
+export async function checkEveryNode(fleet: Fleet, request: string): Promise<string[]> {
   const model = 'model-1';
   const reads = [
     'view',
@@ -87,24 +88,24 @@
   ): Promise<Reply> {
     return fleet.ask(node.http, method, `/rainrun/v1/${path}`, body);
   }
-  for (const [place, node] of nodes.entries()) {
-    const edit = { add: { models: [{ name: `everywhere-${place}`, sizeMb: 1 }] } };
+  for (const [index, node] of nodes.entries()) {
+    const edit = { add: { models: [{ name: `everywhere-${index}`, sizeMb: 1 }] } };
     const writes = [
-      await ask(node, 'PATCH', 'spec', { patch: edit, id: `everywhere-${place}` }),
+      await ask(node, 'PATCH', 'spec', { patch: edit, id: `everywhere-${index}` }),
       await ask(node, 'POST', 'zones/north/empty', {}),
       await ask(node, 'POST', 'zones/north/restore', {}),
       await ask(node, 'POST', 'forget/nobody'),
     ];
-    const bad = writes.filter(({ status }) => status !== 200);
-    if (bad.length > 0) faults.push(`${node.name}: ${JSON.stringify(bad)}`);
+    const failed = writes.filter(({ status }) => status !== 200);
+    if (failed.length > 0) faults.push(`${node.name}: ${JSON.stringify(failed)}`);
   }
   for (const path of reads) {
     let different: string[] = [];
-    for (let turn = 0; turn < TURNS; turn += 1) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt += 1) {
       const answers = await Promise.all(nodes.map((node) => ask(node, 'GET', path)));
-      different = differing(nodes, path, answers);
+      different = describeDifferences(nodes, path, answers);
       if (different.length === 0) break;
-      await pause(AGAIN_MS);
+      await pause(RETRY_INTERVAL_MS);
     }
     faults.push(...different);
   }
--- a/tools/fleet/src/fleet.ts
+++ b/tools/fleet/src/fleet.ts
@@ -6,29 +6,29 @@
 import type { Relay } from './relay.js';
 import { exampleSpec, type Shape } from '@rainrun/workloads';
 
-/** One process of a fleet. */
+/** A core or edge node of a fleet, which runs as one process. */
 export interface FleetNode {
   readonly name: string;
   readonly core: boolean;
   readonly zone: string;
   bind: string;
-  /** Where the others reach it: a place in the relay, or its own. */
+  /** Address at which other nodes reach this one: its endpoint in the relay, or `bind` without a relay. */
   reach: string;
   readonly http: string;
   readonly settings: string;
 }
 
 const HOST = '127.0.0.1';
-/** Last number of the first node's own loopback address, behind a relay. */
-const FIRST_OWN = 11;
-const PIECE_MS = 25;
+/** Last octet of the loopback address of the first node behind a relay; each further node adds one. */
+const FIRST_HOST_NUMBER = 11;
+const CHUNK_INTERVAL_MS = 25;
 const PULL_MB_PER_S = 40_000;
 
-const HERE = fileURLToPath(new URL('../../../', import.meta.url));
+const CHECKOUT_ROOT = fileURLToPath(new URL('../../../', import.meta.url));
 
 /**
- * A whole fleet on one machine, each node a process of its own, with stand-in
- * workers and platform list.
+ * Runs a whole fleet on one machine: one process per node, and one more that provides the stand-in workers
+ * and the platform's list of workers.
  * @example
  * const fleet = new Fleet(SHAPES['small'], 'run/small', 21000);
  * await fleet.start();
@@ -36,17 +36,17 @@
 export class Fleet {
   readonly nodes: FleetNode[] = [];
   readonly platform: string;
-  /** The checkout, built, from which nodes are started from now on. */
-  build = HERE;
+  /** Root of the built checkout that `startNode` runs programs from. */
+  build = CHECKOUT_ROOT;
   #shape: Shape;
   #relay: Relay | undefined;
   #folder: string;
-  #setup: string;
-  #next: () => string;
+  #setupFile: string;
+  #nextAddress: () => string;
   #seeds: readonly FleetNode[] = [];
   #children = new Map<string, ChildProcess>();
 
-  /** With a relay, nodes have loopback addresses of their own and reach each other through it. */
+  /** With a relay, each node has its own loopback address and reaches the other nodes through the relay. */
   constructor(shape: Shape, folder: string, firstPort: number, relay?: Relay) {
     this.#relay = relay;
     this.#shape = shape;
@@ -58,30 +58,31 @@
       return `${HOST}:${port}`;
     }
     this.platform = next();
-    function zone(place: number): string {
-      return shape.zones[place % shape.zones.length] ?? '';
+    function zoneAt(index: number): string {
+      return shape.zones[index % shape.zones.length] ?? '';
     }
-    const outlines = Array.from({ length: shape.cores + shape.edges }, (_, place) => {
-      const core = place < shape.cores;
-      const at = core ? place : place - shape.cores;
+    const outlines = Array.from({ length: shape.cores + shape.edges }, (_, index) => {
+      const core = index < shape.cores;
+      const ordinal = core ? index : index - shape.cores;
       return {
-        name: core ? `core-${at + 1}` : `edge-${at + 1}`,
+        name: core ? `core-${ordinal + 1}` : `edge-${ordinal + 1}`,
         core,
-        zone: zone(at),
+        zone: zoneAt(ordinal),
         bind: next(),
         http: next(),
       };
     });
-    this.#next = next;
-    for (const [place, outline] of outlines.entries()) {
+    this.#nextAddress = next;
+    for (const [index, outline] of outlines.entries()) {
       const reach = outline.bind;
-      const bind = relay === undefined ? reach : `127.0.0.${FIRST_OWN + place}:${reach.split(':')[1] ?? ''}`;
+      const bind =
+        relay === undefined ? reach : `127.0.0.${FIRST_HOST_NUMBER + index}:${reach.split(':')[1] ?? ''}`;
       this.nodes.push({ ...outline, bind, reach, settings: join(folder, `${outline.name}.json`) });
     }
     this.#seeds = this.nodes.slice(0, 3);
     for (const node of this.nodes) this.#writeSettings(node);
-    this.#setup = join(folder, 'stand-in-workers.json');
-    this.#writeSetup(next, zone);
+    this.#setupFile = join(folder, 'stand-in-workers.json');
+    this.#writeSetup(next, zoneAt);
   }
 
   get edges(): FleetNode[] {
@@ -89,8 +90,8 @@
   }
 
   async start(): Promise<void> {
-    await this.#relay?.open(this.nodes);
-    this.#spawn('stand-in-workers', 'stand-in-workers', ['--setup', this.#setup]);
+    await this.#relay?.listen(this.nodes);
+    this.#spawn('stand-in-workers', 'stand-in-workers', ['--setup', this.#setupFile]);
     for (const node of this.nodes) this.startNode(node);
   }
 
@@ -98,17 +99,17 @@
     this.#spawn(node.name, node.core ? 'core' : 'edge', ['--settings', node.settings]);
   }
 
-  /** The machine of a node that is down is replaced by an empty one at another address. */
+  /** Replaces the machine of a stopped node: deletes its data and gives it a new address. */
   async replaceMachine(node: FleetNode): Promise<void> {
     rmSync(join(this.#folder, 'data', node.name), { recursive: true, force: true });
-    const port = this.#next().split(':')[1] ?? '';
+    const port = this.#nextAddress().split(':')[1] ?? '';
     node.bind = `${node.bind.split(':')[0] ?? HOST}:${port}`;
     node.reach = `${HOST}:${port}`;
     this.#writeSettings(node);
     await this.#relay?.add(node);
   }
 
-  /** Whoever starts from now on is told of these. */
+  /** Sets the seed nodes in the settings of all nodes; a running node uses them after its next start. */
   setSeeds(seeds: readonly FleetNode[]): void {
     this.#seeds = seeds;
     for (const node of this.nodes) this.#writeSettings(node);
@@ -118,7 +119,7 @@
     const { name, zone, bind, reach, http, core, settings } = node;
     const founders = this.nodes.filter((known) => known.core).map((known) => known.name);
     const seeds = this.#seeds.map((seed) => seed.reach);
-    const shared = {
+    const common = {
       name,
       deployment: this.#shape.deployment,
       zone,
@@ -127,17 +128,20 @@
       seeds,
       platform: `http://${this.platform}/workers`,
     };
-    const relayed = reach === bind ? {} : { reach };
-    const own = core ? { founders, folder: join(this.#folder, 'data', name) } : {};
-    writeFileSync(settings, `${JSON.stringify({ ...shared, ...relayed, ...own }, undefined, 2)}\n`);
+    const reachSettings = reach === bind ? {} : { reach };
+    const roleSettings = core ? { founders, folder: join(this.#folder, 'data', name) } : {};
+    writeFileSync(
+      settings,
+      `${JSON.stringify({ ...common, ...reachSettings, ...roleSettings }, undefined, 2)}\n`,
+    );
   }
 
   signal(name: string, signal: NodeJS.Signals): void {
     this.#children.get(name)?.kill(signal);
   }
 
-  /** Resolves with the exit code once the process is gone. */
-  ended(name: string): Promise<number | null> {
+  /** Resolves with the exit code once the process has exited, or null if a signal ended it. */
+  waitForExit(name: string): Promise<number | null> {
     const child = this.#children.get(name);
     if (child === undefined || child.exitCode !== null || child.signalCode !== null)
       return Promise.resolve(child?.exitCode ?? null);
@@ -146,22 +150,22 @@
     });
   }
 
-  /** Ends only what this fleet started, by id. */
+  /** Stops only the processes that this fleet started; nodes still running after 20 s get SIGKILL. */
   async stop(): Promise<Record<string, number | null>> {
     const codes: Record<string, number | null> = {};
     const names = [...this.#children.keys()].filter((name) => name !== 'stand-in-workers');
     for (const name of names) this.signal(name, 'SIGTERM');
-    const late = setTimeout(() => {
+    const killTimer = setTimeout(() => {
       for (const name of names) this.signal(name, 'SIGKILL');
     }, 20_000);
-    for (const name of names) codes[name] = await this.ended(name);
-    clearTimeout(late);
+    for (const name of names) codes[name] = await this.waitForExit(name);
+    clearTimeout(killTimer);
     this.signal('stand-in-workers', 'SIGTERM');
-    await this.ended('stand-in-workers');
+    await this.waitForExit('stand-in-workers');
     return codes;
   }
 
-  /** Asks a node, or the standIns, in JSON. */
+  /** Sends a JSON request to a node or to the stand-in workers; status 0 means no JSON answer. */
   async ask(
     address: string,
     method: 'GET' | 'POST' | 'PUT' | 'PATCH',
@@ -184,7 +188,9 @@
   #spawn(name: string, program: string, args: readonly string[]): void {
     const log = openSync(join(this.#folder, `${name}.log`), 'a');
     const path =
-      program === 'stand-in-workers' ? join(HERE, 'tools', program) : join(this.build, 'programs', program);
+      program === 'stand-in-workers'
+        ? join(CHECKOUT_ROOT, 'tools', program)
+        : join(this.build, 'programs', program);
     const child = spawn(process.execPath, [join(path, 'dist', 'main.js'), ...args], {
       stdio: ['ignore', log, log],
     });
@@ -192,7 +198,7 @@
     this.#children.set(name, child);
   }
 
-  #writeSetup(next: () => string, zone: (place: number) => string): void {
+  #writeSetup(next: () => string, zoneAt: (index: number) => string): void {
     const shape = this.#shape;
     const spec = exampleSpec(shape) as {
       store: { pullsPerMinute: number };
@@ -200,20 +206,20 @@
       models: { name: string; sizeMb: number }[];
       adapters: { name: string; sizeMb: number }[];
     };
-    const shared = {
+    const common = {
       host: HOST,
       roomMb: spec.workers.roomMb,
       slots: spec.workers.slots,
       pullMbPerS: PULL_MB_PER_S,
-      pieceMs: PIECE_MS,
+      pieceMs: CHUNK_INTERVAL_MS,
     };
-    const workers = Array.from({ length: shape.workers + shape.lookups }, (_, place) => {
-      const lookup = place >= shape.workers;
-      const at = lookup ? place - shape.workers : place;
+    const workers = Array.from({ length: shape.workers + shape.lookups }, (_, index) => {
+      const lookup = index >= shape.workers;
+      const ordinal = lookup ? index - shape.workers : index;
       return {
-        ...shared,
-        name: lookup ? `lookup-${at + 1}` : `worker-${at + 1}`,
-        zone: zone(at),
+        ...common,
+        name: lookup ? `lookup-${ordinal + 1}` : `worker-${ordinal + 1}`,
+        zone: zoneAt(ordinal),
         port: Number(next().split(':')[1]),
         kind: lookup ? 'lookup' : 'model',
         pool: lookup ? shape.pool : 'models',
@@ -224,6 +230,6 @@
     );
     const port = Number(this.platform.split(':')[1]);
     const setup = { host: HOST, port, pullsPerMinute: spec.store.pullsPerMinute, sizesMb, workers };
-    writeFileSync(this.#setup, `${JSON.stringify(setup, undefined, 2)}\n`);
+    writeFileSync(this.#setupFile, `${JSON.stringify(setup, undefined, 2)}\n`);
   }
 }
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -6,9 +6,9 @@
 import meow from 'meow';
 import { compare, LoadGenerator, type LoadReport } from '@rainrun/load-generator';
 import type { Report } from '@rainrun/stand-in-workers';
-import { tryEverywhere } from './everywhere.js';
+import { checkEveryNode } from './everywhere.js';
 import { Fleet } from './fleet.js';
-import { tryBadRequests } from './bad-requests.js';
+import { checkBadRequests } from './bad-requests.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
 import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
@@ -52,10 +52,10 @@
   },
 );
 
-const TRAFFIC_MS = 12_000;
+const TRAFFIC_START_MS = 12_000;
 
-/** Waits for a condition, asked often; false when the time is over. */
-async function until(waitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
+/** Polls a condition every 100 ms; returns false if it does not hold within `waitMs`. */
+async function waitUntil(waitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
   const endMs = performance.now() + waitMs;
   while (performance.now() < endMs) {
     if (await condition()) return true;
@@ -64,7 +64,7 @@
   return false;
 }
 
-function show(report: LoadReport, workers: Report, breaches: readonly string[]): void {
+function printReport(report: LoadReport, workers: Report, breaches: readonly string[]): void {
   console.log('outcomes', JSON.stringify(report.outcomes));
   console.table(report.byKind);
   console.log('workers', JSON.stringify(workers.counts));
@@ -72,22 +72,22 @@
   for (const breach of breaches.slice(0, 20)) console.log(`  ${breach}`);
 }
 
-/** Brings a fleet up to the point where visitors may come. */
-async function open(fleet: Fleet, shape: Shape): Promise<string | undefined> {
+/** Starts a fleet and applies the example spec; returns the reason if it is not ready for traffic in time. */
+async function bringUp(fleet: Fleet, shape: Shape): Promise<string | undefined> {
   const first = fleet.nodes[0];
   if (first === undefined) return 'no nodes';
   await fleet.start();
-  const whole = await until(TRAFFIC_MS, async () => {
+  const complete = await waitUntil(TRAFFIC_START_MS, async () => {
     const { body } = await fleet.ask(first.http, 'GET', '/rainrun/v1/view');
     return ((body as { members?: unknown[] }).members ?? []).length === fleet.nodes.length;
   });
-  if (!whole) return 'the view is not whole after 12 s';
+  if (!complete) return 'the view is not whole after 12 s';
   const put = await fleet.ask(first.http, 'PUT', '/rainrun/v1/spec', {
     base: 0,
     text: JSON.stringify(exampleSpec(shape), undefined, 2),
   });
   if (put.status !== 200) return `the spec was not agreed: ${JSON.stringify(put.body)}`;
-  const ready = await until(2000, async () => {
+  const ready = await waitUntil(2000, async () => {
     const replies = await Promise.all(
       fleet.edges.map((edge) => fleet.ask(edge.http, 'GET', '/rainrun/v1/ready')),
     );
@@ -96,13 +96,13 @@
   return ready ? undefined : 'the spec is not in force everywhere after 2 s';
 }
 
-type Row = Record<string, number | string>;
+type CounterRow = Record<string, number | string>;
 
-/** Sums of the nodes' counters, to be held against those of a moment before. */
-async function costs(fleet: Fleet): Promise<Record<'edge' | 'core', Row>> {
+/** Sums the nodes' resource counters by role, so that two readings can be subtracted. */
+async function readCosts(fleet: Fleet): Promise<Record<'edge' | 'core', CounterRow>> {
   const { body } = await fleet.ask(fleet.nodes[0]?.http ?? '', 'GET', '/rainrun/v1/counters');
-  const sums: Record<'edge' | 'core', Row> = { edge: {}, core: {} };
-  for (const row of (body as { counters?: Row[] }).counters ?? []) {
+  const sums: Record<'edge' | 'core', CounterRow> = { edge: {}, core: {} };
+  for (const row of (body as { counters?: CounterRow[] }).counters ?? []) {
     const role = fleet.nodes.find((node) => node.name === row['node'])?.core === true ? 'core' : 'edge';
     for (const key of ['cpuMs', 'bytesOut', 'framesOut', 'heldMb'])
       sums[role][key] = Number(sums[role][key] ?? 0) + Number(row[key] ?? 0);
@@ -110,10 +110,10 @@
   return sums;
 }
 
-function showCosts(
+function printCosts(
   fleet: Fleet,
-  before: Record<'edge' | 'core', Row>,
-  after: Record<'edge' | 'core', Row>,
+  before: Record<'edge' | 'core', CounterRow>,
+  after: Record<'edge' | 'core', CounterRow>,
   served: number,
   seconds: number,
 ): void {
@@ -130,7 +130,7 @@
   }
 }
 
-async function serve(
+async function serveDay(
   fleet: Fleet,
   shape: Shape,
   dayText: string,
@@ -138,9 +138,9 @@
   after: (report: LoadReport) => Promise<string[]> = () => Promise.resolve([]),
 ): Promise<number> {
   const beganMs = performance.now();
-  const closed = await open(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   console.log(`ready after ${((performance.now() - beganMs) / 1000).toFixed(1)} s`);
@@ -149,17 +149,17 @@
     console.error(`fleet: the day cannot be read: ${day.error.detail}`);
     return 1;
   }
-  await pause(Math.max(0, TRAFFIC_MS - (performance.now() - beganMs)));
-  const [costsBefore, playedMs] = [await costs(fleet), performance.now()];
+  await pause(Math.max(0, TRAFFIC_START_MS - (performance.now() - beganMs)));
+  const [costsBefore, playedMs] = [await readCosts(fleet), performance.now()];
   const report = await new LoadGenerator(fleet.edges.map((edge) => edge.http)).play(day.value.calls, speed);
   const seconds = (performance.now() - playedMs) / 1000;
-  const costsAfter = await costs(fleet);
+  const costsAfter = await readCosts(fleet);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [...report.breaches, ...workers.breaches, ...compare(report.seen, workers.runs)];
-  show(report, workers, breaches);
+  printReport(report, workers, breaches);
   const served = report.outcomes['served'] ?? 0;
   const ratio = served / Math.max(1, report.seen.length);
-  showCosts(fleet, costsBefore, costsAfter, Math.max(1, served), seconds);
+  printCosts(fleet, costsBefore, costsAfter, Math.max(1, served), seconds);
   console.log(`served ${served} of ${report.seen.length} (${(100 * ratio).toFixed(2)} %)`);
   const faults = await after(report);
   for (const fault of faults) console.error(`fleet: ${fault}`);
@@ -169,24 +169,24 @@
 const FLOOD_S = 25;
 const FLOOD_PER_S = 150;
 
-/** The same traffic twice: alone, and beside a group that floods. */
-async function flood(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+/** Plays the same traffic twice: alone, and together with a flood of requests from one group. */
+async function runFlood(fleet: Fleet, shape: Shape): Promise<number> {
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   const group = shape.kinds.at(-1)?.group ?? '';
   const edges = fleet.edges.map((edge) => edge.http);
   const day = readDay(makeDay(shape, FLOOD_S, 1));
-  const mass = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
-  if (day.isErr || mass.isErr) return 1;
+  const floodDay = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
+  if (day.isErr || floodDay.isErr) return 1;
   await pause(25_000);
   const alone = await new LoadGenerator(edges).play(day.value.calls, 1);
   await pause(3000);
   const [beside, flooded] = await Promise.all([
     new LoadGenerator(edges).play(day.value.calls, 1),
-    new LoadGenerator(edges).play(mass.value.calls, 1),
+    new LoadGenerator(edges).play(floodDay.value.calls, 1),
   ]);
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
   const breaches = [alone, beside, flooded].flatMap((report) => [
@@ -194,58 +194,61 @@
     ...compare(report.seen, workers.runs),
   ]);
   console.log('alone');
-  show(alone, workers, breaches);
+  printReport(alone, workers, breaches);
   console.log(`beside a flood of ${FLOOD_PER_S} a second from ${group}`);
-  show(beside, workers, breaches);
+  printReport(beside, workers, breaches);
   console.log('the flood', JSON.stringify(flooded.outcomes), JSON.stringify(flooded.byKind));
   return breaches.length + workers.breaches.length === 0 ? 0 : 1;
 }
 
-/** Good traffic, then every command at every node, then bad input. */
-function smoke(fleet: Fleet, shape: Shape): Promise<number> {
-  return serve(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
-    const everywhere = await tryEverywhere(
+/** Serves valid traffic, then tries every command at every node, then invalid requests. */
+function runSmoke(fleet: Fleet, shape: Shape): Promise<number> {
+  return serveDay(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
+    const nodeFaults = await checkEveryNode(
       fleet,
       report.seen.find((seen) => seen.outcome === 'served')?.id ?? '',
     );
     console.log(
-      `every command at every node: ${everywhere.length === 0 ? 'the same answers' : `${everywhere.length} faults`}`,
+      `every command at every node: ${nodeFaults.length === 0 ? 'the same answers' : `${nodeFaults.length} faults`}`,
     );
-    const manners = await tryBadRequests(fleet);
+    const inputFaults = await checkBadRequests(fleet);
     console.log(
-      `bad input: ${manners.length === 0 ? 'answered as it should be' : `${manners.length} faults`}`,
+      `bad input: ${inputFaults.length === 0 ? 'answered as it should be' : `${inputFaults.length} faults`}`,
     );
-    return [...everywhere, ...manners];
+    return [...nodeFaults, ...inputFaults];
   });
 }
 
 const ROUTE_COUNTS = [100, 1000, 5000, 10_000];
 
-/** Specs that grow to many routes: how long until one is agreed, in force everywhere, and how long its last route takes. */
-async function routes(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+/**
+ * Applies specs with more and more routes, and measures for each the time until it is agreed, the time until
+ * it is in force at every node, and the latency of its last route.
+ */
+async function measureRoutes(fleet: Fleet, shape: Shape): Promise<number> {
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   const spec = exampleSpec(shape) as { routes: object[] };
   let slowestMs = 0;
   console.log('routes  bytes    agreed after ms  in force everywhere after ms  lookup p50 ms');
-  for (const [place, count] of ROUTE_COUNTS.entries()) {
-    const more = Array.from({ length: count }, (_, at) => ({
+  for (const [index, count] of ROUTE_COUNTS.entries()) {
+    const extraRoutes = Array.from({ length: count }, (_, at) => ({
       path: `/v1/many/${at}`,
       serve: 'lookup',
       pool: shape.pool,
     }));
-    const text = JSON.stringify({ ...spec, routes: [...spec.routes, ...more].slice(-count) });
-    const node = fleet.nodes[place % fleet.nodes.length];
+    const text = JSON.stringify({ ...spec, routes: [...spec.routes, ...extraRoutes].slice(-count) });
+    const node = fleet.nodes[index % fleet.nodes.length];
     const beganMs = performance.now();
     const put = await fleet.ask(node?.http ?? '', 'PUT', '/rainrun/v1/spec', { text });
     const agreedMs = performance.now() - beganMs;
     if (put.status !== 200)
       console.error(`fleet: ${count} routes: ${JSON.stringify(put.body).slice(0, 200)}`);
     const version = (put.body as { detail?: string }).detail;
-    const inForce = await until(5000, async () => {
+    const inForce = await waitUntil(5000, async () => {
       const replies = await Promise.all(
         fleet.nodes.map((one) => fleet.ask(one.http, 'GET', '/rainrun/v1/spec/history')),
       );
@@ -272,16 +275,16 @@
   return slowestMs <= 2000 ? 0 : 1;
 }
 
-/** Serves traffic for as long as the trial takes, and judges the whole. */
-async function tryOut(
+/** Serves traffic while a trial runs, and reports the breaches of both; the exit code is 0 without any. */
+async function runTrial(
   fleet: Fleet,
   shape: Shape,
-  act: (trial: Trial) => Promise<TrialReport>,
+  task: (trial: Trial) => Promise<TrialReport>,
   relay?: Relay,
 ): Promise<number> {
-  const closed = await open(fleet, shape);
-  if (closed !== undefined) {
-    console.error(`fleet: ${closed}`);
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) {
+    console.error(`fleet: ${failure}`);
     return 1;
   }
   await pause(10_000);
@@ -291,7 +294,7 @@
   if (day.isErr) return 1;
   const playing = loadGenerator.play(day.value.calls, 1);
   await pause(2000);
-  const found = await act(trial);
+  const result = await task(trial);
   loadGenerator.stop();
   const report = await playing;
   const workers = (await fleet.ask(fleet.platform, 'GET', '/report')).body as Report;
@@ -299,33 +302,33 @@
     ...report.breaches,
     ...workers.breaches,
     ...compare(report.seen, workers.runs),
-    ...found.faults,
+    ...result.faults,
     ...trial.lostInPlannedStops(report),
   ];
-  show(report, workers, breaches);
-  for (const line of found.lines) console.log(line);
+  printReport(report, workers, breaches);
+  for (const line of result.lines) console.log(line);
   return breaches.length === 0 ? 0 : 1;
 }
 
-/** Starts from another build, goes over to this one node by node under load, and back. */
+/** Starts the nodes from another build and rolls them to this build and back, one by one, under load. */
 function rollOut(shape: Shape, other: string | undefined): Promise<number> {
   if (other === undefined) {
     console.error('fleet: rollout needs --other, a checkout that is built');
     return Promise.resolve(2);
   }
   return withFleet(shape, (fleet) => {
-    const here = fleet.build;
+    const thisBuild = fleet.build;
     fleet.build = resolve(other);
-    return tryOut(fleet, shape, (trial) => trial.runRollOut(here));
+    return runTrial(fleet, shape, (trial) => trial.runRollOut(thisBuild));
   });
 }
 
-/** A fleet whose nodes reach each other through a relay that cuts. */
-async function cuts(shape: Shape): Promise<number> {
+/** Runs the trial of network cuts on a fleet whose nodes are connected through a relay. */
+async function runCuts(shape: Shape): Promise<number> {
   const relay = new Relay();
   const code = await withFleet(
     shape,
-    (fleet) => tryOut(fleet, shape, (trial) => trial.runCuts(), relay),
+    (fleet) => runTrial(fleet, shape, (trial) => trial.runCuts(), relay),
     relay,
   );
   relay.close();
@@ -334,14 +337,14 @@
 
 async function withFleet(
   shape: Shape,
-  act: (fleet: Fleet) => Promise<number>,
+  task: (fleet: Fleet) => Promise<number>,
   relay?: Relay,
 ): Promise<number> {
   const folder = cli.flags.folder ?? mkdtempSync(join(tmpdir(), 'rainrun-'));
   const fleet = new Fleet(shape, folder, cli.flags.port, relay);
   let code = 1;
   try {
-    code = await act(fleet);
+    code = await task(fleet);
   } finally {
     const codes = await fleet.stop();
     const bad = Object.entries(codes).filter(([, exit]) => exit !== 0);
@@ -353,7 +356,7 @@
   return code;
 }
 
-function dayOf(shape: Shape): string {
+function loadDay(shape: Shape): string {
   return cli.flags.day === undefined ? makeDay(shape, 40, 1) : readFileSync(cli.flags.day, 'utf8');
 }
 
@@ -364,13 +367,13 @@
   });
 }
 
-async function keep(fleet: Fleet, shape: Shape): Promise<number> {
-  const closed = await open(fleet, shape);
-  if (closed !== undefined) console.error(`fleet: ${closed}`);
+async function keepRunning(fleet: Fleet, shape: Shape): Promise<number> {
+  const failure = await bringUp(fleet, shape);
+  if (failure !== undefined) console.error(`fleet: ${failure}`);
   for (const node of fleet.nodes) console.log(`${node.name.padEnd(10)} ${node.zone.padEnd(10)} ${node.http}`);
   console.log(`platform   ${fleet.platform}`);
   await untilSignal();
-  return closed === undefined ? 0 : 1;
+  return failure === undefined ? 0 : 1;
 }
 
 function writeExamples(): number {
@@ -387,7 +390,7 @@
   return 0;
 }
 
-/** A flag that is out of range, in words, or undefined. */
+/** Describes the first flag whose value is invalid, or returns undefined. */
 function badFlag(): string | undefined {
   const { port, speed, day, other } = cli.flags;
   if (!Number.isInteger(port) || port < 1024 || port > 65_000)
@@ -409,21 +412,21 @@
   if (shape === undefined) return 2;
   switch (cli.input[0]) {
     case 'start':
-      return withFleet(shape, (fleet) => keep(fleet, shape));
+      return withFleet(shape, (fleet) => keepRunning(fleet, shape));
     case 'run':
-      return withFleet(shape, (fleet) => serve(fleet, shape, dayOf(shape), cli.flags.speed));
+      return withFleet(shape, (fleet) => serveDay(fleet, shape, loadDay(shape), cli.flags.speed));
     case 'trial':
-      return withFleet(shape, (fleet) => tryOut(fleet, shape, (trial) => trial.run()));
+      return withFleet(shape, (fleet) => runTrial(fleet, shape, (trial) => trial.run()));
     case 'cuts':
-      return cuts(shape);
+      return runCuts(shape);
     case 'rollout':
       return rollOut(shape, cli.flags.other);
     case 'flood':
-      return withFleet(shape, (fleet) => flood(fleet, shape));
+      return withFleet(shape, (fleet) => runFlood(fleet, shape));
     case 'routes':
-      return withFleet(shape, (fleet) => routes(fleet, shape));
+      return withFleet(shape, (fleet) => measureRoutes(fleet, shape));
     case 'smoke':
-      return withFleet(SHAPES['small'] ?? shape, (fleet) => smoke(fleet, SHAPES['small'] ?? shape));
+      return withFleet(SHAPES['small'] ?? shape, (fleet) => runSmoke(fleet, SHAPES['small'] ?? shape));
     case 'examples':
       return writeExamples();
     default:
--- a/tools/fleet/src/relay.ts
+++ b/tools/fleet/src/relay.ts
@@ -1,16 +1,16 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 
-/** Whether nothing gets through now from one node to another. */
+/** Reports whether the link from one node to another is cut; the two directions are independent. */
 export type LinkCut = (from: string, to: string) => boolean;
 
-/** A place in the relay: where a node really listens, and where the others reach it. */
-export interface RelayEnd {
+/** Addresses of a relayed node: `bind`, where it listens, and `reach`, where the relay listens for it. */
+export interface RelayEndpoint {
   readonly name: string;
   readonly bind: string;
   readonly reach: string;
 }
 
-interface Flow {
+interface RelayedConnection {
   readonly from: string;
   readonly to: string;
   readonly source: Socket;
@@ -19,103 +19,113 @@
   ended: boolean;
 }
 
-const PUMP_MS = 5;
-const HELD_MAX = 4096;
+const FORWARD_INTERVAL_MS = 5;
+const MAX_BUFFERED_CHUNKS = 4096;
 
-function split(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const [host = '', port] = address.split(':');
   return { host, port: Number(port) };
 }
 
 /**
- * Stands between the nodes of a fleet: every connection from one node to
- * another passes it. It knows a sender by the loopback address it comes from.
- * A cut holds bytes up, as a network does whose sender tries again; what is
- * held goes on when the cut heals.
+ * Forwards every connection between the nodes of a fleet, and can cut or delay links. The relay identifies
+ * the sender by the loopback address that the connection comes from. A cut buffers bytes instead of dropping
+ * them, as seen over a network whose sender retransmits; the buffered bytes are forwarded once the cut heals.
  * @example
  * const relay = new Relay();
- * await relay.open([{ name: 'core-1', bind: '127.0.0.11:7001', reach: '127.0.0.1:8001' }]);
+ * await relay.listen([{ name: 'core-1', bind: '127.0.0.11:7001', reach: '127.0.0.1:8001' }]);
  * relay.cut((from) => from === 'core-1');
  */
 export class Relay {
-  #names = new Map<string, string>();
+  #nameByHost = new Map<string, string>();
   #servers: Server[] = [];
-  #flows = new Set<Flow>();
-  #cut: LinkCut = () => false;
-  #lagMs: () => number = () => 0;
-  #pump: NodeJS.Timeout | undefined;
+  #connections = new Set<RelayedConnection>();
+  #isCut: LinkCut = () => false;
+  #delayMs: () => number = () => 0;
+  #forwardTimer: NodeJS.Timeout | undefined;
 
-  async open(ends: readonly RelayEnd[]): Promise<void> {
-    this.#pump = setInterval(() => this.#move(), PUMP_MS);
-    for (const end of ends) await this.add(end);
+  async listen(endpoints: readonly RelayEndpoint[]): Promise<void> {
+    this.#forwardTimer = setInterval(() => this.#forwardDueChunks(), FORWARD_INTERVAL_MS);
+    for (const endpoint of endpoints) await this.add(endpoint);
   }
 
-  /** One more node, as when a machine is replaced at another address. */
-  add(end: RelayEnd): Promise<void> {
-    this.#names.set(split(end.bind).host, end.name);
-    const server = createServer((source) => this.#join(source, end));
+  /** Adds an endpoint while the relay runs, for example when a machine is replaced at another address. */
+  add(endpoint: RelayEndpoint): Promise<void> {
+    this.#nameByHost.set(parseAddress(endpoint.bind).host, endpoint.name);
+    const server = createServer((source) => this.#accept(source, endpoint));
     this.#servers.push(server);
-    const { host, port } = split(end.reach);
+    const { host, port } = parseAddress(endpoint.reach);
     return new Promise((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, () => resolve());
     });
   }
 
-  cut(cut: LinkCut): void {
-    this.#cut = cut;
+  cut(isCut: LinkCut): void {
+    this.#isCut = isCut;
   }
 
-  /** Every chunk is late by what this says; a lost one is one that comes much later. */
-  delay(lagMs: () => number): void {
-    this.#lagMs = lagMs;
+  /** Delays each chunk by what `delayMs` returns for it; a long delay simulates loss and resending. */
+  delay(delayMs: () => number): void {
+    this.#delayMs = delayMs;
   }
 
   heal(): void {
-    this.#cut = () => false;
-    this.#lagMs = () => 0;
+    this.#isCut = () => false;
+    this.#delayMs = () => 0;
   }
 
   close(): void {
-    clearInterval(this.#pump);
+    clearInterval(this.#forwardTimer);
     for (const server of this.#servers) server.close();
-    for (const { source, target } of this.#flows) {
+    for (const { source, target } of this.#connections) {
       source.destroy();
       target.destroy();
     }
   }
 
-  #join(source: Socket, end: RelayEnd): void {
-    const from = this.#names.get(source.remoteAddress ?? '') ?? '';
-    const target = createConnection({ ...split(end.bind), noDelay: true });
-    const flow: Flow = { from, to: end.name, source, target, chunks: [], ended: false };
-    this.#flows.add(flow);
+  #accept(source: Socket, endpoint: RelayEndpoint): void {
+    const from = this.#nameByHost.get(source.remoteAddress ?? '') ?? '';
+    const target = createConnection({ ...parseAddress(endpoint.bind), noDelay: true });
+    const connection: RelayedConnection = {
+      from,
+      to: endpoint.name,
+      source,
+      target,
+      chunks: [],
+      ended: false,
+    };
+    this.#connections.add(connection);
     source.on('data', (bytes: Buffer) => {
-      const last = flow.chunks.at(-1)?.dueMs ?? 0;
-      flow.chunks.push({ dueMs: Math.max(last, performance.now() + this.#lagMs()), bytes });
-      if (flow.chunks.length > HELD_MAX) source.pause();
+      const last = connection.chunks.at(-1)?.dueMs ?? 0;
+      connection.chunks.push({ dueMs: Math.max(last, performance.now() + this.#delayMs()), bytes });
+      if (connection.chunks.length > MAX_BUFFERED_CHUNKS) source.pause();
     });
     source.on('error', () => undefined);
     target.on('error', () => undefined);
     source.on('close', () => {
-      flow.ended = true;
+      connection.ended = true;
     });
     target.on('close', () => {
       source.destroy();
-      this.#flows.delete(flow);
+      this.#connections.delete(connection);
     });
   }
 
-  #move(): void {
+  #forwardDueChunks(): void {
     const nowMs = performance.now();
-    for (const flow of this.#flows) {
-      if (this.#cut(flow.from, flow.to)) continue;
-      for (let next = flow.chunks[0]; next !== undefined && next.dueMs <= nowMs; next = flow.chunks[0]) {
-        flow.target.write(next.bytes);
-        flow.chunks.shift();
+    for (const connection of this.#connections) {
+      if (this.#isCut(connection.from, connection.to)) continue;
+      for (
+        let next = connection.chunks[0];
+        next !== undefined && next.dueMs <= nowMs;
+        next = connection.chunks[0]
+      ) {
+        connection.target.write(next.bytes);
+        connection.chunks.shift();
       }
-      if (flow.source.isPaused() && flow.chunks.length === 0) flow.source.resume();
-      if (flow.ended && flow.chunks.length === 0) flow.target.end();
+      if (connection.source.isPaused() && connection.chunks.length === 0) connection.source.resume();
+      if (connection.ended && connection.chunks.length === 0) connection.target.end();
     }
   }
 }
--- a/tools/fleet/src/trial.ts
+++ b/tools/fleet/src/trial.ts
@@ -3,25 +3,25 @@
 import type { Fleet, FleetNode } from './fleet.js';
 import type { LinkCut, Relay } from './relay.js';
 
-/** One act of a trial: when, what, and how it is done. */
-interface Act {
+/** One step of a trial: its name in the report, and the action, which returns a fault or undefined. */
+interface TrialStep {
   readonly name: string;
   readonly run: () => Promise<string | undefined>;
 }
 
-/** What a trial of failures found. */
+/** Result of a trial: the faults found, and one report line per step. */
 export interface TrialReport {
   readonly faults: string[];
   readonly lines: string[];
 }
 
-const RETURN_MS = 12_000;
+const RECOVERY_LIMIT_MS = 12_000;
 const SETTLE_MS = 1500;
 const CUT_MS = 5000;
 
 /**
- * Failures brought about on a real fleet while visitors call, one after the
- * other, each followed by the question whether service came back.
+ * Causes failures one after the other on a running fleet under load, and checks after each one that the fleet
+ * recovers.
  * @example
  * const report = await new Trial(fleet, loadGenerator).run();
  */
@@ -31,16 +31,16 @@
   #loadGenerator: LoadGenerator;
   #lines: string[] = [];
   #faults: string[] = [];
-  #planned: { edge: string; fromMs: number; toMs: number }[] = [];
+  #plannedStops: { edge: string; fromMs: number; toMs: number }[] = [];
 
-  /** With a relay between its nodes the fleet's network is cut too. */
+  /** `runCuts` needs the relay that connects the nodes of the fleet. */
   constructor(fleet: Fleet, loadGenerator: LoadGenerator, relay?: Relay) {
     this.#relay = relay;
     this.#fleet = fleet;
     this.#loadGenerator = loadGenerator;
   }
 
-  /** Rolls the fleet, node by node, to this build and back to the one it was started from. */
+  /** Rolls the fleet, node by node, to the given build and back to the build that it was started from. */
   async runRollOut(build: string): Promise<TrialReport> {
     const from = this.#fleet.build;
     for (const [name, to] of [
@@ -61,19 +61,19 @@
   }
 
   run(): Promise<TrialReport> {
-    return this.#play(this.#acts());
+    return this.#runSteps(this.#failureSteps());
   }
 
-  /** Cuts of the network between the nodes, and machines that come back as others. */
+  /** Cuts and slows links between nodes, replaces the cores, changes the seeds, and takes a zone down. */
   runCuts(): Promise<TrialReport> {
     const { nodes, edges } = this.#fleet;
     const cores = new Set(nodes.filter((node) => node.core).map((node) => node.name));
     const [core = '', other = ''] = [...cores];
     const edge = edges[0]?.name ?? '';
-    function apart(one: string, two: string): LinkCut {
+    function cutBetween(one: string, two: string): LinkCut {
       return (from, to) => (from === one && to === two) || (from === two && to === one);
     }
-    return this.#play([
+    return this.#runSteps([
       {
         name: 'cut an edge off',
         run: () => this.#cutFor((from, to) => (from === edge) !== (to === edge), [edge]),
@@ -93,70 +93,71 @@
             [core],
           ),
       },
-      { name: 'cut two cores apart', run: () => this.#cutFor(apart(core, other), [], [core, other]) },
+      { name: 'cut two cores apart', run: () => this.#cutFor(cutBetween(core, other), [], [core, other]) },
       {
         name: 'cut the core off from the edges',
         run: () => this.#cutFor((from, to) => cores.has(from) !== cores.has(to), [...cores]),
       },
-      { name: 'slow and lossy links for 8 s', run: () => this.#slow() },
+      { name: 'slow and lossy links for 8 s', run: () => this.#slowLinks() },
       { name: 'each core replaced by an empty one, in turn', run: () => this.#replaceCores() },
-      { name: 'other seeds for whoever restarts', run: () => this.#otherSeeds() },
+      { name: 'other seeds for whoever restarts', run: () => this.#changeSeeds() },
       { name: 'a zone lost with its nodes and workers', run: () => this.#loseZone() },
     ]);
   }
 
   /**
-   * Holds a cut, sees who admits meanwhile, and waits for the fleet to be whole
-   * again. Those that may be `dropped`, as the coordinator cannot reach them, may admit or not.
+   * Holds a cut for `CUT_MS`, checks which nodes admit requests meanwhile, and waits for recovery. Every node
+   * must admit except those in `nonAdmitting`, which must not. Nodes in `exempt` may do either, since the
+   * coordinator may be unable to reach them and drop them from the view.
    */
   async #cutFor(
     cut: LinkCut,
-    silent: readonly string[],
-    dropped: readonly string[] = [],
+    nonAdmitting: readonly string[],
+    exempt: readonly string[] = [],
   ): Promise<string | undefined> {
     this.#relay?.cut(cut);
     await pause(CUT_MS);
-    const wrong: string[] = [];
+    const unexpected: string[] = [];
     for (const node of this.#fleet.nodes) {
       const { status } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/ready');
       const admits = status === 200;
-      if (dropped.includes(node.name)) continue;
-      if (admits === silent.includes(node.name))
-        wrong.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
+      if (exempt.includes(node.name)) continue;
+      if (admits === nonAdmitting.includes(node.name))
+        unexpected.push(`${node.name} ${admits ? 'admits' : 'does not admit'}`);
     }
     this.#relay?.heal();
-    const back = await this.#back();
-    return back ?? (wrong.length > 0 ? wrong.join(', ') : undefined);
+    const fault = await this.#waitForRecovery();
+    return fault ?? (unexpected.length > 0 ? unexpected.join(', ') : undefined);
   }
 
-  /** Late by some milliseconds, and one chunk in fifty by a fifth of a second more, as if lost and sent again. */
-  async #slow(): Promise<string | undefined> {
+  /** Delays each chunk by up to 39 ms, and one in fifty by 200 ms more, as if it was lost and sent again. */
+  async #slowLinks(): Promise<string | undefined> {
     let turn = 0;
     this.#relay?.delay(() => {
       turn += 1;
       return (turn % 40) + (turn % 50 === 0 ? 200 : 0);
     });
     await pause(8000);
-    const meanwhile = await this.#missing();
+    const meanwhile = await this.#unmetCondition();
     this.#relay?.heal();
-    return meanwhile === '' ? this.#back() : `while slow: ${meanwhile}`;
+    return meanwhile === '' ? this.#waitForRecovery() : `while slow: ${meanwhile}`;
   }
 
   async #replaceCores(): Promise<string | undefined> {
     for (const node of this.#fleet.nodes.filter((known) => known.core)) {
       this.#fleet.signal(node.name, 'SIGKILL');
-      await this.#fleet.ended(node.name);
+      await this.#fleet.waitForExit(node.name);
       await this.#fleet.replaceMachine(node);
       this.#fleet.startNode(node);
-      const back = (await this.#back()) ?? (await this.#electing(node));
-      if (back !== undefined) return `${node.name}: ${back}`;
+      const fault = (await this.#waitForRecovery()) ?? (await this.#waitForVoter(node));
+      if (fault !== undefined) return `${node.name}: ${fault}`;
     }
     return undefined;
   }
 
-  /** Waits until a node's own disk is among the voters. */
-  async #electing(node: FleetNode): Promise<string | undefined> {
-    const endMs = performance.now() + RETURN_MS;
+  /** Waits until the node is a voter with its current disk; a replaced machine has a new disk. */
+  async #waitForVoter(node: FleetNode): Promise<string | undefined> {
+    const endMs = performance.now() + RECOVERY_LIMIT_MS;
     while (performance.now() < endMs) {
       const { body } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/view');
       const { voters = [], disk } = body as { voters?: { name: string; disk: string }[]; disk?: string };
@@ -166,14 +167,14 @@
     return 'is no voter again';
   }
 
-  async #otherSeeds(): Promise<string | undefined> {
+  async #changeSeeds(): Promise<string | undefined> {
     const { edges, nodes } = this.#fleet;
     this.#fleet.setSeeds(edges.slice(0, 3));
     const restarting = [edges.at(-1), nodes[0]].filter((node) => node !== undefined);
     await Promise.all(restarting.map((node) => this.#restart(node, 'SIGKILL')));
-    const back = await this.#back();
+    const fault = await this.#waitForRecovery();
     for (const node of restarting) this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
   async #loseZone(): Promise<string | undefined> {
@@ -186,40 +187,40 @@
     );
     for (const node of lost) this.#loadGenerator.setDown(node.http, true);
     for (const node of lost) this.#fleet.signal(node.name, 'SIGKILL');
-    await Promise.all(workers.map((worker) => this.#worker(worker.name, 'crash', 0)));
-    await Promise.all(lost.map((node) => this.#fleet.ended(node.name)));
+    await Promise.all(workers.map((worker) => this.#setWorker(worker.name, 'crash', 0)));
+    await Promise.all(lost.map((node) => this.#fleet.waitForExit(node.name)));
     await pause(6000);
     for (const node of lost) this.#fleet.startNode(node);
-    await Promise.all(workers.map((worker) => this.#worker(worker.name, 'return', 0)));
-    const back = await this.#back();
+    await Promise.all(workers.map((worker) => this.#setWorker(worker.name, 'return', 0)));
+    const fault = await this.#waitForRecovery();
     for (const node of lost) this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
-  async #play(acts: readonly Act[]): Promise<TrialReport> {
-    for (const act of acts) {
+  async #runSteps(steps: readonly TrialStep[]): Promise<TrialReport> {
+    for (const step of steps) {
       const beganMs = performance.now();
-      const fault = await act.run();
+      const fault = await step.run();
       const tookMs = performance.now() - beganMs;
-      this.#lines.push(`${act.name.padEnd(46)} ${tookMs.toFixed(0).padStart(6)} ms  ${fault ?? 'well'}`);
-      if (fault !== undefined) this.#faults.push(`${act.name}: ${fault}`);
+      this.#lines.push(`${step.name.padEnd(46)} ${tookMs.toFixed(0).padStart(6)} ms  ${fault ?? 'well'}`);
+      if (fault !== undefined) this.#faults.push(`${step.name}: ${fault}`);
       await pause(SETTLE_MS);
     }
     return { faults: this.#faults, lines: this.#lines };
   }
 
-  /** Answers lost although the stop was planned. */
+  /** Lists the requests at an edge that lost their answer during a planned stop, which must lose none. */
   lostInPlannedStops(report: LoadReport): string[] {
     const lost: string[] = [];
     for (const seen of report.seen) {
       if (seen.outcome !== 'cut' && seen.outcome !== 'no-answer') continue;
-      if (this.#planned.some((stop) => stop.edge === seen.edge && overlaps(seen, stop)))
+      if (this.#plannedStops.some((stop) => stop.edge === seen.edge && overlaps(seen, stop)))
         lost.push(`${seen.id} at ${seen.edge}: ${seen.outcome}`);
     }
     return lost;
   }
 
-  #acts(): Act[] {
+  #failureSteps(): TrialStep[] {
     const { edges, nodes } = this.#fleet;
     const [first, second] = edges;
     const zone = nodes[1]?.zone ?? '';
@@ -230,8 +231,8 @@
       { name: 'freeze an edge for 3 s', run: () => this.#freeze(first) },
       { name: 'freeze the coordinator for 4 s', run: () => this.#freezeCoordinator() },
       { name: 'a worker goes dark, another crashes; both return', run: () => this.#breakWorkers() },
-      { name: 'a worker is marked as leaving', run: () => this.#worker('worker-3', 'leave', 5000) },
-      { name: 'a worker talks nonsense, ends early, says too much', run: () => this.#moods() },
+      { name: 'a worker is marked as leaving', run: () => this.#setWorker('worker-3', 'leave', 5000) },
+      { name: 'a worker talks nonsense, ends early, says too much', run: () => this.#sendFaultyAnswers() },
       { name: `empty zone ${zone} for 7 s, restore it`, run: () => this.#emptyZone(zone) },
       { name: 'kill every core, start them again', run: () => this.#killCores() },
       { name: 'stop and start every node in turn', run: () => this.#rollOut(true) },
@@ -248,19 +249,20 @@
     return undefined;
   }
 
-  /** Waits until every node admits, in one view of all, and an operation is agreed. */
-  async #back(): Promise<string | undefined> {
-    const endMs = performance.now() + RETURN_MS;
-    let why = '';
+  /** Waits until every node admits and sees all members, and an operation is agreed. */
+  async #waitForRecovery(): Promise<string | undefined> {
+    const endMs = performance.now() + RECOVERY_LIMIT_MS;
+    let reason = '';
     while (performance.now() < endMs) {
-      why = await this.#missing();
-      if (why === '') return undefined;
+      reason = await this.#unmetCondition();
+      if (reason === '') return undefined;
       await pause(100);
     }
-    return `not back after ${RETURN_MS} ms: ${why}`;
+    return `not back after ${RECOVERY_LIMIT_MS} ms: ${reason}`;
   }
 
-  async #missing(): Promise<string> {
+  /** Returns the first condition of recovery that does not hold, or an empty string. */
+  async #unmetCondition(): Promise<string> {
     const { nodes } = this.#fleet;
     for (const node of nodes) {
       const { status, body } = await this.#fleet.ask(node.http, 'GET', '/rainrun/v1/view');
@@ -275,19 +277,19 @@
     return put.status === 200 ? '' : `nothing is agreed: ${JSON.stringify(put.body)}`;
   }
 
-  async #restart(node: FleetNode, signal: NodeJS.Signals, told = true): Promise<number | null> {
-    if (told) this.#loadGenerator.setDown(node.http, true);
+  async #restart(node: FleetNode, signal: NodeJS.Signals, announced = true): Promise<number | null> {
+    if (announced) this.#loadGenerator.setDown(node.http, true);
     this.#fleet.signal(node.name, signal);
-    const code = await this.#fleet.ended(node.name);
+    const code = await this.#fleet.waitForExit(node.name);
     this.#fleet.startNode(node);
     return code;
   }
 
   async #killNode(node: FleetNode): Promise<string | undefined> {
     await this.#restart(node, 'SIGKILL');
-    const back = await this.#back();
+    const fault = await this.#waitForRecovery();
     this.#loadGenerator.setDown(node.http, false);
-    return back;
+    return fault;
   }
 
   async #killCoordinator(): Promise<string | undefined> {
@@ -299,7 +301,7 @@
     this.#fleet.signal(node.name, 'SIGSTOP');
     await pause(waitMs);
     this.#fleet.signal(node.name, 'SIGCONT');
-    return this.#back();
+    return this.#waitForRecovery();
   }
 
   async #freezeCoordinator(): Promise<string | undefined> {
@@ -307,24 +309,25 @@
     return node === undefined ? 'no coordinator' : this.#freeze(node, 4000);
   }
 
-  async #worker(name: string, act: string, waitMs: number): Promise<undefined> {
-    await this.#fleet.ask(this.#fleet.platform, 'POST', `/act/${name}/${act}`);
+  async #setWorker(name: string, action: string, waitMs: number): Promise<undefined> {
+    await this.#fleet.ask(this.#fleet.platform, 'POST', `/act/${name}/${action}`);
     await pause(waitMs);
     return undefined;
   }
 
   async #breakWorkers(): Promise<string | undefined> {
-    await this.#worker('worker-1', 'dark', 0);
-    await this.#worker('worker-2', 'crash', 4000);
-    await this.#worker('worker-1', 'crash', 0);
-    await this.#worker('worker-1', 'return', 0);
-    await this.#worker('worker-2', 'return', 0);
-    return this.#back();
+    await this.#setWorker('worker-1', 'dark', 0);
+    await this.#setWorker('worker-2', 'crash', 4000);
+    await this.#setWorker('worker-1', 'crash', 0);
+    await this.#setWorker('worker-1', 'return', 0);
+    await this.#setWorker('worker-2', 'return', 0);
+    return this.#waitForRecovery();
   }
 
-  async #moods(): Promise<string | undefined> {
-    for (const mood of ['nonsense', 'early', 'more', 'well']) await this.#worker('worker-4', mood, 1000);
-    return this.#back();
+  async #sendFaultyAnswers(): Promise<string | undefined> {
+    for (const answerMode of ['nonsense', 'early', 'more', 'well'])
+      await this.#setWorker('worker-4', answerMode, 1000);
+    return this.#waitForRecovery();
   }
 
   async #emptyZone(zone: string): Promise<string | undefined> {
@@ -335,34 +338,39 @@
     const names = (body as { workers: { name: string; zone: string }[] }).workers
       .filter((worker) => worker.zone === zone)
       .map((worker) => worker.name);
-    await Promise.all(names.map((name) => this.#worker(name, 'emptied', 0)));
+    await Promise.all(names.map((name) => this.#setWorker(name, 'emptied', 0)));
     await pause(7000);
-    await Promise.all(names.map((name) => this.#worker(name, 'restored', 0)));
+    await Promise.all(names.map((name) => this.#setWorker(name, 'restored', 0)));
     const restored = await this.#fleet.ask(
       other?.http ?? '',
       'POST',
       `/rainrun/v1/zones/${zone}/restore`,
       {},
     );
-    return restored.status === 200 ? this.#back() : `not restored: ${JSON.stringify(restored.body)}`;
+    return restored.status === 200
+      ? this.#waitForRecovery()
+      : `not restored: ${JSON.stringify(restored.body)}`;
   }
 
   async #killCores(): Promise<string | undefined> {
     const cores = this.#fleet.nodes.filter((node) => node.core);
     await Promise.all(cores.map((node) => this.#restart(node, 'SIGKILL')));
-    return this.#back();
+    return this.#waitForRecovery();
   }
 
-  /** A planned roll-out: the platform takes an edge out of its rotation, or does not, and stops it. */
-  async #rollOut(told: boolean): Promise<string | undefined> {
+  /**
+   * Restarts each node in turn, as a planned roll-out does. If `announced`, the load generator stops sending
+   * to the node first, as a platform does that takes an edge out of rotation.
+   */
+  async #rollOut(announced: boolean): Promise<string | undefined> {
     for (const node of this.#fleet.nodes) {
       const fromMs = performance.now() - SETTLE_MS;
-      const code = await this.#restart(node, 'SIGTERM', told);
-      this.#planned.push({ edge: node.http, fromMs, toMs: performance.now() });
+      const code = await this.#restart(node, 'SIGTERM', announced);
+      this.#plannedStops.push({ edge: node.http, fromMs, toMs: performance.now() });
       if (code !== 0) return `${node.name} ended with ${code ?? 'a signal'}`;
-      const back = await this.#back();
+      const fault = await this.#waitForRecovery();
       this.#loadGenerator.setDown(node.http, false);
-      if (back !== undefined) return `${node.name}: ${back}`;
+      if (fault !== undefined) return `${node.name}: ${fault}`;
     }
     return undefined;
   }
