--- a/tools/scale/src/check.ts
+++ b/tools/scale/src/check.ts
@@ -1,12 +1,12 @@
 import type { Point } from './point.js';
 
 /** Six and two thirds follows a second by design, each told once, and what a change of coordinator or a haste adds. */
-const FRAMES_MOST = 16;
+const MAX_FRAMES_PER_S = 16;
 /** A follower's frames and bytes may differ by so much between the smallest and the largest size. */
-const GROWTH_MOST = 1.25;
+const MAX_GROWTH = 1.25;
 /** Orders for each load that was placed, and so many more for what was under way. */
-const ORDERS_EACH = 4;
-const ORDERS_MORE = 8;
+const MAX_ORDERS_PER_LOAD = 4;
+const EXTRA_ORDERS = 8;
 
 function framesOf({ quiet: { withCoordinator: one, withOthers: other } }: Point): number {
   return one.framesIn + one.framesOut + other.framesIn + other.framesOut;
@@ -21,11 +21,14 @@
   const { join, loads, changes, restarts, zone, parted, killedEdge, killedCoordinator: killed } = point;
   const frames = framesOf(point);
   const checks: readonly (readonly [isSound: boolean, otherwise: string])[] = [
-    [frames <= FRAMES_MOST, `${frames.toFixed(1)} frames a second of one follower, at most ${FRAMES_MOST}`],
+    [
+      frames <= MAX_FRAMES_PER_S,
+      `${frames.toFixed(1)} frames a second of one follower, at most ${MAX_FRAMES_PER_S}`,
+    ],
     [join.settled, 'not every follower joined'],
     [loads.placed.count > 0, 'nothing that was asked for was placed'],
     [
-      loads.orders <= ORDERS_EACH * loads.placed.count + ORDERS_MORE,
+      loads.orders <= MAX_ORDERS_PER_LOAD * loads.placed.count + EXTRA_ORDERS,
       `${loads.orders} orders for ${loads.placed.count} placed`,
     ],
     [changes.heldByAll, 'a change was not held by all'],
@@ -59,7 +62,7 @@
   const [first, last] = [sorted.at(0), sorted.at(-1)];
   if (first === undefined || last === undefined) return [...faults, 'no size was played'];
   for (const [name, of] of [['frames', framesOf] as const, ['bytes', bytesOf] as const]) {
-    if (of(last) > GROWTH_MOST * of(first))
+    if (of(last) > MAX_GROWTH * of(first))
       faults.push(
         `${name} of one follower grow with the fleet: ${of(first).toFixed(1)} a second at ${first.size.nodes} edges, ${of(last).toFixed(1)} at ${last.size.nodes}`,
       );
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -1,79 +1,91 @@
 import { Balancer, type RoutedRequest } from '@rainrun/router';
-import { HollowEdge, Notes, type Held } from './hollow.js';
-import { answerParent, sharedMs } from './ipc.js';
-import { adapterName, heldModels, modelName, regionOf, SERVICE, type Size } from './site.js';
+import { SimulatedEdge, EdgeStats, type Propagation } from './hollow.js';
+import { serveParent, sharedMs } from './ipc.js';
+import { adapterName, initialModelCount, modelName, regionOf, SERVICE, type Size } from './site.js';
 
 const SLICE_MS = 5;
-const SLICES = 10;
-const JOIN_EVERY_MS = 20;
+const SLICE_COUNT = 10;
+const JOIN_INTERVAL_MS = 20;
 /** Where tables are long, edges join no faster than one process can read them. */
 const ROWS_PER_MS = 50;
 
-const [, , text = '{}', host = '', seedText = '', firstText = '0', keptText = '1'] = process.argv;
+const [, , text = '{}', host = '', seedText = '', firstText = '0', retentionText = '1'] = process.argv;
 const size = JSON.parse(text) as Size;
 const seeds = seedText.split(',');
 /** Every so many edges, one keeps the rows of its table. */
-const kept = Number(keptText);
-const edges: HollowEdge[] = [];
-let notes = new Notes();
-let nextPlace = Number(firstText);
+const retentionInterval = Number(retentionText);
+const edges: SimulatedEdge[] = [];
+let stats = new EdgeStats();
+let nextIndex = Number(firstText);
 let slice = 0;
-let asked = 0;
-let pace: NodeJS.Timeout | undefined;
+let demandCount = 0;
+let loadTimer: NodeJS.Timeout | undefined;
 
 /** A tenth of the followers at a time, each every 50 ms, as an edge heartbeats. */
 function tick(): void {
-  slice = (slice + 1) % SLICES;
-  for (let place = slice; place < edges.length; place += SLICES) edges[place]?.tick();
+  slice = (slice + 1) % SLICE_COUNT;
+  for (let index = slice; index < edges.length; index += SLICE_COUNT) edges[index]?.tick();
 }
 
-async function grow(count: number): Promise<void> {
+async function addEdges(count: number): Promise<void> {
   for (let nth = 0; nth < count; nth += 1) {
-    edges.push(await HollowEdge.open(nextPlace, size, host, seeds, nextPlace % kept === 0, () => notes));
-    nextPlace += 1;
-    await new Promise((resolve) => setTimeout(resolve, Math.max(JOIN_EVERY_MS, size.rows / ROWS_PER_MS)));
+    edges.push(
+      await SimulatedEdge.open(
+        nextIndex,
+        size,
+        host,
+        seeds,
+        nextIndex % retentionInterval === 0,
+        () => stats,
+      ),
+    );
+    nextIndex += 1;
+    await new Promise((resolve) => setTimeout(resolve, Math.max(JOIN_INTERVAL_MS, size.rows / ROWS_PER_MS)));
   }
 }
 
 /** Replaces followers one after the other, as restarts do. */
-async function restart(count: number, everyMs: number): Promise<void> {
-  const beganMs = sharedMs();
+async function restartEdges(count: number, everyMs: number): Promise<void> {
+  const startedAtMs = sharedMs();
   for (let nth = 0; nth < count; nth += 1) {
     const old = edges.shift();
     old?.leave();
-    await grow(1);
+    await addEdges(1);
     await new Promise((resolve) =>
-      setTimeout(resolve, Math.max(0, beganMs + (nth + 1) * everyMs - sharedMs())),
+      setTimeout(resolve, Math.max(0, startedAtMs + (nth + 1) * everyMs - sharedMs())),
     );
   }
 }
 
 /** The next model or adapter that stands nowhere is asked for at one edge: a quarter models, the rest adapters. */
-function askNext(): void {
-  const held = heldModels(size);
+function requestNextModel(): void {
+  const initialModels = initialModelCount(size);
   const perModel = Math.floor(size.adapters / size.models);
-  const edge = edges[(asked * 17) % edges.length];
-  const turn = Math.floor(asked / 4);
-  if (asked % 4 === 0) edge?.ask(modelName(held + (turn % Math.max(1, size.models - held))), '');
+  const edge = edges[(demandCount * 17) % edges.length];
+  const turn = Math.floor(demandCount / 4);
+  if (demandCount % 4 === 0)
+    edge?.requestModel(modelName(initialModels + (turn % Math.max(1, size.models - initialModels))), '');
   else {
-    const nth = turn * 3 + (asked % 4) - 1;
-    const model = nth % held;
+    const nth = turn * 3 + (demandCount % 4) - 1;
+    const model = nth % initialModels;
     const cold = Math.ceil(perModel / 2);
-    edge?.ask(
+    edge?.requestModel(
       modelName(model),
-      adapterName(model + size.models * (cold + (Math.floor(nth / held) % Math.max(1, perModel - cold)))),
+      adapterName(
+        model + size.models * (cold + (Math.floor(nth / initialModels) % Math.max(1, perModel - cold))),
+      ),
     );
   }
-  asked += 1;
+  demandCount += 1;
 }
 
-function loads(perS: number): void {
-  clearInterval(pace);
-  if (perS > 0) pace = setInterval(askNext, 1000 / perS);
+function setLoadRate(perS: number): void {
+  clearInterval(loadTimer);
+  if (perS > 0) loadTimer = setInterval(requestNextModel, 1000 / perS);
 }
 
 /** Microseconds of processor time that one choice of a worker takes with the table that a follower holds. */
-function choose(): number {
+function measureChoiceUs(): number {
   const workers = edges[0]?.follower.workers;
   if (workers === undefined || workers.size === 0) return 0;
   const balancer = new Balancer({
@@ -84,13 +96,13 @@
     region: regionOf,
     salt: 'hollow',
   });
-  const held = heldModels(size);
+  const initialModels = initialModelCount(size);
   const rounds = 300;
   const began = process.cpuUsage();
   for (let round = 0; round < rounds; round += 1) {
     const clientRequest = {
       id: `request-${round}`,
-      model: modelName(round % held),
+      model: modelName(round % initialModels),
       adapter: '',
       prefix: [],
       promptTokens: 100,
@@ -107,44 +119,44 @@
   return (user + system) / rounds;
 }
 
-function listed<K>(held: ReadonlyMap<K, Held>): (Held & { key: K })[] {
-  return [...held].map(([key, value]) => ({ key, ...value }));
+function toEntries<K>(propagations: ReadonlyMap<K, Propagation>): (Propagation & { key: K })[] {
+  return [...propagations].map(([key, value]) => ({ key, ...value }));
 }
 
 setInterval(tick, SLICE_MS);
-answerParent({
-  grow,
-  restart: ({ count, everyMs }: { count: number; everyMs: number }) => restart(count, everyMs),
-  loads,
-  choose,
-  kill: (count: number) => {
+serveParent({
+  addEdges,
+  restartEdges: ({ count, everyMs }: { count: number; everyMs: number }) => restartEdges(count, everyMs),
+  setLoadRate,
+  measureChoiceUs,
+  killEdges: (count: number) => {
     for (const edge of edges.splice(0, count)) edge.close();
   },
-  cut: ({ share, cut }: { share: number; cut: boolean }) => {
-    const some = edges.slice(0, Math.ceil(edges.length * share));
-    for (const edge of some) edge.cut(cut);
-    return some.length;
+  partition: ({ share, enabled }: { share: number; enabled: boolean }) => {
+    const affected = edges.slice(0, Math.ceil(edges.length * share));
+    for (const edge of affected) edge.setPartitioned(enabled);
+    return affected.length;
   },
-  mark: () => {
-    notes = new Notes();
+  resetStats: () => {
+    stats = new EdgeStats();
   },
-  notes: () => ({
-    leader: notes.leader,
-    other: notes.other,
-    revisions: listed(notes.revisions),
-    tables: listed(notes.tables),
-    leaders: listed(notes.leaders),
-    edges: listed(notes.edges),
-    gone: listed(notes.gone),
-    joinsMs: notes.joinsMs,
-    placedMs: notes.placedMs,
+  stats: () => ({
+    leader: stats.leader,
+    other: stats.other,
+    revisions: toEntries(stats.revisions),
+    tables: toEntries(stats.tables),
+    leaders: toEntries(stats.leaders),
+    edgeCounts: toEntries(stats.edgeCounts),
+    removedRows: toEntries(stats.removedRows),
+    joinTimesMs: stats.joinTimesMs,
+    placementTimesMs: stats.placementTimesMs,
     followers: edges.length,
     ready: edges.filter((edge) => edge.follower.ready).length,
     informed: edges.filter((edge) => edge.follower.informed).length,
-    least: Math.min(...edges.map((edge) => edge.follower.state.revision)),
-    newestRow: Math.max(0, ...edges.map((edge) => edge.row)),
-    oldestRow: Math.min(Infinity, ...edges.map((edge) => edge.row)),
-    tablesHeld: [...new Set(edges.map((edge) => edge.table))],
-    asking: edges.reduce((sum, edge) => sum + edge.asking, 0),
+    minRevision: Math.min(...edges.map((edge) => edge.follower.state.revision)),
+    newestRow: Math.max(0, ...edges.map((edge) => edge.tableRow)),
+    oldestRow: Math.min(Infinity, ...edges.map((edge) => edge.tableRow)),
+    tableIds: [...new Set(edges.map((edge) => edge.tableId))],
+    pendingDemands: edges.reduce((sum, edge) => sum + edge.pendingCount, 0),
   }),
 });
--- a/tools/scale/src/hollow-notes.ts
+++ b/tools/scale/src/hollow-notes.ts
@@ -1,28 +1,28 @@
 /** What the hollow edges of a run noted, and the notes of several processes taken together. */
-import { noTraffic, type Held, type Traffic } from './hollow.js';
+import { noTraffic, type Propagation, type Traffic } from './hollow.js';
 
 /** How many followers hold each of several things. */
-export type HeldByKey<K> = (Held & { readonly key: K })[];
+export type PropagationByKey<K> = (Propagation & { readonly key: K })[];
 
 /** What the hollow edges noted since the last mark. */
-export interface HollowNotes {
+export interface EdgeStatsReport {
   readonly leader: Traffic;
   readonly other: Traffic;
-  readonly revisions: HeldByKey<number>;
-  readonly tables: HeldByKey<string>;
-  readonly leaders: HeldByKey<string>;
-  readonly edges: HeldByKey<number>;
-  readonly gone: HeldByKey<number>;
-  readonly joinsMs: number[];
-  readonly placedMs: number[];
+  readonly revisions: PropagationByKey<number>;
+  readonly tables: PropagationByKey<string>;
+  readonly leaders: PropagationByKey<string>;
+  readonly edgeCounts: PropagationByKey<number>;
+  readonly removedRows: PropagationByKey<number>;
+  readonly joinTimesMs: number[];
+  readonly placementTimesMs: number[];
   readonly followers: number;
   readonly ready: number;
   readonly informed: number;
-  readonly least: number;
+  readonly minRevision: number;
   readonly newestRow: number;
   readonly oldestRow: number;
-  readonly tablesHeld: string[];
-  readonly asking: number;
+  readonly tableIds: string[];
+  readonly pendingDemands: number;
 }
 
 /**
@@ -30,25 +30,25 @@
  * @example
  * all.reduce(mergeNotes).followers; // of all processes
  */
-export function mergeNotes(one: HollowNotes, other: HollowNotes): HollowNotes {
+export function mergeStats(one: EdgeStatsReport, other: EdgeStatsReport): EdgeStatsReport {
   return {
     leader: addTraffic(one.leader, other.leader),
     other: addTraffic(one.other, other.other),
-    revisions: mergeHeld(one.revisions, other.revisions),
-    tables: mergeHeld(one.tables, other.tables),
-    leaders: mergeHeld(one.leaders, other.leaders),
-    edges: mergeHeld(one.edges, other.edges),
-    gone: mergeHeld(one.gone, other.gone),
-    joinsMs: [...one.joinsMs, ...other.joinsMs],
-    placedMs: [...one.placedMs, ...other.placedMs],
+    revisions: mergePropagation(one.revisions, other.revisions),
+    tables: mergePropagation(one.tables, other.tables),
+    leaders: mergePropagation(one.leaders, other.leaders),
+    edgeCounts: mergePropagation(one.edgeCounts, other.edgeCounts),
+    removedRows: mergePropagation(one.removedRows, other.removedRows),
+    joinTimesMs: [...one.joinTimesMs, ...other.joinTimesMs],
+    placementTimesMs: [...one.placementTimesMs, ...other.placementTimesMs],
     followers: one.followers + other.followers,
     ready: one.ready + other.ready,
     informed: one.informed + other.informed,
-    least: Math.min(one.least, other.least),
+    minRevision: Math.min(one.minRevision, other.minRevision),
     newestRow: Math.max(one.newestRow, other.newestRow),
     oldestRow: Math.min(one.oldestRow, other.oldestRow),
-    tablesHeld: [...new Set([...one.tablesHeld, ...other.tablesHeld])],
-    asking: one.asking + other.asking,
+    tableIds: [...new Set([...one.tableIds, ...other.tableIds])],
+    pendingDemands: one.pendingDemands + other.pendingDemands,
   };
 }
 
@@ -58,18 +58,18 @@
   return sum;
 }
 
-function mergeHeld<K>(one: HeldByKey<K>, other: HeldByKey<K>): HeldByKey<K> {
-  const held = new Map(one.map((entry) => [entry.key, entry]));
+function mergePropagation<K>(one: PropagationByKey<K>, other: PropagationByKey<K>): PropagationByKey<K> {
+  const merged = new Map(one.map((entry) => [entry.key, entry]));
   for (const entry of other) {
-    const known = held.get(entry.key);
-    if (known === undefined) held.set(entry.key, entry);
+    const known = merged.get(entry.key);
+    if (known === undefined) merged.set(entry.key, entry);
     else
-      held.set(entry.key, {
+      merged.set(entry.key, {
         key: entry.key,
         count: known.count + entry.count,
         firstMs: Math.min(known.firstMs, entry.firstMs),
         lastMs: Math.max(known.lastMs, entry.lastMs),
       });
   }
-  return [...held.values()];
+  return [...merged.values()];
 }
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -4,28 +4,28 @@
 import { STRICT_QUOTA_BOUNDS } from '@rainrun/quotas';
 import { PeerTransport } from '@rainrun/runtime';
 import { sharedMs } from './ipc.js';
-import { adapterName, heldModels, modelName, SERVICE, SLOTS, zoneOf, type Size } from './site.js';
+import { adapterName, initialModelCount, modelName, SERVICE, SLOTS, zoneOf, type Size } from './site.js';
 
 /** Frames and bytes between followers and one kind of core. */
 export interface Traffic {
-  follows: number;
-  followBytes: number;
-  tells: number;
-  tellBytes: number;
+  sentFrames: number;
+  sentBytes: number;
+  receivedFrames: number;
+  receivedBytes: number;
   /** Tells that brought a state, and the bytes of these states. */
   states: number;
   stateBytes: number;
   /** Tells that brought a whole table, and their bytes but for a state that came along. */
-  wholes: number;
-  wholeBytes: number;
+  snapshots: number;
+  snapshotBytes: number;
   /** Tells that brought changed rows, the rows, and the bytes of these tells. */
-  changes: number;
+  deltas: number;
   rows: number;
-  changeBytes: number;
+  deltaBytes: number;
 }
 
 /** How many followers hold something, when the first had it, and the last so far. */
-export interface Held {
+export interface Propagation {
   count: number;
   firstMs: number;
   lastMs: number;
@@ -34,56 +34,56 @@
 /** Traffic of which nothing has been seen yet. */
 export function noTraffic(): Traffic {
   return {
-    follows: 0,
-    followBytes: 0,
-    tells: 0,
-    tellBytes: 0,
+    sentFrames: 0,
+    sentBytes: 0,
+    receivedFrames: 0,
+    receivedBytes: 0,
     states: 0,
     stateBytes: 0,
-    wholes: 0,
-    wholeBytes: 0,
-    changes: 0,
+    snapshots: 0,
+    snapshotBytes: 0,
+    deltas: 0,
     rows: 0,
-    changeBytes: 0,
+    deltaBytes: 0,
   };
 }
 
 /** What all followers of one process have seen since the last mark. */
-export class Notes {
+export class EdgeStats {
   readonly leader = noTraffic();
   readonly other = noTraffic();
-  readonly revisions = new Map<number, Held>();
+  readonly revisions = new Map<number, Propagation>();
   /** By table: followers that hold it whole. */
-  readonly tables = new Map<string, Held>();
+  readonly tables = new Map<string, Propagation>();
   /** By incarnation of a coordinator: followers that know it for the leader. */
-  readonly leaders = new Map<string, Held>();
+  readonly leaders = new Map<string, Propagation>();
   /** By number of edges that a follower is told of. */
-  readonly edges = new Map<number, Held>();
+  readonly edgeCounts = new Map<number, Propagation>();
   /** By number of rows gone. */
-  readonly gone = new Map<number, Held>();
-  readonly joinsMs: number[] = [];
-  readonly placedMs: number[] = [];
+  readonly removedRows = new Map<number, Propagation>();
+  readonly joinTimesMs: number[] = [];
+  readonly placementTimesMs: number[] = [];
 
-  note<K>(held: Map<K, Held>, key: K): void {
+  record<K>(propagations: Map<K, Propagation>, key: K): void {
     const nowMs = sharedMs();
-    const known = held.get(key) ?? { count: 0, firstMs: nowMs, lastMs: nowMs };
+    const known = propagations.get(key) ?? { count: 0, firstMs: nowMs, lastMs: nowMs };
     known.count += 1;
     known.lastMs = nowMs;
-    held.set(key, known);
+    propagations.set(key, known);
   }
 }
 
 /** As an edge does: soon, with what else came meanwhile. */
-const HASTE_MS = 7;
-const WANT_AGAIN_MS = 8000;
+const URGENT_UPDATE_DELAY_MS = 7;
+const DEMAND_TTL_MS = 8000;
 
 /** A wire that listens already, and who takes its frames: known only once the port is. */
-interface Door {
-  readonly wire: PeerTransport;
-  take: (frame: Frame) => void;
+interface Listener {
+  readonly transport: PeerTransport;
+  onFrame: (frame: Frame) => void;
 }
 
-interface Ask {
+interface PendingDemand {
   readonly model: string;
   readonly adapter: string;
   readonly sinceMs: number;
@@ -93,214 +93,214 @@
  * A follower without clients: a real one, with a wire and connections of its
  * own, that says what an edge with so many models in use would say.
  */
-export class HollowEdge {
-  #wire: PeerTransport;
+export class SimulatedEdge {
+  #transport: PeerTransport;
   #follower: EdgeReplica;
-  #notes: () => Notes;
+  #stats: () => EdgeStats;
   #leader = '';
   #leaderIncarnation = '';
-  #table = '';
-  #row = 0;
-  #edges = 0;
-  #gone = 0;
+  #tableId = '';
+  #tableRow = 0;
+  #edgeCount = 0;
+  #removedRows = 0;
   #revision = 0;
   #bytesIn = 0;
   #joinedMs: number | undefined;
-  #usual: ModelDemand[];
-  #asks: Ask[] = [];
-  #cut = false;
+  #steadyDemands: ModelDemand[];
+  #pendingDemands: PendingDemand[] = [];
+  #partitioned = false;
   /** Whether it keeps the rows that it is told; otherwise one stands for all. */
-  #whole: boolean;
+  #retainsRows: boolean;
 
   private constructor(
-    place: number,
+    index: number,
     size: Size,
     host: string,
     seeds: readonly string[],
-    whole: boolean,
-    door: Door,
-    notes: () => Notes,
+    retainsRows: boolean,
+    listener: Listener,
+    stats: () => EdgeStats,
   ) {
-    const bornMs = sharedMs();
-    this.#wire = door.wire;
-    this.#whole = whole;
-    this.#notes = notes;
-    this.#usual = usualWants(place, size);
+    const startedAtMs = sharedMs();
+    this.#transport = listener.transport;
+    this.#retainsRows = retainsRows;
+    this.#stats = stats;
+    this.#steadyDemands = steadyDemandsOf(index, size);
     this.#follower = new EdgeReplica({
-      name: `hollow-${place}`,
-      zone: zoneOf(place),
-      address: `${host}:${door.wire.port}`,
+      name: `hollow-${index}`,
+      zone: zoneOf(index),
+      address: `${host}:${listener.transport.port}`,
       deployment: 'system',
       seeds,
       clock: { nowMs: () => performance.now() },
       chance: { next: () => Math.random() },
       quota: STRICT_QUOTA_BOUNDS,
-      send: (address, frame) => this.#post(address, frame),
+      send: (address, frame) => this.#send(address, frame),
       outcomes: () => [],
-      demands: () => this.#wants(),
-      onChange: (what) => this.#changed(what, bornMs),
+      demands: () => this.#demands(),
+      onChange: (what) => this.#onChange(what, startedAtMs),
     });
-    door.take = (frame) => this.#take(frame);
+    listener.onFrame = (frame) => this.#onFrame(frame);
   }
 
   /** Opens a wire at a free port and follows. */
   static async open(
-    place: number,
+    index: number,
     size: Size,
     host: string,
     seeds: readonly string[],
-    whole: boolean,
-    notes: () => Notes,
-  ): Promise<HollowEdge> {
-    const door: Door = {
-      wire: new PeerTransport('system', (frame) => door.take(frame)),
-      take: () => undefined,
+    retainsRows: boolean,
+    stats: () => EdgeStats,
+  ): Promise<SimulatedEdge> {
+    const listener: Listener = {
+      transport: new PeerTransport('system', (frame) => listener.onFrame(frame)),
+      onFrame: () => undefined,
     };
-    await door.wire.listen(`${host}:0`);
-    return new HollowEdge(place, size, host, seeds, whole, door, notes);
+    await listener.transport.listen(`${host}:0`);
+    return new SimulatedEdge(index, size, host, seeds, retainsRows, listener, stats);
   }
 
   get follower(): EdgeReplica {
     return this.#follower;
   }
 
-  get row(): number {
-    return this.#row;
+  get tableRow(): number {
+    return this.#tableRow;
   }
 
-  get table(): string {
-    return this.#table;
+  get tableId(): string {
+    return this.#tableId;
   }
 
-  get asking(): number {
-    return this.#asks.length;
+  get pendingCount(): number {
+    return this.#pendingDemands.length;
   }
 
   /** Nothing comes or goes while it is cut off. */
-  cut(cut: boolean): void {
-    this.#cut = cut;
+  setPartitioned(partitioned: boolean): void {
+    this.#partitioned = partitioned;
   }
 
-  ask(model: string, adapter: string): void {
-    this.#asks.push({ model, adapter, sinceMs: sharedMs() });
+  requestModel(model: string, adapter: string): void {
+    this.#pendingDemands.push({ model, adapter, sinceMs: sharedMs() });
     this.#follower.requestUpdateSoon();
-    setTimeout(() => this.#follower.tick(), HASTE_MS);
+    setTimeout(() => this.#follower.tick(), URGENT_UPDATE_DELAY_MS);
   }
 
   tick(): void {
     this.#follower.tick();
-    if (this.#follower.edgeCount !== this.#edges) {
-      this.#edges = this.#follower.edgeCount;
-      this.#notes().note(this.#notes().edges, this.#edges);
+    if (this.#follower.edgeCount !== this.#edgeCount) {
+      this.#edgeCount = this.#follower.edgeCount;
+      this.#stats().record(this.#stats().edgeCounts, this.#edgeCount);
     }
   }
 
   /** Ends as a killed process does: without a word. */
   close(): void {
-    this.#wire.close();
+    this.#transport.close();
   }
 
   leave(): void {
     this.#follower.leave();
-    setTimeout(() => this.#wire.close(), 50);
+    setTimeout(() => this.#transport.close(), 50);
   }
 
-  #wants(): ModelDemand[] {
+  #demands(): ModelDemand[] {
     const nowMs = sharedMs();
-    this.#asks = this.#asks.filter((ask) => nowMs - ask.sinceMs < WANT_AGAIN_MS);
+    this.#pendingDemands = this.#pendingDemands.filter((demand) => nowMs - demand.sinceMs < DEMAND_TTL_MS);
     return [
-      ...this.#usual,
-      ...this.#asks.map(({ model, adapter }) =>
+      ...this.#steadyDemands,
+      ...this.#pendingDemands.map(({ model, adapter }) =>
         create(ModelDemandSchema, { service: SERVICE, model, adapter, waiting: 1, perS: 0.2 }),
       ),
     ];
   }
 
-  #post(address: string, frame: Frame): void {
-    if (this.#cut) return;
-    const before = this.#wire.counts.bytesOut;
-    this.#wire.send(address, frame);
+  #send(address: string, frame: Frame): void {
+    if (this.#partitioned) return;
+    const before = this.#transport.counts.bytesOut;
+    this.#transport.send(address, frame);
     const traffic = this.#traffic(address === this.#leader);
-    traffic.follows += 1;
-    traffic.followBytes += this.#wire.counts.bytesOut - before;
+    traffic.sentFrames += 1;
+    traffic.sentBytes += this.#transport.counts.bytesOut - before;
   }
 
   #traffic(leads: boolean): Traffic {
-    const notes = this.#notes();
-    return leads ? notes.leader : notes.other;
+    const stats = this.#stats();
+    return leads ? stats.leader : stats.other;
   }
 
-  #take(frame: Frame): void {
-    const bytes = this.#wire.counts.bytesIn - this.#bytesIn;
-    this.#bytesIn = this.#wire.counts.bytesIn;
-    if (this.#cut || frame.body.case !== 'stateUpdate') return;
-    const tell = frame.body.value;
-    const notes = this.#notes();
+  #onFrame(frame: Frame): void {
+    const bytes = this.#transport.counts.bytesIn - this.#bytesIn;
+    this.#bytesIn = this.#transport.counts.bytesIn;
+    if (this.#partitioned || frame.body.case !== 'stateUpdate') return;
+    const update = frame.body.value;
+    const stats = this.#stats();
     if (
-      tell.hasLease &&
-      tell.coordinator !== undefined &&
-      tell.coordinator.incarnation !== this.#leaderIncarnation
+      update.hasLease &&
+      update.coordinator !== undefined &&
+      update.coordinator.incarnation !== this.#leaderIncarnation
     ) {
-      this.#leaderIncarnation = tell.coordinator.incarnation;
-      this.#leader = tell.coordinator.address;
-      notes.note(notes.leaders, tell.coordinator.incarnation);
+      this.#leaderIncarnation = update.coordinator.incarnation;
+      this.#leader = update.coordinator.address;
+      stats.record(stats.leaders, update.coordinator.incarnation);
     }
     const traffic = this.#traffic(frame.from === this.#leaderIncarnation);
-    traffic.tells += 1;
-    traffic.tellBytes += bytes;
-    const stateBytes = tell.state.length + tell.deflatedState.length;
+    traffic.receivedFrames += 1;
+    traffic.receivedBytes += bytes;
+    const stateBytes = update.state.length + update.deflatedState.length;
     if (stateBytes > 0) {
       traffic.states += 1;
       traffic.stateBytes += stateBytes;
     }
-    if (tell.snapshot) {
-      traffic.wholes += 1;
-      traffic.wholeBytes += bytes - stateBytes;
-    } else if (tell.rows.length > 0) {
-      traffic.changes += 1;
-      traffic.rows += tell.rows.length;
-      traffic.changeBytes += bytes - tell.state.length;
+    if (update.snapshot) {
+      traffic.snapshots += 1;
+      traffic.snapshotBytes += bytes - stateBytes;
+    } else if (update.rows.length > 0) {
+      traffic.deltas += 1;
+      traffic.rows += update.rows.length;
+      traffic.deltaBytes += bytes - update.state.length;
     }
-    if (tell.tableId !== '') {
-      if (tell.tableId !== this.#table) {
-        this.#table = tell.tableId;
-        this.#gone = 0;
-        notes.note(notes.tables, tell.tableId);
+    if (update.tableId !== '') {
+      if (update.tableId !== this.#tableId) {
+        this.#tableId = update.tableId;
+        this.#removedRows = 0;
+        stats.record(stats.tables, update.tableId);
       }
-      this.#row = tell.tableRow;
+      this.#tableRow = update.tableRow;
     }
-    const { rows } = tell;
-    if (!this.#whole) tell.rows = rows.slice(0, 1);
+    const { rows } = update;
+    if (!this.#retainsRows) update.rows = rows.slice(0, 1);
     this.#follower.receive(frame);
-    this.#noteRows(rows);
+    this.#recordRows(rows);
   }
 
-  #noteRows(rows: readonly WorkerRow[]): void {
-    const notes = this.#notes();
-    const gone = rows.filter((row) => row.removed).length;
-    if (gone > 0) {
-      this.#gone += gone;
-      notes.note(notes.gone, this.#gone);
+  #recordRows(rows: readonly WorkerRow[]): void {
+    const stats = this.#stats();
+    const removed = rows.filter((row) => row.removed).length;
+    if (removed > 0) {
+      this.#removedRows += removed;
+      stats.record(stats.removedRows, this.#removedRows);
     }
-    if (this.#asks.length === 0) return;
+    if (this.#pendingDemands.length === 0) return;
     const nowMs = sharedMs();
-    this.#asks = this.#asks.filter(({ model, adapter, sinceMs }) => {
-      const held = rows.some((row) =>
+    this.#pendingDemands = this.#pendingDemands.filter(({ model, adapter, sinceMs }) => {
+      const isLoaded = rows.some((row) =>
         row.loadedModels.some(
           (holding) => holding.model === model && (adapter === '' || holding.adapters.includes(adapter)),
         ),
       );
-      if (held) notes.placedMs.push(nowMs - sinceMs);
-      return !held;
+      if (isLoaded) stats.placementTimesMs.push(nowMs - sinceMs);
+      return !isLoaded;
     });
   }
 
-  #changed(what: 'state' | 'workers', bornMs: number): void {
-    const notes = this.#notes();
+  #onChange(what: 'state' | 'workers', startedAtMs: number): void {
+    const stats = this.#stats();
     if (what === 'state') {
       const { revision } = this.#follower.state;
-      for (let passed = Math.max(this.#revision, revision - 64) + 1; passed <= revision; passed += 1)
-        notes.note(notes.revisions, passed);
+      for (let reached = Math.max(this.#revision, revision - 64) + 1; reached <= revision; reached += 1)
+        stats.record(stats.revisions, reached);
       this.#revision = revision;
     }
     if (
@@ -309,21 +309,21 @@
       this.#follower.workers.size > 0
     ) {
       this.#joinedMs = sharedMs();
-      notes.joinsMs.push(this.#joinedMs - bornMs);
+      stats.joinTimesMs.push(this.#joinedMs - startedAtMs);
     }
   }
 }
 
 /** Part of all places of all workers that is in use in the whole fleet. */
-const IN_USE = 0.1;
+const UTILIZATION = 0.1;
 
 /** What an edge asks for all the time: models and adapters that stand already, so much under way that the workers bear it. */
-function usualWants(place: number, size: Size): ModelDemand[] {
-  const held = heldModels(size);
-  const part = Math.min(1, (IN_USE * SLOTS * size.rows) / (size.nodes * Math.max(1, size.asked)));
+function steadyDemandsOf(index: number, size: Size): ModelDemand[] {
+  const initialModels = initialModelCount(size);
+  const part = Math.min(1, (UTILIZATION * SLOTS * size.rows) / (size.nodes * Math.max(1, size.asked)));
   return Array.from({ length: size.asked }, (_, nth) => {
-    const model = (place * 7 + nth) % held;
-    const turn = place * size.asked + nth;
+    const model = (index * 7 + nth) % initialModels;
+    const turn = index * size.asked + nth;
     const inFlight = Math.floor((turn + 1) * part) - Math.floor(turn * part);
     return create(ModelDemandSchema, {
       service: SERVICE,
--- a/tools/scale/src/ipc.ts
+++ b/tools/scale/src/ipc.ts
@@ -2,13 +2,13 @@
 import { closeSync, openSync, readdirSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-interface Asked {
+interface Request {
   readonly id: number;
   readonly kind: string;
   readonly data: unknown;
 }
 
-interface Told {
+interface Response {
   readonly id: number;
   readonly value: unknown;
 }
@@ -23,18 +23,18 @@
  * @example
  * answerParent({ counts: () => counts });
  */
-export function answerParent(handlers: Readonly<Record<string, (data: never) => unknown>>): void {
+export function serveParent(handlers: Readonly<Record<string, (data: never) => unknown>>): void {
   process.on('disconnect', () => process.exit(0));
   process.on('message', (message) => {
-    const { id, kind, data } = message as Asked;
+    const { id, kind, data } = message as Request;
     void Promise.resolve(handlers[kind]?.(data as never)).then((value) =>
-      process.send?.({ id, value } satisfies Told),
+      process.send?.({ id, value } satisfies Response),
     );
   });
 }
 
 /** What a process has used, by the kernel's own count. */
-export interface Used {
+export interface ResourceUsage {
   readonly cpuMs: number;
   readonly rssMb: number;
 }
@@ -46,7 +46,7 @@
  * @example
  * used(process.pid).rssMb;
  */
-export function used(pid: number): Used {
+export function readResourceUsage(pid: number): ResourceUsage {
   let ns = 0;
   for (const task of readdirSync(`/proc/${pid}/task`))
     ns += Number(readFileSync(`/proc/${pid}/task/${task}/schedstat`, 'utf8').split(' ')[0]);
@@ -63,9 +63,9 @@
 export class Child {
   readonly name: string;
   #process: ChildProcess;
-  #next = 0;
-  #open = new Map<number, (value: unknown) => void>();
-  #gone = false;
+  #lastId = 0;
+  #pending = new Map<number, (value: unknown) => void>();
+  #hasExited = false;
   #exited: Promise<void>;
 
   constructor(
@@ -83,46 +83,46 @@
     });
     closeSync(log);
     this.#process.on('message', (message) => {
-      const { id, value } = message as Told;
-      this.#open.get(id)?.(value);
-      this.#open.delete(id);
+      const { id, value } = message as Response;
+      this.#pending.get(id)?.(value);
+      this.#pending.delete(id);
     });
     this.#exited = new Promise((resolve) => {
       this.#process.once('exit', () => {
-        this.#gone = true;
-        for (const done of this.#open.values()) done(undefined);
-        this.#open.clear();
+        this.#hasExited = true;
+        for (const done of this.#pending.values()) done(undefined);
+        this.#pending.clear();
         resolve();
       });
     });
   }
 
   get alive(): boolean {
-    return !this.#gone;
+    return !this.#hasExited;
   }
 
-  get used(): Used {
+  get resourceUsage(): ResourceUsage {
     const { pid } = this.#process;
-    if (this.#gone || pid === undefined) return { cpuMs: 0, rssMb: 0 };
-    return used(pid);
+    if (this.#hasExited || pid === undefined) return { cpuMs: 0, rssMb: 0 };
+    return readResourceUsage(pid);
   }
 
-  ask<T>(kind: string, data?: unknown): Promise<T> {
+  call<T>(kind: string, data?: unknown): Promise<T> {
     return new Promise((resolve, reject) => {
-      if (this.#gone) {
+      if (this.#hasExited) {
         reject(new Error(`${this.name} has ended`));
         return;
       }
-      this.#next += 1;
-      this.#open.set(this.#next, (value) =>
-        this.#gone ? reject(new Error(`${this.name} has ended`)) : resolve(value as T),
+      this.#lastId += 1;
+      this.#pending.set(this.#lastId, (value) =>
+        this.#hasExited ? reject(new Error(`${this.name} has ended`)) : resolve(value as T),
       );
-      this.#process.send({ id: this.#next, kind, data } satisfies Asked);
+      this.#process.send({ id: this.#lastId, kind, data } satisfies Request);
     });
   }
 
   async kill(signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
-    if (!this.#gone) this.#process.kill(signal);
+    if (!this.#hasExited) this.#process.kill(signal);
     await this.#exited;
   }
 }
--- a/tools/scale/src/main.ts
+++ b/tools/scale/src/main.ts
@@ -76,7 +76,7 @@
 const points: Point[] = [];
 const unsettled: Unsettled[] = [];
 /** Functions below this part of the whole are not listed. */
-const LISTED = 0.02;
+const MIN_LISTED_SHARE = 0.02;
 for (const path of cli.flags.from === '' ? [] : cli.flags.from.split(',')) {
   const found = JSON.parse(readFileSync(path, 'utf8')) as { points: Point[]; unsettled: Unsettled[] };
   points.push(...found.points);
@@ -92,20 +92,20 @@
     restartsFactor: restarts,
     mostMb,
     keptBy,
-    note: (text) => console.error(text),
+    print: (text) => console.error(text),
   });
   try {
     if (cli.flags.profile) {
-      for (const { name, alone, whole } of await run.profile())
-        if (whole >= LISTED)
+      for (const { name, selfShare, totalShare } of await run.profile())
+        if (totalShare >= MIN_LISTED_SHARE)
           console.log(
-            `${(100 * whole).toFixed(1).padStart(6)} % whole ${(100 * alone).toFixed(1).padStart(6)} % alone  ${name}`,
+            `${(100 * totalShare).toFixed(1).padStart(6)} % whole ${(100 * selfShare).toFixed(1).padStart(6)} % alone  ${name}`,
           );
       continue;
     }
-    const played = await run.play();
-    if ('quiet' in played) points.push(played);
-    else unsettled.push(played);
+    const result = await run.measure();
+    if ('quiet' in result) points.push(result);
+    else unsettled.push(result);
   } catch (thrown) {
     console.error(`scale: ${size.nodes}x${size.rows} was not played to its end: ${String(thrown)}`);
     process.exitCode = 1;
--- a/tools/scale/src/phase-meter.ts
+++ b/tools/scale/src/phase-meter.ts
@@ -1,14 +1,14 @@
 /** What every role uses while a phase of a run is played. */
-import type { HollowNotes } from './hollow-notes.js';
+import type { EdgeStatsReport } from './hollow-notes.js';
 import type { Traffic } from './hollow.js';
-import { sharedMs, type Child, type Used } from './ipc.js';
+import { sharedMs, type Child, type ResourceUsage } from './ipc.js';
 import type { FollowerTraffic, Phase, RoleUse } from './point.js';
 import type { Testbed } from './testbed.js';
 
 /** A phase as measured, what the hollow edges noted meanwhile, and what it came to. */
 export interface MeasuredPhase<T> {
   readonly phase: Phase;
-  readonly notes: HollowNotes;
+  readonly stats: EdgeStatsReport;
   readonly value: T;
 }
 
@@ -19,27 +19,27 @@
  * @example
  * const { phase } = await measurePhase(testbed, () => pause(1000));
  */
-export async function measurePhase<T>(testbed: Testbed, during: () => Promise<T>): Promise<MeasuredPhase<T>> {
-  await testbed.mark();
-  const place = Math.max(0, testbed.leading());
-  const before = new Map(testbed.children.map((child) => [child, child.used]));
+export async function measurePhase<T>(testbed: Testbed, action: () => Promise<T>): Promise<MeasuredPhase<T>> {
+  await testbed.resetStats();
+  const coordinatorIndex = Math.max(0, testbed.coordinatorIndex());
+  const before = new Map(testbed.children.map((child) => [child, child.resourceUsage]));
   const beganMs = sharedMs();
-  const value = await during();
+  const value = await action();
   const windowMs = sharedMs() - beganMs;
   const uses = usesSince(before, windowMs);
-  const notes = await testbed.notes();
-  const others = testbed.cores.filter((child, nth) => nth !== place && child.alive);
+  const stats = await testbed.stats();
+  const others = testbed.cores.filter((child, nth) => nth !== coordinatorIndex && child.alive);
   const phase: Phase = {
     windowMs,
-    coordinator: useOf(uses, testbed.cores[place]),
-    otherCore: averaged(uses, others, others.length),
+    coordinator: useOf(uses, testbed.cores[coordinatorIndex]),
+    otherCore: averageUse(uses, others, others.length),
     edge: useOf(uses, testbed.edge),
-    hollow: averaged(uses, testbed.hollow, notes.followers),
-    withCoordinator: perFollower(notes.leader, notes.followers, windowMs),
-    withOthers: perFollower(notes.other, notes.followers, windowMs),
+    hollow: averageUse(uses, testbed.simulated, stats.followers),
+    withCoordinator: perFollower(stats.leader, stats.followers, windowMs),
+    withOthers: perFollower(stats.other, stats.followers, windowMs),
     processors: [...uses.values()].reduce((sum, use) => sum + use.cpuMsPerS, 0) / 1000,
   };
-  return { phase, notes, value };
+  return { phase, stats, value };
 }
 
 /**
@@ -47,18 +47,21 @@
  * @example
  * phaseLine('quiet', measured); // 'quiet: 2.1 s, coordinator 1.2 ms/s, ...'
  */
-export function phaseLine(name: string, { phase, notes }: MeasuredPhase<unknown>): string {
+export function phaseLine(name: string, { phase, stats }: MeasuredPhase<unknown>): string {
   const { windowMs, coordinator, processors } = phase;
   const seconds = (windowMs / 1000).toFixed(1);
-  const ready = `${notes.ready} of ${notes.followers} ready`;
+  const ready = `${stats.ready} of ${stats.followers} ready`;
   return `${name}: ${seconds} s, coordinator ${coordinator.cpuMsPerS.toFixed(1)} ms/s, all ${processors.toFixed(2)} processors, ${ready}`;
 }
 
-function usesSince(before: ReadonlyMap<Child, Used>, windowMs: number): Map<Child, RoleUse> {
+function usesSince(before: ReadonlyMap<Child, ResourceUsage>, windowMs: number): Map<Child, RoleUse> {
   return new Map(
     [...before].map(([child, { cpuMs }]) => [
       child,
-      { cpuMsPerS: ((child.used.cpuMs - cpuMs) / windowMs) * 1000, rssMb: child.used.rssMb },
+      {
+        cpuMsPerS: ((child.resourceUsage.cpuMs - cpuMs) / windowMs) * 1000,
+        rssMb: child.resourceUsage.rssMb,
+      },
     ]),
   );
 }
@@ -67,7 +70,7 @@
   return child === undefined ? NO_USE : (uses.get(child) ?? NO_USE);
 }
 
-function averaged(uses: ReadonlyMap<Child, RoleUse>, children: readonly Child[], count: number): RoleUse {
+function averageUse(uses: ReadonlyMap<Child, RoleUse>, children: readonly Child[], count: number): RoleUse {
   const among = Math.max(1, count);
   const used = children.map((child) => useOf(uses, child));
   return {
@@ -79,9 +82,9 @@
 function perFollower(traffic: Traffic, followers: number, windowMs: number): FollowerTraffic {
   const each = 1000 / windowMs / Math.max(1, followers);
   return {
-    framesOut: traffic.follows * each,
-    framesIn: traffic.tells * each,
-    bytesOut: traffic.followBytes * each,
-    bytesIn: traffic.tellBytes * each,
+    framesOut: traffic.sentFrames * each,
+    framesIn: traffic.receivedFrames * each,
+    bytesOut: traffic.sentBytes * each,
+    bytesIn: traffic.receivedBytes * each,
   };
 }
--- a/tools/scale/src/plot.ts
+++ b/tools/scale/src/plot.ts
@@ -1,10 +1,10 @@
 import { scaleLinear } from 'd3-scale';
 import { line } from 'd3-shape';
 import type { Point } from './point.js';
-import { FIGURES, overOf, placesOf, slopeIn, type Figure } from './slope.js';
+import { FIGURES, axisOf, coordinatesOf, slopeOfFigure, type Figure } from './slope.js';
 
-const WIDE = 420;
-const HIGH = 240;
+const WIDTH = 420;
+const HEIGHT = 240;
 const LEFT = 64;
 const RIGHT = 12;
 const TOP = 26;
@@ -16,12 +16,12 @@
  * plot(FIGURES[0], points).startsWith('<svg'); // true
  */
 export function plot(figure: Figure, points: readonly Point[]): string {
-  const places = placesOf(figure, points);
-  const { base, each } = slopeIn(figure, points);
+  const places = coordinatesOf(figure, points);
+  const { base, each } = slopeOfFigure(figure, points);
   const mostX = Math.max(1, ...places.map(([x]) => x));
   const mostY = Math.max(1e-9, figure.budget ?? 0, ...places.map(([, y]) => y));
-  const across = scaleLinear([0, mostX], [LEFT, WIDE - RIGHT]).nice();
-  const up = scaleLinear([0, mostY], [HIGH - BOTTOM, TOP]).nice();
+  const across = scaleLinear([0, mostX], [LEFT, WIDTH - RIGHT]).nice();
+  const up = scaleLinear([0, mostY], [HEIGHT - BOTTOM, TOP]).nice();
   const draw = line<readonly [number, number]>(
     ([x]) => across(x),
     ([, y]) => up(y),
@@ -32,12 +32,12 @@
       .ticks(4)
       .map(
         (tick) =>
-          `<path d="M${LEFT} ${up(tick)}H${WIDE - RIGHT}" stroke="#ddd"/><text x="${LEFT - 4}" y="${up(tick) + 4}" text-anchor="end">${up.tickFormat(4, '~s')(tick)}</text>`,
+          `<path d="M${LEFT} ${up(tick)}H${WIDTH - RIGHT}" stroke="#ddd"/><text x="${LEFT - 4}" y="${up(tick) + 4}" text-anchor="end">${up.tickFormat(4, '~s')(tick)}</text>`,
       ),
     ...across
       .ticks(5)
       .map(
-        (tick) => `<text x="${across(tick)}" y="${HIGH - BOTTOM + 14}" text-anchor="middle">${tick}</text>`,
+        (tick) => `<text x="${across(tick)}" y="${HEIGHT - BOTTOM + 14}" text-anchor="middle">${tick}</text>`,
       ),
     `<path d="${fit}" stroke="#36c" fill="none"/>`,
     ...places.map(
@@ -46,12 +46,12 @@
     ...(figure.budget === undefined
       ? []
       : [
-          `<path d="M${LEFT} ${up(figure.budget)}H${WIDE - RIGHT}" stroke="#c33" stroke-dasharray="4 3"/><text x="${WIDE - RIGHT}" y="${up(figure.budget) - 3}" text-anchor="end" fill="#c33">budget</text>`,
+          `<path d="M${LEFT} ${up(figure.budget)}H${WIDTH - RIGHT}" stroke="#c33" stroke-dasharray="4 3"/><text x="${WIDTH - RIGHT}" y="${up(figure.budget) - 3}" text-anchor="end" fill="#c33">budget</text>`,
         ]),
     `<text x="${LEFT}" y="16" font-weight="bold">${figure.name}, ${figure.unit}</text>`,
-    `<text x="${WIDE - RIGHT}" y="${HIGH - 6}" text-anchor="end">${overOf(figure, points) === 'nodes' ? 'edges' : 'workers'}</text>`,
+    `<text x="${WIDTH - RIGHT}" y="${HEIGHT - 6}" text-anchor="end">${axisOf(figure, points) === 'nodes' ? 'edges' : 'workers'}</text>`,
   ];
-  return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDE} ${HIGH}" font-family="sans-serif" font-size="11">\n${parts.join('\n')}\n</svg>\n`;
+  return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDTH} ${HEIGHT}" font-family="sans-serif" font-size="11">\n${parts.join('\n')}\n</svg>\n`;
 }
 
 /** One plot for each figure, by the name of its file. */
--- a/tools/scale/src/point.ts
+++ b/tools/scale/src/point.ts
@@ -120,7 +120,7 @@
 }
 
 /** The letter's size. */
-export const LETTER = {
+export const REFERENCE = {
   nodes: 870,
   rows: 7300,
   models: 400,
--- a/tools/scale/src/profile.ts
+++ b/tools/scale/src/profile.ts
@@ -15,11 +15,11 @@
 });
 
 /** One function's part of a process's time. */
-export interface Part {
+export interface FunctionShare {
   readonly name: string;
   /** Of all that was not idle: in it alone, and with all that it called. */
-  readonly alone: number;
-  readonly whole: number;
+  readonly selfShare: number;
+  readonly totalShare: number;
 }
 
 /**
@@ -27,7 +27,7 @@
  * @example
  * partsOf('run/profiles')[0]?.name;
  */
-export function partsOf(folder: string): Part[] {
+export function functionSharesOf(folder: string): FunctionShare[] {
   const [file] = readdirSync(folder).filter((name) => name.endsWith('.cpuprofile'));
   if (file === undefined) return [];
   const { nodes, samples, timeDeltas } = v.parse(
@@ -41,20 +41,20 @@
       `${functionName === '' ? '(nameless)' : functionName} ${url.split('/').slice(-2).join('/')}`.trim(),
     ]),
   );
-  const [alone, whole] = [new Map<string, number>(), new Map<string, number>()];
+  const [self, total] = [new Map<string, number>(), new Map<string, number>()];
   let busy = 0;
   for (const [nth, sample] of samples.entries()) {
     const name = names.get(sample) ?? '';
     const us = timeDeltas[nth] ?? 0;
     if (name === '(idle)' || name === '(program)') continue;
     busy += us;
-    alone.set(name, (alone.get(name) ?? 0) + us);
+    self.set(name, (self.get(name) ?? 0) + us);
     const stack = new Set<string>();
     for (let at: number | undefined = sample; at !== undefined; at = parents.get(at))
       stack.add(names.get(at) ?? '');
-    for (const caller of stack) whole.set(caller, (whole.get(caller) ?? 0) + us);
+    for (const caller of stack) total.set(caller, (total.get(caller) ?? 0) + us);
   }
-  return [...whole]
-    .map(([name, us]) => ({ name, alone: (alone.get(name) ?? 0) / busy, whole: us / busy }))
-    .sort((one, other) => other.whole - one.whole);
+  return [...total]
+    .map(([name, us]) => ({ name, selfShare: (self.get(name) ?? 0) / busy, totalShare: us / busy }))
+    .sort((one, other) => other.totalShare - one.totalShare);
 }
--- a/tools/scale/src/run.ts
+++ b/tools/scale/src/run.ts
@@ -3,19 +3,19 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { sharedMs, type Child } from './ipc.js';
 import { measurePhase, phaseLine, type MeasuredPhase } from './phase-meter.js';
-import { LETTER, timesOf, type Point, type Unsettled } from './point.js';
-import { partsOf, type Part } from './profile.js';
+import { REFERENCE, timesOf, type Point, type Unsettled } from './point.js';
+import { functionSharesOf, type FunctionShare } from './profile.js';
 import { zoneOf, type Size } from './site.js';
-import { CORES, Testbed, type LogLine, type Made, type Plan } from './testbed.js';
+import { CORE_COUNT, Testbed, type LogLine, type ConfigurationChange, type Plan } from './testbed.js';
 
 const S_PER_DAY = 86_400;
-const COUNTERS_MS = 10_000;
+const COUNTERS_INTERVAL_MS = 10_000;
 /** So long after it took over, a coordinator takes what the list says for certain, and tells every row once more. */
-const SURE_MS = 5000;
+const RESYNC_MS = 5000;
 /** The quiet phase is longer, so that counters of the cores fall into it twice. */
 const QUIET_PHASES = 2.1;
 /** The part of the edges that loses the cores. */
-const PARTED_SHARE = 1 / 6;
+const PARTITIONED_SHARE = 1 / 6;
 
 /** What the stand-in for the workers counted. */
 interface StandInCounts {
@@ -41,38 +41,38 @@
     this.#testbed = new Testbed(size, plan);
   }
 
-  play(): Promise<Point | Unsettled> {
-    return this.#testbed.watched(() => this.#play());
+  measure(): Promise<Point | Unsettled> {
+    return this.#testbed.withMemoryLimit(() => this.#measure());
   }
 
   /** Plays joins, quiet and loads, and says where the coordinator's time went. */
-  profile(): Promise<Part[]> {
-    return this.#testbed.watched(async () => {
+  profile(): Promise<FunctionShare[]> {
+    return this.#testbed.withMemoryLimit(async () => {
       await this.#testbed.startCores(true);
       await this.#join();
       await this.#quiet();
       await this.#loads();
-      const place = Math.max(0, this.#testbed.leading());
-      await this.#testbed.cores[place]?.kill('SIGTERM');
-      return partsOf(join(this.#plan.folder, `core-${place}.profile`));
+      const index = Math.max(0, this.#testbed.coordinatorIndex());
+      await this.#testbed.cores[index]?.kill('SIGTERM');
+      return functionSharesOf(join(this.#plan.folder, `core-${index}.profile`));
     });
   }
 
-  async #play(): Promise<Point | Unsettled> {
+  async #measure(): Promise<Point | Unsettled> {
     const size = this.#size;
     await this.#testbed.startCores();
     const join = await this.#join();
     if (!join.settled) return { size, join, mostRssMb: this.#testbed.mostRssMb };
     const quiet = await this.#quiet();
-    const chooseUs = await this.#firstHollow().ask<number>('choose');
+    const chooseUs = await this.#firstSimulated().call<number>('measureChoiceUs');
     const loads = await this.#loads();
     const changes = await this.#changes();
     const restarts = await this.#restarts();
-    const parted = await this.#parted();
+    const parted = await this.#partition();
     const killedEdge = await this.#killEdge();
     const zone = await this.#loseZone();
     const killedCoordinator = await this.#killCoordinator();
-    const { listBytes } = await this.#testbed.standIn.ask<StandInCounts>('counts');
+    const { listBytes } = await this.#testbed.standIn.call<StandInCounts>('counts');
     const stateBytes = changes.stateTells === 0 ? 0 : Math.round(changes.stateBytes / changes.stateTells);
     return {
       size,
@@ -95,28 +95,29 @@
 
   async #phase<T>(name: string, during: () => Promise<T>): Promise<MeasuredPhase<T>> {
     const measured = await measurePhase(this.#testbed, during);
-    this.#plan.note(`  ${phaseLine(name, measured)}`);
+    this.#plan.print(`  ${phaseLine(name, measured)}`);
     return measured;
   }
 
-  #firstHollow(): Child {
-    return this.#testbed.hollow[0] as Child;
+  #firstSimulated(): Child {
+    return this.#testbed.simulated[0] as Child;
   }
 
   async #join(): Promise<Point['join']> {
-    await this.#testbed.startHollow();
-    const { phase, notes, value } = await this.#phase('join', async () => {
-      await this.#testbed.growHollow();
-      return this.#testbed.settled(60_000);
+    await this.#testbed.startSimulated();
+    const { phase, stats, value } = await this.#phase('join', async () => {
+      await this.#testbed.addSimulatedEdges();
+      return this.#testbed.waitUntilSettled(60_000);
     });
     this.#testbed.startEdge();
-    await pause(SURE_MS);
-    await this.#testbed.settled(20_000);
-    const joined = Math.max(1, notes.joinsMs.length);
+    await pause(RESYNC_MS);
+    await this.#testbed.waitUntilSettled(20_000);
+    const joined = Math.max(1, stats.joinTimesMs.length);
     return {
       settled: value,
-      times: timesOf(notes.joinsMs),
-      tableBytes: notes.leader.wholes === 0 ? 0 : Math.round(notes.leader.wholeBytes / notes.leader.wholes),
+      times: timesOf(stats.joinTimesMs),
+      tableBytes:
+        stats.leader.snapshots === 0 ? 0 : Math.round(stats.leader.snapshotBytes / stats.leader.snapshots),
       coordinatorCpuMs: (phase.coordinator.cpuMsPerS * phase.windowMs) / 1000 / joined,
       phase,
     };
@@ -125,15 +126,15 @@
   async #quiet(): Promise<Point['quiet']> {
     const began = Date.now();
     const { phase } = await this.#phase('quiet', () => pause(this.#plan.seconds * QUIET_PHASES * 1000));
-    const others = this.#testbed.cores.flatMap((_, place) =>
-      place === this.#testbed.leading() ? [] : [this.#framesIn(`core-${place}`, began)],
+    const others = this.#testbed.cores.flatMap((_, index) =>
+      index === this.#testbed.coordinatorIndex() ? [] : [this.#framesIn(`core-${index}`, began)],
     );
     const rates = others.filter((rate) => rate !== undefined);
     const groupFrames =
       rates.length === 0
         ? undefined
         : rates.reduce((sum, rate) => sum + rate, 0) / rates.length -
-          phase.withOthers.framesOut * (this.#size.nodes / (CORES - 1));
+          phase.withOthers.framesOut * (this.#size.nodes / (CORE_COUNT - 1));
     return { ...phase, groupFramesInPerS: groupFrames };
   }
 
@@ -144,53 +145,55 @@
       .filter((line) => line['msg'] === 'counters' && Number(line['time']) >= sinceMs)
       .slice(-2);
     if (one === undefined || other === undefined) return undefined;
-    return ((framesOf(other) - framesOf(one)) / COUNTERS_MS) * 1000;
+    return ((framesOf(other) - framesOf(one)) / COUNTERS_INTERVAL_MS) * 1000;
   }
 
   async #loads(): Promise<Point['loads']> {
-    const askedPerS = LETTER.loadsPerH / 3600;
+    const askedPerS = REFERENCE.loadsPerH / 3600;
     const standIn = this.#testbed.standIn;
-    const before = await standIn.ask<StandInCounts>('counts');
-    const { phase, notes } = await this.#phase('loads', async () => {
+    const before = await standIn.call<StandInCounts>('counts');
+    const { phase, stats } = await this.#phase('loads', async () => {
       await Promise.all(
-        this.#testbed.hollow.map((child) => child.ask('loads', askedPerS / this.#testbed.hollow.length)),
+        this.#testbed.simulated.map((child) =>
+          child.call('setLoadRate', askedPerS / this.#testbed.simulated.length),
+        ),
       );
       await pause(this.#plan.seconds * 1000);
-      await Promise.all(this.#testbed.hollow.map((child) => child.ask('loads', 0)));
-      await this.#testbed.until(5000, async () => (await this.#testbed.notes()).asking === 0);
+      await Promise.all(this.#testbed.simulated.map((child) => child.call('setLoadRate', 0)));
+      await this.#testbed.waitUntil(5000, async () => (await this.#testbed.stats()).pendingDemands === 0);
     });
-    const after = await standIn.ask<StandInCounts>('counts');
-    const { changes, changeBytes, rows } = notes.leader;
+    const after = await standIn.call<StandInCounts>('counts');
+    const { deltas, deltaBytes, rows } = stats.leader;
     return {
       ...phase,
       askedPerS,
       orders: after.orders - before.orders,
       reports: after.reports - before.reports,
-      placed: timesOf(notes.placedMs),
-      tellsWithRows: changes,
-      tellBytes: changeBytes,
+      placed: timesOf(stats.placementTimesMs),
+      tellsWithRows: deltas,
+      tellBytes: deltaBytes,
       rows,
     };
   }
 
   async #changes(): Promise<Point['changes']> {
     const { changesFactor: factor, seconds } = this.#plan;
-    const everyMs = (S_PER_DAY / LETTER.changesPerDay / factor) * 1000;
-    const { phase, notes, value } = await this.#phase('changes', async () => {
-      const made: Promise<Made>[] = [];
+    const everyMs = (S_PER_DAY / REFERENCE.changesPerDay / factor) * 1000;
+    const { phase, stats, value } = await this.#phase('changes', async () => {
+      const made: Promise<ConfigurationChange>[] = [];
       const beganMs = sharedMs();
       while (sharedMs() - beganMs < seconds * 1000) {
-        made.push(this.#testbed.change());
+        made.push(this.#testbed.changeRoute());
         await pause(Math.max(0, beganMs + made.length * everyMs - sharedMs()));
       }
       const all = await Promise.all(made);
-      await this.#testbed.settled(10_000);
+      await this.#testbed.waitUntilSettled(10_000);
       return all;
     });
     const agreed = value.filter(({ agreedMs }) => agreedMs !== undefined);
     const held = agreed.map(({ revision, sentMs }) => {
-      const known = notes.revisions.find(({ key }) => key === revision);
-      return known?.count === notes.followers ? known.lastMs - sentMs : Infinity;
+      const known = stats.revisions.find(({ key }) => key === revision);
+      return known?.count === stats.followers ? known.lastMs - sentMs : Infinity;
     });
     const finite = held.filter((ms) => ms !== Infinity);
     return {
@@ -200,93 +203,97 @@
       agreed: timesOf(agreed.map(({ agreedMs = 0, sentMs }) => agreedMs - sentMs)),
       held: timesOf(finite),
       heldByAll: finite.length === value.length,
-      stateTells: notes.leader.states + notes.other.states,
-      stateBytes: notes.leader.stateBytes + notes.other.stateBytes,
+      stateTells: stats.leader.states + stats.other.states,
+      stateBytes: stats.leader.stateBytes + stats.other.stateBytes,
     };
   }
 
   async #restarts(): Promise<Point['restarts']> {
     const { restartsFactor: factor, seconds } = this.#plan;
-    const everyMs = (S_PER_DAY / LETTER.restartsPerDay / factor) * 1000;
+    const everyMs = (S_PER_DAY / REFERENCE.restartsPerDay / factor) * 1000;
     const made = Math.max(1, Math.round((seconds * 1000) / everyMs));
-    const { phase, notes } = await this.#phase('restarts', async () => {
-      await this.#firstHollow().ask('restart', { count: made, everyMs });
-      await this.#testbed.settled(10_000);
+    const { phase, stats } = await this.#phase('restarts', async () => {
+      await this.#firstSimulated().call('restartEdges', { count: made, everyMs });
+      await this.#testbed.waitUntilSettled(10_000);
     });
     return {
       ...phase,
       factor,
       made,
-      join: timesOf(notes.joinsMs),
-      wholes: notes.leader.wholes + notes.other.wholes,
-      taken: notes.tables.reduce((sum, { count }) => sum + count, 0),
+      join: timesOf(stats.joinTimesMs),
+      wholes: stats.leader.snapshots + stats.other.snapshots,
+      taken: stats.tables.reduce((sum, { count }) => sum + count, 0),
     };
   }
 
   /** One region of six loses the cores for a while, and a change is made meanwhile. */
-  async #parted(): Promise<Point['parted']> {
-    await this.#testbed.mark();
+  async #partition(): Promise<Point['parted']> {
+    await this.#testbed.resetStats();
     const cutMs = sharedMs();
     const counts = await Promise.all(
-      this.#testbed.hollow.map((child) => child.ask<number>('cut', { share: PARTED_SHARE, cut: true })),
+      this.#testbed.simulated.map((child) =>
+        child.call<number>('partition', { share: PARTITIONED_SHARE, enabled: true }),
+      ),
     );
     const followers = counts.reduce((sum, count) => sum + count, 0);
-    await this.#testbed.until(10_000, async () => {
-      const notes = await this.#testbed.notes();
-      return notes.informed === notes.followers - followers;
+    await this.#testbed.waitUntil(10_000, async () => {
+      const stats = await this.#testbed.stats();
+      return stats.informed === stats.followers - followers;
     });
     const uninformedMs = sharedMs() - cutMs;
-    await this.#testbed.change();
+    await this.#testbed.changeRoute();
     await pause(1000);
     const healedMs = sharedMs();
     await Promise.all(
-      this.#testbed.hollow.map((child) => child.ask('cut', { share: PARTED_SHARE, cut: false })),
+      this.#testbed.simulated.map((child) =>
+        child.call('partition', { share: PARTITIONED_SHARE, enabled: false }),
+      ),
     );
-    const settled = await this.#testbed.settled(20_000);
-    const { revisions } = await this.#testbed.notes();
+    const settled = await this.#testbed.waitUntilSettled(20_000);
+    const { revisions } = await this.#testbed.stats();
     const last = revisions.find(({ key }) => key === this.#testbed.revision)?.lastMs ?? sharedMs();
     return { followers, uninformedMs, currentMs: last - healedMs, settled };
   }
 
   /** One edge ends without a word: until every other counts one less. */
   async #killEdge(): Promise<Point['killedEdge']> {
-    await this.#testbed.mark();
+    await this.#testbed.resetStats();
     const killedMs = sharedMs();
-    await this.#firstHollow().ask('kill', 1);
+    await this.#firstSimulated().call('killEdges', 1);
     let lastMs = killedMs;
-    const settled = await this.#testbed.until(15_000, async () => {
-      const notes = await this.#testbed.notes();
-      const known = notes.edges.find(({ key }) => key === this.#size.nodes - 1);
+    const settled = await this.#testbed.waitUntil(15_000, async () => {
+      const stats = await this.#testbed.stats();
+      const known = stats.edgeCounts.find(({ key }) => key === this.#size.nodes - 1);
       lastMs = known?.lastMs ?? killedMs;
-      return (known?.count ?? 0) >= notes.followers;
+      return (known?.count ?? 0) >= stats.followers;
     });
     return { settled, knownMs: lastMs - killedMs };
   }
 
   async #loseZone(): Promise<Point['zone']> {
-    await this.#testbed.mark();
+    await this.#testbed.resetStats();
     const lostMs = sharedMs();
-    const rows = await this.#testbed.standIn.ask<number>('lose', zoneOf(0));
+    const rows = await this.#testbed.standIn.call<number>('removeZone', zoneOf(0));
     let lastMs = lostMs;
-    const settled = await this.#testbed.until(30_000, async () => {
-      const notes = await this.#testbed.notes();
-      const known = notes.gone.find(({ key }) => key === rows);
+    const settled = await this.#testbed.waitUntil(30_000, async () => {
+      const stats = await this.#testbed.stats();
+      const known = stats.removedRows.find(({ key }) => key === rows);
       lastMs = known?.lastMs ?? lostMs;
-      return (known?.count ?? 0) >= notes.followers;
+      return (known?.count ?? 0) >= stats.followers;
     });
-    const { leader } = await this.#testbed.notes();
-    return { settled, rows, heldMs: lastMs - lostMs, bytes: leader.changeBytes };
+    const { leader } = await this.#testbed.stats();
+    return { settled, rows, heldMs: lastMs - lostMs, bytes: leader.deltaBytes };
   }
 
   async #killCoordinator(): Promise<Point['killedCoordinator']> {
-    await this.#testbed.mark();
-    const place = this.#testbed.leading();
-    const before = (await this.#testbed.notes()).tablesHeld;
+    await this.#testbed.resetStats();
+    const index = this.#testbed.coordinatorIndex();
+    const oldTableIds = (await this.#testbed.stats()).tableIds;
     const killedMs = sharedMs();
     const killedAt = Date.now();
-    await this.#testbed.cores[place]?.kill();
+    await this.#testbed.cores[index]?.kill();
     let lines: LogLine[] = [];
-    await this.#testbed.until(30_000, () => {
+    await this.#testbed.waitUntil(30_000, () => {
       lines = this.#testbed.cores.flatMap((child, nth) =>
         child.alive
           ? this.#testbed
@@ -301,25 +308,25 @@
       );
       return Promise.resolve(lines.length > 0);
     });
-    const renewed = await this.#testbed.until(
+    const renewed = await this.#testbed.waitUntil(
       40_000,
-      async () => !(await this.#testbed.notes()).tablesHeld.some((table) => before.includes(table)),
+      async () => !(await this.#testbed.stats()).tableIds.some((table) => oldTableIds.includes(table)),
     );
-    const settled = renewed && (await this.#testbed.settled(20_000));
-    const notes = await this.#testbed.notes();
-    const known = notes.leaders.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
-    const table = notes.tables.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
-    this.#plan.note(
-      `  coordinator killed: ${settled ? 'settled' : 'NOT settled'}, ${notes.tables.length} tables, ${notes.leader.wholes} whole tables sent`,
+    const settled = renewed && (await this.#testbed.waitUntilSettled(20_000));
+    const stats = await this.#testbed.stats();
+    const known = stats.leaders.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
+    const table = stats.tables.reduce((most, { lastMs }) => Math.max(most, lastMs), killedMs);
+    this.#plan.print(
+      `  coordinator killed: ${settled ? 'settled' : 'NOT settled'}, ${stats.tables.length} tables, ${stats.leader.snapshots} whole tables sent`,
     );
     return {
       settled,
       leadsMs: Number(lines[0]?.['time'] ?? killedAt) - killedAt,
       knownMs: known - killedMs,
       tableMs: table - killedMs,
-      tables: notes.tables.length,
-      wholes: notes.leader.wholes + notes.other.wholes,
-      wholeBytes: notes.leader.wholeBytes + notes.other.wholeBytes,
+      tables: stats.tables.length,
+      wholes: stats.leader.snapshots + stats.other.snapshots,
+      wholeBytes: stats.leader.snapshotBytes + stats.other.snapshotBytes,
     };
   }
 }
--- a/tools/scale/src/scale.test.ts
+++ b/tools/scale/src/scale.test.ts
@@ -4,7 +4,7 @@
 import { timesOf } from './point.js';
 import { readSizes } from './sizes.js';
 import { slopeOf } from './slope.js';
-import { configuration, heldModels, worker, zoneOf } from './site.js';
+import { configuration, initialModelCount, worker, zoneOf } from './site.js';
 
 const REST = { models: 40, adapters: 450, routes: 3, asked: 2 };
 
@@ -42,12 +42,12 @@
 
 it('a site has 23 zones, and half of its models stand nowhere at first', () => {
   const size = { ...REST, nodes: 8, rows: 300 };
-  const workers = Array.from({ length: size.rows }, (_, place) => worker(place, size, 1));
+  const workers = Array.from({ length: size.rows }, (_, index) => worker(index, size, 1));
   const models = new Set(workers.flatMap((entry) => entry.models.map(([model]) => model)));
   expect([
     new Set(workers.map((entry) => entry.zone)).size,
     models.size,
-    heldModels(size),
+    initialModelCount(size),
     zoneOf(23),
   ]).toEqual([23, 20, 20, 'zone-00']);
   expect((configuration(size)['routes'] as unknown[]).length).toEqual(3);
--- a/tools/scale/src/site.ts
+++ b/tools/scale/src/site.ts
@@ -12,7 +12,7 @@
 }
 
 /** A worker as the stand-in lists it. */
-export interface Entry {
+export interface WorkerEntry {
   readonly id: string;
   readonly service: string;
   readonly address: string;
@@ -30,8 +30,8 @@
 /** Requests that a worker takes at once. */
 export const SLOTS = 24;
 /** Models that a worker holds when it is first listed, and adapters of each of them. */
-const MODELS_HELD = 2;
-const ADAPTERS_HELD = 2;
+const MODELS_PER_WORKER = 2;
+const ADAPTERS_PER_MODEL = 2;
 const REGIONS = 6;
 const ZONES = 23;
 /** Addresses on which the stand-in answers for the workers. */
@@ -39,8 +39,8 @@
 const FIRST_REVISION = 1;
 
 /** The zone of the worker at a place of the table. */
-export function zoneOf(place: number): string {
-  return `zone-${String(place % ZONES).padStart(2, '0')}`;
+export function zoneOf(index: number): string {
+  return `zone-${String(index % ZONES).padStart(2, '0')}`;
 }
 
 /** The region that a zone lies in. */
@@ -51,28 +51,28 @@
 /** Zone by zone, the region it lies in. */
 export function regions(): Record<string, string> {
   return Object.fromEntries(
-    Array.from({ length: ZONES }, (_, place) => [zoneOf(place), regionOf(zoneOf(place))]),
+    Array.from({ length: ZONES }, (_, index) => [zoneOf(index), regionOf(zoneOf(index))]),
   );
 }
 
 /** The name of the model at a place of the catalogue. */
-export function modelName(place: number): string {
-  return `model-${String(place).padStart(3, '0')}`;
+export function modelName(index: number): string {
+  return `model-${String(index).padStart(3, '0')}`;
 }
 
 /** The name of the adapter at a place of the catalogue. */
-export function adapterName(place: number): string {
-  return `adapter-${String(place).padStart(4, '0')}`;
+export function adapterName(index: number): string {
+  return `adapter-${String(index).padStart(4, '0')}`;
 }
 
 /** Half of the models stand somewhere from the beginning; the others are idle until they are asked for. */
-export function heldModels({ models, rows }: Size): number {
+export function initialModelCount({ models, rows }: Size): number {
   return Math.max(1, Math.min(Math.floor(models / 2), rows));
 }
 
 /** Adapter `nth` belongs to the model that this names: spread evenly. */
-export function modelOfAdapter(place: number, { models }: Size): number {
-  return place % models;
+export function modelOfAdapter(index: number, { models }: Size): number {
+  return index % models;
 }
 
 /**
@@ -80,21 +80,21 @@
  * @example
  * worker(0, size, 9100).zone; // 'zone-00'
  */
-export function worker(place: number, size: Size, port: number): Entry {
-  const held = heldModels(size);
+export function worker(index: number, size: Size, port: number): WorkerEntry {
+  const initialModels = initialModelCount(size);
   const perModel = Math.max(1, Math.floor(size.adapters / size.models));
-  const models = Array.from({ length: MODELS_HELD }, (_, nth) => {
-    const model = (place * MODELS_HELD + nth) % held;
-    const adapters = Array.from({ length: ADAPTERS_HELD }, (__, turn) =>
-      adapterName(model + size.models * ((place + turn) % Math.max(1, Math.floor(perModel / 2)))),
+  const models = Array.from({ length: MODELS_PER_WORKER }, (_, nth) => {
+    const model = (index * MODELS_PER_WORKER + nth) % initialModels;
+    const adapters = Array.from({ length: ADAPTERS_PER_MODEL }, (__, turn) =>
+      adapterName(model + size.models * ((index + turn) % Math.max(1, Math.floor(perModel / 2)))),
     );
     return [modelName(model), [...new Set(adapters)]] as const;
   });
   return {
-    id: `${SERVICE}-${String(place).padStart(5, '0')}-incarnation-1`,
+    id: `${SERVICE}-${String(index).padStart(5, '0')}-incarnation-1`,
     service: SERVICE,
-    address: `127.77.2.${1 + (place % ADDRESSES)}:${port}`,
-    zone: zoneOf(place),
+    address: `127.77.2.${1 + (index % ADDRESSES)}:${port}`,
+    zone: zoneOf(index),
     slots: SLOTS,
     leaving: false,
     coldMs: 0,
@@ -103,11 +103,11 @@
 }
 
 /** One route of the document; `turn` makes it differ from what it was. */
-export function route(place: number, turn: number): Record<string, unknown> {
+export function route(index: number, turn: number): Record<string, unknown> {
   return {
-    name: `route-${place}`,
+    name: `route-${index}`,
     host: HOST,
-    prefix: `/tenant-${place}/ask`,
+    prefix: `/tenant-${index}/ask`,
     service: SERVICE,
     kind: 'streaming',
     timeoutMs: 5000 + turn,
@@ -128,7 +128,7 @@
   const perModel = Math.floor(size.adapters / size.models);
   return {
     revision: FIRST_REVISION,
-    routes: Array.from({ length: size.routes }, (_, place) => route(place, 0)),
+    routes: Array.from({ length: size.routes }, (_, index) => route(index, 0)),
     services: [
       {
         name: SERVICE,
@@ -139,8 +139,8 @@
           roomMb: 220_000,
           adapterPlaces: 8,
           loadsPerS: 40,
-          models: Array.from({ length: size.models }, (_, place) => ({
-            name: modelName(place),
+          models: Array.from({ length: size.models }, (_, index) => ({
+            name: modelName(index),
             sizeMb: 70_000,
             loadS: 0.6,
             adapters: perModel,
--- a/tools/scale/src/sizes.ts
+++ b/tools/scale/src/sizes.ts
@@ -1,4 +1,4 @@
-import { LETTER } from './point.js';
+import { REFERENCE } from './point.js';
 import type { Size } from './site.js';
 
 /**
@@ -16,7 +16,8 @@
     sizes.push({
       ...rest,
       nodes,
-      rows: match[2] === undefined ? Math.round((nodes * LETTER.rows) / LETTER.nodes) : Number(match[2]),
+      rows:
+        match[2] === undefined ? Math.round((nodes * REFERENCE.rows) / REFERENCE.nodes) : Number(match[2]),
     });
   }
   return sizes;
--- a/tools/scale/src/slope.ts
+++ b/tools/scale/src/slope.ts
@@ -203,28 +203,28 @@
 }
 
 /** By what a figure is fitted: by what it is over, unless only the other differs between the points. */
-export function overOf(figure: Figure, points: readonly Point[]): 'nodes' | 'rows' {
+export function axisOf(figure: Figure, points: readonly Point[]): 'nodes' | 'rows' {
   const other = figure.over === 'nodes' ? 'rows' : 'nodes';
   return !differs(figure.over, points) && differs(other, points) ? other : figure.over;
 }
 
 /** By design a follower says and hears 13.3 frames a second; far fewer come where cores or lines are late. */
-const FRAMES_LEAST = 11;
+const MIN_FRAMES_PER_S = 11;
 
 /** Whether the fleet rested at this size: a slope through sizes at which it did not leads nowhere. */
-export function rests(point: Point): boolean {
+export function isSteady(point: Point): boolean {
   const { changes, restarts } = point;
-  return framesOf(point) >= FRAMES_LEAST && changes.heldByAll && restarts.wholes <= 2 * restarts.made;
+  return framesOf(point) >= MIN_FRAMES_PER_S && changes.heldByAll && restarts.wholes <= 2 * restarts.made;
 }
 
 /** The line of a figure through the sizes at which the fleet rested. */
-export function slopeIn(figure: Figure, points: readonly Point[]): Slope {
-  return slopeOf(placesOf(figure, points.filter(rests)));
+export function slopeOfFigure(figure: Figure, points: readonly Point[]): Slope {
+  return slopeOf(coordinatesOf(figure, points.filter(isSteady)));
 }
 
 /** A figure at each point that has it, over the size that it depends on. */
-export function placesOf(figure: Figure, points: readonly Point[]): (readonly [number, number])[] {
-  const over = overOf(figure, points);
+export function coordinatesOf(figure: Figure, points: readonly Point[]): (readonly [number, number])[] {
+  const over = axisOf(figure, points);
   return points.flatMap((point) => {
     const y = figure.of(point);
     return y === undefined ? [] : [[point.size[over], y] as const];
--- a/tools/scale/src/stand-in.ts
+++ b/tools/scale/src/stand-in.ts
@@ -1,7 +1,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import * as v from 'valibot';
 import { EXPECT_INSTANCE, OrderSchema, PATHS } from './dialect.js';
-import { answerParent } from './ipc.js';
+import { serveParent } from './ipc.js';
 import { ADDRESSES, worker, type Size } from './site.js';
 
 const LOAD_MS = 600;
@@ -14,7 +14,7 @@
   #size: Size;
   #port: number;
   #list = '';
-  #rows = new Map<string, Map<string, { readyMs: number; adapters: Set<string> }>>();
+  #loadedModels = new Map<string, Map<string, { readyMs: number; adapters: Set<string> }>>();
   /** How many orders each worker has taken. */
   #sequences = new Map<string, number>();
   readonly counts = {
@@ -24,13 +24,13 @@
     modelLoads: 0,
     adapterLoads: 0,
     unloads: 0,
-    strange: 0,
+    invalid: 0,
   };
 
   constructor(size: Size, port: number) {
     this.#size = size;
     this.#port = port;
-    this.lose('');
+    this.removeZone('');
   }
 
   /** Bytes of the list. */
@@ -39,13 +39,13 @@
   }
 
   /** Lists all workers but those of one zone, and says how many are left out. */
-  lose(zone: string): number {
-    const all = Array.from({ length: this.#size.rows }, (_, place) => worker(place, this.#size, this.#port));
+  removeZone(zone: string): number {
+    const all = Array.from({ length: this.#size.rows }, (_, index) => worker(index, this.#size, this.#port));
     const workers = all.filter((entry) => entry.zone !== zone);
     this.#list = JSON.stringify({ workers });
     for (const { id, models } of workers) {
-      if (!this.#rows.has(id))
-        this.#rows.set(
+      if (!this.#loadedModels.has(id))
+        this.#loadedModels.set(
           id,
           new Map(models.map(([model, adapters]) => [model, { readyMs: 0, adapters: new Set(adapters) }])),
         );
@@ -77,7 +77,7 @@
 
   /** What a worker holds; null while a model of it is loading. */
   #report(id: string): string {
-    const models = [...(this.#rows.get(id) ?? [])];
+    const models = [...(this.#loadedModels.get(id) ?? [])];
     const nowMs = performance.now();
     if (models.some(([, { readyMs }]) => readyMs > nowMs)) return 'null';
     return JSON.stringify({
@@ -88,34 +88,34 @@
 
   #order(id: string, body: string): number {
     const order = v.safeParse(OrderSchema, JSON.parse(body));
-    const row = this.#rows.get(id);
+    const row = this.#loadedModels.get(id);
     if (!order.success || row === undefined) {
-      this.counts.strange += 1;
+      this.counts.invalid += 1;
       return 400;
     }
     this.counts.orders += 1;
     const { action, model, adapter, sequence } = order.output;
-    const taken = this.#sequences.get(id) ?? 0;
+    const acceptedOrders = this.#sequences.get(id) ?? 0;
     const known = row.get(model);
-    if (sequence !== taken) return 409;
+    if (sequence !== acceptedOrders) return 409;
     if (action === 'unload') {
       if (known === undefined) return 200;
       this.counts.unloads += 1;
       if (adapter === '') row.delete(model);
       else known.adapters.delete(adapter);
-      this.#sequences.set(id, taken + 1);
+      this.#sequences.set(id, acceptedOrders + 1);
       return 202;
     }
     if (adapter !== '') {
       this.counts.adapterLoads += 1;
       known?.adapters.add(adapter);
-      this.#sequences.set(id, taken + 1);
+      this.#sequences.set(id, acceptedOrders + 1);
       return 202;
     }
     const nowMs = performance.now();
     if (known !== undefined) return nowMs >= known.readyMs ? 200 : 409;
     this.counts.modelLoads += 1;
-    this.#sequences.set(id, taken + 1);
+    this.#sequences.set(id, acceptedOrders + 1);
     row.set(model, { readyMs: nowMs + LOAD_MS, adapters: new Set() });
     return 202;
   }
@@ -124,15 +124,15 @@
 const [, , text = '{}', port = '0'] = process.argv;
 const standIn = new StandIn(JSON.parse(text) as Size, Number(port));
 await Promise.all(
-  Array.from({ length: ADDRESSES }, (_, place) => {
+  Array.from({ length: ADDRESSES }, (_, index) => {
     const server = createServer((req, res) => standIn.answer(req, res));
     server.keepAliveTimeout = 60_000;
     return new Promise<void>((resolve) => {
-      server.listen(Number(port), `127.77.2.${1 + place}`, resolve);
+      server.listen(Number(port), `127.77.2.${1 + index}`, resolve);
     });
   }),
 );
-answerParent({
+serveParent({
   counts: () => ({ ...standIn.counts, listBytes: standIn.listBytes }),
-  lose: (zone: string) => standIn.lose(zone),
+  removeZone: (zone: string) => standIn.removeZone(zone),
 });
--- a/tools/scale/src/table.ts
+++ b/tools/scale/src/table.ts
@@ -1,7 +1,7 @@
-import { LETTER, type Point } from './point.js';
-import { FIGURES, overOf, rests, slopeIn } from './slope.js';
+import { REFERENCE, type Point } from './point.js';
+import { FIGURES, axisOf, isSteady, slopeOfFigure } from './slope.js';
 
-function shown(value: number | undefined): string {
+function formatFigure(value: number | undefined): string {
   if (value === undefined) return '-';
   return Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3);
 }
@@ -14,28 +14,28 @@
 export function tableOf(points: readonly Point[]): string {
   const head = [
     'figure',
-    ...points.map((point) => `${point.size.nodes}x${point.size.rows}${rests(point) ? '' : '*'}`),
+    ...points.map((point) => `${point.size.nodes}x${point.size.rows}${isSteady(point) ? '' : '*'}`),
     'base',
     'each',
     'over',
-    `at ${LETTER.nodes}x${LETTER.rows}`,
+    `at ${REFERENCE.nodes}x${REFERENCE.rows}`,
   ];
   const rows = FIGURES.map((figure) => {
-    const over = overOf(figure, points);
-    const { base, each } = slopeIn(figure, points);
+    const over = axisOf(figure, points);
+    const { base, each } = slopeOfFigure(figure, points);
     return [
       `${figure.name}, ${figure.unit}`,
-      ...points.map((point) => shown(figure.of(point))),
-      shown(base),
-      shown(each),
+      ...points.map((point) => formatFigure(figure.of(point))),
+      formatFigure(base),
+      formatFigure(each),
       over,
-      shown(base + each * LETTER[over]),
+      formatFigure(base + each * REFERENCE[over]),
     ];
   });
   const widths = head.map((_, column) =>
     Math.max(...[head, ...rows].map((row) => (row[column] ?? '').length)),
   );
-  const note = points.every(rests)
+  const note = points.every(isSteady)
     ? []
     : [
         '* the fleet did not rest at this size: not every change was held by all, frames were late, or tables went out again and again; no slope goes through it',
--- a/tools/scale/src/testbed.ts
+++ b/tools/scale/src/testbed.ts
@@ -4,7 +4,7 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { request } from 'undici';
 import { PATHS } from './dialect.js';
-import { mergeNotes, type HollowNotes } from './hollow-notes.js';
+import { mergeStats, type EdgeStatsReport } from './hollow-notes.js';
 import { Child, sharedMs } from './ipc.js';
 import { configuration, regions, route, zoneOf, type Size } from './site.js';
 
@@ -22,11 +22,11 @@
   readonly mostMb: number;
   /** One in so many hollow edges keeps the rows of its table; all are told them. */
   readonly keptBy: number;
-  note(text: string): void;
+  print(text: string): void;
 }
 
 /** A change that was sent. */
-export interface Made {
+export interface ConfigurationChange {
   readonly revision: number;
   readonly sentMs: number;
   /** Undefined where no core said that it is agreed. */
@@ -34,11 +34,11 @@
 }
 
 /** How many cores there are. */
-export const CORES = 3;
+export const CORE_COUNT = 3;
 const EDGES_PER_PROCESS = 440;
-const HOLLOW_HEAP_MB = 5000;
+const SIMULATED_HEAP_MB = 5000;
 const POLL_MS = 100;
-const WATCH_MS = 500;
+const MEMORY_CHECK_MS = 500;
 
 /** One line of a program's log. */
 export type LogLine = Readonly<Record<string, unknown>>;
@@ -54,13 +54,13 @@
   #size: Size;
   #plan: Plan;
   #cores: Child[] = [];
-  #hollow: Child[] = [];
+  #simulated: Child[] = [];
   #edge: Child | undefined;
   #standIn: Child | undefined;
   #children: Child[] = [];
   #revision = 1;
   #mostRssMb = 0;
-  #tooMuch = false;
+  #memoryExceeded = false;
 
   constructor(size: Size, plan: Plan) {
     this.#size = size;
@@ -72,8 +72,8 @@
   }
 
   /** Processes of hollow edges. */
-  get hollow(): readonly Child[] {
-    return this.#hollow;
+  get simulated(): readonly Child[] {
+    return this.#simulated;
   }
 
   /** The edge that runs the real program. */
@@ -99,11 +99,11 @@
   }
 
   /** Keeps an eye on memory while something is played, and ends all processes after it. */
-  async watched<T>(play: () => Promise<T>): Promise<T> {
+  async withMemoryLimit<T>(action: () => Promise<T>): Promise<T> {
     mkdirSync(this.#plan.folder, { recursive: true });
-    const watch = setInterval(() => this.#watch(), WATCH_MS);
+    const watch = setInterval(() => this.#checkMemory(), MEMORY_CHECK_MS);
     try {
-      return await play();
+      return await action();
     } finally {
       clearInterval(watch);
       await Promise.all(this.#children.map((child) => child.kill()));
@@ -114,23 +114,23 @@
   async startCores(profiled = false): Promise<void> {
     const { port } = this.#plan;
     this.#standIn = this.#start('stand-in', './stand-in.js', [JSON.stringify(this.#size), String(port + 3)]);
-    await this.#standIn.ask('counts');
-    for (const [place, host] of this.#coreHosts().entries()) {
-      const name = `core-${place}`;
+    await this.#standIn.call('counts');
+    for (const [index, host] of this.#coreHosts().entries()) {
+      const name = `core-${index}`;
       this.#cores.push(
         this.#start(
           name,
           './system-child.js',
-          ['core', this.#settings(name, place, host)],
+          ['core', this.#settings(name, index, host)],
           profiled ? ['--cpu-prof', `--cpu-prof-dir=${join(this.#plan.folder, `${name}.profile`)}`] : [],
         ),
       );
     }
-    await this.until(30_000, async () => (await this.#call('PUT', configuration(this.#size))) === 200);
+    await this.waitUntil(30_000, async () => (await this.#call('PUT', configuration(this.#size))) === 200);
   }
 
   /** Starts the processes of the hollow edges, without edges in them yet. */
-  async startHollow(): Promise<void> {
+  async startSimulated(): Promise<void> {
     const processes = Math.ceil((this.#size.nodes - 1) / EDGES_PER_PROCESS);
     const cores = this.#coreHosts().map((host) => `${host}:${this.#plan.port}`);
     for (let nth = 0; nth < processes; nth += 1) {
@@ -141,21 +141,23 @@
         String(nth * 100_000),
         String(this.#plan.keptBy),
       ];
-      this.#hollow.push(
-        this.#start(`hollow-${nth}`, './hollow-child.js', args, [`--max-old-space-size=${HOLLOW_HEAP_MB}`]),
+      this.#simulated.push(
+        this.#start(`hollow-${nth}`, './hollow-child.js', args, [
+          `--max-old-space-size=${SIMULATED_HEAP_MB}`,
+        ]),
       );
     }
-    await this.#notesOfNone();
+    await this.#waitForProcesses();
   }
 
   /** Lets the hollow edges begin, spread evenly over their processes. */
-  async growHollow(): Promise<void> {
+  async addSimulatedEdges(): Promise<void> {
     const edges = this.#size.nodes - 1;
-    const processes = this.#hollow.length;
-    const counts = this.#hollow.map(
+    const processes = this.#simulated.length;
+    const counts = this.#simulated.map(
       (_, nth) => Math.floor(edges / processes) + (nth < edges % processes ? 1 : 0),
     );
-    await Promise.all(this.#hollow.map((child, nth) => child.ask('grow', counts[nth])));
+    await Promise.all(this.#simulated.map((child, nth) => child.call('addEdges', counts[nth])));
   }
 
   /** Starts the edge that runs the real program. */
@@ -164,8 +166,8 @@
   }
 
   async #call(method: 'PUT' | 'PATCH', body: object): Promise<number> {
-    for (const [place, host] of this.#coreHosts().entries()) {
-      if (this.#cores[place]?.alive !== true) continue;
+    for (const [index, host] of this.#coreHosts().entries()) {
+      if (this.#cores[index]?.alive !== true) continue;
       try {
         const { statusCode, body: answer } = await request(
           `http://${host}:${this.#plan.port + 2}${PATHS.configuration}`,
@@ -181,7 +183,7 @@
   }
 
   /** Changes one route; the next number is taken whether it is agreed or not. */
-  async change(): Promise<Made> {
+  async changeRoute(): Promise<ConfigurationChange> {
     this.#revision += 1;
     const revision = this.#revision;
     const sentMs = sharedMs();
@@ -193,53 +195,53 @@
   }
 
   /** What all hollow edges noted since the last mark. */
-  async notes(): Promise<HollowNotes> {
-    const all = await Promise.all(this.#hollow.map((child) => child.ask<HollowNotes>('notes')));
-    return all.reduce(mergeNotes);
+  async stats(): Promise<EdgeStatsReport> {
+    const all = await Promise.all(this.#simulated.map((child) => child.call<EdgeStatsReport>('stats')));
+    return all.reduce(mergeStats);
   }
 
   /** Lets the hollow edges begin their notes anew. */
-  async mark(): Promise<void> {
-    await Promise.all(this.#hollow.map((child) => child.ask('mark')));
+  async resetStats(): Promise<void> {
+    await Promise.all(this.#simulated.map((child) => child.call('resetStats')));
   }
 
   /** Waits until something is so; false: it was not in time. */
-  async until(mostMs: number, is: () => Promise<boolean>): Promise<boolean> {
-    const endMs = sharedMs() + mostMs;
+  async waitUntil(timeoutMs: number, condition: () => Promise<boolean>): Promise<boolean> {
+    const endMs = sharedMs() + timeoutMs;
     while (sharedMs() < endMs) {
-      if (this.#tooMuch) throw new Error('the run held too much memory');
-      if (await is()) return true;
+      if (this.#memoryExceeded) throw new Error('the run held too much memory');
+      if (await condition()) return true;
       await pause(POLL_MS);
     }
     return false;
   }
 
   /** All followers hold the same table up to the same row, and the newest revision. */
-  async settled(mostMs: number): Promise<boolean> {
-    return this.until(mostMs, async () => {
-      const notes = await this.notes();
+  async waitUntilSettled(timeoutMs: number): Promise<boolean> {
+    return this.waitUntil(timeoutMs, async () => {
+      const stats = await this.stats();
       return (
-        notes.ready === notes.followers &&
-        notes.tablesHeld.length === 1 &&
-        notes.newestRow === notes.oldestRow &&
-        notes.least === this.#revision
+        stats.ready === stats.followers &&
+        stats.tableIds.length === 1 &&
+        stats.newestRow === stats.oldestRow &&
+        stats.minRevision === this.#revision
       );
     });
   }
 
   /** Which core coordinates, by what the cores logged. */
-  leading(): number {
-    let leading = -1;
+  coordinatorIndex(): number {
+    let coordinator = -1;
     let newest = -1;
-    for (const [place] of this.#cores.entries()) {
-      const lines = this.log(`core-${place}`).filter((line) => line['msg'] === 'coordination');
+    for (const [index] of this.#cores.entries()) {
+      const lines = this.log(`core-${index}`).filter((line) => line['msg'] === 'coordination');
       const last = lines.at(-1);
-      if (last?.['leading'] !== true || Number(last['epoch']) <= newest || this.#cores[place]?.alive !== true)
+      if (last?.['leading'] !== true || Number(last['epoch']) <= newest || this.#cores[index]?.alive !== true)
         continue;
       newest = Number(last['epoch']);
-      leading = place;
+      coordinator = index;
     }
-    return leading;
+    return coordinator;
   }
 
   /** What a process has logged. */
@@ -256,8 +258,8 @@
     return readdirSync(folder).reduce((sum, name) => sum + statSync(join(folder, name)).size, 0);
   }
 
-  async #notesOfNone(): Promise<void> {
-    await this.until(20_000, async () => (await this.notes()).followers === 0);
+  async #waitForProcesses(): Promise<void> {
+    await this.waitUntil(20_000, async () => (await this.stats()).followers === 0);
   }
 
   #start(name: string, script: string, args: readonly string[], execArgv: readonly string[] = []): Child {
@@ -266,25 +268,25 @@
     return child;
   }
 
-  #watch(): void {
-    const rssMb = this.#children.reduce((sum, child) => sum + child.used.rssMb, 0);
+  #checkMemory(): void {
+    const rssMb = this.#children.reduce((sum, child) => sum + child.resourceUsage.rssMb, 0);
     this.#mostRssMb = Math.max(this.#mostRssMb, rssMb);
-    if (rssMb < this.#plan.mostMb || this.#tooMuch) return;
-    this.#tooMuch = true;
-    this.#plan.note(`stopped: ${rssMb.toFixed(0)} MB held, at most ${this.#plan.mostMb} are allowed`);
+    if (rssMb < this.#plan.mostMb || this.#memoryExceeded) return;
+    this.#memoryExceeded = true;
+    this.#plan.print(`stopped: ${rssMb.toFixed(0)} MB held, at most ${this.#plan.mostMb} are allowed`);
     for (const child of this.#children) void child.kill();
   }
 
   #coreHosts(): string[] {
-    return Array.from({ length: CORES }, (_, place) => `127.77.0.${1 + place}`);
+    return Array.from({ length: CORE_COUNT }, (_, index) => `127.77.0.${1 + index}`);
   }
 
-  #settings(name: string, place: number, host: string): string {
+  #settings(name: string, index: number, host: string): string {
     const { port, folder } = this.#plan;
     const path = join(folder, `${name}.json`);
     const settings = {
       name,
-      zone: zoneOf(place),
+      zone: zoneOf(index),
       regions: regions(),
       host,
       ports: [port, port + 10],
