--- a/tools/scale/src/check.ts
+++ b/tools/scale/src/check.ts
@@ -1,10 +1,10 @@
 import type { Point } from './point.js';
 
-/** Six and two thirds follows a second by design, each told once, and what a change of coordinator or a haste adds. */
+/** By design 6 2/3 status frames a second, each answered once; coordinator changes and urgent updates add some. */
 const MAX_FRAMES_PER_S = 16;
-/** A follower's frames and bytes may differ by so much between the smallest and the largest size. */
+/** Largest allowed growth of a follower's frames and bytes from the smallest to the largest size. */
 const MAX_GROWTH = 1.25;
-/** Orders for each load that was placed, and so many more for what was under way. */
+/** Allowed orders for each placed load, plus an allowance for loads still in progress. */
 const MAX_ORDERS_PER_LOAD = 4;
 const EXTRA_ORDERS = 8;
 
@@ -16,7 +16,7 @@
   return one.bytesIn + one.bytesOut + other.bytesIn + other.bytesOut;
 }
 
-/** What is off in one point, each in words. */
+/** Descriptions of the failed checks of one point. */
 function faultsAt(point: Point): string[] {
   const { join, loads, changes, restarts, zone, parted, killedEdge, killedCoordinator: killed } = point;
   const frames = framesOf(point);
@@ -50,7 +50,7 @@
 }
 
 /**
- * What is off by counts at some size; nothing here looks at how fast the machine was.
+ * Descriptions of the failed checks at all sizes. Only counts are checked, never the speed of the machine.
  * @example
  * faultsOf(points).length; // 0
  */
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -33,10 +33,10 @@
   ),
 });
 
-/** What a worker says of itself; null while it is at an order. */
+/** A worker's report of its loaded models; null while it executes an order. */
 const ReportSchema = v.nullable(v.object({ models: HoldingsSchema, sequence: v.number() }));
 
-/** What an order says on the stand-in's wire. */
+/** Body of an order as sent to the stand-in. */
 export const OrderSchema = v.object({
   action: v.picklist(['load', 'unload']),
   model: v.string(),
@@ -102,7 +102,7 @@
   return status === 409 ? 'busy' : 'refused';
 }
 
-/** The words of the stand-in: the project's own, as no platform is met here. */
+/** Platform dialect of the stand-in, with the project's own names because no real platform is involved. */
 export const DIALECT: Dialect = {
   clientHeaderNames: {
     requestId: 'x-request',
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -6,13 +6,13 @@
 const SLICE_MS = 5;
 const SLICE_COUNT = 10;
 const JOIN_INTERVAL_MS = 20;
-/** Where tables are long, edges join no faster than one process can read them. */
+/** Limits the join rate for long tables to the rate at which one process can read their rows. */
 const ROWS_PER_MS = 50;
 
 const [, , text = '{}', host = '', seedText = '', firstText = '0', retentionText = '1'] = process.argv;
 const size = JSON.parse(text) as Size;
 const seeds = seedText.split(',');
-/** Every so many edges, one keeps the rows of its table. */
+/** One edge out of this many retains the rows of its table. */
 const retentionInterval = Number(retentionText);
 const edges: SimulatedEdge[] = [];
 let stats = new EdgeStats();
@@ -21,7 +21,7 @@
 let demandCount = 0;
 let loadTimer: NodeJS.Timeout | undefined;
 
-/** A tenth of the followers at a time, each every 50 ms, as an edge heartbeats. */
+/** Ticks a tenth of the followers, so that each is ticked every 50 ms, the heartbeat interval of an edge. */
 function tick(): void {
   slice = (slice + 1) % SLICE_COUNT;
   for (let index = slice; index < edges.length; index += SLICE_COUNT) edges[index]?.tick();
@@ -44,7 +44,7 @@
   }
 }
 
-/** Replaces followers one after the other, as restarts do. */
+/** Replaces followers one after the other, as rolling restarts do. */
 async function restartEdges(count: number, everyMs: number): Promise<void> {
   const startedAtMs = sharedMs();
   for (let nth = 0; nth < count; nth += 1) {
@@ -57,7 +57,7 @@
   }
 }
 
-/** The next model or adapter that stands nowhere is asked for at one edge: a quarter models, the rest adapters. */
+/** Requests the next unloaded model or adapter at one edge: a quarter are models, the rest adapters. */
 function requestNextModel(): void {
   const initialModels = initialModelCount(size);
   const perModel = Math.floor(size.adapters / size.models);
@@ -84,7 +84,7 @@
   if (perS > 0) loadTimer = setInterval(requestNextModel, 1000 / perS);
 }
 
-/** Microseconds of processor time that one choice of a worker takes with the table that a follower holds. */
+/** Measures the processor time of one worker selection with a follower's table, in microseconds. */
 function measureChoiceUs(): number {
   const workers = edges[0]?.follower.workers;
   if (workers === undefined || workers.size === 0) return 0;
--- a/tools/scale/src/hollow-notes.ts
+++ b/tools/scale/src/hollow-notes.ts
@@ -1,10 +1,10 @@
-/** What the hollow edges of a run noted, and the notes of several processes taken together. */
+/** Statistics of the simulated edges, merged over the processes that run them. */
 import { noTraffic, type Propagation, type Traffic } from './hollow.js';
 
-/** How many followers hold each of several things. */
+/** Propagation of several items, each with its key. */
 export type PropagationByKey<K> = (Propagation & { readonly key: K })[];
 
-/** What the hollow edges noted since the last mark. */
+/** Statistics of the simulated edges since the last reset. */
 export interface EdgeStatsReport {
   readonly leader: Traffic;
   readonly other: Traffic;
@@ -26,9 +26,9 @@
 }
 
 /**
- * The notes of two processes as if one had made them.
+ * Merges the statistics of two processes into one report.
  * @example
- * all.reduce(mergeNotes).followers; // of all processes
+ * all.reduce(mergeStats).followers; // sum over all processes
  */
 export function mergeStats(one: EdgeStatsReport, other: EdgeStatsReport): EdgeStatsReport {
   return {
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -6,32 +6,32 @@
 import { sharedMs } from './ipc.js';
 import { adapterName, initialModelCount, modelName, SERVICE, SLOTS, zoneOf, type Size } from './site.js';
 
-/** Frames and bytes between followers and one kind of core. */
+/** Frames and bytes exchanged between the simulated edges and one kind of core. */
 export interface Traffic {
   sentFrames: number;
   sentBytes: number;
   receivedFrames: number;
   receivedBytes: number;
-  /** Tells that brought a state, and the bytes of these states. */
+  /** Received frames that carried a configuration state, and the bytes of these states. */
   states: number;
   stateBytes: number;
-  /** Tells that brought a whole table, and their bytes but for a state that came along. */
+  /** Received frames that carried a table snapshot, and their bytes without an included state. */
   snapshots: number;
   snapshotBytes: number;
-  /** Tells that brought changed rows, the rows, and the bytes of these tells. */
+  /** Received frames that carried changed rows, the number of rows, and the bytes of these frames. */
   deltas: number;
   rows: number;
   deltaBytes: number;
 }
 
-/** How many followers hold something, when the first had it, and the last so far. */
+/** How many followers have received an item, and when the first and the latest of them received it. */
 export interface Propagation {
   count: number;
   firstMs: number;
   lastMs: number;
 }
 
-/** Traffic of which nothing has been seen yet. */
+/** Traffic counters that all start at zero. */
 export function noTraffic(): Traffic {
   return {
     sentFrames: 0,
@@ -48,18 +48,18 @@
   };
 }
 
-/** What all followers of one process have seen since the last mark. */
+/** Statistics of all followers of one process since the last reset. */
 export class EdgeStats {
   readonly leader = noTraffic();
   readonly other = noTraffic();
   readonly revisions = new Map<number, Propagation>();
-  /** By table: followers that hold it whole. */
+  /** Followers that hold the complete table, by table id. */
   readonly tables = new Map<string, Propagation>();
-  /** By incarnation of a coordinator: followers that know it for the leader. */
+  /** Followers that recognize a coordinator as the leader, by its incarnation. */
   readonly leaders = new Map<string, Propagation>();
-  /** By number of edges that a follower is told of. */
+  /** Followers that were informed of a given number of edges, by that number. */
   readonly edgeCounts = new Map<number, Propagation>();
-  /** By number of rows gone. */
+  /** Followers that have seen a given number of rows removed, by that number. */
   readonly removedRows = new Map<number, Propagation>();
   readonly joinTimesMs: number[] = [];
   readonly placementTimesMs: number[] = [];
@@ -73,11 +73,12 @@
   }
 }
 
-/** As an edge does: soon, with what else came meanwhile. */
+/** Delay before an urgent update, as on a real edge, so that demands arriving meanwhile share one frame. */
 const URGENT_UPDATE_DELAY_MS = 7;
+/** An unmet demand is dropped from the updates after this time. */
 const DEMAND_TTL_MS = 8000;
 
-/** A wire that listens already, and who takes its frames: known only once the port is. */
+/** A listening transport and its frame handler, which can be set only once the port is known. */
 interface Listener {
   readonly transport: PeerTransport;
   onFrame: (frame: Frame) => void;
@@ -90,8 +91,8 @@
 }
 
 /**
- * A follower without clients: a real one, with a wire and connections of its
- * own, that says what an edge with so many models in use would say.
+ * Simulated edge without clients: a real follower with its own transport and connections
+ * that reports the demand of an edge with a given number of models in use.
  */
 export class SimulatedEdge {
   #transport: PeerTransport;
@@ -109,7 +110,7 @@
   #steadyDemands: ModelDemand[];
   #pendingDemands: PendingDemand[] = [];
   #partitioned = false;
-  /** Whether it keeps the rows that it is told; otherwise one stands for all. */
+  /** Whether all received rows are retained; otherwise only the first row of each update is. */
   #retainsRows: boolean;
 
   private constructor(
@@ -143,7 +144,7 @@
     listener.onFrame = (frame) => this.#onFrame(frame);
   }
 
-  /** Opens a wire at a free port and follows. */
+  /** Listens on a free port and starts to follow the cores. */
   static async open(
     index: number,
     size: Size,
@@ -176,7 +177,7 @@
     return this.#pendingDemands.length;
   }
 
-  /** Nothing comes or goes while it is cut off. */
+  /** Drops all incoming and outgoing frames while the edge is partitioned. */
   setPartitioned(partitioned: boolean): void {
     this.#partitioned = partitioned;
   }
@@ -195,7 +196,7 @@
     }
   }
 
-  /** Ends as a killed process does: without a word. */
+  /** Closes the transport without sending a leave message, as a killed process does. */
   close(): void {
     this.#transport.close();
   }
@@ -314,10 +315,10 @@
   }
 }
 
-/** Part of all places of all workers that is in use in the whole fleet. */
+/** Fraction of all worker slots of the fleet that is in use. */
 const UTILIZATION = 0.1;
 
-/** What an edge asks for all the time: models and adapters that stand already, so much under way that the workers bear it. */
+/** Constant demand of an edge: models and adapters that are already loaded, at a sustainable load. */
 function steadyDemandsOf(index: number, size: Size): ModelDemand[] {
   const initialModels = initialModelCount(size);
   const part = Math.min(1, (UTILIZATION * SLOTS * size.rows) / (size.nodes * Math.max(1, size.asked)));
--- a/tools/scale/src/ipc.ts
+++ b/tools/scale/src/ipc.ts
@@ -2,38 +2,38 @@
 import { closeSync, openSync, readdirSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-interface Request {
+interface ParentRequest {
   readonly id: number;
   readonly kind: string;
   readonly data: unknown;
 }
 
-interface Response {
+interface ChildResponse {
   readonly id: number;
   readonly value: unknown;
 }
 
-/** Milliseconds on the clock that all processes of one machine share. */
+/** Milliseconds of the monotonic clock that all processes of one machine share. */
 export function sharedMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
 
 /**
- * Answers what the parent asks, by the kind of the question.
+ * Answers calls from the parent process with the handler registered for their kind.
  * @example
- * answerParent({ counts: () => counts });
+ * serveParent({ counts: () => counts });
  */
 export function serveParent(handlers: Readonly<Record<string, (data: never) => unknown>>): void {
   process.on('disconnect', () => process.exit(0));
   process.on('message', (message) => {
-    const { id, kind, data } = message as Request;
+    const { id, kind, data } = message as ParentRequest;
     void Promise.resolve(handlers[kind]?.(data as never)).then((value) =>
-      process.send?.({ id, value } satisfies Response),
+      process.send?.({ id, value } satisfies ChildResponse),
     );
   });
 }
 
-/** What a process has used, by the kernel's own count. */
+/** Processor time and resident memory of a process, as counted by the kernel. */
 export interface ResourceUsage {
   readonly cpuMs: number;
   readonly rssMb: number;
@@ -42,9 +42,9 @@
 const PAGE_BYTES = 4096;
 
 /**
- * Processor time and memory of a process, read without asking it.
+ * Reads the processor time and memory of a process from /proc, without its cooperation.
  * @example
- * used(process.pid).rssMb;
+ * readResourceUsage(process.pid).rssMb;
  */
 export function readResourceUsage(pid: number): ResourceUsage {
   let ns = 0;
@@ -55,10 +55,10 @@
 }
 
 /**
- * A process that this run started, and ends.
+ * Child process that the run starts and stops.
  * @example
  * const child = new Child('core-1', './system-child.js', ['core', path], logPath);
- * await child.ask('counts');
+ * await child.call('counts');
  */
 export class Child {
   readonly name: string;
@@ -83,7 +83,7 @@
     });
     closeSync(log);
     this.#process.on('message', (message) => {
-      const { id, value } = message as Response;
+      const { id, value } = message as ChildResponse;
       this.#pending.get(id)?.(value);
       this.#pending.delete(id);
     });
@@ -110,14 +110,14 @@
   call<T>(kind: string, data?: unknown): Promise<T> {
     return new Promise((resolve, reject) => {
       if (this.#hasExited) {
-        reject(new Error(`${this.name} has ended`));
+        reject(new Error(`child process ${this.name} has exited`));
         return;
       }
       this.#lastId += 1;
       this.#pending.set(this.#lastId, (value) =>
-        this.#hasExited ? reject(new Error(`${this.name} has ended`)) : resolve(value as T),
+        this.#hasExited ? reject(new Error(`child process ${this.name} has exited`)) : resolve(value as T),
       );
-      this.#process.send({ id: this.#lastId, kind, data } satisfies Request);
+      this.#process.send({ id: this.#lastId, kind, data } satisfies ParentRequest);
     });
   }
 
--- a/tools/scale/src/main.ts
+++ b/tools/scale/src/main.ts
@@ -75,7 +75,7 @@
 const folder = mkdtempSync(join(tmpdir(), 'scale-'));
 const points: Point[] = [];
 const unsettled: Unsettled[] = [];
-/** Functions below this part of the whole are not listed. */
+/** Functions with a smaller share of the total time are not listed. */
 const MIN_LISTED_SHARE = 0.02;
 for (const path of cli.flags.from === '' ? [] : cli.flags.from.split(',')) {
   const found = JSON.parse(readFileSync(path, 'utf8')) as { points: Point[]; unsettled: Unsettled[] };
--- a/tools/scale/src/phase-meter.ts
+++ b/tools/scale/src/phase-meter.ts
@@ -1,11 +1,11 @@
-/** What every role uses while a phase of a run is played. */
+/** Measures the resources that every role uses during a phase of a run. */
 import type { EdgeStatsReport } from './hollow-notes.js';
 import type { Traffic } from './hollow.js';
 import { sharedMs, type Child, type ResourceUsage } from './ipc.js';
 import type { FollowerTraffic, Phase, RoleUse } from './point.js';
 import type { Testbed } from './testbed.js';
 
-/** A phase as measured, what the hollow edges noted meanwhile, and what it came to. */
+/** Measurements of a phase, the statistics of the simulated edges, and the result of the phase's action. */
 export interface MeasuredPhase<T> {
   readonly phase: Phase;
   readonly stats: EdgeStatsReport;
@@ -15,7 +15,7 @@
 const NO_USE: RoleUse = { cpuMsPerS: 0, rssMb: 0 };
 
 /**
- * Plays something, and measures every role meanwhile.
+ * Runs an action and measures the resource usage of every role meanwhile.
  * @example
  * const { phase } = await measurePhase(testbed, () => pause(1000));
  */
@@ -43,7 +43,7 @@
 }
 
 /**
- * A phase in one line.
+ * Summary of a phase in one line.
  * @example
  * phaseLine('quiet', measured); // 'quiet: 2.1 s, coordinator 1.2 ms/s, ...'
  */
--- a/tools/scale/src/plot.ts
+++ b/tools/scale/src/plot.ts
@@ -11,7 +11,7 @@
 const BOTTOM = 36;
 
 /**
- * One figure over the size: measured points, the line through them, the letter's budget.
+ * Plots one figure over the fleet size: measured points, the fitted line and the required budget.
  * @example
  * plot(FIGURES[0], points).startsWith('<svg'); // true
  */
@@ -54,7 +54,7 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${WIDTH} ${HEIGHT}" font-family="sans-serif" font-size="11">\n${parts.join('\n')}\n</svg>\n`;
 }
 
-/** One plot for each figure, by the name of its file. */
+/** Plots of all figures, each with its file name without extension. */
 export function plots(points: readonly Point[]): [name: string, svg: string][] {
   return FIGURES.map((figure) => [
     figure.name.replaceAll(',', '').replaceAll(' ', '-'),
--- a/tools/scale/src/point.ts
+++ b/tools/scale/src/point.ts
@@ -1,20 +1,20 @@
 import type { Size } from './site.js';
 
-/** What one process of a role used over a phase. */
+/** Resources that one process of a role used during a phase. */
 export interface RoleUse {
   /** Processor time per second, in milliseconds. */
   readonly cpuMsPerS: number;
   readonly rssMb: number;
 }
 
-/** How long things took, in milliseconds. */
+/** Summary of durations, in milliseconds. */
 export interface Times {
   readonly count: number;
   readonly middle: number;
   readonly most: number;
 }
 
-/** Frames and bytes a second of one follower, by the kind of core it speaks with. */
+/** Frames and bytes per second that one follower exchanges with one kind of core. */
 export interface FollowerTraffic {
   readonly framesOut: number;
   readonly framesIn: number;
@@ -22,27 +22,27 @@
   readonly bytesIn: number;
 }
 
-/** One phase as every one is measured. */
+/** Measurements common to all phases. */
 export interface Phase {
   readonly windowMs: number;
   readonly coordinator: RoleUse;
   readonly otherCore: RoleUse;
   readonly edge: RoleUse;
-  /** All hollow followers, each. */
+  /** Average of one simulated follower. */
   readonly hollow: RoleUse;
   readonly withCoordinator: FollowerTraffic;
   readonly withOthers: FollowerTraffic;
-  /** Processors in use by all processes of the run together. */
+  /** Number of processors in use, summed over all processes of the run. */
   readonly processors: number;
 }
 
-/** What was measured at one size. */
+/** Measurements at one fleet size. */
 export interface Point {
   readonly size: Size;
   readonly stateBytes: number;
   readonly listBytes: number;
   readonly diskBytes: number;
-  /** Processor time of one choice of a worker at an edge, in microseconds. */
+  /** Processor time of one worker selection at an edge, in microseconds. */
   readonly chooseUs: number;
   readonly join: {
     readonly settled: boolean;
@@ -75,7 +75,7 @@
     readonly made: number;
     readonly join: Times;
     readonly wholes: number;
-    /** Tables that followers came to hold anew: one for each restart, and one each where another core came to coordinate. */ readonly taken: number;
+    /** New tables at followers: one per restart, and one per follower when the coordinator changes. */ readonly taken: number;
   };
   readonly zone: {
     readonly settled: boolean;
@@ -102,11 +102,11 @@
   readonly mostRssMb: number;
 }
 
-/** A size at which not every follower came to hold what the cores hold, within a minute after the last one started. */
+/** A size at which some follower was not up to date with the cores a minute after the last one started. */
 export type Unsettled = Pick<Point, 'size' | 'join' | 'mostRssMb'>;
 
 /**
- * Middle and largest of some times.
+ * Median and maximum of some durations.
  * @example
  * timesOf([1, 2, 9]).most; // 9
  */
@@ -119,7 +119,7 @@
   };
 }
 
-/** The letter's size. */
+/** Size, load and budgets of the reference fleet that the requirements specify. */
 export const REFERENCE = {
   nodes: 870,
   rows: 7300,
--- a/tools/scale/src/profile.ts
+++ b/tools/scale/src/profile.ts
@@ -14,18 +14,18 @@
   timeDeltas: v.array(v.number()),
 });
 
-/** One function's part of a process's time. */
+/** One function's share of a process's busy time. */
 export interface FunctionShare {
   readonly name: string;
-  /** Of all that was not idle: in it alone, and with all that it called. */
+  /** Shares of the non-idle time: of the function itself, and including all functions that it called. */
   readonly selfShare: number;
   readonly totalShare: number;
 }
 
 /**
- * The functions that a process spent its time in, the longest first.
+ * Functions in which a process spent its time, the largest total share first.
  * @example
- * partsOf('run/profiles')[0]?.name;
+ * functionSharesOf('run/profiles')[0]?.name;
  */
 export function functionSharesOf(folder: string): FunctionShare[] {
   const [file] = readdirSync(folder).filter((name) => name.endsWith('.cpuprofile'));
--- a/tools/scale/src/run.ts
+++ b/tools/scale/src/run.ts
@@ -1,4 +1,4 @@
-/** One size of fleet played through, phase by phase. */
+/** Measures one fleet size, phase by phase. */
 import { join } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
 import { sharedMs, type Child } from './ipc.js';
@@ -10,14 +10,14 @@
 
 const S_PER_DAY = 86_400;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** So long after it took over, a coordinator takes what the list says for certain, and tells every row once more. */
+/** A new coordinator treats the worker list as reliable only after this time, and then sends every row again. */
 const RESYNC_MS = 5000;
-/** The quiet phase is longer, so that counters of the cores fall into it twice. */
+/** Length of the quiet phase in phases: long enough for the cores to log their counters twice. */
 const QUIET_PHASES = 2.1;
-/** The part of the edges that loses the cores. */
+/** Share of the edges that loses its connection to the cores. */
 const PARTITIONED_SHARE = 1 / 6;
 
-/** What the stand-in for the workers counted. */
+/** Counters of the stand-in for the workers. */
 interface StandInCounts {
   readonly orders: number;
   readonly reports: number;
@@ -25,10 +25,10 @@
 }
 
 /**
- * One size played through: cores and one edge as the real programs, the other
- * edges hollow, the workers behind one stand-in.
+ * Measures one fleet size: the cores and one edge run the real programs, the other
+ * edges are simulated, and one stand-in answers for all workers.
  * @example
- * const point = await new Run(size, plan).play();
+ * const point = await new Run(size, plan).measure();
  */
 export class Run {
   #size: Size;
@@ -45,7 +45,7 @@
     return this.#testbed.withMemoryLimit(() => this.#measure());
   }
 
-  /** Plays joins, quiet and loads, and says where the coordinator's time went. */
+  /** Runs the join, quiet and loads phases and returns the coordinator's processor profile. */
   profile(): Promise<FunctionShare[]> {
     return this.#testbed.withMemoryLimit(async () => {
       await this.#testbed.startCores(true);
@@ -138,7 +138,7 @@
     return { ...phase, groupFramesInPerS: groupFrames };
   }
 
-  /** Frames a second that a core counted between its last two counters, where both fall into the phase. */
+  /** Frames per second between the last two counters that a core logged, if both lie within the phase. */
   #framesIn(name: string, sinceMs: number): number | undefined {
     const [one, other] = this.#testbed
       .log(name)
@@ -226,7 +226,7 @@
     };
   }
 
-  /** One region of six loses the cores for a while, and a change is made meanwhile. */
+  /** Partitions one region of six from the cores for a while and changes a route meanwhile. */
   async #partition(): Promise<Point['parted']> {
     await this.#testbed.resetStats();
     const cutMs = sharedMs();
@@ -255,7 +255,7 @@
     return { followers, uninformedMs, currentMs: last - healedMs, settled };
   }
 
-  /** One edge ends without a word: until every other counts one less. */
+  /** Kills one edge and waits until every other edge counts one edge less. */
   async #killEdge(): Promise<Point['killedEdge']> {
     await this.#testbed.resetStats();
     const killedMs = sharedMs();
--- a/tools/scale/src/scale.test.ts
+++ b/tools/scale/src/scale.test.ts
@@ -8,7 +8,7 @@
 
 const REST = { models: 40, adapters: 450, routes: 3, asked: 2 };
 
-it('sizes are edges, or edges and workers, and anything else is named', () => {
+it('parses sizes given as edges or as edges and workers, and reports malformed ones', () => {
   expect(readSizes('8, 870,16x100', REST)).toEqual([
     { ...REST, nodes: 8, rows: 67 },
     { ...REST, nodes: 870, rows: 7300 },
@@ -20,7 +20,7 @@
   ]);
 });
 
-it('a slope goes through points on a line, and through their middle otherwise', () => {
+it('fits the exact line to collinear points and the mean to points with equal x; takes medians', () => {
   expect(
     slopeOf([
       [0, 1],
@@ -40,7 +40,7 @@
   ]);
 });
 
-it('a site has 23 zones, and half of its models stand nowhere at first', () => {
+it('creates a site with 23 zones in which half of the models are loaded at first', () => {
   const size = { ...REST, nodes: 8, rows: 300 };
   const workers = Array.from({ length: size.rows }, (_, index) => worker(index, size, 1));
   const models = new Set(workers.flatMap((entry) => entry.models.map(([model]) => model)));
@@ -53,6 +53,6 @@
   expect((configuration(size)['routes'] as unknown[]).length).toEqual(3);
 });
 
-it('a check of no points is a fault', () => {
+it('reports a fault when there are no points to check', () => {
   expect(faultsOf([])).toEqual(['no size was played']);
 });
--- a/tools/scale/src/site.ts
+++ b/tools/scale/src/site.ts
@@ -1,17 +1,17 @@
-/** The size of a fleet that is played. */
+/** Size of the fleet under test. */
 export interface Size {
-  /** Edges, the real one among them; the cores come on top. */
+  /** Number of edges, including the real one but not the cores. */
   readonly nodes: number;
-  /** Workers, a row of the table each. */
+  /** Number of workers; each has one row in the table. */
   readonly rows: number;
   readonly models: number;
   readonly adapters: number;
   readonly routes: number;
-  /** Pairs of model and adapter that each edge asks for at the same time. */
+  /** Number of model and adapter pairs that each edge demands at the same time. */
   readonly asked: number;
 }
 
-/** A worker as the stand-in lists it. */
+/** Worker entry in the stand-in's list. */
 export interface WorkerEntry {
   readonly id: string;
   readonly service: string;
@@ -23,13 +23,13 @@
   readonly models: readonly (readonly [model: string, adapters: readonly string[]])[];
 }
 
-/** The one service of the made-up site. */
+/** Name of the only service of the synthetic site. */
 export const SERVICE = 'findings-llm';
-/** The host under which the service is called. */
+/** Host name of the service's routes. */
 export const HOST = 'findings.example';
-/** Requests that a worker takes at once. */
+/** Number of requests that a worker processes concurrently. */
 export const SLOTS = 24;
-/** Models that a worker holds when it is first listed, and adapters of each of them. */
+/** Models that a worker has loaded when it is first listed, and loaded adapters of each of them. */
 const MODELS_PER_WORKER = 2;
 const ADAPTERS_PER_MODEL = 2;
 const REGIONS = 6;
@@ -38,45 +38,45 @@
 export const ADDRESSES = 64;
 const FIRST_REVISION = 1;
 
-/** The zone of the worker at a place of the table. */
+/** Zone of the worker with the given table index. */
 export function zoneOf(index: number): string {
   return `zone-${String(index % ZONES).padStart(2, '0')}`;
 }
 
-/** The region that a zone lies in. */
+/** Region that contains a zone. */
 export function regionOf(zone: string): string {
   return `region-${Number(zone.slice(-2)) % REGIONS}`;
 }
 
-/** Zone by zone, the region it lies in. */
+/** Map of every zone to its region. */
 export function regions(): Record<string, string> {
   return Object.fromEntries(
     Array.from({ length: ZONES }, (_, index) => [zoneOf(index), regionOf(zoneOf(index))]),
   );
 }
 
-/** The name of the model at a place of the catalogue. */
+/** Name of the model with the given catalogue index. */
 export function modelName(index: number): string {
   return `model-${String(index).padStart(3, '0')}`;
 }
 
-/** The name of the adapter at a place of the catalogue. */
+/** Name of the adapter with the given catalogue index. */
 export function adapterName(index: number): string {
   return `adapter-${String(index).padStart(4, '0')}`;
 }
 
-/** Half of the models stand somewhere from the beginning; the others are idle until they are asked for. */
+/** Number of models that are loaded from the beginning: half of them; the others are loaded on demand. */
 export function initialModelCount({ models, rows }: Size): number {
   return Math.max(1, Math.min(Math.floor(models / 2), rows));
 }
 
-/** Adapter `nth` belongs to the model that this names: spread evenly. */
+/** Index of the model that an adapter belongs to; adapters are spread evenly over the models. */
 export function modelOfAdapter(index: number, { models }: Size): number {
   return index % models;
 }
 
 /**
- * The worker at a place of the table.
+ * Creates the worker entry with the given table index.
  * @example
  * worker(0, size, 9100).zone; // 'zone-00'
  */
@@ -102,7 +102,7 @@
   };
 }
 
-/** One route of the document; `turn` makes it differ from what it was. */
+/** One route of the configuration; `turn` makes its value differ from earlier versions. */
 export function route(index: number, turn: number): Record<string, unknown> {
   return {
     name: `route-${index}`,
@@ -120,7 +120,7 @@
 }
 
 /**
- * The configuration of a site: routes, one service of engines, its models.
+ * Configuration of a site: its routes, and one service with an engine and models.
  * @example
  * configuration(size)['revision']; // 1
  */
--- a/tools/scale/src/sizes.ts
+++ b/tools/scale/src/sizes.ts
@@ -2,7 +2,7 @@
 import type { Size } from './site.js';
 
 /**
- * Sizes as they are written on the command line, or what is wrong with them.
+ * Parses the sizes of the command line; returns an error message if they are malformed.
  * @example
  * readSizes('8,16x100', { models: 4, adapters: 8, routes: 1, asked: 1 });
  */
--- a/tools/scale/src/slope.ts
+++ b/tools/scale/src/slope.ts
@@ -1,23 +1,23 @@
 import type { Point } from './point.js';
 
-/** A figure that every point has, by what it is drawn and fitted over. */
+/** A figure derived from a point, and the size dimension over which it is plotted and fitted. */
 export interface Figure {
   readonly name: string;
   readonly unit: string;
   readonly over: 'nodes' | 'rows';
-  /** The letter's budget, where there is one. */
+  /** Budget of the requirements, if there is one. */
   readonly budget?: number;
   of(point: Point): number | undefined;
 }
 
-/** A straight line through points. */
+/** A straight line fitted to points. */
 export interface Slope {
   readonly base: number;
   readonly each: number;
 }
 
 /**
- * The line with the least squares through some points.
+ * Fits a line to points by least squares.
  * @example
  * slopeOf([[0, 1], [2, 5]]); // { base: 1, each: 2 }
  */
@@ -30,7 +30,7 @@
   return { base: meanY - each * meanX, each };
 }
 
-/** What a follower says and hears, of all cores together. */
+/** Bytes per second that a follower exchanges with all cores. */
 function bytesOf({ quiet: { withCoordinator: one, withOthers: other } }: Point): number {
   return one.bytesIn + one.bytesOut + other.bytesIn + other.bytesOut;
 }
@@ -43,13 +43,13 @@
   return Math.max(1, size.nodes - 1);
 }
 
-/** What one order took of the coordinator beyond what it uses at rest. */
+/** Coordinator processor time per order, beyond its usage in the quiet phase. */
 function orderMs({ loads, quiet }: Point): number | undefined {
   const perS = (loads.orders / loads.windowMs) * 1000;
   return perS === 0 ? undefined : (loads.coordinator.cpuMsPerS - quiet.coordinator.cpuMsPerS) / perS;
 }
 
-/** The figures that are listed, each over the size, and drawn where they are named so. */
+/** All figures that are listed in the table and plotted. */
 export const FIGURES: readonly Figure[] = [
   { name: 'follower frames a second, quiet', unit: 'frames/s', over: 'nodes', of: framesOf },
   { name: 'follower bytes a second, quiet', unit: 'bytes/s', over: 'nodes', budget: 6000, of: bytesOf },
@@ -202,27 +202,27 @@
   return new Set(points.map(({ size }) => size[over])).size > 1;
 }
 
-/** By what a figure is fitted: by what it is over, unless only the other differs between the points. */
+/** Size dimension for fitting a figure: its own, unless only the other one differs between the points. */
 export function axisOf(figure: Figure, points: readonly Point[]): 'nodes' | 'rows' {
   const other = figure.over === 'nodes' ? 'rows' : 'nodes';
   return !differs(figure.over, points) && differs(other, points) ? other : figure.over;
 }
 
-/** By design a follower says and hears 13.3 frames a second; far fewer come where cores or lines are late. */
+/** By design a follower sends and receives 13.3 frames a second; far fewer mean that cores or links lag. */
 const MIN_FRAMES_PER_S = 11;
 
-/** Whether the fleet rested at this size: a slope through sizes at which it did not leads nowhere. */
+/** Whether the fleet was in a steady state at this size; slopes are meaningless for sizes at which it was not. */
 export function isSteady(point: Point): boolean {
   const { changes, restarts } = point;
   return framesOf(point) >= MIN_FRAMES_PER_S && changes.heldByAll && restarts.wholes <= 2 * restarts.made;
 }
 
-/** The line of a figure through the sizes at which the fleet rested. */
+/** Fits a figure's line to the sizes at which the fleet was in a steady state. */
 export function slopeOfFigure(figure: Figure, points: readonly Point[]): Slope {
   return slopeOf(coordinatesOf(figure, points.filter(isSteady)));
 }
 
-/** A figure at each point that has it, over the size that it depends on. */
+/** Coordinates of a figure at each point that has it: the size on its axis, and the value. */
 export function coordinatesOf(figure: Figure, points: readonly Point[]): (readonly [number, number])[] {
   const over = axisOf(figure, points);
   return points.flatMap((point) => {
--- a/tools/scale/src/stand-in.ts
+++ b/tools/scale/src/stand-in.ts
@@ -7,15 +7,15 @@
 const LOAD_MS = 600;
 
 /**
- * The platform's list and all its workers in one process: answers orders as
- * workers do, a model held after its load time.
+ * Serves the platform's worker list and all workers from one process. Orders are answered as
+ * workers answer them, and a model counts as loaded after its load time.
  */
 class StandIn {
   #size: Size;
   #port: number;
   #list = '';
   #loadedModels = new Map<string, Map<string, { readyMs: number; adapters: Set<string> }>>();
-  /** How many orders each worker has taken. */
+  /** Number of orders that each worker has accepted. */
   #sequences = new Map<string, number>();
   readonly counts = {
     lists: 0,
@@ -33,12 +33,12 @@
     this.removeZone('');
   }
 
-  /** Bytes of the list. */
+  /** Size of the list in bytes. */
   get listBytes(): number {
     return Buffer.byteLength(this.#list);
   }
 
-  /** Lists all workers but those of one zone, and says how many are left out. */
+  /** Lists all workers except those of one zone, and returns the number of excluded workers. */
   removeZone(zone: string): number {
     const all = Array.from({ length: this.#size.rows }, (_, index) => worker(index, this.#size, this.#port));
     const workers = all.filter((entry) => entry.zone !== zone);
@@ -75,7 +75,7 @@
     });
   }
 
-  /** What a worker holds; null while a model of it is loading. */
+  /** Report of a worker's loaded models; null while one of its models is loading. */
   #report(id: string): string {
     const models = [...(this.#loadedModels.get(id) ?? [])];
     const nowMs = performance.now();
--- a/tools/scale/src/table.ts
+++ b/tools/scale/src/table.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * All figures by size, with the line through them and where it leads at the letter's size.
+ * Table of all figures by size, with the fitted lines and their extrapolation to the reference size.
  * @example
  * tableOf(points);
  */
--- a/tools/scale/src/testbed.ts
+++ b/tools/scale/src/testbed.ts
@@ -1,4 +1,4 @@
-/** The processes of a run, and what is asked of them: three cores, an edge, hollow edges, a stand-in for workers. */
+/** The processes of a run: three cores, a real edge, simulated edges and a stand-in for the workers. */
 import { mkdirSync, readdirSync, readFileSync, statSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { setTimeout as pause } from 'node:timers/promises';
@@ -8,32 +8,32 @@
 import { Child, sharedMs } from './ipc.js';
 import { configuration, regions, route, zoneOf, type Size } from './site.js';
 
-/** How a run is played. */
+/** Parameters of a run. */
 export interface Plan {
   readonly port: number;
   readonly folder: string;
-  /** Length of each phase. */
+  /** Length of each phase in seconds. */
   readonly seconds: number;
-  /** By so much changes of configuration come faster than the letter's. */
+  /** Factor by which configuration changes are more frequent than in the reference fleet. */
   readonly changesFactor: number;
-  /** By so much restarts come faster than the letter's. */
+  /** Factor by which restarts are more frequent than in the reference fleet. */
   readonly restartsFactor: number;
-  /** The run ends when all its processes hold more. */
+  /** Memory limit in MB for all processes together; the run ends when it is exceeded. */
   readonly mostMb: number;
-  /** One in so many hollow edges keeps the rows of its table; all are told them. */
+  /** One out of this many simulated edges retains the rows of its table; all of them receive the rows. */
   readonly keptBy: number;
   print(text: string): void;
 }
 
-/** A change that was sent. */
+/** A configuration change that was sent. */
 export interface ConfigurationChange {
   readonly revision: number;
   readonly sentMs: number;
-  /** Undefined where no core said that it is agreed. */
+  /** Undefined if no core confirmed that the change was agreed. */
   readonly agreedMs: number | undefined;
 }
 
-/** How many cores there are. */
+/** Number of cores. */
 export const CORE_COUNT = 3;
 const EDGES_PER_PROCESS = 440;
 const SIMULATED_HEAP_MB = 5000;
@@ -44,11 +44,11 @@
 export type LogLine = Readonly<Record<string, unknown>>;
 
 /**
- * Starts the processes of one size and speaks with them. Whatever it started
- * it ends.
+ * Starts the processes for one fleet size, communicates with them, and stops all of them
+ * at the end.
  * @example
  * const testbed = new Testbed(size, plan);
- * await testbed.watched(() => testbed.startCores());
+ * await testbed.withMemoryLimit(() => testbed.startCores());
  */
 export class Testbed {
   #size: Size;
@@ -71,7 +71,7 @@
     return this.#cores;
   }
 
-  /** Processes of hollow edges. */
+  /** Processes that run the simulated edges. */
   get simulated(): readonly Child[] {
     return this.#simulated;
   }
@@ -98,7 +98,7 @@
     return this.#mostRssMb;
   }
 
-  /** Keeps an eye on memory while something is played, and ends all processes after it. */
+  /** Runs an action under the memory limit, and stops all processes afterwards. */
   async withMemoryLimit<T>(action: () => Promise<T>): Promise<T> {
     mkdirSync(this.#plan.folder, { recursive: true });
     const watch = setInterval(() => this.#checkMemory(), MEMORY_CHECK_MS);
@@ -110,7 +110,7 @@
     }
   }
 
-  /** Starts the stand-in and the cores, and puts the configuration in force. */
+  /** Starts the stand-in and the cores, and applies the configuration. */
   async startCores(profiled = false): Promise<void> {
     const { port } = this.#plan;
     this.#standIn = this.#start('stand-in', './stand-in.js', [JSON.stringify(this.#size), String(port + 3)]);
@@ -129,7 +129,7 @@
     await this.waitUntil(30_000, async () => (await this.#call('PUT', configuration(this.#size))) === 200);
   }
 
-  /** Starts the processes of the hollow edges, without edges in them yet. */
+  /** Starts the processes for the simulated edges, initially without any edges. */
   async startSimulated(): Promise<void> {
     const processes = Math.ceil((this.#size.nodes - 1) / EDGES_PER_PROCESS);
     const cores = this.#coreHosts().map((host) => `${host}:${this.#plan.port}`);
@@ -150,7 +150,7 @@
     await this.#waitForProcesses();
   }
 
-  /** Lets the hollow edges begin, spread evenly over their processes. */
+  /** Starts the simulated edges, spread evenly over their processes. */
   async addSimulatedEdges(): Promise<void> {
     const edges = this.#size.nodes - 1;
     const processes = this.#simulated.length;
@@ -182,7 +182,7 @@
     return 0;
   }
 
-  /** Changes one route; the next number is taken whether it is agreed or not. */
+  /** Changes one route; the revision number is used up even if the change is not agreed. */
   async changeRoute(): Promise<ConfigurationChange> {
     this.#revision += 1;
     const revision = this.#revision;
@@ -194,29 +194,29 @@
     return { revision, sentMs, agreedMs: status === 200 ? sharedMs() : undefined };
   }
 
-  /** What all hollow edges noted since the last mark. */
+  /** Merged statistics of all simulated edges since the last reset. */
   async stats(): Promise<EdgeStatsReport> {
     const all = await Promise.all(this.#simulated.map((child) => child.call<EdgeStatsReport>('stats')));
     return all.reduce(mergeStats);
   }
 
-  /** Lets the hollow edges begin their notes anew. */
+  /** Resets the statistics of all simulated edges. */
   async resetStats(): Promise<void> {
     await Promise.all(this.#simulated.map((child) => child.call('resetStats')));
   }
 
-  /** Waits until something is so; false: it was not in time. */
+  /** Waits until a condition holds; returns false if the timeout passes first. */
   async waitUntil(timeoutMs: number, condition: () => Promise<boolean>): Promise<boolean> {
     const endMs = sharedMs() + timeoutMs;
     while (sharedMs() < endMs) {
-      if (this.#memoryExceeded) throw new Error('the run held too much memory');
+      if (this.#memoryExceeded) throw new Error('the processes of the run exceeded the memory limit');
       if (await condition()) return true;
       await pause(POLL_MS);
     }
     return false;
   }
 
-  /** All followers hold the same table up to the same row, and the newest revision. */
+  /** Waits until all followers have the same table up to the same row, and the newest revision. */
   async waitUntilSettled(timeoutMs: number): Promise<boolean> {
     return this.waitUntil(timeoutMs, async () => {
       const stats = await this.stats();
@@ -229,7 +229,7 @@
     });
   }
 
-  /** Which core coordinates, by what the cores logged. */
+  /** Index of the coordinating core according to the cores' logs, or -1. */
   coordinatorIndex(): number {
     let coordinator = -1;
     let newest = -1;
@@ -244,7 +244,7 @@
     return coordinator;
   }
 
-  /** What a process has logged. */
+  /** Parsed log lines of a process. */
   log(name: string): LogLine[] {
     const lines = readFileSync(join(this.#plan.folder, `${name}.log`), 'utf8').split('\n');
     return lines
@@ -252,7 +252,7 @@
       .map((line) => JSON.parse(line) as LogLine);
   }
 
-  /** Bytes of one core's disk. */
+  /** Size of one core's disk folder in bytes. */
   diskBytes(): number {
     const folder = join(this.#plan.folder, 'core-0.disk');
     return readdirSync(folder).reduce((sum, name) => sum + statSync(join(folder, name)).size, 0);
