--- a/tools/scale/src/ipc.ts
+++ b/tools/scale/src/ipc.ts
@@ -2,39 +2,39 @@
 import { closeSync, openSync, readdirSync, readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 
-interface Asked {
+interface ParentRequest {
   readonly id: number;
   readonly kind: string;
   readonly data: unknown;
 }
 
-interface Told {
+interface ChildResponse {
   readonly id: number;
   readonly value: unknown;
 }
 
-/** Milliseconds on the clock that all processes of one machine share. */
+/** Milliseconds of the monotonic clock that all processes of one machine share. */
 export function sharedMs(): number {
   return Number(process.hrtime.bigint()) / 1e6;
 }
 
 /**
- * Answers what the parent asks, by the kind of the question.
+ * Answers calls from the parent process with the handler registered for their kind.
  * @example
- * answerParent({ counts: () => counts });
+ * serveParent({ counts: () => counts });
  */
-export function answerParent(handlers: Readonly<Record<string, (data: never) => unknown>>): void {
+export function serveParent(handlers: Readonly<Record<string, (data: never) => unknown>>): void {
   process.on('disconnect', () => process.exit(0));
   process.on('message', (message) => {
-    const { id, kind, data } = message as Asked;
+    const { id, kind, data } = message as ParentRequest;
     void Promise.resolve(handlers[kind]?.(data as never)).then((value) =>
-      process.send?.({ id, value } satisfies Told),
+      process.send?.({ id, value } satisfies ChildResponse),
     );
   });
 }
 
-/** What a process has used, by the kernel's own count. */
-export interface Used {
+/** Processor time and resident memory of a process, as counted by the kernel. */
+export interface ResourceUsage {
   readonly cpuMs: number;
   readonly rssMb: number;
 }
@@ -42,11 +42,11 @@
 const PAGE_BYTES = 4096;
 
 /**
- * Processor time and memory of a process, read without asking it.
+ * Reads the processor time and memory of a process from /proc, without its cooperation.
  * @example
- * used(process.pid).rssMb;
+ * readResourceUsage(process.pid).rssMb;
  */
-export function used(pid: number): Used {
+export function readResourceUsage(pid: number): ResourceUsage {
   let ns = 0;
   for (const task of readdirSync(`/proc/${pid}/task`))
     ns += Number(readFileSync(`/proc/${pid}/task/${task}/schedstat`, 'utf8').split(' ')[0]);
@@ -55,17 +55,17 @@
 }
 
 /**
- * A process that this run started, and ends.
+ * Child process that the run starts and stops.
  * @example
  * const child = new Child('core-1', './system-child.js', ['core', path], logPath);
- * await child.ask('counts');
+ * await child.call('counts');
  */
 export class Child {
   readonly name: string;
   #process: ChildProcess;
-  #next = 0;
-  #open = new Map<number, (value: unknown) => void>();
-  #gone = false;
+  #lastId = 0;
+  #pending = new Map<number, (value: unknown) => void>();
+  #hasExited = false;
   #exited: Promise<void>;
 
   constructor(
@@ -83,46 +83,46 @@
     });
     closeSync(log);
     this.#process.on('message', (message) => {
-      const { id, value } = message as Told;
-      this.#open.get(id)?.(value);
-      this.#open.delete(id);
+      const { id, value } = message as ChildResponse;
+      this.#pending.get(id)?.(value);
+      this.#pending.delete(id);
     });
     this.#exited = new Promise((resolve) => {
       this.#process.once('exit', () => {
-        this.#gone = true;
-        for (const done of this.#open.values()) done(undefined);
-        this.#open.clear();
+        this.#hasExited = true;
+        for (const done of this.#pending.values()) done(undefined);
+        this.#pending.clear();
         resolve();
       });
     });
   }
 
   get alive(): boolean {
-    return !this.#gone;
+    return !this.#hasExited;
   }
 
-  get used(): Used {
+  get resourceUsage(): ResourceUsage {
     const { pid } = this.#process;
-    if (this.#gone || pid === undefined) return { cpuMs: 0, rssMb: 0 };
-    return used(pid);
+    if (this.#hasExited || pid === undefined) return { cpuMs: 0, rssMb: 0 };
+    return readResourceUsage(pid);
   }
 
-  ask<T>(kind: string, data?: unknown): Promise<T> {
+  call<T>(kind: string, data?: unknown): Promise<T> {
     return new Promise((resolve, reject) => {
-      if (this.#gone) {
-        reject(new Error(`${this.name} has ended`));
+      if (this.#hasExited) {
+        reject(new Error(`child process ${this.name} has exited`));
         return;
       }
-      this.#next += 1;
-      this.#open.set(this.#next, (value) =>
-        this.#gone ? reject(new Error(`${this.name} has ended`)) : resolve(value as T),
+      this.#lastId += 1;
+      this.#pending.set(this.#lastId, (value) =>
+        this.#hasExited ? reject(new Error(`child process ${this.name} has exited`)) : resolve(value as T),
       );
-      this.#process.send({ id: this.#next, kind, data } satisfies Asked);
+      this.#process.send({ id: this.#lastId, kind, data } satisfies ParentRequest);
     });
   }
 
   async kill(signal: NodeJS.Signals = 'SIGKILL'): Promise<void> {
-    if (!this.#gone) this.#process.kill(signal);
+    if (!this.#hasExited) this.#process.kill(signal);
     await this.#exited;
   }
 }
--- a/tools/scale/src/sizes.ts
+++ b/tools/scale/src/sizes.ts
@@ -1,8 +1,8 @@
-import { LETTER } from './point.js';
+import { REFERENCE } from './point.js';
 import type { Size } from './site.js';
 
 /**
- * Sizes as they are written on the command line, or what is wrong with them.
+ * Parses the sizes of the command line; returns an error message if they are malformed.
  * @example
  * readSizes('8,16x100', { models: 4, adapters: 8, routes: 1, asked: 1 });
  */
@@ -16,7 +16,8 @@
     sizes.push({
       ...rest,
       nodes,
-      rows: match[2] === undefined ? Math.round((nodes * LETTER.rows) / LETTER.nodes) : Number(match[2]),
+      rows:
+        match[2] === undefined ? Math.round((nodes * REFERENCE.rows) / REFERENCE.nodes) : Number(match[2]),
     });
   }
   return sizes;
