--- a/packages/cluster-node/src/cluster-node.ts
+++ b/packages/cluster-node/src/cluster-node.ts
@@ -111,12 +111,12 @@
   }
 
   /** Publishes the platform's worker list by gossip; a list older than the known generation is ignored. */
-  learnList(list: WorkerList): void {
+  publishWorkerList(list: WorkerList): void {
     this.#gossip.publishList(list);
   }
 
   /** Casts this edge's observation to the group. */
-  observe(observation: Observation): void {
+  castObservation(observation: Observation): void {
     this.#group.cast(toBinary(ObservationSchema, observation));
   }
 
--- a/packages/cluster-node/src/core-replica.ts
+++ b/packages/cluster-node/src/core-replica.ts
@@ -120,7 +120,7 @@
   /**
    * Updates the worker table from the platform's complete list; ignored unless this core is the coordinator.
    */
-  learnList(list: readonly ListedWorker[]): void {
+  updateWorkerList(list: readonly ListedWorker[]): void {
     if (!this.#group.isCoordinator) return;
     this.#placement.ensureTableForEpoch();
     const nowMs = this.#dependencies.clock.nowMs();
--- a/packages/cluster-node/src/core-selection.ts
+++ b/packages/cluster-node/src/core-selection.ts
@@ -1,6 +1,6 @@
 /** Selects the cores that an edge subscribes to, and tracks which of them answer. Platform family. */
 import type { Member } from '@rainrun/messages';
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 
 /** A core that has not answered for this long is removed, unless it is a seed. */
 const CORE_EXPIRY_MS = 10_000;
@@ -119,7 +119,7 @@
       core = {
         address,
         incarnation: '',
-        preference: spread(`${this.#settings.incarnation} ${address}`),
+        preference: mixedHash(`${this.#settings.incarnation} ${address}`),
         lastContactMs: nowMs,
         hasLease: false,
         subscribedMs: -Infinity,
--- a/packages/cluster-node/src/edge-api-keys.test.ts
+++ b/packages/cluster-node/src/edge-api-keys.test.ts
@@ -47,7 +47,7 @@
   }
 
   holderOf(key: string): string | undefined {
-    return this.replica.tenants?.holderOf(key)?.name;
+    return this.replica.tenants?.tenantByKey(key)?.name;
   }
 }
 
--- a/packages/cluster-node/src/edge-quota.ts
+++ b/packages/cluster-node/src/edge-quota.ts
@@ -58,7 +58,7 @@
   /** Learns the view of the cores from an update that includes it. */
   onStateUpdate({ cores, viewEpoch, viewNumber }: StateUpdate): void {
     if (cores.length === 0 || viewNumber === 0) return;
-    this.#client.learnView({ epoch: viewEpoch, number: viewNumber, members: cores });
+    this.#client.updateView({ epoch: viewEpoch, number: viewNumber, members: cores });
   }
 
   /** Takes a frame addressed to this edge; returns false if the frame is not about quotas. */
--- a/packages/cluster-node/src/edge-replica.ts
+++ b/packages/cluster-node/src/edge-replica.ts
@@ -117,7 +117,7 @@
       chance: dependencies.chance,
       bounds: dependencies.quota,
       self: this.#self,
-      limitOf: (tenant) => this.#tenants?.tenantNamed(tenant),
+      limitOf: (tenant) => this.#tenants?.tenantByName(tenant),
       send: (to, frame) => dependencies.send(to, frame),
     });
   }
@@ -160,7 +160,7 @@
   }
 
   /** Whether a core that holds a lease, hence has a majority, answered within the core time-out. */
-  get informed(): boolean {
+  get hasMajorityContact(): boolean {
     return this.#cores.hasLiveLease(this.#dependencies.clock.nowMs());
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Has this edge report its demand shortly, without waiting for the next renewal of the subscription. */
-  requestUpdateSoon(): void {
+  reportDemandSoon(): void {
     this.#urgentSinceMs ??= this.#dependencies.clock.nowMs();
   }
 
--- a/packages/cluster-node/src/operator-service.test.ts
+++ b/packages/cluster-node/src/operator-service.test.ts
@@ -80,7 +80,8 @@
     clock: { nowMs: () => this.nowMs },
     format: {
       writeDocument: (document) => JSON.stringify(document),
-      statusOf: (cause) => (cause.kind === 'conflict' ? 412 : cause.kind === 'bad-spec' ? 400 : undefined),
+      statusOfFault: (cause) =>
+        cause.kind === 'conflict' ? 412 : cause.kind === 'bad-spec' ? 400 : undefined,
     },
     status: () => STATUS,
   });
--- a/packages/cluster-node/src/operator-service.ts
+++ b/packages/cluster-node/src/operator-service.ts
@@ -45,7 +45,7 @@
 export interface OperatorFormat {
   writeDocument(document: ConfigurationDocument): string;
   /** The platform's HTTP status for a fault; undefined to use that of FAULT_RESPONSES. */
-  statusOf(cause: Fault): number | undefined;
+  statusOfFault(cause: Fault): number | undefined;
 }
 
 /** Collaborators that the core program or the simulator supplies. */
@@ -189,7 +189,7 @@
   failure(cause: Fault, more: { readonly lastKnown?: CoreStatus } = {}): OperatorReply {
     const { status, ran } = FAULT_RESPONSES[cause.kind];
     return {
-      status: this.#dependencies.format.statusOf(cause) ?? status,
+      status: this.#dependencies.format.statusOfFault(cause) ?? status,
       body: JSON.stringify({ error: { kind: cause.kind, message: cause.detail, ran }, ...more }),
     };
   }
--- a/packages/cluster-node/src/placement-loop.ts
+++ b/packages/cluster-node/src/placement-loop.ts
@@ -106,7 +106,7 @@
 
   /** Updates the worker table from the platform's complete list of workers, then places models. */
   updateWorkerList(list: readonly ListedWorker[], nowMs: number): void {
-    this.#workerTable.learn(list, nowMs);
+    this.#workerTable.applyList(list, nowMs);
     this.#placeModels(nowMs);
   }
 
--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -3,11 +3,11 @@
 import { ObservationSchema } from '@rainrun/messages';
 import { Gateway, type Sender } from '@rainrun/gateway';
 import type { RandomSource, Clock } from '@rainrun/common';
-import { Loop, type LoopSettings } from '@rainrun/placement';
+import { PiController, type PiControllerSettings } from '@rainrun/placement';
 import type { ClusterNode } from './cluster-node.js';
 
 /** Settings of the feedback loops that adjust the weights of the research groups. */
-export const LOOP_SETTINGS: LoopSettings = {
+export const WEIGHT_LOOP_SETTINGS: PiControllerSettings = {
   gain: 0.5,
   integralPerS: 0.1,
   min: 0.25,
@@ -17,7 +17,7 @@
 };
 
 /** Interval at which an edge casts its observation, in milliseconds. */
-export const OBSERVE_MS = 500;
+export const OBSERVATION_INTERVAL_MS = 500;
 
 /**
  * The data plane of an edge, connected to its node: the gateway reads the node's state, workers and lease,
@@ -29,8 +29,8 @@
  */
 export class SpecEdge {
   #clusterNode: ClusterNode;
-  #loopSettings: LoopSettings;
-  #loops = new Map<string, Loop>();
+  #loopSettings: PiControllerSettings;
+  #loops = new Map<string, PiController>();
   readonly gateway: Gateway;
 
   constructor(
@@ -40,7 +40,7 @@
     clock: Clock,
     chance: RandomSource,
     sender: Sender,
-    loops: LoopSettings = LOOP_SETTINGS,
+    loops: PiControllerSettings = WEIGHT_LOOP_SETTINGS,
   ) {
     this.#loopSettings = loops;
     this.#clusterNode = clusterNode;
@@ -62,14 +62,14 @@
   /**
    * Casts the measures of the gateway since the last call, and updates the loops that adjust group weights.
    */
-  observe(): void {
+  castMeasures(): void {
     const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
     const measuredGroups = new Set(measures.map((measure) => measure.group));
     for (const { name } of this.#clusterNode.state.spec?.spec.groups ?? []) {
-      const current = this.gateway.groupNow(name);
+      const current = this.gateway.groupLoad(name);
       if (measuredGroups.has(name) || current.inFlight + current.backlog === 0) continue;
-      measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
+      measures.push({ group: name, kind: '', served: 0, refused: 0, withinTarget: 0, waitSumMs: 0 });
     }
     const observation = create(ObservationSchema, {
       demands: demands.map((demand) => ({ $typeName: 'rainrun.v1.Demand' as const, ...demand })),
@@ -79,7 +79,7 @@
         inFlight: this.gateway.workerInFlight(worker.name),
         faults: faults.get(worker.name) ?? 0,
       })),
-      groups: measures.map(({ group, kind, served, refused, prompt, waitSumMs }) => ({
+      groups: measures.map(({ group, kind, served, refused, withinTarget: prompt, waitSumMs }) => ({
         $typeName: 'rainrun.v1.GroupMeasure' as const,
         group,
         kind,
@@ -87,10 +87,10 @@
         refused,
         withinTarget: prompt,
         waitMs: served === 0 ? 0 : Math.round(waitSumMs / served),
-        ...this.gateway.groupNow(group),
+        ...this.gateway.groupLoad(group),
       })),
     });
-    this.#clusterNode.observe(observation);
+    this.#clusterNode.castObservation(observation);
     this.#updateLoops();
   }
 
@@ -107,9 +107,9 @@
       const ratios = measured.map(
         (status) => status.waitMs / (kinds.find((kind) => kind.name === status.kind)?.targetMs ?? Infinity),
       );
-      const loop = this.#loops.get(name) ?? new Loop(this.#loopSettings);
+      const loop = this.#loops.get(name) ?? new PiController(this.#loopSettings);
       this.#loops.set(name, loop);
-      loop.move(Math.max(...ratios), OBSERVE_MS / 1000);
+      loop.update(Math.max(...ratios), OBSERVATION_INTERVAL_MS / 1000);
     }
   }
 }
--- a/packages/cluster-node/src/update-publisher.ts
+++ b/packages/cluster-node/src/update-publisher.ts
@@ -138,7 +138,7 @@
     update.snapshot = isSnapshot;
     update.tableRow = available.tableRow;
     update.baseRow = isSnapshot ? 0 : subscriber.tableRow;
-    update.rows = workerTable.since(update.baseRow).map((row) => toWorkerRow(row, nowMs));
+    update.rows = workerTable.changedSince(update.baseRow).map((row) => toWorkerRow(row, nowMs));
     this.#subscribers.recordRowsSent(subscriber, available, update.rows.length, nowMs);
   }
 
--- a/packages/cluster-node/src/worker-health.test.ts
+++ b/packages/cluster-node/src/worker-health.test.ts
@@ -25,7 +25,7 @@
       warmUpMs: 0,
       models: new Map<string, Set<string>>(),
     }));
-    this.table.learn(listed, this.nowMs);
+    this.table.applyList(listed, this.nowMs);
   }
 
   /**
--- a/packages/cluster-node/src/worker-health.ts
+++ b/packages/cluster-node/src/worker-health.ts
@@ -169,7 +169,7 @@
       [...limits].every(([zone, percent]) => row.limits.get(zone) === percent);
     if (isSame) return;
     row.limits = limits;
-    table.touch(row);
+    table.markChanged(row);
   }
 
   #removeUnlisted(table: WorkerTable): void {
--- a/packages/common/src/hash.ts
+++ b/packages/common/src/hash.ts
@@ -18,7 +18,7 @@
  * @example
  * spread('a') !== spread('b'); // true
  */
-export function spread(text: string): number {
+export function mixedHash(text: string): number {
   let hash = hashText(text);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
   hash = Math.imul(hash ^ (hash >>> 13), 0xc2b2ae35);
--- a/packages/compatibility/src/cluster-node-script.ts
+++ b/packages/compatibility/src/cluster-node-script.ts
@@ -82,7 +82,7 @@
   for (const name of FOUNDERS) group.add(name, {});
   group.run(FOUNDING_MS);
   for (const [id, kind, payload] of OPERATIONS) submit(group, id, kind, payload);
-  group.leader.learnList(workerList());
+  group.leader.publishWorkerList(workerList());
   group.run(PLACING_MS);
   return group;
 }
@@ -107,10 +107,18 @@
 
 /** The state of restarted cores, and the answers to further operations. */
 export function stateOfSite(group: SiteGroup): unknown {
-  for (const { node } of group.cores) node.learnList(workerList());
+  for (const { node } of group.cores) node.publishWorkerList(workerList());
   group.run(FOUNDING_MS);
   const { state, group: agreed } = group.leader;
-  const { spec, history, evacuatedZones, placedBy, placement, changedInVersion, changesKnownSince } = state;
+  const {
+    spec,
+    history,
+    evacuatedZones,
+    placementEpoch: placedBy,
+    placement,
+    changedInVersion,
+    changesKnownSince,
+  } = state;
   return {
     spec: [spec?.version, spec?.operation, spec?.text],
     history: history.map(({ version, operation, bytes }) => [version, operation, bytes]),
--- a/packages/compatibility/src/data-plane-counters.ts
+++ b/packages/compatibility/src/data-plane-counters.ts
@@ -69,11 +69,11 @@
       configuration: () => this.#configuration,
       tenants: () => undefined,
       permits: { acquire: () => () => undefined },
-      evacuated: () => [],
+      evacuatedZones: () => [],
       workers: () => (this.isWorkerListed ? new Map([[WORKER, this.#worker()]]) : new Map()),
       edges: () => 1,
       incarnation: () => 'incarnation-1',
-      region: () => 'west',
+      regionOf: () => 'west',
       onModelMissing: () => undefined,
       onWaiting: () => undefined,
     });
--- a/packages/compatibility/src/http-samples.ts
+++ b/packages/compatibility/src/http-samples.ts
@@ -13,7 +13,7 @@
 export function faultResponses(): unknown {
   return KINDS.map((kind) => {
     const { status, ran, retryAfterS } = FAULT_RESPONSES[kind];
-    const onPlatform = DIALECT.statusOf(fault(kind, 'detail')) ?? status;
+    const onPlatform = DIALECT.statusOfFault(fault(kind, 'detail')) ?? status;
     return [kind, status, ran, retryAfterS, onPlatform];
   });
 }
--- a/packages/configuration/src/spec-state.ts
+++ b/packages/configuration/src/spec-state.ts
@@ -32,7 +32,7 @@
   readonly history: readonly HistoryEntry[];
   readonly evacuatedZones: readonly string[];
   /** The epoch of the last accepted placement; one of an older epoch is refused. */
-  readonly placedBy: number;
+  readonly placementEpoch: number;
   readonly placement: Readonly<Record<string, readonly HoldingTarget[]>>;
   /** The version in which each entry last changed, back to `changesKnownSince`; detects concurrent edits. */
   readonly changedInVersion: Readonly<Record<string, number>>;
@@ -45,7 +45,7 @@
   spec: undefined,
   history: [],
   evacuatedZones: [],
-  placedBy: 0,
+  placementEpoch: 0,
   placement: {},
   changedInVersion: {},
   changesKnownSince: 0,
@@ -221,11 +221,12 @@
   epoch: number,
   workers: Record<string, readonly HoldingTarget[]>,
 ): ApplyResult {
-  if (epoch < state.placedBy) return refuse(state, 'conflict', `epoch ${state.placedBy} places now`);
+  if (epoch < state.placementEpoch)
+    return refuse(state, 'conflict', `epoch ${state.placementEpoch} places now`);
   const placement = Object.entries({ ...state.placement, ...workers }).filter(
     ([, holdings]) => holdings.length > 0,
   );
-  return agree({ ...state, placedBy: epoch, placement: Object.fromEntries(placement) }, 'placed');
+  return agree({ ...state, placementEpoch: epoch, placement: Object.fromEntries(placement) }, 'placed');
 }
 
 /**
@@ -318,7 +319,7 @@
     text: state.spec?.text ?? '',
     history: state.history,
     emptied: state.evacuatedZones,
-    placedBy: state.placedBy,
+    placedBy: state.placementEpoch,
     placement: state.placement,
   };
   const { changedInVersion: touched, changesKnownSince: since } = state;
@@ -350,7 +351,7 @@
     const rest: Omit<SpecState, 'spec'> = {
       history,
       evacuatedZones: emptied,
-      placedBy,
+      placementEpoch: placedBy,
       placement,
       changedInVersion: touched,
       changesKnownSince: since,
--- a/packages/configuration/src/tenant-directory.test.ts
+++ b/packages/configuration/src/tenant-directory.test.ts
@@ -27,9 +27,9 @@
       fc.property(TENANTS, fc.string(), (tenants, other) => {
         const directory = new TenantDirectory(tenants, SECRET);
         for (const { name, apiKeys } of tenants)
-          for (const key of apiKeys ?? []) expect(directory.holderOf(key)?.name).toEqual(name);
+          for (const key of apiKeys ?? []) expect(directory.tenantByKey(key)?.name).toEqual(name);
         const holder = tenants.find(({ apiKeys }) => apiKeys?.includes(other) === true);
-        expect(directory.holderOf(other)?.name).toEqual(holder?.name);
+        expect(directory.tenantByKey(other)?.name).toEqual(holder?.name);
       }),
     );
   });
@@ -39,7 +39,9 @@
       [{ name: 'one', apiKeys: ['key-1'], ratePerS: 0, burst: 0 }],
       SECRET,
     );
-    const found = [undefined, '', 'key-', 'key-12', 'KEY-1', ' key-1'].map((key) => directory.holderOf(key));
+    const found = [undefined, '', 'key-', 'key-12', 'KEY-1', ' key-1'].map((key) =>
+      directory.tenantByKey(key),
+    );
     expect(found.filter((tenant) => tenant !== undefined)).toEqual([]);
   });
 });
@@ -53,7 +55,7 @@
       ],
       SECRET,
     );
-    expect([directory.holderOf('key-1'), directory.holderOf('key-2')]).toEqual([
+    expect([directory.tenantByKey('key-1'), directory.tenantByKey('key-2')]).toEqual([
       { name: 'one', ratePerS: 3, burst: 4, priority: 2 },
       { name: 'two', ratePerS: 0, burst: 0, priority: undefined },
     ]);
@@ -69,7 +71,7 @@
     const printed = [
       inspect(directory, { depth: null, showHidden: true }),
       JSON.stringify(directory),
-      JSON.stringify(directory.holderOf('very-secret')),
+      JSON.stringify(directory.tenantByKey('very-secret')),
     ];
     expect(printed.filter((text) => text.includes('very-secret'))).toEqual([]);
   });
--- a/packages/configuration/src/tenant-directory.ts
+++ b/packages/configuration/src/tenant-directory.ts
@@ -47,7 +47,7 @@
   }
 
   /** Returns the tenant that owns a key; undefined if no tenant does, or if the key is missing or empty. */
-  holderOf(apiKey: string | undefined): Tenant | undefined {
+  tenantByKey(apiKey: string | undefined): Tenant | undefined {
     if (apiKey === undefined || apiKey === '') return undefined;
     const digest = this.#digest(apiKey);
     const known = this.#keys.get(indexKeyOf(digest));
@@ -55,7 +55,7 @@
   }
 
   /** Returns the tenant of a name; undefined if the configuration has none of that name. */
-  tenantNamed(name: string): Tenant | undefined {
+  tenantByName(name: string): Tenant | undefined {
     return this.#byName.get(name);
   }
 
--- a/packages/failure-detector/src/failure-detector.ts
+++ b/packages/failure-detector/src/failure-detector.ts
@@ -34,14 +34,14 @@
   }
 
   /** Records an answer to a heartbeat. */
-  answered(incarnation: string, nowMs: number): void {
+  recordAnswer(incarnation: string, nowMs: number): void {
     this.#answeredMs.set(incarnation, nowMs);
   }
 
   /**
    * Marks an incarnation as failed for another reason, such as a channel that lags too far. This is final.
    */
-  report(incarnation: string): void {
+  markFailed(incarnation: string): void {
     this.#reported.add(incarnation);
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Whether an incarnation is not suspected: the opposite of `suspects`. */
-  live(incarnation: string, nowMs: number): boolean {
+  isLive(incarnation: string, nowMs: number): boolean {
     return !this.suspects(incarnation, nowMs);
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -6,7 +6,12 @@
 import { Backlog } from './backlog.js';
 import { Catalogue } from './catalogue.js';
 import { UnconfirmedSends } from './unconfirmed-sends.js';
-import type { GatewayRequestInit, EndRecord, GatewayDependencies, GatewayWorker } from './dependencies.js';
+import type {
+  GatewayRequestInit,
+  FinishedRequest,
+  GatewayDependencies,
+  GatewayWorker,
+} from './dependencies.js';
 import { GroupShares } from './group-shares.js';
 import { demandKey, Measures, type Measurements } from './measures.js';
 import { DrainRate } from './drain-rate.js';
@@ -15,7 +20,7 @@
 import type { GatewayRequest, GatewayResponseSink } from './gateway-request.js';
 
 interface GatewayEvents {
-  ended: (record: EndRecord) => void;
+  ended: (record: FinishedRequest) => void;
 }
 
 /** A check on admission; returns the fault with which a request is rejected, if any. */
@@ -176,7 +181,7 @@
     return this.#measures.take(backlogs);
   }
 
-  groupNow(group: string): { inFlight: number; backlog: number } {
+  groupLoad(group: string): { inFlight: number; backlog: number } {
     const index = this.#groups.index(group);
     return { inFlight: this.#shares.inFlight(index), backlog: this.#backlog.countOf(index) };
   }
@@ -413,7 +418,7 @@
     return (this.#drainRates[group] ??= new DrainRate());
   }
 
-  #finish(request: GatewayRequest, outcome: EndRecord['outcome']): void {
+  #finish(request: GatewayRequest, outcome: FinishedRequest['outcome']): void {
     this.#count(outcome);
     this.#retries.release(request);
     this.emit('ended', {
--- a/packages/gateway/src/measures.ts
+++ b/packages/gateway/src/measures.ts
@@ -5,7 +5,7 @@
   served: number;
   refused: number;
   /** Requests whose first chunk came within the kind's target. */
-  prompt: number;
+  withinTarget: number;
   waitSumMs: number;
 }
 
@@ -53,7 +53,7 @@
     const measure = this.#measureFor(group, kind);
     measure.served += 1;
     measure.waitSumMs += waitMs;
-    if (waitMs <= targetMs) measure.prompt += 1;
+    if (waitMs <= targetMs) measure.withinTarget += 1;
   }
 
   recordFailedSend(worker: string): void {
@@ -82,7 +82,7 @@
     const key = `${group}/${kind}`;
     let measure = this.#measures.get(key);
     if (measure === undefined) {
-      measure = { group, kind, served: 0, refused: 0, prompt: 0, waitSumMs: 0 };
+      measure = { group, kind, served: 0, refused: 0, withinTarget: 0, waitSumMs: 0 };
       this.#measures.set(key, measure);
     }
     return measure;
--- a/packages/gateway/src/send.ts
+++ b/packages/gateway/src/send.ts
@@ -2,7 +2,7 @@
 import { fault, type Fault } from '@rainrun/common';
 import { EventStreamValidator } from './event-stream.js';
 import type { GatewayWorker } from './dependencies.js';
-import type { SendHandler, Sending } from './sender.js';
+import type { SendHandler, SendHandle } from './sender.js';
 import type { GatewayRequest } from './gateway-request.js';
 
 /** Largest response, other than an event stream, that is buffered. */
@@ -40,7 +40,7 @@
   #request: GatewayRequest;
   #worker: GatewayWorker;
   #context: SendContext;
-  #sending: Sending | undefined;
+  #sending: SendHandle | undefined;
   #status = 0;
   #contentType = '';
   #eventStream: EventStreamValidator | undefined;
@@ -57,7 +57,7 @@
     this.#context = context;
   }
 
-  attach(sending: Sending): void {
+  attach(sending: SendHandle): void {
     this.#sending = sending;
     if (this.#ended) sending.abort();
   }
--- a/packages/gateway/src/sender.ts
+++ b/packages/gateway/src/sender.ts
@@ -13,7 +13,7 @@
 }
 
 /** Handle of a send in progress. */
-export type Sending = LinkSend;
+export type SendHandle = LinkSend;
 
 /** One HTTP request to a worker. */
 export interface SendRequest {
@@ -27,7 +27,7 @@
 
 /** Transport for requests to workers; tests supply their own implementation. */
 export interface Sender {
-  send(request: SendRequest, handler: SendHandler): Sending;
+  send(request: SendRequest, handler: SendHandler): SendHandle;
   /** Tests whether an address can be reached now, without sending a request. */
   probe(address: string, done: (reached: boolean) => void): void;
 }
@@ -45,7 +45,7 @@
 export class UndiciSender implements Sender {
   #link = new PoolLink({ connectMs: CONNECT_MS, keepAliveTimeout: IDLE_MS });
 
-  send({ address, method, path, headers, body, stallMs }: SendRequest, handler: SendHandler): Sending {
+  send({ address, method, path, headers, body, stallMs }: SendRequest, handler: SendHandler): SendHandle {
     return this.#link.send(
       {
         address,
--- a/packages/gateway/src/testing/gateway-harness.ts
+++ b/packages/gateway/src/testing/gateway-harness.ts
@@ -3,7 +3,7 @@
 import type { GatewayRequestInit, GatewayWorker } from '../dependencies.js';
 import type { GatewayResponseSink } from '../gateway-request.js';
 import { Gateway } from '../gateway.js';
-import type { SendHandler, Sender, Sending, SendRequest } from '../sender.js';
+import type { SendHandler, Sender, SendHandle, SendRequest } from '../sender.js';
 
 const SPEC_TEXT = JSON.stringify({
   deployment: 'd',
@@ -29,7 +29,7 @@
 }
 
 /** One send, to which a test responds in place of the worker. */
-export class SentRequest implements Sending {
+export class SentRequest implements SendHandle {
   readonly request: SendRequest;
   readonly handler: SendHandler;
   aborted = false;
@@ -117,7 +117,7 @@
     };
   }
 
-  send(request: SendRequest, handler: SendHandler): Sending {
+  send(request: SendRequest, handler: SendHandler): SendHandle {
     const sent = new SentRequest(request, handler);
     this.sent.push(sent);
     return sent;
--- a/packages/messages/src/messages.test.ts
+++ b/packages/messages/src/messages.test.ts
@@ -39,7 +39,7 @@
     channel.post({ case: 'answer', value: create(AnswerSchema) });
     channel.tick(0);
     expect(channel.lagMs(3000)).toEqual(3000);
-    channel.slept(2500);
+    channel.excludeSuspension(2500);
     expect(channel.lagMs(3000)).toEqual(500);
   });
 
--- a/packages/messages/src/ordered-channel.ts
+++ b/packages/messages/src/ordered-channel.ts
@@ -39,7 +39,7 @@
   }
 
   /** Excludes the time for which this process itself was suspended from the lag of the other end. */
-  slept(suspendedMs: number): void {
+  excludeSuspension(suspendedMs: number): void {
     for (const pending of this.#unacknowledged) pending.firstSentMs += suspendedMs;
   }
 
--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -1,5 +1,5 @@
 /** Chooses the workers that load adapters of the platform system. */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import { adapterCount, usedMb } from './holdings.js';
 import type { OrderSender } from './order-sender.js';
 import { DRAIN_MS, type PlacementRound } from './placement-round.js';
@@ -84,7 +84,7 @@
       .sort(
         (one, other) =>
           this.#sender.state(one).steps.length - this.#sender.state(other).steps.length ||
-          spread(`${adapter} ${one.id}`) - spread(`${adapter} ${other.id}`),
+          mixedHash(`${adapter} ${one.id}`) - mixedHash(`${adapter} ${other.id}`),
       );
     holders.some((row) => this.#placeAt(round, row, adapterRef));
   }
@@ -103,7 +103,7 @@
       const victim = this.#longestUnused(round, state);
       if (victim === undefined) return false;
       row.models.get(victim.model)?.delete(victim.adapter);
-      this.#table.touch(row, victim.model);
+      this.#table.markChanged(row, victim.model);
       state.add(newStep('unload', victim.model, victim.adapter, nowMs + DRAIN_MS));
     }
     state.add(newStep('load', model, adapter, nowMs));
--- a/packages/placement/src/copy-demand.ts
+++ b/packages/placement/src/copy-demand.ts
@@ -1,7 +1,7 @@
 /** How many copies each model of the platform system needs for its load. */
 import type { Demand } from './demand-totals.js';
 import type { Engine } from './engine.js';
-import { Loop } from './feedback-loop.js';
+import { PiController } from './feedback-loop.js';
 import { PLACEMENT_POLICY } from './policy.js';
 
 const POLICY = PLACEMENT_POLICY.copies;
@@ -39,7 +39,7 @@
  */
 export class CopyDemand {
   #concurrency = new Map<string, Concurrency>();
-  #controllers = new Map<string, { readonly controller: Loop; atMs: number }>();
+  #controllers = new Map<string, { readonly controller: PiController; atMs: number }>();
 
   targetOf(engine: Engine, model: string, demand: Demand, nowMs: number): CopyTarget {
     const key = `${engine.service}/${model}`;
@@ -91,14 +91,17 @@
    * wait.
    */
   #correction(key: string, demand: Demand, nowMs: number): number {
-    const known = this.#controllers.get(key) ?? { controller: new Loop(POLICY.controller), atMs: nowMs };
+    const known = this.#controllers.get(key) ?? {
+      controller: new PiController(POLICY.controller),
+      atMs: nowMs,
+    };
     this.#controllers.set(key, known);
     const elapsedMs = nowMs - known.atMs;
     if (elapsedMs >= POLICY.controlIntervalMs) {
       known.atMs = nowMs;
       const waitRatio = demand.perS < POLICY.minControlledPerS ? 0 : demand.weightedWaitRatio / demand.perS;
       if (waitRatio > 0)
-        known.controller.move(waitRatio / POLICY.targetWaitRatio, Math.min(1, elapsedMs / 1000));
+        known.controller.update(waitRatio / POLICY.targetWaitRatio, Math.min(1, elapsedMs / 1000));
     }
     return known.controller.output;
   }
--- a/packages/placement/src/copy-retirement.ts
+++ b/packages/placement/src/copy-retirement.ts
@@ -37,7 +37,7 @@
       this.#lastRetiredMs.set(key, nowMs);
       fullest.models.delete(model);
       this.#sender.state(fullest).retired.add(model);
-      this.#table.touch(fullest, model);
+      this.#table.markChanged(fullest, model);
       copies.set(model, count - 1);
     }
   }
@@ -51,7 +51,7 @@
       if (state.steps.some((step) => step.model === model)) continue;
       state.retired.delete(model);
       row.models.set(model, new Set(adapters));
-      this.#table.touch(row, model);
+      this.#table.markChanged(row, model);
       copies.set(model, (copies.get(model) ?? 0) + 1);
       return true;
     }
--- a/packages/placement/src/feedback-loop.ts
+++ b/packages/placement/src/feedback-loop.ts
@@ -1,7 +1,7 @@
 /** A proportional-integral controller, used by the placement of both systems. */
 
 /** Settings of one feedback loop. */
-export interface LoopSettings {
+export interface PiControllerSettings {
   /** Proportional gain. */
   readonly gain: number;
   /** Integral gain a second. */
@@ -22,12 +22,12 @@
  * const loop = new Loop({ gain: 1, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 });
  * loop.move(1.5, 1); // an output above 1: measured is 1.5 times the set point
  */
-export class Loop {
-  #settings: LoopSettings;
+export class PiController {
+  #settings: PiControllerSettings;
   #integral = 0;
   #output = 1;
 
-  constructor(settings: LoopSettings) {
+  constructor(settings: PiControllerSettings) {
     this.#settings = settings;
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Updates the output by the ratio of the measured value to the set point over `elapsedS` seconds. */
-  move(ratio: number, elapsedS: number): number {
+  update(ratio: number, elapsedS: number): number {
     const { gain, integralPerS, min, max, stepPerS, deadBand } = this.#settings;
     const raw = Math.log(Math.max(ratio, 0.01));
     const error = Math.abs(raw) < deadBand ? 0 : Math.max(-1, Math.min(1, raw));
--- a/packages/placement/src/holdings.ts
+++ b/packages/placement/src/holdings.ts
@@ -9,7 +9,7 @@
  * @example
  * copyOf(report.holdings).delete('model-1');
  */
-export function copyOf(holdings: Holdings): Map<string, Set<string>> {
+export function cloneHoldings(holdings: Holdings): Map<string, Set<string>> {
   return new Map([...holdings].map(([model, adapters]) => [model, new Set(adapters)]));
 }
 
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -6,7 +6,7 @@
 export type { SpecPlacerWorker } from './spec-worker-plan.js';
 export * from './worker-table.js';
 export * from './engine.js';
-export { copyOf, type Holdings } from './holdings.js';
+export { cloneHoldings, type Holdings } from './holdings.js';
 export * from './orders.js';
 export * from './planner.js';
 export * from './demand-totals.js';
--- a/packages/placement/src/model-placement.ts
+++ b/packages/placement/src/model-placement.ts
@@ -64,7 +64,7 @@
     if (candidate === undefined) return undefined;
     const { row, victims } = candidate;
     for (const victim of victims) this.#unload(round, row, victim);
-    for (const victim of victims) this.#table.touch(row, victim);
+    for (const victim of victims) this.#table.markChanged(row, victim);
     this.#sender.state(row).add(newStep('load', need.model, '', round.nowMs));
     round.copies.set(need.model, (round.copies.get(need.model) ?? 0) + 1);
     const replacing = victims.length > 0 ? ` replacing ${victims.join(', ')}` : '';
--- a/packages/placement/src/order-sender.ts
+++ b/packages/placement/src/order-sender.ts
@@ -1,7 +1,7 @@
 /** Sends the orders of the platform system's planner to workers, and stores what each worker reported. */
 import { DiskLoadEstimator } from './disk-load-estimator.js';
 import type { Engine } from './engine.js';
-import { copyOf } from './holdings.js';
+import { cloneHoldings } from './holdings.js';
 import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerReport } from './orders.js';
 import { MAX_REPORT_AGE_MS } from './report-settling.js';
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
@@ -127,9 +127,9 @@
   #confirm(row: WorkerRecord, report: WorkerReport): void {
     const state = this.state(row);
     state.applyReport(report);
-    row.models = copyOf(report.holdings);
+    row.models = cloneHoldings(report.holdings);
     row.confirmed = true;
-    this.#table.touch(row);
+    this.#table.markChanged(row);
   }
 
   /** Sends what is due to one worker: its next order or a report request. */
@@ -225,7 +225,7 @@
       if (next !== undefined && step.adapter === '') next.notBeforeMs = nowMs + UNLOAD_MS;
     } else if (step.adapter === '') row.models.set(step.model, new Set(state.holdings.get(step.model)));
     else row.models.get(step.model)?.add(step.adapter);
-    this.#table.touch(row, step.model);
+    this.#table.markChanged(row, step.model);
   }
 
   /** Marks the worker's holdings as uncertain: it gets no further order until it has reported them. */
--- a/packages/placement/src/placement.test.ts
+++ b/packages/placement/src/placement.test.ts
@@ -3,7 +3,7 @@
 import { fault, type Fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
-import { Loop } from './feedback-loop.js';
+import { PiController } from './feedback-loop.js';
 import { SpecOrderSender, holdingsMb, type SpecOrder, type SpecOrderReply } from './spec-order-sender.js';
 import { SpecPlacer } from './spec-placer.js';
 import type { SpecModelDemand } from './spec-placement-needs.js';
@@ -32,31 +32,31 @@
   const settings = { gain: 0.5, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 };
 
   it('changes its output in bounded steps and stays within its bounds', () => {
-    const loop = new Loop(settings);
-    const outputs = Array.from({ length: 60 }, () => loop.move(10, 1));
+    const loop = new PiController(settings);
+    const outputs = Array.from({ length: 60 }, () => loop.update(10, 1));
     const steps = outputs.map((output, place) => output / (outputs[place - 1] ?? 1));
     expect(Math.max(...steps) <= 1.5).toEqual(true);
     expect(Math.max(...outputs)).toEqual(4);
   });
 
   it('does not wind up: it leaves its bound soon even after a long time there', () => {
-    const loop = new Loop(settings);
-    for (let second = 0; second < 600; second += 1) loop.move(10, 1);
+    const loop = new PiController(settings);
+    for (let second = 0; second < 600; second += 1) loop.update(10, 1);
     let seconds = 0;
-    while (loop.move(0.5, 1) > 1.5 && seconds < 100) seconds += 1;
+    while (loop.update(0.5, 1) > 1.5 && seconds < 100) seconds += 1;
     expect(seconds < 15).toEqual(true);
   });
 
   it('keeps its output while the error is within the dead band', () => {
-    const loop = new Loop(settings);
-    for (let second = 0; second < 50; second += 1) loop.move(1.02, 1);
+    const loop = new PiController(settings);
+    for (let second = 0; second < 50; second += 1) loop.update(1.02, 1);
     expect(loop.output).toEqual(1);
   });
 
   it('converges without oscillation when the load responds to its output', () => {
-    const loop = new Loop(settings);
+    const loop = new PiController(settings);
     const outputs: number[] = [];
-    for (let second = 0; second < 200; second += 1) outputs.push(loop.move(2 / loop.output, 1));
+    for (let second = 0; second < 200; second += 1) outputs.push(loop.update(2 / loop.output, 1));
     const tail = outputs.slice(-50);
     expect(Math.max(...tail) - Math.min(...tail) < 0.15).toEqual(true);
   });
--- a/packages/placement/src/planner.test.ts
+++ b/packages/placement/src/planner.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl';
 import { WorkerTable, type ListedWorker } from './worker-table.js';
 import type { Engine } from './engine.js';
-import { copyOf } from './holdings.js';
+import { cloneHoldings } from './holdings.js';
 import type { ReportReply, WorkerOrder, WorkerOrderReply, WorkerReport } from './orders.js';
 import { PlacementPlanner } from './planner.js';
 import type { EdgeDemand } from './demand-totals.js';
@@ -94,8 +94,8 @@
       nowMs: () => this.nowMs,
       onDecision: () => undefined,
     });
-    this.table.learn(workers, this.nowMs);
-    for (const { id, models } of this.table.rows) this.holdings.set(id, copyOf(models));
+    this.table.applyList(workers, this.nowMs);
+    for (const { id, models } of this.table.rows) this.holdings.set(id, cloneHoldings(models));
     // Requests a report from each worker.
     this.planner.sendDueOrders(new Map([['assist', this.engine]]), this.nowMs);
   }
@@ -285,7 +285,7 @@
   it('sends no order to workers whose holdings are unconfirmed', () => {
     const harness = new PlannerHarness(engineOf(4), [listed('w1')]);
     harness.unresponsive.add('w2');
-    harness.table.learn([listed('w1', ['m0']), listed('w2')], harness.nowMs);
+    harness.table.applyList([listed('w1', ['m0']), listed('w2')], harness.nowMs);
     harness.run(6000, () => [demand('m1', 3)]);
     expect(harness.sent.filter(({ worker }) => worker === 'w2')).toEqual([]);
   });
@@ -297,7 +297,7 @@
       listed('w3', [], { zone: 'west' }),
     ]);
     harness.evacuated = ['north'];
-    harness.table.learn(
+    harness.table.applyList(
       [listed('w1'), listed('w2', [], { zone: 'east', draining: true }), listed('w3', [], { zone: 'west' })],
       harness.nowMs,
     );
--- a/packages/placement/src/policy.ts
+++ b/packages/placement/src/policy.ts
@@ -4,7 +4,7 @@
  * effect of each. Times that depend on the deployment are multiples of the load time of a model, which is
  * configured or observed.
  */
-import type { LoopSettings } from './feedback-loop.js';
+import type { PiControllerSettings } from './feedback-loop.js';
 
 /** Determines how many copies a model needs for its load. */
 export interface CopyPolicy {
@@ -36,7 +36,7 @@
   readonly targetWaitRatio: number;
   /** Models with fewer arrivals a second give too few samples for the controller, which then stays idle. */
   readonly minControlledPerS: number;
-  readonly controller: LoopSettings;
+  readonly controller: PiControllerSettings;
   readonly controlIntervalMs: number;
   /** A further copy is needed only if the forecast exceeds the set point by this much, in copies. */
   readonly deadBand: number;
--- a/packages/placement/src/spec-placer-settings.ts
+++ b/packages/placement/src/spec-placer-settings.ts
@@ -9,7 +9,7 @@
   /** A copy is removed only below this multiple of the set point. */
   readonly removeCopyBelow: number;
   /** Maximum number of evictions in one step. */
-  readonly steps: number;
+  readonly evictionBudget: number;
   /** Maximum number of placements into free memory in one step. */
   readonly fillBudget: number;
   /** Minimum time before a copy is moved again, in milliseconds. */
@@ -21,7 +21,7 @@
   perSlotPerS: 0.5,
   addCopyAbove: 1.2,
   removeCopyBelow: 0.4,
-  steps: 2,
+  evictionBudget: 2,
   fillBudget: 24,
   dwellMs: 5000,
 };
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -77,7 +77,7 @@
 
   /** Meets needs in order, as far as memory and the bounds of one step allow. */
   #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStepInput): void {
-    let { steps, fillBudget } = this.#settings;
+    let { evictionBudget: steps, fillBudget } = this.#settings;
     let isRoomShort = false;
     for (const need of needs) {
       if (isRoomShort && need.urgency <= 0) return;
--- a/packages/placement/src/testing/fleet.ts
+++ b/packages/placement/src/testing/fleet.ts
@@ -210,7 +210,7 @@
       warmUpMs: 0,
       models: holdings,
     }));
-    this.#table.learn(list, this.nowMs);
+    this.#table.applyList(list, this.nowMs);
   }
 
   #arrive({ perS, patienceMs, runMs, pick }: RequestKind): void {
--- a/packages/placement/src/worker-state.ts
+++ b/packages/placement/src/worker-state.ts
@@ -1,6 +1,6 @@
 /** What one worker of the platform system has loaded, and the orders planned for it. */
 import type { Engine } from './engine.js';
-import { adapterCount, copyOf, sameHoldings, usedMb, type Holdings } from './holdings.js';
+import { adapterCount, cloneHoldings, sameHoldings, usedMb, type Holdings } from './holdings.js';
 import type { WorkerReport } from './orders.js';
 import { ReportSettling } from './report-settling.js';
 
@@ -99,7 +99,7 @@
   #rejections = 0;
 
   constructor(listed: Holdings) {
-    this.#holdings = copyOf(listed);
+    this.#holdings = cloneHoldings(listed);
     this.onDisk = new Set(listed.keys());
   }
 
@@ -127,7 +127,7 @@
   applyReport(report: WorkerReport): void {
     this.clear();
     if (report.sequence !== this.sequence) this.#unansweredOrders = [];
-    this.#holdings = copyOf(report.holdings);
+    this.#holdings = cloneHoldings(report.holdings);
     this.#hasReported = true;
     this.sequence = report.sequence;
     this.retired.clear();
@@ -142,7 +142,7 @@
    */
   isConsistentWith({ sequence, holdings }: WorkerReport): boolean {
     if (!this.#hasReported) return false;
-    const expected = copyOf(this.#holdings);
+    const expected = cloneHoldings(this.#holdings);
     if (sequence === this.sequence + 1) {
       const [order, ...others] = this.#unansweredOrders;
       if (order === undefined || others.some((other) => !isSameOrder(order, other))) return false;
@@ -200,7 +200,7 @@
   /** Whether a load stays within the memory and the adapter places, by the currently configured sizes. */
   fitsCapacity(engine: Engine, { action, model, adapter }: Step): boolean {
     if (action === 'unload') return true;
-    const after = copyOf(this.#holdings);
+    const after = cloneHoldings(this.#holdings);
     if (adapter !== '' && !after.has(model)) return false;
     applyStep(after, { action, model, adapter });
     return usedMb(engine, after) <= engine.roomMb && adapterCount(after) <= engine.adapterPlaces;
@@ -235,7 +235,7 @@
   }
 
   #projectHoldings(): Map<string, Set<string>> {
-    const planned = copyOf(this.#holdings);
+    const planned = cloneHoldings(this.#holdings);
     for (const step of this.#steps) applyStep(planned, step);
     return planned;
   }
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -1,5 +1,5 @@
 /** The workers of the platform system as its coordinator knows them, one versioned row for each. */
-import { copyOf, type Holdings } from './holdings.js';
+import { cloneHoldings, type Holdings } from './holdings.js';
 
 /** One worker as the platform lists it. */
 export interface ListedWorker {
@@ -79,12 +79,12 @@
   }
 
   /** Rows that changed after a number. */
-  since(number: number): WorkerRecord[] {
+  changedSince(number: number): WorkerRecord[] {
     return [...this.#rows.values()].filter((row) => row.number > number);
   }
 
   /** Gives a changed row a new number; `model` is given if only the copies of that model changed. */
-  touch(row: WorkerRecord, model?: string): void {
+  markChanged(row: WorkerRecord, model?: string): void {
     this.#number += 1;
     row.number = this.#number;
     if (model === undefined) this.#changedAll = true;
@@ -103,7 +103,7 @@
    * Applies the platform's complete list of workers, and returns the new ones. Listed holdings are used only
    * for new incarnations; later changes follow from replies to orders.
    */
-  learn(list: readonly ListedWorker[], nowMs: number): WorkerRecord[] {
+  applyList(list: readonly ListedWorker[], nowMs: number): WorkerRecord[] {
     const added: WorkerRecord[] = [];
     const listedIds = new Set<string>();
     for (const listed of list) {
@@ -116,7 +116,7 @@
       if (!listedIds.has(row.id) && !row.removed) {
         row.removed = true;
         row.removedMs = nowMs;
-        this.touch(row);
+        this.markChanged(row);
       } else if (row.removed && nowMs - row.removedMs > REMOVED_ROW_RETENTION_MS) this.#rows.delete(row.id);
     }
     return added;
@@ -124,7 +124,7 @@
 
   #insert(listed: ListedWorker, nowMs: number): WorkerRecord {
     const { id, service, address, zone, slots, draining, warmUpMs } = listed;
-    const models = copyOf(listed.models);
+    const models = cloneHoldings(listed.models);
     const row: WorkerRecord = {
       id,
       service,
@@ -141,7 +141,7 @@
       confirmed: false,
     };
     this.#rows.set(id, row);
-    this.touch(row);
+    this.markChanged(row);
     return row;
   }
 
@@ -161,6 +161,6 @@
     row.address = listed.address;
     row.slots = listed.slots;
     if (warmsUpAnew) row.warmUpUntilMs = warmUpUntilMs;
-    this.touch(row);
+    this.markChanged(row);
   }
 }
--- a/packages/process-group/src/agreement/acceptor.ts
+++ b/packages/process-group/src/agreement/acceptor.ts
@@ -119,12 +119,12 @@
   }
 
   /** Whether a write is waiting for its sync. */
-  get busy(): boolean {
+  get hasPendingWrites(): boolean {
     return this.#pendingWrites > 0;
   }
 
   /** Number of writes completed so far, failed ones included. */
-  get syncs(): number {
+  get syncCount(): number {
     return this.#syncCount;
   }
 
@@ -155,7 +155,7 @@
       epoch < this.#promisedEpoch || (epoch === this.#promisedEpoch && candidate !== this.#promisedTo);
     if (stale) return reply(this.#promise(epoch, false));
     if (epoch === this.#promisedEpoch) {
-      if (!this.busy) reply(this.#promise(epoch, true));
+      if (!this.hasPendingWrites) reply(this.#promise(epoch, true));
       return;
     }
     this.#promisedEpoch = epoch;
--- a/packages/process-group/src/agreement/candidacy.ts
+++ b/packages/process-group/src/agreement/candidacy.ts
@@ -87,7 +87,7 @@
   }
 
   /** Whether a pre-vote or a prepare phase of this node is in progress. */
-  get isUnderWay(): boolean {
+  get isInProgress(): boolean {
     return this.#round !== undefined;
   }
 
--- a/packages/process-group/src/agreement/coordination.ts
+++ b/packages/process-group/src/agreement/coordination.ts
@@ -238,7 +238,7 @@
       appliedVersion: () => local.appliedVersion,
       hasLeft: (incarnation) => liveness.hasSaidGoodbye(incarnation),
       isLive: (incarnation) => liveness.isLive(incarnation, local.nowMs()),
-      isReported: (incarnation) => liveness.isReported(incarnation),
+      isReported: (incarnation) => liveness.isSuspectedByMajority(incarnation),
       joiners: () => discovery.joiners(),
       memberOfVoter: (disk) => voters.memberOf(disk),
       send: (member, body) => transport.send(member, body),
--- a/packages/process-group/src/agreement/coordinator-wait.test.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.test.ts
@@ -17,7 +17,7 @@
 
   it('names the founder that is missing before the group is founded', () => {
     const cluster = new TestCluster(['a', 'b', 'c'], 1);
-    cluster.startFirst();
+    cluster.startAll();
     cluster.stop('c');
     cluster.run(2000);
     const wait = cluster.node('a').group.coordinatorWait();
@@ -45,7 +45,7 @@
     const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     for (const name of ['a', 'b']) cluster.restart(name);
-    for (const name of ['a', 'b']) cluster.node(name).stalled = true;
+    for (const name of ['a', 'b']) cluster.node(name).isDiskStalled = true;
     cluster.run(4000);
     const waits = cluster.running.map(({ group }) => group.coordinatorWait());
     const longest = Math.max(...waits.map((wait) => wait?.diskMs ?? 0));
--- a/packages/process-group/src/agreement/coordinator-wait.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.ts
@@ -140,7 +140,7 @@
     const attempt = election.candidacy?.missing();
     if (attempt !== undefined)
       return { phase: attempt.isPreVote ? WaitPhase.PreVote : WaitPhase.Prepare, missing: attempt.disks };
-    if (acceptor.busy) return { phase: WaitPhase.Disk, missing: [acceptor.disk] };
+    if (acceptor.hasPendingWrites) return { phase: WaitPhase.Disk, missing: [acceptor.disk] };
     if (founding.mayFound()) return { phase: WaitPhase.Founding, missing: this.#missingFounders() };
     return this.#waitForElection(acceptor, nowMs);
   }
@@ -187,7 +187,7 @@
       return {
         name,
         disk,
-        contactMsAgo: contact === undefined ? null : Math.round(nowMs - contact.atMs),
+        contactMsAgo: contact === undefined ? null : Math.round(nowMs - contact.lastContactMs),
         live: member !== undefined && liveness.isLive(member.incarnation, nowMs),
       };
     });
--- a/packages/process-group/src/agreement/election.test.ts
+++ b/packages/process-group/src/agreement/election.test.ts
@@ -52,7 +52,7 @@
     const leader = cluster.leader();
     const [next] = cluster.running.filter((node) => node !== leader);
     if (leader !== undefined) leader.running = false;
-    if (next !== undefined) next.stalled = true;
+    if (next !== undefined) next.isDiskStalled = true;
     const tookMs = cluster.runUntil(() => cluster.leader() !== undefined, 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 3500);
   });
--- a/packages/process-group/src/agreement/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -66,10 +66,10 @@
     const candidacy = this.#candidacy;
     if (acceptor === undefined || candidacy === undefined) return;
     if (founding.mayFound()) return founding.tick();
-    if (candidacy.isUnderWay) return candidacy.tick(nowMs);
+    if (candidacy.isInProgress) return candidacy.tick(nowMs);
     if (coordinatorWatch.live() !== undefined) this.#turnDeadlineMs = undefined;
     if (!candidacy.isDue(nowMs) && !this.#mayStartEarly(candidacy, acceptor)) return;
-    if (coordination.isIneligible(nowMs) || acceptor.busy) return;
+    if (coordination.isIneligible(nowMs) || acceptor.hasPendingWrites) return;
     if (!this.#isTurn(candidacy, acceptor.disk, nowMs)) return;
     if (candidacy.isCoordinated(undefined, nowMs) || candidacy.isHoldingPromise(undefined, nowMs)) return;
     candidacy.begin(nowMs);
--- a/packages/process-group/src/agreement/founding.ts
+++ b/packages/process-group/src/agreement/founding.ts
@@ -52,7 +52,7 @@
     const ownName = this.#founderName();
     if (acceptor === undefined || ownName === undefined || [...founders].sort()[0] !== ownName) return;
     const members = this.#founderMembers(ownName);
-    if (members === undefined || acceptor.busy) return;
+    if (members === undefined || acceptor.hasPendingWrites) return;
     const state = this.#initialState(acceptor, members);
     const { epoch, view } = state;
     acceptor.prepare(create(PrepareSchema, { epoch, disk: acceptor.disk }), (promise) => {
--- a/packages/process-group/src/agreement/group-state.test.ts
+++ b/packages/process-group/src/agreement/group-state.test.ts
@@ -4,7 +4,7 @@
 import { fault } from '@rainrun/common';
 import { expect } from 'earl';
 import { Result } from 'true-myth';
-import { VIEW } from '../testing/three-member-view.js';
+import { THREE_MEMBER_VIEW } from '../testing/three-member-view.js';
 import { advance, ANSWER_RETENTION_MS, type GroupState } from './group-state.js';
 import type { StateMachine } from './state-machine.js';
 
@@ -23,7 +23,7 @@
     epoch: 1,
     number: 1,
     deployment: 'd',
-    view: VIEW,
+    view: THREE_MEMBER_VIEW,
     previousView: undefined,
     voters: [],
     previousVoters: [],
--- a/packages/process-group/src/agreement/restart.test.ts
+++ b/packages/process-group/src/agreement/restart.test.ts
@@ -29,14 +29,14 @@
     const recoveryTimesMs = CORES.map((first) => {
       const others = CORES.filter((name) => name !== first);
       const unreached = others.slice(2).map((name) => `${first} ${name}`);
-      return restartedCluster(unreached).recover(20_000);
+      return restartedCluster(unreached).measureRecoveryMs(20_000);
     });
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
 
   it('elects a coordinator although the first voter hears all others and none of them hears it', () => {
     const recoveryTimesMs = CORES.map((first) =>
-      restartedCluster(CORES.map((name) => `${first} ${name}`)).recover(20_000),
+      restartedCluster(CORES.map((name) => `${first} ${name}`)).measureRecoveryMs(20_000),
     );
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
@@ -44,8 +44,8 @@
   it('elects a coordinator although the disk of any one core stalls from its start on', () => {
     const recoveryTimesMs = CORES.map((name) => {
       const cluster = restartedCluster([]);
-      cluster.node(name).stalled = true;
-      return cluster.recover(20_000);
+      cluster.node(name).isDiskStalled = true;
+      return cluster.measureRecoveryMs(20_000);
     });
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
@@ -57,7 +57,7 @@
       cluster.run(delay * 25);
       const elected = cluster.running.find(({ group }) => group.isCoordinator)?.name;
       for (const name of CORES) if (name !== elected) cluster.restart(name);
-      return cluster.recover(30_000);
+      return cluster.measureRecoveryMs(30_000);
     });
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
@@ -65,10 +65,10 @@
   it('completes a founding that the restart interrupted, at any moment of it', () => {
     const recoveryTimesMs = [0, 5, 25, 50, 100, 150, 200, 300, 500, 1000].map((afterMs) => {
       const cluster = new TestCluster(CORES, 2);
-      cluster.startFirst();
+      cluster.startAll();
       cluster.run(10 + afterMs);
       for (const name of CORES) cluster.restart(name);
-      return cluster.recover(20_000);
+      return cluster.measureRecoveryMs(20_000);
     });
     for (const ms of recoveryTimesMs) expect(ms).toSatisfy((value: number) => value < RECOVERY_MAX_MS);
   });
@@ -96,7 +96,7 @@
     cluster.setIsolated('c', false);
     cluster.runUntil(() => cluster.node('c').group.view !== undefined, 10_000);
     cluster.stop(cluster.leader()?.name === 'a' ? 'b' : 'a');
-    expect(cluster.recover(20_000)).toSatisfy((ms: number) => ms < RECOVERY_MAX_MS);
+    expect(cluster.measureRecoveryMs(20_000)).toSatisfy((ms: number) => ms < RECOVERY_MAX_MS);
   });
 });
 
--- a/packages/process-group/src/agreement/versions.ts
+++ b/packages/process-group/src/agreement/versions.ts
@@ -33,7 +33,7 @@
   readonly local: LocalMember<S>;
   readonly transport: Transport<S>;
   readonly heartbeats: { send(nowMs: number): void };
-  readonly viewChange: { enter(view: View): void; open(): void; rejoin(): void };
+  readonly viewChange: { enterView(view: View): void; startCasts(): void; rejoin(): void };
 }
 
 /**
@@ -127,9 +127,9 @@
     if (decoded.isErr || rankOf(decoded.value.view, local.incarnation) < 0) return;
     local.setState(decoded.value);
     this.#appendToLog(version);
-    viewChange.enter(decoded.value.view);
+    viewChange.enterView(decoded.value.view);
     dependencies.listener.onVersion(decoded.value, undefined);
-    viewChange.open();
+    viewChange.startCasts();
     heartbeats.send(local.nowMs());
   }
 
@@ -137,14 +137,14 @@
     const { casts, dependencies, local, viewChange } = this.#collaborators;
     const entry = version.entry ?? create(EntrySchema);
     const { view } = entry;
-    if (view !== undefined) casts.finish(entry.flushedCasts);
+    if (view !== undefined) casts.deliverFlushedCasts(entry.flushedCasts);
     const next = advance(dependencies.stateMachine, state, version.epoch, entry);
     local.setState(next);
     this.#appendToLog(version);
     if (view !== undefined && rankOf(view, local.incarnation) < 0) return viewChange.rejoin();
-    if (view !== undefined) viewChange.enter(view);
+    if (view !== undefined) viewChange.enterView(view);
     dependencies.listener.onVersion(next, entry);
-    if (view !== undefined) viewChange.open();
+    if (view !== undefined) viewChange.startCasts();
   }
 
   #appendToLog(version: Version): void {
--- a/packages/process-group/src/group.ts
+++ b/packages/process-group/src/group.ts
@@ -76,7 +76,7 @@
   }
 
   /** Number of casts kept because not all members are known to have them yet. */
-  get unstableCount(): number {
+  get unstableCastCount(): number {
     return this.#wiring.casts.unstableCount;
   }
 
@@ -102,7 +102,7 @@
 
   /** The version that another member had applied when it last acknowledged a heartbeat. */
   versionAt(incarnation: string): number | undefined {
-    return this.#wiring.leases.versionAt(incarnation);
+    return this.#wiring.leases.appliedVersionOf(incarnation);
   }
 
   /** Whether this node may admit work now. */
@@ -139,7 +139,7 @@
   }
 
   /** Whether the group retains as many answers to operators as it can, so that no further one fits. */
-  get isFull(): boolean {
+  get isRetentionFull(): boolean {
     return this.#wiring.submissions.isRetentionFull;
   }
 
@@ -192,8 +192,8 @@
     const suspendedMs = liveness.tick(nowMs);
     if (suspendedMs <= 0) return;
     election.onResume(nowMs);
-    transport.onSleep(suspendedMs);
-    diskWatch.onSleep(suspendedMs);
+    transport.onProcessSuspended(suspendedMs);
+    diskWatch.onProcessSuspended(suspendedMs);
   }
 
   #driveCoordination(nowMs: number): void {
--- a/packages/process-group/src/leases/lease-acknowledgements.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -35,7 +35,7 @@
   }
 
   /** The version that a member had applied when it last acknowledged a heartbeat. */
-  versionAt(incarnation: string): number | undefined {
+  appliedVersionOf(incarnation: string): number | undefined {
     return this.#acknowledgements.get(incarnation)?.number;
   }
 
--- a/packages/process-group/src/leases/leases.ts
+++ b/packages/process-group/src/leases/leases.ts
@@ -53,8 +53,8 @@
   }
 
   /** The version that a member had applied when it last acknowledged a heartbeat. */
-  versionAt(incarnation: string): number | undefined {
-    return this.#acknowledgements.versionAt(incarnation);
+  appliedVersionOf(incarnation: string): number | undefined {
+    return this.#acknowledgements.appliedVersionOf(incarnation);
   }
 
   /** Whether this node may admit work now. */
--- a/packages/process-group/src/membership/discovery.ts
+++ b/packages/process-group/src/membership/discovery.ts
@@ -15,7 +15,7 @@
 /** A node that was recently in contact, as it described itself. */
 export interface Contact {
   readonly member: Member;
-  readonly atMs: number;
+  readonly lastContactMs: number;
   readonly inView: boolean;
   /** Number of the newest version that it holds or has accepted. */
   readonly newestVersion: number;
@@ -110,7 +110,7 @@
       liveness.recordAnswer(member.incarnation, nowMs);
       this.#contacts.set(member.incarnation, {
         member,
-        atMs: nowMs,
+        lastContactMs: nowMs,
         inView: false,
         newestVersion: number,
         founding,
@@ -131,7 +131,13 @@
     liveness.recordAnswer(member.incarnation, nowMs);
     const { inView, newestVersion: number, founding } = ack;
     if (ack.rejection !== '' && !local.inView) dependencies.listener.onJoinRejected(ack.rejection);
-    this.#contacts.set(member.incarnation, { member, atMs: nowMs, inView, newestVersion: number, founding });
+    this.#contacts.set(member.incarnation, {
+      member,
+      lastContactMs: nowMs,
+      inView,
+      newestVersion: number,
+      founding,
+    });
     for (const known of ack.known)
       if (known.incarnation !== local.incarnation) directory.learnAddress(known.address);
     const listed = ack.known.some((known) => known.incarnation === local.incarnation);
@@ -153,7 +159,7 @@
 
   #dropOldContacts(nowMs: number): void {
     for (const [incarnation, contact] of this.#contacts) {
-      if (nowMs - contact.atMs > CONTACT_RETENTION_FACTOR * CONTACT_FRESH_MS)
+      if (nowMs - contact.lastContactMs > CONTACT_RETENTION_FACTOR * CONTACT_FRESH_MS)
         this.#contacts.delete(incarnation);
     }
   }
@@ -224,5 +230,5 @@
 }
 
 function isFresh(contact: Contact, nowMs: number): boolean {
-  return nowMs - contact.atMs < CONTACT_FRESH_MS;
+  return nowMs - contact.lastContactMs < CONTACT_FRESH_MS;
 }
--- a/packages/process-group/src/membership/disk-watch.ts
+++ b/packages/process-group/src/membership/disk-watch.ts
@@ -36,16 +36,17 @@
   /** How long writes have been pending without a sync; 0 while none are pending. */
   waitMs(nowMs: number): number {
     const acceptor = this.#acceptor;
-    if (acceptor === undefined || !acceptor.busy) {
+    if (acceptor === undefined || !acceptor.hasPendingWrites) {
       this.#lastSync = undefined;
       return 0;
     }
-    if (this.#lastSync?.syncs !== acceptor.syncs) this.#lastSync = { syncs: acceptor.syncs, sinceMs: nowMs };
+    if (this.#lastSync?.syncs !== acceptor.syncCount)
+      this.#lastSync = { syncs: acceptor.syncCount, sinceMs: nowMs };
     return nowMs - this.#lastSync.sinceMs;
   }
 
   /** Excludes the time for which this process was suspended from the disk's wait. */
-  onSleep(suspendedMs: number): void {
+  onProcessSuspended(suspendedMs: number): void {
     if (this.#lastSync !== undefined) this.#lastSync.sinceMs += suspendedMs;
   }
 }
--- a/packages/process-group/src/membership/liveness.ts
+++ b/packages/process-group/src/membership/liveness.ts
@@ -43,12 +43,12 @@
   isLive(incarnation: string, nowMs: number): boolean {
     const lagMs = this.#collaborators.transport.lagMs(incarnation, nowMs);
     return (
-      lagMs <= this.#collaborators.dependencies.times.maxLagMs && this.#detector.live(incarnation, nowMs)
+      lagMs <= this.#collaborators.dependencies.times.maxLagMs && this.#detector.isLive(incarnation, nowMs)
     );
   }
 
   /** Whether a majority of the view suspects this incarnation. */
-  isReported(incarnation: string): boolean {
+  isSuspectedByMajority(incarnation: string): boolean {
     const view = this.#collaborators.local.view;
     if (view === undefined) return false;
     const reports = view.members.filter((member) =>
@@ -74,18 +74,18 @@
 
   /** Records that an incarnation has answered. */
   recordAnswer(incarnation: string, nowMs: number): void {
-    this.#detector.answered(incarnation, nowMs);
+    this.#detector.recordAnswer(incarnation, nowMs);
   }
 
   /** Marks an incarnation as failed permanently. */
   markFailed(incarnation: string): void {
-    this.#detector.report(incarnation);
+    this.#detector.markFailed(incarnation);
   }
 
   /** Handles a goodbye: the incarnation counts as failed from now on. */
   onGoodbye(incarnation: string): void {
     this.#saidGoodbye.add(incarnation);
-    this.#detector.report(incarnation);
+    this.#detector.markFailed(incarnation);
   }
 
   /** Records which members a member suspects and whether it can coordinate. */
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -98,12 +98,12 @@
       for (const lost of THREE.filter((name) => name !== leaving)) {
         const cluster = foundCluster(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
         const third = THREE.find((name) => name !== leaving && name !== lost) ?? '';
-        cluster.node(third).stalled = true;
+        cluster.node(third).isDiskStalled = true;
         cluster.submit(leaving);
         cluster.run(300);
         const { size } = cluster.acknowledged;
         cluster.node(leaving).group.leave();
-        cluster.node(third).stalled = false;
+        cluster.node(third).isDiskStalled = false;
         cluster.run(150);
         cluster.stop(leaving);
         cluster.start('successor');
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -100,7 +100,7 @@
     const self = this.#context.self().incarnation;
     if (rankOf(view, self) >= 0 && this.#context.appliedVersion() < state.number) return false;
     this.#changeNeededSinceMs ??= nowMs;
-    if (nowMs - this.#changeNeededSinceMs < this.#context.times.graceMs) return false;
+    if (nowMs - this.#changeNeededSinceMs < this.#context.times.viewChangeDelayMs) return false;
     if (!this.#departed.hasMajority(view, (member) => staying.includes(member))) return false;
     this.#changeNeededSinceMs = undefined;
     this.#mustInstallView = true;
@@ -124,7 +124,7 @@
     const missing = change.staying.filter((member) => !change.castsByMember.has(member.incarnation));
     if (this.#mustAbort(change, missing, nowMs)) {
       this.#pendingChange = undefined;
-      this.#changeNeededSinceMs = nowMs - this.#context.times.graceMs;
+      this.#changeNeededSinceMs = nowMs - this.#context.times.viewChangeDelayMs;
       return;
     }
     if (missing.length === 0) return this.#install(change, state, nowMs);
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -80,7 +80,7 @@
   }
 
   /** Puts a view into force on this node; its casts start with `open`. */
-  enter(view: View): void {
+  enterView(view: View): void {
     const { casts, directory, liveness, local, transport, versions } = this.#collaborators;
     const nowMs = local.nowMs();
     local.enterView();
@@ -99,7 +99,7 @@
   }
 
   /** Starts the casts of the view, once it has been announced, with those that were buffered for it. */
-  open(): void {
+  startCasts(): void {
     this.#collaborators.casts.releaseBuffered();
   }
 
--- a/packages/process-group/src/membership/waits.test.ts
+++ b/packages/process-group/src/membership/waits.test.ts
@@ -26,19 +26,19 @@
     const { cluster, leader, followers } = foundCluster();
     const [hung] = followers;
     if (hung === undefined) return;
-    hung.stalled = true;
-    expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 1000);
+    hung.isDiskStalled = true;
+    expect(cluster.measureRecoveryMs(10_000)).toSatisfy((ms: number) => ms < 1000);
     const tookMs = cluster.runUntil(() => !memberNamesOf(leader).includes(hung.name), 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 7000);
   });
 
   it('for the disks of a majority ends when they sync again, and nothing acknowledged is lost', () => {
     const { cluster, leader, followers } = foundCluster();
-    for (const node of followers.slice(0, 3)) node.stalled = true;
+    for (const node of followers.slice(0, 3)) node.isDiskStalled = true;
     cluster.submit(leader.name);
     cluster.run(6000);
-    for (const node of followers) node.stalled = false;
-    expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 3000);
+    for (const node of followers) node.isDiskStalled = false;
+    expect(cluster.measureRecoveryMs(10_000)).toSatisfy((ms: number) => ms < 3000);
     cluster.run(2000);
     expect(cluster.missingOperations(cluster.leader()?.name ?? '')).toEqual([]);
   });
@@ -64,7 +64,7 @@
     cluster.setIsolated(leader.name, true);
     leader.group.leave();
     cluster.stop(leader.name);
-    expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 4000);
+    expect(cluster.measureRecoveryMs(10_000)).toSatisfy((ms: number) => ms < 4000);
   });
 
   it('for flushes of members that cannot answer ends with a view without them', () => {
@@ -75,6 +75,6 @@
     cluster.severedLinks.add(`${muted.name} ${leader.name}`);
     const tookMs = cluster.runUntil(() => memberNamesOf(leader).length === CORES.length - 2, 20_000);
     expect(tookMs).toSatisfy((ms: number) => ms < 6000);
-    expect(cluster.recover(10_000)).toSatisfy((ms: number) => ms < 1000);
+    expect(cluster.measureRecoveryMs(10_000)).toSatisfy((ms: number) => ms < 1000);
   });
 });
--- a/packages/process-group/src/model-checking/agreement-model.ts
+++ b/packages/process-group/src/model-checking/agreement-model.ts
@@ -145,7 +145,7 @@
   /** Whether this machine is one of the voters it knows and would prepare if it knew of no coordinator. */
   get canPrepare(): boolean {
     const listed = this.#voters().voters.some((voter) => voter.disk === this.from.machine);
-    return listed && this.#coordinator === undefined && !this.#acceptor.busy;
+    return listed && this.#coordinator === undefined && !this.#acceptor.hasPendingWrites;
   }
 
   /** Whether this machine coordinates and has no proposal in progress. */
@@ -205,7 +205,7 @@
         this.#deliver(input.message);
         break;
     }
-    if (!this.#candidacy.isUnderWay && this.#coordinator === undefined) this.#relevantInputs = [];
+    if (!this.#candidacy.isInProgress && this.#coordinator === undefined) this.#relevantInputs = [];
     return this.#sent;
   }
 
--- a/packages/process-group/src/multicast/casts.ts
+++ b/packages/process-group/src/multicast/casts.ts
@@ -93,7 +93,7 @@
   }
 
   /** Delivers the casts that were agreed to end this view. */
-  finish(flushedCasts: readonly Cast[]): void {
+  deliverFlushedCasts(flushedCasts: readonly Cast[]): void {
     this.#causal?.finish(flushedCasts);
   }
 
--- a/packages/process-group/src/multicast/causal-order.test.ts
+++ b/packages/process-group/src/multicast/causal-order.test.ts
@@ -1,12 +1,12 @@
 import { describe, it } from 'node:test';
 import type { Cast } from '@rainrun/messages';
 import { expect } from 'earl';
-import { VIEW } from '../testing/three-member-view.js';
+import { THREE_MEMBER_VIEW } from '../testing/three-member-view.js';
 import { CausalOrder, flushedCastsOf } from './causal-order.js';
 
 function member(incarnation: string): { causal: CausalOrder; delivered: string[] } {
   const delivered: string[] = [];
-  const causal = new CausalOrder(VIEW, incarnation, (cast) =>
+  const causal = new CausalOrder(THREE_MEMBER_VIEW, incarnation, (cast) =>
     delivered.push(`${cast.sender}${cast.sequence}`),
   );
   return { causal, delivered };
@@ -64,7 +64,7 @@
     b.causal.receive(one);
     b.causal.receive(two);
     c.causal.receive(one);
-    const flushedCasts = flushedCastsOf(VIEW, [b.causal.stop(), c.causal.stop()]);
+    const flushedCasts = flushedCastsOf(THREE_MEMBER_VIEW, [b.causal.stop(), c.causal.stop()]);
     const late = b.causal.stop();
     for (const { causal } of [b, c]) causal.finish(flushedCasts);
     expect(late.length).toEqual(2);
@@ -87,7 +87,7 @@
       const cast = member(sender).causal.send(EMPTY);
       return { ...cast, sequence, contextRank: [0, 1, 2], contextCount: context };
     }
-    const flushedCasts = flushedCastsOf(VIEW, [
+    const flushedCasts = flushedCastsOf(THREE_MEMBER_VIEW, [
       [full('b', 1, [1, 1, 0]), full('c', 1, [0, 5, 1])],
       [full('a', 1, [1, 0, 0])],
     ]);
--- a/packages/process-group/src/testing/restart-trial.ts
+++ b/packages/process-group/src/testing/restart-trial.ts
@@ -66,7 +66,7 @@
       this.#killAndRestartAll();
     }
     this.#impairOneCore();
-    const recoveredMs = this.#cluster.recover(RECOVERY_TIMEOUT_MS);
+    const recoveredMs = this.#cluster.measureRecoveryMs(RECOVERY_TIMEOUT_MS);
     this.#cluster.run(2000);
     const leader = this.#cluster.leader();
     const lost = leader === undefined ? [] : this.#cluster.missingOperations(leader.name);
@@ -75,7 +75,7 @@
 
   /** Starts all cores for the first time, so that the kill comes while the group is being founded. */
   #startFounding(): void {
-    this.#cluster.startFirst();
+    this.#cluster.startAll();
     this.#cluster.run(10);
     const afterMs = this.#randomBelow(1500);
     this.#cluster.run(afterMs);
@@ -128,7 +128,7 @@
     const core = this.#cores[this.#randomBelow(this.#cores.length)];
     if (kind < 1 / 3 || core === undefined || !this.#haveQuorumWithout(core)) return;
     if (kind < 2 / 3) {
-      this.#cluster.node(core).stalled = true;
+      this.#cluster.node(core).isDiskStalled = true;
       this.#recordEvent(`the disk of ${core} hangs`);
       return;
     }
--- a/packages/process-group/src/testing/test-cluster.ts
+++ b/packages/process-group/src/testing/test-cluster.ts
@@ -44,7 +44,7 @@
   readonly writes: { readonly dueMs: number; readonly sync: () => void }[];
   /** How long this disk takes to sync a write. */
   syncMs: number;
-  stalled: boolean;
+  isDiskStalled: boolean;
   running: boolean;
 }
 
@@ -77,7 +77,7 @@
   }
 
   /** Starts all machines for the first time. */
-  startFirst(): void {
+  startAll(): void {
     this.#founders = this.#seeds.slice(0, 3);
     for (const name of this.#seeds) this.start(name);
     this.#founders = [];
@@ -85,7 +85,7 @@
 
   /** Starts all machines for the first time and waits until the group has its voters. */
   found(): void {
-    this.startFirst();
+    this.startAll();
     this.runUntil(() => this.leader()?.group.state?.voters.length === this.#desiredVoterCount, 20_000);
     this.run(1000);
   }
@@ -118,7 +118,15 @@
     const founders = records?.disk === undefined ? this.#founders : opened.founders;
     const acceptor = new Acceptor({ ...opened, founders }, writer, 'test', () => undefined);
     const group = this.#group(name, acceptor);
-    const node: TestNode = { name, records: disk, group, writes, syncMs: 1, stalled: false, running: true };
+    const node: TestNode = {
+      name,
+      records: disk,
+      group,
+      writes,
+      syncMs: 1,
+      isDiskStalled: false,
+      running: true,
+    };
     if (records?.disk === undefined) acceptor.writeDiskRecord();
     this.nodes.set(name, node);
     return node;
@@ -144,7 +152,7 @@
    * Submits operations at every running core repeatedly until one of them is
    * acknowledged; returns how long that took.
    */
-  recover(timeoutMs: number): number {
+  measureRecoveryMs(timeoutMs: number): number {
     const earlier = this.#operationsCreated;
     let probedMs = -Infinity;
     return this.runUntil(() => {
@@ -214,7 +222,8 @@
   }
 
   #runNode(node: TestNode): void {
-    while (!node.stalled && (node.writes[0]?.dueMs ?? Infinity) <= this.nowMs) node.writes.shift()?.sync();
+    while (!node.isDiskStalled && (node.writes[0]?.dueMs ?? Infinity) <= this.nowMs)
+      node.writes.shift()?.sync();
     if (this.nowMs % TICK_MS === 0) node.group.tick();
   }
 
--- a/packages/process-group/src/testing/three-member-view.ts
+++ b/packages/process-group/src/testing/three-member-view.ts
@@ -3,7 +3,7 @@
 import { MemberSchema, ViewSchema } from '@rainrun/messages';
 
 /** Members a, b and c, in that order. */
-export const VIEW = create(ViewSchema, {
+export const THREE_MEMBER_VIEW = create(ViewSchema, {
   epoch: 1,
   number: 1,
   members: ['a', 'b', 'c'].map((incarnation) => create(MemberSchema, { incarnation, name: incarnation })),
--- a/packages/process-group/src/times.ts
+++ b/packages/process-group/src/times.ts
@@ -13,7 +13,7 @@
   /** Duration of a lease, counted from the sending of the acknowledged heartbeat. */
   readonly leaseMs: number;
   /** Delay before a pending view change starts, so that several changes are made together. */
-  readonly graceMs: number;
+  readonly viewChangeDelayMs: number;
   /** Time that members have to flush; a member that takes longer is left out of the next view. */
   readonly flushMs: number;
   /** Interval at which an unanswered request is sent again. */
@@ -33,7 +33,7 @@
   suspectMs: 1500,
   pauseMs: 400,
   leaseMs: 1000,
-  graceMs: 250,
+  viewChangeDelayMs: 250,
   flushMs: 1500,
   resendMs: 250,
   voterReplacementMs: 4000,
@@ -48,5 +48,5 @@
   suspectMs: 900,
   leaseMs: 600,
   helloMs: 100,
-  graceMs: 100,
+  viewChangeDelayMs: 100,
 };
--- a/packages/process-group/src/transport/transport.ts
+++ b/packages/process-group/src/transport/transport.ts
@@ -90,8 +90,8 @@
   }
 
   /** Excludes the time for which this process was suspended from the lag of the others. */
-  onSleep(suspendedMs: number): void {
-    for (const channel of this.#channels.values()) channel.slept(suspendedMs);
+  onProcessSuspended(suspendedMs: number): void {
+    for (const channel of this.#channels.values()) channel.excludeSuspension(suspendedMs);
   }
 
   /** Closes the channels to all but the given incarnations. */
--- a/packages/quotas/src/allocator-choice.ts
+++ b/packages/quotas/src/allocator-choice.ts
@@ -1,6 +1,6 @@
 /** Chooses the core that allocates the quota of a tenant, by rendezvous hashing over the cores of a view. */
 import type { Member } from '@rainrun/messages';
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 
 /**
  * Returns the core that allocates a tenant's quota, or undefined if no member has a disk. All nodes with the
@@ -14,7 +14,7 @@
   let highest = -1;
   for (const member of members) {
     if (member.disk === '') continue;
-    const rank = spread(`${tenant} ${member.name}`);
+    const rank = mixedHash(`${tenant} ${member.name}`);
     if (rank > highest || (rank === highest && member.name < (chosen?.name ?? ''))) {
       chosen = member;
       highest = rank;
--- a/packages/quotas/src/client.test.ts
+++ b/packages/quotas/src/client.test.ts
@@ -59,7 +59,7 @@
 
 function harnessWithView(): ClientHarness {
   const harness = new ClientHarness();
-  harness.client.learnView(VIEW);
+  harness.client.updateView(VIEW);
   return harness;
 }
 
@@ -163,12 +163,12 @@
     const harness = new ClientHarness();
     harness.acquire();
     expect(harness.sent.length).toEqual(0);
-    harness.client.learnView(VIEW);
+    harness.client.updateView(VIEW);
     const first = harness.sent[0]?.to;
-    harness.client.learnView({ epoch: 2, number: 2, members: CORES.filter((member) => member !== first) });
+    harness.client.updateView({ epoch: 2, number: 2, members: CORES.filter((member) => member !== first) });
     expect(harness.sent.length).toEqual(2);
     expect(harness.sent[1]?.to).not.toEqual(first);
-    harness.client.learnView(VIEW);
+    harness.client.updateView(VIEW);
     expect(harness.sent.length).toEqual(2);
   });
 
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -123,7 +123,7 @@
   }
 
   /** Chooses allocators by `view` from now on. A view that is not newer than the current one is ignored. */
-  learnView(view: QuotaView): void {
+  updateView(view: QuotaView): void {
     if (this.#view !== undefined && !isNewer(view, this.#view)) return;
     this.#view = view;
     const previousQueues = this.#queues;
--- a/packages/quotas/src/testing/edge-node.ts
+++ b/packages/quotas/src/testing/edge-node.ts
@@ -159,6 +159,6 @@
   }
 
   #learnView(view: QuotaView): void {
-    this.#client.learnView(view);
+    this.#client.updateView(view);
   }
 }
--- a/packages/quotas/src/testing/quota-cost.ts
+++ b/packages/quotas/src/testing/quota-cost.ts
@@ -87,7 +87,7 @@
     self: () => self,
     send: (to, draw) => pending.push(() => exchange(client, to, draw)),
   });
-  client.learnView(view);
+  client.updateView(view);
   return client;
 }
 
--- a/packages/router/src/balancer.ts
+++ b/packages/router/src/balancer.ts
@@ -1,5 +1,5 @@
 /** Chooses a worker for a request at an edge of the platform system. */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import type { NoWorkerReason, RoutedRequest, WorkerView } from './request.js';
 import { BALANCER_POLICY } from './routing-policy.js';
 import { rankWorkers } from './worker-ranking.js';
@@ -10,9 +10,9 @@
   /** The zone of this edge. */
   readonly zone: string;
   /** Zones whose workers get no new requests. */
-  evacuated(): readonly string[];
+  evacuatedZones(): readonly string[];
   /** The region that a zone belongs to; empty if it belongs to none. */
-  region(zone: string): string;
+  regionOf(zone: string): string;
 }
 
 /** `sharePercent` of a worker to which every edge may send. */
@@ -44,7 +44,7 @@
   choose(request: RoutedRequest, workers: Iterable<WorkerView>): WorkerView | NoWorkerReason {
     const { clientRequest, service } = request;
     const nowMs = this.#dependencies.nowMs();
-    const evacuated = this.#dependencies.evacuated();
+    const evacuated = this.#dependencies.evacuatedZones();
     const maxInFlight = this.#maxInFlight(service.connections);
     const allowed: WorkerView[] = [];
     const ejected: WorkerView[] = [];
@@ -79,7 +79,7 @@
   #isEligible({ service, route }: RoutedRequest, worker: WorkerView, evacuated: readonly string[]): boolean {
     if (worker.service !== service.name || worker.draining || evacuated.includes(worker.zone)) return false;
     const regions = route.regions ?? [];
-    return regions.length === 0 || regions.includes(this.#dependencies.region(worker.zone));
+    return regions.length === 0 || regions.includes(this.#dependencies.regionOf(worker.zone));
   }
 
   /** Why an eligible worker cannot take a request now; undefined if it can. */
@@ -99,7 +99,7 @@
   /** Whether this edge is in the share of edges that may send to a worker. */
   #isAllowedByShare({ id, sharePercent }: WorkerView): boolean {
     if (sharePercent >= ALL_EDGES_PERCENT) return true;
-    return spread(`${id} ${this.#dependencies.salt}`) % ALL_EDGES_PERCENT < sharePercent;
+    return mixedHash(`${id} ${this.#dependencies.salt}`) % ALL_EDGES_PERCENT < sharePercent;
   }
 
   /** Most requests that this edge may have in flight at one worker: its share of the worker's connections. */
--- a/packages/router/src/route-table.ts
+++ b/packages/router/src/route-table.ts
@@ -1,5 +1,5 @@
 /** Finds the route and the service of a request from the configuration of the platform system. */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import type { Configuration, RouteEntry, ServiceEntry } from '@rainrun/configuration';
 
 /** A route, and the service that one request of it is sent to. */
@@ -50,7 +50,7 @@
   const split = route.split ?? [];
   const sum = split.reduce((total, part) => total + part.weight, 0);
   if (sum <= 0) return route.service ?? '';
-  let position = (spread(id) / 2 ** 32) * sum;
+  let position = (mixedHash(id) / 2 ** 32) * sum;
   for (const part of split) {
     position -= part.weight;
     if (position < 0) return part.service;
--- a/packages/router/src/router.ts
+++ b/packages/router/src/router.ts
@@ -35,11 +35,11 @@
   /** Where permits for the requests of tenants with a quota come from. */
   readonly permits: PermitSource;
   /** Zones whose workers get no new requests. */
-  evacuated(): readonly string[];
+  evacuatedZones(): readonly string[];
   /** The workers known here, by id. */
   workers(): ReadonlyMap<string, WorkerView>;
   /** The region that a zone belongs to; empty if it belongs to none. */
-  region(zone: string): string;
+  regionOf(zone: string): string;
   /** A model is requested that no worker has loaded. */
   onModelMissing(): void;
   /** A request has begun to wait: from now on `tick` must be called often enough to dispatch it. */
@@ -97,9 +97,9 @@
       zone: dependencies.zone,
       salt: dependencies.incarnation(),
       nowMs: () => dependencies.clock.nowMs(),
-      evacuated: () => dependencies.evacuated(),
+      evacuatedZones: () => dependencies.evacuatedZones(),
       edges: () => dependencies.edges(),
-      region: (zone) => dependencies.region(zone),
+      regionOf: (zone) => dependencies.regionOf(zone),
     });
   }
 
@@ -336,7 +336,7 @@
       request.clientLeft ||
       known === undefined ||
       known.draining ||
-      this.#dependencies.evacuated().includes(known.zone)
+      this.#dependencies.evacuatedZones().includes(known.zone)
     )
       return false;
     if (this.#dependencies.clock.nowMs() >= request.expiresMs) return false;
--- a/packages/router/src/tenant-access.ts
+++ b/packages/router/src/tenant-access.ts
@@ -39,7 +39,7 @@
   identify(clientRequest: ClientRequest): Identity {
     const directory = this.#directory();
     if (directory === undefined) return NO_TENANTS;
-    return { directory, tenant: directory.holderOf(clientRequest.apiKey) };
+    return { directory, tenant: directory.tenantByKey(clientRequest.apiKey) };
   }
 
   /** Whether keys are required and the request has none that belongs to a tenant. */
--- a/packages/router/src/testing/router-harness.ts
+++ b/packages/router/src/testing/router-harness.ts
@@ -300,11 +300,11 @@
       configuration: () => (this.configured ? this.configuration : undefined),
       tenants: () => this.tenants,
       permits: this.permits,
-      evacuated: () => this.evacuated,
+      evacuatedZones: () => this.evacuated,
       workers: () => this.workers,
       edges: () => this.edges,
       incarnation: () => incarnation,
-      region: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
+      regionOf: (zone) => (zone === 'south-a' ? 'south' : 'elsewhere'),
       onModelMissing: () => {
         this.modelMissingCount += 1;
       },
--- a/packages/router/src/worker-ranking.ts
+++ b/packages/router/src/worker-ranking.ts
@@ -1,5 +1,5 @@
 /** Orders the workers that can take a request at an edge of the platform system, the best first. */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import type { ClientRequest, WorkerView } from './request.js';
 import { BALANCER_POLICY } from './routing-policy.js';
 
@@ -29,7 +29,7 @@
   workers.sort(
     (one, other) =>
       loadOf(one) - loadOf(other) ||
-      spread(`${clientRequest.id} ${other.id}`) - spread(`${clientRequest.id} ${one.id}`),
+      mixedHash(`${clientRequest.id} ${other.id}`) - mixedHash(`${clientRequest.id} ${one.id}`),
   );
   const prefix = clientRequest.prefix.at(-1);
   if (prefix === undefined || clientRequest.promptTokens < BALANCER_POLICY.longPromptTokens) return workers;
@@ -42,6 +42,6 @@
 /** Workers at which a prefix should be cached, chosen by rendezvous hashing: the same ones at every edge. */
 function cacheReplicas(key: string, workers: readonly WorkerView[]): WorkerView[] {
   return [...workers]
-    .sort((one, other) => spread(`${key} ${other.id}`) - spread(`${key} ${one.id}`))
+    .sort((one, other) => mixedHash(`${key} ${other.id}`) - mixedHash(`${key} ${one.id}`))
     .slice(0, BALANCER_POLICY.prefixCacheReplicas);
 }
--- a/packages/router/src/worker-status.ts
+++ b/packages/router/src/worker-status.ts
@@ -1,5 +1,5 @@
 /** What one edge knows of each worker from its own traffic: load, backoff, warm-up and missing models. */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import type { WorkerView } from './request.js';
 import { BACKOFF_POLICY, WARM_UP_POLICY } from './routing-policy.js';
 
@@ -128,7 +128,7 @@
     const status = this.status(worker.id);
     const rate = (perS * WARM_UP_POLICY.rateRatio) / Math.max(1, this.#dependencies.edges());
     const bucket = (status.warmUp ??= {
-      tokens: spread(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32,
+      tokens: mixedHash(`${worker.id} ${this.#dependencies.salt}`) / 2 ** 32,
       refilledMs: nowMs,
     });
     // Refill is capped: tokens saved up while idle would let all edges spend theirs at once.
--- a/packages/runtime/src/answers-clients.test.ts
+++ b/packages/runtime/src/answers-clients.test.ts
@@ -53,7 +53,7 @@
       const call = await harness.nextCall();
       call.openStream();
       call.event(1);
-      await harness.client.until('id: 1');
+      await harness.client.waitForText('id: 1');
       harness.client.send('no request at all\r\n\r\n');
       const other = await harness.edge.connect();
       other.request({ id: 'other', path: '/missing/x' });
@@ -160,7 +160,7 @@
         if (moment === 'within a stream') {
           call.openStream();
           call.event(1);
-          await harness.client.until('id: 1');
+          await harness.client.waitForText('id: 1');
         }
         harness.client.reset();
         await call.closed;
@@ -186,7 +186,7 @@
       const call = await harness.nextCall();
       call.openStream();
       call.event(1);
-      await harness.client.until('id: 1');
+      await harness.client.waitForText('id: 1');
       const stopped = harness.edge.node.stop();
       call.event(2);
       call.endStream();
@@ -226,7 +226,7 @@
       harness = await RoutingHarness.open(1, { graceMs: 1000 });
       harness.client.request({ id: 'a', path: '/once/x' });
       await harness.nextCall();
-      await harness.edge.core.list([]);
+      await harness.edge.core.setWorkers([]);
       const waiting = await harness.edge.connect();
       waiting.request({ id: 'b', path: '/once/x' });
       const stopped = harness.edge.node.stop();
--- a/packages/runtime/src/answers-streams.test.ts
+++ b/packages/runtime/src/answers-streams.test.ts
@@ -30,7 +30,7 @@
   const call = await harness.nextCall();
   call.openStream('first');
   call.event(1);
-  await harness.client.until('id: 1\ndata: e1\n\n');
+  await harness.client.waitForText('id: 1\ndata: e1\n\n');
   return { id, call };
 }
 
@@ -158,7 +158,7 @@
       const { call } = await startStream('talk');
       harness.worker('w0').close();
       call.reset();
-      await harness.edge.core.list([]);
+      await harness.edge.core.setWorkers([]);
       harness.edge.clockJumpMs += 3000;
       const answer = await harness.client.next();
       expect([answer.whole, answer.status]).toEqual([false, 200]);
--- a/packages/runtime/src/core-node.ts
+++ b/packages/runtime/src/core-node.ts
@@ -211,7 +211,7 @@
     this.#isPollingList = false;
     if (list.isOk) {
       this.#listFailures = 0;
-      this.#replica.learnList(list.value);
+      this.#replica.updateWorkerList(list.value);
     } else {
       if (this.#listFailures === 0)
         this.#log.warn({ kind: list.error.kind, detail: list.error.detail }, 'worker list unavailable');
--- a/packages/runtime/src/edge-node.ts
+++ b/packages/runtime/src/edge-node.ts
@@ -89,11 +89,11 @@
       configuration: () => this.#replica.configuration,
       tenants: () => this.#replica.tenants,
       permits: this.#replica.permits,
-      evacuated: () => this.#replica.state.evacuated,
+      evacuatedZones: () => this.#replica.state.evacuated,
       workers: () => this.#replica.workers,
       edges: () => this.#replica.edgeCount,
       incarnation: () => this.#replica.incarnation,
-      region: (zone) => settings.regions[zone] ?? '',
+      regionOf: (zone) => settings.regions[zone] ?? '',
       onModelMissing: () => this.#requestUpdateSoon(),
       onWaiting: () => this.#tickWithin(TICK_MS),
     });
@@ -189,7 +189,7 @@
   }
 
   #requestUpdateSoon(): void {
-    this.#replica.requestUpdateSoon();
+    this.#replica.reportDemandSoon();
     this.#urgentRequestTimer ??= setTimeout(() => {
       this.#urgentRequestTimer = undefined;
       this.#replica.tick();
--- a/packages/runtime/src/key-reaches-worker.test.ts
+++ b/packages/runtime/src/key-reaches-worker.test.ts
@@ -39,7 +39,7 @@
   }
 
   function apply(tenants: readonly object[]): Promise<void> {
-    return harness.edge.core.configure(testDocument({ tenants }));
+    return harness.edge.core.setConfiguration(testDocument({ tenants }));
   }
 
   it('is not forwarded to the worker, and a forged tenant name is replaced', LIMIT, async () => {
--- a/packages/runtime/src/request-recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -1,7 +1,7 @@
 /** Records the requests of an edge of the research groups' system for a later replay. */
 import { createWriteStream, type WriteStream } from 'node:fs';
-import type { EndRecord } from '@rainrun/gateway';
-import { callLine, headLine, type Call } from '@rainrun/workloads';
+import type { FinishedRequest } from '@rainrun/gateway';
+import { formatRecordedCall, formatDayHeader, type RecordedCall } from '@rainrun/workloads';
 import * as v from 'valibot';
 
 const PromptSchema = v.pipe(
@@ -30,7 +30,7 @@
  * @example
  * toRecordedCall(record, startMs, false).prompt; // undefined
  */
-export function toRecordedCall(record: EndRecord, startMs: number, contents: boolean): Call {
+export function toRecordedCall(record: FinishedRequest, startMs: number, contents: boolean): RecordedCall {
   const { group, kind, model, adapter, stream, prefix, outcome, worker, arrivedMs, firstPieceMs } = record;
   const prompt = extractPrompt(record.body);
   return {
@@ -69,15 +69,15 @@
     this.#file.on('error', () => {
       this.#bytes = Infinity;
     });
-    this.#write(headLine(settings.deployment));
+    this.#write(formatDayHeader(settings.deployment));
   }
 
   get bytes(): number {
     return this.#bytes;
   }
 
-  record(record: EndRecord): void {
-    this.#write(callLine(toRecordedCall(record, this.#startMs, this.#settings.recordContents)));
+  record(record: FinishedRequest): void {
+    this.#write(formatRecordedCall(toRecordedCall(record, this.#startMs, this.#settings.recordContents)));
   }
 
   close(): Promise<void> {
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -6,8 +6,8 @@
 import type { ServerResponse } from 'node:http';
 import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
 import { GROUP_TIMES, type Acceptor, type GroupState } from '@rainrun/process-group';
-import { UndiciSender, type EndRecord } from '@rainrun/gateway';
-import { SpecEdge, ClusterNode, OBSERVE_MS } from '@rainrun/cluster-node';
+import { UndiciSender, type FinishedRequest } from '@rainrun/gateway';
+import { SpecEdge, ClusterNode, OBSERVATION_INTERVAL_MS } from '@rainrun/cluster-node';
 import type { SpecState } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import { ServiceBroker, type ServiceSchema } from 'moleculer';
@@ -60,7 +60,7 @@
   #operators: SpecOperatorService;
   #broker = new ServiceBroker({ logger: false, transporter: null, skipProcessEventRegistration: true });
   #timers: NodeJS.Timeout[] = [];
-  #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
+  #endRecords = new Map<string, Omit<FinishedRequest, 'body'>>();
   #recorder: RequestRecorder | undefined;
   #isPollingList = false;
   #listFailures = 0;
@@ -158,7 +158,7 @@
     return edge;
   }
 
-  #recordEnd(record: EndRecord): void {
+  #recordEnd(record: FinishedRequest): void {
     const { body: _, ...endRecord } = record;
     this.#endRecords.set(record.id, endRecord);
     this.#recorder?.record(record);
@@ -197,7 +197,7 @@
     if (edge !== undefined) {
       this.#timers.push(
         setInterval(() => edge.gateway.tick(), GATEWAY_TICK_MS),
-        setInterval(() => edge.observe(), OBSERVE_MS),
+        setInterval(() => edge.castMeasures(), OBSERVATION_INTERVAL_MS),
       );
     }
     this.#log.info({ role: this.#role, bind: this.#settings.bind, http: this.#settings.http }, 'started');
@@ -213,7 +213,7 @@
       if (this.#listFailures > 0)
         this.#log.info({ failures: this.#listFailures }, 'worker list available again');
       this.#listFailures = 0;
-      this.#clusterNode.learnList(list.value);
+      this.#clusterNode.publishWorkerList(list.value);
       this.#sender.keepOnly(new Set(list.value.workers.map((worker) => worker.address)));
     } else {
       if (this.#listFailures === 0)
@@ -235,7 +235,7 @@
       admitting: group.holdsLease() ? 1 : 0,
       leading: group.isCoordinator ? 1 : 0,
       contextBytes: group.contextBytes,
-      unstableCasts: group.unstableCount,
+      unstableCasts: group.unstableCastCount,
       ...processUsage(),
     };
   }
--- a/packages/runtime/src/spec-operator-service.ts
+++ b/packages/runtime/src/spec-operator-service.ts
@@ -181,7 +181,7 @@
           'the operation id must be 1 to 64 letters, digits, dots, underscores or hyphens',
         ),
       );
-    if (this.#dependencies.clusterNode.group.isFull) {
+    if (this.#dependencies.clusterNode.group.isRetentionFull) {
       return Promise.resolve(
         failure(
           'over-share',
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -115,14 +115,14 @@
   }
 
   /** Replaces the worker table; resolves when an edge has confirmed it. */
-  list(workers: readonly ListedStandIn[]): Promise<void> {
+  setWorkers(workers: readonly ListedStandIn[]): Promise<void> {
     this.#workers = workers;
     this.#row += 1;
     return new Promise((resolve) => this.#waitingForEdge.push(resolve));
   }
 
   /** Replaces the configuration; resolves when an edge has confirmed it. */
-  configure(document: Readonly<Record<string, unknown>>): Promise<void> {
+  setConfiguration(document: Readonly<Record<string, unknown>>): Promise<void> {
     this.#edition += 1;
     this.#state = encodeState(this.#edition, document);
     return new Promise((resolve) => this.#waitingForEdge.push(resolve));
@@ -292,7 +292,7 @@
     );
     const ready = new LogWaiter('readiness');
     const edge = new EdgeUnderTest(core, ports, options, ready);
-    void core.list(workers.map(({ name, address }) => ({ id: name, address })));
+    void core.setWorkers(workers.map(({ name, address }) => ({ id: name, address })));
     await edge.node.start((why) => {
       throw new Error(`${why.kind}: ${why.detail}`);
     });
--- a/packages/runtime/src/testing/raw-client.ts
+++ b/packages/runtime/src/testing/raw-client.ts
@@ -96,7 +96,7 @@
   }
 
   /** Resolves when this text has been received. */
-  until(text: string): Promise<void> {
+  waitForText(text: string): Promise<void> {
     if (this.text.includes(text)) return Promise.resolve();
     return new Promise((found) => this.#textWaiters.push({ text, found }));
   }
--- a/packages/runtime/src/testing/routing-harness.ts
+++ b/packages/runtime/src/testing/routing-harness.ts
@@ -1,4 +1,4 @@
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import { EdgeUnderTest, type EdgeOptions } from './edge-under-test.js';
 import type { ClientResponse, RawClient } from './raw-client.js';
 import { StandInWorker, type WorkerCall } from './stand-in-worker.js';
@@ -53,7 +53,7 @@
       this.#requestCount += 1;
       const id = `r${this.#requestCount}`;
       const [first] = [...this.workers].sort(
-        (one, other) => spread(`${id} ${other.name}`) - spread(`${id} ${one.name}`),
+        (one, other) => mixedHash(`${id} ${other.name}`) - mixedHash(`${id} ${one.name}`),
       );
       if (first?.name === name) return id;
     }
--- a/packages/simulator/src/connections.ts
+++ b/packages/simulator/src/connections.ts
@@ -1,4 +1,4 @@
-import type { SendHandler, Sender, Sending, SendRequest } from '@rainrun/gateway';
+import type { SendHandler, Sender, SendHandle, SendRequest } from '@rainrun/gateway';
 import type { SimulationContext, SimWorker, WorkerConnection } from './simulation-context.js';
 
 /** Runs an action in the edge process of a sender: once it is not frozen, or never if it was killed. */
@@ -55,7 +55,7 @@
 }
 
 /** One attempt to send a request to a worker, seen from the edge. */
-class SimAttempt implements Sending {
+class SimAttempt implements SendHandle {
   #context: SimulationContext;
   #request: SendRequest;
   #handler: SendHandler;
@@ -194,7 +194,7 @@
     time.after(cut ? PROBE_TIMEOUT_MS : 0.2 + rng.next() * 2, () => this.#runAtEdge(() => done(!cut)));
   }
 
-  send(request: SendRequest, handler: SendHandler): Sending {
+  send(request: SendRequest, handler: SendHandler): SendHandle {
     const worker = this.#workers.find((known) => known.name === request.address);
     if (worker !== undefined)
       return new SimAttempt(
--- a/packages/simulator/src/day-replay.ts
+++ b/packages/simulator/src/day-replay.ts
@@ -1,10 +1,10 @@
-import { exampleSpec, type Call, type Shape } from '@rainrun/workloads';
+import { exampleSpec, type RecordedCall, type Shape } from '@rainrun/workloads';
 import { hashText } from '@rainrun/common';
 import { Site, type LoopOverrides } from './site.js';
 
 /** Outcome of one request of a replayed day. */
 export interface ReplayedRequest {
-  readonly call: Call;
+  readonly call: RecordedCall;
   outcome: string;
   firstPieceMs: number;
   worker: string;
@@ -35,7 +35,7 @@
  */
 export function replayDay(
   shape: Shape,
-  calls: readonly Call[],
+  calls: readonly RecordedCall[],
   options: { seed: number; spec?: object; loops?: LoopOverrides },
 ): DayReplay {
   const { cores, edges, workers, zones, pool } = shape;
--- a/packages/simulator/src/metrics.ts
+++ b/packages/simulator/src/metrics.ts
@@ -1,6 +1,14 @@
 import meow from 'meow';
-import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
-import { LOOP_SETTINGS } from '@rainrun/cluster-node';
+import {
+  exampleSpec,
+  generateDay,
+  generateOverload,
+  parseDay,
+  SHAPES,
+  type RecordedCall,
+  type Shape,
+} from '@rainrun/workloads';
+import { WEIGHT_LOOP_SETTINGS } from '@rainrun/cluster-node';
 import { SPEC_PLACER_SETTINGS } from '@rainrun/placement';
 import { replayDay, PREFILL_MS_PER_CHAR, type DayReplay, type ReplayedRequest } from './day-replay.js';
 import type { LoopOverrides } from './site.js';
@@ -31,11 +39,11 @@
 );
 
 const DAY_S = 40;
-const FIXED_WEIGHTS: LoopOverrides = { weights: { ...LOOP_SETTINGS, min: 1, max: 1 } };
-const NO_PLACEMENT: LoopOverrides = { placement: { ...SPEC_PLACER_SETTINGS, steps: 0 } };
+const FIXED_WEIGHTS: LoopOverrides = { weights: { ...WEIGHT_LOOP_SETTINGS, min: 1, max: 1 } };
+const NO_PLACEMENT: LoopOverrides = { placement: { ...SPEC_PLACER_SETTINGS, evictionBudget: 0 } };
 
-function callsOf(text: string): readonly Call[] {
-  const day = readDay(text);
+function callsOf(text: string): readonly RecordedCall[] {
+  const day = parseDay(text);
   return day.isOk ? day.value.calls : [];
 }
 
@@ -58,7 +66,7 @@
 }
 
 function fairness(shape: Shape): void {
-  const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
+  const day = callsOf(generateDay(shape, 2 * DAY_S, 1));
   const judged = new Set(day.filter((call) => call.atMs >= 1000 * DAY_S));
   const alone = replayDay(shape, day, { seed: 1 });
   printBreaches('alone', alone);
@@ -73,7 +81,7 @@
     `${'flooded by'.padEnd(18)}${'group'.padEnd(18)}${'alone'.padEnd(16)}${'beside'.padEnd(16)}weights held still`,
   );
   for (const { group } of shape.kinds) {
-    const flood = callsOf(makeFlood(shape, group, cli.flags.flood, DAY_S, 2)).map((call) => ({
+    const flood = callsOf(generateOverload(shape, group, cli.flags.flood, DAY_S, 2)).map((call) => ({
       ...call,
       atMs: call.atMs + 1000 * DAY_S,
     }));
@@ -100,13 +108,13 @@
 
 /** Replays an ordinary half day, then the same calls with rare and common models swapped. */
 function shift(shape: Shape): void {
-  const half = callsOf(makeDay(shape, 2 * DAY_S, 1));
-  function other(call: Call): Call {
+  const half = callsOf(generateDay(shape, 2 * DAY_S, 1));
+  function other(call: RecordedCall): RecordedCall {
     const number = Number(call.model.split('-')[1]);
     return {
       ...call,
       atMs: call.atMs + 2000 * DAY_S,
-      model: call.model === '' ? '' : `${shape.modelWord}-${shape.models + 1 - number}`,
+      model: call.model === '' ? '' : `${shape.modelNamePrefix}-${shape.models + 1 - number}`,
       adapter: '',
     };
   }
@@ -153,8 +161,8 @@
   const [sample] = shape.kinds;
   if (sample === undefined) return;
   const { group, kind, stream, chars } = sample;
-  const calls = Array.from({ length: 4 * shape.models }, (_, place): Call => {
-    const model = `${shape.modelWord}-${1 + (place % shape.models)}`;
+  const calls = Array.from({ length: 4 * shape.models }, (_, place): RecordedCall => {
+    const model = `${shape.modelNamePrefix}-${1 + (place % shape.models)}`;
     return {
       atMs: 200 * place,
       group,
@@ -184,7 +192,7 @@
 
 /** Replays an ordinary day and prints how much prefill time the prefix caches save. */
 function affinity(shape: Shape): void {
-  const day = callsOf(makeDay(shape, 2 * DAY_S, 1));
+  const day = callsOf(generateDay(shape, 2 * DAY_S, 1));
   const usual = replayDay(shape, day, { seed: 1 });
   printBreaches('affinity', usual);
   const { hits, misses, savedMs } = usual.prefill;
--- a/packages/simulator/src/power.test.ts
+++ b/packages/simulator/src/power.test.ts
@@ -38,7 +38,7 @@
   for (const machine of [leader, other]) {
     const { disk } = machine;
     if (disk === undefined) continue;
-    disk.tap = (reached, kind) => {
+    disk.onStep = (reached, kind) => {
       if (reached === 'renamed') disk.stallUntilMs = time.nowMs() + 250;
       if (machine === victim && reached === step && kind === 'version') injectLoss();
     };
--- a/packages/simulator/src/script.ts
+++ b/packages/simulator/src/script.ts
@@ -1,7 +1,7 @@
 import { PROTOCOL_LEVELS, type ProtocolLevels } from '@rainrun/messages';
 import type { FaultMode, SimWorker } from './simulation-context.js';
 import type { Site, Machine } from './site.js';
-import type { Cut } from './world.js';
+import type { IsBlocked } from './world.js';
 import { trialSpec } from './trial.js';
 
 /**
@@ -56,7 +56,7 @@
 
 class Script {
   #site: Site;
-  #cuts = new Map<string, Cut>();
+  #cuts = new Map<string, IsBlocked>();
 
   constructor(site: Site) {
     this.#site = site;
@@ -171,7 +171,7 @@
     return id === '' ? 'nothing was sent' : undefined;
   }
 
-  #cut(name: string, cut: Cut): void {
+  #cut(name: string, cut: IsBlocked): void {
     this.#cuts.set(name, cut);
     this.#site.net.cut(cut);
   }
--- a/packages/simulator/src/site.ts
+++ b/packages/simulator/src/site.ts
@@ -13,7 +13,7 @@
 import { SpecEdge, ClusterNode } from '@rainrun/cluster-node';
 import type { Spec, SpecState } from '@rainrun/configuration';
 import { SeededRandom, randomId, type Fault } from '@rainrun/common';
-import type { LoopSettings, SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
+import type { PiControllerSettings, SpecOrder, SpecOrderReply, SpecPlacerSettings } from '@rainrun/placement';
 import type { Result } from 'true-myth';
 import {
   SimWorker,
@@ -75,7 +75,7 @@
 
 /** Settings that override those of the control loops, for comparisons. */
 export interface LoopOverrides {
-  readonly weights?: LoopSettings;
+  readonly weights?: PiControllerSettings;
   readonly placement?: SpecPlacerSettings;
 }
 
@@ -358,7 +358,7 @@
     if (this.notesEnabled && this.#random.next() < 0.1) this.#castNote(running);
     if (running.edge === undefined) return;
     running.edge.gateway.tick();
-    if (running.heartbeats % HEARTBEATS_PER_LIST_READ === 0) running.edge.observe();
+    if (running.heartbeats % HEARTBEATS_PER_LIST_READ === 0) running.edge.castMeasures();
     if (!this.trafficEnabled || this.#random.next() >= 0.4) return;
     const lookup = this.#random.next() < 0.4;
     this.sendRandomRequest(
@@ -369,7 +369,7 @@
   }
 
   #readWorkerList(running: RunningProcess): void {
-    running.clusterNode.learnList(this.#workerList);
+    running.clusterNode.publishWorkerList(this.#workerList);
     const leaving = this.#workerList.workers.filter((worker) => worker.draining).map((worker) => worker.name);
     this.oracle.workersDraining(new Set(leaving), this.time.nowMs());
   }
--- a/packages/simulator/src/system.test.ts
+++ b/packages/simulator/src/system.test.ts
@@ -262,7 +262,9 @@
       const holders = system.cores.filter(
         (core) => core.running?.replica?.group.singletonEpoch() !== undefined,
       ).length;
-      const informed = system.edges.filter((edge) => edge.running?.follower?.informed === true).length;
+      const informed = system.edges.filter(
+        (edge) => edge.running?.follower?.hasMajorityContact === true,
+      ).length;
       apart();
       system.time.runUntil(18_000);
       const late = ends.map((end) => end.kind).join(' ');
--- a/packages/simulator/src/system.ts
+++ b/packages/simulator/src/system.ts
@@ -16,7 +16,7 @@
 import { WorkerCalls } from './system/worker-calls.js';
 import { WorkerPool } from './system/workers.js';
 import type { TimelineEvent } from './timeline.js';
-import { SimDisk, VirtualTime, type Cut } from './world.js';
+import { SimDisk, VirtualTime, type IsBlocked } from './world.js';
 
 /** The breach of an invariant. */
 export interface SystemBreach {
@@ -191,7 +191,7 @@
   }
 
   /** Cuts directions between machines, by name; the returned function removes the cut. */
-  cut(what: string, cut: Cut): () => void {
+  cut(what: string, cut: IsBlocked): () => void {
     this.network.addCut(cut);
     this.note('', `cut ${what}`);
     this.#recordDisturbanceBy(cut);
@@ -202,7 +202,7 @@
     };
   }
 
-  #recordDisturbanceBy(cut: Cut): void {
+  #recordDisturbanceBy(cut: IsBlocked): void {
     for (const machine of this.machines) {
       const met = this.cores.some(
         (core) => core !== machine && (cut(core.name, machine.name) || cut(machine.name, core.name)),
--- a/packages/simulator/src/system/configuration.ts
+++ b/packages/simulator/src/system/configuration.ts
@@ -2,7 +2,7 @@
  * Sample configurations and patches that simulated operators send, and an independent model of applying a
  * patch.
  */
-import { spread } from '@rainrun/common';
+import { mixedHash } from '@rainrun/common';
 import { sampleTenants } from './quota-load.js';
 import { ENGINE, SERVICE, sizeOf } from './workers.js';
 
@@ -91,7 +91,7 @@
  * decides, so that no further random number is drawn.
  */
 function sharesKey(mark: unknown): boolean {
-  return spread(String(mark)) % 2 === 0;
+  return mixedHash(String(mark)) % 2 === 0;
 }
 
 /** Builds a second tenant that also has the first tenant's API key. */
--- a/packages/simulator/src/system/disk.test.ts
+++ b/packages/simulator/src/system/disk.test.ts
@@ -26,12 +26,12 @@
 
 /** Kills the process between the rename of a promise file and the sync of its folder. */
 function killedWhileStoring(time: VirtualTime, disk: SimDisk): void {
-  disk.tap = (step) => {
+  disk.onStep = (step) => {
     if (step === 'renamed') disk.endProcess();
   };
   openAcceptor(disk).prepare(create(PrepareSchema, { epoch: EPOCH, disk: 'one' }), () => undefined);
   time.runUntil(1000);
-  disk.tap = undefined;
+  disk.onStep = undefined;
 }
 
 describe('an acceptor that was killed before its folder was synced', () => {
--- a/packages/simulator/src/system/faults.ts
+++ b/packages/simulator/src/system/faults.ts
@@ -4,7 +4,7 @@
  */
 import type { SeededRandom } from '@rainrun/common';
 import type { System } from '../system.js';
-import type { Cut, SimDisk } from '../world.js';
+import type { IsBlocked, SimDisk } from '../world.js';
 import type { Machine } from './machine.js';
 import { BOUNDS } from './size.js';
 import { NO_CALL_FAULTS } from './worker-calls.js';
@@ -43,7 +43,7 @@
  * Returns a cut between a machine and all others, in both directions (`cut`), inbound (`deaf`) or outbound
  * (`mute`).
  */
-function cutOf(kind: 'cut' | 'deaf' | 'mute', name: string): Cut {
+function cutOf(kind: 'cut' | 'deaf' | 'mute', name: string): IsBlocked {
   if (kind === 'deaf') return (_from, to) => to === name;
   if (kind === 'mute') return (from) => from === name;
   return (from, to) => (from === name) !== (to === name);
--- a/packages/simulator/src/system/invariants.ts
+++ b/packages/simulator/src/system/invariants.ts
@@ -252,7 +252,8 @@
       breach('recovers', `${machine.name} is not in a group with a majority`);
     if (follower !== undefined) this.#checkKeys(machine.name, follower);
     if (follower?.ready === false) breach('recovers', `${machine.name} is not ready`);
-    if (follower?.informed === false) breach('recovers', `${machine.name} hears no core with a majority`);
+    if (follower?.hasMajorityContact === false)
+      breach('recovers', `${machine.name} hears no core with a majority`);
   }
 
   /** Checks that an edge maps each API key of the acknowledged configuration to its tenant. */
@@ -262,7 +263,7 @@
     const { tenants } = JSON.parse(document) as { readonly tenants: readonly SampleTenant[] };
     for (const { name, apiKeys } of tenants)
       for (const apiKey of apiKeys)
-        if (follower.tenants?.holderOf(apiKey)?.name !== name)
+        if (follower.tenants?.tenantByKey(apiKey)?.name !== name)
           this.#context.breach('keys', `${edge} does not know a key of ${name}`);
   }
 
--- a/packages/simulator/src/system/network.ts
+++ b/packages/simulator/src/system/network.ts
@@ -1,7 +1,7 @@
 /** The simulated network between machines; each direction keeps the order of its frames, as TCP does. */
 import { encodeFrame, decodeFrame, type Frame } from '@rainrun/messages';
 import type { SeededRandom } from '@rainrun/common';
-import type { Cut, VirtualTime } from '../world.js';
+import type { IsBlocked, VirtualTime } from '../world.js';
 import type { Machine } from './machine.js';
 
 const MIN_LATENCY_MS = 0.5;
@@ -22,7 +22,7 @@
   #time: VirtualTime;
   #random: SeededRandom;
   #machines: () => readonly Machine[];
-  #cuts = new Set<Cut>();
+  #cuts = new Set<IsBlocked>();
   #arrivals = new Map<string, number>();
 
   constructor(time: VirtualTime, random: SeededRandom, machines: () => readonly Machine[]) {
@@ -31,12 +31,12 @@
     this.#machines = machines;
   }
 
-  addCut(cut: Cut): void {
+  addCut(cut: IsBlocked): void {
     this.#cuts.add(cut);
   }
 
   /** Removes a cut; false if it was already removed. */
-  removeCut(cut: Cut): boolean {
+  removeCut(cut: IsBlocked): boolean {
     return this.#cuts.delete(cut);
   }
 
--- a/packages/simulator/src/system/operator-desk.ts
+++ b/packages/simulator/src/system/operator-desk.ts
@@ -48,7 +48,7 @@
   return new OperatorService({
     replica,
     clock,
-    format: { writeDocument: (document) => JSON.stringify({ document }), statusOf },
+    format: { writeDocument: (document) => JSON.stringify({ document }), statusOfFault: statusOf },
     status: () => coreStatus(replica),
   });
 }
--- a/packages/simulator/src/system/processes.ts
+++ b/packages/simulator/src/system/processes.ts
@@ -234,7 +234,7 @@
     time.after(everyMs * (0.9 + random.next() * 0.2), () => this.#tick(machine, running));
     if (running.frozen) return;
     if (follower !== undefined) {
-      if (demand.isUnserved(follower)) follower.requestUpdateSoon();
+      if (demand.isUnserved(follower)) follower.reportDemandSoon();
       follower.tick();
     }
     if (replica === undefined) return;
@@ -260,7 +260,9 @@
     time.after(2 + random.next() * 8, () => {
       if (!calls.canReadList()) return;
       const list = workers.list();
-      time.after(2 + random.next() * 8, () => machine.runInProcess(running, () => replica.learnList(list)));
+      time.after(2 + random.next() * 8, () =>
+        machine.runInProcess(running, () => replica.updateWorkerList(list)),
+      );
     });
   }
 }
--- a/packages/simulator/src/system/workers.ts
+++ b/packages/simulator/src/system/workers.ts
@@ -1,6 +1,6 @@
 import { randomId, type SeededRandom } from '@rainrun/common';
 import {
-  copyOf,
+  cloneHoldings,
   type ListedWorker,
   type ReportReply,
   type WorkerOrder,
@@ -381,7 +381,7 @@
         slots: ENGINE.slots,
         draining: leaving,
         warmUpMs: 0,
-        models: copyOf(models),
+        models: cloneHoldings(models),
       }));
     const busy = new Set(this.members.filter((worker) => worker.busy).map((worker) => worker.id));
     const sequences = new Map(this.members.map((worker) => [worker.id, worker.sequence]));
--- a/packages/simulator/src/trial.ts
+++ b/packages/simulator/src/trial.ts
@@ -1,7 +1,7 @@
 import type { Breach } from './oracle.js';
 import { Site, type Machine, type SiteSize } from './site.js';
 import { renderTimeline } from './timeline.js';
-import { type Cut } from './world.js';
+import { type IsBlocked } from './world.js';
 
 /** Result of the trial of one seed. */
 export interface TrialResult {
@@ -327,7 +327,7 @@
     this.#site.freeze(machine, 300 + this.#randomBelow(6000));
   }
 
-  #cut(text: string, cut: Cut): void {
+  #cut(text: string, cut: IsBlocked): void {
     this.#recordFault(text);
     this.#site.net.cut(cut);
     this.#scheduleRepair(500 + this.#randomBelow(6000), () => {
@@ -486,12 +486,12 @@
       `${machine.name} loses ${wiped ? 'its disk' : 'power'} when its next version is ${step}`,
     );
     const lose = (): void => {
-      disk.tap = undefined;
+      disk.onStep = undefined;
       net.tap = undefined;
       if (!wiped) return this.#killFor(machine, this.#randomBelow(2000));
       this.#replace(machine);
     };
-    disk.tap = (reached, kind) => {
+    disk.onStep = (reached, kind) => {
       if (reached === step && kind === 'version') lose();
     };
     if (step === 'answered') {
@@ -500,7 +500,7 @@
       };
     }
     this.#scheduleRepair(3000, () => {
-      disk.tap = undefined;
+      disk.onStep = undefined;
       net.tap = undefined;
     });
   }
--- a/packages/simulator/src/world.ts
+++ b/packages/simulator/src/world.ts
@@ -77,7 +77,7 @@
 }
 
 /** Returns true if frames from one node name to another are blocked. */
-export type Cut = (from: string, to: string) => boolean;
+export type IsBlocked = (from: string, to: string) => boolean;
 
 /**
  * Simulated network between addresses that delays, drops, duplicates and blocks frames.
@@ -89,7 +89,7 @@
   #chance: RandomSource;
   #lossRatio: number;
   #endpoints = new Map<string, { name: string; take: (frame: Frame) => void }>();
-  #cuts = new Set<Cut>();
+  #cuts = new Set<IsBlocked>();
   /** Called with every frame that is sent and the name of its sender. */
   tap: ((from: string, frame: Frame) => void) | undefined;
   frames = 0;
@@ -109,11 +109,11 @@
     this.#endpoints.delete(address);
   }
 
-  cut(cut: Cut): void {
+  cut(cut: IsBlocked): void {
     this.#cuts.add(cut);
   }
 
-  heal(cut: Cut): void {
+  heal(cut: IsBlocked): void {
     this.#cuts.delete(cut);
   }
 
@@ -173,7 +173,7 @@
   /** Set when no more can be written, as on a full disk. */
   full = false;
   /** Called at each step of each write. */
-  tap: ((step: DiskStep, kind: RecordKind) => void) | undefined;
+  onStep: ((step: DiskStep, kind: RecordKind) => void) | undefined;
 
   constructor(time: VirtualTime, chance: RandomSource) {
     this.#time = time;
@@ -222,17 +222,17 @@
     this.#freeMs =
       Math.max(this.#freeMs, nowMs, this.stallUntilMs) + 1 + this.#chance.next() * 6 + this.slowMs;
     this.#step(generation, this.#freeMs - nowMs, () => {
-      this.tap?.('written', kind);
+      this.onStep?.('written', kind);
       this.#step(generation, 0.05, () => {
         if (!this.#unsynced.has(kind)) this.#unsynced.set(kind, this.#records[kind]);
         this.#records[kind] = bytes;
-        this.tap?.('renamed', kind);
+        this.onStep?.('renamed', kind);
         this.#step(
           generation,
           Math.max(0, this.stallUntilMs - this.#time.nowMs()) + this.#chance.next(),
           () => {
             this.#unsynced.delete(kind);
-            this.tap?.('synced', kind);
+            this.onStep?.('synced', kind);
             this.#step(generation, 0.02, () => done(Result.ok()));
           },
         );
--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -33,12 +33,12 @@
 });
 
 /** One request of a recorded day. */
-export type Call = v.InferOutput<typeof CallSchema>;
+export type RecordedCall = v.InferOutput<typeof CallSchema>;
 
 /** A recorded day of traffic of one deployment. */
 export interface RecordedDay {
   readonly deployment: string;
-  readonly calls: readonly Call[];
+  readonly calls: readonly RecordedCall[];
 }
 
 /**
@@ -46,7 +46,7 @@
  * @example
  * headLine('vejsargs'); // {"format":"rainrun-day","version":1,"deployment":"vejsargs"}
  */
-export function headLine(deployment: string): string {
+export function formatDayHeader(deployment: string): string {
   return JSON.stringify({ format: 'rainrun-day', version: DAY_FORMAT_VERSION, deployment });
 }
 
@@ -55,7 +55,7 @@
  * @example
  * callLine({ atMs: 5, group: 'buyers', kind: 'seat', path: '/v1/chat/completions', ... });
  */
-export function callLine(call: Call): string {
+export function formatRecordedCall(call: RecordedCall): string {
   return JSON.stringify(call);
 }
 
@@ -72,7 +72,7 @@
  * @example
  * readDay('not a day').isErr; // true
  */
-export function readDay(text: string): Result<RecordedDay, Fault> {
+export function parseDay(text: string): Result<RecordedDay, Fault> {
   if (!text.endsWith('\n'))
     return Result.err(fault('damaged', `line ${text.split('\n').length}: truncated, no end of line`));
   const lines = text.slice(0, -1).split('\n');
@@ -83,7 +83,7 @@
       fault('foreign', `line 1: format version ${header.output.version} is newer than ${DAY_FORMAT_VERSION}`),
     );
   }
-  const calls: Call[] = [];
+  const calls: RecordedCall[] = [];
   for (let index = 1; index < lines.length; index += 1) {
     const call = v.safeParse(CallSchema, parse(lines[index] ?? ''));
     if (!call.success) {
@@ -102,7 +102,7 @@
  * @example
  * promptOf({ ...call, prefix: 7, chars: 40 }, 3);
  */
-export function promptOf(call: Call, index: number): string {
+export function promptOf(call: RecordedCall, index: number): string {
   if (call.prompt !== undefined) return call.prompt;
   const sharedPrefix = `prefix ${call.prefix} `.repeat(20).slice(0, Math.max(0, call.chars - 16));
   return `${sharedPrefix}question ${index}`;
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -1,5 +1,5 @@
 import { SeededRandom } from '@rainrun/common';
-import { callLine, headLine, type Call } from './day.js';
+import { formatRecordedCall, formatDayHeader, type RecordedCall } from './day.js';
 
 /** Traffic of one request kind of one group: latency target, rate and prompts, with the share of the group. */
 interface RequestKindShape {
@@ -30,7 +30,7 @@
   readonly models: number;
   readonly adapters: number;
   /** Prefix of the names of models: `turbine` gives `turbine-1`. */
-  readonly modelWord: string;
+  readonly modelNamePrefix: string;
   /** Prefix of the names of adapters. */
   readonly adapterNamePrefix: string;
   readonly pool: string;
@@ -53,7 +53,7 @@
     lookups: 3,
     models: 36,
     adapters: 40,
-    modelWord: 'turbine',
+    modelNamePrefix: 'turbine',
     adapterNamePrefix: 'site',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
@@ -104,7 +104,7 @@
     lookups: 3,
     models: 30,
     adapters: 55,
-    modelWord: 'ticket',
+    modelNamePrefix: 'ticket',
     adapterNamePrefix: 'barangay',
     pool: 'seat-board',
     lookupPath: '/v1/lookup/seats',
@@ -166,7 +166,7 @@
     lookups: 2,
     models: 8,
     adapters: 6,
-    modelWord: 'model',
+    modelNamePrefix: 'model',
     adapterNamePrefix: 'adapter',
     pool: 'specifications',
     lookupPath: '/v1/lookup/turbines',
@@ -207,7 +207,7 @@
 export function exampleSpec(shape: Shape): Record<string, unknown> {
   const random = new SeededRandom(shape.models);
   const models = Array.from({ length: shape.models }, (_, index) => ({
-    name: `${shape.modelWord}-${index + 1}`,
+    name: `${shape.modelNamePrefix}-${index + 1}`,
     sizeMb: 4000 + Math.floor(random.next() * 12) * 1000,
   }));
   const adapters = Array.from({ length: shape.adapters }, (_, index) => ({
@@ -253,13 +253,13 @@
  * @example
  * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
-export function makeDay(shape: Shape, seconds: number, seed: number): string {
+export function generateDay(shape: Shape, seconds: number, seed: number): string {
   const random = new SeededRandom(seed);
   const spec = exampleSpec(shape) as { adapters: { name: string; model: string }[] };
-  const calls: Call[] = [];
+  const calls: RecordedCall[] = [];
   for (const kind of shape.kinds) {
     for (let atMs = gapMs(random, kind.perS); atMs < seconds * 1000; atMs += gapMs(random, kind.perS)) {
-      const model = `${shape.modelWord}-${1 + skewedIndex(random, shape.models)}`;
+      const model = `${shape.modelNamePrefix}-${1 + skewedIndex(random, shape.models)}`;
       const modelAdapters = spec.adapters.filter((adapter) => adapter.model === model);
       const adapter =
         modelAdapters.length > 0 && random.next() < 0.4
@@ -297,7 +297,7 @@
     });
   }
   calls.sort((one, other) => one.atMs - other.atMs);
-  return `${[headLine(shape.deployment), ...calls.map((call) => callLine(call))].join('\n')}\n`;
+  return `${[formatDayHeader(shape.deployment), ...calls.map((call) => formatRecordedCall(call))].join('\n')}\n`;
 }
 
 /**
@@ -306,9 +306,15 @@
  * @example
  * makeFlood(SHAPES['vejsargs'], 'overnight', 60, 20, 1);
  */
-export function makeFlood(shape: Shape, group: string, perS: number, seconds: number, seed: number): string {
+export function generateOverload(
+  shape: Shape,
+  group: string,
+  perS: number,
+  seconds: number,
+  seed: number,
+): string {
   const kinds = shape.kinds.filter((kind) => kind.group === group).map((kind) => ({ ...kind, perS }));
-  return makeDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
+  return generateDay({ ...shape, kinds, lookupsPerS: 0.001 }, seconds, seed);
 }
 
 /** Draws an exponentially distributed interval between arrivals, in milliseconds. */
--- a/packages/workloads/src/workloads.test.ts
+++ b/packages/workloads/src/workloads.test.ts
@@ -1,8 +1,8 @@
 import { it } from 'node:test';
 import { expect } from 'earl';
-import { callLine, headLine, promptOf, readDay, type Call } from './day.js';
+import { formatRecordedCall, formatDayHeader, promptOf, parseDay, type RecordedCall } from './day.js';
 
-const CALL: Call = {
+const CALL: RecordedCall = {
   atMs: 5,
   group: 'g',
   kind: 'k',
@@ -15,19 +15,19 @@
 };
 
 it('a recorded day is parsed back to the requests that were written', () => {
-  const day = readDay(`${headLine('d')}\n${callLine(CALL)}\n`);
+  const day = parseDay(`${formatDayHeader('d')}\n${formatRecordedCall(CALL)}\n`);
   expect(day.isOk && day.value.calls).toEqual([CALL]);
 });
 
 it('a damaged, truncated, foreign or newer day is rejected with the number of the line', () => {
   const texts = [
-    `${headLine('d')}\n${callLine(CALL)}\n{"atMs":-1}\n`,
-    `${headLine('d')}\n${callLine(CALL).slice(0, 20)}`,
+    `${formatDayHeader('d')}\n${formatRecordedCall(CALL)}\n{"atMs":-1}\n`,
+    `${formatDayHeader('d')}\n${formatRecordedCall(CALL).slice(0, 20)}`,
     'hello\n',
     '{"format":"rainrun-day","version":9,"deployment":"d"}\n',
   ];
   const found = texts.map((text) => {
-    const day = readDay(text);
+    const day = parseDay(text);
     return day.isErr ? day.error.detail.slice(0, 7) : 'read';
   });
   expect(found).toEqual(['line 3:', 'line 2:', 'line 1:', 'line 1:']);
--- a/tools/fleet/src/main.ts
+++ b/tools/fleet/src/main.ts
@@ -11,7 +11,7 @@
 import { checkBadRequests } from './bad-requests.js';
 import { Trial, type TrialReport } from './trial.js';
 import { Relay } from './relay.js';
-import { exampleSpec, makeDay, makeFlood, readDay, SHAPES, type Shape } from '@rainrun/workloads';
+import { exampleSpec, generateDay, generateOverload, parseDay, SHAPES, type Shape } from '@rainrun/workloads';
 
 const cli = meow(
   `
@@ -144,7 +144,7 @@
     return 1;
   }
   console.log(`ready after ${((performance.now() - beganMs) / 1000).toFixed(1)} s`);
-  const day = readDay(dayText);
+  const day = parseDay(dayText);
   if (day.isErr) {
     console.error(`fleet: the day cannot be read: ${day.error.detail}`);
     return 1;
@@ -178,8 +178,8 @@
   }
   const group = shape.kinds.at(-1)?.group ?? '';
   const edges = fleet.edges.map((edge) => edge.http);
-  const day = readDay(makeDay(shape, FLOOD_S, 1));
-  const floodDay = readDay(makeFlood(shape, group, FLOOD_PER_S, FLOOD_S, 2));
+  const day = parseDay(generateDay(shape, FLOOD_S, 1));
+  const floodDay = parseDay(generateOverload(shape, group, FLOOD_PER_S, FLOOD_S, 2));
   if (day.isErr || floodDay.isErr) return 1;
   await pause(25_000);
   const alone = await new LoadGenerator(edges).play(day.value.calls, 1);
@@ -203,7 +203,7 @@
 
 /** Serves valid traffic, then tries every command at every node, then invalid requests. */
 function runSmoke(fleet: Fleet, shape: Shape): Promise<number> {
-  return serveDay(fleet, shape, makeDay(shape, 10, 1), 1, async (report) => {
+  return serveDay(fleet, shape, generateDay(shape, 10, 1), 1, async (report) => {
     const nodeFaults = await checkEveryNode(
       fleet,
       report.seen.find((seen) => seen.outcome === 'served')?.id ?? '',
@@ -290,7 +290,7 @@
   await pause(10_000);
   const loadGenerator = new LoadGenerator(fleet.edges.map((edge) => edge.http));
   const trial = new Trial(fleet, loadGenerator, relay);
-  const day = readDay(makeDay(shape, 600, 1));
+  const day = parseDay(generateDay(shape, 600, 1));
   if (day.isErr) return 1;
   const playing = loadGenerator.play(day.value.calls, 1);
   await pause(2000);
@@ -357,7 +357,7 @@
 }
 
 function loadDay(shape: Shape): string {
-  return cli.flags.day === undefined ? makeDay(shape, 40, 1) : readFileSync(cli.flags.day, 'utf8');
+  return cli.flags.day === undefined ? generateDay(shape, 40, 1) : readFileSync(cli.flags.day, 'utf8');
 }
 
 function untilSignal(): Promise<void> {
@@ -385,7 +385,7 @@
       join('examples', name, 'spec.json'),
       `${JSON.stringify(exampleSpec(shape), undefined, 2)}\n`,
     );
-    writeFileSync(join('examples', name, 'day.jsonl'), makeDay(shape, 40, 1));
+    writeFileSync(join('examples', name, 'day.jsonl'), generateDay(shape, 40, 1));
   }
   return 0;
 }
--- a/tools/load-generator/src/load-generator.ts
+++ b/tools/load-generator/src/load-generator.ts
@@ -1,11 +1,11 @@
 import { setTimeout as pause } from 'node:timers/promises';
 import { wrong } from '@rainrun/stand-in-workers';
-import { promptOf, type Call } from '@rainrun/workloads';
+import { promptOf, type RecordedCall } from '@rainrun/workloads';
 import { Agent, type Dispatcher } from 'undici';
 
 /** The result of one call, as its client observed it. */
 export interface Seen {
-  readonly call: Call;
+  readonly call: RecordedCall;
   readonly id: string;
   readonly outcome: string;
   readonly ran: 'no' | 'maybe' | 'yes';
@@ -74,7 +74,7 @@
   }
 
   /** Sends the calls at a multiple of their recorded pace; resolves once every call has ended. */
-  async play(calls: readonly Call[], speed: number): Promise<LoadReport> {
+  async play(calls: readonly RecordedCall[], speed: number): Promise<LoadReport> {
     const beganMs = performance.now();
     const running: Promise<void>[] = [];
     for (const [index, call] of calls.entries()) {
@@ -94,7 +94,7 @@
     return available[this.#nextEdge % Math.max(1, available.length)] ?? this.#edges[0] ?? '';
   }
 
-  async #sendCall(call: Call, index: number): Promise<void> {
+  async #sendCall(call: RecordedCall, index: number): Promise<void> {
     const edge = this.#pickEdge();
     const beganMs = performance.now();
     const prompt = promptOf(call, index);
@@ -180,7 +180,7 @@
 
 /** One call in flight; collects its answer and checks it. */
 class ClientCall implements Dispatcher.DispatchHandler {
-  #call: Call;
+  #call: RecordedCall;
   #prompt: string;
   #index: number;
   #sent = false;
@@ -192,7 +192,7 @@
   #done: () => void = () => undefined;
   readonly finished: Promise<void>;
 
-  constructor(call: Call, prompt: string, index: number) {
+  constructor(call: RecordedCall, prompt: string, index: number) {
     this.#call = call;
     this.#prompt = prompt;
     this.#index = index;
--- a/tools/load-generator/src/main.ts
+++ b/tools/load-generator/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
-import { readDay } from '@rainrun/workloads';
+import { parseDay } from '@rainrun/workloads';
 import { LoadGenerator } from './load-generator.js';
 
 const cli = meow(
@@ -21,7 +21,7 @@
   },
 );
 
-const day = readDay(readFileSync(cli.flags.day, 'utf8'));
+const day = parseDay(readFileSync(cli.flags.day, 'utf8'));
 if (day.isErr) {
   console.error(`load-generator: ${cli.flags.day}: ${day.error.detail}`);
   process.exit(2);
--- a/tools/planner/src/main.ts
+++ b/tools/planner/src/main.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
 import { readSpec, specFaultText } from '@rainrun/configuration';
-import { readDay } from '@rainrun/workloads';
+import { parseDay } from '@rainrun/workloads';
 import * as v from 'valibot';
 import { isSound, survey, type Survey } from './survey.js';
 
@@ -80,7 +80,7 @@
   fail(
     `${cli.flags.workers}: ${workerList.issues.map((issue) => `${v.getDotPath(issue) ?? 'list'}: ${issue.message}`).join('; ')}`,
   );
-const day = readDay(readText(cli.flags.day));
+const day = parseDay(readText(cli.flags.day));
 if (day.isErr) fail(`${cli.flags.day}: ${day.error.detail}`);
 const cores = cli.flags.cores.split(',').filter((zone) => zone !== '');
 const unknownZones = [
--- a/tools/planner/src/survey.test.ts
+++ b/tools/planner/src/survey.test.ts
@@ -1,14 +1,25 @@
 import { it } from 'node:test';
 import { readSpec, type Spec } from '@rainrun/configuration';
-import { exampleSpec, makeDay, readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
+import {
+  exampleSpec,
+  generateDay,
+  parseDay,
+  SHAPES,
+  type RecordedCall,
+  type Shape,
+} from '@rainrun/workloads';
 import { expect } from 'earl';
 import { isSound, survey, type ListedWorker } from './survey.js';
 
 const SHAPE = SHAPES['small'] as Shape;
 
-function surveyInput(roomMb: number): { spec: Spec; workers: ListedWorker[]; calls: readonly Call[] } {
+function surveyInput(roomMb: number): {
+  spec: Spec;
+  workers: ListedWorker[];
+  calls: readonly RecordedCall[];
+} {
   const spec = readSpec(JSON.stringify({ ...exampleSpec(SHAPE), workers: { roomMb, slots: 8 } }));
-  const day = readDay(makeDay(SHAPE, 60, 1));
+  const day = parseDay(generateDay(SHAPE, 60, 1));
   const workers = Array.from({ length: 4 }, (_, place) => ({
     name: `worker-${place}`,
     zone: SHAPE.zones[place % 3] ?? '',
@@ -33,7 +44,7 @@
 
 it('a survey lists models that do not fit and models missing from the catalogue', () => {
   const { spec, workers, calls } = surveyInput(16_000);
-  const unknownModelCall = { ...(calls.find((call) => call.model !== '') as Call), model: 'none' };
+  const unknownModelCall = { ...(calls.find((call) => call.model !== '') as RecordedCall), model: 'none' };
   const found = survey(spec, workers, [...calls, unknownModelCall], []);
   expect([found.unknown, isSound(found), (found.findings[0]?.unplaced.length ?? 0) > 0]).toEqual([
     ['none'],
--- a/tools/planner/src/survey.ts
+++ b/tools/planner/src/survey.ts
@@ -1,5 +1,5 @@
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
-import type { Call } from '@rainrun/workloads';
+import type { RecordedCall } from '@rainrun/workloads';
 import {
   SpecPlacer,
   SPEC_PLACER_SETTINGS,
@@ -43,7 +43,7 @@
 
 type Placement = ReadonlyMap<string, readonly HoldingTarget[]>;
 
-function demandOf(calls: readonly Call[]): Map<string, SpecModelDemand> {
+function demandOf(calls: readonly RecordedCall[]): Map<string, SpecModelDemand> {
   const seconds = Math.max(1, (calls.at(-1)?.atMs ?? 0) / 1000);
   const demands = new Map<string, SpecModelDemand>();
   for (const { model, adapter } of calls) {
@@ -186,7 +186,7 @@
 export function survey(
   spec: Spec,
   listed: readonly ListedWorker[],
-  calls: readonly Call[],
+  calls: readonly RecordedCall[],
   coreZones: readonly string[],
 ): Survey {
   const demands = demandOf(calls);
--- a/tools/replay/src/main.ts
+++ b/tools/replay/src/main.ts
@@ -5,7 +5,7 @@
 import { LoadGenerator, type Seen } from '@rainrun/load-generator';
 import { readSpec, specFaultText } from '@rainrun/configuration';
 import { replayDay } from '@rainrun/simulator';
-import { readDay, SHAPES, type Call, type Shape } from '@rainrun/workloads';
+import { parseDay, SHAPES, type RecordedCall, type Shape } from '@rainrun/workloads';
 import { compareReplay, type ReplayedCall } from './compare.js';
 
 const cli = meow(
@@ -70,7 +70,7 @@
 }
 
 /** Replays the day against a running fleet. */
-async function replayOnFleet(calls: readonly Call[], edges: string): Promise<ReplayResult> {
+async function replayOnFleet(calls: readonly RecordedCall[], edges: string): Promise<ReplayResult> {
   const report = await new LoadGenerator(edges.split(','), cli.flags.standIns).play(calls, cli.flags.speed);
   const replayed: ReplayedCall[] = [];
   for (const seen of report.seen) replayed.push({ seen, worker: await fetchWorkerOf(seen) });
@@ -78,7 +78,7 @@
 }
 
 /** Replays the day in the simulator, which runs the same code in virtual time. */
-function replayInSimulator(calls: readonly Call[], shape: Shape): ReplayResult {
+function replayInSimulator(calls: readonly RecordedCall[], shape: Shape): ReplayResult {
   let options: { seed: number; spec?: object } = { seed: cli.flags.seed };
   if (cli.flags.spec !== undefined) {
     const spec = readSpec(readText(cli.flags.spec));
@@ -105,7 +105,7 @@
 }
 
 const { day: path, edges, simulate, speed } = cli.flags;
-const day = readDay(readText(path));
+const day = parseDay(readText(path));
 if (day.isErr) failUsage(`${path}: ${day.error.detail}`);
 if (!(speed > 0)) failUsage('--speed must be above 0');
 const shape = SHAPES[simulate ?? ''];
--- a/tools/scale/src/dialect.ts
+++ b/tools/scale/src/dialect.ts
@@ -134,7 +134,7 @@
       .map((data) => data as PlatformSettings),
   readCall,
   writeDocument: (document) => JSON.stringify(document),
-  statusOf: () => undefined,
+  statusOfFault: () => undefined,
   listPath: () => PATHS.list,
   readPage,
   readReport,
--- a/tools/scale/src/hollow-child.ts
+++ b/tools/scale/src/hollow-child.ts
@@ -91,9 +91,9 @@
   const balancer = new Balancer({
     zone: 'zone-00',
     nowMs: () => performance.now(),
-    evacuated: () => [],
+    evacuatedZones: () => [],
     edges: () => edges.length,
-    region: regionOf,
+    regionOf: regionOf,
     salt: 'hollow',
   });
   const initialModels = initialModelCount(size);
@@ -152,7 +152,7 @@
     placementTimesMs: stats.placementTimesMs,
     followers: edges.length,
     ready: edges.filter((edge) => edge.follower.ready).length,
-    informed: edges.filter((edge) => edge.follower.informed).length,
+    informed: edges.filter((edge) => edge.follower.hasMajorityContact).length,
     minRevision: Math.min(...edges.map((edge) => edge.follower.state.revision)),
     newestRow: Math.max(0, ...edges.map((edge) => edge.tableRow)),
     oldestRow: Math.min(Infinity, ...edges.map((edge) => edge.tableRow)),
--- a/tools/scale/src/hollow.ts
+++ b/tools/scale/src/hollow.ts
@@ -184,7 +184,7 @@
 
   requestModel(model: string, adapter: string): void {
     this.#pendingDemands.push({ model, adapter, sinceMs: sharedMs() });
-    this.#follower.requestUpdateSoon();
+    this.#follower.reportDemandSoon();
     setTimeout(() => this.#follower.tick(), URGENT_UPDATE_DELAY_MS);
   }
 
