--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -25,7 +25,7 @@
  * @example
  * const edge = new SpecEdge(clusterNode, 'edge-1', 'north', clock, chance, sender);
  * edge.gateway.admit(request, sink);
- * edge.observe(); // every OBSERVE_MS
+ * edge.castMeasures(); // every OBSERVATION_INTERVAL_MS
  */
 export class SpecEdge {
   #clusterNode: ClusterNode;
--- a/packages/common/src/hash.ts
+++ b/packages/common/src/hash.ts
@@ -16,7 +16,7 @@
 /**
  * A well-mixed 32-bit hash of a text, for rendezvous hashing: the candidate with the highest hash is chosen.
  * @example
- * spread('a') !== spread('b'); // true
+ * mixedHash('a') !== mixedHash('b'); // true
  */
 export function mixedHash(text: string): number {
   let hash = hashText(text);
--- a/packages/configuration/src/tenant-directory.ts
+++ b/packages/configuration/src/tenant-directory.ts
@@ -27,7 +27,7 @@
  * of this process only, so that neither a memory dump nor the time of a look-up reveals anything about them.
  * @example
  * const directory = new TenantDirectory(configuration.tenants, secret);
- * directory.holderOf('key-1')?.name; // 'tenant-1'
+ * directory.tenantByKey('key-1')?.name; // 'tenant-1'
  */
 export class TenantDirectory {
   #secret: Uint8Array;
--- a/packages/failure-detector/src/failure-detector.ts
+++ b/packages/failure-detector/src/failure-detector.ts
@@ -15,7 +15,7 @@
  * @example
  * const detector = new FailureDetector({ suspectMs: 1500, pauseMs: 400 });
  * detector.watch('incarnation-1', nowMs);
- * detector.answered('incarnation-1', nowMs);
+ * detector.recordAnswer('incarnation-1', nowMs);
  * detector.suspects('incarnation-1', nowMs + 2000); // true
  */
 export class FailureDetector {
--- a/packages/placement/src/feedback-loop.ts
+++ b/packages/placement/src/feedback-loop.ts
@@ -19,8 +19,8 @@
  * A proportional-integral controller. Its output is bounded and changes in bounded steps, and the integral is
  * held while the output is at a bound, so that it does not wind up.
  * @example
- * const loop = new Loop({ gain: 1, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 });
- * loop.move(1.5, 1); // an output above 1: measured is 1.5 times the set point
+ * const controller = new PiController({ gain: 1, integralPerS: 0.2, min: 0.25, max: 4, stepPerS: 0.5, deadBand: 0.05 });
+ * controller.update(1.5, 1); // an output above 1: measured is 1.5 times the set point
  */
 export class PiController {
   #settings: PiControllerSettings;
--- a/packages/placement/src/holdings.ts
+++ b/packages/placement/src/holdings.ts
@@ -7,7 +7,7 @@
 /**
  * Returns a mutable copy of holdings.
  * @example
- * copyOf(report.holdings).delete('model-1');
+ * cloneHoldings(report.holdings).delete('model-1');
  */
 export function cloneHoldings(holdings: Holdings): Map<string, Set<string>> {
   return new Map([...holdings].map(([model, adapters]) => [model, new Set(adapters)]));
--- a/packages/placement/src/worker-table.ts
+++ b/packages/placement/src/worker-table.ts
@@ -56,8 +56,8 @@
  * rows up to a number gets only the later changes.
  * @example
  * const table = new WorkerTable();
- * table.learn([listed], nowMs);
- * table.since(0); // every row
+ * table.applyList([listed], nowMs);
+ * table.changedSince(0); // every row
  */
 export class WorkerTable {
   #rows = new Map<string, WorkerRecord>();
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -50,7 +50,7 @@
   #propose: (entry: Entry, nowMs: number) => void;
   #pendingChange: PendingViewChange | undefined;
   #changeCount = 0;
-  /** Time since which a change has been needed; it starts `graceMs` later. */
+  /** Time since which a change has been needed; it starts `viewChangeDelayMs` later. */
   #changeNeededSinceMs: number | undefined;
   /** True while members may have stopped casting for a view that was not installed. */
   #mustInstallView = true;
--- a/packages/process-group/src/membership/view-change.ts
+++ b/packages/process-group/src/membership/view-change.ts
@@ -79,7 +79,7 @@
     return create(FlushReplySchema, { epoch, change, unstableCasts: this.#collaborators.casts.stop() });
   }
 
-  /** Puts a view into force on this node; its casts start with `open`. */
+  /** Puts a view into force on this node; its casts start with `startCasts`. */
   enterView(view: View): void {
     const { casts, directory, liveness, local, transport, versions } = this.#collaborators;
     const nowMs = local.nowMs();
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -83,7 +83,7 @@
  * expired permits.
  * @example
  * const client = new QuotaClient({ clock, chance, bounds, self: () => member, send });
- * client.learnView(view);
+ * client.updateView(view);
  * const cancel = client.acquire('tenant-1', (answer) => proceed(answer));
  * client.receive(grant, clock.nowMs());
  * client.tick(clock.nowMs()); // every 50 ms or more often
--- a/packages/runtime/src/testing/edge-under-test.ts
+++ b/packages/runtime/src/testing/edge-under-test.ts
@@ -91,7 +91,7 @@
  * A stand-in for a core that sends a configuration and a worker table to the edges that subscribe to it.
  * @example
  * const core = await StandInCore.open(7001, { revision: 1, routes: [], services: [] });
- * core.list([{ id: 'w1', address: '127.0.0.1:8001' }]);
+ * core.setWorkers([{ id: 'w1', address: '127.0.0.1:8001' }]);
  */
 export class StandInCore {
   #transport: PeerTransport;
--- a/packages/workloads/src/day.ts
+++ b/packages/workloads/src/day.ts
@@ -44,7 +44,7 @@
 /**
  * Formats the first line of a recorded day: format, version and deployment.
  * @example
- * headLine('vejsargs'); // {"format":"rainrun-day","version":1,"deployment":"vejsargs"}
+ * formatDayHeader('vejsargs'); // {"format":"rainrun-day","version":1,"deployment":"vejsargs"}
  */
 export function formatDayHeader(deployment: string): string {
   return JSON.stringify({ format: 'rainrun-day', version: DAY_FORMAT_VERSION, deployment });
@@ -53,7 +53,7 @@
 /**
  * Formats one request as a line of a recorded day.
  * @example
- * callLine({ atMs: 5, group: 'buyers', kind: 'seat', path: '/v1/chat/completions', ... });
+ * formatRecordedCall({ atMs: 5, group: 'buyers', kind: 'seat', path: '/v1/chat/completions', ... });
  */
 export function formatRecordedCall(call: RecordedCall): string {
   return JSON.stringify(call);
@@ -70,7 +70,7 @@
 /**
  * Parses a recorded day; the error names the first line that cannot be read and the reason.
  * @example
- * readDay('not a day').isErr; // true
+ * parseDay('not a day').isErr; // true
  */
 export function parseDay(text: string): Result<RecordedDay, Fault> {
   if (!text.endsWith('\n'))
--- a/packages/workloads/src/shapes.ts
+++ b/packages/workloads/src/shapes.ts
@@ -251,7 +251,7 @@
 /**
  * Generates a day of traffic of the deployment's request kinds; the same seed gives the same day.
  * @example
- * makeDay(SHAPES['malabon'], 60, 1).split('\n').length;
+ * generateDay(SHAPES['malabon'], 60, 1).split('\n').length;
  */
 export function generateDay(shape: Shape, seconds: number, seed: number): string {
   const random = new SeededRandom(seed);
@@ -304,7 +304,7 @@
  * Generates an overload by one group: each of its request kinds arrives at `perS`, a rate far beyond the
  * share of the group, and almost nothing else does.
  * @example
- * makeFlood(SHAPES['vejsargs'], 'overnight', 60, 20, 1);
+ * generateOverload(SHAPES['vejsargs'], 'overnight', 60, 20, 1);
  */
 export function generateOverload(
   shape: Shape,
