--- a/tools/scale/src/check.ts
+++ b/tools/scale/src/check.ts
@@ -1,6 +1,6 @@
 import type { Point } from './point.js';
 
-/** By design 6 2/3 status frames a second, each answered once; coordinator changes and urgent updates add some. */
+/** By design 6 2/3 status frames per second, each answered once, plus coordinator changes and urgent updates. */
 const MAX_FRAMES_PER_S = 16;
 /** Largest allowed growth of a follower's frames and bytes from the smallest to the largest size. */
 const MAX_GROWTH = 1.25;
--- a/tools/scale/src/run.ts
+++ b/tools/scale/src/run.ts
@@ -10,7 +10,7 @@
 
 const S_PER_DAY = 86_400;
 const COUNTERS_INTERVAL_MS = 10_000;
-/** A new coordinator treats the worker list as reliable only after this time, and then sends every row again. */
+/** A new coordinator treats the worker list as reliable only after this time, then resends every row. */
 const RESYNC_MS = 5000;
 /** Length of the quiet phase in phases: long enough for the cores to log their counters twice. */
 const QUIET_PHASES = 2.1;
--- a/tools/scale/src/slope.ts
+++ b/tools/scale/src/slope.ts
@@ -211,7 +211,7 @@
 /** By design a follower sends and receives 13.3 frames a second; far fewer mean that cores or links lag. */
 const MIN_FRAMES_PER_S = 11;
 
-/** Whether the fleet was in a steady state at this size; slopes are meaningless for sizes at which it was not. */
+/** Whether the fleet was in a steady state at this size; other sizes would distort the slopes. */
 export function isSteady(point: Point): boolean {
   const { changes, restarts } = point;
   return framesOf(point) >= MIN_FRAMES_PER_S && changes.heldByAll && restarts.wholes <= 2 * restarts.made;
