--- a/packages/gateway/src/dependencies.ts
+++ b/packages/gateway/src/dependencies.ts
@@ -56,7 +56,7 @@
 }
 
 /** Record of a finished request: its outcome, timing and routing decisions. */
-export interface FinishedRequest {
+export interface EndRecord {
   readonly id: string;
   readonly group: string;
   readonly kind: string;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -6,12 +6,7 @@
 import { Backlog } from './backlog.js';
 import { Catalogue } from './catalogue.js';
 import { UnconfirmedSends } from './unconfirmed-sends.js';
-import type {
-  GatewayRequestInit,
-  FinishedRequest,
-  GatewayDependencies,
-  GatewayWorker,
-} from './dependencies.js';
+import type { GatewayRequestInit, EndRecord, GatewayDependencies, GatewayWorker } from './dependencies.js';
 import { GroupShares } from './group-shares.js';
 import { demandKey, Measures, type Measurements } from './measures.js';
 import { DrainRate } from './drain-rate.js';
@@ -20,7 +15,7 @@
 import type { GatewayRequest, GatewayResponseSink } from './gateway-request.js';
 
 interface GatewayEvents {
-  ended: (record: FinishedRequest) => void;
+  ended: (record: EndRecord) => void;
 }
 
 /** A check on admission; returns the fault with which a request is rejected, if any. */
@@ -418,7 +413,7 @@
     return (this.#drainRates[group] ??= new DrainRate());
   }
 
-  #finish(request: GatewayRequest, outcome: FinishedRequest['outcome']): void {
+  #finish(request: GatewayRequest, outcome: EndRecord['outcome']): void {
     this.#count(outcome);
     this.#retries.release(request);
     this.emit('ended', {
--- a/packages/runtime/src/request-recorder.ts
+++ b/packages/runtime/src/request-recorder.ts
@@ -1,6 +1,6 @@
 /** Records the requests of an edge of the research groups' system for a later replay. */
 import { createWriteStream, type WriteStream } from 'node:fs';
-import type { FinishedRequest } from '@rainrun/gateway';
+import type { EndRecord } from '@rainrun/gateway';
 import { formatRecordedCall, formatDayHeader, type RecordedCall } from '@rainrun/workloads';
 import * as v from 'valibot';
 
@@ -30,7 +30,7 @@
  * @example
  * toRecordedCall(record, startMs, false).prompt; // undefined
  */
-export function toRecordedCall(record: FinishedRequest, startMs: number, contents: boolean): RecordedCall {
+export function toRecordedCall(record: EndRecord, startMs: number, contents: boolean): RecordedCall {
   const { group, kind, model, adapter, stream, prefix, outcome, worker, arrivedMs, firstPieceMs } = record;
   const prompt = extractPrompt(record.body);
   return {
@@ -76,7 +76,7 @@
     return this.#bytes;
   }
 
-  record(record: FinishedRequest): void {
+  record(record: EndRecord): void {
     this.#write(formatRecordedCall(toRecordedCall(record, this.#startMs, this.#settings.recordContents)));
   }
 
--- a/packages/runtime/src/spec-node-queries.ts
+++ b/packages/runtime/src/spec-node-queries.ts
@@ -1,5 +1,5 @@
 /** Operator queries that a node of the research groups' system answers from its own state. */
-import type { FinishedRequest } from '@rainrun/gateway';
+import type { EndRecord } from '@rainrun/gateway';
 import type { ClusterNode } from '@rainrun/cluster-node';
 import { failure, type OperatorReply } from './operator-reply.js';
 
@@ -8,7 +8,7 @@
   readonly clusterNode: ClusterNode;
   counters(): Record<string, number>;
   /** The end record of a request that arrived at this node. */
-  explain(id: string): Omit<FinishedRequest, 'body'> | undefined;
+  explain(id: string): Omit<EndRecord, 'body'> | undefined;
 }
 
 /**
--- a/packages/runtime/src/spec-node.ts
+++ b/packages/runtime/src/spec-node.ts
@@ -6,7 +6,7 @@
 import type { ServerResponse } from 'node:http';
 import { PROTOCOL_LEVELS, type Entry } from '@rainrun/messages';
 import { GROUP_TIMES, type Acceptor, type GroupState } from '@rainrun/process-group';
-import { UndiciSender, type FinishedRequest } from '@rainrun/gateway';
+import { UndiciSender, type EndRecord } from '@rainrun/gateway';
 import { SpecEdge, ClusterNode, OBSERVATION_INTERVAL_MS } from '@rainrun/cluster-node';
 import type { SpecState } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
@@ -60,7 +60,7 @@
   #operators: SpecOperatorService;
   #broker = new ServiceBroker({ logger: false, transporter: null, skipProcessEventRegistration: true });
   #timers: NodeJS.Timeout[] = [];
-  #endRecords = new Map<string, Omit<FinishedRequest, 'body'>>();
+  #endRecords = new Map<string, Omit<EndRecord, 'body'>>();
   #recorder: RequestRecorder | undefined;
   #isPollingList = false;
   #listFailures = 0;
@@ -158,7 +158,7 @@
     return edge;
   }
 
-  #recordEnd(record: FinishedRequest): void {
+  #recordEnd(record: EndRecord): void {
     const { body: _, ...endRecord } = record;
     this.#endRecords.set(record.id, endRecord);
     this.#recorder?.record(record);
