--- a/packages/process-group/src/agreement/coordinator-wait.test.ts
+++ b/packages/process-group/src/agreement/coordinator-wait.test.ts
@@ -3,19 +3,19 @@
 import { TestCluster } from '../testing/test-cluster.js';
 import { WaitPhase } from './coordinator-wait.js';
 
-function founded(): TestCluster {
+function foundedCluster(): TestCluster {
   const cluster = new TestCluster(['a', 'b', 'c'], 1);
   cluster.found();
   return cluster;
 }
 
-describe('what a core without a coordinator waits for', () => {
-  it('is nothing while a coordinator commits', () => {
-    const waits = founded().running.map(({ group }) => group.coordinatorWait());
+describe('the wait report of a core without a coordinator', () => {
+  it('is undefined while a coordinator commits', () => {
+    const waits = foundedCluster().running.map(({ group }) => group.coordinatorWait());
     expect(waits).toEqual([undefined, undefined, undefined]);
   });
 
-  it('is the founder that is not there', () => {
+  it('names the founder that is missing before the group is founded', () => {
     const cluster = new TestCluster(['a', 'b', 'c'], 1);
     cluster.startFirst();
     cluster.stop('c');
@@ -28,8 +28,8 @@
     ]);
   });
 
-  it('is the supporters of a voter that is alone', () => {
-    const cluster = founded();
+  it('names the voters whose support a lone voter lacks in its pre-vote', () => {
+    const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     cluster.restart('b');
     cluster.run(1500);
@@ -41,8 +41,8 @@
     ]);
   });
 
-  it('is its own disk, and for how long', () => {
-    const cluster = founded();
+  it('shows how long the sync of its own disk has been outstanding', () => {
+    const cluster = foundedCluster();
     for (const name of ['a', 'b', 'c']) cluster.stop(name);
     for (const name of ['a', 'b']) cluster.restart(name);
     for (const name of ['a', 'b']) cluster.node(name).stalled = true;
@@ -55,8 +55,8 @@
     );
   });
 
-  it('is, as a coordinator that is cut off, the members that do not renew its lease', () => {
-    const cluster = founded();
+  it('names the members that do not renew the lease of an isolated coordinator', () => {
+    const cluster = foundedCluster();
     const leader = cluster.leader()?.name ?? '';
     cluster.setIsolated(leader, true);
     cluster.run(1800);
--- a/packages/process-group/src/agreement/election.ts
+++ b/packages/process-group/src/agreement/election.ts
@@ -14,12 +14,12 @@
 import type { Voters } from './voters.js';
 
 /**
- * How long a voter that could be a candidate waits for the voters before it, as a part of
- * `suspectMs`: half of it, and a random part of it beyond, so that two rarely try at once.
+ * Least time that a voter waits for the voters that precede it, as a fraction of `suspectMs`.
+ * A random fraction from 0 to 1 is added, so that two voters rarely try at the same time.
  */
 const TURN_WAIT_FRACTION = 1 / 2;
 
-/** What elections need. */
+/** What an election needs from the other parts of the group. */
 interface ElectionCollaborators<S> {
   readonly coordination: Coordination<S>;
   readonly coordinatorWatch: CoordinatorWatch<S>;
@@ -34,19 +34,19 @@
 }
 
 /**
- * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when
- * no coordinator is heard and no voter that comes before it can be reached. It waits for those
- * before it for a bounded time only: one that is in touch may still be unable to be elected,
- * for its disk, for links to others, or because it does not know itself for a voter. The
- * pre-vote keeps a voter that goes out of turn from deposing a coordinator at work.
+ * Decides when a voter that does not coordinate becomes a candidate for the next epoch: when it
+ * hears no coordinator and can reach no voter that precedes it. It waits only a bounded time for
+ * the voters that precede it, since a reachable voter may still be unable to win: its disk may be
+ * slow, its links to others may be down, or it may not know that it is a voter. The pre-vote keeps
+ * a candidate that does not wait its turn from deposing a working coordinator.
  * @example
  * election.tick(nowMs); // while this node does not coordinate
  */
 export class Election<S> {
   #collaborators: ElectionCollaborators<S>;
   #candidacy: Candidacy | undefined;
-  /** When this voter goes without regard to the voters before it, while no coordinator is heard. */
-  #turnEndMs: number | undefined;
+  /** When this voter stops waiting for the voters that precede it; undefined while a coordinator is heard. */
+  #turnDeadlineMs: number | undefined;
 
   constructor(collaborators: ElectionCollaborators<S>) {
     this.#collaborators = collaborators;
@@ -54,12 +54,12 @@
     this.#candidacy = acceptor === undefined ? undefined : new Candidacy(this.#candidacyContext(acceptor));
   }
 
-  /** This node's candidacy and its answers to other candidates; only on a node with a disk. */
+  /** This node's candidacies and its answers to other candidates; undefined on a node without a disk. */
   get candidacy(): Candidacy | undefined {
     return this.#candidacy;
   }
 
-  /** Founds the group, drives the candidacy under way, or begins one if this node is the next in order. */
+  /** Founds the group, drives the candidacy in progress, or begins one if it is this node's turn. */
   tick(nowMs: number): void {
     const { coordination, coordinatorWatch, dependencies, founding } = this.#collaborators;
     const { acceptor } = dependencies;
@@ -67,7 +67,7 @@
     if (acceptor === undefined || candidacy === undefined) return;
     if (founding.mayFound()) return founding.tick();
     if (candidacy.isUnderWay) return candidacy.tick(nowMs);
-    if (coordinatorWatch.live() !== undefined) this.#turnEndMs = undefined;
+    if (coordinatorWatch.live() !== undefined) this.#turnDeadlineMs = undefined;
     if (!candidacy.isDue(nowMs) && !this.#mayStartEarly(candidacy, acceptor)) return;
     if (coordination.isIneligible(nowMs) || acceptor.busy) return;
     if (!this.#isTurn(candidacy, acceptor.disk, nowMs)) return;
@@ -75,61 +75,61 @@
     candidacy.begin(nowMs);
   }
 
-  /** The disk of the voter that this node lets go first; undefined if it is itself the next. */
+  /** The disk of the voter that this node waits for; undefined if there is none or this node is next. */
   firstInOrder(): string | undefined {
     const { dependencies, local, voters } = this.#collaborators;
     const disks = voters.list().map((voter) => voter.disk);
     const ownDisk = dependencies.acceptor?.disk ?? '';
     const first = local.inView
-      ? this.#firstMember(disks, local.nowMs())?.disk
-      : this.#firstOutside(disks, ownDisk);
+      ? this.#firstMemberInOrder(disks, local.nowMs())?.disk
+      : this.#firstContactInOrder(disks, ownDisk);
     return first === ownDisk ? undefined : first;
   }
 
-  /** The process was suspended: the voters before this one get their time anew. */
-  onWake(nowMs: number): void {
-    this.#turnEndMs = undefined;
-    this.#candidacy?.onWake(nowMs);
+  /** Called after the process was suspended: restarts the wait for the voters that precede this one. */
+  onResume(nowMs: number): void {
+    this.#turnDeadlineMs = undefined;
+    this.#candidacy?.onResume(nowMs);
   }
 
-  /** Whether this node is the next in order, or has waited long enough for those before it. */
+  /** Whether this voter is next in order, or has waited long enough for the voters that precede it. */
   #isTurn(candidacy: Candidacy, disk: string, nowMs: number): boolean {
     const { coordinatorWatch, dependencies, voters } = this.#collaborators;
     if (coordinatorWatch.live() !== undefined || !voters.list().some((voter) => voter.disk === disk))
       return false;
     const { suspectMs } = dependencies.times;
-    this.#turnEndMs ??= nowMs + suspectMs * (TURN_WAIT_FRACTION + candidacy.jitter);
-    return nowMs >= this.#turnEndMs || this.#isNext(disk, nowMs);
+    this.#turnDeadlineMs ??= nowMs + suspectMs * (TURN_WAIT_FRACTION + candidacy.jitter);
+    return nowMs >= this.#turnDeadlineMs || this.#isNext(disk, nowMs);
   }
 
   /**
-   * Whether every voter is there and none is in a view, as after a loss of power everywhere: nobody need be waited
-   * for. After a first attempt the back-off counts, lest candidates go on to depose one another.
+   * Whether every voter is reachable and none is in a view, as after a power failure of all cores. The
+   * initial wait is unnecessary then. After a failed attempt the back-off applies, so that candidates do
+   * not keep deposing one another.
    */
   #mayStartEarly(candidacy: Candidacy, acceptor: Acceptor): boolean {
     const { discovery, local, voters } = this.#collaborators;
-    const known = voters.list();
-    if (candidacy.hasFailed || local.inView || known.length === 0) return false;
+    const knownVoters = voters.list();
+    if (candidacy.hasFailed || local.inView || knownVoters.length === 0) return false;
     const outside = discovery.freshContacts().filter((contact) => !contact.inView);
-    return known.every(
+    return knownVoters.every(
       ({ disk }) => disk === acceptor.disk || outside.some((contact) => contact.member.disk === disk),
     );
   }
 
   /**
-   * Whether no voter of lower rank can be reached. Members come first, in the
-   * view's order; a voter that is back under a new incarnation comes after them.
-   * Outside a view nobody waits for a voter with an older version: that one may
-   * know too little of the voters to be elected.
+   * Whether no voter that precedes this one can be reached. Members of the view come first, in the view's
+   * order; a voter that has restarted under a new incarnation comes after them. A voter outside a view does
+   * not wait for one with an older version, which may know an outdated voter set and be unable to win.
    */
   #isNext(disk: string, nowMs: number): boolean {
     const { local, voters } = this.#collaborators;
     const disks = voters.list().map((voter) => voter.disk);
-    if (!local.inView) return this.#firstOutside(disks, disk) === disk;
-    return this.#firstMember(disks, nowMs)?.incarnation === local.incarnation;
+    if (!local.inView) return this.#firstContactInOrder(disks, disk) === disk;
+    return this.#firstMemberInOrder(disks, nowMs)?.incarnation === local.incarnation;
   }
 
-  #firstMember(disks: readonly string[], nowMs: number): Member | undefined {
+  #firstMemberInOrder(disks: readonly string[], nowMs: number): Member | undefined {
     const { liveness, local } = this.#collaborators;
     return local.view?.members.find(
       ({ disk, incarnation }) =>
@@ -138,16 +138,16 @@
     );
   }
 
-  #firstOutside(disks: readonly string[], ownDisk: string): string | undefined {
+  #firstContactInOrder(disks: readonly string[], ownDisk: string): string | undefined {
     const { discovery, local } = this.#collaborators;
     const contacts = discovery.freshContacts();
     const member = contacts.find((contact) => contact.inView && disks.includes(contact.member.disk));
     if (member !== undefined) return member.member.disk;
-    const number = Math.max(1, local.newestVersion);
+    const minVersion = Math.max(1, local.newestVersion);
     return disks.find(
       (disk) =>
         disk === ownDisk ||
-        contacts.some((contact) => contact.newestVersion >= number && contact.member.disk === disk),
+        contacts.some((contact) => contact.newestVersion >= minVersion && contact.member.disk === disk),
     );
   }
 
