--- a/packages/cluster-node/src/spec-edge.ts
+++ b/packages/cluster-node/src/spec-edge.ts
@@ -1,4 +1,4 @@
-/** The data plane of an edge of the spec family: ties the gateway to the edge's node. */
+/** The data plane of an edge of the spec family: connects the gateway to the edge's node. */
 import { create } from '@bufbuild/protobuf';
 import { ObservationSchema } from '@rainrun/messages';
 import { Gateway, type Sender } from '@rainrun/gateway';
@@ -6,7 +6,7 @@
 import { Loop, type LoopSettings } from '@rainrun/placement';
 import type { ClusterNode } from './cluster-node.js';
 
-/** How the weights of the groups are steered. */
+/** Settings of the feedback loops that adjust the weights of the research groups. */
 export const LOOP_SETTINGS: LoopSettings = {
   gain: 0.5,
   integralPerS: 0.1,
@@ -16,12 +16,12 @@
   deadBand: 0.1,
 };
 
-/** How often an edge casts what it observed, in milliseconds. */
+/** Interval at which an edge casts its observation, in milliseconds. */
 export const OBSERVE_MS = 500;
 
 /**
- * The data plane of an edge, tied to its node: the gateway sees the node's
- * state, workers and lease; the other nodes receive what the gateway measured.
+ * The data plane of an edge, connected to its node: the gateway reads the node's state, workers and lease,
+ * and its measures are cast to the other nodes.
  * @example
  * const edge = new SpecEdge(clusterNode, 'edge-1', 'north', clock, chance, sender);
  * edge.gateway.admit(request, sink);
@@ -59,14 +59,16 @@
     });
   }
 
-  /** Casts what the gateway measured since the last time, and moves the loops. */
+  /**
+   * Casts the measures of the gateway since the last call, and updates the loops that adjust group weights.
+   */
   observe(): void {
     const { measures: measured, demands, faults } = this.gateway.takeMeasures();
     const measures = [...measured];
-    const known = new Set(measures.map((measure) => measure.group));
+    const measuredGroups = new Set(measures.map((measure) => measure.group));
     for (const { name } of this.#clusterNode.state.spec?.spec.groups ?? []) {
-      const now = this.gateway.groupNow(name);
-      if (known.has(name) || now.inFlight + now.backlog === 0) continue;
+      const current = this.gateway.groupNow(name);
+      if (measuredGroups.has(name) || current.inFlight + current.backlog === 0) continue;
       measures.push({ group: name, kind: '', served: 0, refused: 0, prompt: 0, waitSumMs: 0 });
     }
     const observation = create(ObservationSchema, {
@@ -89,7 +91,7 @@
       })),
     });
     this.#clusterNode.observe(observation);
-    this.#moveLoops();
+    this.#updateLoops();
   }
 
   #weight(group: string): number {
@@ -97,7 +99,7 @@
     return share * (this.#loops.get(group)?.output ?? 1);
   }
 
-  #moveLoops(): void {
+  #updateLoops(): void {
     const statuses = this.#clusterNode.groups;
     for (const { name, kinds } of this.#clusterNode.state.spec?.spec.groups ?? []) {
       const measured = statuses.filter((status) => status.group === name && status.served > 0);
--- a/packages/cluster-node/src/spec-placement-loop.ts
+++ b/packages/cluster-node/src/spec-placement-loop.ts
@@ -1,4 +1,7 @@
-/** Placement of the spec family: while this node holds the singleton lease, decides placements and orders workers. */
+/**
+ * Placement of the spec family: decides placements and sends orders while this node holds the singleton
+ * lease.
+ */
 import type { SpecState } from '@rainrun/configuration';
 import { fault, type Fault } from '@rainrun/common';
 import {
@@ -15,17 +18,20 @@
 import type { DirectoryWorker } from './worker-directory.js';
 
 const PLACEMENT_INTERVAL_MS = 1000;
-/** How long a new holder of the singleton lease waits for a report of every worker. */
+/** How long a new holder of the singleton lease waits for the reports of all workers before it decides. */
 const REPORTS_TIMEOUT_MS = 4000;
-/** Subtracted from the urgency of a further copy: the first ones of everything come before, asked for or not. */
+/**
+ * Subtracted from the urgency of a further copy, so that all first copies are loaded before it, in demand or
+ * not.
+ */
 const FURTHER_COPY_PENALTY = 1e6;
 
-/** What placement reads of its node, and what it sends. */
+/** The sources that placement reads on its node, and the effects that it has. */
 export interface SpecPlacementDependencies {
-  /** Set points of placement, where they are not the usual ones. */
+  /** Settings of the placer; SPEC_PLACER_SETTINGS if absent. */
   readonly placing?: SpecPlacerSettings;
   state(): SpecState;
-  /** All listed workers. */
+  /** All workers of the platform's list. */
   workers(): DirectoryWorker[];
   demands(nowMs: number): ReadonlyMap<string, SpecModelDemand>;
   /** This node's incarnation. */
@@ -34,72 +40,73 @@
   singletonEpoch(): number | undefined;
   /** Sends one order to a worker. */
   order(address: string, order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void;
-  /** Called when a worker replied something new. */
+  /** Called with the known state of a worker after an order to it has ended. */
   onWorkerState(worker: string, known: SpecWorkerState): void;
-  /** Submits a decision; `done` is called once it is committed. */
+  /** Submits a placement decision to the group; `done` is called once the decision is committed. */
   submitPlacement(id: string, payload: string, done: () => void): Result<string, Fault>;
 }
 
 /**
- * The placement loop.
+ * Decides placements at intervals, submits them to the group, and sends workers the orders that follow from
+ * them.
  * @example
  * loop.tick(nowMs); // every 50 ms
- * loop.reason('gearbox-7b'); // why it is placed where it is
+ * loop.reason('gearbox-7b'); // the reason for its placement
  */
 export class SpecPlacementLoop {
   #dependencies: SpecPlacementDependencies;
   #placer: SpecPlacer;
   #orderSender: SpecOrderSender;
-  #placedMs = -Infinity;
-  /** Id of the decision that is submitted and not yet committed. */
+  #decidedMs = -Infinity;
+  /** Id of the decision that was submitted and is not yet committed. */
   #pendingDecision: string | undefined;
   #leaseStart: { readonly epoch: number; readonly atMs: number } | undefined;
-  #decisions = 0;
+  #decisionCount = 0;
 
   constructor(dependencies: SpecPlacementDependencies) {
     this.#dependencies = dependencies;
     this.#placer = new SpecPlacer(dependencies.placing ?? SPEC_PLACER_SETTINGS);
     this.#orderSender = new SpecOrderSender({
       singletonEpoch: () => dependencies.singletonEpoch(),
-      order: (order, done) => this.#order(order, done),
+      order: (order, done) => this.#sendOrder(order, done),
       onWorkerState: (worker, known) => dependencies.onWorkerState(worker, known),
     });
   }
 
-  /** Why a model stands where it does, if this node decided it. */
+  /** The reason for the current placement of a model, if this node decided it. */
   reason(model: string): string | undefined {
     return this.#placer.reason(model);
   }
 
-  /** Sends the orders that are due, and decides anew where that is due; nothing without the lease. */
+  /** Sends due orders and makes a new decision if one is due; does nothing without the singleton lease. */
   tick(nowMs: number): void {
     const epoch = this.#dependencies.singletonEpoch();
     const state = this.#dependencies.state();
     const spec = state.spec?.spec;
     if (epoch === undefined || spec === undefined) return;
     const workers = this.#dependencies.workers().filter((worker) => worker.kind === 'model');
-    const staying = workers.filter((worker) => !worker.draining);
+    const nonDraining = workers.filter((worker) => !worker.draining);
     const demands = this.#dependencies.demands(nowMs);
-    const loaded = this.#loadedParts(staying);
-    this.#orderSender.tick(spec, state.placement, staying, nowMs, (model, adapter) =>
+    const loaded = this.#loadedKeys(nonDraining);
+    this.#orderSender.tick(spec, state.placement, nonDraining, nowMs, (model, adapter) =>
       urgencyOf(demands, loaded, model, adapter),
     );
-    if (!this.#isDecisionDue(epoch, staying, nowMs)) return;
-    this.#placedMs = nowMs;
+    if (!this.#isDecisionDue(epoch, nonDraining, nowMs)) return;
+    this.#decidedMs = nowMs;
     const changes = this.#decide(workers, demands, nowMs);
     if (Object.keys(changes).length > 0) this.#submit(epoch, changes);
   }
 
-  #isDecisionDue(epoch: number, staying: readonly DirectoryWorker[], nowMs: number): boolean {
+  #isDecisionDue(epoch: number, nonDraining: readonly DirectoryWorker[], nowMs: number): boolean {
     if (this.#leaseStart?.epoch !== epoch) this.#leaseStart = { epoch, atMs: nowMs };
-    const haveAllReported = staying.every(
+    const haveAllReported = nonDraining.every(
       (worker) => this.#orderSender.workerState(worker.name) !== undefined,
     );
     if (!haveAllReported && nowMs - this.#leaseStart.atMs < REPORTS_TIMEOUT_MS) return false;
-    return nowMs - this.#placedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
+    return nowMs - this.#decidedMs >= PLACEMENT_INTERVAL_MS && this.#pendingDecision === undefined;
   }
 
-  /** New placements by worker; an empty one for each worker that is no longer listed. */
+  /** The changed placements by worker; an empty placement for each worker that is no longer listed. */
   #decide(
     workers: readonly DirectoryWorker[],
     demands: ReadonlyMap<string, SpecModelDemand>,
@@ -119,8 +126,8 @@
   }
 
   #submit(epoch: number, workers: Record<string, unknown>): void {
-    this.#decisions += 1;
-    const id = `place-${epoch}-${this.#dependencies.incarnation()}-${this.#decisions}`;
+    this.#decisionCount += 1;
+    const id = `place-${epoch}-${this.#dependencies.incarnation()}-${this.#decisionCount}`;
     this.#pendingDecision = id;
     const sent = this.#dependencies.submitPlacement(id, JSON.stringify({ epoch, workers }), () => {
       this.#pendingDecision = undefined;
@@ -132,28 +139,31 @@
     return this.#orderSender.workerState(worker)?.reachable ?? false;
   }
 
-  /** Models and adapters that some reachable worker has loaded, as it reported itself. */
-  #loadedParts(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
-    const parts = new Set<string>();
+  /**
+   * Keys of the models and adapters that reachable workers reported as loaded: `model/` and `model/adapter`.
+   */
+  #loadedKeys(workers: readonly DirectoryWorker[]): ReadonlySet<string> {
+    const keys = new Set<string>();
     for (const { name } of workers) {
       const known = this.#orderSender.workerState(name);
       if (known?.reachable !== true) continue;
       for (const { model, adapters } of known.holdings) {
-        parts.add(`${model}/`);
-        for (const adapter of adapters) parts.add(`${model}/${adapter}`);
+        keys.add(`${model}/`);
+        for (const adapter of adapters) keys.add(`${model}/${adapter}`);
       }
     }
-    return parts;
+    return keys;
   }
 
-  #order(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
+  #sendOrder(order: SpecOrder, done: (reply: Result<SpecOrderReply, Fault>) => void): void {
     const entry = this.#dependencies.workers().find((worker) => worker.name === order.worker);
-    if (entry === undefined) return done(Result.err(fault('not-found', `worker ${order.worker}`)));
+    if (entry === undefined)
+      return done(Result.err(fault('not-found', `worker ${order.worker} is not listed`)));
     this.#dependencies.order(entry.address, order, done);
   }
 }
 
-/** How urgent a load is; a further copy is loaded after every first one. */
+/** Urgency of a load by demand; a further copy is less urgent than every first copy. */
 function urgencyOf(
   demands: ReadonlyMap<string, SpecModelDemand>,
   loaded: ReadonlySet<string>,
--- a/packages/cluster-node/src/worker-directory.ts
+++ b/packages/cluster-node/src/worker-directory.ts
@@ -1,4 +1,7 @@
-/** The workers as a node of the spec family knows them: from the platform, from the workers and from other edges. */
+/**
+ * Directory of the workers on a node of the spec family: joins the platform's list, workers' replies and
+ * edges' loads.
+ */
 import type { Observation, WorkerList, WorkerState } from '@rainrun/messages';
 import type { HoldingTarget, Spec, SpecState } from '@rainrun/configuration';
 
@@ -17,11 +20,11 @@
   readonly holdings: readonly HoldingTarget[];
   /** When this node first knew each holding, by model and by model/adapter. */
   readonly sinceMs: ReadonlyMap<string, number>;
-  /** Requests in flight from other edges, as last observed. */
+  /** Requests in flight from other edges, by their last observations. */
   readonly othersInFlight: number;
 }
 
-interface Load {
+interface EdgeLoad {
   readonly atMs: number;
   readonly inFlight: ReadonlyMap<string, number>;
 }
@@ -29,8 +32,8 @@
 const LOAD_EXPIRY_MS = 5000;
 
 /**
- * What the platform lists, what workers replied and what other edges have in flight,
- * joined for the data plane and for placement.
+ * Joins the workers that the platform lists, the holdings that workers reported and the requests that other
+ * edges have in flight, for the data plane and for placement.
  * @example
  * directory.setList(list);
  * directory.workers(state, 'incarnation-1', nowMs); // every listed worker
@@ -40,41 +43,44 @@
   #states = new Map<string, WorkerState>();
   #sinceMs = new Map<string, Map<string, number>>();
   #loadNumbers = new Map<string, number>();
-  #loads = new Map<string, Load>();
+  #loads = new Map<string, EdgeLoad>();
 
   get generation(): number {
     return this.#list?.generation ?? 0;
   }
 
-  /** Takes the platform's complete list. */
+  /** Replaces the list of workers by the platform's newest one. */
   setList(list: WorkerList): void {
     this.#list = list;
   }
 
-  /** Records what a worker replied; a reload starts its holdings anew. */
+  /**
+   * Records the state that a worker reported. A holding that was loaded again, or whose worker was not
+   * reachable before, counts as known since now.
+   */
   recordState(state: WorkerState, nowMs: number): void {
-    const before = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
-    const reset = !(this.#states.get(state.worker)?.reachable ?? false);
-    const since = new Map<string, number>();
+    const previousSinceMs = this.#sinceMs.get(state.worker) ?? new Map<string, number>();
+    const wasUnreachable = !(this.#states.get(state.worker)?.reachable ?? false);
+    const sinceMs = new Map<string, number>();
     for (const { model, adapters, loadNumber: load } of state.holdings) {
-      const copy = `${state.worker}/${model}`;
-      const anew = reset || load > (this.#loadNumbers.get(copy) ?? 0);
-      this.#loadNumbers.set(copy, Math.max(load, this.#loadNumbers.get(copy) ?? 0));
+      const copyKey = `${state.worker}/${model}`;
+      const isNewLoad = wasUnreachable || load > (this.#loadNumbers.get(copyKey) ?? 0);
+      this.#loadNumbers.set(copyKey, Math.max(load, this.#loadNumbers.get(copyKey) ?? 0));
       for (const key of [model, ...adapters.map((adapter) => `${model}/${adapter}`)]) {
-        since.set(key, anew ? nowMs : (before.get(key) ?? nowMs));
+        sinceMs.set(key, isNewLoad ? nowMs : (previousSinceMs.get(key) ?? nowMs));
       }
     }
     this.#states.set(state.worker, state);
-    this.#sinceMs.set(state.worker, since);
+    this.#sinceMs.set(state.worker, sinceMs);
   }
 
-  /** Records an edge's requests in flight. */
+  /** Records the requests that an edge has in flight to each worker. */
   recordObservation(sender: string, observation: Observation, nowMs: number): void {
     const inFlight = new Map(observation.loads.map((load) => [load.worker, load.inFlight]));
     this.#loads.set(sender, { atMs: nowMs, inFlight });
   }
 
-  /** Drops what was observed by nodes that are no longer in the view. */
+  /** Drops the observations of nodes that are no longer in the view. */
   retainOnly(incarnations: ReadonlySet<string>): void {
     for (const incarnation of this.#loads.keys())
       if (!incarnations.has(incarnation)) this.#loads.delete(incarnation);
@@ -113,7 +119,10 @@
   }
 }
 
-/** What a worker has loaded and is placed there: no request goes to what is to be unloaded. */
+/**
+ * The holdings that are both loaded and placed on a worker, as no request may go to one that is to be
+ * unloaded.
+ */
 function loadedAndPlaced(
   loaded: readonly HoldingTarget[],
   placed: readonly HoldingTarget[],
--- a/packages/configuration/src/deployment.ts
+++ b/packages/configuration/src/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * The agreed state of a deployment, and the operations that change it: pure
- * functions, the same on every core.
+ * The replicated state of a deployment, and the operations that change it. All functions here are pure, so
+ * that every core computes the same state.
  */
 import { describeJsonError, fault, type Fault, type FaultKind } from '@rainrun/common';
 import { Result } from 'true-myth';
@@ -11,30 +11,30 @@
 import { issueMessage } from './issue-text.js';
 import {
   digestOfChange,
-  mayBeEvictedChange,
+  mayHaveBeenForgotten,
   NO_ACCEPTED_CHANGES,
-  acceptedUnder,
+  findAcceptedChange,
   withAcceptedChange,
   type AcceptedChanges,
 } from './accepted-changes.js';
 
-/** A configuration as it was sent, in our terms. */
+/** A configuration document as it was sent, with the key names of this project. */
 export type ConfigurationDocument = Readonly<Record<string, unknown>>;
 
-/** The agreed state of a deployment that is configured by routes and services. */
+/** The replicated state of a deployment that is configured by routes and services. */
 export interface Deployment {
-  /** Grows by one with each operation that changed something. */
+  /** Counts the operations that changed the state. */
   readonly edition: number;
-  /** The document as it was sent, in our terms; undefined before the first. */
+  /** The document in force; undefined before the first one. */
   readonly document: ConfigurationDocument | undefined;
   readonly revision: number;
   readonly evacuated: readonly string[];
-  /** In which edition each zone was last evacuated or returned. */
+  /** The edition in which each zone was last evacuated or returned. */
   readonly zones: Readonly<Record<string, number>>;
   readonly accepted: AcceptedChanges;
 }
 
-/** The state before anything was agreed. */
+/** The state before the first operation. */
 export const EMPTY_DEPLOYMENT: Deployment = {
   edition: 0,
   document: undefined,
@@ -45,19 +45,19 @@
 };
 
 /**
- * No document is larger, as JSON text. One message between nodes holds the
- * operation and the state that it leads to, and carries 8 MiB.
+ * Largest size of a document as JSON text, in bytes. One message between nodes carries at most 8 MiB and
+ * holds both the operation and the state that results from it.
  */
 export const DOCUMENT_MAX_BYTES = 3 * 1024 * 1024;
 
-/** So many zones may be known as evacuated or returned: names come from callers. */
+/** Largest number of zone names kept in `zones`: callers choose the names, so the map must be bounded. */
 const ZONES_MAX = 1024;
 
-/** An operation of an operator on the deployment. */
+/** An operation by which an operator changes the deployment. */
 export type DeploymentOperation =
   | {
       readonly kind: 'configuration.put';
-      /** The revision that must be in force. */
+      /** The revision that must be in force for the operation to be accepted. */
       readonly base?: number | undefined;
       readonly document: ConfigurationDocument;
     }
@@ -69,15 +69,17 @@
   | {
       readonly kind: 'zone.evacuate' | 'zone.return';
       readonly zone: string;
-      /** Edition that the caller's node held: a call that was held up does not undo a later one. */
+      /** Edition that the caller's node held, by which a delayed call is kept from undoing a later one. */
       readonly seen?: number | undefined;
     };
 
 const Revision = v.pipe(v.number(), v.safeInteger(), v.minValue(1));
-const Base = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
-const PutSchema = v.object({ base: Base, document: v.record(v.string(), v.unknown()) });
+const BaseRevision = v.optional(v.pipe(v.number(), v.safeInteger(), v.minValue(0)));
+const PutSchema = v.object({ base: BaseRevision, document: v.record(v.string(), v.unknown()) });
 const ItemsSchema = v.record(v.string(), v.unknown());
-/** Checked as a whole, so that no name which a caller made up stands in the message. */
+/**
+ * Checked as a whole, so that the error message holds no name chosen by the caller, which may be a secret.
+ */
 const DropSchema = v.pipe(
   v.record(v.string(), v.unknown()),
   v.check(
@@ -87,8 +89,10 @@
   v.transform((lists) => lists as Readonly<Record<string, readonly string[] | null>>),
 );
 const PatchSchema = v.object({
-  base: Base,
-  /** Fields that are not known change nothing, but tell two changes apart. */
+  base: BaseRevision,
+  /**
+   * Unknown fields change nothing in the document, but they enter the digest that tells two changes apart.
+   */
   patch: v.looseObject({
     revision: Revision,
     set: v.optional(v.nullable(ItemsSchema), {}),
@@ -104,7 +108,7 @@
   return Array.isArray(value) && value.every((name) => typeof name === 'string');
 }
 
-function parsed<S extends v.GenericSchema>(
+function parsePayload<S extends v.GenericSchema>(
   schema: S,
   payload: unknown,
   kind: FaultKind,
@@ -122,34 +126,37 @@
     : Result.ok(document);
 }
 
-/** A document that can be in force, whatever is in force now. */
+/** Checks the size and the content of a document, independently of the state. */
 function checkedDocument(document: ConfigurationDocument): Result<ConfigurationDocument, Fault> {
   return checkedSize(document).andThen(() => checkConfiguration(document).map(() => document));
 }
 
 /**
- * Reads the form of an operation.
+ * Parses an operation and checks its form, but not the content of a document.
  * @example
  * readOperation('zone.evacuate', { zone: 'north' }).isOk; // true
  */
 function readOperation(kind: string, payload: unknown): Result<DeploymentOperation, Fault> {
   switch (kind) {
     case 'configuration.put':
-      return parsed(PutSchema, payload, 'bad-spec').map(({ base, document }) => ({ kind, base, document }));
+      return parsePayload(PutSchema, payload, 'bad-spec').map(({ base, document }) => ({
+        kind,
+        base,
+        document,
+      }));
     case 'configuration.patch':
-      return parsed(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
+      return parsePayload(PatchSchema, payload, 'bad-spec').map(({ base, patch }) => ({ kind, base, patch }));
     case 'zone.evacuate':
     case 'zone.return':
-      return parsed(ZoneSchema, payload, 'bad-request').map(({ zone, seen }) => ({ kind, zone, seen }));
+      return parsePayload(ZoneSchema, payload, 'bad-request').map(({ zone, seen }) => ({ kind, zone, seen }));
     default:
       return Result.err(fault('bad-request', `no operation "${kind}"`));
   }
 }
 
 /**
- * Checks what can be checked of an operation without the state: its form, and
- * a complete configuration with all that is in it. What is rejected here is rejected
- * in every state.
+ * Checks an operation as far as that is possible without the state: its form and, for a complete
+ * configuration, the whole document. An operation that fails here would be refused in every state.
  * @example
  * checkOperation('zone.evacuate', { zone: 'north' }).isOk; // true
  */
@@ -161,17 +168,17 @@
   );
 }
 
-/** The state after an operation, and how it ended. */
-export interface Applied {
+/** The state after an operation, and the outcome of the operation. */
+export interface ApplyResult {
   readonly state: Deployment;
   readonly outcome: { readonly kind: 'agreed' | FaultKind; readonly detail: string };
 }
 
-function agreed(state: Deployment, detail: string): Applied {
+function agreed(state: Deployment, detail: string): ApplyResult {
   return { state, outcome: { kind: 'agreed', detail } };
 }
 
-function refused(state: Deployment, { kind, detail }: Fault): Applied {
+function refused(state: Deployment, { kind, detail }: Fault): ApplyResult {
   return { state, outcome: { kind, detail } };
 }
 
@@ -179,8 +186,11 @@
   return typeof item === 'object' && item !== null ? (item as Record<string, unknown>)['name'] : undefined;
 }
 
-/** Lists are changed item by item, by name; null in place of a list changes nothing; anything else is replaced. */
-function patched(
+/**
+ * Applies a patch to a document. Lists are changed item by item, matched by name; null in place of a list
+ * changes nothing; any other value is replaced.
+ */
+function applyPatchToDocument(
   document: ConfigurationDocument,
   set: Readonly<Record<string, unknown>>,
   drop: Readonly<Record<string, readonly string[] | null>>,
@@ -188,51 +198,52 @@
   const next: Record<string, unknown> = { ...document };
   for (const [key, names] of Object.entries(drop)) {
     const list = next[key];
-    const dropped = new Set(names ?? []);
-    if (Array.isArray(list)) next[key] = list.filter((item) => !dropped.has(String(nameOf(item))));
+    const droppedNames = new Set(names ?? []);
+    if (Array.isArray(list)) next[key] = list.filter((item) => !droppedNames.has(String(nameOf(item))));
   }
   for (const [key, value] of Object.entries(set)) {
     if (value === null && Array.isArray(next[key])) continue;
-    next[key] = Array.isArray(value) ? upserted(next[key], value) : value;
+    next[key] = Array.isArray(value) ? upsertByName(next[key], value) : value;
   }
   return next;
 }
 
-function upserted(list: unknown, changes: readonly unknown[]): unknown[] {
+function upsertByName(list: unknown, changes: readonly unknown[]): unknown[] {
   const items: unknown[] = Array.isArray(list) ? [...(list as unknown[])] : [];
-  const places = new Map<unknown, number>();
-  for (const [place, item] of items.entries()) if (!places.has(nameOf(item))) places.set(nameOf(item), place);
+  const indexByName = new Map<unknown, number>();
+  for (const [index, item] of items.entries())
+    if (!indexByName.has(nameOf(item))) indexByName.set(nameOf(item), index);
   for (const item of changes) {
-    const place = places.get(nameOf(item));
-    if (place === undefined) {
-      places.set(nameOf(item), items.length);
+    const index = indexByName.get(nameOf(item));
+    if (index === undefined) {
+      indexByName.set(nameOf(item), items.length);
       items.push(item);
-    } else items[place] = item;
+    } else items[index] = item;
   }
   return items;
 }
 
-/** A change of the configuration. */
-interface Change {
+/** A PUT or PATCH of the configuration, in the form that `acceptChange` takes. */
+interface ConfigurationChange {
   readonly base: number | undefined;
   readonly revision: number;
-  /** What the change says; costs a pass over all of it. */
+  /** Computes the digest of the change's content, which takes a pass over all of it. */
   digest(): string;
-  /** The document that it leads to, if that is valid. */
+  /** Computes the resulting document, or the faults that make it invalid. */
   result(): Result<ConfigurationDocument, Fault>;
 }
 
 /**
- * Accepts a change at most once (idempotent). One that was accepted before is acknowledged again, whatever
- * came after it; one that may have been accepted, but is no longer remembered, is
- * neither acknowledged nor rejected.
+ * Accepts a change at most once (idempotent). A change that was accepted before is acknowledged again,
+ * whatever was accepted after it. A change that may have been accepted, but whose record was forgotten since,
+ * ends as `operation-unknown`: it is neither acknowledged nor rejected.
  */
-function acceptChange(state: Deployment, change: Change): Applied {
+function acceptChange(state: Deployment, change: ConfigurationChange): ApplyResult {
   const { base, revision } = change;
-  const known = acceptedUnder(state.accepted, revision);
-  if (known !== undefined && known.digest === change.digest())
+  const earlier = findAcceptedChange(state.accepted, revision);
+  if (earlier !== undefined && earlier.digest === change.digest())
     return agreed(state, `revision ${revision} was taken before`);
-  if (mayBeEvictedChange(state.accepted, revision, base)) {
+  if (mayHaveBeenForgotten(state.accepted, revision, base)) {
     const detail = `revision ${revision} is too old to know whether this change was taken`;
     return refused(state, fault('operation-unknown', detail));
   }
@@ -251,12 +262,15 @@
   );
 }
 
-/** An invalid change was never accepted, however old it is. */
-function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): Applied {
+/**
+ * Applies a complete configuration. Where its revision is too old to be remembered, the document is checked
+ * first: an invalid one was never accepted, so it is rejected instead of ending as `operation-unknown`.
+ */
+function applyPut(state: Deployment, base: number | undefined, document: ConfigurationDocument): ApplyResult {
   const revision = v.safeParse(Revision, document['revision']);
   if (!revision.success)
     return refused(state, fault('bad-spec', `revision: ${issueMessage(revision.issues[0])}`));
-  if (mayBeEvictedChange(state.accepted, revision.output, base)) {
+  if (mayHaveBeenForgotten(state.accepted, revision.output, base)) {
     const checked = checkedDocument(document);
     if (checked.isErr) return refused(state, checked.error);
   }
@@ -272,25 +286,31 @@
   state: Deployment,
   base: number | undefined,
   patch: v.InferOutput<typeof PatchSchema>['patch'],
-): Applied {
+): ApplyResult {
   const { revision, set, drop } = patch;
   return acceptChange(state, {
     base,
     revision,
     digest: () => digestOfChange('patch', base, JSON.stringify(patch)),
-    result: () => checkedDocument({ ...patched(state.document ?? {}, set ?? {}, drop ?? {}), revision }),
+    result: () =>
+      checkedDocument({ ...applyPatchToDocument(state.document ?? {}, set ?? {}, drop ?? {}), revision }),
   });
 }
 
-function setZone(state: Deployment, zone: string, seen: number | undefined, evacuate: boolean): Applied {
+function setZoneEvacuation(
+  state: Deployment,
+  zone: string,
+  seen: number | undefined,
+  evacuate: boolean,
+): ApplyResult {
   const detail = `zone ${zone} ${evacuate ? 'evacuated' : 'taken back'}`;
   if (state.evacuated.includes(zone) === evacuate) return agreed(state, detail);
-  const changed = state.zones[zone];
-  if (seen !== undefined && (changed ?? 0) > seen) {
-    const why = `zone ${zone} was changed in edition ${changed ?? 0}, after edition ${seen}`;
-    return refused(state, fault('operation-unknown', `${why}; send it again if it is still meant`));
+  const changedIn = state.zones[zone];
+  if (seen !== undefined && (changedIn ?? 0) > seen) {
+    const cause = `zone ${zone} was changed in edition ${changedIn ?? 0}, after edition ${seen}`;
+    return refused(state, fault('operation-unknown', `${cause}; send it again if it is still meant`));
   }
-  if (changed === undefined && Object.keys(state.zones).length >= ZONES_MAX)
+  if (changedIn === undefined && Object.keys(state.zones).length >= ZONES_MAX)
     return refused(state, fault('bad-request', `${ZONES_MAX} zones are known already`));
   const others = state.evacuated.filter((known) => known !== zone);
   const edition = state.edition + 1;
@@ -301,7 +321,10 @@
   );
 }
 
-/** Payloads that were read lately: a coordinator applies each operation when it proposes and when it holds it. */
+/**
+ * Size of the cache of parsed payloads: a coordinator applies each operation twice, when it proposes the
+ * operation and when it delivers the version.
+ */
 const PARSED_PAYLOADS_MAX = 4;
 const parsedPayloads: {
   readonly kind: string;
@@ -310,8 +333,8 @@
 }[] = [];
 
 function readPayload(kind: string, payload: string): Result<DeploymentOperation, Fault> {
-  const known = parsedPayloads.find((earlier) => earlier.kind === kind && earlier.payload === payload);
-  if (known !== undefined) return known.read;
+  const cached = parsedPayloads.find((entry) => entry.kind === kind && entry.payload === payload);
+  if (cached !== undefined) return cached.read;
   const read = tryOrElse(
     (thrown) => fault('bad-request', `not JSON: ${describeJsonError(thrown)}`),
     () => JSON.parse(payload) as unknown,
@@ -322,15 +345,15 @@
 }
 
 /**
- * Applies one operation to the deployment's state: the same on every node, and
- * without effect where it is refused.
+ * Applies one operation to the deployment's state. The result is the same on every node; a refused operation
+ * leaves the state as it is.
  * @example
  * applyToDeployment(EMPTY_DEPLOYMENT, { kind: 'zone.evacuate', payload: '{"zone":"north"}' }).state.evacuated; // ['north']
  */
 export function applyToDeployment(
   state: Deployment,
   { kind, payload }: { readonly kind: string; readonly payload: string },
-): Applied {
+): ApplyResult {
   const read = readPayload(kind, payload);
   if (read.isErr) return refused(state, read.error);
   const operation = read.value;
@@ -340,8 +363,8 @@
     case 'configuration.patch':
       return applyPatch(state, operation.base, operation.patch);
     case 'zone.evacuate':
-      return setZone(state, operation.zone, operation.seen, true);
+      return setZoneEvacuation(state, operation.zone, operation.seen, true);
     case 'zone.return':
-      return setZone(state, operation.zone, operation.seen, false);
+      return setZoneEvacuation(state, operation.zone, operation.seen, false);
   }
 }
--- a/packages/configuration/src/spec.ts
+++ b/packages/configuration/src/spec.ts
@@ -1,39 +1,39 @@
-/** The spec of research groups' deployments: its form, how it is checked, and merge patches on it. */
+/** The spec of a deployment shared by research groups: its schema and checks, and merge patches on it. */
 import { describeError, fault, type Fault } from '@rainrun/common';
 import { Result } from 'true-myth';
 import { tryOrElse } from 'true-myth/result';
 import * as v from 'valibot';
 
-/** No spec text is longer. */
+/** Largest size of a spec text in bytes. */
 export const SPEC_MAX_BYTES = 2 * 1024 * 1024;
 
-/** No spec has more routes. */
+/** Largest number of routes in a spec. */
 export const ROUTES_MAX = 10_000;
 
 const Name = v.pipe(v.string(), v.regex(/^[a-z0-9][a-z0-9._-]{0,63}$/, 'a name of a-z, 0-9, ".", "_", "-"'));
-const Positive = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
+const PositiveInteger = v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(100_000_000));
 const Fraction = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
 const KindSchema = v.strictObject({
   name: Name,
-  /** How promptly the first piece of an answer should come. */
-  targetMs: Positive,
-  /** A request that has waited so long is refused. */
-  patienceMs: Positive,
+  /** Time within which the first piece of an answer should arrive. */
+  targetMs: PositiveInteger,
+  /** Time that a request may wait before it is refused. */
+  patienceMs: PositiveInteger,
 });
 
 const GroupSchema = v.strictObject({
   name: Name,
   share: v.pipe(v.number(), v.minValue(0.01), v.maxValue(1000)),
   kinds: v.pipe(v.array(KindSchema), v.minLength(1)),
-  /** Models this group may use; "*" stands for all. */
+  /** Models that this group may use; "*" stands for all. */
   models: v.pipe(v.array(v.union([Name, v.literal('*')])), v.minLength(1)),
 });
 
 const SpecSchema = v.strictObject({
   deployment: Name,
   zones: v.pipe(v.array(Name), v.minLength(1), v.maxLength(64)),
-  store: v.strictObject({ pullsPerMinute: Positive, concurrentPulls: Positive }),
+  store: v.strictObject({ pullsPerMinute: PositiveInteger, concurrentPulls: PositiveInteger }),
   retries: v.optional(
     v.strictObject({
       ratio: Fraction,
@@ -45,15 +45,21 @@
     },
   ),
   workers: v.strictObject({
-    roomMb: Positive,
-    slots: v.pipe(Positive, v.maxValue(4096)),
+    roomMb: PositiveInteger,
+    slots: v.pipe(PositiveInteger, v.maxValue(4096)),
     named: v.optional(
-      v.array(v.strictObject({ name: Name, roomMb: Positive, slots: v.pipe(Positive, v.maxValue(4096)) })),
+      v.array(
+        v.strictObject({
+          name: Name,
+          roomMb: PositiveInteger,
+          slots: v.pipe(PositiveInteger, v.maxValue(4096)),
+        }),
+      ),
       [],
     ),
   }),
-  models: v.pipe(v.array(v.strictObject({ name: Name, sizeMb: Positive })), v.minLength(1)),
-  adapters: v.array(v.strictObject({ name: Name, model: Name, sizeMb: Positive })),
+  models: v.pipe(v.array(v.strictObject({ name: Name, sizeMb: PositiveInteger })), v.minLength(1)),
+  adapters: v.array(v.strictObject({ name: Name, model: Name, sizeMb: PositiveInteger })),
   groups: v.pipe(v.array(GroupSchema), v.minLength(1)),
   routes: v.pipe(
     v.array(
@@ -73,85 +79,85 @@
 /** A research group of a spec. */
 export type SpecGroup = Spec['groups'][number];
 
-/** One thing wrong with a spec, and where. */
+/** A fault in a spec, with its path. */
 export interface SpecFault {
   readonly path: string;
   readonly message: string;
 }
 
-function doubles(path: string, names: readonly string[]): SpecFault[] {
+function duplicateNameFaults(path: string, names: readonly string[]): SpecFault[] {
   const seen = new Set<string>();
   const faults: SpecFault[] = [];
-  names.forEach((name, place) => {
+  names.forEach((name, index) => {
     if (seen.has(name))
-      faults.push({ path: `${path}.${place}`, message: `"${name}" stands here a second time` });
+      faults.push({ path: `${path}.${index}`, message: `"${name}" stands here a second time` });
     seen.add(name);
   });
   return faults;
 }
 
-function crossFaults(spec: Spec): SpecFault[] {
+function crossReferenceFaults(spec: Spec): SpecFault[] {
   const models = new Set(spec.models.map((model) => model.name));
   const largestMb = Math.max(spec.workers.roomMb, ...spec.workers.named.map((worker) => worker.roomMb));
   const sizes = new Map(spec.models.map((model) => [model.name, model.sizeMb]));
   const faults = [
-    ...doubles('zones', spec.zones),
-    ...doubles(
+    ...duplicateNameFaults('zones', spec.zones),
+    ...duplicateNameFaults(
       'models',
       spec.models.map((model) => model.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'adapters',
       spec.adapters.map((adapter) => adapter.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'groups',
       spec.groups.map((group) => group.name),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'routes',
       spec.routes.map((route) => route.path),
     ),
-    ...doubles(
+    ...duplicateNameFaults(
       'workers.named',
       spec.workers.named.map((worker) => worker.name),
     ),
   ];
-  spec.models.forEach((model, place) => {
+  spec.models.forEach((model, index) => {
     if (model.sizeMb <= largestMb) return;
     faults.push({
-      path: `models.${place}.sizeMb`,
+      path: `models.${index}.sizeMb`,
       message: `${model.sizeMb} MB is more than any worker's room of ${largestMb} MB`,
     });
   });
-  spec.adapters.forEach((adapter, place) => {
+  spec.adapters.forEach((adapter, index) => {
     const modelMb = sizes.get(adapter.model);
     if (modelMb === undefined)
-      faults.push({ path: `adapters.${place}.model`, message: `unknown model "${adapter.model}"` });
+      faults.push({ path: `adapters.${index}.model`, message: `unknown model "${adapter.model}"` });
     else if (modelMb + adapter.sizeMb > largestMb) {
       faults.push({
-        path: `adapters.${place}.sizeMb`,
+        path: `adapters.${index}.sizeMb`,
         message: `with its model ${modelMb + adapter.sizeMb} MB, more than any worker's room`,
       });
     }
   });
-  spec.groups.forEach((group, place) => {
+  spec.groups.forEach((group, index) => {
     faults.push(
-      ...doubles(
-        `groups.${place}.kinds`,
+      ...duplicateNameFaults(
+        `groups.${index}.kinds`,
         group.kinds.map((kind) => kind.name),
       ),
     );
-    group.models.forEach((name, at) => {
+    group.models.forEach((name, modelIndex) => {
       if (name !== '*' && !models.has(name))
-        faults.push({ path: `groups.${place}.models.${at}`, message: `unknown model "${name}"` });
+        faults.push({ path: `groups.${index}.models.${modelIndex}`, message: `unknown model "${name}"` });
     });
   });
   return faults;
 }
 
 /**
- * Reads and checks a complete spec; on failure every fault with its path.
+ * Parses and checks a complete spec; on failure returns every fault with its path.
  * @example
  * readSpec('{}').isErr; // true
  */
@@ -170,7 +176,7 @@
         parsed.issues.map((issue) => ({ path: v.getDotPath(issue) ?? '', message: issue.message })),
       );
     }
-    const faults = crossFaults(parsed.output);
+    const faults = crossReferenceFaults(parsed.output);
     return faults.length > 0
       ? Result.err<Spec, SpecFault[]>(faults)
       : Result.ok<Spec, SpecFault[]>(parsed.output);
@@ -178,16 +184,16 @@
 }
 
 /**
- * Faults as one text, a line each.
+ * Formats faults as one text with a line for each.
  * @example
  * specFaultText([{ path: 'zones', message: 'missing' }]); // 'zones: missing'
  */
 export function specFaultText(faults: readonly SpecFault[]): string {
-  return faults.map((one) => `${one.path === '' ? 'spec' : one.path}: ${one.message}`).join('\n');
+  return faults.map((item) => `${item.path === '' ? 'spec' : item.path}: ${item.message}`).join('\n');
 }
 
 /**
- * A change as a merge patch: null takes a key away, objects are merged, all else replaces.
+ * Applies a JSON merge patch (RFC 7396): null removes a key, objects are merged, any other value replaces.
  * @example
  * mergePatch({ a: 1, b: 2 }, { b: null }); // { a: 1 }
  */
@@ -203,7 +209,7 @@
 }
 
 /**
- * A JSON text as a value, or a fault.
+ * Parses a JSON text; fails with a `bad-request` fault if it is not JSON.
  * @example
  * readJson('{"a":1}').isOk; // true
  */
--- a/packages/placement/src/adapter-placement.ts
+++ b/packages/placement/src/adapter-placement.ts
@@ -9,17 +9,17 @@
 import type { WorkerRecord, WorkerTable } from './worker-table.js';
 
 /** An adapter of a model. */
-interface AdapterName {
+interface AdapterRef {
   readonly model: string;
   readonly adapter: string;
 }
 
-/** An adapter is not put behind more steps of a worker than this. */
-const MAX_STEPS = 2;
+/** A worker with more queued steps than this gets no further adapter. */
+const MAX_QUEUED_STEPS = 2;
 
 /**
- * Puts adapters that are waited for where their models stand: those first that
- * were asked for longest without being served.
+ * Loads adapters that requests wait for at workers that hold their model, those first that have been unserved
+ * for the longest time.
  * @example
  * adapters.place(round);
  */
@@ -39,19 +39,22 @@
   place(round: PlacementRound): void {
     const { engine, nowMs } = round;
     const missing = this.#missing(round)
-      .map((wanted) => ({ wanted, ageMs: this.#unserved.ageMs(keyOf(engine.service, wanted), nowMs) }))
+      .map((adapterRef) => ({
+        adapterRef,
+        ageMs: this.#unserved.ageMs(keyOf(engine.service, adapterRef), nowMs),
+      }))
       .sort((one, other) => other.ageMs - one.ageMs);
-    for (const { wanted } of missing) this.#placeOne(round, wanted);
+    for (const { adapterRef } of missing) this.#placeOne(round, adapterRef);
   }
 
-  /** Adapters that are waited for, and neither stand nor come at a worker that holds their model. */
-  #missing(round: PlacementRound): AdapterName[] {
+  /** Adapters that requests wait for and that no holder of their model has loaded or planned. */
+  #missing(round: PlacementRound): AdapterRef[] {
     const { engine, demands, nowMs } = round;
-    const missing: AdapterName[] = [];
+    const missing: AdapterRef[] = [];
     for (const [model, demand] of demands) {
       for (const [adapter, { waiting, inFlight }] of demand.adapters) {
-        const wanted = { model, adapter };
-        const key = keyOf(engine.service, wanted);
+        const adapterRef = { model, adapter };
+        const key = keyOf(engine.service, adapterRef);
         if (waiting + inFlight > 0) this.#usage.recordUse(key, nowMs);
         if (waiting === 0) continue;
         if (round.rows.some((row) => row.models.get(model)?.has(adapter) === true)) {
@@ -59,13 +62,13 @@
           continue;
         }
         this.#unserved.recordRequested(key, nowMs);
-        if (!round.rows.some((row) => this.#isComing(row, wanted))) missing.push(wanted);
+        if (!round.rows.some((row) => this.#isLoadPlanned(row, adapterRef))) missing.push(adapterRef);
       }
     }
     return missing;
   }
 
-  #isComing(row: WorkerRecord, { model, adapter }: AdapterName): boolean {
+  #isLoadPlanned(row: WorkerRecord, { model, adapter }: AdapterRef): boolean {
     return (
       row.models.has(model) &&
       this.#sender
@@ -74,8 +77,8 @@
     );
   }
 
-  #placeOne(round: PlacementRound, wanted: AdapterName): void {
-    const { model, adapter } = wanted;
+  #placeOne(round: PlacementRound, adapterRef: AdapterRef): void {
+    const { model, adapter } = adapterRef;
     const holders = round.rows
       .filter((row) => row.models.has(model))
       .sort(
@@ -83,15 +86,17 @@
           this.#sender.state(one).steps.length - this.#sender.state(other).steps.length ||
           spread(`${adapter} ${one.id}`) - spread(`${adapter} ${other.id}`),
       );
-    holders.some((row) => this.#placeAt(round, row, wanted));
+    holders.some((row) => this.#placeAt(round, row, adapterRef));
   }
 
-  /** Orders an adapter at a worker, in the place of the one that was unused longest if all places are taken. */
-  #placeAt(round: PlacementRound, row: WorkerRecord, { model, adapter }: AdapterName): boolean {
+  /**
+   * Plans an adapter at a worker; if all adapter places are taken, it replaces the least recently used one.
+   */
+  #placeAt(round: PlacementRound, row: WorkerRecord, { model, adapter }: AdapterRef): boolean {
     const { engine, nowMs } = round;
     const state = this.#sender.state(row);
     const sizeMb = engine.models.get(model)?.adapterMb ?? 0;
-    if (state.steps.length > MAX_STEPS || nowMs < state.backoffUntilMs || !state.planned.has(model))
+    if (state.steps.length > MAX_QUEUED_STEPS || nowMs < state.backoffUntilMs || !state.planned.has(model))
       return false;
     if (engine.roomMb - usedMb(engine, state.planned) < sizeMb) return false;
     if (adapterCount(state.planned) >= engine.adapterPlaces) {
@@ -105,9 +110,9 @@
     return true;
   }
 
-  /** Of the adapters that a worker holds and that nobody uses or waits for, the one that was unused longest. */
-  #longestUnused({ engine, demands, nowMs }: PlacementRound, state: WorkerState): AdapterName | undefined {
-    let longest: (AdapterName & { readonly idleMs: number }) | undefined;
+  /** The least recently used adapter of a worker among those that are neither in use nor waited for. */
+  #longestUnused({ engine, demands, nowMs }: PlacementRound, state: WorkerState): AdapterRef | undefined {
+    let longest: (AdapterRef & { readonly idleMs: number }) | undefined;
     for (const [model, adapters] of state.planned) {
       for (const adapter of adapters) {
         const demand = demands.get(model)?.adapters.get(adapter);
@@ -121,6 +126,6 @@
   }
 }
 
-function keyOf(service: string, { model, adapter }: AdapterName): string {
+function keyOf(service: string, { model, adapter }: AdapterRef): string {
   return `${service}/${model}/${adapter}`;
 }
--- a/packages/placement/src/planner.ts
+++ b/packages/placement/src/planner.ts
@@ -1,13 +1,13 @@
-/** Plans which worker of the platform system loads which model, while this node has the singleton lease. */
+/** Plans which worker of the platform system loads which model, while this node holds the singleton lease. */
 import { AdapterPlacement } from './adapter-placement.js';
 import { CopyDemand, type CopyTarget } from './copy-demand.js';
 import { DemandTotals, type Demand, type EdgeDemand } from './demand-totals.js';
-import { loadsAtOnce, type Engine } from './engine.js';
+import { maxConcurrentLoads, type Engine } from './engine.js';
 import { ModelPlacement, type LoadSource } from './model-placement.js';
 import { OrderSender, type OrderDependencies } from './order-sender.js';
 import type { CopyNeed, PlacementRound } from './placement-round.js';
 import { PLACEMENT_POLICY } from './policy.js';
-import { Retirement } from './copy-retirement.js';
+import { CopyRetirement } from './copy-retirement.js';
 import { StoreBudget, type LoadPurpose } from './store-budget.js';
 import { UnservedDemand } from './unserved-demand.js';
 import { Usage } from './usage.js';
@@ -15,24 +15,24 @@
 
 const POLICY = PLACEMENT_POLICY.needs;
 
-/** What the planner needs of its node. */
+/** What the planner needs from its node. */
 export interface PlannerDependencies extends OrderDependencies {
   /** Called for each decision, for the logs. */
   onDecision(text: string): void;
 }
 
-/** Copies that are wanted: the most urgent first. */
+/** Copies that are needed, by purpose, the most urgent first. */
 type Needs = Readonly<Record<LoadPurpose, CopyNeed[]>>;
 
-/** The demand of an edge expires after so long without an update from it. */
+/** The demand of an edge expires after this time without an update from it. */
 const DEMAND_TTL_MS = 2000;
 
 /**
- * Decides which worker holds which model, and orders it, while this node has
- * the singleton lease. A model that is requested and loaded nowhere is loaded in
- * the place of what has been unused longest; models in demand have as many copies
- * as their concurrency needs. Loads from the store are shared between the two, and the
- * longer a model was requested and not served, the sooner its turn comes.
+ * Decides which worker holds which model, and sends the orders, while this node
+ * holds the singleton lease. A model that is requested and loaded nowhere replaces
+ * the least recently used one; models in demand get as many copies as their
+ * concurrency needs. First and further copies share the loads from the store, and
+ * the urgency of a model grows with the time for which its requests went unserved.
  * @example
  * const planner = new PlacementPlanner(table, dependencies);
  * planner.updateDemand('incarnation-1', demands, nowMs);
@@ -47,47 +47,47 @@
   #copyDemand = new CopyDemand();
   #usage = new Usage();
   #unserved = new UnservedDemand();
-  /** Since when something is asked for, by service. */
+  /** The time of the first demand, by service. */
   #demandSinceMs = new Map<string, number>();
-  #retirement: Retirement;
-  #models: ModelPlacement;
-  #adapters: AdapterPlacement;
-  /** Loads from the store, by service. */
+  #retirement: CopyRetirement;
+  #modelPlacement: ModelPlacement;
+  #adapterPlacement: AdapterPlacement;
+  /** Budgets of loads from the store, by service. */
   #budgets = new Map<string, StoreBudget>();
 
   constructor(table: WorkerTable, dependencies: PlannerDependencies) {
     this.#table = table;
     this.#dependencies = dependencies;
     this.#sender = new OrderSender(table, dependencies);
-    this.#retirement = new Retirement(table, this.#sender);
-    this.#models = new ModelPlacement(table, this.#sender, this.#copyDemand, this.#usage);
-    this.#adapters = new AdapterPlacement(table, this.#sender, this.#usage, this.#unserved);
+    this.#retirement = new CopyRetirement(table, this.#sender);
+    this.#modelPlacement = new ModelPlacement(table, this.#sender, this.#copyDemand, this.#usage);
+    this.#adapterPlacement = new AdapterPlacement(table, this.#sender, this.#usage, this.#unserved);
   }
 
   get counts(): Readonly<OrderSender['counts']> {
     return this.#sender.counts;
   }
 
-  /** Takes all that an edge asks for now, or where `partial` what has changed of it. */
+  /** Replaces the demand of an edge, or updates only the given entries if `partial`. */
   updateDemand(incarnation: string, demands: readonly EdgeDemand[], nowMs: number, partial = false): void {
     if (partial) this.#totals.update(incarnation, demands, nowMs);
     else this.#totals.set(incarnation, demands, nowMs);
   }
 
-  /** Decides anew which worker is to hold what. Its cost grows with models, workers and edges: see `PlanPacer`. */
+  /** Plans which worker is to hold what. The cost grows with models, workers and edges: see `PlanPacer`. */
   plan(engines: ReadonlyMap<string, Engine>, evacuated: readonly string[], nowMs: number): void {
     this.#totals.expire(nowMs - DEMAND_TTL_MS);
     this.#unserved.expire(nowMs);
-    this.#sender.forgetRemoved();
+    this.#sender.dropRemovedWorkers();
     for (const engine of engines.values()) {
       const round = this.#newRound(engine, evacuated, nowMs);
-      this.#adapters.place(round);
+      this.#adapterPlacement.place(round);
       this.#retirement.retire(round);
       this.#placeModels(round, this.#needs(round), this.#budget(engine, nowMs));
     }
   }
 
-  /** Sends the orders that are due, of what was decided before. */
+  /** Sends the planned orders that are due. */
   sendDueOrders(engines: ReadonlyMap<string, Engine>, nowMs: number): void {
     for (const engine of engines.values())
       for (const row of this.#rowsOf(engine)) this.#sender.sendDue(engine, row, nowMs);
@@ -138,7 +138,7 @@
     return nowMs - (this.#demandSinceMs.get(service) ?? nowMs);
   }
 
-  /** What is asked for of the models that an engine can load. */
+  /** The demand for the models that an engine can load. */
   #demands(engine: Engine): Map<string, Demand> {
     const demands = new Map<string, Demand>();
     for (const [model, demand] of this.#totals.of(engine.service))
@@ -146,7 +146,7 @@
     return demands;
   }
 
-  /** Models that a worker serves or will serve once its orders are done. */
+  /** Models that a worker will serve once its orders are done. */
   #plannedModels(row: WorkerRecord): Set<string> {
     const models = new Set(row.models.keys());
     for (const { action, model, adapter } of this.#sender.state(row).steps) {
@@ -159,59 +159,69 @@
 
   #needs(round: PlacementRound): Needs {
     const needs: Needs = { 'first-copy': [], 'further-copy': [] };
-    const standing = new Set(round.rows.flatMap((row) => [...row.models.keys()]));
+    const loadedModels = new Set(round.rows.flatMap((row) => [...row.models.keys()]));
     for (const [model, demand] of round.demands) {
       const key = `${round.engine.service}/${model}`;
-      if (standing.has(model)) this.#unserved.recordServed(key);
+      if (loadedModels.has(model)) this.#unserved.recordServed(key);
       else if (demand.waiting > 0) this.#unserved.recordRequested(key, round.nowMs);
-      if ((round.copies.get(model) ?? 0) > 0) this.#addFurther(round, model, needs['further-copy']);
-      else if (demand.waiting > 0) needs['first-copy'].push(this.#firstCopy(round, model, demand));
+      if ((round.copies.get(model) ?? 0) > 0) this.#addFurtherCopyNeed(round, model, needs['further-copy']);
+      else if (demand.waiting > 0) needs['first-copy'].push(this.#firstCopyNeed(round, model, demand));
     }
     for (const list of Object.values(needs)) list.sort((one, other) => other.urgency - one.urgency);
     return needs;
   }
 
   /**
-   * What each waiting request is worth counts, and how long the model was requested and not served: so its turn comes. Requests
-   * that cannot wait as long as a load takes are lost until it is done, those that are still to come too.
+   * The need for the first copy of a model. Its urgency grows with the waiting requests and with the time for
+   * which the model was unserved, so that no model starves. Requests that cannot wait for the load are lost
+   * until it is done; the arrivals during the load count among them.
    */
-  #firstCopy({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
+  #firstCopyNeed({ engine, nowMs }: PlacementRound, model: string, demand: Demand): CopyNeed {
     const ageMs = this.#unserved.ageMs(`${engine.service}/${model}`, nowMs);
     const loadMs = engine.models.get(model)?.loadMs ?? 1000;
-    const lost =
+    const lostRequests =
       this.#usage.meanTargetMs(`${engine.service}/${model}`) < loadMs ? demand.perS * (loadMs / 1000) : 0;
     return {
       model,
       value:
         POLICY.firstCopyValue + Math.min(POLICY.maxWaitValue, (POLICY.waitValuePerLoad * ageMs) / loadMs),
-      urgency: demand.waiting + POLICY.lostRequestWeight * lost + (POLICY.urgencyPerLoad * ageMs) / loadMs,
+      urgency:
+        demand.waiting + POLICY.lostRequestWeight * lostRequests + (POLICY.urgencyPerLoad * ageMs) / loadMs,
       ageMs,
-      load: Infinity,
+      loadPerCopy: Infinity,
     };
   }
 
-  #addFurther({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
+  #addFurtherCopyNeed({ rows, copies, targets }: PlacementRound, model: string, further: CopyNeed[]): void {
     const target = targets.get(model);
-    const have = copies.get(model) ?? 0;
-    const wanted = Math.min(rows.length, target?.desired ?? 0);
-    if (target === undefined || have >= wanted) return;
+    const planned = copies.get(model) ?? 0;
+    const desired = Math.min(rows.length, target?.desired ?? 0);
+    if (target === undefined || planned >= desired) return;
     const { recent, expected, perCopy } = target;
-    const isHeavy = recent > POLICY.overloadRatio * have * perCopy;
-    const value = isHeavy ? POLICY.overloadedValue : POLICY.furtherCopyValue + (wanted - have) / wanted;
-    further.push({ model, value, urgency: expected - have * perCopy, ageMs: 0, load: recent / have });
+    const isOverloaded = recent > POLICY.overloadRatio * planned * perCopy;
+    const value = isOverloaded
+      ? POLICY.overloadedValue
+      : POLICY.furtherCopyValue + (desired - planned) / desired;
+    further.push({
+      model,
+      value,
+      urgency: expected - planned * perCopy,
+      ageMs: 0,
+      loadPerCopy: recent / planned,
+    });
   }
 
-  /** Takes copies back into use, then loads what workers have on their own disks, then from the store. */
+  /** Restores retired copies first, then loads from the workers' own disks, then from the store. */
   #placeModels(round: PlacementRound, needs: Needs, budget: StoreBudget): void {
     const fromStore: Needs = { 'first-copy': [], 'further-copy': [] };
     for (const purpose of ['first-copy', 'further-copy'] as const)
       for (const need of needs[purpose]) {
-        if (this.#retirement.revive(round, need.model) || this.#place(round, need, 'disk')) continue;
-        if (!this.#models.isLoadedFromDiskSoon(round, need)) fromStore[purpose].push(need);
+        if (this.#retirement.restore(round, need.model) || this.#place(round, need, 'disk')) continue;
+        if (!this.#modelPlacement.isDiskLoadFaster(round, need)) fromStore[purpose].push(need);
       }
     let { loadingFromStore } = round;
-    const atOnce = loadsAtOnce(round.engine);
-    while (budget.isOpen && loadingFromStore < atOnce && this.#models.isAnyWorkerFree(round)) {
+    const maxLoads = maxConcurrentLoads(round.engine);
+    while (budget.mayLoad && loadingFromStore < maxLoads && this.#modelPlacement.isAnyWorkerFree(round)) {
       const { next } = budget;
       const other = next === 'first-copy' ? 'further-copy' : 'first-copy';
       const purpose = fromStore[next].length > 0 ? next : other;
@@ -224,7 +234,7 @@
   }
 
   #place(round: PlacementRound, need: CopyNeed, source: LoadSource): boolean {
-    const decision = this.#models.place(round, need, source);
+    const decision = this.#modelPlacement.place(round, need, source);
     if (decision === undefined) return false;
     this.#dependencies.onDecision(decision);
     return true;
--- a/packages/placement/src/spec-placer.ts
+++ b/packages/placement/src/spec-placer.ts
@@ -1,10 +1,10 @@
-/** Decides what each worker of the research groups' deployment is to load. */
+/** Plans what each worker of the research groups' deployment is to load. */
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 import { SpecPlacementNeeds, type PlacementNeed, type SpecDemands } from './spec-placement-needs.js';
 import type { SpecPlacerSettings } from './spec-placer-settings.js';
 import {
   newWorkerPlan,
-  plannedMb,
+  modelWithAdaptersMb,
   sizesOf,
   targetOf,
   type SpecPlacerWorker,
@@ -13,11 +13,11 @@
 } from './spec-worker-plan.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Part of the store's pulls that may go to models whose turn it is. */
-const TURN_PULL_RATIO = 0.5;
+/** Fraction of the store's pulls that rotation between equally requested models may use. */
+const ROTATION_PULL_RATIO = 0.5;
 
-/** What one step works on. */
-interface PlacerStep {
+/** The input of one planning step. */
+interface PlacerStepInput {
   readonly plans: readonly WorkerPlan[];
   readonly sizes: SpecSizes;
   readonly demands: SpecDemands;
@@ -25,36 +25,34 @@
 }
 
 /**
- * Decides what each worker should hold. It moves a few copies a step, does not move a
- * copy again for a while, and asks for a wider gap to remove a copy
- * than to add one, so that it does not oscillate. Room that nobody asks for goes to
- * copies in a second zone, but not while something requested still lacks room.
- * A model that is requested and loaded nowhere counts for more the longer that
- * lasts, until it takes the place of one that is requested as much: where there
- * are more of them than places they take turns, no faster than half the store.
+ * Plans what each worker should hold. To avoid oscillation, it moves only a few copies in each step, does not
+ * move a copy again within `dwellMs`, and applies different thresholds for adding and removing a copy. Free
+ * memory goes to copies in a second zone, but not while a requested item lacks memory. The gain of a model
+ * that is requested and loaded nowhere grows with time, until it replaces a model of equal demand: if such
+ * models exceed the memory, they rotate, with at most half of the store's pulls.
  * @example
  * const changes = new SpecPlacer(SPEC_PLACER_SETTINGS).step(spec, workers, demands, nowMs);
  */
 export class SpecPlacer {
   #settings: SpecPlacerSettings;
   #needs: SpecPlacementNeeds;
-  /** When a copy was placed, by `worker/model`. */
-  #movedMs = new Map<string, number>();
+  /** When each copy was placed, by `worker/model`. */
+  #placedMs = new Map<string, number>();
   #reasons = new Map<string, string>();
-  /** Evictions that are allowed now because of how long a model was not served. */
-  #turns: TokenBucket | undefined;
+  /** Limits evictions that only the aged gain of a model justifies. */
+  #rotationBucket: TokenBucket | undefined;
 
   constructor(settings: SpecPlacerSettings) {
     this.#settings = settings;
     this.#needs = new SpecPlacementNeeds(settings);
   }
 
-  /** Why a model is placed where it is: the last decision about it. */
+  /** The reason for the last placement decision on a model. */
   reason(model: string): string | undefined {
     return this.#reasons.get(model);
   }
 
-  /** New targets, only for the workers whose target changes. */
+  /** Returns new targets for the workers whose target changes. */
   step(
     spec: Spec,
     workers: readonly SpecPlacerWorker[],
@@ -63,7 +61,7 @@
   ): Record<string, HoldingTarget[]> {
     const sizes = sizesOf(spec);
     const plans = workers.map((worker) => newWorkerPlan(worker, sizes));
-    this.#refillTurns(spec, nowMs);
+    this.#refillRotationBucket(spec, nowMs);
     this.#meetNeeds(this.#needs.find(spec, plans, demands, nowMs), { plans, sizes, demands, nowMs });
     const changes: Record<string, HoldingTarget[]> = {};
     for (const plan of plans) {
@@ -72,19 +70,19 @@
     return changes;
   }
 
-  #refillTurns(spec: Spec, nowMs: number): void {
-    this.#turns ??= new TokenBucket(nowMs);
-    this.#turns.refill((TURN_PULL_RATIO * spec.store.pullsPerMinute) / 60, 1, nowMs);
+  #refillRotationBucket(spec: Spec, nowMs: number): void {
+    this.#rotationBucket ??= new TokenBucket(nowMs);
+    this.#rotationBucket.refill((ROTATION_PULL_RATIO * spec.store.pullsPerMinute) / 60, 1, nowMs);
   }
 
-  /** Meets needs in their order, as far as room and the bounds of one step allow. */
-  #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStep): void {
-    let { steps, fills } = this.#settings;
+  /** Meets needs in order, as far as memory and the bounds of one step allow. */
+  #meetNeeds(needs: readonly PlacementNeed[], step: PlacerStepInput): void {
+    let { steps, fillBudget } = this.#settings;
     let isRoomShort = false;
     for (const need of needs) {
       if (isRoomShort && need.urgency <= 0) return;
-      if (fills > 0 && this.#fill(need, step.plans, step)) {
-        fills -= 1;
+      if (fillBudget > 0 && this.#placeInFreeMemory(need, step.plans, step)) {
+        fillBudget -= 1;
         continue;
       }
       isRoomShort ||= need.urgency > 0;
@@ -92,14 +90,18 @@
     }
   }
 
-  /** Places what is needed where there is room, in a zone that lacks it if there is one. */
-  #fill(need: PlacementNeed, plans: readonly WorkerPlan[], { sizes, nowMs }: PlacerStep): boolean {
+  /** Places a need at a worker with enough free memory, preferably in a zone without the model. */
+  #placeInFreeMemory(
+    need: PlacementNeed,
+    plans: readonly WorkerPlan[],
+    { sizes, nowMs }: PlacerStepInput,
+  ): boolean {
     const needMb = neededMb(need, sizes);
     const modelZones = zonesWith(plans, ({ holdings }) => holdings.has(need.model));
-    const occupiedZones = zonesWith(plans, (plan) => hasNeeded(plan, need));
-    const plan = fitting(need, plans)
+    const occupiedZones = zonesWith(plans, (plan) => isAlreadyMet(plan, need));
+    const plan = eligiblePlans(need, plans)
       .filter(({ freeMb }) => freeMb >= needMb)
-      .filter(({ worker }) => need.elsewhere !== true || !occupiedZones.has(worker.zone))
+      .filter(({ worker }) => need.newZoneOnly !== true || !occupiedZones.has(worker.zone))
       .sort(
         (one, other) =>
           Number(modelZones.has(one.worker.zone)) - Number(modelZones.has(other.worker.zone)) ||
@@ -111,56 +113,60 @@
     plan.holdings.set(need.model, adapters);
     plan.freeMb -= needMb;
     plan.changed = true;
-    this.#movedMs.set(`${plan.worker.name}/${need.model}`, nowMs);
-    this.#reasons.set(need.model, `${need.why}, put on ${plan.worker.name}`);
+    this.#placedMs.set(`${plan.worker.name}/${need.model}`, nowMs);
+    this.#reasons.set(need.model, `${need.reason}, placed on ${plan.worker.name}`);
     return true;
   }
 
-  /** Evicts the copy of the lowest value, if the need is worth much more. */
-  #evictFor(need: PlacementNeed, step: PlacerStep): boolean {
+  /** Evicts the copy of the lowest value if the gain of the need is clearly higher. */
+  #evictFor(need: PlacementNeed, step: PlacerStepInput): boolean {
     if (need.urgency <= 0) return false;
     const needMb = neededMb(need, step.sizes);
-    const victim = fitting(need, step.plans)
+    const victim = eligiblePlans(need, step.plans)
       .filter((plan) => !plan.evicted && plan.worker.roomMb >= needMb)
       .flatMap((plan) => this.#candidates(need, plan, step))
       .sort((one, other) => one.value - other.value)[0];
     if (victim === undefined || !this.#mayEvict(victim.value, need)) return false;
     const { plan, model } = victim;
-    plan.freeMb += plannedMb(plan, model, step.sizes);
+    plan.freeMb += modelWithAdaptersMb(plan, model, step.sizes);
     plan.holdings.delete(model);
     plan.changed = true;
     plan.evicted = true;
-    this.#reasons.set(model, `left ${plan.worker.name} for ${need.model}`);
-    this.#fill(need, [plan], step);
+    this.#reasons.set(model, `evicted from ${plan.worker.name} for ${need.model}`);
+    this.#placeInFreeMemory(need, [plan], step);
     return true;
   }
 
-  /** Copies at a worker that might be evicted for a need. */
+  /** Copies at a worker that may be evicted for a need. */
   #candidates(
     need: PlacementNeed,
     plan: WorkerPlan,
-    step: PlacerStep,
+    step: PlacerStepInput,
   ): { readonly plan: WorkerPlan; readonly model: string; readonly value: number }[] {
     return [...plan.holdings.keys()]
       .filter((model) => model !== need.model && this.#mayMove(plan, model, step.nowMs))
       .map((model) => ({ plan, model, value: this.#valueOf(model, plan, step) }));
   }
 
-  /** Whether a need is worth a copy of this value; a need that has waited long may take a turn for it. */
+  /**
+   * Whether a need justifies evicting a copy of a value, by its gain or, at the rotation rate, by its aged
+   * gain.
+   */
   #mayEvict(value: number, need: PlacementNeed): boolean {
-    const { below } = this.#settings;
-    if (value < need.gain * below) return true;
-    if (value >= (need.agedGain ?? 0) * below || this.#turns?.isOpen !== true) return false;
-    this.#turns.take();
+    const { removeCopyBelow } = this.#settings;
+    if (value < need.gain * removeCopyBelow) return true;
+    if (value >= (need.agedGain ?? 0) * removeCopyBelow || this.#rotationBucket?.hasToken !== true)
+      return false;
+    this.#rotationBucket.take();
     return true;
   }
 
   #mayMove(plan: WorkerPlan, model: string, nowMs: number): boolean {
-    return nowMs - (this.#movedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) > this.#settings.restMs;
+    return nowMs - (this.#placedMs.get(`${plan.worker.name}/${model}`) ?? -Infinity) > this.#settings.dwellMs;
   }
 
-  /** The pressure that the other copies of a model would carry without this one. */
-  #valueOf(model: string, plan: WorkerPlan, { plans, demands }: PlacerStep): number {
+  /** The pressure on the other copies of a model without this one. */
+  #valueOf(model: string, plan: WorkerPlan, { plans, demands }: PlacerStepInput): number {
     const others = plans.filter(
       (other) => other !== plan && other.worker.usable && other.holdings.has(model),
     );
@@ -168,8 +174,11 @@
   }
 }
 
-/** Workers at which a need could be met: those with the model for an adapter, those without it for a copy. */
-function fitting(need: PlacementNeed, plans: readonly WorkerPlan[]): WorkerPlan[] {
+/**
+ * Usable workers for a need: without the model for a copy, with the model and without the adapter for an
+ * adapter.
+ */
+function eligiblePlans(need: PlacementNeed, plans: readonly WorkerPlan[]): WorkerPlan[] {
   return plans.filter((plan) => {
     const adapters = plan.holdings.get(need.model);
     return (
@@ -179,7 +188,7 @@
   });
 }
 
-function hasNeeded({ holdings }: WorkerPlan, { model, adapter }: PlacementNeed): boolean {
+function isAlreadyMet({ holdings }: WorkerPlan, { model, adapter }: PlacementNeed): boolean {
   return adapter === undefined ? holdings.has(model) : holdings.get(model)?.has(adapter) === true;
 }
 
--- a/packages/placement/src/spec-worker-plan.ts
+++ b/packages/placement/src/spec-worker-plan.ts
@@ -1,4 +1,4 @@
-/** What one worker of the research groups' deployment is to load, while the placer changes it. */
+/** The planned holdings of one worker of the research groups' deployment during a planning step. */
 import type { HoldingTarget, Spec } from '@rainrun/configuration';
 
 /** A worker as the placer sees it. */
@@ -6,20 +6,20 @@
   readonly name: string;
   readonly zone: string;
   readonly roomMb: number;
-  /** Requests that it can run at once. */
+  /** Number of requests that the worker can run at once. */
   readonly slots: number;
-  /** Neither draining, nor unreachable, nor in an evacuated zone. */
+  /** Whether the worker is neither draining, nor unreachable, nor in an evacuated zone. */
   readonly usable: boolean;
   readonly holdings: readonly HoldingTarget[];
 }
 
-/** What models and adapters of a spec take up, in MB, by name. */
+/** Sizes of the models and adapters of a spec, in MB, by name. */
 export interface SpecSizes {
   readonly modelMb: ReadonlyMap<string, number>;
   readonly adapterMb: ReadonlyMap<string, number>;
 }
 
-/** The target of one worker in the making. */
+/** The target of one worker, changed during a planning step. */
 export interface WorkerPlan {
   readonly worker: SpecPlacerWorker;
   /** Adapters by model. */
@@ -32,7 +32,7 @@
 }
 
 /**
- * The sizes that a spec gives.
+ * Returns the sizes of a spec's models and adapters.
  * @example
  * sizesOf(spec).modelMb.get('gearbox-7b'); // 14000
  */
@@ -44,19 +44,23 @@
 }
 
 /**
- * What a model takes up at a worker with its adapters there, in MB.
+ * The memory that a model uses at a worker with its planned adapters, in MB.
  * @example
- * plan.freeMb += plannedMb(plan, 'gearbox-7b', sizes);
+ * plan.freeMb += modelWithAdaptersMb(plan, 'gearbox-7b', sizes);
  */
-export function plannedMb(plan: WorkerPlan, model: string, { modelMb, adapterMb }: SpecSizes): number {
+export function modelWithAdaptersMb(
+  plan: WorkerPlan,
+  model: string,
+  { modelMb, adapterMb }: SpecSizes,
+): number {
   let sumMb = modelMb.get(model) ?? 0;
   for (const adapter of plan.holdings.get(model) ?? []) sumMb += adapterMb.get(adapter) ?? 0;
   return sumMb;
 }
 
 /**
- * The plan of a worker as it is now: without what the spec does not know, and without the last models if they
- * exceed its room.
+ * Creates the plan of a worker from its current target, without items that are missing in the spec, and
+ * without the last models if they exceed the worker's memory.
  * @example
  * const plan = newWorkerPlan(worker, sizesOf(spec));
  */
@@ -68,18 +72,18 @@
       holdings.set(model, new Set(adapters.filter((adapter) => adapterMb.has(adapter))));
   }
   const plan: WorkerPlan = { worker, holdings, freeMb: worker.roomMb, changed: false, evicted: false };
-  for (const model of holdings.keys()) plan.freeMb -= plannedMb(plan, model, sizes);
+  for (const model of holdings.keys()) plan.freeMb -= modelWithAdaptersMb(plan, model, sizes);
   plan.changed = holdings.size !== worker.holdings.length || plan.freeMb < 0;
   for (const model of [...holdings.keys()].reverse()) {
     if (plan.freeMb >= 0) break;
-    plan.freeMb += plannedMb(plan, model, sizes);
+    plan.freeMb += modelWithAdaptersMb(plan, model, sizes);
     holdings.delete(model);
   }
   return plan;
 }
 
 /**
- * The target that a plan comes to.
+ * Converts a plan to a target.
  * @example
  * changes[plan.worker.name] = targetOf(plan);
  */
--- a/packages/placement/src/store-budget.ts
+++ b/packages/placement/src/store-budget.ts
@@ -1,48 +1,47 @@
-/** The loads that the store of weights allows one service of the platform system. */
-import { loadsAtOnce, type Engine } from './engine.js';
+/** The rate limit for loads from the model store of one service of the platform system. */
+import { maxConcurrentLoads, type Engine } from './engine.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** What a load from the store is for. */
+/** The purpose of a load from the store. */
 export type LoadPurpose =
-  /** A model that stands nowhere. */
+  /** The first copy of a model that is loaded nowhere. */
   | 'first-copy'
-  /** A further copy of one that does. */
+  /** A further copy of a loaded model. */
   | 'further-copy';
 
 /**
- * Loads that the store of weights of one service allows, shared by first copies
- * and further copies. While both are wanted neither gets more than half,
- * so that models in heavy use cannot keep the others from being loaded.
+ * A rate limit for loads from the model store of one service, shared by first and further copies. While both
+ * are needed each gets at most half, so that models in heavy use cannot starve the others.
  * @example
  * budget.refill(engine, nowMs);
- * if (budget.isOpen) budget.take(budget.next);
+ * if (budget.mayLoad) budget.take(budget.next);
  */
 export class StoreBudget {
   #bucket: TokenBucket;
-  /** First copies that were loaded beyond further ones, within a few loads. */
-  #lead = 0;
+  /** How many more first copies than further ones were loaded, clamped to -1 to 1. */
+  #firstCopyLead = 0;
 
   constructor(nowMs: number) {
     this.#bucket = new TokenBucket(nowMs);
   }
 
   refill(engine: Engine, nowMs: number): void {
-    this.#bucket.refill(engine.loadsPerS, loadsAtOnce(engine), nowMs);
+    this.#bucket.refill(engine.loadsPerS, maxConcurrentLoads(engine), nowMs);
   }
 
-  /** Whether a load may begin now. */
-  get isOpen(): boolean {
-    return this.#bucket.isOpen;
+  /** Whether a load may start now. */
+  get mayLoad(): boolean {
+    return this.#bucket.hasToken;
   }
 
-  /** Which of the two has had fewer loads and comes first. */
+  /** The purpose with fewer recent loads, which comes next. */
   get next(): LoadPurpose {
-    return this.#lead > 0 ? 'further-copy' : 'first-copy';
+    return this.#firstCopyLead > 0 ? 'further-copy' : 'first-copy';
   }
 
   take(purpose: LoadPurpose): void {
     this.#bucket.take();
-    const lead = this.#lead + (purpose === 'first-copy' ? 1 : -1);
-    this.#lead = Math.max(-1, Math.min(1, lead));
+    const firstCopyLead = this.#firstCopyLead + (purpose === 'first-copy' ? 1 : -1);
+    this.#firstCopyLead = Math.max(-1, Math.min(1, firstCopyLead));
   }
 }
--- a/packages/process-group/src/leases/lease-acknowledgements.ts
+++ b/packages/process-group/src/leases/lease-acknowledgements.ts
@@ -9,10 +9,10 @@
 }
 
 /**
- * The acknowledgements by which the other members renew this node's leases. One
- * counts from the moment its heartbeat was sent, and only once this node has
- * applied every version that the acknowledging member had applied: so a lease
- * implies that nothing committed was missed.
+ * The acknowledgements by which the other members renew this node's leases. An
+ * acknowledgement counts from the time at which its heartbeat was sent, and only
+ * once this node has applied every version that the acknowledging member had
+ * applied. A lease therefore implies that no committed version was missed.
  * @example
  * const acknowledgements = new LeaseAcknowledgements(1000);
  * acknowledgements.acknowledge('incarnation-2', sentMs, 7);
@@ -21,13 +21,13 @@
 export class LeaseAcknowledgements {
   #leaseMs: number;
   #acknowledgements = new Map<string, LeaseAcknowledgement>();
-  #singletonSentMs = new Map<string, number>();
+  #singletonAckSentMs = new Map<string, number>();
 
   constructor(leaseMs: number) {
     this.#leaseMs = leaseMs;
   }
 
-  /** Takes an acknowledgement of the heartbeat sent at `sentMs`; the member had applied version `number`. */
+  /** Records that a member acknowledged the heartbeat sent at `sentMs` and had applied version `number`. */
   acknowledge(incarnation: string, sentMs: number, number: number): void {
     const known = this.#acknowledgements.get(incarnation);
     if (known === undefined || sentMs >= known.sentMs)
@@ -39,26 +39,26 @@
     return this.#acknowledgements.get(incarnation)?.number;
   }
 
-  /** Takes an acknowledgement by a member that knows of no newer coordinator. */
+  /** Records an acknowledgement by a member that knows of no newer coordinator. */
   acknowledgeSingleton(incarnation: string, sentMs: number): void {
-    this.#singletonSentMs.set(
+    this.#singletonAckSentMs.set(
       incarnation,
-      Math.max(sentMs, this.#singletonSentMs.get(incarnation) ?? -Infinity),
+      Math.max(sentMs, this.#singletonAckSentMs.get(incarnation) ?? -Infinity),
     );
   }
 
   /** Drops the acknowledgements for an earlier epoch's singleton lease. */
   clearSingleton(): void {
-    this.#singletonSentMs.clear();
+    this.#singletonAckSentMs.clear();
   }
 
   /** Drops all acknowledgements. */
   clear(): void {
     this.#acknowledgements.clear();
-    this.#singletonSentMs.clear();
+    this.#singletonAckSentMs.clear();
   }
 
-  /** When the lease to admit ends. */
+  /** When the lease to admit work ends. */
   leaseEndMs(view: View, self: string, number: number, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) => {
       if (incarnation === self) return nowMs;
@@ -72,7 +72,7 @@
   /** When the singleton lease ends. */
   singletonLeaseEndMs(view: View, self: string, nowMs: number): number {
     return this.#majorityEndMs(view, (incarnation) =>
-      incarnation === self ? nowMs : (this.#singletonSentMs.get(incarnation) ?? -Infinity),
+      incarnation === self ? nowMs : (this.#singletonAckSentMs.get(incarnation) ?? -Infinity),
     );
   }
 
--- a/packages/process-group/src/membership/heartbeats.ts
+++ b/packages/process-group/src/membership/heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats and their acknowledgements: what keeps suspicion, leases and stability up to date. */
+/** Heartbeats and their acknowledgements, which drive failure detection, leases and cast stability. */
 import { clone, create } from '@bufbuild/protobuf';
 import {
   HeartbeatAckSchema,
@@ -23,7 +23,7 @@
 import type { GroupState } from '../agreement/group-state.js';
 import { rankOf } from './members.js';
 
-/** Heartbeats whose time of sending is kept for their acknowledgements. */
+/** Number of recent heartbeats whose send time is kept for their acknowledgements. */
 const HEARTBEATS_TRACKED_MAX = 64;
 
 /** What heartbeats need. */
@@ -43,9 +43,9 @@
 }
 
 /**
- * Sends this node's heartbeats to the view and answers those of others. The
- * acknowledgement of a member is what renews this node's lease, counted from
- * the moment at which the heartbeat was sent.
+ * Sends this node's heartbeats to the view and answers those of others. A
+ * member's acknowledgement renews this node's lease, counted from the time at
+ * which the heartbeat was sent.
  * @example
  * heartbeats.tick(nowMs);
  */
@@ -91,7 +91,7 @@
     const isMember = rankOf(state.view, from) >= 0;
     if (heartbeat.number > state.number) versions.fetch(from);
     if (!isMember && heartbeat.number > state.number) return;
-    if (isMember) this.#learn(from, heartbeat);
+    if (isMember) this.#applyHeartbeat(from, heartbeat);
     if (member === undefined) return;
     const value = create(HeartbeatAckSchema, {
       sequence: heartbeat.sequence,
@@ -99,19 +99,20 @@
       epoch: local.epoch,
       dropped: !isMember,
       noNewerCoordinator: heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch,
-      // The others agree without a member that leaves: its acknowledgement must not renew the lease of a member that may miss what they commit.
-      leaseWithheld: local.leaving || viewChange.isLeavingOut(from),
+      // The other members commit without a leaving member, so its acknowledgement must not renew the lease of
+      // a member that may miss those commits.
+      leaseWithheld: local.leaving || viewChange.isExcluding(from),
     });
     transport.send(member, { case: 'heartbeatAck', value });
   }
 
-  /** Takes an acknowledgement of a heartbeat that this node sent. */
+  /** Handles the acknowledgement of a heartbeat that this node sent. */
   onHeartbeatAck(from: string, ack: HeartbeatAck): void {
     const { coordination, leases, liveness, local, versions, viewChange } = this.#collaborators;
     const sentMs = this.#sentMs.get(ack.sequence);
     const state = local.state;
     if (!local.inView || state === undefined || sentMs === undefined) return;
-    liveness.answered(from, local.nowMs());
+    liveness.recordAnswer(from, local.nowMs());
     coordination.resignIfBefore(ack.epoch);
     if (ack.dropped) {
       if (ack.number > state.number) viewChange.rejoin();
@@ -123,23 +124,23 @@
     coordination.coordinator?.learnApplied(from, ack.number);
   }
 
-  /** The counts of what was delivered go to the collector alone, except at level 1, which sends them to all. */
+  /** Sends a heartbeat; delivery counts go to the stability collector only, or to every member at level 1. */
   #sendTo(state: GroupState<S>, others: readonly Member[], heartbeat: Heartbeat, nowMs: number): void {
     const { casts, local, transport } = this.#collaborators;
     const collector = state.level === 1 ? undefined : this.#stabilityCollector(state.view, nowMs);
-    const counts = clone(HeartbeatSchema, heartbeat);
-    counts.delivered = casts.delivered();
+    const heartbeatWithCounts = clone(HeartbeatSchema, heartbeat);
+    heartbeatWithCounts.delivered = casts.delivered();
     if (collector === local.incarnation) heartbeat.stable = casts.stable();
     for (const member of others) {
-      const withCounts = state.level === 1 || member.incarnation === collector;
-      transport.send(member, { case: 'heartbeat', value: withCounts ? counts : heartbeat });
+      const needsCounts = state.level === 1 || member.incarnation === collector;
+      transport.send(member, { case: 'heartbeat', value: needsCounts ? heartbeatWithCounts : heartbeat });
     }
   }
 
   /**
-   * The member that collects what all have delivered and sends the others what
-   * is stable: the lowest-ranked that is live. All members sending to all would
-   * cost the cube of the group's size.
+   * The member that collects the delivery counts of all members and tells the others which casts are stable:
+   * the live member of the lowest rank. Counts from every member to every member would cost the cube of the
+   * group's size.
    */
   #stabilityCollector(view: View, nowMs: number): string {
     const { liveness, local } = this.#collaborators;
@@ -152,7 +153,7 @@
   #heartbeat(state: GroupState<S>, others: readonly Member[], nowMs: number): Heartbeat {
     const { coordination, diskWatch, liveness, local } = this.#collaborators;
     const coordinator = coordination.coordinator;
-    const mayNotClaim = coordinator === undefined && diskWatch.isSlow(nowMs);
+    const isDiskTooSlow = coordinator === undefined && diskWatch.isSlow(nowMs);
     return create(HeartbeatSchema, {
       sequence: this.#sequence,
       view: state.view.number,
@@ -162,12 +163,15 @@
         .filter((member) => !liveness.isLive(member.incarnation, nowMs))
         .map((member) => member.incarnation),
       resigning:
-        coordination.isIneligible(nowMs) || coordination.isUnsupported(nowMs) || local.leaving || mayNotClaim,
+        coordination.isIneligible(nowMs) ||
+        coordination.isUnsupported(nowMs) ||
+        local.leaving ||
+        isDiskTooSlow,
       agreed: coordinator?.committedVersion ?? local.committedVersion,
     });
   }
 
-  #learn(from: string, heartbeat: Heartbeat): void {
+  #applyHeartbeat(from: string, heartbeat: Heartbeat): void {
     const { casts, coordination, coordinatorWatch, liveness, local } = this.#collaborators;
     if (heartbeat.epoch > 0 && heartbeat.epoch >= local.epoch) {
       local.learnEpoch(heartbeat.epoch);
@@ -175,8 +179,8 @@
       local.learnCommitted(heartbeat.agreed);
     }
     coordination.resignIfBefore(heartbeat.epoch);
-    liveness.learn(from, heartbeat);
-    if (heartbeat.view === local.state?.view.number) casts.learn(from, heartbeat);
+    liveness.onHeartbeat(from, heartbeat);
+    if (heartbeat.view === local.state?.view.number) casts.onHeartbeat(from, heartbeat);
     coordination.coordinator?.learnApplied(from, heartbeat.number);
   }
 }
--- a/packages/process-group/src/membership/membership.test.ts
+++ b/packages/process-group/src/membership/membership.test.ts
@@ -5,31 +5,31 @@
 const FIVE = ['a', 'b', 'c', 'd', 'e'];
 const THREE = ['a', 'b', 'c'];
 const RESTART_MS = 200;
-/** The least time that a deployment gives a machine to count as back. */
+/** CatchUpS: the shortest time that a deployment gives a machine to count as back. */
 const CATCH_UP_MS = 4000;
 const ACK_MS = 4000;
 
-/** All pairs of some names. */
+/** All pairs of the given names. */
 function pairsOf(names: readonly string[]): [string, string][] {
-  return names.flatMap((one, place) => names.slice(place + 1).map((other): [string, string] => [one, other]));
+  return names.flatMap((one, index) => names.slice(index + 1).map((other): [string, string] => [one, other]));
 }
 
-/** Machines lose their disks, and are back soon. */
-function wipe(cluster: TestCluster, names: readonly string[]): void {
+/** Stops machines and restarts them with empty disks after `RESTART_MS`. */
+function restartWithEmptyDisks(cluster: TestCluster, names: readonly string[]): void {
   for (const name of names) cluster.stop(name);
   cluster.run(RESTART_MS);
   for (const name of names) cluster.start(name);
 }
 
-/** All machines lose power; the disks of some are gone. */
-function losePower(cluster: TestCluster, wiped: readonly string[]): void {
+/** Cuts the power of all machines and restarts them; the wiped ones come back with empty disks. */
+function powerCycleAll(cluster: TestCluster, wiped: readonly string[]): void {
   const stopped = cluster.running.map(({ name }) => cluster.stop(name));
   cluster.run(RESTART_MS);
   for (const { name, records } of stopped) cluster.start(name, wiped.includes(name) ? undefined : records);
 }
 
-/** An operation is acknowledged in time, and every node ends with all that were. */
-function expectComplete(cluster: TestCluster, what: string): void {
+/** Expects that a new operation is acknowledged in `ACK_MS` and that every node has all acknowledged ones. */
+function expectNothingLost(cluster: TestCluster, scenario: string): void {
   const before = cluster.acknowledged.size;
   let nextMs = cluster.nowMs;
   const tookMs = cluster.runUntil(() => {
@@ -43,10 +43,10 @@
   const lacking = cluster.running
     .filter(({ name }) => cluster.missingOperations(name).length > 0)
     .map(({ name }) => name);
-  expect([what, tookMs <= ACK_MS || tookMs, lacking]).toEqual([what, true, []]);
+  expect([scenario, tookMs <= ACK_MS || tookMs, lacking]).toEqual([scenario, true, []]);
 }
 
-function founded(names: readonly string[], faultTolerance: number, seed: number): TestCluster {
+function foundCluster(names: readonly string[], faultTolerance: number, seed: number): TestCluster {
   const cluster = new TestCluster(names, faultTolerance, seed);
   cluster.found();
   cluster.submit('a');
@@ -54,49 +54,49 @@
   return cluster;
 }
 
-function votersOf(node: TestNode | undefined): string[] {
+function voterDisksOf(node: TestNode | undefined): string[] {
   return (node?.group.state?.voters ?? []).map(({ disk }) => disk).sort();
 }
 
 describe('control safety, point 3: membership', () => {
-  it('bears the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
-    for (const [place, first] of pairsOf(FIVE).entries()) {
-      const second = pairsOf(FIVE)[(place * 7 + 3) % 10] as [string, string];
-      const cluster = founded(FIVE, 2, place);
-      wipe(cluster, first);
+  it('survives the loss of any two of five disks, and of any two more CatchUpS after their return', () => {
+    for (const [index, first] of pairsOf(FIVE).entries()) {
+      const second = pairsOf(FIVE)[(index * 7 + 3) % 10] as [string, string];
+      const cluster = foundCluster(FIVE, 2, index);
+      restartWithEmptyDisks(cluster, first);
       cluster.run(CATCH_UP_MS);
-      wipe(cluster, second);
-      expectComplete(cluster, `${first.join()} then ${second.join()}`);
+      restartWithEmptyDisks(cluster, second);
+      expectNothingLost(cluster, `${first.join()} then ${second.join()}`);
     }
   });
 
-  it('bears it on disks that take 100 ms for a write', () => {
-    for (const [place, first] of pairsOf(FIVE).entries()) {
-      const cluster = founded(FIVE, 2, place);
+  it('survives the loss of two of five disks and of two more on disks that take 100 ms for a write', () => {
+    for (const [index, first] of pairsOf(FIVE).entries()) {
+      const cluster = foundCluster(FIVE, 2, index);
       for (const node of cluster.running) node.syncMs = 100;
-      wipe(cluster, first);
+      restartWithEmptyDisks(cluster, first);
       for (const node of cluster.running) node.syncMs = 100;
       cluster.run(CATCH_UP_MS);
-      wipe(cluster, pairsOf(FIVE)[9 - place] ?? first);
-      expectComplete(cluster, first.join());
+      restartWithEmptyDisks(cluster, pairsOf(FIVE)[9 - index] ?? first);
+      expectNothingLost(cluster, first.join());
     }
   });
 
-  it('bears the loss of a disk, and of any other CatchUpS after its return, of three', () => {
+  it('survives the loss of any one of three disks, and of any one more CatchUpS after its return', () => {
     for (const first of THREE)
       for (const second of THREE) {
-        const cluster = founded(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
-        wipe(cluster, [first]);
+        const cluster = foundCluster(THREE, 1, first.charCodeAt(0) * second.charCodeAt(0));
+        restartWithEmptyDisks(cluster, [first]);
         cluster.run(CATCH_UP_MS);
-        wipe(cluster, [second]);
-        expectComplete(cluster, `${first} then ${second}`);
+        restartWithEmptyDisks(cluster, [second]);
+        expectNothingLost(cluster, `${first} then ${second}`);
       }
   });
 
-  it('loses nothing with a voter that leaves in order, and another CatchUpS after its successor is in', () => {
+  it('loses nothing when a voter leaves and another loses its disk CatchUpS after the successor starts', () => {
     for (const leaving of THREE)
       for (const lost of THREE.filter((name) => name !== leaving)) {
-        const cluster = founded(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
+        const cluster = foundCluster(THREE, 1, leaving.charCodeAt(0) + lost.charCodeAt(0));
         const third = THREE.find((name) => name !== leaving && name !== lost) ?? '';
         cluster.node(third).stalled = true;
         cluster.submit(leaving);
@@ -108,18 +108,18 @@
         cluster.stop(leaving);
         cluster.start('successor');
         cluster.run(CATCH_UP_MS);
-        wipe(cluster, [lost]);
+        restartWithEmptyDisks(cluster, [lost]);
         expect(size).toEqual(2);
-        expectComplete(cluster, `${leaving} leaves, ${lost} is lost`);
+        expectNothingLost(cluster, `${leaving} leaves, ${lost} is lost`);
       }
   });
 
-  it('goes on where the coordinator dies, and a newcomer is wiped again, at any moment of a replacement', () => {
+  it('recovers when the coordinator is killed and the new voter wiped at any moment of a replacement', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
-      const cluster = founded(FIVE, 2, afterMs);
+      const cluster = foundCluster(FIVE, 2, afterMs);
       const leader = cluster.leader()?.name ?? '';
       const [lost = ''] = FIVE.filter((name) => name !== leader);
-      wipe(cluster, [lost]);
+      restartWithEmptyDisks(cluster, [lost]);
       cluster.run(afterMs);
       const { records } = cluster.stop(leader);
       cluster.stop(lost);
@@ -127,80 +127,80 @@
       cluster.start(lost);
       cluster.start(leader, records);
       cluster.run(CATCH_UP_MS);
-      expectComplete(cluster, `after ${afterMs}`);
-      expect([afterMs, votersOf(cluster.leader()).length, new Set(votersOf(cluster.leader())).size]).toEqual([
+      expectNothingLost(cluster, `after ${afterMs}`);
+      expect([
         afterMs,
-        5,
-        5,
-      ]);
+        voterDisksOf(cluster.leader()).length,
+        new Set(voterDisksOf(cluster.leader())).size,
+      ]).toEqual([afterMs, 5, 5]);
     }
   });
 
-  it('goes on where all lose power at any moment of a replacement of two', () => {
+  it('recovers when all machines lose power at any moment of the replacement of two voters', () => {
     for (let afterMs = 0; afterMs <= 2400; afterMs += 60) {
-      const cluster = founded(FIVE, 2, afterMs);
-      wipe(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
+      const cluster = foundCluster(FIVE, 2, afterMs);
+      restartWithEmptyDisks(cluster, pairsOf(FIVE)[(afterMs / 60) % 10] ?? []);
       cluster.submit('c');
       cluster.run(afterMs);
-      losePower(cluster, []);
-      expectComplete(cluster, `after ${afterMs}`);
+      powerCycleAll(cluster, []);
+      expectNothingLost(cluster, `after ${afterMs}`);
     }
   });
 
-  it('goes on where two disks are lost and all others lose power, CatchUpS after a loss of two', () => {
-    for (const [place, first] of pairsOf(FIVE).entries())
+  it('recovers when all lose power and two lose their disks, CatchUpS after the loss of two disks', () => {
+    for (const [index, first] of pairsOf(FIVE).entries())
       for (const second of pairsOf(FIVE)) {
-        const cluster = founded(FIVE, 2, place);
-        wipe(cluster, first);
+        const cluster = foundCluster(FIVE, 2, index);
+        restartWithEmptyDisks(cluster, first);
         cluster.run(CATCH_UP_MS);
         cluster.submit('a');
-        cluster.run(place);
-        losePower(cluster, second);
-        expectComplete(cluster, `${first.join()} then ${second.join()} and all power`);
+        cluster.run(index);
+        powerCycleAll(cluster, second);
+        expectNothingLost(cluster, `${first.join()} then ${second.join()} with a power failure`);
       }
   });
 
-  it('takes a machine that comes back under its replaced disk for a member that does not vote', () => {
-    const cluster = founded(THREE, 1, 5);
+  it('admits a machine that returns with its replaced disk as a member that does not vote', () => {
+    const cluster = foundCluster(THREE, 1, 5);
     const leader = cluster.leader()?.name ?? '';
     const [old = ''] = THREE.filter((name) => name !== leader);
     const { records, group } = cluster.stop(old);
     cluster.start('spare');
     cluster.run(CATCH_UP_MS);
-    const replaced = votersOf(cluster.leader());
+    const replaced = voterDisksOf(cluster.leader());
     cluster.start(old, records);
     cluster.run(CATCH_UP_MS);
     expect(replaced).not.toInclude(group.self.disk);
-    expect(votersOf(cluster.leader())).toEqual(replaced);
+    expect(voterDisksOf(cluster.leader())).toEqual(replaced);
     expect(cluster.node(old).group.view?.members.length).toEqual(4);
-    expectComplete(cluster, 'back under its old disk');
+    expectNothingLost(cluster, 'returned with its replaced disk');
   });
 
-  it('never makes more than one voter of an address whose disk changes', () => {
-    const cluster = founded(THREE, 1, 6);
+  it('never has more than one voter at an address whose disk changes', () => {
+    const cluster = foundCluster(THREE, 1, 6);
     for (let times = 0; times < 4; times += 1) {
-      wipe(cluster, ['b']);
+      restartWithEmptyDisks(cluster, ['b']);
       cluster.run(CATCH_UP_MS);
-      const voters = votersOf(cluster.leader());
+      const voters = voterDisksOf(cluster.leader());
       expect([voters.length, voters.filter((disk) => disk.startsWith('b')).length]).toEqual([3, 1]);
     }
-    expectComplete(cluster, 'four disks at one address');
+    expectNothingLost(cluster, 'four disks at one address');
   });
 });
 
 describe('control safety, point 4: catching up', () => {
-  it('brings a member that was cut off for 20 s and 400 versions to the newest one', () => {
-    const cluster = founded(FIVE, 2, 4);
+  it('brings a member that was isolated for 20 s and missed 400 versions to the newest one', () => {
+    const cluster = foundCluster(FIVE, 2, 4);
     const leader = cluster.leader()?.name ?? '';
-    const [late = '', other = ''] = FIVE.filter((name) => name !== leader);
-    cluster.setIsolated(late, true);
+    const [isolated = '', other = ''] = FIVE.filter((name) => name !== leader);
+    cluster.setIsolated(isolated, true);
     for (let count = 0; count < 400; count += 1) {
       cluster.submit(other, 20_000);
       cluster.run(50);
     }
-    cluster.setIsolated(late, false);
-    const stale = cluster.missingOperations(late).length;
-    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
+    cluster.setIsolated(isolated, false);
+    const stale = cluster.missingOperations(isolated).length;
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(isolated).length === 0, 20_000);
     expect([cluster.acknowledged.size, stale > 300, tookMs <= CATCH_UP_MS || tookMs]).toEqual([
       401,
       true,
@@ -208,28 +208,27 @@
     ]);
   });
 
-  it('brings a member to the newest version in messages that the wire carries', () => {
-    const cluster = founded(THREE, 1, 4);
+  it('brings a member that missed 12 versions of 1 MiB to the newest one within the frame size limit', () => {
+    const cluster = foundCluster(THREE, 1, 4);
     const leader = cluster.leader()?.name ?? '';
-    const [late = '', other = ''] = THREE.filter((name) => name !== leader);
-    cluster.setIsolated(late, true);
+    const [isolated = '', other = ''] = THREE.filter((name) => name !== leader);
+    cluster.setIsolated(isolated, true);
     for (let count = 0; count < 12; count += 1) {
       cluster.submit(other, 1024 * 1024);
       cluster.run(60);
     }
-    cluster.setIsolated(late, false);
-    const { incarnation } = cluster.node(late).group.self;
-    const tookMs = cluster.runUntil(() => cluster.missingOperations(late).length === 0, 20_000);
+    cluster.setIsolated(isolated, false);
+    const { incarnation } = cluster.node(isolated).group.self;
+    const tookMs = cluster.runUntil(() => cluster.missingOperations(isolated).length === 0, 20_000);
     cluster.run(5000);
-    expect([tookMs <= 1000 || tookMs, cluster.node(late).group.self.incarnation === incarnation]).toEqual([
-      true,
-      true,
-    ]);
+    expect([tookMs <= 1000 || tookMs, cluster.node(isolated).group.self.incarnation === incarnation]).toEqual(
+      [true, true],
+    );
   });
 
-  it('neither answers nor coordinates with old state after a restart, while changes go on', () => {
+  it('neither answers nor coordinates with stale state after a restart while changes continue', () => {
     for (const name of THREE) {
-      const cluster = founded(THREE, 1, name.charCodeAt(0));
+      const cluster = foundCluster(THREE, 1, name.charCodeAt(0));
       const { records } = cluster.stop(name);
       const other = THREE.find((known) => known !== name) ?? '';
       cluster.run(3000);
--- a/packages/process-group/src/membership/view-change-coordinator.ts
+++ b/packages/process-group/src/membership/view-change-coordinator.ts
@@ -1,4 +1,4 @@
-/** The coordinator's side of a view change: who stays and joins, the flush, and the next view's entry. */
+/** The coordinator's side of a view change: which members stay and join, the flush, the next view's entry. */
 import { create } from '@bufbuild/protobuf';
 import {
   EntrySchema,
@@ -17,7 +17,7 @@
 import { rankOf } from './members.js';
 import { levelMismatch } from './protocol-levels.js';
 
-/** A view change while the flush replies are collected. */
+/** A view change whose flush replies are being collected. */
 interface PendingViewChange {
   readonly id: number;
   readonly staying: readonly Member[];
@@ -41,21 +41,21 @@
  * their unstable casts, so that all of them deliver the same casts in the old view.
  * @example
  * if (viewChange.isCollecting) viewChange.collectFlushes(state, nowMs);
- * else viewChange.start(state, nowMs); // false: no change is wanted
+ * else viewChange.start(state, nowMs); // false: no change is due
  */
 export class ViewChangeCoordinator {
   #context: ViewChangeContext;
   #epoch: number;
   #departed: DepartedMembers;
   #propose: (entry: Entry, nowMs: number) => void;
-  #change: PendingViewChange | undefined;
-  #changes = 0;
-  /** Since when a change has been wanted; it starts `graceMs` later. */
-  #wantedSinceMs: number | undefined;
-  /** Set while members may have stopped for a view that was not installed. */
+  #pendingChange: PendingViewChange | undefined;
+  #changeCount = 0;
+  /** Time since which a change has been needed; it starts `graceMs` later. */
+  #changeNeededSinceMs: number | undefined;
+  /** True while members may have stopped casting for a view that was not installed. */
   #mustInstallView = true;
-  /** Members that did not flush in time, and until when they are left out. */
-  #slowUntilMs = new Map<string, number>();
+  /** Members that did not flush in time, and until when new views exclude them. */
+  #excludedUntilMs = new Map<string, number>();
 
   constructor(
     context: ViewChangeContext,
@@ -69,14 +69,14 @@
     this.#propose = propose;
   }
 
-  /** Whether a change is under way. */
+  /** Whether a view change is collecting flush replies. */
   get isCollecting(): boolean {
-    return this.#change !== undefined;
+    return this.#pendingChange !== undefined;
   }
 
-  /** Members that have not flushed for the change under way, by name. */
+  /** Names of the members that have not flushed yet for the pending change. */
   missingFlushes(): readonly string[] {
-    const change = this.#change;
+    const change = this.#pendingChange;
     if (change === undefined) return [];
     return change.staying
       .filter((member) => !change.castsByMember.has(member.incarnation))
@@ -84,29 +84,29 @@
   }
 
   onFlushReply(incarnation: string, reply: FlushReply): void {
-    if (reply.epoch !== this.#epoch || reply.change !== this.#change?.id) return;
-    this.#change.castsByMember.set(incarnation, reply.unstableCasts);
+    if (reply.epoch !== this.#epoch || reply.change !== this.#pendingChange?.id) return;
+    this.#pendingChange.castsByMember.set(incarnation, reply.unstableCasts);
   }
 
-  /** Starts a change if one is due; whether it did. */
+  /** Starts a change if one is due; returns whether it did. */
   start(state: ViewState, nowMs: number): boolean {
     const { view } = state;
     const staying = this.#staying(view, nowMs);
     const joiners = this.#admittedJoiners(view, staying);
     if (staying.length === view.members.length && joiners.length === 0 && !this.#mustInstallView) {
-      this.#wantedSinceMs = undefined;
+      this.#changeNeededSinceMs = undefined;
       return false;
     }
     const self = this.#context.self().incarnation;
     if (rankOf(view, self) >= 0 && this.#context.appliedVersion() < state.number) return false;
-    this.#wantedSinceMs ??= nowMs;
-    if (nowMs - this.#wantedSinceMs < this.#context.times.graceMs) return false;
+    this.#changeNeededSinceMs ??= nowMs;
+    if (nowMs - this.#changeNeededSinceMs < this.#context.times.graceMs) return false;
     if (!this.#departed.hasMajority(view, (member) => staying.includes(member))) return false;
-    this.#wantedSinceMs = undefined;
+    this.#changeNeededSinceMs = undefined;
     this.#mustInstallView = true;
-    this.#changes += 1;
-    this.#change = {
-      id: this.#changes,
+    this.#changeCount += 1;
+    this.#pendingChange = {
+      id: this.#changeCount,
       staying,
       joiners,
       startedMs: nowMs,
@@ -117,14 +117,14 @@
     return true;
   }
 
-  /** Requests the flushes that are missing; proposes the view once all are here, gives the change up after `flushMs`. */
+  /** Requests missing flushes; proposes the view once all have arrived, aborts the change after `flushMs`. */
   collectFlushes(state: ViewState, nowMs: number): void {
-    const change = this.#change;
+    const change = this.#pendingChange;
     if (change === undefined) return;
     const missing = change.staying.filter((member) => !change.castsByMember.has(member.incarnation));
-    if (this.#mustGiveUp(change, missing, nowMs)) {
-      this.#change = undefined;
-      this.#wantedSinceMs = nowMs - this.#context.times.graceMs;
+    if (this.#mustAbort(change, missing, nowMs)) {
+      this.#pendingChange = undefined;
+      this.#changeNeededSinceMs = nowMs - this.#context.times.graceMs;
       return;
     }
     if (missing.length === 0) return this.#install(change, state, nowMs);
@@ -141,13 +141,13 @@
       (member) =>
         member.incarnation === self ||
         (this.#context.isLive(member.incarnation) &&
-          nowMs >= (this.#slowUntilMs.get(member.incarnation) ?? -Infinity) &&
+          nowMs >= (this.#excludedUntilMs.get(member.incarnation) ?? -Infinity) &&
           !this.#context.isReported(member.incarnation) &&
           !this.#departed.has(member)),
     );
   }
 
-  /** Joiners, in the order of their names, that are new and speak a level that all the others speak. */
+  /** New joiners, sorted by name, that share a protocol level with all the others. */
   #admittedJoiners(view: View, staying: readonly Member[]): Member[] {
     const names = new Set(staying.map((member) => member.name));
     const admitted: Member[] = [];
@@ -163,8 +163,11 @@
     return admitted;
   }
 
-  /** Whether a member that stays was lost, or the flush takes too long; who is late then is left out of the next change. */
-  #mustGiveUp(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
+  /**
+   * Whether a staying member has failed or the flush has timed out. On a timeout, the members that have not
+   * flushed are excluded from new views for twice `flushMs`.
+   */
+  #mustAbort(change: PendingViewChange, missing: readonly Member[], nowMs: number): boolean {
     const self = this.#context.self().incarnation;
     const isMemberLost = change.staying.some(
       (member) => member.incarnation !== self && !this.#context.isLive(member.incarnation),
@@ -172,7 +175,7 @@
     const { flushMs } = this.#context.times;
     const isTimedOut = nowMs - change.startedMs > flushMs;
     if (isTimedOut) {
-      for (const member of missing) this.#slowUntilMs.set(member.incarnation, nowMs + 2 * flushMs);
+      for (const member of missing) this.#excludedUntilMs.set(member.incarnation, nowMs + 2 * flushMs);
     }
     return isMemberLost || isTimedOut;
   }
@@ -194,7 +197,7 @@
   }
 
   #install(change: PendingViewChange, { view: old }: ViewState, nowMs: number): void {
-    this.#change = undefined;
+    this.#pendingChange = undefined;
     this.#mustInstallView = false;
     const view = create(ViewSchema, {
       epoch: this.#epoch,
--- a/packages/process-group/src/testing/restart-trial.ts
+++ b/packages/process-group/src/testing/restart-trial.ts
@@ -1,40 +1,41 @@
 /**
- * Trials of restarts by seed: all cores are killed at any moment, also twice, with a disk that hangs or links
- * that carry one way only, and an oracle for liveness and for what was acknowledged.
+ * Seeded restart trials: all cores are killed at a random time, once or twice, and one core may then have a
+ * hanging disk or links severed in one direction. A trial checks liveness and that no acknowledged change is
+ * lost.
  */
 import { SeededRandom } from '@rainrun/common';
 import type { View } from '@rainrun/messages';
 import { majority } from '../agreement/quorum.js';
 import { TestCluster } from './test-cluster.js';
 
-/** A group size, and how many disks it may lose. */
-const SIZES = [
+/** Group sizes, and how many disks each may lose. */
+const GROUP_SIZES = [
   { cores: ['a', 'b', 'c'], losses: 1 },
   { cores: ['a', 'b', 'c', 'd', 'e'], losses: 2 },
   { cores: ['a', 'b', 'c', 'd', 'e', 'f'], losses: 2 },
 ] as const;
 
-/** The liveness bound: from the last start with a majority up and in touch to an acknowledged change. */
+/** Liveness bound: time from the last start, with a majority up and connected, to an acknowledged change. */
 export const RECOVERY_BOUND_MS = 3000;
 
-/** A trial is given up after so long. */
-const GIVE_UP_MS = 30_000;
+/** A trial waits no longer than this for a recovery. */
+const RECOVERY_TIMEOUT_MS = 30_000;
 
-/** Changes are submitted at this interval before the kill. */
+/** Longest interval between two changes submitted before the kill. */
 const CHANGE_INTERVAL_MS = 50;
 
-/** What a trial came to. */
+/** The result of a trial. */
 export interface RestartTrialResult {
-  /** What was done, in order. */
+  /** What the trial did to the cluster, in order. */
   readonly events: readonly string[];
-  /** From the last start to an acknowledged change. */
+  /** Time from the last start to an acknowledged change. */
   readonly recoveredMs: number;
   /** Acknowledged changes that the coordinator lacks at the end. */
   readonly lost: readonly string[];
 }
 
 /**
- * Plays one trial; the same seed gives the same trial.
+ * Runs one trial; the same seed gives the same trial.
  * @example
  * runRestartTrial(7).recoveredMs; // 1325
  */
@@ -50,66 +51,66 @@
 
   constructor(seed: number) {
     this.#random = new SeededRandom(seed);
-    const size = SIZES[this.#pick(SIZES.length)] ?? SIZES[0];
+    const size = GROUP_SIZES[this.#randomBelow(GROUP_SIZES.length)] ?? GROUP_SIZES[0];
     this.#cores = [...size.cores];
     this.#cluster = new TestCluster(size.cores, size.losses, seed);
-    this.#note(`${size.cores.length} cores`);
+    this.#recordEvent(`${size.cores.length} cores`);
   }
 
   run(): RestartTrialResult {
-    if (this.#chance(0.15)) this.#startFounding();
+    if (this.#occursWith(0.15)) this.#startFounding();
     else this.#startFounded();
-    this.#herdKill();
-    if (this.#chance(0.4)) {
-      this.#cluster.run(this.#pick(1500));
-      this.#herdKill();
+    this.#killAndRestartAll();
+    if (this.#occursWith(0.4)) {
+      this.#cluster.run(this.#randomBelow(1500));
+      this.#killAndRestartAll();
     }
-    this.#hurtOneCore();
-    const recoveredMs = this.#cluster.recover(GIVE_UP_MS);
+    this.#impairOneCore();
+    const recoveredMs = this.#cluster.recover(RECOVERY_TIMEOUT_MS);
     this.#cluster.run(2000);
     const leader = this.#cluster.leader();
     const lost = leader === undefined ? [] : this.#cluster.missingOperations(leader.name);
     return { events: this.#events, recoveredMs, lost };
   }
 
-  /** The first start of all; the kill comes while the group is founded. */
+  /** Starts all cores for the first time, so that the kill comes while the group is being founded. */
   #startFounding(): void {
     this.#cluster.startFirst();
     this.#cluster.run(10);
-    const afterMs = this.#pick(1500);
+    const afterMs = this.#randomBelow(1500);
     this.#cluster.run(afterMs);
-    this.#note(`killed ${afterMs} ms into the founding`);
+    this.#recordEvent(`killed ${afterMs} ms into the founding`);
   }
 
-  /** A founded group with changes under way, in which a core may just have been replaced. */
+  /** Founds a group and submits changes to it; a core may have been replaced just before. */
   #startFounded(): void {
     this.#cluster.found();
-    if (this.#chance(0.25)) this.#replaceOne();
-    const changes = this.#pick(8);
+    if (this.#occursWith(0.25)) this.#replaceOneCore();
+    const changes = this.#randomBelow(8);
     for (let change = 0; change < changes; change += 1) {
-      const name = this.#cores[this.#pick(this.#cores.length)];
+      const name = this.#cores[this.#randomBelow(this.#cores.length)];
       if (name !== undefined) this.#cluster.submit(name);
-      this.#cluster.run(this.#pick(CHANGE_INTERVAL_MS));
+      this.#cluster.run(this.#randomBelow(CHANGE_INTERVAL_MS));
     }
   }
 
-  /** Removes a core for good and starts another with an empty disk; the kill may come while it takes its place. */
-  #replaceOne(): void {
-    const lost = this.#cores[this.#pick(this.#cores.length)];
+  /** Replaces a core by one with an empty disk; the kill may come before the replacement is complete. */
+  #replaceOneCore(): void {
+    const lost = this.#cores[this.#randomBelow(this.#cores.length)];
     if (lost === undefined) return;
     this.#cluster.stop(lost);
     this.#cores = [...this.#cores.filter((name) => name !== lost), 'x'];
     this.#cluster.start('x');
-    const afterMs = this.#pick(4000);
+    const afterMs = this.#randomBelow(4000);
     this.#cluster.run(afterMs);
-    this.#note(`${lost} replaced by x ${afterMs} ms before the kill`);
+    this.#recordEvent(`${lost} replaced by x ${afterMs} ms before the kill`);
   }
 
-  /** Kills all cores at once and starts them in any order within a second. */
-  #herdKill(): void {
-    this.#note(`all killed at ${this.#cluster.nowMs} ms`);
+  /** Kills all cores at once and restarts them in random order within about a second. */
+  #killAndRestartAll(): void {
+    this.#recordEvent(`all killed at ${this.#cluster.nowMs} ms`);
     const stopped = this.#cores.map((name) => this.#cluster.stop(name));
-    const staggerMs = this.#pick(1000);
+    const staggerMs = this.#randomBelow(1000);
     const starts = stopped
       .map((node) => ({ node, afterMs: 50 + this.#random.next() * staggerMs }))
       .sort((one, other) => one.afterMs - other.afterMs);
@@ -121,28 +122,28 @@
     }
   }
 
-  /** Hangs the disk of one core or cuts some of its links in one direction, where the others are a majority without it. */
-  #hurtOneCore(): void {
+  /** Hangs the disk of one core or severs some of its links, if the others have a quorum without it. */
+  #impairOneCore(): void {
     const kind = this.#random.next();
-    const odd = this.#cores[this.#pick(this.#cores.length)];
-    if (kind < 1 / 3 || odd === undefined || !this.#suffices(odd)) return;
+    const core = this.#cores[this.#randomBelow(this.#cores.length)];
+    if (kind < 1 / 3 || core === undefined || !this.#haveQuorumWithout(core)) return;
     if (kind < 2 / 3) {
-      this.#cluster.node(odd).stalled = true;
-      this.#note(`the disk of ${odd} hangs`);
+      this.#cluster.node(core).stalled = true;
+      this.#recordEvent(`the disk of ${core} hangs`);
       return;
     }
-    const cut = this.#cores
-      .filter((name) => name !== odd)
-      .flatMap((name) => [`${odd} ${name}`, `${name} ${odd}`])
-      .filter(() => this.#chance(0.5));
-    for (const link of cut) this.#cluster.severedLinks.add(link);
-    this.#note(`cut: ${cut.join(', ')}`);
+    const severed = this.#cores
+      .filter((name) => name !== core)
+      .flatMap((name) => [`${core} ${name}`, `${name} ${core}`])
+      .filter(() => this.#occursWith(0.5));
+    for (const link of severed) this.#cluster.severedLinks.add(link);
+    this.#recordEvent(`severed links: ${severed.join(', ')}`);
   }
 
-  /** Whether all but this core are a majority of the voters and of the view of every version on any disk. */
-  #suffices(odd: string): boolean {
-    const rest = this.#cores.filter((name) => name !== odd);
-    const disks = new Set(rest.map((name) => this.#cluster.node(name).group.self.disk));
+  /** Whether the other cores are a majority of the voters and of the view of every version on any disk. */
+  #haveQuorumWithout(core: string): boolean {
+    const others = this.#cores.filter((name) => name !== core);
+    const disks = new Set(others.map((name) => this.#cluster.node(name).group.self.disk));
     const versions = this.#cluster.acceptedVersions();
     return (
       versions.length > 0 &&
@@ -151,21 +152,21 @@
         const views = [state?.view, state?.previousView];
         return (
           voterSets.every((voters) => isMajorityOf(voters, ({ disk }) => disks.has(disk))) &&
-          views.every((view) => isMajorityOf(membersOf(view), ({ name }) => rest.includes(name)))
+          views.every((view) => isMajorityOf(membersOf(view), ({ name }) => others.includes(name)))
         );
       })
     );
   }
 
-  #note(event: string): void {
+  #recordEvent(event: string): void {
     this.#events.push(event);
   }
 
-  #chance(probability: number): boolean {
+  #occursWith(probability: number): boolean {
     return this.#random.next() < probability;
   }
 
-  #pick(count: number): number {
+  #randomBelow(count: number): number {
     return Math.floor(this.#random.next() * count);
   }
 }
--- a/packages/quotas/src/client.ts
+++ b/packages/quotas/src/client.ts
@@ -1,4 +1,7 @@
-/** The edge's side of quotas: requests wait here for permits, which are drawn from the allocators in batches. */
+/**
+ * The edge's side of quotas: queues requests that wait for permits and draws the permits from the allocators
+ * in batches.
+ */
 import { create } from '@bufbuild/protobuf';
 import type { Clock, RandomSource } from '@rainrun/common';
 import {
@@ -11,65 +14,73 @@
 } from '@rainrun/messages';
 import { allocatorOf } from './allocator-choice.js';
 import type { QuotaView } from './allocator.js';
-import { Draws, type SentDraw } from './draws.js';
+import { DrawTracker, type SentDraw } from './draw-tracker.js';
 import type { PermitAnswer, PermitSource, QuotaBounds } from './permits.js';
 import { permitLifetimeMs } from './quota-budget.js';
 import { TenantRequests } from './tenant-requests.js';
 
-/** A refusal is remembered no longer than this. */
-const REFUSAL_MEMORY_MOST_MS = 100;
+/**
+ * Longest time for which a refusal is cached, so that further requests are refused without asking the core.
+ */
+const MAX_REFUSAL_CACHE_MS = 100;
 
-/** A core that cannot allocate now is asked again after so long. */
-const ASK_AGAIN_MS = 100;
+/** How long to wait before asking a core again after it answered that it cannot allocate. */
+const UNAVAILABLE_RETRY_MS = 100;
 
-/** Requests that wait for permits at most; those beyond it are refused. */
-const WAITING_MOST = 4096;
+/** Maximum number of requests that wait for permits; further requests are refused. */
+const MAX_WAITING_REQUESTS = 4096;
 
-/** What a request is told that finds too many waiting. */
-const FULL_RETRY_AFTER_MS = 1000;
+/** Retry interval given to a request that is refused because too many requests are waiting. */
+const QUEUE_FULL_RETRY_AFTER_MS = 1000;
 
-/** Idle tenants are forgotten at this interval. */
-const FORGET_INTERVAL_MS = 1000;
+/** Interval at which the records of idle tenants are deleted. */
+const IDLE_CLEANUP_INTERVAL_MS = 1000;
 
-/** Draws are numbered from a random number below this on, so that a grant for an earlier process is not mistaken. */
-const FIRST_DRAW_BELOW = 2 ** 31;
+/**
+ * Draw numbers start at a random number below this value, so that a grant for an earlier process of this edge
+ * is not mistaken for a grant of the current one.
+ */
+const FIRST_DRAW_RANGE = 2 ** 31;
 
-/** What a client is made with. */
+/** Options of a `QuotaClient`. */
 export interface QuotaClientOptions {
   readonly clock: Clock;
   readonly chance: RandomSource;
   readonly bounds: QuotaBounds;
-  /** This edge under its present incarnation: where grants go. */
+  /** Returns this edge with its current incarnation, to which cores send grants. */
   readonly self: () => Member;
-  /** Sends a draw to a core; it may be lost. */
+  /** Sends a draw to a core. The message may be lost. */
   readonly send: (to: Member, draw: QuotaDraw) => void;
   /**
-   * How long permits may be used, from the moment at which their draw was sent.
-   * @default by the bounds
+   * Lifetime of permits, measured from the time at which their draw was sent.
+   * @default derived from the bounds
    */
   readonly permitLifetimeMs?: number;
 }
 
-/** What the client holds and has done, as operators see it. */
+/** Current contents and counters of a `QuotaClient`, for operators. */
 export interface QuotaClientStats {
   readonly waiting: number;
-  readonly keptPermits: number;
+  readonly surplusPermits: number;
   readonly drawsSent: number;
   readonly granted: number;
   readonly refused: number;
 }
 
-/** An allocator that is drawn from, with the tenants that have requests waiting for it. */
-interface Lane {
+/**
+ * The queue of one allocator: the tenants with requests that wait for its permits, and the draws sent to it.
+ */
+interface AllocatorQueue {
   readonly member: Member;
-  readonly draws: Draws;
+  readonly draws: DrawTracker;
   readonly tenants: Set<TenantRequests>;
 }
 
 /**
- * Draws permits for the requests that wait, one draw in flight for each allocator; what comes meanwhile goes into the
- * next. A permit ends a fixed time after its draw was sent, by this edge's monotonic clock, so no clocks are compared
- * and a grant that comes late is worth nothing by itself.
+ * Draws permits for waiting requests, with one draw in flight per allocator; requests that arrive in the
+ * meantime go into the next draw. A permit expires a fixed time after its draw was sent, by this edge's
+ * monotonic clock. Clocks of different machines are therefore never compared, and a late grant carries only
+ * expired permits.
  * @example
  * const client = new QuotaClient({ clock, chance, bounds, self: () => member, send });
  * client.learnView(view);
@@ -82,21 +93,21 @@
   #lifetimeMs: number;
   #view: QuotaView | undefined;
   #tenants = new Map<string, TenantRequests>();
-  /** By the allocator's incarnation. */
-  #lanes = new Map<string, Lane>();
+  /** Queues by the incarnation of their allocator. */
+  #queues = new Map<string, AllocatorQueue>();
   #lastDraw: number;
   #drawsSent = 0;
-  /** While answers are handed out, requests that they bring about wait for the next draw. */
-  #isTakingGrant = false;
+  /** Set while a grant is applied, so that requests made by its callbacks are batched into the next draw. */
+  #isApplyingGrant = false;
   #waiting = 0;
   #granted = 0;
   #refused = 0;
-  #forgetMs = -Infinity;
+  #nextCleanupMs = -Infinity;
 
   constructor(options: QuotaClientOptions) {
     this.#options = options;
     this.#lifetimeMs = options.permitLifetimeMs ?? permitLifetimeMs(options.bounds);
-    this.#lastDraw = Math.floor(options.chance.next() * FIRST_DRAW_BELOW);
+    this.#lastDraw = Math.floor(options.chance.next() * FIRST_DRAW_RANGE);
   }
 
   acquire(tenant: string, done: (answer: PermitAnswer) => void): () => void {
@@ -104,87 +115,91 @@
     const requests = this.#requestsOf(tenant);
     const immediate = this.#immediateAnswer(requests, nowMs);
     if (immediate !== undefined) {
-      this.#count(immediate);
+      this.#countAnswer(immediate);
       done(immediate);
       return () => undefined;
     }
-    return this.#wait(requests, done, nowMs);
+    return this.#enqueue(requests, done, nowMs);
   }
 
-  /** Learns a view, by which allocators are chosen; the newest counts. */
+  /** Chooses allocators by `view` from now on. A view that is not newer than the current one is ignored. */
   learnView(view: QuotaView): void {
     if (this.#view !== undefined && !isNewer(view, this.#view)) return;
     this.#view = view;
-    const lanes = this.#lanes;
-    this.#lanes = new Map();
+    const previousQueues = this.#queues;
+    this.#queues = new Map();
     for (const member of view.members) {
       if (member.disk === '') continue;
-      const draws = lanes.get(member.incarnation)?.draws ?? new Draws(this.#lifetimeMs);
-      this.#lanes.set(member.incarnation, { member, draws, tenants: new Set() });
+      const draws = previousQueues.get(member.incarnation)?.draws ?? new DrawTracker(this.#lifetimeMs);
+      this.#queues.set(member.incarnation, { member, draws, tenants: new Set() });
     }
     const nowMs = this.#options.clock.nowMs();
     for (const requests of this.#tenants.values()) {
-      requests.askAgainMs = -Infinity;
-      if (requests.waiting > 0) this.#laneOf(requests)?.tenants.add(requests);
+      requests.retryAtMs = -Infinity;
+      if (requests.waiting > 0) this.#queueOf(requests)?.tenants.add(requests);
     }
-    for (const lane of this.#lanes.values()) this.#draw(lane, nowMs);
+    for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
   }
 
-  /** Takes a grant that a core sent. */
+  /** Applies a grant sent by a core. */
   receive(grant: QuotaGrant, nowMs: number): void {
-    for (const lane of this.#lanes.values()) {
-      const draw = lane.draws.answered(grant.draw);
+    for (const queue of this.#queues.values()) {
+      const draw = queue.draws.resolve(grant.draw);
       if (draw === undefined) continue;
-      this.#isTakingGrant = true;
-      this.#takeGrant(lane, draw, grant, nowMs);
-      this.#isTakingGrant = false;
-      this.#draw(lane, nowMs);
+      this.#isApplyingGrant = true;
+      this.#applyGrant(queue, draw, grant, nowMs);
+      this.#isApplyingGrant = false;
+      this.#sendDraw(queue, nowMs);
       return;
     }
   }
 
-  /** Sends what is due. */
+  /** Sends draws that are due and deletes the records of idle tenants. */
   tick(nowMs: number): void {
-    for (const lane of this.#lanes.values()) this.#draw(lane, nowMs);
-    if (nowMs < this.#forgetMs) return;
-    this.#forgetMs = nowMs + FORGET_INTERVAL_MS;
+    for (const queue of this.#queues.values()) this.#sendDraw(queue, nowMs);
+    if (nowMs < this.#nextCleanupMs) return;
+    this.#nextCleanupMs = nowMs + IDLE_CLEANUP_INTERVAL_MS;
     for (const [tenant, requests] of this.#tenants) if (requests.isIdle(nowMs)) this.#tenants.delete(tenant);
   }
 
   stats(): QuotaClientStats {
-    let keptPermits = 0;
-    for (const requests of this.#tenants.values()) keptPermits += requests.keptPermits;
+    let surplusPermits = 0;
+    for (const requests of this.#tenants.values()) surplusPermits += requests.surplusPermits;
     return {
       waiting: this.#waiting,
-      keptPermits,
+      surplusPermits,
       drawsSent: this.#drawsSent,
       granted: this.#granted,
       refused: this.#refused,
     };
   }
 
-  /** A kept permit or a remembered refusal, where there is one. */
+  /**
+   * Answer that needs no draw: a surplus permit, a cached refusal, or a refusal because too many requests
+   * wait.
+   */
   #immediateAnswer(requests: TenantRequests, nowMs: number): PermitAnswer | undefined {
-    const endMs = requests.takeKeptPermit(nowMs);
+    const endMs = requests.takeSurplusPermit(nowMs);
     if (endMs !== undefined) return { kind: 'granted', permit: { endMs } };
     const refusedForMs = requests.refusedForMs(nowMs);
     if (refusedForMs > 0) return { kind: 'over-quota', retryAfterMs: refusedForMs };
-    if (this.#waiting >= WAITING_MOST) return { kind: 'over-quota', retryAfterMs: FULL_RETRY_AFTER_MS };
+    if (this.#waiting >= MAX_WAITING_REQUESTS)
+      return { kind: 'over-quota', retryAfterMs: QUEUE_FULL_RETRY_AFTER_MS };
     return undefined;
   }
 
-  #wait(requests: TenantRequests, done: (answer: PermitAnswer) => void, nowMs: number): () => void {
+  #enqueue(requests: TenantRequests, done: (answer: PermitAnswer) => void, nowMs: number): () => void {
     let isWaiting = true;
     this.#waiting += 1;
     const withdraw = requests.wait((answer) => {
       isWaiting = false;
       this.#waiting -= 1;
-      this.#count(answer);
+      this.#countAnswer(answer);
       done(answer);
     });
-    const lane = this.#laneOf(requests);
-    lane?.tenants.add(requests);
-    if (lane !== undefined) this.#draw(lane, nowMs);
+    const queue = this.#queueOf(requests);
+    queue?.tenants.add(requests);
+    if (queue !== undefined) this.#sendDraw(queue, nowMs);
     return () => {
       if (!isWaiting) return;
       isWaiting = false;
@@ -193,7 +208,7 @@
     };
   }
 
-  #count(answer: PermitAnswer): void {
+  #countAnswer(answer: PermitAnswer): void {
     if (answer.kind === 'granted') this.#granted += 1;
     else this.#refused += 1;
   }
@@ -206,23 +221,23 @@
     return requests;
   }
 
-  #laneOf({ tenant }: TenantRequests): Lane | undefined {
+  #queueOf({ tenant }: TenantRequests): AllocatorQueue | undefined {
     const member = this.#view === undefined ? undefined : allocatorOf(tenant, this.#view.members);
-    return member === undefined ? undefined : this.#lanes.get(member.incarnation);
+    return member === undefined ? undefined : this.#queues.get(member.incarnation);
   }
 
-  /** Sends a draw for all requests that wait for an allocator, unless one is in flight. */
-  #draw({ draws, member, tenants }: Lane, nowMs: number): void {
-    if (this.#isTakingGrant || tenants.size === 0 || !draws.canSend(nowMs)) return;
+  /** Sends a draw for all requests that wait for an allocator, unless a draw to it is in flight. */
+  #sendDraw({ draws, member, tenants }: AllocatorQueue, nowMs: number): void {
+    if (this.#isApplyingGrant || tenants.size === 0 || !draws.canSend(nowMs)) return;
     const needs = new Map<string, number>();
     for (const requests of tenants) {
       if (requests.waiting === 0) tenants.delete(requests);
-      else if (requests.askAgainMs <= nowMs) needs.set(requests.tenant, requests.waiting);
+      else if (requests.retryAtMs <= nowMs) needs.set(requests.tenant, requests.waiting);
     }
     if (needs.size === 0) return;
     this.#lastDraw += 1;
     this.#drawsSent += 1;
-    draws.sent({ draw: this.#lastDraw, sentMs: nowMs, needs });
+    draws.recordSent({ draw: this.#lastDraw, sentMs: nowMs, needs });
     const message = create(QuotaDrawSchema, {
       edge: this.#options.self(),
       draw: this.#lastDraw,
@@ -231,28 +246,34 @@
     this.#options.send(member, message);
   }
 
-  #takeGrant(lane: Lane, draw: SentDraw, grant: QuotaGrant, nowMs: number): void {
+  #applyGrant(queue: AllocatorQueue, draw: SentDraw, grant: QuotaGrant, nowMs: number): void {
     const endMs = draw.sentMs + this.#lifetimeMs;
-    // What a core said so long ago is neither a permit nor news of the quota.
+    // After this time the granted permits have expired, and a refusal no longer reflects the quota.
     if (endMs <= nowMs) return;
     for (const answer of grant.answers) {
       const asked = draw.needs.get(answer.tenant);
-      if (asked !== undefined) this.#takeAnswer(lane, answer, asked, endMs, nowMs);
+      if (asked !== undefined) this.#applyAnswer(queue, answer, asked, endMs, nowMs);
     }
   }
 
-  #takeAnswer(lane: Lane, answer: QuotaAnswer, asked: number, endMs: number, nowMs: number): void {
+  #applyAnswer(
+    queue: AllocatorQueue,
+    answer: QuotaAnswer,
+    asked: number,
+    endMs: number,
+    nowMs: number,
+  ): void {
     const requests = this.#requestsOf(answer.tenant);
     requests.grant(answer.granted, endMs);
-    const rest = asked - answer.granted;
-    if (rest <= 0) return;
+    const shortfall = asked - answer.granted;
+    if (shortfall <= 0) return;
     if (answer.unavailable) {
-      if (this.#laneOf(requests) === lane) requests.askAgainMs = nowMs + ASK_AGAIN_MS;
+      if (this.#queueOf(requests) === queue) requests.retryAtMs = nowMs + UNAVAILABLE_RETRY_MS;
       return;
     }
     const { retryAfterMs } = answer;
-    const untilMs = nowMs + Math.min(retryAfterMs, REFUSAL_MEMORY_MOST_MS);
-    requests.refuse(rest, retryAfterMs, untilMs);
+    const refuseUntilMs = nowMs + Math.min(retryAfterMs, MAX_REFUSAL_CACHE_MS);
+    requests.refuse(shortfall, retryAfterMs, refuseUntilMs);
   }
 }
 
--- a/packages/quotas/src/testing/edge-node.ts
+++ b/packages/quotas/src/testing/edge-node.ts
@@ -1,4 +1,4 @@
-/** A simulated edge: requests that ask for permits, wait, are withdrawn, and are sent to a worker. */
+/** A simulated edge: its requests acquire permits, wait, are cancelled, and are sent to a worker. */
 import { create } from '@bufbuild/protobuf';
 import { randomId, type RandomSource } from '@rainrun/common';
 import { MemberSchema, type Member, type QuotaDraw } from '@rainrun/messages';
@@ -13,25 +13,28 @@
 import type { RequestRecord } from './refusal-oracle.js';
 
 const TICK_MS = 25;
-/** Some edges learn views sooner than others. */
-const VIEW_POLL_LEAST_MS = 100;
-const VIEW_POLL_SPREAD_MS = 1200;
+/**
+ * Views are polled at an interval that differs between edges, so that some learn of a view earlier than
+ * others.
+ */
+const MIN_VIEW_POLL_MS = 100;
+const VIEW_POLL_RANGE_MS = 1200;
 
-/** Clients wait so long at most. */
-const PATIENCE_MOST_MS = 5000;
+/** Longest time that a client waits. */
+const CLIENT_TIMEOUT_MS = 5000;
 
-/** A part of the requests holds its permit for a while before it is sent. */
-const HOLDING_PART = 0.05;
-const HOLD_MOST_MS = 300;
+/** Fraction of the requests that are sent with a delay after they got their permit, and the longest delay. */
+const DELAYED_SEND_FRACTION = 0.05;
+const MAX_SEND_DELAY_MS = 300;
 
-/** A part of the clients goes away early. */
-const IMPATIENT_PART = 0.03;
+/** Fraction of the clients that cancel early. */
+const EARLY_CANCEL_FRACTION = 0.03;
 
-/** The mutant without an end of permits uses them for so long. */
-const ENDLESS_MS = 60_000;
+/** Lifetime of permits in the `no-permit-end` mutant. */
+const NO_PERMIT_END_LIFETIME_MS = 60_000;
 
-/** What an edge is made with. */
-export interface EdgeSettings {
+/** Options of an `EdgeNode`. */
+export interface EdgeNodeOptions {
   readonly machine: Machine;
   readonly network: Network;
   readonly random: RandomSource;
@@ -39,61 +42,62 @@
   readonly mutant: Mutant | undefined;
   readonly cores: readonly CoreNode[];
   readonly coreOf: (incarnation: string) => CoreNode | undefined;
-  /** Real time, for the records. */
+  /** Simulated time without clock drift, for request records. */
   readonly nowMs: () => number;
-  /** For how long no worker takes a request. */
+  /** Returns how long no worker will accept requests. */
   readonly stalledForMs: () => number;
   readonly onSent: (tenant: string) => void;
-  /** The limit of a tenant as edges know it. */
+  /** Returns the limit of a tenant as edges know it. */
   readonly limitOf: (tenant: string) => Pick<TenantLimit, 'burst'>;
 }
 
-/** An edge and its client of quotas. */
+/** A simulated edge with its quota client. */
 export class EdgeNode {
   readonly machine: Machine;
-  #settings: EdgeSettings;
+  #options: EdgeNodeOptions;
   #member!: Member;
   #client!: QuotaClient;
   #permits!: ShardedPermits;
 
-  constructor(settings: EdgeSettings) {
-    this.#settings = settings;
-    this.machine = settings.machine;
+  constructor(options: EdgeNodeOptions) {
+    this.#options = options;
+    this.machine = options.machine;
     this.start();
   }
 
-  /** Begins a process: it knows no view and has no permits. */
+  /** Starts a new process, which has no view and no permits. */
   start(): void {
-    const { bounds, machine, mutant, random } = this.#settings;
+    const { bounds, machine, mutant, random } = this.#options;
     this.#member = create(MemberSchema, { name: machine.name, incarnation: randomId(random) });
-    const endless = mutant === 'no-permit-end' ? { permitLifetimeMs: ENDLESS_MS } : {};
+    const lifetimeOverride =
+      mutant === 'no-permit-end' ? { permitLifetimeMs: NO_PERMIT_END_LIFETIME_MS } : {};
     this.#client = new QuotaClient({
       clock: machine,
       chance: random,
       bounds,
       self: () => this.#member,
       send: (to, draw) => this.#sendDraw(to, draw),
-      ...endless,
+      ...lifetimeOverride,
     });
     this.#permits = new ShardedPermits({
       clock: machine,
       chance: random,
       source: this.#client,
-      shardCountOf: (tenant) => shardCount(this.#settings.limitOf(tenant)),
+      shardCountOf: (tenant) => shardCount(this.#options.limitOf(tenant)),
     });
     machine.every(TICK_MS, () => {
       this.#client.tick(machine.nowMs());
       this.#permits.tick(machine.nowMs());
     });
-    machine.every(VIEW_POLL_LEAST_MS + random.next() ** 2 * VIEW_POLL_SPREAD_MS, () => this.#pollView());
+    machine.every(MIN_VIEW_POLL_MS + random.next() ** 2 * VIEW_POLL_RANGE_MS, () => this.#pollView());
   }
 
-  /** A request that is ready to be sent and needs a permit. */
+  /** Acquires a permit for a request, and sends the request with it. */
   request(record: RequestRecord): void {
-    const { machine, random } = this.#settings;
+    const { machine, random } = this.#options;
     let cancel = this.#acquire(record, () => (cancel = this.#acquire(record)));
-    const patienceMs = random.next() < IMPATIENT_PART ? random.next() * 300 : PATIENCE_MOST_MS;
-    machine.after(patienceMs, () => {
+    const timeoutMs = random.next() < EARLY_CANCEL_FRACTION ? random.next() * 300 : CLIENT_TIMEOUT_MS;
+    machine.after(timeoutMs, () => {
       cancel();
       record.outcome ??= 'given-up';
     });
@@ -101,24 +105,24 @@
 
   #acquire(record: RequestRecord, again?: () => void): () => void {
     const retry = again ?? (() => this.#acquire(record));
-    const permits = isSharded(this.#settings.mutant) ? this.#permits : this.#client;
+    const permits = isSharded(this.#options.mutant) ? this.#permits : this.#client;
     return permits.acquire(record.tenant, (answer) => this.#onAnswer(record, answer, retry));
   }
 
   #onAnswer(record: RequestRecord, answer: PermitAnswer, retry: () => void): void {
-    const { machine, nowMs, random, stalledForMs } = this.#settings;
+    const { machine, nowMs, random, stalledForMs } = this.#options;
     record.answeredMs ??= nowMs();
     if (answer.kind === 'over-quota') {
       record.outcome ??= 'refused';
       return;
     }
-    const holdMs = random.next() < HOLDING_PART ? random.next() * HOLD_MOST_MS : 0;
-    const delayMs = Math.max(holdMs, stalledForMs());
+    const sendDelayMs = random.next() < DELAYED_SEND_FRACTION ? random.next() * MAX_SEND_DELAY_MS : 0;
+    const delayMs = Math.max(sendDelayMs, stalledForMs());
     if (delayMs === 0) this.#send(record, answer.permit, retry);
     else machine.after(delayMs, () => this.#send(record, answer.permit, retry));
   }
 
-  /** Sends the request if its permit still holds at this moment. */
+  /** Sends the request if its permit has not expired; otherwise acquires another permit. */
   #send(record: RequestRecord, permit: Permit, retry: () => void): void {
     if (record.outcome !== undefined) return;
     if (permit.endMs <= this.machine.nowMs()) {
@@ -126,11 +130,11 @@
       return;
     }
     record.outcome = 'sent';
-    this.#settings.onSent(record.tenant);
+    this.#options.onSent(record.tenant);
   }
 
   #sendDraw(to: Member, draw: QuotaDraw): void {
-    const { coreOf, machine, network } = this.#settings;
+    const { coreOf, machine, network } = this.#options;
     const core = coreOf(to.incarnation);
     if (core === undefined) return;
     const edge = this.#member;
@@ -143,18 +147,18 @@
     });
   }
 
-  /** Asks some core for its view. */
+  /** Requests the current view of a random core. */
   #pollView(): void {
-    const { cores, machine, network, random } = this.#settings;
+    const { cores, machine, network, random } = this.#options;
     const core = cores[Math.floor(random.next() * cores.length)];
     if (core === undefined) return;
     network.send(machine, core.machine, () => {
       const { view } = core;
-      if (view !== undefined) network.send(core.machine, machine, () => this.#learn(view));
+      if (view !== undefined) network.send(core.machine, machine, () => this.#learnView(view));
     });
   }
 
-  #learn(view: QuotaView): void {
+  #learnView(view: QuotaView): void {
     this.#client.learnView(view);
   }
 }
--- a/packages/router/src/request-permits.ts
+++ b/packages/router/src/request-permits.ts
@@ -1,4 +1,4 @@
-/** The permits of requests whose tenants have a quota: one for each attempt that a worker may run. */
+/** Quota permits of requests whose tenants have a quota: one for each attempt that a worker may run. */
 import type { Permit, PermitAnswer, PermitSource } from '@rainrun/quotas';
 import type { AttemptEnd } from './attempt.js';
 import type { RoutedRequest } from './request.js';
@@ -7,17 +7,17 @@
 /** Whether a request may be sent now, as far as its tenant's quota is concerned. */
 export type PermitState =
   | { readonly kind: 'ready' }
-  /** The answer is not there yet, or says to wait. */
+  /** The answer has not arrived yet, or tells an admitted request to wait. */
   | { readonly kind: 'awaited' }
-  /** The first answer said so; a request that was admitted once only waits. */
+  /** The first answer denied the permit. A request that was admitted before only waits. */
   | { readonly kind: 'over-quota'; readonly retryAfterMs: number };
 
-/** What permits need of their router. */
+/** What the permits need from their router. */
 export interface RequestPermitsDependencies {
   readonly source: PermitSource;
   /** Monotonic, in milliseconds. */
   nowMs(): number;
-  /** An answer came for a request that has been waiting for it. */
+  /** Called when the answer for a waiting request arrives. */
   onAnswer(request: RoutedRequest): void;
 }
 
@@ -25,12 +25,17 @@
 const AWAITED: PermitState = { kind: 'awaited' };
 const NONE: NextPermit = { kind: 'none' };
 
-/** Ends of attempts that certainly did not run, whose permits can be used again. */
-const NOT_RUN: ReadonlySet<AttemptEnd['how']> = new Set(['not-sent', 'unreached', 'not-run', 'misdirected']);
+/** Outcomes of attempts that certainly did not run, so that their permits can be used again. */
+const NOT_RUN: ReadonlySet<AttemptEnd['outcome']> = new Set([
+  'not-sent',
+  'unreached',
+  'not-run',
+  'misdirected',
+]);
 
 /**
- * Gets the permits of requests and consumes them. The first answer decides whether a request is admitted; after that
- * it is never rejected for quota: it waits and asks again until its time has passed.
+ * Acquires the permits of requests and consumes them. The first answer decides whether a request is admitted.
+ * An admitted request is never rejected for quota: it waits and asks again until it expires.
  * @example
  * if (permits.obtain(request).kind === 'ready') send(request);
  * const mayStart = permits.consume(request); // just before the first byte
@@ -42,51 +47,51 @@
     this.#dependencies = dependencies;
   }
 
-  /** Asks for a permit unless one is held or asked for, and says how the request stands. */
+  /** Requests a permit unless one is held or already requested; returns the resulting state. */
   obtain(request: RoutedRequest): PermitState {
-    const quota = this.#quotaOf(request);
-    const state = quota === undefined ? READY : this.#obtain(request, quota);
+    const requestPermit = this.#permitOf(request);
+    const state = requestPermit === undefined ? READY : this.#obtain(request, requestPermit);
     if (state === READY) request.admitted = true;
     return state;
   }
 
-  /** Whether a request holds a permit that has not ended, or has asked for one, or needs none. */
+  /** Whether a request holds a valid permit, has requested one, or needs none. */
   isHeld(request: RoutedRequest): boolean {
-    const quota = this.#quotaOf(request);
-    if (quota === undefined || quota.next.kind === 'asked') return true;
-    return quota.next.kind === 'held' && this.#isValid(quota.next.permit);
+    const requestPermit = this.#permitOf(request);
+    if (requestPermit === undefined || requestPermit.next.kind === 'asked') return true;
+    return requestPermit.next.kind === 'held' && this.#isValid(requestPermit.next.permit);
   }
 
-  /** The last check before the first byte leaves: uses up the permit that is held, if it has not ended. */
+  /** The last check before the first byte is sent: consumes the permit; false if it is missing or expired. */
   consume(request: RoutedRequest): boolean {
-    const quota = this.#quotaOf(request);
-    if (quota === undefined) return true;
-    const { next } = quota;
+    const requestPermit = this.#permitOf(request);
+    if (requestPermit === undefined) return true;
+    const { next } = requestPermit;
     if (next.kind !== 'held' || !this.#isValid(next.permit)) return false;
-    quota.next = NONE;
-    quota.spent = next.permit;
+    requestPermit.next = NONE;
+    requestPermit.consumed = next.permit;
     return true;
   }
 
-  /** Gives the permit of an attempt that did not run back to its request. */
-  attemptEnded({ permit: quota }: RoutedRequest, how: AttemptEnd['how']): void {
-    if (quota?.spent === undefined) return;
-    const { spent, next } = quota;
-    quota.spent = undefined;
-    if (!NOT_RUN.has(how) || next.kind === 'held') return;
-    withdraw(quota);
-    quota.next = { kind: 'held', permit: spent };
+  /** Returns the permit of an attempt that did not run to its request. */
+  attemptEnded({ permit: requestPermit }: RoutedRequest, outcome: AttemptEnd['outcome']): void {
+    if (requestPermit?.consumed === undefined) return;
+    const { consumed, next } = requestPermit;
+    requestPermit.consumed = undefined;
+    if (!NOT_RUN.has(outcome) || next.kind === 'held') return;
+    withdrawRequest(requestPermit);
+    requestPermit.next = { kind: 'held', permit: consumed };
   }
 
-  /** The request has ended: no permit is asked for any more. */
+  /** Withdraws the permit request of a request that has ended. */
   release(request: RoutedRequest): void {
     if (request.permit === undefined) return;
-    withdraw(request.permit);
+    withdrawRequest(request.permit);
     request.permit = undefined;
   }
 
-  /** What a request holds of its tenant's quota; undefined where it needs no permit. */
-  #quotaOf(request: RoutedRequest): RequestPermit | undefined {
+  /** The permit state of a request for its current tenant; undefined if it needs no permit. */
+  #permitOf(request: RoutedRequest): RequestPermit | undefined {
     const { tenant } = request;
     if (tenant === undefined || tenant.ratePerS <= 0) {
       this.release(request);
@@ -94,20 +99,20 @@
     }
     if (request.permit?.tenant !== tenant.name) {
       this.release(request);
-      request.permit = { tenant: tenant.name, next: NONE, spent: undefined };
+      request.permit = { tenant: tenant.name, next: NONE, consumed: undefined };
     }
     return request.permit;
   }
 
-  #obtain(request: RoutedRequest, quota: RequestPermit): PermitState {
-    const before = this.#stateOf(request, quota);
-    if (before !== undefined) return before;
-    this.#ask(request, quota);
-    // A permit that has ended by the time it is given is asked for anew at the next look, not in a loop here.
-    return this.#stateOf(request, quota) ?? AWAITED;
+  #obtain(request: RoutedRequest, requestPermit: RequestPermit): PermitState {
+    const current = this.#stateOf(request, requestPermit);
+    if (current !== undefined) return current;
+    this.#ask(request, requestPermit);
+    // A permit that has expired on arrival is requested again at the next call, not in a loop here.
+    return this.#stateOf(request, requestPermit) ?? AWAITED;
   }
 
-  /** Undefined: a permit is to be asked for now. */
+  /** The state by the permit held or requested; undefined if a permit must be requested now. */
   #stateOf(request: RoutedRequest, { next }: RequestPermit): PermitState | undefined {
     switch (next.kind) {
       case 'none':
@@ -118,27 +123,27 @@
         return this.#isValid(next.permit) ? READY : undefined;
       case 'refused':
         if (!request.admitted) return { kind: 'over-quota', retryAfterMs: next.retryAfterMs };
-        return this.#dependencies.nowMs() < next.untilMs ? AWAITED : undefined;
+        return this.#dependencies.nowMs() < next.retryAtMs ? AWAITED : undefined;
     }
   }
 
-  #ask(request: RoutedRequest, quota: RequestPermit): void {
-    const asked: NextPermit = { kind: 'asked', withdraw: () => undefined };
-    quota.next = asked;
-    let isAsking = true;
-    asked.withdraw = this.#dependencies.source.acquire(quota.tenant, (answer) => {
-      if (quota.next !== asked) return;
-      quota.next = this.#answered(answer);
+  #ask(request: RoutedRequest, requestPermit: RequestPermit): void {
+    const pending: NextPermit = { kind: 'asked', withdraw: () => undefined };
+    requestPermit.next = pending;
+    let isAcquiring = true;
+    pending.withdraw = this.#dependencies.source.acquire(requestPermit.tenant, (answer) => {
+      if (requestPermit.next !== pending) return;
+      requestPermit.next = this.#fromAnswer(answer);
       if (answer.kind === 'granted') request.admitted = true;
-      if (!isAsking) this.#dependencies.onAnswer(request);
+      if (!isAcquiring) this.#dependencies.onAnswer(request);
     });
-    isAsking = false;
+    isAcquiring = false;
   }
 
-  #answered(answer: PermitAnswer): NextPermit {
+  #fromAnswer(answer: PermitAnswer): NextPermit {
     if (answer.kind === 'granted') return { kind: 'held', permit: answer.permit };
     const { retryAfterMs } = answer;
-    return { kind: 'refused', retryAfterMs, untilMs: this.#dependencies.nowMs() + retryAfterMs };
+    return { kind: 'refused', retryAfterMs, retryAtMs: this.#dependencies.nowMs() + retryAfterMs };
   }
 
   #isValid({ endMs }: Permit): boolean {
@@ -146,8 +151,8 @@
   }
 }
 
-function withdraw(quota: RequestPermit): void {
-  const { next } = quota;
-  quota.next = NONE;
+function withdrawRequest(requestPermit: RequestPermit): void {
+  const { next } = requestPermit;
+  requestPermit.next = NONE;
   if (next.kind === 'asked') next.withdraw();
 }
